--- a/crates/hopyoke-world/src/controller.rs
+++ b/crates/hopyoke-world/src/controller.rs
@@ -1,5 +1,6 @@
 //! Controllers: the real core, with leadership and messages as `lead` does them.
 
+use super::digest::Channel;
 use super::store::{Change, Store, Value};
 use super::worker::{MOST_CHARS, report_chars};
 use super::{Host, World};
@@ -9,6 +10,7 @@
 use hopyoke_limits::Importance;
 use hopyoke_types::Micros;
 use hopyoke_types::{JobId, MachineId, Mark, Token};
+use hopyoke_wire::cloud::Rent;
 use hopyoke_wire::user::JobState;
 use hopyoke_wire::worker::Report;
 use std::cell::Cell;
@@ -596,6 +598,8 @@
         match action {
             Action::Rent { request, machine_type, zone, spot, count } => {
                 self.send(Host::Node(i), Host::Cloud, move |w| {
+                    let rent = Rent { request: &request, machine_type: &machine_type, zone: &zone, spot, count };
+                    w.digest_message(Channel::ScaleOut, &rent);
                     let got = w.cloud_rent(&request, &machine_type, &zone, spot, count);
                     w.send(Host::Cloud, Host::Node(i), move |w| {
                         let now = w.now;
@@ -609,6 +613,7 @@
             Action::Delete { machines } => {
                 self.send(Host::Node(i), Host::Cloud, move |w| {
                     for m in &machines {
+                        w.digest_bytes(Channel::ScaleIn, m.as_str().as_bytes());
                         w.remove_machine(m);
                     }
                     w.send(Host::Cloud, Host::Node(i), move |w| {
@@ -803,6 +808,7 @@
             return self
                 .after(Micros::from_millis(5), move |w| w.report_answered(&m, s, number, sent, Some(Err(None))));
         }
+        self.digest_message(Channel::Heartbeat, &report);
         let now = self.now;
         let entitled = self.entitled(i);
         let seen = self.nodes[i].leader_seen;
--- /dev/null
+++ b/crates/hopyoke-world/src/digest.rs
@@ -0,0 +1,108 @@
+//! A digest of a whole run: each message that is delivered, in its protocol's form, with its virtual time,
+//! and each random draw. Two builds that decide alike have equal digests for a scenario and seed.
+
+use super::World;
+use super::store::{Change, Value};
+use hopyoke_types::Token;
+use hopyoke_wire::state::Condition;
+use hopyoke_wire::worker::{DirectOrders, Order, Orders};
+use serde::Serialize;
+use xxhash_rust::xxh3::Xxh3;
+
+/// Which way a message goes.
+#[derive(Debug, Clone, Copy)]
+pub enum Channel {
+    /// A worker's heartbeat as a controller receives it.
+    Heartbeat = 1,
+    /// The answer to a heartbeat as the worker receives it.
+    HeartbeatAnswer = 2,
+    /// Commands pushed to a worker.
+    PushedCommands = 3,
+    /// A transaction that reaches the key-value store.
+    Transaction = 4,
+    /// The store's answer to a transaction.
+    TransactionResult = 5,
+    /// A request for machines.
+    ScaleOut = 6,
+    /// A deletion of machines.
+    ScaleIn = 7,
+    /// An answer that a user receives.
+    UserAnswer = 8,
+    /// A value drawn from the random number generator.
+    Draw = 9,
+    /// A step of the event queue.
+    Step = 10,
+}
+
+/// The digest of what has happened so far.
+#[derive(Default)]
+pub struct Digest(Xxh3);
+
+impl Digest {
+    /// Adds bytes that were seen on a channel at a time in microseconds.
+    pub fn add(&mut self, channel: Channel, at_us: u64, bytes: &[u8]) {
+        self.0.update(&[channel as u8]);
+        self.0.update(&at_us.to_le_bytes());
+        self.0.update(&(bytes.len() as u64).to_le_bytes());
+        self.0.update(bytes);
+    }
+
+    /// The digest's value.
+    pub fn value(&self) -> u64 {
+        self.0.digest()
+    }
+}
+
+/// A value in the form in which it is stored.
+fn stored(value: &Value) -> Vec<u8> {
+    match value {
+        Value::Job(record) => hopyoke_wire::encode(record),
+        Value::End(end) => hopyoke_wire::encode(end),
+        Value::Page(page) => hopyoke_wire::encode(page),
+        Value::Learned(page) => hopyoke_wire::encode(page),
+        Value::Holder(node) => hopyoke_wire::encode(&(*node as u64)),
+    }
+}
+
+impl World {
+    /// Adds a message in its protocol's form to the run's digest.
+    pub(crate) fn digest_message(&mut self, channel: Channel, message: &impl Serialize) {
+        let bytes = hopyoke_wire::encode(message);
+        self.digest_bytes(channel, &bytes);
+    }
+
+    /// Adds bytes to the run's digest.
+    pub(crate) fn digest_bytes(&mut self, channel: Channel, bytes: &[u8]) {
+        self.digest.add(channel, self.now.0, bytes);
+    }
+
+    /// Adds the answer to a heartbeat.
+    pub(crate) fn digest_orders(&mut self, token: Token, orders: &[Order]) {
+        let answer = Orders { token, orders: orders.to_vec() };
+        self.digest_message(Channel::HeartbeatAnswer, &answer);
+    }
+
+    /// Adds commands that reach a worker directly.
+    pub(crate) fn digest_direct(&mut self, token: Token, session: u64, orders: &[Order]) {
+        let direct = DirectOrders { token, session, orders: orders.to_vec() };
+        self.digest_message(Channel::PushedCommands, &direct);
+    }
+
+    /// Adds a transaction as the store receives it.
+    pub(crate) fn digest_transaction(&mut self, when: &[(String, u64)], apply: &[Change]) {
+        for (key, mark) in when {
+            let condition = Condition { key: key.clone(), mark: hopyoke_types::Mark(*mark) };
+            self.digest_message(Channel::Transaction, &condition);
+        }
+        for change in apply {
+            match change {
+                Change::Put(key, value, lease) => {
+                    self.digest_bytes(Channel::Transaction, key.as_bytes());
+                    self.digest_bytes(Channel::Transaction, &stored(value));
+                    self.digest_message(Channel::Transaction, lease);
+                }
+                Change::Drop(key) => self.digest_bytes(Channel::Transaction, key.as_bytes()),
+            }
+        }
+    }
+}
--- a/crates/hopyoke-world/src/lib.rs
+++ b/crates/hopyoke-world/src/lib.rs
@@ -4,6 +4,7 @@
 mod api;
 mod cloud;
 pub mod controller;
+mod digest;
 pub mod limits;
 pub mod rules;
 pub mod script;
@@ -210,6 +211,8 @@
     /// Jobs that were found over, and well.
     settled: BTreeSet<JobId>,
     pub trace: bool,
+    /// Of all messages and draws so far.
+    pub(crate) digest: digest::Digest,
     /// The whole world is checked at each step, unless there are too many machines.
     pub thorough: bool,
 }
@@ -274,6 +277,7 @@
             settled: BTreeSet::new(),
             thorough: true,
             trace: std::env::var_os("SIM_TRACE").is_some(),
+            digest: digest::Digest::default(),
         }
     }
 
@@ -303,6 +307,7 @@
             }
             let Some(Reverse(t)) = self.queue.pop() else { break };
             self.now = t.0;
+            self.digest_bytes(digest::Channel::Step, &[]);
             (t.2)(self);
             if self.looks_closely() || self.now >= self.next_check {
                 self.check_rules();
@@ -322,7 +327,9 @@
     }
 
     pub fn random(&mut self, low: u64, high: u64) -> u64 {
-        self.rng.random_range(low..=high)
+        let drawn = self.rng.random_range(low..=high);
+        self.digest_bytes(digest::Channel::Draw, &drawn.to_le_bytes());
+        drawn
     }
 
     /// Where a machine's worker is, as an end of a path.
--- a/crates/hopyoke-world/src/script.rs
+++ b/crates/hopyoke-world/src/script.rs
@@ -60,14 +60,17 @@
     out
 }
 
-/// Runs one scenario; the error names the line. Statements that `extra` knows are left to it.
-pub fn run(text: &str, extra: Extra<'_>) -> Result<(), String> {
+/// Runs one scenario; the error names the line. Statements that `extra` knows are left to it. What is returned is
+/// a digest of all that happened in virtual time.
+pub fn run(text: &str, extra: Extra<'_>) -> Result<u64, String> {
     if let Some((line, (name, values))) = text.lines().find_map(|l| Some((l, sweep_of(l)?))) {
         let rest = text.replacen(line, "", 1);
+        let mut digest = 0u64;
         for v in values {
-            run(&filled(&rest, name, v), extra).map_err(|e| format!("{name} {v}: {e}"))?;
+            let run = run(&filled(&rest, name, v), extra).map_err(|e| format!("{name} {v}: {e}"))?;
+            digest = digest.rotate_left(1) ^ run;
         }
-        return Ok(());
+        return Ok(digest);
     }
     let mut world: Option<World> = None;
     for (n, line) in text.lines().enumerate() {
@@ -97,7 +100,7 @@
             }
         }
     }
-    Ok(())
+    Ok(world.map_or(0, |w| w.digest.value()))
 }
 
 fn world_defaults(w: &mut World) {
--- a/crates/hopyoke-world/src/store.rs
+++ b/crates/hopyoke-world/src/store.rs
@@ -1,6 +1,7 @@
 //! The state service.
 
 use super::World;
+use super::digest::Channel;
 use hopyoke_core::{EndRecord, JobRecord, RegisterPage};
 use hopyoke_types::Micros;
 use hopyoke_wire::worker::Report;
@@ -159,8 +160,13 @@
 
     /// A transaction that the service does not refuse; `None`: it has no answer.
     pub fn transact(&mut self, when: &[(String, u64)], apply: Vec<Change>) -> Option<Result<u64, Vec<String>>> {
+        self.digest_transaction(when, &apply);
         match self.fate() {
-            Fate::Usual => Some(self.store.txn(when, apply)),
+            Fate::Usual => {
+                let result = self.store.txn(when, apply);
+                self.digest_message(Channel::TransactionResult, &result);
+                Some(result)
+            }
             Fate::AnswerLost => {
                 let _ = self.store.txn(when, apply);
                 None
--- a/crates/hopyoke-world/src/told.rs
+++ b/crates/hopyoke-world/src/told.rs
@@ -3,6 +3,7 @@
 
 use super::World;
 use super::api::{Answer, Request};
+use super::digest::Channel;
 use hopyoke_types::{JobId, Micros};
 use hopyoke_wire::user::JobState;
 
@@ -24,6 +25,18 @@
         if matches!(answer, Answer::Later(_)) {
             return;
         }
+        let code = match answer {
+            Answer::Unfinished => 1,
+            Answer::Finished(JobState::Done) => 2,
+            Answer::Finished(JobState::Cancelled) => 3,
+            Answer::Finished(_) => 4,
+            Answer::Missing => 5,
+            Answer::Malformed => 6,
+            Answer::NeverRuns => 7,
+            Answer::Later(_) => 8,
+        };
+        self.digest_bytes(Channel::UserAnswer, &[code]);
+        self.digest_bytes(Channel::UserAnswer, id.as_str().as_bytes());
         let now = self.now;
         if let Some((rule, why)) = self.fault_in(id, what, known, answer) {
             self.broke(rule, format!("{id}: {why}"));
--- a/crates/hopyoke-world/src/worker.rs
+++ b/crates/hopyoke-world/src/worker.rs
@@ -299,6 +299,8 @@
         m.in_flight = None;
         match answer {
             Some(Ok((token, orders))) => {
+                self.digest_orders(token, &orders);
+                let Some(m) = self.machines.get_mut(id) else { return };
                 if token >= m.token {
                     let higher = token > m.token;
                     m.token = token;
@@ -330,6 +332,7 @@
         session: u64,
         orders: Vec<Order>,
     ) -> Option<(bool, Report)> {
+        self.digest_direct(token, session, &orders);
         let now = self.now;
         let m = self.machines.get_mut(id).filter(|m| now >= m.deaf_until)?;
         let ok = token >= m.token && session == m.session;
--- a/crates/hopyoke/tests/scenarios.rs
+++ b/crates/hopyoke/tests/scenarios.rs
@@ -27,11 +27,20 @@
     libtest_mimic::run(&Arguments::from_args(), trials).exit_code()
 }
 
+/// `DIGESTS=1` prints a digest of each run. Two builds with equal digests have decided alike.
+fn prints_digests() -> bool {
+    std::env::var_os("DIGESTS").is_some()
+}
+
 fn trial(file: PathBuf) -> Trial {
     let name = file.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
     Trial::test(format!("scenario::{name}"), move || {
         let text = fs::read_to_string(&file)?;
-        script::run(&text, &checks::statement).map_err(Failed::from)
+        let digest = script::run(&text, &checks::statement)?;
+        if prints_digests() {
+            println!("digest {name} {digest:016x}");
+        }
+        Ok(())
     })
 }
 
@@ -60,9 +69,13 @@
                     if seed >= first + days {
                         return;
                     }
-                    if let Err(e) = script::run(&day(seed), &checks::statement) {
-                        failed.fetch_add(1, Ordering::Relaxed);
-                        println!("FAIL seed {seed}: {e}");
+                    match script::run(&day(seed), &checks::statement) {
+                        Ok(digest) if prints_digests() => println!("digest day_{seed} {digest:016x}"),
+                        Ok(_) => {}
+                        Err(e) => {
+                            failed.fetch_add(1, Ordering::Relaxed);
+                            println!("FAIL seed {seed}: {e}");
+                        }
                     }
                 }
             });
