--- a/crates/hopyoke-limits/tests/limits.rs
+++ b/crates/hopyoke-admission/tests/limits.rs
@@ -1,6 +1,6 @@
 //! The bounds hold for any order of events, and each check is seen to fail where a bound is left out.
 
-use hopyoke_limits::{Bounds, Gate, Importance, Need, Pace, Share};
+use hopyoke_admission::{Bounds, Gate, Importance, Need, Pace, Share};
 use hopyoke_types::{JobId, Micros};
 use proptest::prelude::*;
 
--- a/crates/hopyoke-calendar/src/hold.rs
+++ b/crates/hopyoke-calendar/src/hold.rs
@@ -1,7 +1,7 @@
 //! Which work is held.
 
 use crate::CalendarFault;
-use hopyoke_wire::user::{JobSpec, Priority};
+use hopyoke_protocol::user::{JobSpec, Priority};
 
 /// Clauses; a job that meets all conditions of one is held.
 #[derive(Debug, Clone, PartialEq, Default)]
--- a/crates/hopyoke-calendar/src/lib.rs
+++ b/crates/hopyoke-calendar/src/lib.rs
@@ -11,8 +11,8 @@
 pub use calendar::{Calendar, Window};
 pub use hold::Held;
 
+use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::Micros;
-use hopyoke_wire::user::JobSpec;
 use serde::{Deserialize, Serialize};
 
 /// What is wrong with a setting.
--- a/crates/hopyoke-core/src/entitlement.rs
+++ b/crates/hopyoke-consistency/src/leader_lease.rs
@@ -16,7 +16,7 @@
 //!   renew its lease first, for another may have led meanwhile. (Guards `ran_twice`.)
 //! - A promise comes with all cancellations that the peer has confirmed to users and the leader may not
 //!   know of; a peer that can't name them all, for it was restarted since or they were too many, makes
-//!   none (`hopyoke_cancellations`). (Guards `ran_cancelled`.)
+//!   none (`hopyoke_consistency`). (Guards `ran_cancelled`.)
 
 use hopyoke_types::Micros;
 
--- /dev/null
+++ b/crates/hopyoke-consistency/src/lib.rs
@@ -0,0 +1,24 @@
+//! What answers and fences rest on, without any I/O: the leader's lease, the cancellation log, the read index.
+//!
+//! A leader may outlive an outage of the key-value store while all its peers support its lease
+//! ([`leader_lease`]). It then receives no changes from the store, so each grant of support has to carry the
+//! cancellations that the peer has acknowledged to users since the leader's last known revision: else tasks of
+//! cancelled jobs would be kept alive. (Guards `ran_cancelled`.)
+//!
+//! - [`leader_lease`]: how long a leader may go on commanding agents.
+//! - [`Confirmed`], at every node: cancellations acknowledged here, noted *before* the user is told. It is
+//!   bounded by number; what it has dropped is known by revision, and then no support is granted.
+//! - [`Delivered`], at the leader: how far it has received each peer's log, so that an answer carries only
+//!   what is new.
+//! - [`Ended`], at the leader: jobs that are over, for as long as older events of them may still arrive.
+//! - [`read_index`]: linearizable reads by waiting callers, batched into one query.
+
+mod cancellation_log;
+mod delivery;
+pub mod leader_lease;
+pub mod read_index;
+mod tombstones;
+
+pub use cancellation_log::{Confirmed, Delta};
+pub use delivery::{Cursor, Delivered};
+pub use tombstones::Ended;
--- a/crates/hopyoke-cancellations/tests/accounts.rs
+++ b/crates/hopyoke-consistency/tests/cancellation_log.rs
@@ -1,6 +1,6 @@
 //! The accounts, by cases and by random ones against a plain model.
 
-use hopyoke_cancellations::{Confirmed, Delivered, Ended};
+use hopyoke_consistency::{Confirmed, Delivered, Ended};
 use hopyoke_types::{JobId, Mark, Micros};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/hopyoke-reads/tests/scenarios.rs
+++ b/crates/hopyoke-consistency/tests/read_index.rs
@@ -1,7 +1,7 @@
 //! Reads against a store in virtual time: a read that is called current sees all that was written
 //! before it arrived, whatever is late, lost or refused.
 
-use hopyoke_reads::{Limits, Question, Reads, Verdict};
+use hopyoke_consistency::read_index::{Limits, Question, Reads, Verdict};
 use hopyoke_types::Micros;
 use proptest::prelude::*;
 
@@ -76,7 +76,7 @@
     ], 1..200)) {
         let mut r = Reads::new(Limits::default());
         let (mut now, mut store, mut replica) = (Micros::ZERO, 0u64, 0u64);
-        let mut open: Vec<(hopyoke_reads::Ticket, u64)> = Vec::new();
+        let mut open: Vec<(hopyoke_consistency::read_index::Ticket, u64)> = Vec::new();
         // The question, and what the store said to it.
         let mut under_way: Option<(Question, Option<u64>)> = None;
         for act in acts {
--- a/crates/hopyoke-cwl/benches/documents.rs
+++ b/crates/hopyoke-cwl/benches/documents.rs
@@ -2,7 +2,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use hopyoke_cwl::{Faults, Options, expand, open, yaml};
-use hopyoke_flow::RunId;
+use hopyoke_workflow::RunId;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
--- a/crates/hopyoke-cwl/src/expand.rs
+++ b/crates/hopyoke-cwl/src/expand.rs
@@ -12,9 +12,9 @@
 use crate::scatter;
 use crate::types::Type;
 use crate::yaml::{Data, Node};
-use hopyoke_flow::{MOST_AFTER, MOST_STEPS, Plan, PlanStep, RunId, StepNo};
+use hopyoke_protocol::user::{JobKind, JobSpec, MAX_TASKS};
 use hopyoke_types::JobId;
-use hopyoke_wire::user::{JobKind, JobSpec, MAX_TASKS};
+use hopyoke_workflow::{MOST_AFTER, MOST_STEPS, Plan, PlanStep, RunId, StepNo};
 use indexmap::IndexMap;
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/hopyoke-cwl/src/hints.rs
+++ b/crates/hopyoke-cwl/src/hints.rs
@@ -3,7 +3,7 @@
 use crate::fault::Faults;
 use crate::model::Scope;
 use crate::yaml::{Data, Node};
-use hopyoke_wire::user::Priority;
+use hopyoke_protocol::user::Priority;
 
 /// The hint's class; `$namespaces: {hopyoke: "urn:hopyoke:cwl#"}`.
 pub const CLASS: &str = "hopyoke:Scheduling";
--- a/crates/hopyoke-cwl/src/lib.rs
+++ b/crates/hopyoke-cwl/src/lib.rs
@@ -1,5 +1,5 @@
 //! Documents of the Common Workflow Language, v1.2: read, checked whole, and expanded with their
-//! inputs into a [`hopyoke_flow::Plan`] and a description for each task.
+//! inputs into a [`hopyoke_workflow::Plan`] and a description for each task.
 //!
 //! - [`yaml`]: YAML and JSON into a tree of nodes with places, bounded in size and depth.
 //! - [`load`]: `$import`, `$include`, `$graph` and references between files.
--- a/crates/hopyoke-cwl/tests/cases.rs
+++ b/crates/hopyoke-cwl/tests/cases.rs
@@ -18,7 +18,7 @@
 
 use hopyoke_cwl::yaml;
 use hopyoke_cwl::{Faults, Level, Options, expand, open};
-use hopyoke_flow::{RunId, StepNo};
+use hopyoke_workflow::{RunId, StepNo};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/crates/hopyoke-cwl/tests/properties.rs
+++ b/crates/hopyoke-cwl/tests/properties.rs
@@ -2,7 +2,7 @@
 //! and random graphs expand as a plain reference does.
 
 use hopyoke_cwl::{Faults, Options, expand, expr, open, yaml};
-use hopyoke_flow::RunId;
+use hopyoke_workflow::RunId;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
--- a/crates/hopyoke-standin/src/cloud.rs
+++ b/crates/hopyoke-emulator/src/cloud.rs
@@ -2,11 +2,11 @@
 
 use crate::worker::{Worker, Works};
 use crate::{param, serve, target};
-use hopyoke_runtime::http::{Method, Request, Response};
-use hopyoke_runtime::{self as runtime, Cancel};
+use hopyoke_event_loop::http::{Method, Request, Response};
+use hopyoke_event_loop::{self as runtime, Cancel};
+use hopyoke_protocol::cloud::MachineType;
+use hopyoke_protocol::decode;
 use hopyoke_types::{MachineId, Micros};
-use hopyoke_wire::cloud::MachineType;
-use hopyoke_wire::decode;
 use serde::Deserialize;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
--- a/crates/hopyoke-standin/src/lib.rs
+++ b/crates/hopyoke-emulator/src/lib.rs
@@ -10,8 +10,8 @@
 pub mod state;
 pub mod worker;
 
-use hopyoke_runtime::http::{self, Limits, OpenCount, Request, Response};
-use hopyoke_runtime::{self as runtime, Cancel, TcpListener};
+use hopyoke_event_loop::http::{self, Limits, OpenCount, Request, Response};
+use hopyoke_event_loop::{self as runtime, Cancel, TcpListener};
 use hopyoke_types::Micros;
 use std::future::Future;
 use std::io;
--- a/crates/hopyoke-standin/src/main.rs
+++ b/crates/hopyoke-emulator/src/main.rs
@@ -1,8 +1,8 @@
 //! The program: a site on loopback, to try things out.
 
 use clap::Parser;
-use hopyoke_runtime as runtime;
-use hopyoke_standin::site::{Plan, Site};
+use hopyoke_emulator::site::{Plan, Site};
+use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -38,7 +38,7 @@
     match run(cli) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("hopyoke-site: {e}");
+            eprintln!("hopyoke-emulator: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/hopyoke-standin/src/site.rs
+++ b/crates/hopyoke-emulator/src/site.rs
@@ -3,9 +3,9 @@
 use crate::cloud::Cloud;
 use crate::state::State;
 use crate::worker::Works;
-use hopyoke_runtime::{self as runtime, Cancel};
+use hopyoke_event_loop::{self as runtime, Cancel};
+use hopyoke_protocol::cloud::MachineType;
 use hopyoke_types::Micros;
-use hopyoke_wire::cloud::MachineType;
 use std::fmt::Write;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/hopyoke-standin/src/state.rs
+++ b/crates/hopyoke-emulator/src/state.rs
@@ -1,10 +1,10 @@
 //! The state service.
 
 use crate::{param, serve, target};
-use hopyoke_runtime::http::{Method, Request, Response};
-use hopyoke_runtime::{self as runtime, Cancel};
+use hopyoke_event_loop::http::{Method, Request, Response};
+use hopyoke_event_loop::{self as runtime, Cancel};
+use hopyoke_protocol::decode;
 use hopyoke_types::Micros;
-use hopyoke_wire::decode;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
--- a/crates/hopyoke-standin/src/worker.rs
+++ b/crates/hopyoke-emulator/src/worker.rs
@@ -2,13 +2,13 @@
 
 use crate::serve;
 use crate::state::State;
-use hopyoke_runtime::http::{Client, Method, Request, Response};
-use hopyoke_runtime::{self as runtime, Bell, Cancel};
+use hopyoke_event_loop::http::{Client, Method, Request, Response};
+use hopyoke_event_loop::{self as runtime, Bell, Cancel};
+use hopyoke_protocol::cloud::MachineType;
+use hopyoke_protocol::decode;
+use hopyoke_protocol::user::{JobKind, JobSpec};
+use hopyoke_protocol::worker::{DirectOrders, ExitReason, Order, Orders, Report, TaskReport, TaskState};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId, Token};
-use hopyoke_wire::cloud::MachineType;
-use hopyoke_wire::decode;
-use hopyoke_wire::user::{JobKind, JobSpec};
-use hopyoke_wire::worker::{DirectOrders, ExitReason, Order, Orders, Report, TaskReport, TaskState};
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -223,7 +223,7 @@
             let Some((_, c)) = &client else { continue };
             let report = self.report();
             let (sent, session) = (runtime::now(), report.session);
-            let body = hopyoke_wire::encode(&report);
+            let body = hopyoke_protocol::encode(&report);
             match c.send(Method::Post, "/hello", &body, Micros::from_secs(4)).await {
                 Ok(r) if r.status == 200 => {
                     if let Ok(orders) = decode::<Orders>(&r.body) {
--- a/crates/hopyoke-standin/tests/close_looks/main.rs
+++ b/crates/hopyoke-emulator/tests/close_looks/main.rs
@@ -6,12 +6,12 @@
 mod history;
 
 use history::{Look, Request, Said, faults};
-use hopyoke_runtime as runtime;
-use hopyoke_runtime::http::{Client, Method};
-use hopyoke_standin::site::{Plan, Site};
+use hopyoke_emulator::site::{Plan, Site};
+use hopyoke_event_loop as runtime;
+use hopyoke_event_loop::http::{Client, Method};
+use hopyoke_protocol::decode;
+use hopyoke_protocol::user::{JobSpec, JobState};
 use hopyoke_types::{JobId, Micros};
-use hopyoke_wire::decode;
-use hopyoke_wire::user::{JobSpec, JobState};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::Value;
@@ -98,7 +98,7 @@
     fn job(&self, number: u32, estimate_s: f64) -> Rc<Job> {
         let id = JobId::new(&format!("req-{number:06}"));
         let spec = JobSpec { estimate_s, ..JobSpec::plain(id.clone(), "steady", "crew", "img") };
-        Rc::new(Job { id, body: hopyoke_wire::encode(&spec), looks: RefCell::default(), stage: Cell::new(0) })
+        Rc::new(Job { id, body: hopyoke_protocol::encode(&spec), looks: RefCell::default(), stage: Cell::new(0) })
     }
 
     /// Asks one node, and at once all of them whenever the answer says more than was known.
--- a/crates/hopyoke-runtime/src/http/message.rs
+++ b/crates/hopyoke-event-loop/src/http/message.rs
@@ -65,7 +65,7 @@
 
     /// A body of the platform's interfaces.
     pub fn of<T: Serialize>(status: u16, body: &T) -> Response {
-        Response { body: hopyoke_wire::encode(body), ..Response::empty(status) }
+        Response { body: hopyoke_protocol::encode(body), ..Response::empty(status) }
     }
 
     /// Any other body.
--- a/crates/hopyoke-lab/src/flows.rs
+++ b/crates/hopyoke-experiments/src/flows.rs
@@ -3,13 +3,13 @@
 
 use hopyoke::links::proto::flow_request::Ask;
 use hopyoke::links::proto::{RunQuestion, SubmitRun};
-use hopyoke_flow::{Plan, PlanStep, RunId, StepNo, parts_of};
-use hopyoke_runtime as runtime;
-use hopyoke_runtime::http::{Client, Method};
-use hopyoke_standin::site::{self, Site};
+use hopyoke_emulator::site::{self, Site};
+use hopyoke_event_loop as runtime;
+use hopyoke_event_loop::http::{Client, Method};
+use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
 use hopyoke_wes::calls::Controllers;
-use hopyoke_wire::user::JobSpec;
+use hopyoke_workflow::{Plan, PlanStep, RunId, StepNo, parts_of};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -106,7 +106,7 @@
             }
             let id = JobId::new(&format!("req-{}", 1000 + c as u32 * length + *step / 2));
             if step.is_multiple_of(2) {
-                let body = hopyoke_wire::encode(&spec(id, 1));
+                let body = hopyoke_protocol::encode(&spec(id, 1));
                 let answer = client.send(Method::Post, "/api/jobs", &body, Micros::from_secs(5)).await;
                 *step += u32::from(answer.is_ok_and(|r| r.status < 300));
             } else if site.state.get(&format!("end/{id}")).is_some() {
@@ -163,7 +163,7 @@
 /// Machines are up before anything is measured.
 async fn warm(site: &Site) -> Result<(), String> {
     let client = Client::new(site.users[0]);
-    let body = hopyoke_wire::encode(&JobSpec { class: "warm".into(), ..spec(JobId::new("req-7"), 100) });
+    let body = hopyoke_protocol::encode(&JobSpec { class: "warm".into(), ..spec(JobId::new("req-7"), 100) });
     let began = runtime::now();
     loop {
         let answer = client.send(Method::Post, "/api/jobs", &body, Micros::from_secs(5)).await;
@@ -291,6 +291,7 @@
 
 /// Jobs of a run that were ever accepted.
 fn accepted(site: &Site, run: RunId) -> u64 {
-    let under = |first: &str| site.state.keys(&format!("{first}/{}", hopyoke_flow::job_prefix(run))).len() as u64;
+    let under =
+        |first: &str| site.state.keys(&format!("{first}/{}", hopyoke_workflow::job_prefix(run))).len() as u64;
     under("job") + under("end")
 }
--- a/crates/hopyoke-lab/src/generate.rs
+++ b/crates/hopyoke-experiments/src/generate.rs
@@ -98,7 +98,7 @@
         );
     }
     let mut head = format!(
-        "; Version: 2.2\n; Computer: none\n; Note: made by hopyoke-lab's generator, kind {}, seed {seed}; no machine ran this\n; MaxJobs: {jobs}\n",
+        "; Version: 2.2\n; Computer: none\n; Note: made by hopyoke-experiments's generator, kind {}, seed {seed}; no machine ran this\n; MaxJobs: {jobs}\n",
         kind.name()
     );
     if let Some(at) = change {
--- a/crates/hopyoke-lab/src/main.rs
+++ b/crates/hopyoke-experiments/src/main.rs
@@ -1,12 +1,12 @@
 //! The program: experiments by name.
 
 use clap::{Parser, Subcommand, ValueEnum};
-use hopyoke_history::History;
-use hopyoke_lab::figures::{Figures, figures};
-use hopyoke_lab::generate::{Kind, trace};
-use hopyoke_lab::replay::{Options, Replayed, replay};
-use hopyoke_lab::report::html;
+use hopyoke_experiments::figures::{Figures, figures};
+use hopyoke_experiments::generate::{Kind, trace};
+use hopyoke_experiments::replay::{Options, Replayed, replay};
+use hopyoke_experiments::report::html;
 use hopyoke_types::Micros;
+use hopyoke_workload_trace::History;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -118,7 +118,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
-            eprintln!("hopyoke-lab: {e}");
+            eprintln!("hopyoke-experiments: {e}");
             ExitCode::FAILURE
         }
     }
@@ -131,14 +131,14 @@
     runs: u64,
     steps: u32,
 ) -> Result<bool, String> {
-    use hopyoke_lab::flows::{Shown, cost, recovery};
+    use hopyoke_experiments::flows::{Shown, cost, recovery};
     let beside = || Some(std::env::current_exe().ok()?.parent()?.join("hopyoke"));
     let program = program.or_else(beside).filter(|p| p.is_file());
     let program =
         program.ok_or("no controllers' program: `cargo build --release` makes it, or say --program FILE")?;
     let slot = std::rc::Rc::new(std::cell::RefCell::new(Err("nothing was shown".to_owned())));
     let out = slot.clone();
-    hopyoke_runtime::run(async move {
+    hopyoke_event_loop::run(async move {
         let mut holds = true;
         let mut show = |name: &str, shown: Shown| {
             println!("{name}");
@@ -169,7 +169,7 @@
 fn one(file: &Path, kill: Option<u64>, page: Option<&Path>, strict: bool, seed: u64) -> Result<(), String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: cannot be read: {e}"))?;
-    let history = hopyoke_history::read(&text, strict).map_err(|f| format!("{name}: {f}"))?;
+    let history = hopyoke_workload_trace::read(&text, strict).map_err(|f| format!("{name}: {f}"))?;
     for f in history.faults.iter().take(10) {
         eprintln!("{name}: {f}: skipped");
     }
@@ -214,7 +214,7 @@
         let started: Vec<_> = Kind::ALL
             .into_iter()
             .map(|kind| {
-                let history = hopyoke_history::read(&trace(kind, jobs, seed), true).unwrap_or_default();
+                let history = hopyoke_workload_trace::read(&trace(kind, jobs, seed), true).unwrap_or_default();
                 let threads = kills.map(|kill_every| {
                     let history = history.clone();
                     scope.spawn(move || replay(&history, Options { seed, kill_every }))
--- a/crates/hopyoke-lab/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -2,12 +2,12 @@
 //! them for as long as the history says, and the leader's predictions are written down as each
 //! job is first seen running.
 
-use hopyoke_core::Team;
-use hopyoke_history::{History, Run};
+use hopyoke_protocol::cloud::MachineType;
+use hopyoke_protocol::user::{JobKind, JobSpec, Priority};
+use hopyoke_scheduler::Team;
+use hopyoke_simulator::{Truth, World};
 use hopyoke_types::{JobId, Micros, TaskId};
-use hopyoke_wire::cloud::MachineType;
-use hopyoke_wire::user::{JobKind, JobSpec, Priority};
-use hopyoke_world::{Truth, World};
+use hopyoke_workload_trace::{History, Run};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/hopyoke-lab/tests/evidence.rs
+++ b/crates/hopyoke-experiments/tests/evidence.rs
@@ -1,14 +1,14 @@
-//! Small replays; the full ones are `hopyoke-lab evidence`.
+//! Small replays; the full ones are `hopyoke-experiments evidence`.
 
-use hopyoke_lab::figures::figures;
-use hopyoke_lab::generate::{Kind, trace};
-use hopyoke_lab::replay::{Options, replay};
-use hopyoke_lab::report::html;
+use hopyoke_experiments::figures::figures;
+use hopyoke_experiments::generate::{Kind, trace};
+use hopyoke_experiments::replay::{Options, replay};
+use hopyoke_experiments::report::html;
 use hopyoke_types::Micros;
 
 #[test]
 fn biased_owners_are_seen_through_also_when_leaders_are_killed() {
-    let history = hopyoke_history::read(&trace(Kind::Biased, 500, 3), true).expect("a history");
+    let history = hopyoke_workload_trace::read(&trace(Kind::Biased, 500, 3), true).expect("a history");
     for kill_every in [None, Some(Micros::from_secs(60))] {
         let replayed = replay(&history, Options { seed: 3, kill_every }).expect("a replay");
         assert!(kill_every.is_none() || replayed.leaders > 5, "{} leaders", replayed.leaders);
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_doubling_is_found_within_ten_completions() {
-    let history = hopyoke_history::read(&trace(Kind::Doubling, 800, 5), true).expect("a history");
+    let history = hopyoke_workload_trace::read(&trace(Kind::Doubling, 800, 5), true).expect("a history");
     assert_eq!(history.changes.len(), 2);
     let replayed = replay(&history, Options { seed: 5, kill_every: None }).expect("a replay");
     let found = figures(&replayed, &history.changes);
--- a/crates/hopyoke-routing/tests/routing.rs
+++ b/crates/hopyoke-heartbeat/tests/routing.rs
@@ -1,6 +1,6 @@
 //! Where reports go, and how they are carried, for any order of events.
 
-use hopyoke_routing::{Carrier, Crowd, Hearing, Route, Routes};
+use hopyoke_heartbeat::{Carrier, Crowd, Hearing, Route, Routes};
 use hopyoke_types::{MachineId, Micros};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
--- a/crates/hopyoke-runtimes/benches/learner.rs
+++ b/crates/hopyoke-run-times/benches/learner.rs
@@ -1,7 +1,7 @@
-//! What an observation and a look-up cost: `cargo bench -p hopyoke-runtimes`.
+//! What an observation and a look-up cost: `cargo bench -p hopyoke-run-times`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use hopyoke_runtimes::{End, Learner, Limits, RunKey, Work};
+use hopyoke_run_times::{End, Learner, Limits, RunKey, Work};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/hopyoke-runtimes/tests/memory.rs
+++ b/crates/hopyoke-run-times/tests/memory.rs
@@ -1,6 +1,6 @@
 //! Ten thousand classes stay below two megabytes: counted by the allocator itself.
 
-use hopyoke_runtimes::{End, Learner, Limits, Work};
+use hopyoke_run_times::{End, Learner, Limits, Work};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/hopyoke-runtimes/tests/properties.rs
+++ b/crates/hopyoke-run-times/tests/properties.rs
@@ -1,6 +1,6 @@
 //! Property tests: whatever is observed or read, what is told is a distribution.
 
-use hopyoke_runtimes::{End, Learner, Page, PageKey, Work};
+use hopyoke_run_times::{End, Learner, Page, PageKey, Work};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use proptest::prelude::*;
 
--- a/crates/hopyoke-runtimes/tests/scenarios.rs
+++ b/crates/hopyoke-run-times/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Scenarios as small text files: work with known run times, and what must be learned of it.
-//! `SCENARIO=doubling cargo test -p hopyoke-runtimes` runs one of them.
+//! `SCENARIO=doubling cargo test -p hopyoke-run-times` runs one of them.
 
-use hopyoke_runtimes::{End, Learner, Limits, Page, PageKey, RunKey, Work};
+use hopyoke_run_times::{End, Learner, Limits, Page, PageKey, RunKey, Work};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/hopyoke-core/src/amounts.rs
+++ b/crates/hopyoke-scheduler/src/amounts.rs
@@ -1,7 +1,7 @@
 //! What tasks take and machines offer.
 
-use hopyoke_wire::cloud::MachineType;
-use hopyoke_wire::user::JobSpec;
+use hopyoke_protocol::cloud::MachineType;
+use hopyoke_protocol::user::JobSpec;
 use std::collections::BTreeSet;
 use std::ops::{Add, Sub};
 
@@ -87,7 +87,7 @@
 
 /// Why a job can never run, if so. Every node decides this by itself when it accepts a job.
 pub fn never_runs(spec: &JobSpec, types: &[MachineType], zones: &[String], teams: &[Team]) -> Option<String> {
-    use hopyoke_wire::user::JobKind;
+    use hopyoke_protocol::user::JobKind;
     let Some(team) = teams.iter().find(|t| t.name == spec.team) else {
         return Some(format!("crew: no team is named '{}'", spec.team));
     };
--- a/crates/hopyoke-core/src/batch.rs
+++ b/crates/hopyoke-scheduler/src/batch.rs
@@ -1,7 +1,7 @@
 //! What is written to the state service: the vocabulary that records and the register share.
 
 use super::job::{EndRecord, JobRecord};
-use hopyoke_runtimes::{Page, PageKey};
+use hopyoke_run_times::{Page, PageKey};
 use hopyoke_types::{JobId, MachineId, Mark};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/hopyoke-core/src/fleet.rs
+++ b/crates/hopyoke-scheduler/src/fleet.rs
@@ -1,12 +1,12 @@
 //! Machines and what is known to be, or may be, on them.
 
 use super::amounts::Amounts;
-use hopyoke_boots::Verdict;
+use crate::provisioning::Verdict;
+use hopyoke_protocol::user::JobSpec;
+use hopyoke_protocol::user::{JobKind, Priority};
+use hopyoke_protocol::worker::{ExitReason, TaskState};
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, JobId, MachineId, TaskId, Token};
-use hopyoke_wire::user::JobSpec;
-use hopyoke_wire::user::{JobKind, Priority};
-use hopyoke_wire::worker::{ExitReason, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
--- a/crates/hopyoke-core/src/hours.rs
+++ b/crates/hopyoke-scheduler/src/hours.rs
@@ -6,9 +6,9 @@
 use super::Core;
 use super::fleet::SlotState;
 use hopyoke_calendar::{Hours, Switch, Window};
+use hopyoke_protocol::user::JobSpec;
+use hopyoke_protocol::worker::TaskState;
 use hopyoke_types::{Attempt, JobId, MachineId, Micros};
-use hopyoke_wire::user::JobSpec;
-use hopyoke_wire::worker::TaskState;
 use tracing::info;
 
 /// What the core knows of hours.
--- a/crates/hopyoke-core/src/job.rs
+++ b/crates/hopyoke-scheduler/src/job.rs
@@ -3,9 +3,9 @@
 use super::amounts::Amounts;
 use super::fleet::ImageKey;
 use super::ranges::Ranges;
+use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, MachineId, Mark};
-use hopyoke_wire::user::{JobKind, JobSpec, JobState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/hopyoke-core/src/learn.rs
+++ b/crates/hopyoke-scheduler/src/learn.rs
@@ -3,11 +3,11 @@
 
 use crate::fleet::{Phase, SlotState};
 use crate::{Core, Tuning};
-use hopyoke_runtimes::capacity::{Freeing, when_free};
-use hopyoke_runtimes::{End, Estimate, Limits, Page, PageKey, Work};
+use hopyoke_protocol::user::{JobKind, JobSpec};
+use hopyoke_protocol::worker::TaskState;
+use hopyoke_run_times::capacity::{Freeing, when_free};
+use hopyoke_run_times::{End, Estimate, Limits, Page, PageKey, Work};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
-use hopyoke_wire::user::{JobKind, JobSpec};
-use hopyoke_wire::worker::TaskState;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tracing::{debug, info, warn};
@@ -43,7 +43,7 @@
 /// What the core keeps for learning.
 #[derive(Default)]
 pub(crate) struct Learned {
-    pub learner: hopyoke_runtimes::Learner,
+    pub learner: hopyoke_run_times::Learner,
     /// Time of day less the steady clock; `None`: not known yet.
     day: Option<u64>,
     past: VecDeque<Past>,
@@ -287,7 +287,7 @@
     }
 
     /// Machines that are credibly far slower than their peers.
-    pub fn slow_machines(&self) -> Vec<hopyoke_runtimes::Slow> {
+    pub fn slow_machines(&self) -> Vec<hopyoke_run_times::Slow> {
         self.learned.learner.all_slow(self.tuning.slow_factor)
     }
 
--- a/crates/hopyoke-core/src/plan/each.rs
+++ b/crates/hopyoke-scheduler/src/plan/each.rs
@@ -4,8 +4,8 @@
 use super::view::Plan;
 use crate::Core;
 use crate::check::Verdict;
+use hopyoke_protocol::user::Priority;
 use hopyoke_types::{JobId, Micros};
-use hopyoke_wire::user::Priority;
 
 /// In all so many times a job's window may be under way. What is ahead of the window takes room that is
 /// there; no machine is rented for it, and nothing is stopped.
--- a/crates/hopyoke-core/src/plan/estimates.rs
+++ b/crates/hopyoke-scheduler/src/plan/estimates.rs
@@ -7,8 +7,8 @@
 use crate::Core;
 use crate::amounts::Amounts;
 use crate::fleet::{Phase, Slot};
+use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_types::Micros;
-use hopyoke_wire::user::{JobKind, Priority};
 
 impl Core {
     /// Jobs with a deadline change places among themselves, within one importance, by when they
--- a/crates/hopyoke-core/src/plan/gang.rs
+++ b/crates/hopyoke-scheduler/src/plan/gang.rs
@@ -6,8 +6,8 @@
 use crate::Core;
 use crate::amounts::Amounts;
 use crate::check::Verdict;
+use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_types::{JobId, Micros};
-use hopyoke_wire::user::{JobKind, JobSpec};
 use std::cmp::Reverse;
 use tracing::debug;
 
--- a/crates/hopyoke-core/src/plan/mod.rs
+++ b/crates/hopyoke-scheduler/src/plan/mod.rs
@@ -23,9 +23,9 @@
 use super::fleet::{Slot, SlotState};
 use super::rent::Demand;
 use super::{Core, Job};
+use hopyoke_protocol::user::{JobKind, Priority};
+use hopyoke_protocol::worker::TaskState;
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
-use hopyoke_wire::user::{JobKind, Priority};
-use hopyoke_wire::worker::TaskState;
 use std::collections::BTreeMap;
 use tracing::{debug, info};
 use view::Plan;
@@ -236,14 +236,14 @@
         let need = job.task.times(f64::from(job.unplaced()));
         let part = |need: f64, most: f64| if most > 0.0 { need / most } else { 0.0 };
         let part = part(need.cpus, team.cpus_max).max(part(need.gpus, team.gpus_max));
-        hopyoke_admission::is_due(part, self.ago(job.accepted_us, now))
+        crate::starvation::is_due(part, self.ago(job.accepted_us, now))
     }
 
     /// An array that has waited so long that one of its tasks is to begin before all others of its importance.
     /// (Scenario largest_arrays_begin.)
     fn is_overdue(&self, job: &Job, now: Micros) -> bool {
         let begun = !job.places.is_empty() || job.done.count() > 0;
-        !begun && hopyoke_admission::is_overdue(self.ago(job.accepted_us, now))
+        !begun && crate::starvation::is_overdue(self.ago(job.accepted_us, now))
     }
 
     /// Puts an attempt on a machine; its start order goes out with the next orders.
--- a/crates/hopyoke-core/src/plan/needs.rs
+++ b/crates/hopyoke-scheduler/src/plan/needs.rs
@@ -5,9 +5,9 @@
 use crate::Core;
 use crate::amounts::Amounts;
 use crate::fleet::ImageKey;
-use hopyoke_spread::Niches;
+use crate::fragmentation::Niches;
+use hopyoke_protocol::user::{JobKind, JobSpec, Priority};
 use hopyoke_types::JobId;
-use hopyoke_wire::user::{JobKind, JobSpec, Priority};
 use std::rc::Rc;
 
 /// What the placement of one job must look at.
--- a/crates/hopyoke-core/src/plan/preempt.rs
+++ b/crates/hopyoke-scheduler/src/plan/preempt.rs
@@ -6,8 +6,8 @@
 use crate::Core;
 use crate::amounts::Amounts;
 use crate::fleet::Slot;
+use hopyoke_protocol::user::JobKind;
 use hopyoke_types::Micros;
-use hopyoke_wire::user::JobKind;
 
 /// What making room costs, in which bin, and who must go.
 type Room = (f64, usize, Vec<TaskKey>);
--- a/crates/hopyoke-core/src/plan/turns.rs
+++ b/crates/hopyoke-scheduler/src/plan/turns.rs
@@ -1,10 +1,10 @@
-//! Whose turn it is inside a tenant (a team with a class): see [`hopyoke_admission`].
+//! Whose turn it is inside a tenant (a team with a class): see [`crate::queue_order`].
 
 use super::{Keyed, OVERDUE};
+use crate::queue_order::Waiting;
 use crate::{Core, Job};
-use hopyoke_admission::Waiting;
+use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_types::Micros;
-use hopyoke_wire::user::{JobKind, Priority};
 use std::collections::BTreeMap;
 
 impl Core {
@@ -28,7 +28,7 @@
                 waited: self.ago(*accepted_us, now),
             });
         }
-        let order = hopyoke_admission::take_turns(&waiting);
+        let order = crate::queue_order::take_turns(&waiting);
         let jobs: Vec<Keyed> = order.into_iter().map(|i| keyed[places[i]].clone()).collect();
         for (place, job) in places.into_iter().zip(jobs) {
             keyed[place] = job;
--- a/crates/hopyoke-core/src/plan/view.rs
+++ b/crates/hopyoke-scheduler/src/plan/view.rs
@@ -5,11 +5,11 @@
 use crate::Core;
 use crate::amounts::{Amounts, Team};
 use crate::fleet::{ImageKey, Phase};
+use crate::fragmentation::Niches;
+use crate::provisioning::Verdict;
 use crate::rent::Offer;
-use hopyoke_boots::Verdict;
-use hopyoke_spread::Niches;
+use hopyoke_protocol::user::JobKind;
 use hopyoke_types::{JobId, MachineId, Micros};
-use hopyoke_wire::user::JobKind;
 use std::collections::BTreeMap;
 use tracing::debug;
 
--- a/crates/hopyoke-core/src/plan/wind_up.rs
+++ b/crates/hopyoke-scheduler/src/plan/wind_up.rs
@@ -1,8 +1,8 @@
 //! Attempts that must end before anything else is placed.
 
 use crate::Core;
+use hopyoke_protocol::user::JobKind;
 use hopyoke_types::{Attempt, JobId, MachineId};
-use hopyoke_wire::user::JobKind;
 use std::collections::BTreeSet;
 
 impl Core {
--- a/crates/hopyoke-core/src/rent.rs
+++ b/crates/hopyoke-scheduler/src/rent.rs
@@ -2,11 +2,11 @@
 
 use super::fleet::{Machine, Phase};
 use super::{Action, Core};
-use hopyoke_boots::Verdict;
+use crate::provisioning::Verdict;
+use hopyoke_protocol::cloud::{Listed, ListedState};
+use hopyoke_protocol::user::Priority;
 use hopyoke_types::MachineId;
 use hopyoke_types::Micros;
-use hopyoke_wire::cloud::{Listed, ListedState};
-use hopyoke_wire::user::Priority;
 use std::collections::BTreeMap;
 use tracing::info;
 
--- a/crates/hopyoke-core/src/reports.rs
+++ b/crates/hopyoke-scheduler/src/reports.rs
@@ -2,11 +2,11 @@
 
 use super::fleet::{Machine, Phase, Slot, SlotState, Stop};
 use super::{Action, Core};
-use hopyoke_runtimes::End;
+use hopyoke_protocol::user::{JobKind, JobSpec};
+use hopyoke_protocol::worker::{ExitReason, Order, Report, TaskReport, TaskState};
+use hopyoke_run_times::End;
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, JobId, MachineId, TaskId, Token};
-use hopyoke_wire::user::{JobKind, JobSpec};
-use hopyoke_wire::worker::{ExitReason, Order, Report, TaskReport, TaskState};
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
--- a/crates/hopyoke-core/tests/direct_orders.rs
+++ b/crates/hopyoke-scheduler/tests/direct_orders.rs
@@ -1,10 +1,10 @@
 //! What is believed of orders that were sent straight to a worker.
 
-use hopyoke_core::{Action, Config, Core, JobRecord, RegisterPage, Team};
+use hopyoke_protocol::cloud::MachineType;
+use hopyoke_protocol::user::JobSpec;
+use hopyoke_protocol::worker::{Order, Report};
+use hopyoke_scheduler::{Action, Config, Core, JobRecord, RegisterPage, Team};
 use hopyoke_types::{Attempt, JobId, MachineId, Mark, Micros, Token};
-use hopyoke_wire::cloud::MachineType;
-use hopyoke_wire::user::JobSpec;
-use hopyoke_wire::worker::{Order, Report};
 use std::collections::BTreeMap;
 
 fn config() -> Config {
--- a/crates/hopyoke-spread/tests/niches.rs
+++ b/crates/hopyoke-scheduler/tests/fragmentation.rs
@@ -1,6 +1,6 @@
 //! What has a choice gives way to what has none.
 
-use hopyoke_spread::Niches;
+use hopyoke_scheduler::fragmentation::Niches;
 
 #[test]
 fn only_what_has_no_alternative_makes_a_niche() {
--- a/crates/hopyoke-boots/tests/boots.rs
+++ b/crates/hopyoke-scheduler/tests/provisioning.rs
@@ -1,6 +1,6 @@
 //! What is thought of machines that boot, for fleets that boot well, late and never.
 
-use hopyoke_boots::{Boots, Verdict};
+use hopyoke_scheduler::provisioning::{Boots, Verdict};
 use proptest::prelude::*;
 
 fn after(n: usize, from: f64, to: f64) -> Boots {
--- a/crates/hopyoke-core/tests/ranges.rs
+++ b/crates/hopyoke-scheduler/tests/ranges.rs
@@ -1,7 +1,7 @@
 //! Sets of task numbers in records: whichever form is shorter, and nothing is lost or made up.
 
-use hopyoke_core::Ranges;
-use hopyoke_wire::{decode, encode};
+use hopyoke_protocol::{decode, encode};
+use hopyoke_scheduler::Ranges;
 use proptest::prelude::*;
 
 fn of(numbers: impl IntoIterator<Item = u32>) -> Ranges {
--- a/crates/hopyoke-admission/tests/kept.rs
+++ b/crates/hopyoke-scheduler/tests/reservation.rs
@@ -1,6 +1,6 @@
 //! Room is kept, and never for long.
 
-use hopyoke_admission::KeptRoom;
+use hopyoke_scheduler::reservation::KeptRoom;
 use hopyoke_types::Micros;
 use proptest::prelude::*;
 
--- a/crates/hopyoke-world/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -3,9 +3,9 @@
 
 use super::store::{Change, Entry, Value};
 use super::{Host, World};
-use hopyoke_core::{EndRecord, JobRecord, never_runs};
+use hopyoke_protocol::user::{JobSpec, JobState};
+use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
 use hopyoke_types::{JobId, Mark, Micros};
-use hopyoke_wire::user::{JobSpec, JobState};
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/hopyoke-world/src/cloud.rs
+++ b/crates/hopyoke-simulator/src/cloud.rs
@@ -2,8 +2,8 @@
 //! than the one before, or miss what is up.
 
 use crate::World;
+use hopyoke_protocol::cloud::{Listed, ListedState};
 use hopyoke_types::Micros;
-use hopyoke_wire::cloud::{Listed, ListedState};
 use std::collections::VecDeque;
 
 /// Lists that are remembered.
--- a/crates/hopyoke-world/src/controller.rs
+++ b/crates/hopyoke-simulator/src/controller.rs
@@ -4,15 +4,15 @@
 use super::store::{Change, Store, Value};
 use super::worker::{MOST_CHARS, report_chars};
 use super::{Host, World};
-use hopyoke_cancellations::{Confirmed, Delivered};
-use hopyoke_core::entitlement::{Entitlement, PROMISE};
-use hopyoke_core::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, RentOutcome, Write};
-use hopyoke_limits::Importance;
+use hopyoke_admission::Importance;
+use hopyoke_consistency::leader_lease::{Entitlement, PROMISE};
+use hopyoke_consistency::{Confirmed, Delivered};
+use hopyoke_protocol::cloud::Rent;
+use hopyoke_protocol::user::JobState;
+use hopyoke_protocol::worker::Report;
+use hopyoke_scheduler::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, RentOutcome, Write};
 use hopyoke_types::Micros;
 use hopyoke_types::{JobId, MachineId, Mark, Token};
-use hopyoke_wire::cloud::Rent;
-use hopyoke_wire::user::JobState;
-use hopyoke_wire::worker::Report;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -75,7 +75,7 @@
     at: Micros,
     jobs: Vec<(JobId, JobRecord, Mark)>,
     register: Vec<(String, Mark, Option<RegisterPage>)>,
-    learned: Vec<(String, hopyoke_runtimes::Page)>,
+    learned: Vec<(String, hopyoke_run_times::Page)>,
     /// Of the first page of jobs: watching from there on misses nothing.
     revision: Option<Mark>,
     last: Option<String>,
@@ -683,7 +683,7 @@
         machine: MachineId,
         token: Token,
         session: u64,
-        orders: Vec<hopyoke_wire::worker::Order>,
+        orders: Vec<hopyoke_protocol::worker::Order>,
         sent: Micros,
     ) {
         let held = self.machines.get(&machine).map(|m| m.orders_held_until).filter(|t| *t > self.now);
--- a/crates/hopyoke-world/src/digest.rs
+++ b/crates/hopyoke-simulator/src/digest.rs
@@ -3,9 +3,9 @@
 
 use super::World;
 use super::store::{Change, Value};
+use hopyoke_protocol::state::Condition;
+use hopyoke_protocol::worker::{DirectOrders, Order, Orders};
 use hopyoke_types::Token;
-use hopyoke_wire::state::Condition;
-use hopyoke_wire::worker::{DirectOrders, Order, Orders};
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -56,18 +56,18 @@
 /// A value in the form in which it is stored.
 fn stored(value: &Value) -> Vec<u8> {
     match value {
-        Value::Job(record) => hopyoke_wire::encode(record),
-        Value::End(end) => hopyoke_wire::encode(end),
-        Value::Page(page) => hopyoke_wire::encode(page),
-        Value::Learned(page) => hopyoke_wire::encode(page),
-        Value::Holder(node) => hopyoke_wire::encode(&(*node as u64)),
+        Value::Job(record) => hopyoke_protocol::encode(record),
+        Value::End(end) => hopyoke_protocol::encode(end),
+        Value::Page(page) => hopyoke_protocol::encode(page),
+        Value::Learned(page) => hopyoke_protocol::encode(page),
+        Value::Holder(node) => hopyoke_protocol::encode(&(*node as u64)),
     }
 }
 
 impl World {
     /// Adds a message in its protocol's form to the run's digest.
     pub(crate) fn digest_message(&mut self, channel: Channel, message: &impl Serialize) {
-        let bytes = hopyoke_wire::encode(message);
+        let bytes = hopyoke_protocol::encode(message);
         self.digest_bytes(channel, &bytes);
     }
 
--- a/crates/hopyoke-world/src/lib.rs
+++ b/crates/hopyoke-simulator/src/lib.rs
@@ -14,11 +14,11 @@
 pub mod worker;
 
 use hopyoke_calendar::Hours;
-use hopyoke_core::{Config, Team, Tuning};
+use hopyoke_protocol::cloud::MachineType;
+use hopyoke_protocol::user::{JobSpec, JobState};
+use hopyoke_scheduler::{Config, Team, Tuning};
 use hopyoke_types::Micros;
 use hopyoke_types::{JobId, MachineId};
-use hopyoke_wire::cloud::MachineType;
-use hopyoke_wire::user::{JobSpec, JobState};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
--- a/crates/hopyoke-world/src/limits.rs
+++ b/crates/hopyoke-simulator/src/limits.rs
@@ -1,8 +1,8 @@
 //! The state service's limits, and what the nodes make of them.
 
 use super::{Host, World};
-use hopyoke_core::Team;
-use hopyoke_limits::{Bounds, Door, Importance, Pace};
+use hopyoke_admission::{Bounds, Door, Importance, Pace};
+use hopyoke_scheduler::Team;
 use hopyoke_types::{JobId, Micros};
 
 /// Nodes tell each other of their lines so often.
--- a/crates/hopyoke-world/src/rules.rs
+++ b/crates/hopyoke-simulator/src/rules.rs
@@ -2,11 +2,11 @@
 
 use super::{DAWN, Truth, World};
 use hopyoke_calendar::Hours;
-use hopyoke_core::Amounts;
+use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
+use hopyoke_protocol::worker::TaskState;
+use hopyoke_scheduler::Amounts;
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, JobId, MachineId, Mark, TaskId};
-use hopyoke_wire::user::{JobKind, JobSpec, JobState};
-use hopyoke_wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// See PROTOCOL, and the users' word on days with troubles.
--- a/crates/hopyoke-world/src/script.rs
+++ b/crates/hopyoke-simulator/src/script.rs
@@ -4,11 +4,11 @@
 use crate::store::Spell;
 use crate::{Cut, DAWN, Host, Lag, Truth, World};
 use hopyoke_calendar::{Calendar, Held, Hours, Switch};
-use hopyoke_core::{Ask, Team};
+use hopyoke_protocol::cloud::MachineType;
+use hopyoke_protocol::user::{JobKind, JobSpec, JobState, Priority};
+use hopyoke_scheduler::{Ask, Team};
 use hopyoke_types::Micros;
 use hopyoke_types::{JobId, MachineId};
-use hopyoke_wire::cloud::MachineType;
-use hopyoke_wire::user::{JobKind, JobSpec, JobState, Priority};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/hopyoke-world/src/store.rs
+++ b/crates/hopyoke-simulator/src/store.rs
@@ -2,9 +2,9 @@
 
 use super::World;
 use super::digest::Channel;
-use hopyoke_core::{EndRecord, JobRecord, RegisterPage};
+use hopyoke_protocol::worker::Report;
+use hopyoke_scheduler::{EndRecord, JobRecord, RegisterPage};
 use hopyoke_types::Micros;
-use hopyoke_wire::worker::Report;
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone)]
@@ -12,7 +12,7 @@
     Job(JobRecord),
     End(EndRecord),
     Page(RegisterPage),
-    Learned(hopyoke_runtimes::Page),
+    Learned(hopyoke_run_times::Page),
     Holder(usize),
 }
 
--- a/crates/hopyoke-world/src/told.rs
+++ b/crates/hopyoke-simulator/src/told.rs
@@ -4,8 +4,8 @@
 use super::World;
 use super::api::{Answer, Request};
 use super::digest::Channel;
+use hopyoke_protocol::user::JobState;
 use hopyoke_types::{JobId, Micros};
-use hopyoke_wire::user::JobState;
 
 /// What a job's user knows when a request of its begins.
 #[derive(Debug, Clone, Copy, Default)]
--- a/crates/hopyoke-world/src/users.rs
+++ b/crates/hopyoke-simulator/src/users.rs
@@ -3,10 +3,10 @@
 use super::api::{Answer, Request};
 use super::store::Spell;
 use super::{Truth, World};
+use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
+use hopyoke_protocol::worker::TaskState;
+use hopyoke_protocol::{decode, encode};
 use hopyoke_types::{JobId, MachineId, Micros, TaskId};
-use hopyoke_wire::user::{JobKind, JobSpec, JobState};
-use hopyoke_wire::worker::TaskState;
-use hopyoke_wire::{decode, encode};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/hopyoke-world/src/worker.rs
+++ b/crates/hopyoke-simulator/src/worker.rs
@@ -1,10 +1,10 @@
 //! Workers, as the protocol describes them.
 
 use super::{Host, World};
+use hopyoke_protocol::user::JobKind;
+use hopyoke_protocol::worker::{ExitReason, Order, Report, TaskReport, TaskState};
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, JobId, MachineId, TaskId, Token};
-use hopyoke_wire::user::JobKind;
-use hopyoke_wire::worker::{ExitReason, Order, Report, TaskReport, TaskState};
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone)]
--- a/crates/hopyoke-wes/src/calls.rs
+++ b/crates/hopyoke-wes/src/calls.rs
@@ -4,7 +4,7 @@
 use hopyoke::links::ask_flow;
 use hopyoke::links::proto::flow_request::Ask;
 use hopyoke::links::proto::{FlowAnswer, FlowRequest};
-use hopyoke_runtime as runtime;
+use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/hopyoke-wes/src/client.rs
+++ b/crates/hopyoke-wes/src/client.rs
@@ -2,8 +2,8 @@
 
 use crate::upload::{self, Form};
 use crate::wire::{BASE, Problem, RunIdAnswer, RunList, RunLog, RunStatus};
-use hopyoke_runtime as runtime;
-use hopyoke_runtime::http::{Client as Http, Method, Response};
+use hopyoke_event_loop as runtime;
+use hopyoke_event_loop::http::{Client as Http, Method, Response};
 use hopyoke_types::Micros;
 use serde::de::DeserializeOwned;
 use std::net::{SocketAddr, ToSocketAddrs};
--- a/crates/hopyoke-wes/src/compile.rs
+++ b/crates/hopyoke-wes/src/compile.rs
@@ -2,9 +2,9 @@
 
 use hopyoke_cwl::command::Description;
 use hopyoke_cwl::{Faults, Options, Source, expand, open, yaml};
-use hopyoke_flow::{Plan, RunId, StepNo};
-use hopyoke_runtime as runtime;
+use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
+use hopyoke_workflow::{Plan, RunId, StepNo};
 use std::collections::BTreeMap;
 use std::sync::mpsc;
 
--- a/crates/hopyoke-wes/src/publish.rs
+++ b/crates/hopyoke-wes/src/publish.rs
@@ -1,8 +1,8 @@
 //! Tasks' descriptions, left where workers find them: one file a job, a list by the task's number.
 
 use hopyoke_cwl::command::Description;
-use hopyoke_flow::{RunId, StepNo, job_id, job_prefix, parts_of};
 use hopyoke_types::JobId;
+use hopyoke_workflow::{RunId, StepNo, job_id, job_prefix, parts_of};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
--- a/crates/hopyoke-wes/src/server.rs
+++ b/crates/hopyoke-wes/src/server.rs
@@ -12,10 +12,10 @@
 };
 use hopyoke::links::proto::flow_request::Ask;
 use hopyoke::links::proto::{self, RunInfo, RunQuestion, StepInfo, SubmitRun};
-use hopyoke_flow::{RunId, is_reserved, parts_of};
-use hopyoke_runtime::http::{self, Limits, Method, OpenCount, Request, Response};
-use hopyoke_runtime::{Cancel, TcpListener};
+use hopyoke_event_loop::http::{self, Limits, Method, OpenCount, Request, Response};
+use hopyoke_event_loop::{Cancel, TcpListener};
 use hopyoke_types::{JobId, Micros};
+use hopyoke_workflow::{RunId, is_reserved, parts_of};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
--- a/crates/hopyoke-wes/tests/loopback.rs
+++ b/crates/hopyoke-wes/tests/loopback.rs
@@ -1,15 +1,15 @@
 //! Real processes on loopback: controllers, the workflow service and the command line, around
 //! stand-ins of the state service, the cloud and the workers.
 
-use hopyoke_runtime as runtime;
-use hopyoke_runtime::http::{Client as Http, Method, Response};
-use hopyoke_standin::site::{Plan, Site};
+use hopyoke_emulator::site::{Plan, Site};
+use hopyoke_event_loop as runtime;
+use hopyoke_event_loop::http::{Client as Http, Method, Response};
+use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
 use hopyoke_wes::access::Access;
 use hopyoke_wes::client::Client;
 use hopyoke_wes::upload::Form;
 use hopyoke_wes::wire::{BASE, RunList, State};
-use hopyoke_wire::user::JobSpec;
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -132,7 +132,7 @@
 /// Submits a job natively and waits for its end.
 async fn native(site: &Site, spec: &JobSpec) {
     let client = Http::new(site.users[0]);
-    let body = hopyoke_wire::encode(spec);
+    let body = hopyoke_protocol::encode(spec);
     loop {
         if post(&client, "/api/jobs", &body).await.is_some_and(|r| r.status == 201 || r.status == 200) {
             break;
@@ -143,7 +143,7 @@
         let path = format!("/api/jobs/{}", spec.id);
         let answer = client.send(Method::Get, &path, &[], Micros::from_secs(2)).await;
         if let Ok(r) = answer
-            && let Ok(v) = hopyoke_wire::decode::<Value>(&r.body)
+            && let Ok(v) = hopyoke_protocol::decode::<Value>(&r.body)
             && v["bearing"] == "done"
         {
             return;
--- a/crates/hopyoke-flow/benches/engine.rs
+++ b/crates/hopyoke-workflow/benches/engine.rs
@@ -1,11 +1,11 @@
 //! The engine's cost per step: a run is claimed, read, submitted and ended, with answers at once.
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
-use hopyoke_flow::{
+use hopyoke_protocol::user::JobSpec;
+use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_workflow::{
     Action, Engine, Fetched, Head, JobEnd, Limits, Outcome, Plan, PlanStep, RunId, StepNo, Written,
 };
-use hopyoke_types::{JobId, Mark, Micros};
-use hopyoke_wire::user::JobSpec;
 use std::collections::BTreeMap;
 
 fn plan(steps: u32) -> Plan {
--- a/crates/hopyoke-flow/src/plan.rs
+++ b/crates/hopyoke-workflow/src/plan.rs
@@ -1,8 +1,8 @@
 //! The graph of a run's steps, and its pages in the state service.
 
 use crate::ids::StepNo;
+use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_types::JobId;
-use hopyoke_wire::user::{JobKind, JobSpec};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
--- a/crates/hopyoke-flow/tests/model/mod.rs
+++ b/crates/hopyoke-workflow/tests/model/mod.rs
@@ -2,11 +2,11 @@
 //! leases, jobs that take a while, nodes that crash, stall and lose messages. What must always
 //! hold is checked at every change.
 
-use hopyoke_flow::{
+use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_workflow::{
     Action, Engine, Fetched, Head, JobEnd, Limits, Outcome, Plan, RunId, RunState, StepNo, StepPage, Written,
     parts_of,
 };
-use hopyoke_types::{JobId, Mark, Micros};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
@@ -190,7 +190,7 @@
     pub fn submit(&mut self, run: RunId, team: &str, plan: Plan, fates: BTreeMap<StepNo, Fate>, keep_on: bool) {
         let mut head = Head::new(&format!("run {run}"), team, "client", &plan, 1, self.now.0);
         if keep_on {
-            head.on_error = hopyoke_flow::OnError::Continue;
+            head.on_error = hopyoke_workflow::OnError::Continue;
         }
         if let Err(e) = plan.check(team) {
             panic!("{e}");
@@ -398,20 +398,22 @@
                         })
                         .collect(),
                     jobs: self
-                        .under(&format!("job/{}", hopyoke_flow::job_prefix(*run)))
+                        .under(&format!("job/{}", hopyoke_workflow::job_prefix(*run)))
                         .filter_map(|(k, v, _)| match v {
                             Value::Job(ours) => {
-                                Some((JobId::new(&format!("{}{k}", hopyoke_flow::job_prefix(*run))), *ours))
+                                Some((JobId::new(&format!("{}{k}", hopyoke_workflow::job_prefix(*run))), *ours))
                             }
                             _ => None,
                         })
                         .collect(),
                     ends: self
-                        .under(&format!("end/{}", hopyoke_flow::job_prefix(*run)))
+                        .under(&format!("end/{}", hopyoke_workflow::job_prefix(*run)))
                         .filter_map(|(k, v, _)| match v {
-                            Value::End(end, ours) => {
-                                Some((JobId::new(&format!("{}{k}", hopyoke_flow::job_prefix(*run))), *end, *ours))
-                            }
+                            Value::End(end, ours) => Some((
+                                JobId::new(&format!("{}{k}", hopyoke_workflow::job_prefix(*run))),
+                                *end,
+                                *ours,
+                            )),
                             _ => None,
                         })
                         .collect(),
--- a/crates/hopyoke-flow/tests/properties.rs
+++ b/crates/hopyoke-workflow/tests/properties.rs
@@ -4,9 +4,9 @@
 #[allow(dead_code)]
 mod model;
 
-use hopyoke_flow::{OnError, Plan, PlanPage, PlanStep, RunId, RunState, StepNo};
+use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
-use hopyoke_wire::user::JobSpec;
+use hopyoke_workflow::{OnError, Plan, PlanPage, PlanStep, RunId, RunState, StepNo};
 use model::{FAULTS, Fate, Model};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/hopyoke-flow/tests/scenarios.rs
+++ b/crates/hopyoke-workflow/tests/scenarios.rs
@@ -18,9 +18,9 @@
 
 mod model;
 
-use hopyoke_flow::{Plan, PlanStep, RunId, RunState, StepNo, job_id};
+use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
-use hopyoke_wire::user::JobSpec;
+use hopyoke_workflow::{Plan, PlanStep, RunId, RunState, StepNo, job_id};
 use model::{FAULTS, Fate, Fault, Model};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/hopyoke-history/tests/forms.rs
+++ b/crates/hopyoke-workload-trace/tests/forms.rs
@@ -1,6 +1,6 @@
 //! Both forms are read, what is written is read back, and bad lines are named.
 
-use hopyoke_history::{Run, Writer, read};
+use hopyoke_workload_trace::{Run, Writer, read};
 
 fn run(n: u32) -> Run {
     Run {
--- a/crates/hopyoke/src/carriage.rs
+++ b/crates/hopyoke/src/carriage.rs
@@ -1,9 +1,9 @@
 //! Workers' reports that this node carries to the leader: their connections are here because the leader
-//! has no room for them (see [`hopyoke_routing`]).
+//! has no room for them (see [`hopyoke_heartbeat`]).
 
 use crate::node::Node;
-use hopyoke_routing::{Carrier, Load, Number};
-use hopyoke_runtime::{self as runtime, Bell};
+use hopyoke_event_loop::{self as runtime, Bell};
+use hopyoke_heartbeat::{Carrier, Load, Number};
 use hopyoke_types::Micros;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/hopyoke/src/cloud.rs
+++ b/crates/hopyoke/src/cloud.rs
@@ -1,12 +1,12 @@
 //! The cloud: typed requests within its rate.
 
-use hopyoke_core::RentOutcome;
-use hopyoke_runtime as runtime;
-use hopyoke_runtime::http::{Client, Method};
+use hopyoke_event_loop as runtime;
+use hopyoke_event_loop::http::{Client, Method};
+use hopyoke_protocol::cloud::{Catalog, Listed, MachineList, MachineType, Machines, Rent};
+use hopyoke_protocol::{decode, encode};
+use hopyoke_scheduler::RentOutcome;
 use hopyoke_types::MachineId;
 use hopyoke_types::Micros;
-use hopyoke_wire::cloud::{Catalog, Listed, MachineList, MachineType, Machines, Rent};
-use hopyoke_wire::{decode, encode};
 use std::cell::Cell;
 use std::net::SocketAddr;
 
--- a/crates/hopyoke/src/door.rs
+++ b/crates/hopyoke/src/door.rs
@@ -1,11 +1,11 @@
-//! Who of those that bring new work is let in: [`hopyoke_limits::Door`] with this node's clock.
+//! Who of those that bring new work is let in: [`hopyoke_admission::Door`] with this node's clock.
 
 use crate::links::proto::Place;
 use crate::node::Node;
-use hopyoke_limits::{Bounds, Door as Decisions, RetryAfter, Word};
-use hopyoke_runtime as runtime;
+use hopyoke_admission::{Bounds, Door as Decisions, RetryAfter, Word};
+use hopyoke_event_loop as runtime;
+use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
-use hopyoke_wire::user::JobSpec;
 use std::cell::RefCell;
 
 pub struct Door {
@@ -15,7 +15,7 @@
 
 impl Door {
     /// `changes`: what the state service takes a second from all nodes, and how many nodes there are.
-    pub fn new(changes: Bounds, teams: &[hopyoke_core::Team]) -> Door {
+    pub fn new(changes: Bounds, teams: &[hopyoke_scheduler::Team]) -> Door {
         let guaranteed: Vec<bool> = teams.iter().map(|t| t.cpus > 0.0 || t.gpus > 0.0).collect();
         let decisions = Decisions::new(changes, &guaranteed, runtime::now());
         Door { decisions: RefCell::new(decisions), teams: teams.iter().map(|t| t.name.clone()).collect() }
--- a/crates/hopyoke/src/finals.rs
+++ b/crates/hopyoke/src/finals.rs
@@ -1,6 +1,6 @@
 //! Final states that a node remembers.
 
-use hopyoke_core::EndRecord;
+use hopyoke_scheduler::EndRecord;
 use hopyoke_types::JobId;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/hopyoke/src/flow_calls.rs
+++ b/crates/hopyoke/src/flow_calls.rs
@@ -12,13 +12,13 @@
     FLOW_ENDS, FLOW_HEADS, StateError, TxnEnd, flow_end_key, flow_key, flow_page_key, flow_plan_key,
     flow_plan_prefix,
 };
-use hopyoke_core::{JobRecord, never_runs};
-use hopyoke_flow::{
+use hopyoke_event_loop as runtime;
+use hopyoke_protocol::state::{Change, Condition, Stored};
+use hopyoke_scheduler::{JobRecord, never_runs};
+use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_workflow::{
     Head, OnError, Plan, PlanPage, RunId, RunState, StepMark, StepNo, job_id, job_prefix, parts_of,
 };
-use hopyoke_runtime as runtime;
-use hopyoke_types::{JobId, Mark, Micros};
-use hopyoke_wire::state::{Change, Condition, Stored};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use tracing::{debug, info};
--- a/crates/hopyoke/src/flows.rs
+++ b/crates/hopyoke/src/flows.rs
@@ -7,14 +7,14 @@
     FLOW_HEADS, FLOW_HOLDS, FLOWS, StateError, TxnEnd, flow_end_key, flow_hold_key, flow_key, flow_page_key,
     flow_page_prefix, flow_plan_prefix,
 };
-use hopyoke_core::{EndRecord, JobRecord, never_runs};
-use hopyoke_flow::{
+use hopyoke_event_loop as runtime;
+use hopyoke_protocol::state::{Change, Condition, Events, Pair, Stored};
+use hopyoke_protocol::user::{JobSpec, JobState};
+use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
+use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_workflow::{
     Action, Fetched, Head, Hold, JobEnd, Outcome, Plan, PlanPage, RESERVED, RunId, StepPage, Written, job_prefix,
 };
-use hopyoke_runtime as runtime;
-use hopyoke_types::{JobId, Mark, Micros};
-use hopyoke_wire::state::{Change, Condition, Events, Pair, Stored};
-use hopyoke_wire::user::{JobSpec, JobState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::rc::Rc;
--- a/crates/hopyoke/src/follow.rs
+++ b/crates/hopyoke/src/follow.rs
@@ -3,10 +3,10 @@
 
 use crate::node::{Leading, Node};
 use crate::state::{JOBS, StateError};
-use hopyoke_core::JobRecord;
-use hopyoke_runtime as runtime;
+use hopyoke_event_loop as runtime;
+use hopyoke_protocol::state::{Events, Pair, Stored};
+use hopyoke_scheduler::JobRecord;
 use hopyoke_types::{JobId, Mark, Micros};
-use hopyoke_wire::state::{Events, Pair, Stored};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use tracing::{debug, warn};
--- a/crates/hopyoke/src/lead.rs
+++ b/crates/hopyoke/src/lead.rs
@@ -9,16 +9,16 @@
 };
 use crate::workers::Direct;
 use crate::{staffed, tuning};
-use hopyoke_cancellations::Delivered;
-use hopyoke_core::entitlement::Entitlement;
-use hopyoke_core::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, Write};
+use hopyoke_consistency::Delivered;
+use hopyoke_consistency::leader_lease::Entitlement;
+use hopyoke_event_loop::{self as runtime, Bell, Cancel};
+use hopyoke_heartbeat::Hearing;
 use hopyoke_policy::Figures;
-use hopyoke_routing::Hearing;
-use hopyoke_runtime::{self as runtime, Bell, Cancel};
+use hopyoke_protocol::cloud::Rent;
+use hopyoke_protocol::state::{Change, Condition};
+use hopyoke_scheduler::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, Write};
 use hopyoke_types::Micros;
 use hopyoke_types::{Mark, Token};
-use hopyoke_wire::cloud::Rent;
-use hopyoke_wire::state::{Change, Condition};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -359,9 +359,9 @@
 #[serde(untagged)]
 enum Value<'a> {
     Job(&'a JobRecord),
-    End(&'a hopyoke_core::EndRecord),
+    End(&'a hopyoke_scheduler::EndRecord),
     Page(&'a RegisterPage),
-    Learned(&'a hopyoke_runtimes::Page),
+    Learned(&'a hopyoke_run_times::Page),
 }
 
 /// Every write is conditional on our grant, so that late ones of old holders fail.
@@ -426,7 +426,7 @@
     if !leading.core.borrow().tuning.learn {
         return;
     }
-    let Some((pages, _)) = retry(|| node.state.spare().list::<hopyoke_runtimes::Page>(LEARNED)).await else {
+    let Some((pages, _)) = retry(|| node.state.spare().list::<hopyoke_run_times::Page>(LEARNED)).await else {
         return;
     };
     let mut core = leading.core.borrow_mut();
--- a/crates/hopyoke/src/links.rs
+++ b/crates/hopyoke/src/links.rs
@@ -1,7 +1,7 @@
 //! Calls to the other controllers: gRPC by `tonic`, over hyper's HTTP/2 on our own event loop.
 
-use hopyoke_runtime::http::{Request, Response};
-use hopyoke_runtime::{self as runtime, Cancel, TcpStream};
+use hopyoke_event_loop::http::{Request, Response};
+use hopyoke_event_loop::{self as runtime, Cancel, TcpStream};
 use hopyoke_settings::Peer;
 use hopyoke_types::{JobId, Micros};
 use hyper::body::Incoming;
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -3,11 +3,11 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use hopyoke::links;
 use hopyoke::links::proto::{HistoryRequest, StaffedRequest, WhenRequest};
-use hopyoke_history::Writer;
+use hopyoke_event_loop as runtime;
 use hopyoke_policy::{Figures, Policy};
-use hopyoke_runtime as runtime;
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
+use hopyoke_workload_trace::Writer;
 use std::cell::RefCell;
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
         #[arg(long, value_name = "ADDR")]
         mesh: SocketAddr,
     },
-    /// Write the runs that have ended as a history that `hopyoke-lab replay` reads
+    /// Write the runs that have ended as a history that `hopyoke-experiments replay` reads
     History {
         /// The mesh address of any controller
         #[arg(long, value_name = "ADDR")]
--- a/crates/hopyoke/src/mesh.rs
+++ b/crates/hopyoke/src/mesh.rs
@@ -1,7 +1,7 @@
 //! Answers to the other controllers and to operators: gRPC by `tonic`.
 //!
 //! The mesh says who reaches the state service, carries users' requests to a node that can answer
-//! them better, and carries promises in an outage (see [`hopyoke_core::entitlement`]). Without it
+//! them better, and carries promises in an outage (see [`hopyoke_consistency::leader_lease`]). Without it
 //! the rules hold all the same.
 
 use crate::links::proto::mesh_server::{Mesh, MeshServer};
@@ -14,10 +14,10 @@
 use crate::{api, questions};
 use futures_channel::{mpsc, oneshot};
 use futures_util::StreamExt;
-use hopyoke_cancellations::Cursor;
-use hopyoke_routing::Crowd;
-use hopyoke_runtime::http::{Method, Request};
-use hopyoke_runtime::{self as runtime, TcpListener};
+use hopyoke_consistency::Cursor;
+use hopyoke_event_loop::http::{Method, Request};
+use hopyoke_event_loop::{self as runtime, TcpListener};
+use hopyoke_heartbeat::Crowd;
 use hopyoke_types::{JobId, Mark, Micros};
 use hyper::body::Incoming;
 use std::cell::Cell;
--- a/crates/hopyoke/src/promises.rs
+++ b/crates/hopyoke/src/promises.rs
@@ -1,8 +1,8 @@
 //! What a node promises its peers for an outage of the state service.
 
-use hopyoke_cancellations::Confirmed;
-use hopyoke_core::entitlement::PROMISE;
-use hopyoke_runtime as runtime;
+use hopyoke_consistency::Confirmed;
+use hopyoke_consistency::leader_lease::PROMISE;
+use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use std::cell::{Cell, RefCell};
 
@@ -10,7 +10,7 @@
 /// changes, some 2 MB at the most. One that is further behind gets no promise.
 const MOST_CONFIRMED: usize = 8192;
 
-/// What peers may rely on while the state service refuses everybody; see [`hopyoke_core::entitlement`].
+/// What peers may rely on while the state service refuses everybody; see [`hopyoke_consistency::leader_lease`].
 pub struct Promises {
     /// Tells this process from its predecessors and successors.
     pub process: u64,
--- a/crates/hopyoke/src/questions.rs
+++ b/crates/hopyoke/src/questions.rs
@@ -3,11 +3,11 @@
 use crate::links::proto::{HistoryAnswer, HistoryRequest, WhenAnswer, WhenRequest};
 use crate::links::{GREET, PeerLink};
 use crate::node::Node;
-use hopyoke_core::{Ask, Past};
-use hopyoke_history::{Run, Writer};
-use hopyoke_runtime as runtime;
+use hopyoke_event_loop as runtime;
+use hopyoke_protocol::user::JobKind;
+use hopyoke_scheduler::{Ask, Past};
 use hopyoke_types::{JobId, Micros};
-use hopyoke_wire::user::JobKind;
+use hopyoke_workload_trace::{Run, Writer};
 
 /// Runs in one answer.
 const MOST_RUNS: usize = 256;
--- a/crates/hopyoke/src/records.rs
+++ b/crates/hopyoke/src/records.rs
@@ -2,11 +2,11 @@
 
 use crate::node::Node;
 use crate::state::{Ask, LEADER, StateError, TxnEnd, end_key, job_key};
-use hopyoke_core::{EndRecord, JobRecord};
-use hopyoke_runtime as runtime;
+use hopyoke_event_loop as runtime;
+use hopyoke_protocol::state::{Change, Condition, Stored};
+use hopyoke_protocol::user::JobState;
+use hopyoke_scheduler::{EndRecord, JobRecord};
 use hopyoke_types::{JobId, Mark, Micros};
-use hopyoke_wire::state::{Change, Condition, Stored};
-use hopyoke_wire::user::JobState;
 use std::rc::Rc;
 use tracing::{debug, warn};
 
--- a/crates/hopyoke/src/replica.rs
+++ b/crates/hopyoke/src/replica.rs
@@ -1,9 +1,9 @@
 //! Polls answered from the leader's replica of the records: one question to the state service serves
-//! all that wait (see [`hopyoke_reads`]).
+//! all that wait (see [`hopyoke_consistency::read_index`]).
 
-use hopyoke_reads::{Limits, Reads, Verdict};
-use hopyoke_runtime as runtime;
-use hopyoke_runtime::Bell;
+use hopyoke_consistency::read_index::{Limits, Reads, Verdict};
+use hopyoke_event_loop as runtime;
+use hopyoke_event_loop::Bell;
 use std::cell::RefCell;
 use std::task::{Poll, Waker};
 
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -2,9 +2,9 @@
 
 use crate::node::Node;
 use crate::{api, carriage, flows, lead, mesh, records, tuning, workers};
+use hopyoke_event_loop::http::{self, Limits, Request, Response};
+use hopyoke_event_loop::{self as runtime, TcpListener};
 use hopyoke_policy::{Figures, Policy};
-use hopyoke_runtime::http::{self, Limits, Request, Response};
-use hopyoke_runtime::{self as runtime, TcpListener};
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
 use std::cell::RefCell;
--- a/crates/hopyoke/src/staffed.rs
+++ b/crates/hopyoke/src/staffed.rs
@@ -5,10 +5,10 @@
 use crate::state::{SWITCH, StateError, TxnEnd};
 use crate::tuning;
 use hopyoke_calendar::{Hours, Switch};
+use hopyoke_event_loop as runtime;
 use hopyoke_policy::Figures;
-use hopyoke_runtime as runtime;
+use hopyoke_protocol::state::{Change, Condition, Stored};
 use hopyoke_types::{Mark, Micros};
-use hopyoke_wire::state::{Change, Condition, Stored};
 use std::rc::Rc;
 use tracing::{info, warn};
 
--- a/crates/hopyoke/src/state.rs
+++ b/crates/hopyoke/src/state.rs
@@ -15,15 +15,17 @@
 //! | `flowplan/RUN/N` | a page of its plan, written once |
 //! | `flowpage/RUN/N` | a page of its steps' progress |
 
-use hopyoke_flow::RunId;
-use hopyoke_limits::{Bounds, Importance, Pace};
-use hopyoke_runtime as runtime;
-use hopyoke_runtime::http::{Client, ClientError, Method, Response};
-use hopyoke_runtimes::PageKey;
+use hopyoke_admission::{Bounds, Importance, Pace};
+use hopyoke_event_loop as runtime;
+use hopyoke_event_loop::http::{Client, ClientError, Method, Response};
+use hopyoke_protocol::state::{
+    Applied, Change, Condition, Events, Failed, Grant, Granted, Page, Pair, Stored, Txn,
+};
+use hopyoke_protocol::{decode, encode};
+use hopyoke_run_times::PageKey;
 use hopyoke_types::Micros;
 use hopyoke_types::{JobId, Mark};
-use hopyoke_wire::state::{Applied, Change, Condition, Events, Failed, Grant, Granted, Page, Pair, Stored, Txn};
-use hopyoke_wire::{decode, encode};
+use hopyoke_workflow::RunId;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::cell::{Cell, RefCell};
--- a/crates/hopyoke/src/status.rs
+++ b/crates/hopyoke/src/status.rs
@@ -1,9 +1,9 @@
 //! What a controller tells its operators: leader, blocks, machines, jobs, teams, and why jobs wait.
 
 use crate::node::Node;
-use hopyoke_core::{Amounts, HELD, Phase};
-use hopyoke_limits::Importance;
-use hopyoke_runtime as runtime;
+use hopyoke_admission::Importance;
+use hopyoke_event_loop as runtime;
+use hopyoke_scheduler::{Amounts, HELD, Phase};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -82,7 +82,8 @@
             writeln!(out, "team {} cpus {} of {} gpus {} of {}", t.name, u.cpus, t.cpus_max, u.gpus, t.gpus_max);
     }
     for (id, j) in &core.jobs {
-        let unknown = j.done.missing(j.spec.tasks).filter(|&i| core.check(j, i) == hopyoke_core::Verdict::Unknown);
+        let unknown =
+            j.done.missing(j.spec.tasks).filter(|&i| core.check(j, i) == hopyoke_scheduler::Verdict::Unknown);
         let _ = write!(
             out,
             "job {id} team {} tasks {} done {} placed {} running {} unknown {}",
--- a/crates/hopyoke/src/tuning.rs
+++ b/crates/hopyoke/src/tuning.rs
@@ -2,12 +2,12 @@
 
 use crate::node::Leading;
 use hopyoke_calendar::{Calendar, CalendarFault, Held, Hours};
-use hopyoke_core::{Core, Phase, Tuning};
-use hopyoke_flow::Limits;
+use hopyoke_event_loop as runtime;
 use hopyoke_policy::{Figures, Values};
-use hopyoke_runtime as runtime;
+use hopyoke_scheduler::{Core, Phase, Tuning};
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
+use hopyoke_workflow::Limits;
 use tracing::info;
 
 /// The tuning that these values ask for. Every declared setting is read here.
--- a/crates/hopyoke/src/workers.rs
+++ b/crates/hopyoke/src/workers.rs
@@ -1,13 +1,13 @@
 //! Workers' reports, and orders sent straight to workers.
 
 use crate::node::{Leading, Node};
-use hopyoke_routing::Route;
-use hopyoke_runtime as runtime;
-use hopyoke_runtime::http::{Client, ClientError, Method, Request, Response};
+use hopyoke_event_loop as runtime;
+use hopyoke_event_loop::http::{Client, ClientError, Method, Request, Response};
+use hopyoke_heartbeat::Route;
+use hopyoke_protocol::worker::{DirectOrders, Order, Orders, Redirect, Report};
+use hopyoke_protocol::{decode, encode};
 use hopyoke_types::Micros;
 use hopyoke_types::{MachineId, Token};
-use hopyoke_wire::worker::{DirectOrders, Order, Orders, Redirect, Report};
-use hopyoke_wire::{decode, encode};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/hopyoke/tests/checks/mod.rs
+++ b/crates/hopyoke/tests/checks/mod.rs
@@ -1,12 +1,12 @@
 //! Scenario statements that need no world: bodies of requests, settings, and raw HTTP.
 
-use hopyoke_core::{Team, never_runs};
-use hopyoke_runtime::http::{self, Limits, OpenCount, Request, Response};
-use hopyoke_runtime::{self as runtime, Cancel, TcpListener, TcpStream};
+use hopyoke_event_loop::http::{self, Limits, OpenCount, Request, Response};
+use hopyoke_event_loop::{self as runtime, Cancel, TcpListener, TcpStream};
+use hopyoke_protocol::cloud::MachineType;
+use hopyoke_protocol::user::JobSpec;
+use hopyoke_scheduler::{Team, never_runs};
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
-use hopyoke_wire::cloud::MachineType;
-use hopyoke_wire::user::JobSpec;
 use serde_json::Value;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/hopyoke/tests/scenarios.rs
+++ b/crates/hopyoke/tests/scenarios.rs
@@ -2,7 +2,7 @@
 
 mod checks;
 
-use hopyoke_world::script;
+use hopyoke_simulator::script;
 use libtest_mimic::{Arguments, Failed, Trial};
 use std::fs;
 use std::path::PathBuf;
