--- a/crates/hopyoke-consistency/src/cancellation_log.rs
+++ b/crates/hopyoke-consistency/src/cancellation_log.rs
@@ -1,6 +1,6 @@
 //! What was confirmed at this node.
 
-use hopyoke_types::{JobId, Mark};
+use hopyoke_types::{JobId, ModRevision};
 use std::collections::BTreeMap;
 
 /// What a leader may not know yet of the cancellations confirmed here.
@@ -20,11 +20,11 @@
 /// too many, oldest revision first, and a leader that has not come so far gets no promise any more.
 #[derive(Debug, Clone)]
 pub struct Confirmed {
-    entries: BTreeMap<(Mark, JobId), u64>,
+    entries: BTreeMap<(ModRevision, JobId), u64>,
     /// Entries are numbered from 1 as they are noted.
     last: u64,
     /// All that is missing became final up to this revision. `None`: not known yet.
-    missing: Option<Mark>,
+    missing: Option<ModRevision>,
     most: usize,
 }
 
@@ -38,24 +38,24 @@
     }
 
     /// The state service was at this revision, at some moment after this process began.
-    pub fn began_before(&mut self, revision: Mark) {
+    pub fn began_before(&mut self, revision: ModRevision) {
         if self.missing.is_none() {
             self.forget_to(revision);
         }
     }
 
-    fn forget_to(&mut self, revision: Mark) {
+    fn forget_to(&mut self, revision: ModRevision) {
         self.missing = self.missing.max(Some(revision));
         self.entries = self.entries.split_off(&after(revision));
     }
 
     /// A user is about to be told that a job is cancelled, which became final at this revision.
-    pub fn note(&mut self, job: &JobId, mark: Mark) {
-        if self.missing.is_some_and(|m| mark <= m) {
+    pub fn note(&mut self, job: &JobId, mod_revision: ModRevision) {
+        if self.missing.is_some_and(|m| mod_revision <= m) {
             return;
         }
         let next = self.last + 1;
-        let entry = self.entries.entry((mark, job.clone())).or_insert(next);
+        let entry = self.entries.entry((mod_revision, job.clone())).or_insert(next);
         self.last = self.last.max(*entry);
         if self.entries.len() > self.most
             && let Some(((oldest, _), _)) = self.entries.first_key_value()
@@ -71,7 +71,7 @@
 
     /// What a leader has to be told that has applied all changes up to `applied` and was told of entries
     /// up to number `delivered`.
-    pub fn since(&self, applied: Mark, delivered: u64) -> Delta {
+    pub fn since(&self, applied: ModRevision, delivered: u64) -> Delta {
         let later = self.entries.range(after(applied)..);
         let mut open: Vec<(u64, &JobId)> =
             later.filter(|(_, n)| **n > delivered).map(|((_, job), n)| (*n, job)).collect();
@@ -84,7 +84,7 @@
     }
 
     /// Nothing is missing for a leader that has applied all changes up to `applied`; one on this very node, too.
-    pub fn covers(&self, applied: Mark) -> bool {
+    pub fn covers(&self, applied: ModRevision) -> bool {
         self.missing.is_some_and(|m| applied >= m)
     }
 
@@ -98,12 +98,12 @@
     }
 
     /// What a new leader on this node must be told of what the node itself confirmed.
-    pub fn after(&self, applied: Mark) -> Vec<JobId> {
+    pub fn after(&self, applied: ModRevision) -> Vec<JobId> {
         self.entries.range(after(applied)..).map(|((_, job), _)| job.clone()).collect()
     }
 }
 
 /// The first key of a later revision.
-fn after(revision: Mark) -> (Mark, JobId) {
-    (Mark(revision.0.saturating_add(1)), JobId::new(""))
+fn after(revision: ModRevision) -> (ModRevision, JobId) {
+    (ModRevision(revision.0.saturating_add(1)), JobId::new(""))
 }
--- a/crates/hopyoke-consistency/src/tombstones.rs
+++ b/crates/hopyoke-consistency/src/tombstones.rs
@@ -1,6 +1,6 @@
 //! Jobs that are over, against news that is older than their end.
 
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use std::collections::BTreeMap;
 
 /// News of an earlier revision can arrive later than that of a job's end, by another path: it must not bring
@@ -11,7 +11,7 @@
 /// follows from how long that takes, and no constant decides it.
 #[derive(Debug, Clone, Default)]
 pub struct Ended {
-    known: Mark,
+    known: ModRevision,
     /// Jobs that are over, and when that was learned.
     recent: BTreeMap<JobId, Micros>,
 }
@@ -23,18 +23,18 @@
     }
 
     /// A record of a job that is not in the ledger is older than the job's end.
-    pub fn outdates(&self, job: &JobId, mark: Mark) -> bool {
-        mark <= self.known || self.recent.contains_key(job)
+    pub fn outdates(&self, job: &JobId, mod_revision: ModRevision) -> bool {
+        mod_revision <= self.known || self.recent.contains_key(job)
     }
 
     /// All changes up to `revision` have been taken in, by an answer to what was asked at `sent`.
-    pub fn caught_up(&mut self, revision: Mark, sent: Micros) {
+    pub fn caught_up(&mut self, revision: ModRevision, sent: Micros) {
         self.known = self.known.max(revision);
         self.recent.retain(|_, learned| *learned >= sent);
     }
 
     /// All changes up to this revision have been taken in.
-    pub fn known(&self) -> Mark {
+    pub fn known(&self) -> ModRevision {
         self.known
     }
 }
--- a/crates/hopyoke-consistency/tests/cancellation_log.rs
+++ b/crates/hopyoke-consistency/tests/cancellation_log.rs
@@ -1,7 +1,7 @@
 //! The accounts, by cases and by random ones against a plain model.
 
 use hopyoke_consistency::{Confirmed, Delivered, Ended};
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 /// An account of a process that has read a revision.
 fn begun(most: usize, revision: u64) -> Confirmed {
     let mut c = Confirmed::new(most);
-    c.began_before(Mark(revision));
+    c.began_before(ModRevision(revision));
     c
 }
 
@@ -20,15 +20,15 @@
 #[test]
 fn a_new_process_knows_what_it_misses() {
     let mut c = Confirmed::new(3);
-    c.note(&job(1), Mark(12));
-    assert!(!c.since(Mark(100), 0).complete, "it has read no revision yet");
-    c.began_before(Mark(10));
-    assert!(!c.since(Mark(9), 0).complete);
-    let delta = c.since(Mark(10), 0);
+    c.note(&job(1), ModRevision(12));
+    assert!(!c.since(ModRevision(100), 0).complete, "it has read no revision yet");
+    c.began_before(ModRevision(10));
+    assert!(!c.since(ModRevision(9), 0).complete);
+    let delta = c.since(ModRevision(10), 0);
     assert_eq!((delta.complete, delta.jobs), (true, vec![job(1)]));
     // Only the first counts: what was confirmed since then is here.
-    c.began_before(Mark(50));
-    assert!(c.since(Mark(10), 0).complete);
+    c.began_before(ModRevision(50));
+    assert!(c.since(ModRevision(10), 0).complete);
 }
 
 /// What is forgotten is never promised: a leader that has not come so far gets none.
@@ -36,14 +36,14 @@
 fn forgotten_entries_forbid_a_promise() {
     let mut c = begun(3, 0);
     for n in 1..=5 {
-        c.note(&job(n), Mark(10 * n));
+        c.note(&job(n), ModRevision(10 * n));
     }
-    assert!(!c.since(Mark(19), 0).complete, "the entries of revisions 10 and 20 are gone");
-    let delta = c.since(Mark(20), 0);
+    assert!(!c.since(ModRevision(19), 0).complete, "the entries of revisions 10 and 20 are gone");
+    let delta = c.since(ModRevision(20), 0);
     assert!(delta.complete);
     assert_eq!(delta.jobs, [job(3), job(4), job(5)]);
     // One that is older than what was forgotten is covered by that.
-    c.note(&job(9), Mark(15));
+    c.note(&job(9), ModRevision(15));
     assert_eq!(c.len(), 3);
 }
 
@@ -51,10 +51,10 @@
 #[test]
 fn confirmed_late_is_delivered_all_the_same() {
     let mut c = begun(100, 0);
-    c.note(&job(1), Mark(50));
-    let first = c.since(Mark(40), 0);
-    c.note(&job(2), Mark(45));
-    let second = c.since(Mark(40), first.upto);
+    c.note(&job(1), ModRevision(50));
+    let first = c.since(ModRevision(40), 0);
+    c.note(&job(2), ModRevision(45));
+    let second = c.since(ModRevision(40), first.upto);
     assert_eq!(second.jobs, [job(2)]);
 }
 
@@ -63,11 +63,11 @@
 fn many_come_in_parts() {
     let mut c = begun(4096, 0);
     for n in 1..=2500 {
-        c.note(&job(n), Mark(n));
+        c.note(&job(n), ModRevision(n));
     }
     let (mut got, mut upto, mut parts) = (BTreeSet::new(), 0, 0);
     loop {
-        let delta = c.since(Mark(0), upto);
+        let delta = c.since(ModRevision(0), upto);
         got.extend(delta.jobs);
         upto = delta.upto;
         parts += 1;
@@ -100,28 +100,28 @@
         steps in prop::collection::vec((0u8..4, 1u64..12, 1u64..40), 1..80),
     ) {
         let mut c = begun(most, 0);
-        let mut truth: BTreeMap<JobId, Mark> = BTreeMap::new();
-        let (mut applied, mut upto) = (Mark(0), 0);
+        let mut truth: BTreeMap<JobId, ModRevision> = BTreeMap::new();
+        let (mut applied, mut upto) = (ModRevision(0), 0);
         let mut told: BTreeSet<JobId> = BTreeSet::new();
-        for (what, n, mark) in steps {
+        for (what, n, mod_revision) in steps {
             match what {
                 0 | 1 => {
                     // A job's end has one revision.
-                    let mark = *truth.entry(job(n)).or_insert(Mark(mark));
-                    c.note(&job(n), mark);
+                    let mod_revision = *truth.entry(job(n)).or_insert(ModRevision(mod_revision));
+                    c.note(&job(n), mod_revision);
                 }
-                2 => applied = applied.max(Mark(mark / 2)),
+                2 => applied = applied.max(ModRevision(mod_revision / 2)),
                 _ => {
                     let delta = c.since(applied, upto);
                     // Every third answer is lost.
-                    if mark % 3 == 0 {
+                    if mod_revision % 3 == 0 {
                         continue;
                     }
                     told.extend(delta.jobs.iter().cloned());
                     upto = delta.upto;
                     if delta.complete {
-                        for (job, mark) in &truth {
-                            prop_assert!(*mark <= applied || told.contains(job), "{job} at {mark} is unknown");
+                        for (job, mod_revision) in &truth {
+                            prop_assert!(*mod_revision <= applied || told.contains(job), "{job} at {mod_revision} is unknown");
                         }
                     }
                 }
@@ -146,11 +146,11 @@
                     revision = revision.max(10 + n);
                 }
                 // An answer that was asked for after all of that.
-                1 => e.caught_up(Mark(revision), now),
+                1 => e.caught_up(ModRevision(revision), now),
                 _ => {}
             }
             for n in &over {
-                prop_assert!(e.outdates(&job(*n), Mark(*n)));
+                prop_assert!(e.outdates(&job(*n), ModRevision(*n)));
             }
         }
     }
--- a/crates/hopyoke-emulator/src/state.rs
+++ b/crates/hopyoke-emulator/src/state.rs
@@ -16,7 +16,7 @@
 
 struct Entry {
     value: Value,
-    mark: u64,
+    mod_revision: u64,
     lease: Option<u64>,
 }
 
@@ -66,7 +66,7 @@
 #[derive(Deserialize)]
 struct Condition {
     key: String,
-    mark: u64,
+    mod_revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -133,9 +133,9 @@
     pub fn put(&self, key: &str, value: Value) {
         let mut inner = self.inner.borrow_mut();
         inner.revision += 1;
-        let mark = inner.revision;
-        inner.note(mark, key, false);
-        inner.keys.insert(key.to_owned(), Entry { value, mark, lease: None });
+        let mod_revision = inner.revision;
+        inner.note(mod_revision, key, false);
+        inner.keys.insert(key.to_owned(), Entry { value, mod_revision, lease: None });
         inner.wake();
     }
 
@@ -213,7 +213,9 @@
     fn read(&self, key: &str) -> Response {
         let inner = self.inner.borrow();
         match inner.keys.get(key) {
-            Some(e) => Response::of(200, &json!({ "key": key, "v": e.value, "mark": e.mark, "tether": e.lease })),
+            Some(e) => {
+                Response::of(200, &json!({ "key": key, "v": e.value, "mark": e.mod_revision, "tether": e.lease }))
+            }
             None => Response::of(404, &json!({ "tide": inner.revision })),
         }
     }
@@ -228,7 +230,7 @@
         let pairs: Vec<Value> = after
             .by_ref()
             .take(most)
-            .map(|(k, e)| json!({ "key": k, "v": e.value, "mark": e.mark, "tether": e.lease }))
+            .map(|(k, e)| json!({ "key": k, "v": e.value, "mark": e.mod_revision, "tether": e.lease }))
             .collect();
         let more = after.next().is_some();
         Response::of(200, &json!({ "pairs": pairs, "more": more, "tide": inner.revision }))
@@ -238,9 +240,9 @@
         let Ok(txn) = decode::<Txn>(body) else { return Response::empty(400) };
         self.changes.set(self.changes.get() + txn.changes.len() as u64);
         let mut inner = self.inner.borrow_mut();
-        let mark = |k: &String| inner.keys.get(k).map_or(0, |e| e.mark);
+        let mod_revision = |k: &String| inner.keys.get(k).map_or(0, |e| e.mod_revision);
         let failed: Vec<&String> =
-            txn.conditions.iter().filter(|c| mark(&c.key) != c.mark).map(|c| &c.key).collect();
+            txn.conditions.iter().filter(|c| mod_revision(&c.key) != c.mod_revision).map(|c| &c.key).collect();
         if !failed.is_empty() {
             return Response::of(409, &json!({ "failed": failed, "tide": inner.revision }));
         }
@@ -258,7 +260,7 @@
                 let first = key.split('/').next().unwrap_or_default().to_owned();
                 *self.written.borrow_mut().entry(first).or_default() += size(&c.v) as u64;
                 inner.note(revision, &key, false);
-                inner.keys.insert(key, Entry { value: c.v, mark: revision, lease: c.tether });
+                inner.keys.insert(key, Entry { value: c.v, mod_revision: revision, lease: c.tether });
             } else if let Some(key) = c.drop {
                 inner.drop_key(&key);
             }
@@ -305,7 +307,7 @@
                 let new = inner.log.iter().rev().take_while(|(r, ..)| *r > since);
                 let mut events: Vec<Value> = new
                     .filter(|(_, k, _)| k.starts_with(&prefix))
-                    .map(|(r, k, dropped)| match inner.keys.get(k).filter(|e| !dropped && e.mark == *r) {
+                    .map(|(r, k, dropped)| match inner.keys.get(k).filter(|e| !dropped && e.mod_revision == *r) {
                         Some(e) => json!({ "write": k, "v": e.value, "mark": r }),
                         None => json!({ "drop": k, "mark": r }),
                     })
--- a/crates/hopyoke-emulator/src/worker.rs
+++ b/crates/hopyoke-emulator/src/worker.rs
@@ -8,7 +8,7 @@
 use hopyoke_protocol::decode;
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_protocol::worker::{DirectOrders, ExitReason, Order, Orders, Report, TaskReport, TaskState};
-use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId, Token};
+use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, Micros, TaskId};
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -88,7 +88,7 @@
 struct Inner {
     session: u64,
     seq: u64,
-    token: Token,
+    token: FencingToken,
     tasks: BTreeMap<(TaskId, Attempt), Task>,
     images: BTreeSet<String>,
     /// When the last answered report was sent.
@@ -135,7 +135,7 @@
         let inner = Inner {
             session: 1,
             seq: 0,
-            token: Token(0),
+            token: FencingToken(0),
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             answered: runtime::now(),
@@ -290,7 +290,7 @@
         }
     }
 
-    fn obey(self: &Rc<Worker>, token: Token, orders: Vec<Order>) {
+    fn obey(self: &Rc<Worker>, token: FencingToken, orders: Vec<Order>) {
         self.inner.borrow_mut().token = token;
         for order in orders {
             match order {
--- a/crates/hopyoke-protocol/src/state.rs
+++ b/crates/hopyoke-protocol/src/state.rs
@@ -1,6 +1,6 @@
 //! The state service's interface. Values are opaque here.
 
-use hopyoke_types::Mark;
+use hopyoke_types::ModRevision;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -29,7 +29,8 @@
     pub key: String,
     #[serde(rename = "v")]
     pub value: Stored<T>,
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub mod_revision: ModRevision,
 }
 
 #[derive(Debug, Deserialize)]
@@ -45,7 +46,8 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct Condition {
     pub key: String,
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub mod_revision: ModRevision,
 }
 
 #[derive(Debug, Clone, Serialize)]
@@ -115,7 +117,8 @@
     pub drop: Option<String>,
     #[serde(rename = "v", default = "none")]
     pub value: Option<Stored<T>>,
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub mod_revision: ModRevision,
 }
 
 fn none<T>() -> Option<T> {
--- a/crates/hopyoke-protocol/src/worker.rs
+++ b/crates/hopyoke-protocol/src/worker.rs
@@ -1,6 +1,6 @@
 //! What workers and controllers tell each other.
 
-use hopyoke_types::{Attempt, MachineId, Token};
+use hopyoke_types::{Attempt, FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     #[serde(rename = "tally")]
     pub seq: u64,
     #[serde(rename = "helm", default)]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "oars", default)]
@@ -109,7 +109,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Orders {
     #[serde(rename = "helm")]
-    pub token: Token,
+    pub token: FencingToken,
     pub orders: Vec<Order>,
 }
 
@@ -117,7 +117,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DirectOrders {
     #[serde(rename = "helm")]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "watch")]
     pub session: u64,
     pub orders: Vec<Order>,
--- a/crates/hopyoke-scheduler/src/batch.rs
+++ b/crates/hopyoke-scheduler/src/batch.rs
@@ -2,7 +2,7 @@
 
 use super::job::{EndRecord, JobRecord};
 use hopyoke_run_times::{Page, PageKey};
-use hopyoke_types::{JobId, MachineId, Mark};
+use hopyoke_types::{JobId, MachineId, ModRevision};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone)]
 pub enum Write {
     /// Replace the record, which must still have this mark.
-    Update { job: JobId, mark: Mark, record: JobRecord },
+    Update { job: JobId, mod_revision: ModRevision, record: JobRecord },
     /// Move the record, which must still have this mark, to its final place.
-    End { job: JobId, mark: Mark, end: EndRecord },
+    End { job: JobId, mod_revision: ModRevision, end: EndRecord },
     /// Replace a page of the register, which must still have this mark, or drop it.
-    Page { key: String, mark: Mark, page: Option<RegisterPage> },
+    Page { key: String, mod_revision: ModRevision, page: Option<RegisterPage> },
     /// Drop a page of the register whatever it holds.
     DropPage { key: String },
     /// Replace a page of learned run times.
--- a/crates/hopyoke-scheduler/src/fleet.rs
+++ b/crates/hopyoke-scheduler/src/fleet.rs
@@ -6,7 +6,7 @@
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_protocol::worker::{ExitReason, TaskState};
 use hopyoke_types::Micros;
-use hopyoke_types::{Attempt, JobId, MachineId, TaskId, Token};
+use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
@@ -121,7 +121,7 @@
     pub phase: Phase,
     pub session: u64,
     pub seq: u64,
-    pub token_seen: Token,
+    pub token_seen: FencingToken,
     /// Rented by this leader: no earlier holder can have commanded it.
     pub ours: bool,
     /// Its session began after our grant: no earlier holder can have commanded it either.
@@ -179,7 +179,7 @@
             phase: Phase::Booting,
             session: 0,
             seq: 0,
-            token_seen: Token(0),
+            token_seen: FencingToken(0),
             ours: false,
             young_session: false,
             last_seen: now,
@@ -211,7 +211,7 @@
     }
 
     /// Commands of earlier holders can no longer be executed on it.
-    pub fn settled(&self, token: Token) -> bool {
+    pub fn settled(&self, token: FencingToken) -> bool {
         self.ours || self.young_session || self.token_seen >= token
     }
 
--- a/crates/hopyoke-scheduler/src/job.rs
+++ b/crates/hopyoke-scheduler/src/job.rs
@@ -5,7 +5,7 @@
 use super::ranges::Ranges;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
 use hopyoke_types::Micros;
-use hopyoke_types::{Attempt, MachineId, Mark};
+use hopyoke_types::{Attempt, MachineId, ModRevision};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -86,7 +86,7 @@
     pub image: ImageKey,
     pub accepted_us: u64,
     /// Of the record as last seen.
-    pub mark: Mark,
+    pub mod_revision: ModRevision,
     /// An earlier holder may have started its tasks.
     pub inherited: bool,
     pub marks_start: bool,
@@ -124,14 +124,14 @@
 }
 
 impl Job {
-    pub fn new(record: JobRecord, mark: Mark, inherited: bool, now: Micros) -> Job {
+    pub fn new(record: JobRecord, mod_revision: ModRevision, inherited: bool, now: Micros) -> Job {
         let inherited = inherited && record.may_have_started();
         let done = record.done.tidy(record.spec.tasks);
         Job {
             task: Amounts::of_task(&record.spec),
             image: ImageKey::of(&record.spec.image),
             accepted_us: record.accepted_us,
-            mark,
+            mod_revision,
             inherited,
             marks_start: record.marks_start,
             flow: record.flow,
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -48,7 +48,7 @@
 use hopyoke_protocol::worker::Order;
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
-use hopyoke_types::{JobId, MachineId, Mark, Token};
+use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tracing::info;
@@ -167,7 +167,7 @@
     pub cfg: Config,
     pub tuning: Tuning,
     /// Says that we are entitled to command; the revision at which the blocks were granted to us.
-    pub token: Token,
+    pub token: FencingToken,
     /// When we learned of the grant.
     started: Micros,
     /// When we last began, or began again, to act.
@@ -228,9 +228,9 @@
     /// Takes over: `jobs` and `register` are as read after the grant of `token`.
     pub fn new(
         cfg: Config,
-        token: Token,
-        jobs: Vec<(JobId, JobRecord, Mark)>,
-        register: Vec<(String, Mark, Option<RegisterPage>)>,
+        token: FencingToken,
+        jobs: Vec<(JobId, JobRecord, ModRevision)>,
+        register: Vec<(String, ModRevision, Option<RegisterPage>)>,
         now: Micros,
     ) -> Core {
         let mut core = Core {
@@ -274,11 +274,11 @@
             next_move: Micros::ZERO,
             deaf_until: Micros::ZERO,
         };
-        for (id, record, mark) in jobs {
-            core.job_seen(id, record, mark, now);
+        for (id, record, mod_revision) in jobs {
+            core.job_seen(id, record, mod_revision, now);
         }
-        for (key, mark, page) in register {
-            for id in core.register.read(key, mark, page.as_ref()) {
+        for (key, mod_revision, page) in register {
+            for id in core.register.read(key, mod_revision, page.as_ref()) {
                 let Some(p) = &page else { continue };
                 let mut m = Machine::new(id.clone(), p.machine_type.clone(), p.zone.clone(), p.spot, now);
                 (m.registered, m.inherited) = (true, true);
@@ -317,24 +317,24 @@
     }
 
     /// A job's record as the state service has it.
-    pub fn job_seen(&mut self, id: JobId, record: JobRecord, mark: Mark, now: Micros) {
+    pub fn job_seen(&mut self, id: JobId, record: JobRecord, mod_revision: ModRevision, now: Micros) {
         match self.jobs.get_mut(&id) {
-            None if self.ended.outdates(&id, mark) => return,
+            None if self.ended.outdates(&id, mod_revision) => return,
             None => {
                 // Whatever was first written after our grant can't have been started by an earlier
                 // holder: its time was over before the grant was applied.
-                let inherited = mark.0 <= self.token.0;
-                let job = Job::new(record, mark, inherited, now);
+                let inherited = mod_revision.0 <= self.token.0;
+                let job = Job::new(record, mod_revision, inherited, now);
                 let spec = job.spec.clone();
                 self.jobs.insert(id.clone(), job);
                 self.adopt_slots(&id, &spec);
             }
-            Some(job) if mark > job.mark => {
+            Some(job) if mod_revision > job.mod_revision => {
                 let done = record.done.tidy(job.spec.tasks);
                 job.done.merge(&done);
                 job.recorded = done;
                 job.recorded_term = record.term;
-                job.mark = mark;
+                job.mod_revision = mod_revision;
                 self.writes.note(&id);
                 return;
             }
@@ -357,12 +357,12 @@
 
     /// All changes of jobs' records up to `revision` have been told to us, by an answer to what was asked at
     /// `sent`.
-    pub fn caught_up(&mut self, revision: Mark, sent: Micros) {
+    pub fn caught_up(&mut self, revision: ModRevision, sent: Micros) {
         self.ended.caught_up(revision, sent);
     }
 
     /// All changes of jobs' records up to this revision are known here.
-    pub fn applied(&self) -> Mark {
+    pub fn applied(&self) -> ModRevision {
         self.ended.known()
     }
 
--- a/crates/hopyoke-scheduler/src/records.rs
+++ b/crates/hopyoke-scheduler/src/records.rs
@@ -4,7 +4,7 @@
 use super::job::JobRecord;
 use super::{Action, Config, Core, Phase};
 use hopyoke_types::Micros;
-use hopyoke_types::{JobId, MachineId, Mark, Token};
+use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
 use std::collections::BTreeMap;
 
 pub(super) struct Writes {
@@ -175,9 +175,9 @@
             job.writing = true;
             self.writes.due.insert(id.clone(), None);
             let write = if end {
-                Write::End { job: id, mark: job.mark, end: job.end() }
+                Write::End { job: id, mod_revision: job.mod_revision, end: job.end() }
             } else {
-                Write::Update { job: id, mark: job.mark, record: job.record() }
+                Write::Update { job: id, mod_revision: job.mod_revision, record: job.record() }
             };
             draft.push(write, cost, size);
         }
@@ -207,7 +207,7 @@
     }
 
     /// A batch went through at this revision, or did not.
-    pub fn batch_ended(&mut self, batch: Batch, result: Result<Mark, BatchError>, now: Micros) {
+    pub fn batch_ended(&mut self, batch: Batch, result: Result<ModRevision, BatchError>, now: Micros) {
         if result.is_err() {
             self.writes.not_before = now + Micros::from_millis(200);
         }
@@ -217,10 +217,10 @@
                     let Some(job) = self.jobs.get_mut(&id) else { continue };
                     job.writing = false;
                     match &result {
-                        Ok(mark) => {
+                        Ok(mod_revision) => {
                             let first_start = job.recorded_term.0 == 0;
-                            if *mark > job.mark {
-                                job.mark = *mark;
+                            if *mod_revision > job.mod_revision {
+                                job.mod_revision = *mod_revision;
                                 job.recorded = record.done;
                                 job.recorded_term = record.term;
                             }
@@ -256,11 +256,11 @@
         }
     }
 
-    fn page_ended(&mut self, key: &str, page: Option<&RegisterPage>, result: &Result<Mark, BatchError>) {
+    fn page_ended(&mut self, key: &str, page: Option<&RegisterPage>, result: &Result<ModRevision, BatchError>) {
         let changed_by_others = |pages: &[String]| pages.iter().any(|p| p == key);
         match result {
-            Ok(mark) => {
-                for id in self.register.written(key, *mark, page) {
+            Ok(mod_revision) => {
+                for id in self.register.written(key, *mod_revision, page) {
                     if let Some(m) = self.machines.get_mut(&id)
                         && !m.registered
                     {
@@ -296,12 +296,12 @@
     }
 
     /// The answer to [`Action::Reread`]; `None`: the record is gone.
-    pub fn reread(&mut self, id: JobId, record: Option<(JobRecord, Mark)>, now: Micros) {
+    pub fn reread(&mut self, id: JobId, record: Option<(JobRecord, ModRevision)>, now: Micros) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.writing = false;
         }
         match record {
-            Some((record, mark)) => self.job_seen(id, record, mark, now),
+            Some((record, mod_revision)) => self.job_seen(id, record, mod_revision, now),
             None => self.job_dropped(&id, now),
         }
     }
@@ -313,7 +313,7 @@
 }
 
 /// A key that no other page has had.
-fn page_key(counter: &mut u64, token: Token) -> String {
+fn page_key(counter: &mut u64, token: FencingToken) -> String {
     *counter += 1;
     format!("{token}-{counter}")
 }
--- a/crates/hopyoke-scheduler/src/register.rs
+++ b/crates/hopyoke-scheduler/src/register.rs
@@ -6,12 +6,12 @@
 //! for.) A page whose write went unanswered is left behind for a new one.
 
 use super::batch::{ADDRESS_BYTES, RegisterPage, Write};
-use hopyoke_types::{MachineId, Mark};
+use hopyoke_types::{MachineId, ModRevision};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Page {
     content: RegisterPage,
-    mark: Mark,
+    mod_revision: ModRevision,
     writing: bool,
     /// Machines were added that the state service does not know of.
     added: bool,
@@ -33,14 +33,14 @@
 
 impl Register {
     /// Takes over a page; returns the machines on it.
-    pub fn read(&mut self, key: String, mark: Mark, page: Option<&RegisterPage>) -> Vec<MachineId> {
+    pub fn read(&mut self, key: String, mod_revision: ModRevision, page: Option<&RegisterPage>) -> Vec<MachineId> {
         let Some(content) = page.cloned() else {
             self.unreadable.push(key);
             return Vec::new();
         };
         let machines: Vec<MachineId> = content.machines.keys().cloned().collect();
         self.at.extend(machines.iter().map(|m| (m.clone(), key.clone())));
-        self.pages.insert(key, Page { content, mark, writing: false, added: false, removed: false });
+        self.pages.insert(key, Page { content, mod_revision, writing: false, added: false, removed: false });
         machines
     }
 
@@ -101,7 +101,8 @@
                     spot: kind.2,
                     machines: BTreeMap::from([(id.clone(), address)]),
                 };
-                let page = Page { content, mark: Mark(0), writing: false, added: true, removed: false };
+                let page =
+                    Page { content, mod_revision: ModRevision(0), writing: false, added: true, removed: false };
                 self.pages.insert(key.clone(), page);
                 key
             }
@@ -141,14 +142,19 @@
         page.writing = true;
         (page.added, page.removed) = (false, false);
         let content = (!page.content.machines.is_empty()).then(|| page.content.clone());
-        Some(Write::Page { key: key.clone(), mark: page.mark, page: content })
+        Some(Write::Page { key: key.clone(), mod_revision: page.mod_revision, page: content })
     }
 
     /// A write of a page went through; returns the machines that are now registered.
-    pub fn written(&mut self, key: &str, mark: Mark, content: Option<&RegisterPage>) -> Vec<MachineId> {
+    pub fn written(
+        &mut self,
+        key: &str,
+        mod_revision: ModRevision,
+        content: Option<&RegisterPage>,
+    ) -> Vec<MachineId> {
         let Some(page) = self.pages.get_mut(key) else { return Vec::new() };
         page.writing = false;
-        page.mark = if content.is_some() { mark } else { Mark(0) };
+        page.mod_revision = if content.is_some() { mod_revision } else { ModRevision(0) };
         if page.content.machines.is_empty() && content.is_none() {
             self.pages.remove(key);
         }
@@ -179,7 +185,7 @@
         }
         self.pages.remove(key);
         if !content.machines.is_empty() {
-            let page = Page { content, mark: Mark(0), writing: false, added: true, removed: false };
+            let page = Page { content, mod_revision: ModRevision(0), writing: false, added: true, removed: false };
             self.pages.insert(new, page);
         }
         // Dropped with the removals, after all additions.
--- a/crates/hopyoke-scheduler/src/reports.rs
+++ b/crates/hopyoke-scheduler/src/reports.rs
@@ -6,14 +6,14 @@
 use hopyoke_protocol::worker::{ExitReason, Order, Report, TaskReport, TaskState};
 use hopyoke_run_times::End;
 use hopyoke_types::Micros;
-use hopyoke_types::{Attempt, JobId, MachineId, TaskId, Token};
+use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, TaskId};
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
 /// What to answer to a report.
 #[derive(Debug, PartialEq)]
 pub struct Answer {
-    pub token: Token,
+    pub token: FencingToken,
     /// The report was newer than all before. One that is not says nothing about now.
     pub fresh: bool,
     pub orders: Vec<Order>,
--- a/crates/hopyoke-scheduler/tests/direct_orders.rs
+++ b/crates/hopyoke-scheduler/tests/direct_orders.rs
@@ -4,7 +4,7 @@
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_protocol::worker::{Order, Report};
 use hopyoke_scheduler::{Action, Config, Core, JobRecord, RegisterPage, Team};
-use hopyoke_types::{Attempt, JobId, MachineId, Mark, Micros, Token};
+use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, Micros, ModRevision};
 use std::collections::BTreeMap;
 
 fn config() -> Config {
@@ -64,9 +64,9 @@
     let record = JobRecord { term: Attempt(1), ..JobRecord::accepted(spec(), 0) };
     let mut core = Core::new(
         config(),
-        Token(5),
-        vec![(job.clone(), record, Mark(7))],
-        vec![("p".into(), Mark(2), Some(page))],
+        FencingToken(5),
+        vec![(job.clone(), record, ModRevision(7))],
+        vec![("p".into(), ModRevision(2), Some(page))],
         at,
     );
     core.set_catalog(vec![machine_type()]);
@@ -78,7 +78,7 @@
         spot: false,
         session: 1,
         seq: 3,
-        token: Token(5),
+        token: FencingToken(5),
         notice_s: None,
         tasks: Vec::new(),
     };
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -5,7 +5,7 @@
 use super::{Host, World};
 use hopyoke_protocol::user::{JobSpec, JobState};
 use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -37,7 +37,7 @@
 
 /// A job's record, wherever it is.
 enum Lookup {
-    Unfinished(JobRecord, Mark),
+    Unfinished(JobRecord, ModRevision),
     Finished(JobState),
     Missing,
 }
@@ -182,8 +182,8 @@
             return reply(self, Answer::Finished(end));
         }
         self.read(i, process, format!("end/{id}"), move |w, found| match found {
-            Some(Entry { value: Value::End(end), mark, .. }) => {
-                w.found_ended(i, &id, end.state, Mark(mark));
+            Some(Entry { value: Value::End(end), mod_revision, .. }) => {
+                w.found_ended(i, &id, end.state, ModRevision(mod_revision));
                 reply(w, Answer::Finished(end.state));
             }
             _ => w.lookup(i, process, id, move |w, found| reply(w, found.answer())),
@@ -196,12 +196,12 @@
             return then(self, Lookup::Finished(end));
         }
         self.read(i, process, format!("job/{id}"), move |w, found| {
-            if let Some(Entry { value: Value::Job(record), mark, .. }) = found {
-                return then(w, Lookup::Unfinished(record, Mark(mark)));
+            if let Some(Entry { value: Value::Job(record), mod_revision, .. }) = found {
+                return then(w, Lookup::Unfinished(record, ModRevision(mod_revision)));
             }
             w.read(i, process, format!("end/{id}"), move |w, found| match found {
-                Some(Entry { value: Value::End(end), mark, .. }) => {
-                    w.found_ended(i, &id, end.state, Mark(mark));
+                Some(Entry { value: Value::End(end), mod_revision, .. }) => {
+                    w.found_ended(i, &id, end.state, ModRevision(mod_revision));
                     then(w, Lookup::Finished(end.state));
                 }
                 _ => then(w, Lookup::Missing),
@@ -276,7 +276,7 @@
     fn cancel_at(&mut self, i: usize, process: u64, id: JobId, until: Micros, reply: Reply) {
         let job = id.clone();
         self.lookup(i, process, job, move |w, found| {
-            let Lookup::Unfinished(record, mark) = found else { return reply(w, found.answer()) };
+            let Lookup::Unfinished(record, mod_revision) = found else { return reply(w, found.answer()) };
             let end = EndRecord { flow: record.flow, ..EndRecord::new(JobState::Cancelled, record.done.count()) };
             w.send(Host::Node(i), Host::State, move |w| {
                 if w.state_refuses(i) || !w.state_takes(2) {
@@ -284,11 +284,11 @@
                 }
                 let (job, over) = (format!("job/{id}"), format!("end/{id}"));
                 let apply = vec![Change::Drop(job.clone()), Change::Put(over.clone(), Value::End(end), None)];
-                let Some(result) = w.transact(&[(job, mark.0), (over, 0)], apply) else { return };
+                let Some(result) = w.transact(&[(job, mod_revision.0), (over, 0)], apply) else { return };
                 w.send(Host::State, Host::Node(i), move |w| match result {
                     _ if !w.alive(i, process) => {}
-                    Ok(mark) => {
-                        w.found_ended(i, &id, end.state, Mark(mark));
+                    Ok(mod_revision) => {
+                        w.found_ended(i, &id, end.state, ModRevision(mod_revision));
                         reply(w, Answer::Finished(end.state));
                     }
                     Err(_) if w.now < until => w.cancel_at(i, process, id, until, reply),
@@ -300,13 +300,13 @@
 
     /// A job's final record was written or read here, so that from now on users may be told of it: before that a
     /// cancellation is noted for leaders that may not hear of it, and our own core drops the job.
-    fn found_ended(&mut self, i: usize, job: &JobId, end: JobState, mark: Mark) {
+    fn found_ended(&mut self, i: usize, job: &JobId, end: JobState, mod_revision: ModRevision) {
         self.log(|| format!("node {i} tells that {job} is {end:?}"));
         let now = self.now;
         let n = &mut self.nodes[i];
         if end == JobState::Cancelled {
-            n.confirmed.note(job, mark);
-            if let Some(lead) = n.lead.as_mut().filter(|l| l.core.applied() < mark) {
+            n.confirmed.note(job, mod_revision);
+            if let Some(lead) = n.lead.as_mut().filter(|l| l.core.applied() < mod_revision) {
                 lead.core.job_dropped(job, now);
             }
         }
--- a/crates/hopyoke-simulator/src/controller.rs
+++ b/crates/hopyoke-simulator/src/controller.rs
@@ -12,7 +12,7 @@
 use hopyoke_protocol::worker::Report;
 use hopyoke_scheduler::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, RentOutcome, Write};
 use hopyoke_types::Micros;
-use hopyoke_types::{JobId, MachineId, Mark, Token};
+use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -58,8 +58,8 @@
 
 /// Changes of jobs' records: job, record unless it is gone, revision, dropped.
 pub(crate) struct News {
-    events: Vec<(JobId, Option<JobRecord>, Mark, bool)>,
-    revision: Mark,
+    events: Vec<(JobId, Option<JobRecord>, ModRevision, bool)>,
+    revision: ModRevision,
 }
 
 /// Pages of so few records are read where the state service has no limits, that takeovers take several.
@@ -73,11 +73,11 @@
     /// How long the lease lasts, and when it was granted.
     until: Micros,
     at: Micros,
-    jobs: Vec<(JobId, JobRecord, Mark)>,
-    register: Vec<(String, Mark, Option<RegisterPage>)>,
+    jobs: Vec<(JobId, JobRecord, ModRevision)>,
+    register: Vec<(String, ModRevision, Option<RegisterPage>)>,
     learned: Vec<(String, hopyoke_run_times::Page)>,
     /// Of the first page of jobs: watching from there on misses nothing.
-    revision: Option<Mark>,
+    revision: Option<ModRevision>,
     last: Option<String>,
 }
 
@@ -88,7 +88,7 @@
             for (key, e) in &store.keys {
                 match (&e.value, key.split_once('/')) {
                     (Value::Page(p), Some((_, k))) => {
-                        self.register.push((k.to_owned(), Mark(e.mark), Some(p.clone())));
+                        self.register.push((k.to_owned(), ModRevision(e.mod_revision), Some(p.clone())));
                     }
                     (Value::Learned(p), Some((_, k))) => self.learned.push((k.to_owned(), p.clone())),
                     _ => {}
@@ -97,12 +97,12 @@
             self.last = Some("job/".to_owned());
             return true;
         };
-        self.revision.get_or_insert(Mark(store.revision));
+        self.revision.get_or_insert(ModRevision(store.revision));
         let after = (Bound::Excluded(last), Bound::Excluded("job0".to_owned()));
         let mut found = store.keys.range(after);
         for (key, e) in found.by_ref().take(most) {
             if let Value::Job(r) = &e.value {
-                self.jobs.push((JobId::new(&key[4..]), r.clone(), Mark(e.mark)));
+                self.jobs.push((JobId::new(&key[4..]), r.clone(), ModRevision(e.mod_revision)));
             }
             self.last = Some(key.clone());
         }
@@ -169,7 +169,7 @@
             if w.state_refuses(i) {
                 return w.after(Micros::from_millis(500), move |w| w.learn_beginning(i, process));
             }
-            let revision = Mark(w.store.revision);
+            let revision = ModRevision(w.store.revision);
             w.send(Host::State, Host::Node(i), move |w| {
                 if w.alive(i, process) {
                     w.nodes[i].confirmed.began_before(revision);
@@ -219,16 +219,16 @@
             }
             let holder = match w.store.keys.get("leader") {
                 Some(e) => match e.value {
-                    Value::Holder(h) => Some((h, e.mark)),
+                    Value::Holder(h) => Some((h, e.mod_revision)),
                     _ => None,
                 },
                 None => None,
             };
-            let mark = match holder {
+            let mod_revision = match holder {
                 None if !others_too => return w.send(Host::State, Host::Node(i), answered),
                 None => 0,
                 // A former process of the same node: its lease need not run out.
-                Some((h, mark)) if h == i && first => mark,
+                Some((h, mod_revision)) if h == i && first => mod_revision,
                 Some((h, _)) => {
                     return w.send(Host::State, Host::Node(i), move |w| {
                         answered(w);
@@ -239,7 +239,7 @@
             let until = w.now + w.ttl;
             let lease = w.store.grant(until);
             let put = Change::Put("leader".into(), Value::Holder(i), Some(lease));
-            match w.transact(&[("leader".into(), mark)], vec![put]) {
+            match w.transact(&[("leader".into(), mod_revision)], vec![put]) {
                 // Who leads counts as trying for as long as its process lives: it never promises.
                 Some(Ok(token)) => {
                     w.send(Host::State, Host::Node(i), move |w| w.granted(i, process, lease, token, sent))
@@ -312,7 +312,7 @@
         let (token, at, revision) = (r.token, r.at, r.revision.unwrap_or_default());
         self.log(|| format!("node {i} leads with token {token}"));
         self.leaders += 1;
-        let mut core = Core::new(self.cfg.clone(), Token(token), r.jobs, r.register, at);
+        let mut core = Core::new(self.cfg.clone(), FencingToken(token), r.jobs, r.register, at);
         core.set_tuning(self.tuning.clone());
         core.set_time_of_day(self.now, self.now);
         core.set_hours(self.hours.clone());
@@ -488,7 +488,7 @@
         });
     }
 
-    fn watch_at_store(&mut self, i: usize, process: u64, since: Mark, number: u64, sent: Micros) {
+    fn watch_at_store(&mut self, i: usize, process: u64, since: ModRevision, number: u64, sent: Micros) {
         if self.lead(i, process).is_none_or(|l| l.watch != number) {
             return;
         }
@@ -509,25 +509,29 @@
     }
 
     /// What has changed among the jobs' records after a revision.
-    pub(crate) fn news_since(&self, since: Mark) -> News {
+    pub(crate) fn news_since(&self, since: ModRevision) -> News {
         let mut events = Vec::new();
-        for (mark, key, dropped) in self.store.since(since.0).iter().filter(|(_, k, _)| k.starts_with("job/")) {
+        for (mod_revision, key, dropped) in
+            self.store.since(since.0).iter().filter(|(_, k, _)| k.starts_with("job/"))
+        {
             let record = match self.store.keys.get(key) {
-                Some(super::store::Entry { value: Value::Job(r), mark: m, .. }) if m == mark => Some(r.clone()),
+                Some(super::store::Entry { value: Value::Job(r), mod_revision: m, .. }) if m == mod_revision => {
+                    Some(r.clone())
+                }
                 _ => None,
             };
-            events.push((JobId::new(&key[4..]), record, Mark(*mark), *dropped));
+            events.push((JobId::new(&key[4..]), record, ModRevision(*mod_revision), *dropped));
         }
-        News { events, revision: Mark(self.store.revision) }
+        News { events, revision: ModRevision(self.store.revision) }
     }
 
     pub(crate) fn take_news(&mut self, i: usize, process: u64, news: News, sent: Micros) {
         let now = self.now;
         let Some(lead) = self.lead(i, process) else { return };
         lead.right.heard(sent);
-        for (id, record, mark, dropped) in news.events {
+        for (id, record, mod_revision, dropped) in news.events {
             match record {
-                Some(r) => lead.core.job_seen(id, r, mark, now),
+                Some(r) => lead.core.job_seen(id, r, mod_revision, now),
                 None if dropped => lead.core.job_dropped(&id, now),
                 None => {}
             }
@@ -594,7 +598,7 @@
         }
     }
 
-    fn perform(&mut self, i: usize, process: u64, token: Token, action: Action) {
+    fn perform(&mut self, i: usize, process: u64, token: FencingToken, action: Action) {
         match action {
             Action::Rent { request, machine_type, zone, spot, count } => {
                 self.send(Host::Node(i), Host::Cloud, move |w| {
@@ -663,7 +667,9 @@
         });
         self.send(Host::Node(i), Host::State, move |w| {
             let found = match w.store.keys.get(&format!("job/{job}")) {
-                Some(super::store::Entry { value: Value::Job(r), mark, .. }) => Some((r.clone(), Mark(*mark))),
+                Some(super::store::Entry { value: Value::Job(r), mod_revision, .. }) => {
+                    Some((r.clone(), ModRevision(*mod_revision)))
+                }
                 _ => None,
             };
             let refused = w.state_refuses(i);
@@ -681,7 +687,7 @@
         i: usize,
         process: u64,
         machine: MachineId,
-        token: Token,
+        token: FencingToken,
         session: u64,
         orders: Vec<hopyoke_protocol::worker::Order>,
         sent: Micros,
@@ -716,22 +722,22 @@
         });
     }
 
-    fn commit(&mut self, i: usize, process: u64, token: Token, batch: Batch) {
+    fn commit(&mut self, i: usize, process: u64, token: FencingToken, batch: Batch) {
         let mut when = vec![("leader".to_owned(), token.0)];
         let mut apply = Vec::new();
         for wr in &batch.writes {
             match wr {
-                Write::Update { job, mark, record } => {
-                    when.push((format!("job/{job}"), mark.0));
+                Write::Update { job, mod_revision, record } => {
+                    when.push((format!("job/{job}"), mod_revision.0));
                     apply.push(Change::Put(format!("job/{job}"), Value::Job(record.clone()), None));
                 }
-                Write::End { job, mark, end } => {
-                    when.push((format!("job/{job}"), mark.0));
+                Write::End { job, mod_revision, end } => {
+                    when.push((format!("job/{job}"), mod_revision.0));
                     apply.push(Change::Drop(format!("job/{job}")));
                     apply.push(Change::Put(format!("end/{job}"), Value::End(*end), None));
                 }
-                Write::Page { key, mark, page } => {
-                    when.push((format!("fleet/{key}"), mark.0));
+                Write::Page { key, mod_revision, page } => {
+                    when.push((format!("fleet/{key}"), mod_revision.0));
                     apply.push(match page {
                         Some(p) => Change::Put(format!("fleet/{key}"), Value::Page(p.clone()), None),
                         None => Change::Drop(format!("fleet/{key}")),
@@ -756,7 +762,7 @@
                 Err(BatchError::Refused)
             } else {
                 let Some(result) = w.transact(&when, apply) else { return };
-                result.map(Mark).map_err(|keys| {
+                result.map(ModRevision).map_err(|keys| {
                     if keys.iter().any(|k| k == "leader") {
                         return BatchError::Deposed;
                     }
@@ -779,7 +785,7 @@
         });
     }
 
-    fn batch_over(&mut self, i: usize, process: u64, batch: Batch, result: Result<Mark, BatchError>) {
+    fn batch_over(&mut self, i: usize, process: u64, batch: Batch, result: Result<ModRevision, BatchError>) {
         let now = self.now;
         let Some(l) = self.lead(i, process) else { return };
         if result == Err(BatchError::Deposed) {
--- a/crates/hopyoke-simulator/src/digest.rs
+++ b/crates/hopyoke-simulator/src/digest.rs
@@ -5,7 +5,7 @@
 use super::store::{Change, Value};
 use hopyoke_protocol::state::Condition;
 use hopyoke_protocol::worker::{DirectOrders, Order, Orders};
-use hopyoke_types::Token;
+use hopyoke_types::FencingToken;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -77,21 +77,22 @@
     }
 
     /// Adds the answer to a heartbeat.
-    pub(crate) fn digest_orders(&mut self, token: Token, orders: &[Order]) {
+    pub(crate) fn digest_orders(&mut self, token: FencingToken, orders: &[Order]) {
         let answer = Orders { token, orders: orders.to_vec() };
         self.digest_message(Channel::HeartbeatAnswer, &answer);
     }
 
     /// Adds commands that reach a worker directly.
-    pub(crate) fn digest_direct(&mut self, token: Token, session: u64, orders: &[Order]) {
+    pub(crate) fn digest_direct(&mut self, token: FencingToken, session: u64, orders: &[Order]) {
         let direct = DirectOrders { token, session, orders: orders.to_vec() };
         self.digest_message(Channel::PushedCommands, &direct);
     }
 
     /// Adds a transaction as the store receives it.
     pub(crate) fn digest_transaction(&mut self, when: &[(String, u64)], apply: &[Change]) {
-        for (key, mark) in when {
-            let condition = Condition { key: key.clone(), mark: hopyoke_types::Mark(*mark) };
+        for (key, mod_revision) in when {
+            let condition =
+                Condition { key: key.clone(), mod_revision: hopyoke_types::ModRevision(*mod_revision) };
             self.digest_message(Channel::Transaction, &condition);
         }
         for change in apply {
--- a/crates/hopyoke-simulator/src/rules.rs
+++ b/crates/hopyoke-simulator/src/rules.rs
@@ -6,7 +6,7 @@
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_scheduler::Amounts;
 use hopyoke_types::Micros;
-use hopyoke_types::{Attempt, JobId, MachineId, Mark, TaskId};
+use hopyoke_types::{Attempt, JobId, MachineId, ModRevision, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// See PROTOCOL, and the users' word on days with troubles.
@@ -255,10 +255,10 @@
     }
 
     /// A job's final state, and the revision that made it final.
-    pub fn end_with_mark(&self, id: &JobId) -> Option<(JobState, Mark)> {
+    pub fn end_with_mark(&self, id: &JobId) -> Option<(JobState, ModRevision)> {
         let entry = self.store.keys.get(&format!("end/{id}"))?;
         match &entry.value {
-            super::store::Value::End(e) => Some((e.state, Mark(entry.mark))),
+            super::store::Value::End(e) => Some((e.state, ModRevision(entry.mod_revision))),
             _ => None,
         }
     }
--- a/crates/hopyoke-simulator/src/store.rs
+++ b/crates/hopyoke-simulator/src/store.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone)]
 pub struct Entry {
     pub value: Value,
-    pub mark: u64,
+    pub mod_revision: u64,
     pub lease: Option<u64>,
 }
 
@@ -50,8 +50,9 @@
 impl Store {
     /// Applies the changes if every condition holds; else says which did not.
     pub fn txn(&mut self, when: &[(String, u64)], apply: Vec<Change>) -> Result<u64, Vec<String>> {
-        let mark = |key: &String| self.keys.get(key).map_or(0, |e| e.mark);
-        let failed: Vec<String> = when.iter().filter(|(k, m)| mark(k) != *m).map(|(k, _)| k.clone()).collect();
+        let mod_revision = |key: &String| self.keys.get(key).map_or(0, |e| e.mod_revision);
+        let failed: Vec<String> =
+            when.iter().filter(|(k, m)| mod_revision(k) != *m).map(|(k, _)| k.clone()).collect();
         if !failed.is_empty() {
             return Err(failed);
         }
@@ -61,7 +62,7 @@
             return Err(Vec::new());
         }
         self.revision += 1;
-        let mark = self.revision;
+        let mod_revision = self.revision;
         for c in apply {
             match c {
                 Change::Put(key, value, lease) => {
@@ -78,17 +79,17 @@
                         let size = serde_json::to_vec(page).map_or(0, |v| v.len());
                         assert!(size <= 8192, "a page of learned run times of {size} bytes was written");
                     }
-                    self.log.push((mark, key.clone(), false));
-                    self.keys.insert(key, Entry { value, mark, lease });
+                    self.log.push((mod_revision, key.clone(), false));
+                    self.keys.insert(key, Entry { value, mod_revision, lease });
                 }
                 Change::Drop(key) => {
                     if self.keys.remove(&key).is_some() {
-                        self.log.push((mark, key, true));
+                        self.log.push((mod_revision, key, true));
                     }
                 }
             }
         }
-        Ok(mark)
+        Ok(mod_revision)
     }
 
     /// What changed after a revision.
--- a/crates/hopyoke-simulator/src/worker.rs
+++ b/crates/hopyoke-simulator/src/worker.rs
@@ -4,7 +4,7 @@
 use hopyoke_protocol::user::JobKind;
 use hopyoke_protocol::worker::{ExitReason, Order, Report, TaskReport, TaskState};
 use hopyoke_types::Micros;
-use hopyoke_types::{Attempt, JobId, MachineId, TaskId, Token};
+use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, TaskId};
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone)]
@@ -16,7 +16,7 @@
 }
 
 /// 200 with orders, or another status, perhaps with the node to go to.
-pub type Answer = Result<(Token, Vec<Order>), Option<usize>>;
+pub type Answer = Result<(FencingToken, Vec<Order>), Option<usize>>;
 
 pub struct Worker {
     pub id: MachineId,
@@ -40,7 +40,7 @@
     pub slowness: f64,
     pub session: u64,
     pub seq: u64,
-    pub token: Token,
+    pub token: FencingToken,
     pub notice: Option<Micros>,
     pub tasks: BTreeMap<(TaskId, Attempt), Task>,
     pub images: Vec<String>,
@@ -72,7 +72,7 @@
             slowness: 1.0,
             session: 1,
             seq: 0,
-            token: Token(0),
+            token: FencingToken(0),
             notice: None,
             tasks: BTreeMap::new(),
             images: Vec::new(),
@@ -328,7 +328,7 @@
     pub fn direct(
         &mut self,
         id: &MachineId,
-        token: Token,
+        token: FencingToken,
         session: u64,
         orders: Vec<Order>,
     ) -> Option<(bool, Report)> {
--- a/crates/hopyoke-types/src/ids.rs
+++ b/crates/hopyoke-types/src/ids.rs
@@ -96,7 +96,7 @@
 
 number!(
     /// Says who is entitled to command workers; a higher one outdates all lower ones.
-    Token
+    FencingToken
 );
 number!(
     /// One start of a task; for a gang, of all its tasks together.
@@ -104,5 +104,5 @@
 );
 number!(
     /// The revision of a key's last change in the state service.
-    Mark
+    ModRevision
 );
--- a/crates/hopyoke-types/src/lib.rs
+++ b/crates/hopyoke-types/src/lib.rs
@@ -3,5 +3,5 @@
 mod ids;
 mod time;
 
-pub use ids::{Attempt, JobId, MachineId, Mark, TaskId, Token};
+pub use ids::{Attempt, FencingToken, JobId, MachineId, ModRevision, TaskId};
 pub use time::Micros;
--- a/crates/hopyoke-workflow/benches/engine.rs
+++ b/crates/hopyoke-workflow/benches/engine.rs
@@ -2,7 +2,7 @@
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use hopyoke_protocol::user::JobSpec;
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
     Action, Engine, Fetched, Head, JobEnd, Limits, Outcome, Plan, PlanStep, RunId, StepNo, Written,
 };
@@ -34,7 +34,7 @@
     };
     let mut now = Micros::ZERO;
     let mut e = Engine::new(limits, "node", vec!["node".into()], 16, 1, now);
-    e.head_seen(run, head.clone(), Mark(1), now);
+    e.head_seen(run, head.clone(), ModRevision(1), now);
     let mut marks = BTreeMap::new();
     let mut ended = Vec::new();
     while e.runs().next().is_some() {
@@ -42,12 +42,12 @@
         e.tick(now);
         while let Some(action) = e.next_action() {
             match &action {
-                Action::Claim { run } => e.claimed(*run, Ok(Mark(2)), now),
+                Action::Claim { run } => e.claimed(*run, Ok(ModRevision(2)), now),
                 Action::Fetch { run, epoch, .. } => {
                     let fetched = Fetched {
                         head: head.clone(),
-                        head_mark: Mark(1),
-                        grant: Some(Mark(2)),
+                        head_revision: ModRevision(1),
+                        grant: Some(ModRevision(2)),
                         plan: Some(plan.clone()),
                         pages: Vec::new(),
                         jobs: Vec::new(),
@@ -61,8 +61,8 @@
                 }
                 Action::Write { run, epoch, pages, .. } => {
                     marks.extend(pages.iter().map(|p| (p.0, now)));
-                    let mark = Mark(3 + now.0);
-                    e.written(*run, *epoch, &action, Written::Applied(mark), now);
+                    let mod_revision = ModRevision(3 + now.0);
+                    e.written(*run, *epoch, &action, Written::Applied(mod_revision), now);
                 }
                 Action::Withdraw { .. } => unreachable!("nothing is withdrawn"),
             }
--- a/crates/hopyoke-workflow/src/engine.rs
+++ b/crates/hopyoke-workflow/src/engine.rs
@@ -6,7 +6,7 @@
 use crate::record::{Head, OnError, RunState, StepPage};
 use crate::run::{Body, Flight, Phase, Progress, Run};
 use hopyoke_protocol::user::JobSpec;
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -23,7 +23,7 @@
     Fetch { run: RunId, epoch: u64, plan: bool },
     /// Accept this job, on the condition that it is not known, that the run's head has this mark,
     /// and that its grant stands.
-    Submit { run: RunId, epoch: u64, step: StepNo, spec: JobSpec, grant: Mark, head: Mark },
+    Submit { run: RunId, epoch: u64, step: StepNo, spec: JobSpec, grant: ModRevision, head: ModRevision },
     /// Cancel this job.
     Withdraw { run: RunId, epoch: u64, step: StepNo, job: JobId },
     /// Write pages, which must have these marks, and the head, all at once, on the condition that
@@ -31,9 +31,9 @@
     Write {
         run: RunId,
         epoch: u64,
-        grant: Mark,
-        pages: Vec<(u32, Mark, StepPage)>,
-        head: Option<(Mark, Head)>,
+        grant: ModRevision,
+        pages: Vec<(u32, ModRevision, StepPage)>,
+        head: Option<(ModRevision, Head)>,
         release: bool,
     },
 }
@@ -72,7 +72,7 @@
 /// How a write ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Written {
-    Applied(Mark),
+    Applied(ModRevision),
     /// Some mark was another.
     Conflict,
     /// Certainly not executed.
@@ -84,12 +84,12 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fetched {
     pub head: Head,
-    pub head_mark: Mark,
+    pub head_revision: ModRevision,
     /// The mark of the run's grant, whoever has it.
-    pub grant: Option<Mark>,
+    pub grant: Option<ModRevision>,
     /// `None` if it was not asked for.
     pub plan: Option<Plan>,
-    pub pages: Vec<(u32, Mark, StepPage)>,
+    pub pages: Vec<(u32, ModRevision, StepPage)>,
     /// Unfinished jobs under the run's ids, and whether they are its own.
     pub jobs: Vec<(JobId, bool)>,
     /// Ended ones.
@@ -169,19 +169,19 @@
     // ---- what is seen ---------------------------------------------------------------------
 
     /// A run's head as the state service has it.
-    pub fn head_seen(&mut self, run: RunId, head: Head, mark: Mark, now: Micros) {
+    pub fn head_seen(&mut self, run: RunId, head: Head, mod_revision: ModRevision, now: Micros) {
         let r = match self.runs.get_mut(&run) {
             None if head.state.is_final() => return,
             None => {
-                self.runs.insert(run, Run::new(head, mark));
+                self.runs.insert(run, Run::new(head, mod_revision));
                 self.claim_later(run, now);
                 return;
             }
-            Some(r) if mark <= r.head_mark => return,
+            Some(r) if mod_revision <= r.head_revision => return,
             Some(r) => r,
         };
         r.head = head;
-        r.head_mark = mark;
+        r.head_revision = mod_revision;
         if r.head.state.is_final() {
             self.over(run);
         } else if r.phase == Phase::Carrying {
@@ -192,17 +192,17 @@
     }
 
     /// At this mark the run's head was no longer where unfinished runs are: it is over.
-    pub fn head_gone(&mut self, run: RunId, mark: Mark) {
-        if self.runs.get(&run).is_some_and(|r| mark > r.head_mark) {
+    pub fn head_gone(&mut self, run: RunId, mod_revision: ModRevision) {
+        if self.runs.get(&run).is_some_and(|r| mod_revision > r.head_revision) {
             self.over(run);
         }
     }
 
     /// A run was granted to a node.
-    pub fn hold_seen(&mut self, run: RunId, node: &str, mark: Mark, now: Micros) {
+    pub fn hold_seen(&mut self, run: RunId, node: &str, mod_revision: ModRevision, now: Micros) {
         let Some(r) = self.runs.get_mut(&run) else { return };
-        if mark > r.held_at {
-            r.held_at = mark;
+        if mod_revision > r.held_at {
+            r.held_at = mod_revision;
             r.held_by_us = node == self.me;
         }
         if r.phase == Phase::Elsewhere && r.held_by_us && r.may_claim() {
@@ -211,18 +211,18 @@
             return;
         }
         // Not of before our own grant.
-        if r.is_ours() && node != self.me && mark > r.grant && r.phase != Phase::Claiming {
+        if r.is_ours() && node != self.me && mod_revision > r.grant && r.phase != Phase::Claiming {
             self.give_up(run, now);
         }
     }
 
     /// At this mark nobody held the run.
-    pub fn hold_gone(&mut self, run: RunId, mark: Mark, now: Micros) {
+    pub fn hold_gone(&mut self, run: RunId, mod_revision: ModRevision, now: Micros) {
         let Some(r) = self.runs.get_mut(&run) else { return };
-        r.free_at = r.free_at.max(mark);
+        r.free_at = r.free_at.max(mod_revision);
         match r.phase {
             Phase::Elsewhere if r.may_claim() => self.claim_later(run, now),
-            Phase::Fetching | Phase::Carrying if mark > r.grant => self.give_up(run, now),
+            Phase::Fetching | Phase::Carrying if mod_revision > r.grant => self.give_up(run, now),
             _ => {}
         }
     }
@@ -264,7 +264,7 @@
 
     /// `Ok`: the grant's mark. `Err` with a mark: somebody has held it since. `Err(None)`: not
     /// decided.
-    pub fn claimed(&mut self, run: RunId, result: Result<Mark, Option<Mark>>, now: Micros) {
+    pub fn claimed(&mut self, run: RunId, result: Result<ModRevision, Option<ModRevision>>, now: Micros) {
         let Some(r) = self.runs.get_mut(&run).filter(|r| r.phase == Phase::Claiming) else { return };
         match result {
             Ok(grant) => {
@@ -308,9 +308,9 @@
             self.give_up(run, now);
             return;
         }
-        if fetched.head_mark >= r.head_mark {
+        if fetched.head_revision >= r.head_revision {
             r.head = fetched.head.clone();
-            r.head_mark = fetched.head_mark;
+            r.head_revision = fetched.head_revision;
         }
         if r.head.state.is_final() {
             self.over(run);
@@ -413,14 +413,14 @@
         let Some(body) = r.body.as_mut() else { return };
         body.writing = false;
         match written {
-            Written::Applied(mark) => {
+            Written::Applied(mod_revision) => {
                 r.failures = 0;
                 for (page, ..) in pages {
-                    body.page_marks.insert(*page, mark);
+                    body.page_marks.insert(*page, mod_revision);
                 }
                 if let Some((_, head)) = head {
                     r.head = head.clone();
-                    r.head_mark = mark;
+                    r.head_revision = mod_revision;
                 }
                 if *release {
                     info!(%run, state = ?r.head.state, done = r.head.done, "run over");
@@ -581,7 +581,7 @@
         let Some(r) = self.runs.get_mut(&run) else { return };
         debug!(%run, "no longer carried here");
         r.phase = Phase::Elsewhere;
-        r.grant = Mark(0);
+        r.grant = ModRevision(0);
         r.news.clear();
         self.put(run);
         // Our own grant may stand for a while yet; its end is news.
@@ -714,7 +714,7 @@
         let spec = body.plan.spec(step, job_id(run, step, body.tries(step)));
         if let Some(spec) = spec.filter(|_| body.is_open(step)) {
             body.flight.insert(step, Flight::Submitting);
-            let (epoch, grant, head) = (r.epoch, r.grant, r.head_mark);
+            let (epoch, grant, head) = (r.epoch, r.grant, r.head_revision);
             self.actions.push_back(Action::Submit { run, epoch, step, spec, grant, head });
         }
         self.recount(run);
@@ -814,10 +814,10 @@
             };
             let reason = if state == RunState::Failed { body.reason.clone() } else { String::new() };
             let done = body.done();
-            head = Some((r.head_mark, Head { state, reason, done, ..r.head.clone() }));
+            head = Some((r.head_revision, Head { state, reason, done, ..r.head.clone() }));
         } else if fails {
             let reason = body.reason.clone();
-            head = Some((r.head_mark, Head { state: RunState::Failing, reason, ..r.head.clone() }));
+            head = Some((r.head_revision, Head { state: RunState::Failing, reason, ..r.head.clone() }));
         }
         self.looks += pages.len() as u64;
         body.writing = true;
@@ -826,7 +826,7 @@
             .into_iter()
             .map(|p| {
                 body.dirty.remove(&p);
-                (p, body.page_marks.get(&p).copied().unwrap_or(Mark(0)), body.page(p))
+                (p, body.page_marks.get(&p).copied().unwrap_or(ModRevision(0)), body.page(p))
             })
             .collect();
         let release = head.as_ref().is_some_and(|(_, h)| h.state.is_final());
--- a/crates/hopyoke-workflow/src/run.rs
+++ b/crates/hopyoke-workflow/src/run.rs
@@ -4,7 +4,7 @@
 use crate::ids::{MOST_TRIES, StepNo, parts_of};
 use crate::plan::Plan;
 use crate::record::{Head, OnError, RunState, STEPS_PER_PAGE, StepMark, StepPage};
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -46,19 +46,19 @@
 
 pub(crate) struct Run {
     pub(crate) head: Head,
-    pub(crate) head_mark: Mark,
+    pub(crate) head_revision: ModRevision,
     /// Our grant: the mark of `flow/hold/RUN`.
-    pub(crate) grant: Mark,
+    pub(crate) grant: ModRevision,
     pub(crate) phase: Phase,
     /// Counts what was read anew; answers to what was asked before are stale.
     pub(crate) epoch: u64,
     /// The latest grant to anybody, and the latest end of one, that we know of.
-    pub(crate) held_at: Mark,
-    pub(crate) free_at: Mark,
+    pub(crate) held_at: ModRevision,
+    pub(crate) free_at: ModRevision,
     /// The latest grant is to this node, by news; the claim's own answer may be lost.
     pub(crate) held_by_us: bool,
     /// This grant was to another process, whatever its node.
-    pub(crate) refused_at: Mark,
+    pub(crate) refused_at: ModRevision,
     /// Failures in a row to claim, read or write it.
     pub(crate) failures: u32,
     pub(crate) body: Option<Body>,
@@ -71,17 +71,17 @@
 }
 
 impl Run {
-    pub(crate) fn new(head: Head, head_mark: Mark) -> Run {
+    pub(crate) fn new(head: Head, head_revision: ModRevision) -> Run {
         Run {
             head,
-            head_mark,
-            grant: Mark(0),
+            head_revision,
+            grant: ModRevision(0),
             phase: Phase::Elsewhere,
             epoch: 0,
-            held_at: Mark(0),
-            free_at: Mark(0),
+            held_at: ModRevision(0),
+            free_at: ModRevision(0),
             held_by_us: false,
-            refused_at: Mark(0),
+            refused_at: ModRevision(0),
             failures: 0,
             body: None,
             queued: false,
@@ -118,7 +118,7 @@
     pub(crate) flight: BTreeMap<StepNo, Flight>,
     /// Failures in a row of a step's submission or withdrawal.
     pub(crate) failures: BTreeMap<StepNo, u32>,
-    pub(crate) page_marks: BTreeMap<u32, Mark>,
+    pub(crate) page_marks: BTreeMap<u32, ModRevision>,
     pub(crate) dirty: BTreeSet<u32>,
     pub(crate) dirty_since: Option<Micros>,
     pub(crate) writing: bool,
@@ -157,11 +157,11 @@
             failed: 0,
             reason: head.reason.clone(),
         };
-        for (page, mark, marks) in &fetched.pages {
-            body.page_marks.insert(*page, *mark);
-            for (step, mark, tries) in marks.read(*page) {
+        for (page, mod_revision, marks) in &fetched.pages {
+            body.page_marks.insert(*page, *mod_revision);
+            for (step, mod_revision, tries) in marks.read(*page) {
                 if let Some(s) = body.steps.get_mut(step.0 as usize) {
-                    *s = (mark, tries);
+                    *s = (mod_revision, tries);
                 }
             }
         }
@@ -176,8 +176,8 @@
             }
         }
         let marked: Vec<(StepNo, StepMark)> = (0..).map(StepNo).zip(body.steps.iter().map(|s| s.0)).collect();
-        for (step, mark) in marked.into_iter().filter(|(_, m)| m.is_over()) {
-            body.count(step, mark);
+        for (step, mod_revision) in marked.into_iter().filter(|(_, m)| m.is_over()) {
+            body.count(step, mod_revision);
         }
         // Reconnect.
         for (job, ours) in &fetched.jobs {
@@ -250,9 +250,9 @@
     }
 
     /// Takes a step's final mark into the counts.
-    fn count(&mut self, step: StepNo, mark: StepMark) {
+    fn count(&mut self, step: StepNo, mod_revision: StepMark) {
         self.open -= 1;
-        match mark {
+        match mod_revision {
             StepMark::Done => {
                 self.done += 1;
                 for f in self.followers.clone()[step.0 as usize].iter() {
@@ -270,15 +270,15 @@
     }
 
     /// Gives an open step its final mark; the page is to be written.
-    fn settle(&mut self, step: StepNo, mark: StepMark) {
+    fn settle(&mut self, step: StepNo, mod_revision: StepMark) {
         if !self.is_open(step) {
             return;
         }
-        self.steps[step.0 as usize].0 = mark;
+        self.steps[step.0 as usize].0 = mod_revision;
         self.flight.remove(&step);
         self.failures.remove(&step);
         self.dirty.insert(StepPage::of(step));
-        self.count(step, mark);
+        self.count(step, mod_revision);
     }
 
     /// All steps that it waits for are done: it is queued, or done at once if it has no work.
--- a/crates/hopyoke-workflow/tests/model/mod.rs
+++ b/crates/hopyoke-workflow/tests/model/mod.rs
@@ -2,7 +2,7 @@
 //! leases, jobs that take a while, nodes that crash, stall and lose messages. What must always
 //! hold is checked at every change.
 
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
     Action, Engine, Fetched, Head, JobEnd, Limits, Outcome, Plan, RunId, RunState, StepNo, StepPage, Written,
     parts_of,
@@ -61,9 +61,9 @@
 
 #[derive(Clone)]
 enum News {
-    Head(RunId, Head, Mark),
-    Hold(RunId, String, Mark),
-    HoldGone(RunId, Mark),
+    Head(RunId, Head, ModRevision),
+    Hold(RunId, String, ModRevision),
+    HoldGone(RunId, ModRevision),
     End(JobId, JobEnd),
 }
 
@@ -81,7 +81,7 @@
 }
 
 enum Reply {
-    Claimed(RunId, Result<Mark, Option<Mark>>),
+    Claimed(RunId, Result<ModRevision, Option<ModRevision>>),
     Fetched(RunId, u64, Box<Option<Fetched>>),
     Submitted(RunId, u64, StepNo, Outcome),
     Withdrawn(RunId, u64, StepNo, Outcome),
@@ -106,7 +106,7 @@
     events: BTreeMap<usize, Event>,
     next: u64,
     rng: StdRng,
-    store: BTreeMap<String, (Value, Mark, Option<u64>)>,
+    store: BTreeMap<String, (Value, ModRevision, Option<u64>)>,
     revision: u64,
     leases: BTreeMap<u64, Micros>,
     next_lease: u64,
@@ -247,29 +247,29 @@
         self.now >= self.outage.0 && self.now < self.outage.1
     }
 
-    fn mark(&self, key: &str) -> Mark {
-        self.store.get(key).map_or(Mark(0), |v| v.1)
+    fn mod_revision(&self, key: &str) -> ModRevision {
+        self.store.get(key).map_or(ModRevision(0), |v| v.1)
     }
 
     // ---- the state service ----------------------------------------------------------------
 
-    fn apply(&mut self, changes: Vec<(String, Option<Value>, Option<u64>)>) -> Mark {
+    fn apply(&mut self, changes: Vec<(String, Option<Value>, Option<u64>)>) -> ModRevision {
         self.revision += 1;
-        let mark = Mark(self.revision);
+        let mod_revision = ModRevision(self.revision);
         for (key, value, lease) in changes {
             self.writes += 1;
             self.check_change(&key, value.as_ref());
             match value {
                 Some(value) => {
-                    self.store.insert(key.clone(), (value, mark, lease));
+                    self.store.insert(key.clone(), (value, mod_revision, lease));
                 }
                 None => {
                     self.store.remove(&key);
                 }
             }
-            self.tell(&key, mark);
+            self.tell(&key, mod_revision);
         }
-        mark
+        mod_revision
     }
 
     /// Guards what must hold at every change.
@@ -330,13 +330,13 @@
         }
     }
 
-    fn tell(&mut self, key: &str, mark: Mark) {
+    fn tell(&mut self, key: &str, mod_revision: ModRevision) {
         let value = self.store.get(key).map(|v| v.0.clone());
         let run = || key.rsplit('/').next().and_then(RunId::parse).expect("a run's key");
         let news = match value {
-            Some(Value::Head(h)) => News::Head(run(), h, mark),
-            Some(Value::Hold(node, _)) => News::Hold(run(), node_name(node), mark),
-            None if key.starts_with("flow/hold/") => News::HoldGone(run(), mark),
+            Some(Value::Head(h)) => News::Head(run(), h, mod_revision),
+            Some(Value::Hold(node, _)) => News::Hold(run(), node_name(node), mod_revision),
+            None if key.starts_with("flow/hold/") => News::HoldGone(run(), mod_revision),
             Some(Value::End(end, true)) => News::End(JobId::new(&key[4..]), end),
             _ => return,
         };
@@ -368,13 +368,13 @@
     }
 
     fn execute(&mut self, node: usize, lease: u64, action: &Action) -> Reply {
-        let held = |m: &Model, run: RunId| m.mark(&format!("flow/hold/{run}"));
+        let held = |m: &Model, run: RunId| m.mod_revision(&format!("flow/hold/{run}"));
         match action {
             Action::Claim { run } => {
                 let key = format!("flow/hold/{run}");
                 let result = match self.store.get(&key) {
-                    Some((Value::Hold(n, l), mark, _)) if (*n, *l) == (node, lease) => Ok(*mark),
-                    Some((_, mark, _)) => Err(Some(*mark)),
+                    Some((Value::Hold(n, l), mod_revision, _)) if (*n, *l) == (node, lease) => Ok(*mod_revision),
+                    Some((_, mod_revision, _)) => Err(Some(*mod_revision)),
                     None if !self.leases.contains_key(&lease) => Err(None),
                     None => Ok(self.apply(vec![(key, Some(Value::Hold(node, lease)), Some(lease))])),
                 };
@@ -382,13 +382,13 @@
             }
             Action::Fetch { run, epoch, plan } => {
                 let head = match self.store.get(&format!("flow/head/{run}")) {
-                    Some((Value::Head(h), mark, _)) => Some((h.clone(), *mark)),
+                    Some((Value::Head(h), mod_revision, _)) => Some((h.clone(), *mod_revision)),
                     _ => None,
                 };
-                let fetched = head.map(|(head, head_mark)| Fetched {
+                let fetched = head.map(|(head, head_revision)| Fetched {
                     head,
-                    head_mark,
-                    grant: Some(held(self, *run)).filter(|m| *m != Mark(0)),
+                    head_revision,
+                    grant: Some(held(self, *run)).filter(|m| *m != ModRevision(0)),
                     plan: plan.then(|| self.runs[run].plan.clone()),
                     pages: self
                         .under(&format!("flowpage/{run}/"))
@@ -428,7 +428,7 @@
                     (_, Some((Value::End(end, true), ..))) => Outcome::Ended(*end),
                     (Some(_), _) | (_, Some(_)) => Outcome::Taken,
                     _ if held(self, *run) != *grant => Outcome::Stale,
-                    _ if self.mark(&format!("flow/head/{run}")) != *head => Outcome::Stale,
+                    _ if self.mod_revision(&format!("flow/head/{run}")) != *head => Outcome::Stale,
                     _ => {
                         self.submissions += 1;
                         let n = self.in_flight.entry(spec.team.clone()).or_default();
@@ -461,8 +461,10 @@
             Action::Write { run, grant, pages, head, release, .. } => {
                 let page_key = |p: &u32| format!("flowpage/{run}/{p}");
                 let fits = held(self, *run) == *grant
-                    && pages.iter().all(|(p, mark, _)| self.mark(&page_key(p)) == *mark)
-                    && head.as_ref().is_none_or(|(mark, _)| self.mark(&format!("flow/head/{run}")) == *mark);
+                    && pages.iter().all(|(p, mod_revision, _)| self.mod_revision(&page_key(p)) == *mod_revision)
+                    && head.as_ref().is_none_or(|(mod_revision, _)| {
+                        self.mod_revision(&format!("flow/head/{run}")) == *mod_revision
+                    });
                 let ops = pages.len() + usize::from(head.is_some()) + usize::from(*release);
                 assert!(ops <= self.txn_ops, "{ops} changes in a transaction");
                 if !fits {
@@ -478,16 +480,16 @@
                 if *release {
                     changes.push((format!("flow/hold/{run}"), None, None));
                 }
-                let mark = self.apply(changes);
-                Reply::Written(Box::new(action.clone()), Written::Applied(mark))
+                let mod_revision = self.apply(changes);
+                Reply::Written(Box::new(action.clone()), Written::Applied(mod_revision))
             }
         }
     }
 
-    fn under<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Value, Mark)> + use<'a> {
+    fn under<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Value, ModRevision)> + use<'a> {
         let prefix = prefix.to_owned();
         let range = self.store.range(prefix.clone()..);
-        range.map_while(move |(k, (v, mark, _))| Some((k.strip_prefix(&prefix)?, v, *mark)))
+        range.map_while(move |(k, (v, mod_revision, _))| Some((k.strip_prefix(&prefix)?, v, *mod_revision)))
     }
 
     // ---- nodes ----------------------------------------------------------------------------
@@ -595,9 +597,9 @@
                 let now = self.now;
                 let Some(e) = &mut self.nodes[node].engine else { return };
                 match news {
-                    News::Head(run, head, mark) => e.head_seen(run, head, mark, now),
-                    News::Hold(run, node, mark) => e.hold_seen(run, &node, mark, now),
-                    News::HoldGone(run, mark) => e.hold_gone(run, mark, now),
+                    News::Head(run, head, mod_revision) => e.head_seen(run, head, mod_revision, now),
+                    News::Hold(run, node, mod_revision) => e.hold_seen(run, &node, mod_revision, now),
+                    News::HoldGone(run, mod_revision) => e.hold_gone(run, mod_revision, now),
                     News::End(job, end) => e.job_ended(&job, end, now),
                 }
                 self.act(node);
@@ -647,23 +649,23 @@
         let mut e = Engine::new(self.limits.clone(), &node_name(node), names, self.txn_ops, seed, now);
         let heads: Vec<_> = self
             .under("flow/head/")
-            .filter_map(|(k, v, mark)| match v {
-                Value::Head(h) => Some((RunId::parse(k)?, h.clone(), mark)),
+            .filter_map(|(k, v, mod_revision)| match v {
+                Value::Head(h) => Some((RunId::parse(k)?, h.clone(), mod_revision)),
                 _ => None,
             })
             .collect();
-        for (run, head, mark) in heads {
-            e.head_seen(run, head, mark, now);
+        for (run, head, mod_revision) in heads {
+            e.head_seen(run, head, mod_revision, now);
         }
         let holds: Vec<_> = self
             .under("flow/hold/")
-            .filter_map(|(k, v, mark)| match v {
-                Value::Hold(n, _) => Some((RunId::parse(k)?, node_name(*n), mark)),
+            .filter_map(|(k, v, mod_revision)| match v {
+                Value::Hold(n, _) => Some((RunId::parse(k)?, node_name(*n), mod_revision)),
                 _ => None,
             })
             .collect();
-        for (run, holder, mark) in holds {
-            e.hold_seen(run, &holder, mark, now);
+        for (run, holder, mod_revision) in holds {
+            e.hold_seen(run, &holder, mod_revision, now);
         }
         let n = &mut self.nodes[node];
         n.process += 1;
--- a/crates/hopyoke/src/flow_calls.rs
+++ b/crates/hopyoke/src/flow_calls.rs
@@ -15,7 +15,7 @@
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Change, Condition, Stored};
 use hopyoke_scheduler::{JobRecord, never_runs};
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
     Head, OnError, Plan, PlanPage, RunId, RunState, StepMark, StepNo, job_id, job_prefix, parts_of,
 };
@@ -194,7 +194,10 @@
         }
         flows.pages_from.set(from + Micros::from_secs_f64(chunk.len() as f64 / rate));
         runtime::sleep_until(from).await;
-        let conditions = chunk.iter().map(|n| Condition { key: flow_plan_key(run, *n), mark: Mark(0) }).collect();
+        let conditions = chunk
+            .iter()
+            .map(|n| Condition { key: flow_plan_key(run, *n), mod_revision: ModRevision(0) })
+            .collect();
         let changes = chunk
             .iter()
             .map(|n| Change::Put {
@@ -216,8 +219,10 @@
 async fn begin(node: &Node, run: RunId, head: Head) -> Answer {
     let info = told(&head, run, 0, 0);
     let digest = head.digest;
-    let conditions =
-        vec![Condition { key: flow_key(run), mark: Mark(0) }, Condition { key: flow_end_key(run), mark: Mark(0) }];
+    let conditions = vec![
+        Condition { key: flow_key(run), mod_revision: ModRevision(0) },
+        Condition { key: flow_end_key(run), mod_revision: ModRevision(0) },
+    ];
     let change = Change::Put { key: flow_key(run), value: Value::Head(Box::new(head)), lease: None };
     match node.state.spare().txn(conditions, vec![change]).await? {
         TxnEnd::Applied(_) => {
@@ -245,9 +250,9 @@
     let Some(plan) = plan_of(node, run, &head).await? else { return refuse(503, "the plan can't be read now") };
     let mut marks = vec![(StepMark::Open, 0); plan.steps.len()];
     for (page, _, value) in &pages {
-        for (step, mark, tries) in value.read(*page) {
+        for (step, mod_revision, tries) in value.read(*page) {
             if let Some(m) = marks.get_mut(step.0 as usize) {
-                *m = (mark, tries);
+                *m = (mod_revision, tries);
             }
         }
     }
@@ -258,7 +263,7 @@
         submitted.extend(ours.filter_map(|p| Some(parts_of(&job_id_of(&p.key)?)?.1)));
     }
     let done = marks.iter().filter(|m| m.0 == StepMark::Done).count() as u32;
-    let word = |step: StepNo, mark: StepMark| match mark {
+    let word = |step: StepNo, mod_revision: StepMark| match mod_revision {
         StepMark::Done => "done",
         StepMark::Failed => "failed",
         StepMark::Withdrawn => "withdrawn",
@@ -269,11 +274,11 @@
     let most = q.most.min(MOST_STEPS_TOLD);
     let steps = (0..).map(StepNo).zip(plan.steps.iter().zip(&marks)).skip(q.from as usize).take(most as usize);
     let steps: Vec<StepInfo> = steps
-        .map(|(no, (step, (mark, tries)))| StepInfo {
+        .map(|(no, (step, (mod_revision, tries)))| StepInfo {
             number: no.0,
             path: step.path.clone(),
             tasks: step.tasks,
-            state: word(no, *mark).to_owned(),
+            state: word(no, *mod_revision).to_owned(),
             job: step.shape.map_or(String::new(), |_| job_id(run, no, *tries).to_string()),
         })
         .collect();
@@ -341,13 +346,13 @@
 async fn cancel(node: &Node, q: RunQuestion) -> Answer {
     let run = run_id(q.run)?;
     for _ in 0..4 {
-        let Some((head, mark)) = head_of(node, run).await? else { return refuse(404, "no such run") };
+        let Some((head, mod_revision)) = head_of(node, run).await? else { return refuse(404, "no such run") };
         if head.state.is_final() || head.state == RunState::Cancelling {
             return Ok(one(200, told(&head, run, 0, 0)));
         }
         let head = Head { state: RunState::Cancelling, ..head };
         let change = Change::Put { key: flow_key(run), value: Value::Head(Box::new(head.clone())), lease: None };
-        match node.state.spare().txn(vec![Condition { key: flow_key(run), mark }], vec![change]).await? {
+        match node.state.spare().txn(vec![Condition { key: flow_key(run), mod_revision }], vec![change]).await? {
             TxnEnd::Applied(_) => {
                 info!(%run, "run cancelled");
                 return Ok(one(200, told(&head, run, 0, 0)));
@@ -395,8 +400,8 @@
         let key = flow_page_key(run, page);
         let change = Change::Put { key: key.clone(), value: Value::Page(value.done_alone()), lease: None };
         let conditions = vec![
-            Condition { key: flow_key(run), mark: Mark(0) },
-            Condition { key: flow_end_key(run), mark: Mark(0) },
+            Condition { key: flow_key(run), mod_revision: ModRevision(0) },
+            Condition { key: flow_end_key(run), mod_revision: ModRevision(0) },
         ];
         if let TxnEnd::Failed(_) = node.state.spare().txn(conditions, vec![change]).await? {
             return refuse(503, "the run changed meanwhile");
--- a/crates/hopyoke/src/flows.rs
+++ b/crates/hopyoke/src/flows.rs
@@ -11,7 +11,7 @@
 use hopyoke_protocol::state::{Change, Condition, Events, Pair, Stored};
 use hopyoke_protocol::user::{JobSpec, JobState};
 use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
     Action, Fetched, Head, Hold, JobEnd, Outcome, Plan, PlanPage, RESERVED, RunId, StepPage, Written, job_prefix,
 };
@@ -111,7 +111,7 @@
         let Some(from) = since else {
             match node.state.spare().list::<Value>(FLOWS).await {
                 Ok((pairs, revision)) => {
-                    all_seen(&node, pairs, Mark(revision));
+                    all_seen(&node, pairs, ModRevision(revision));
                     since = Some(revision);
                 }
                 Err(e) => {
@@ -128,9 +128,9 @@
                 let any = !events.events.is_empty();
                 for e in events.events {
                     if let Some(key) = e.drop {
-                        dropped(&node, &key, e.mark);
+                        dropped(&node, &key, e.mod_revision);
                     } else if let (Some(key), Some(Stored::Value(value))) = (e.put, e.value) {
-                        seen(&node, &key, value, e.mark);
+                        seen(&node, &key, value, e.mod_revision);
                     }
                 }
                 if any {
@@ -146,42 +146,42 @@
     }
 }
 
-fn seen(node: &Node, key: &str, value: Value, mark: Mark) {
+fn seen(node: &Node, key: &str, value: Value, mod_revision: ModRevision) {
     let now = runtime::now();
     let mut engine = of(node).engine.borrow_mut();
     match value {
         Value::Head(head) => {
             if let Some(run) = run_of(key, FLOW_HEADS) {
-                engine.head_seen(run, *head, mark, now);
+                engine.head_seen(run, *head, mod_revision, now);
             }
         }
         Value::Hold(hold) => {
             if let Some(run) = run_of(key, FLOW_HOLDS) {
-                engine.hold_seen(run, &hold.node, mark, now);
+                engine.hold_seen(run, &hold.node, mod_revision, now);
             }
         }
         _ => warn!(key, "neither a run's head nor a grant"),
     }
 }
 
-fn dropped(node: &Node, key: &str, mark: Mark) {
+fn dropped(node: &Node, key: &str, mod_revision: ModRevision) {
     let mut engine = of(node).engine.borrow_mut();
     if let Some(run) = run_of(key, FLOW_HOLDS) {
-        engine.hold_gone(run, mark, runtime::now());
+        engine.hold_gone(run, mod_revision, runtime::now());
     } else if let Some(run) = run_of(key, FLOW_HEADS) {
-        engine.head_gone(run, mark);
+        engine.head_gone(run, mod_revision);
     }
 }
 
 /// All runs and grants as of a revision: what is not among them is gone.
-fn all_seen(node: &Node, pairs: Vec<Pair<Value>>, revision: Mark) {
+fn all_seen(node: &Node, pairs: Vec<Pair<Value>>, revision: ModRevision) {
     let mut heads = BTreeSet::new();
     let mut holds = BTreeSet::new();
     for p in pairs {
         heads.extend(run_of(&p.key, FLOW_HEADS));
         holds.extend(run_of(&p.key, FLOW_HOLDS));
         match p.value {
-            Stored::Value(v) => seen(node, &p.key, v, p.mark),
+            Stored::Value(v) => seen(node, &p.key, v, p.mod_revision),
             Stored::Unreadable(_) => warn!(key = %p.key, "unreadable record of a run"),
         }
     }
@@ -296,24 +296,26 @@
     }
 }
 
-async fn claim(node: &Node, run: RunId) -> Result<Mark, Option<Mark>> {
+async fn claim(node: &Node, run: RunId) -> Result<ModRevision, Option<ModRevision>> {
     let Some(lease) = of(node).lease.get() else { return Err(None) };
     let hold = Hold { node: node.settings.node.clone(), lease };
     let key = flow_hold_key(run);
     // A run that is over is not claimed: its head must still be there.
     let head = match node.state.spare().get::<Value>(&flow_key(run)).await {
-        Ok(Some((_, mark))) => mark,
+        Ok(Some((_, mod_revision))) => mod_revision,
         _ => return Err(None),
     };
-    let conditions =
-        vec![Condition { key: key.clone(), mark: Mark(0) }, Condition { key: flow_key(run), mark: head }];
+    let conditions = vec![
+        Condition { key: key.clone(), mod_revision: ModRevision(0) },
+        Condition { key: flow_key(run), mod_revision: head },
+    ];
     let changes = vec![Change::Put { key: key.clone(), value: hold.clone(), lease: Some(lease) }];
     match node.state.spare().txn(conditions, changes).await {
-        Ok(TxnEnd::Applied(mark)) => Ok(mark),
+        Ok(TxnEnd::Applied(mod_revision)) => Ok(mod_revision),
         Ok(TxnEnd::Failed(_)) => match node.state.spare().get::<Hold>(&key).await {
             // An earlier try of this very process went through.
-            Ok(Some((Stored::Value(h), mark))) if h == hold => Ok(mark),
-            Ok(Some((_, mark))) => Err(Some(mark)),
+            Ok(Some((Stored::Value(h), mod_revision))) if h == hold => Ok(mod_revision),
+            Ok(Some((_, mod_revision))) => Err(Some(mod_revision)),
             _ => Err(None),
         },
         Err(_) => Err(None),
@@ -321,10 +323,10 @@
 }
 
 /// Reads a run's head, wherever it is: a head only ever moves from `flow/head/` to `flowend/`.
-pub(crate) async fn head_of(node: &Node, run: RunId) -> Result<Option<(Head, Mark)>, StateError> {
+pub(crate) async fn head_of(node: &Node, run: RunId) -> Result<Option<(Head, ModRevision)>, StateError> {
     for key in [flow_key(run), flow_end_key(run)] {
         match node.state.spare().get::<Head>(&key).await? {
-            Some((Stored::Value(head), mark)) => return Ok(Some((head, mark))),
+            Some((Stored::Value(head), mod_revision)) => return Ok(Some((head, mod_revision))),
             Some((Stored::Unreadable(_), _)) => {
                 warn!(%run, "unreadable head");
                 return Err(StateError::Malformed("a run's head".into()));
@@ -336,13 +338,13 @@
 }
 
 /// The pages of a run's progress.
-pub(crate) async fn pages_of(node: &Node, run: RunId) -> Result<Vec<(u32, Mark, StepPage)>, StateError> {
+pub(crate) async fn pages_of(node: &Node, run: RunId) -> Result<Vec<(u32, ModRevision, StepPage)>, StateError> {
     let prefix = flow_page_prefix(run);
     let (pairs, _) = node.state.spare().list::<StepPage>(&prefix).await?;
     let page = |p: Pair<StepPage>| {
         let number = p.key.strip_prefix(&prefix)?.parse().ok()?;
         // An unreadable page is no knowledge; the jobs' own records tell.
-        Some((number, p.mark, p.value.readable().unwrap_or_default()))
+        Some((number, p.mod_revision, p.value.readable().unwrap_or_default()))
     };
     Ok(pairs.into_iter().filter_map(page).collect())
 }
@@ -355,8 +357,8 @@
 }
 
 async fn fetch(node: &Node, run: RunId, plan: bool) -> Result<Option<Fetched>, StateError> {
-    let grant = node.state.spare().get::<Hold>(&flow_hold_key(run)).await?.map(|(_, mark)| mark);
-    let Some((head, head_mark)) = head_of(node, run).await? else { return Ok(None) };
+    let grant = node.state.spare().get::<Hold>(&flow_hold_key(run)).await?.map(|(_, mod_revision)| mod_revision);
+    let Some((head, head_revision)) = head_of(node, run).await? else { return Ok(None) };
     let plan = if plan && !head.state.is_final() {
         match plan_of(node, run, &head).await? {
             Some(plan) => Some(plan),
@@ -373,7 +375,7 @@
     let id = |key: &str| JobId::parse(key.split_once('/')?.1);
     Ok(Some(Fetched {
         head,
-        head_mark,
+        head_revision,
         grant,
         plan,
         pages,
@@ -396,8 +398,8 @@
     node: &Rc<Node>,
     run: RunId,
     spec: &JobSpec,
-    grant: Mark,
-    head: Mark,
+    grant: ModRevision,
+    head: ModRevision,
 ) -> Result<Outcome, StateError> {
     let never = {
         let types = node.catalog.borrow();
@@ -414,8 +416,10 @@
         });
     }
     let record = JobRecord::of_flow(spec.clone(), runtime::time_of_day().0);
-    let more =
-        vec![Condition { key: flow_hold_key(run), mark: grant }, Condition { key: flow_key(run), mark: head }];
+    let more = vec![
+        Condition { key: flow_hold_key(run), mod_revision: grant },
+        Condition { key: flow_key(run), mod_revision: head },
+    ];
     Ok(match records::accept(node, record, more).await? {
         TxnEnd::Applied(_) => Outcome::Accepted,
         // The three-way check: what does the job's own record say?
@@ -438,20 +442,20 @@
 async fn write(
     node: &Node,
     run: RunId,
-    grant: Mark,
-    pages: &[(u32, Mark, StepPage)],
-    head: Option<&(Mark, Head)>,
+    grant: ModRevision,
+    pages: &[(u32, ModRevision, StepPage)],
+    head: Option<&(ModRevision, Head)>,
     release: bool,
 ) -> Written {
-    let mut conditions = vec![Condition { key: flow_hold_key(run), mark: grant }];
+    let mut conditions = vec![Condition { key: flow_hold_key(run), mod_revision: grant }];
     let mut changes = Vec::new();
-    for (page, mark, value) in pages {
+    for (page, mod_revision, value) in pages {
         let key = flow_page_key(run, *page);
-        conditions.push(Condition { key: key.clone(), mark: *mark });
+        conditions.push(Condition { key: key.clone(), mod_revision: *mod_revision });
         changes.push(Change::Put { key, value: Value::Page(value.clone()), lease: None });
     }
-    if let Some((mark, head)) = head {
-        conditions.push(Condition { key: flow_key(run), mark: *mark });
+    if let Some((mod_revision, head)) = head {
+        conditions.push(Condition { key: flow_key(run), mod_revision: *mod_revision });
         let mut head = head.clone();
         let key = if head.state.is_final() {
             head.ended_us = runtime::time_of_day().0;
@@ -466,7 +470,7 @@
         changes.push(Change::Drop { key: flow_hold_key(run) });
     }
     match node.state.spare().txn(conditions, changes).await {
-        Ok(TxnEnd::Applied(mark)) => Written::Applied(mark),
+        Ok(TxnEnd::Applied(mod_revision)) => Written::Applied(mod_revision),
         Ok(TxnEnd::Failed(_)) => Written::Conflict,
         Err(e) if e.is_refusal() => Written::Refused,
         Err(_) => Written::Unknown,
--- a/crates/hopyoke/src/follow.rs
+++ b/crates/hopyoke/src/follow.rs
@@ -6,7 +6,7 @@
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Events, Pair, Stored};
 use hopyoke_scheduler::JobRecord;
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use tracing::{debug, warn};
@@ -37,16 +37,16 @@
                     let listed: BTreeSet<JobId> = pairs.iter().filter_map(|p| job_id_of(&p.key)).collect();
                     // A job that is newer than the list has come by a notification or a question meanwhile.
                     // (Guards `forgotten`: it would be taken for over.)
-                    let old = |id: &JobId| core.jobs.get(id).is_some_and(|j| j.mark.0 <= revision);
+                    let old = |id: &JobId| core.jobs.get(id).is_some_and(|j| j.mod_revision.0 <= revision);
                     let gone: Vec<JobId> =
                         core.job_ids().into_iter().filter(|id| !listed.contains(id) && old(id)).collect();
                     for id in gone {
                         core.job_dropped(&id, now);
                     }
-                    for (id, record, mark) in pairs.into_iter().filter_map(job_of) {
-                        core.job_seen(id, record, mark, now);
+                    for (id, record, mod_revision) in pairs.into_iter().filter_map(job_of) {
+                        core.job_seen(id, record, mod_revision, now);
                     }
-                    core.caught_up(Mark(revision), sent);
+                    core.caught_up(ModRevision(revision), sent);
                     leading.right.borrow_mut().heard(sent);
                     leading.bell.ring();
                 }
@@ -105,22 +105,22 @@
         if let Some(id) = e.drop.as_deref().and_then(job_id_of) {
             core.job_dropped(&id, now);
         } else if let (Some(key), Some(value)) = (e.put, e.value)
-            && let Some((id, record, mark)) = job_of(Pair { key, value, mark: e.mark })
+            && let Some((id, record, mod_revision)) = job_of(Pair { key, value, mod_revision: e.mod_revision })
         {
-            core.job_seen(id, record, mark, now);
+            core.job_seen(id, record, mod_revision, now);
         }
     }
-    core.caught_up(Mark(events.revision), sent);
+    core.caught_up(ModRevision(events.revision), sent);
     drop(core);
     if any {
         leading.bell.ring();
     }
 }
 
-pub(crate) fn job_of(pair: Pair<JobRecord>) -> Option<(JobId, JobRecord, Mark)> {
+pub(crate) fn job_of(pair: Pair<JobRecord>) -> Option<(JobId, JobRecord, ModRevision)> {
     let id = JobId::parse(pair.key.strip_prefix(JOBS)?)?;
     match pair.value {
-        Stored::Value(record) => Some((id, record, pair.mark)),
+        Stored::Value(record) => Some((id, record, pair.mod_revision)),
         Stored::Unreadable(_) => {
             // Never fatal, and the job still exists for its user.
             warn!(job = %id, "unreadable record");
--- a/crates/hopyoke/src/lead.rs
+++ b/crates/hopyoke/src/lead.rs
@@ -18,7 +18,7 @@
 use hopyoke_protocol::state::{Change, Condition};
 use hopyoke_scheduler::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, Write};
 use hopyoke_types::Micros;
-use hopyoke_types::{Mark, Token};
+use hopyoke_types::{FencingToken, ModRevision};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -42,12 +42,12 @@
     let mut fresh_start = true;
     loop {
         let asked = runtime::now();
-        let (found, mark) = match node.state.vital().get::<Holder>(LEADER).await {
-            Ok(Some((value, mark))) => (value.readable(), mark),
+        let (found, mod_revision) = match node.state.vital().get::<Holder>(LEADER).await {
+            Ok(Some((value, mod_revision))) => (value.readable(), mod_revision),
             Ok(None) => {
                 // Nobody leads, so nobody's records need anything.
                 node.door.heard(0.0, asked);
-                (None, Mark(0))
+                (None, ModRevision(0))
             }
             Err(e) => {
                 debug!(error = %e, "leader unknown");
@@ -60,7 +60,7 @@
         // token, so its lease need not run out.
         let own_former = found.as_ref() == Some(&me);
         let now = runtime::now();
-        if (mark == Mark(0) || own_former) && now >= shy_until {
+        if (mod_revision == ModRevision(0) || own_former) && now >= shy_until {
             if !own_former && !fresh_start {
                 runtime::sleep(jitter(Micros::from_millis(150))).await;
             }
@@ -72,7 +72,7 @@
             }
             fresh_start = false;
             node.promises.leads.set(true);
-            let acquired = acquire(&node, &me, mark).await;
+            let acquired = acquire(&node, &me, mod_revision).await;
             if let Acquired::Unsure(lease) = acquired {
                 // The try may yet be executed, late: until its lease is gone for certain, nothing
                 // can be promised.
@@ -91,8 +91,8 @@
         }
         fresh_start = false;
         // Wait until the key changes.
-        let wait = if mark == Mark(0) { Micros::from_secs(1) } else { Micros::from_secs(10) };
-        match node.state.vital().changes::<Holder>(LEADER, mark.0.max(1), wait).await {
+        let wait = if mod_revision == ModRevision(0) { Micros::from_secs(1) } else { Micros::from_secs(10) };
+        match node.state.vital().changes::<Holder>(LEADER, mod_revision.0.max(1), wait).await {
             Ok(_) => {}
             Err(_) => runtime::sleep(Micros::from_millis(200) + jitter(Micros::from_millis(300))).await,
         }
@@ -104,14 +104,14 @@
 
 /// How a try to lead ended.
 enum Acquired {
-    Lead(u64, Token, Micros),
+    Lead(u64, FencingToken, Micros),
     No,
     /// No answer: it may be executed late, while this lease lives.
     Unsure(u64),
 }
 
 /// Tries to become the leader and to lease all blocks; the revision of that write is the token.
-async fn acquire(node: &Rc<Node>, me: &Holder, mark: Mark) -> Acquired {
+async fn acquire(node: &Rc<Node>, me: &Holder, mod_revision: ModRevision) -> Acquired {
     let ttl = node.settings.leader_ttl();
     let sent = runtime::now();
     let lease = match node.state.vital().grant(ttl).await {
@@ -128,7 +128,7 @@
     }
     let until = sent + ttl.less_drift();
     let outcome = loop {
-        let conditions = vec![Condition { key: LEADER.to_owned(), mark }];
+        let conditions = vec![Condition { key: LEADER.to_owned(), mod_revision }];
         match node.state.vital().txn(conditions, changes.clone()).await {
             // Certainly not executed: the same lease serves the next try, while enough of it is left.
             Err(e) if e.is_refusal() && runtime::now() < until - Micros(ttl.0 / 2) => {
@@ -141,7 +141,7 @@
     match outcome {
         Ok(TxnEnd::Applied(m)) => {
             info!(token = m.0, blocks = ?node.config.zones, "leading: all blocks granted to this node");
-            Acquired::Lead(lease, Token(m.0), until)
+            Acquired::Lead(lease, FencingToken(m.0), until)
         }
         Err(e) if e.is_refusal() => {
             let _ = node.state.vital().release(lease).await;
@@ -159,7 +159,7 @@
 }
 
 /// Leads until the lease is lost; true if it was given up for lack of reports.
-async fn lead(node: &Rc<Node>, (lease, token, until): (u64, Token, Micros)) -> bool {
+async fn lead(node: &Rc<Node>, (lease, token, until): (u64, FencingToken, Micros)) -> bool {
     *node.leader.borrow_mut() = Some(node.settings.node.clone());
     // From the grant, not from the reading of the records: old holders had stopped by then.
     let granted_at = runtime::now();
@@ -277,7 +277,7 @@
     }
 }
 
-async fn take_over(node: &Rc<Node>, token: Token, granted_at: Micros) -> Option<Core> {
+async fn take_over(node: &Rc<Node>, token: FencingToken, granted_at: Micros) -> Option<Core> {
     let (pages, _) = retry(|| node.state.vital().list::<RegisterPage>(FLEET)).await?;
     let (jobs, revision) = retry(|| node.state.vital().list::<JobRecord>(JOBS)).await?;
     let register = pages
@@ -288,12 +288,12 @@
             if page.is_none() {
                 warn!(page = %key, "unreadable page of the register");
             }
-            Some((key, p.mark, page))
+            Some((key, p.mod_revision, page))
         })
         .collect();
     let jobs = jobs.into_iter().filter_map(job_of).collect();
     let mut core = Core::new(node.config.clone(), token, jobs, register, granted_at);
-    core.caught_up(Mark(revision), granted_at);
+    core.caught_up(ModRevision(revision), granted_at);
     core.set_tuning(tuning::tuning_of(&node.policy.evaluate(&Figures::default())));
     core.set_time_of_day(runtime::now(), runtime::time_of_day());
     core.set_hours(staffed::at_first(node));
@@ -365,22 +365,22 @@
 }
 
 /// Every write is conditional on our grant, so that late ones of old holders fail.
-async fn commit(node: &Node, token: Token, batch: &Batch) -> Result<Mark, BatchError> {
-    let mut conditions = vec![Condition { key: LEADER.to_owned(), mark: Mark(token.0) }];
+async fn commit(node: &Node, token: FencingToken, batch: &Batch) -> Result<ModRevision, BatchError> {
+    let mut conditions = vec![Condition { key: LEADER.to_owned(), mod_revision: ModRevision(token.0) }];
     let mut changes = Vec::new();
     for w in &batch.writes {
         match w {
-            Write::Update { job, mark, record } => {
-                conditions.push(Condition { key: job_key(job), mark: *mark });
+            Write::Update { job, mod_revision, record } => {
+                conditions.push(Condition { key: job_key(job), mod_revision: *mod_revision });
                 changes.push(Change::Put { key: job_key(job), value: Value::Job(record), lease: None });
             }
-            Write::End { job, mark, end } => {
-                conditions.push(Condition { key: job_key(job), mark: *mark });
+            Write::End { job, mod_revision, end } => {
+                conditions.push(Condition { key: job_key(job), mod_revision: *mod_revision });
                 changes.push(Change::Drop { key: job_key(job) });
                 changes.push(Change::Put { key: end_key(job), value: Value::End(end), lease: None });
             }
-            Write::Page { key, mark, page } => {
-                conditions.push(Condition { key: fleet_key(key), mark: *mark });
+            Write::Page { key, mod_revision, page } => {
+                conditions.push(Condition { key: fleet_key(key), mod_revision: *mod_revision });
                 changes.push(match page {
                     Some(p) => Change::Put { key: fleet_key(key), value: Value::Page(p), lease: None },
                     None => Change::Drop { key: fleet_key(key) },
@@ -393,7 +393,7 @@
         }
     }
     match node.state.records().txn(conditions, changes).await {
-        Ok(TxnEnd::Applied(mark)) => Ok(mark),
+        Ok(TxnEnd::Applied(mod_revision)) => Ok(mod_revision),
         Ok(TxnEnd::Failed(keys)) => {
             if keys.iter().any(|k| k == LEADER) {
                 return Err(BatchError::Deposed);
@@ -476,7 +476,7 @@
 }
 
 /// Starts a routine for one action.
-fn perform(node: &Rc<Node>, leading: &Rc<Leading>, direct: &Rc<Direct>, token: Token, action: Action) {
+fn perform(node: &Rc<Node>, leading: &Rc<Leading>, direct: &Rc<Direct>, token: FencingToken, action: Action) {
     let (node, l, direct) = (node.clone(), leading.clone(), direct.clone());
     runtime::spawn_until(leading.cancel.clone(), async move {
         match action {
@@ -495,10 +495,10 @@
             }
             Action::Reread { job } => match node.state.records().get::<JobRecord>(&job_key(&job)).await {
                 Ok(found) => {
-                    let found = found.map(|(v, mark)| (v.readable(), mark));
+                    let found = found.map(|(v, mod_revision)| (v.readable(), mod_revision));
                     match found {
-                        Some((Some(record), mark)) => {
-                            l.core.borrow_mut().reread(job, Some((record, mark)), runtime::now());
+                        Some((Some(record), mod_revision)) => {
+                            l.core.borrow_mut().reread(job, Some((record, mod_revision)), runtime::now());
                         }
                         Some((None, _)) => warn!(job = %job, "unreadable record"),
                         None => l.core.borrow_mut().reread(job, None, runtime::now()),
--- a/crates/hopyoke/src/mesh.rs
+++ b/crates/hopyoke/src/mesh.rs
@@ -18,7 +18,7 @@
 use hopyoke_event_loop::http::{Method, Request};
 use hopyoke_event_loop::{self as runtime, TcpListener};
 use hopyoke_heartbeat::Crowd;
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use hyper::body::Incoming;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -75,7 +75,7 @@
     }
     let cursor = Cursor { process: asked.delivered_process, upto: asked.delivered_upto };
     let confirmed = node.promises.confirmed.borrow();
-    let delta = confirmed.since(Mark(asked.applied), cursor.in_process(node.promises.process));
+    let delta = confirmed.since(ModRevision(asked.applied), cursor.in_process(node.promises.process));
     let promise = (delta.complete && !answer.state_ok).then(|| node.promises.promise()).flatten();
     answer.promise_us = promise.map_or(0, |span| span.0);
     answer.cancelled_upto = delta.upto;
--- a/crates/hopyoke/src/records.rs
+++ b/crates/hopyoke/src/records.rs
@@ -6,13 +6,13 @@
 use hopyoke_protocol::state::{Change, Condition, Stored};
 use hopyoke_protocol::user::JobState;
 use hopyoke_scheduler::{EndRecord, JobRecord};
-use hopyoke_types::{JobId, Mark, Micros};
+use hopyoke_types::{JobId, Micros, ModRevision};
 use std::rc::Rc;
 use tracing::{debug, warn};
 
 /// A job's record, wherever it is.
 pub enum Lookup {
-    Unfinished(Stored<JobRecord>, Mark),
+    Unfinished(Stored<JobRecord>, ModRevision),
     Finished(EndRecord),
     Unreadable,
     Missing,
@@ -34,12 +34,12 @@
 /// cancellation is noted for leaders that may not hear of it, and our own core drops the job.
 /// (Guards `ran_cancelled`: a leader that outlives an outage would keep its tasks alive. Scenarios
 /// gap_answer_lost, gap_leader_reads.)
-fn found_ended(node: &Node, id: &JobId, end: EndRecord, mark: Mark) {
+fn found_ended(node: &Node, id: &JobId, end: EndRecord, mod_revision: ModRevision) {
     if end.state == JobState::Cancelled {
-        node.promises.confirmed.borrow_mut().note(id, mark);
+        node.promises.confirmed.borrow_mut().note(id, mod_revision);
         if let Some(leading) = node.leading()
             && let mut core = leading.core.borrow_mut()
-            && core.applied() < mark
+            && core.applied() < mod_revision
         {
             core.job_dropped(id, runtime::now());
             leading.bell.ring();
@@ -53,7 +53,7 @@
 pub async fn learn_beginning(node: Rc<Node>) {
     loop {
         match node.state.vital().page::<serde::de::IgnoredAny>(LEADER, None, 1).await {
-            Ok(page) => return node.promises.confirmed.borrow_mut().began_before(Mark(page.revision)),
+            Ok(page) => return node.promises.confirmed.borrow_mut().began_before(ModRevision(page.revision)),
             Err(e) => debug!(error = %e, "the service's revision is not known yet"),
         }
         runtime::sleep(Micros::from_millis(rand::random_range(400..=800))).await;
@@ -66,12 +66,12 @@
     if let Some(end) = node.finals.get(id) {
         return Ok(Lookup::Finished(end));
     }
-    if let Some((record, mark)) = ask.get::<JobRecord>(&job_key(id)).await? {
-        return Ok(Lookup::Unfinished(record, mark));
+    if let Some((record, mod_revision)) = ask.get::<JobRecord>(&job_key(id)).await? {
+        return Ok(Lookup::Unfinished(record, mod_revision));
     }
     Ok(match ask.get::<EndRecord>(&end_key(id)).await? {
-        Some((Stored::Value(end), mark)) => {
-            found_ended(node, id, end, mark);
+        Some((Stored::Value(end), mod_revision)) => {
+            found_ended(node, id, end, mod_revision);
             Lookup::Finished(end)
         }
         Some((Stored::Unreadable(_), _)) => {
@@ -84,8 +84,8 @@
 
 /// Reads the record of a job that is known not to be among the unfinished ones, so most likely over.
 pub async fn lookup_ended(node: &Node, id: &JobId) -> Result<Lookup, StateError> {
-    if let Some((Stored::Value(end), mark)) = node.state.polling().get::<EndRecord>(&end_key(id)).await? {
-        found_ended(node, id, end, mark);
+    if let Some((Stored::Value(end), mod_revision)) = node.state.polling().get::<EndRecord>(&end_key(id)).await? {
+        found_ended(node, id, end, mod_revision);
         return Ok(Lookup::Finished(end));
     }
     // Only a full look proves that it is missing: an unfinished record that can't be read is in no
@@ -96,8 +96,10 @@
 /// Writes the record of a new job, on the condition that there is none, and on more.
 pub async fn accept(node: &Rc<Node>, record: JobRecord, more: Vec<Condition>) -> Result<TxnEnd, StateError> {
     let id = record.spec.id.clone();
-    let mut conditions =
-        vec![Condition { key: job_key(&id), mark: Mark(0) }, Condition { key: end_key(&id), mark: Mark(0) }];
+    let mut conditions = vec![
+        Condition { key: job_key(&id), mod_revision: ModRevision(0) },
+        Condition { key: end_key(&id), mod_revision: ModRevision(0) },
+    ];
     conditions.extend(more);
     let changes = vec![Change::Put { key: job_key(&id), value: record, lease: None }];
     let end = node.state.accepting().txn(conditions, changes).await?;
@@ -112,19 +114,22 @@
 pub async fn cancel(node: &Rc<Node>, id: &JobId) -> Result<Option<Lookup>, StateError> {
     let started = runtime::now();
     loop {
-        let (record, mark) = match lookup(node, node.state.cancelling(), id).await? {
-            Lookup::Unfinished(record, mark) => (record.readable(), mark),
+        let (record, mod_revision) = match lookup(node, node.state.cancelling(), id).await? {
+            Lookup::Unfinished(record, mod_revision) => (record.readable(), mod_revision),
             found => return Ok(Some(found)),
         };
         let done = record.as_ref().map_or(0, |r| r.done.count());
         let flow = record.is_some_and(|r| r.flow);
         let end = EndRecord { flow, ..EndRecord::new(JobState::Cancelled, done) };
-        let conditions = vec![Condition { key: job_key(id), mark }, Condition { key: end_key(id), mark: Mark(0) }];
+        let conditions = vec![
+            Condition { key: job_key(id), mod_revision },
+            Condition { key: end_key(id), mod_revision: ModRevision(0) },
+        ];
         let changes =
             vec![Change::Drop { key: job_key(id) }, Change::Put { key: end_key(id), value: end, lease: None }];
         match node.state.cancelling().txn(conditions, changes).await? {
-            TxnEnd::Applied(mark) => {
-                found_ended(node, id, end, mark);
+            TxnEnd::Applied(mod_revision) => {
+                found_ended(node, id, end, mod_revision);
                 notify(node, id);
                 return Ok(Some(Lookup::Finished(end)));
             }
--- a/crates/hopyoke/src/staffed.rs
+++ b/crates/hopyoke/src/staffed.rs
@@ -8,7 +8,7 @@
 use hopyoke_event_loop as runtime;
 use hopyoke_policy::Figures;
 use hopyoke_protocol::state::{Change, Condition, Stored};
-use hopyoke_types::{Mark, Micros};
+use hopyoke_types::{Micros, ModRevision};
 use std::rc::Rc;
 use tracing::{info, warn};
 
@@ -37,14 +37,14 @@
     hours(node).map(|h| Hours { switch: Some(unread), ..h })
 }
 
-async fn read(node: &Node) -> Result<(Option<Switch>, Mark), StateError> {
+async fn read(node: &Node) -> Result<(Option<Switch>, ModRevision), StateError> {
     Ok(match node.state.spare().get::<Switch>(SWITCH).await? {
-        Some((Stored::Value(s), mark)) => (Some(s), mark),
-        Some((Stored::Unreadable(_), mark)) => {
+        Some((Stored::Value(s), mod_revision)) => (Some(s), mod_revision),
+        Some((Stored::Unreadable(_), mod_revision)) => {
             warn!("unreadable word on staffed hours: the calendar holds");
-            (None, mark)
+            (None, mod_revision)
         }
-        None => (None, Mark(0)),
+        None => (None, ModRevision(0)),
     })
 }
 
@@ -78,7 +78,7 @@
     let mut hours = hours(node).ok_or("nothing is held: `hold` is off in this node's settings")?;
     let now = runtime::time_of_day();
     let not_now = |e: StateError| format!("the state service did not answer: {e}");
-    let (known, mark) = read(node).await.map_err(not_now)?;
+    let (known, mod_revision) = read(node).await.map_err(not_now)?;
     let word = match request.word.as_str() {
         "show" => known,
         "auto" => None,
@@ -97,7 +97,7 @@
             Some(w) => Change::Put { key: SWITCH.to_owned(), value: w.clone(), lease: None },
             None => Change::Drop { key: SWITCH.to_owned() },
         };
-        let condition = Condition { key: SWITCH.to_owned(), mark };
+        let condition = Condition { key: SWITCH.to_owned(), mod_revision };
         match node.state.cancelling().txn(vec![condition], vec![change]).await.map_err(not_now)? {
             TxnEnd::Applied(_) => info!(word = request.word, by = request.by, "staffed hours"),
             TxnEnd::Failed(_) => return Err("somebody else said something at the same moment; look again".into()),
--- a/crates/hopyoke/src/state.rs
+++ b/crates/hopyoke/src/state.rs
@@ -24,7 +24,7 @@
 use hopyoke_protocol::{decode, encode};
 use hopyoke_run_times::PageKey;
 use hopyoke_types::Micros;
-use hopyoke_types::{JobId, Mark};
+use hopyoke_types::{JobId, ModRevision};
 use hopyoke_workflow::RunId;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -122,13 +122,13 @@
 /// How a transaction ended.
 #[derive(Debug)]
 pub enum TxnEnd {
-    Applied(Mark),
+    Applied(ModRevision),
     /// These keys did not have the given marks.
     Failed(Vec<String>),
 }
 
 /// A value with the mark of its last change.
-pub type Found<T> = Option<(Stored<T>, Mark)>;
+pub type Found<T> = Option<(Stored<T>, ModRevision)>;
 
 pub struct State {
     client: Client,
@@ -265,7 +265,7 @@
         match r.status {
             200 => {
                 let pair: Pair<T> = read(&r)?;
-                Ok(Some((pair.value, pair.mark)))
+                Ok(Some((pair.value, pair.mod_revision)))
             }
             404 => Ok(None),
             s => Err(StateError::Refused(s)),
@@ -322,7 +322,7 @@
         let body = encode(&Txn { conditions, changes });
         let r = self.send(Method::Post, "/multi", &body, WRITE_LIMIT).await?;
         match r.status {
-            200 => Ok(TxnEnd::Applied(Mark(read::<Applied>(&r)?.revision))),
+            200 => Ok(TxnEnd::Applied(ModRevision(read::<Applied>(&r)?.revision))),
             409 => Ok(TxnEnd::Failed(read::<Failed>(&r)?.failed)),
             s => Err(StateError::Refused(s)),
         }
--- a/crates/hopyoke/src/workers.rs
+++ b/crates/hopyoke/src/workers.rs
@@ -7,7 +7,7 @@
 use hopyoke_protocol::worker::{DirectOrders, Order, Orders, Redirect, Report};
 use hopyoke_protocol::{decode, encode};
 use hopyoke_types::Micros;
-use hopyoke_types::{MachineId, Token};
+use hopyoke_types::{FencingToken, MachineId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -109,7 +109,7 @@
 }
 
 /// A task's whole story can be told from the log at `debug`: which start went where, by which holder.
-fn tell_starts(machine: &MachineId, token: Token, session: u64, seq: u64, orders: &[Order], how: &str) {
+fn tell_starts(machine: &MachineId, token: FencingToken, session: u64, seq: u64, orders: &[Order], how: &str) {
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
     }
@@ -160,7 +160,7 @@
     pub async fn send(
         &self,
         leading: &Leading,
-        token: Token,
+        token: FencingToken,
         machine: MachineId,
         address: SocketAddr,
         session: u64,
