--- a/crates/hopyoke-emulator/src/site.rs
+++ b/crates/hopyoke-emulator/src/site.rs
@@ -81,9 +81,9 @@
         std::fs::create_dir_all(&plan.dir)?;
         let cancel = Cancel::new();
         let (state, state_addr) = State::start(&cancel)?;
-        let (report, lease) = (0.5, 6.0);
+        let (heartbeat, lease) = (0.5, 6.0);
         let works =
-            Works::new(state.clone(), Micros::from_secs_f64(report), Micros::from_secs_f64(lease), plan.factor);
+            Works::new(state.clone(), Micros::from_secs_f64(heartbeat), Micros::from_secs_f64(lease), plan.factor);
         let works = Rc::new(works);
         let zones = ["a", "b", "c"];
         let kind = MachineType {
@@ -120,7 +120,7 @@
                 );
                 let _ = writeln!(text, "cpus = 0.0\ncpus_max = 0.0");
             }
-            let _ = writeln!(text, "[facts.workers]\nreport_s = {report:?}\nlease_s = {lease:?}");
+            let _ = writeln!(text, "[facts.workers]\nreport_s = {heartbeat:?}\nlease_s = {lease:?}");
             let _ = writeln!(text, "gang_wait_s = 20.0\ngang_peer_s = 3.0\ncancel_s = 20.0");
             let _ = writeln!(text, "[facts.state]\nrps = {:?}\nwrite_rps = {:?}", plan.rps, plan.write_rps);
             let _ = writeln!(text, "value_kb = 8.0\ntxn_ops = 16");
--- a/crates/hopyoke-emulator/src/worker.rs
+++ b/crates/hopyoke-emulator/src/worker.rs
@@ -7,7 +7,9 @@
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::decode;
 use hopyoke_protocol::user::{JobKind, JobSpec};
-use hopyoke_protocol::worker::{DirectOrders, ExitReason, Order, Orders, Report, TaskReport, TaskState};
+use hopyoke_protocol::worker::{
+    Command, ExitReason, Heartbeat, HeartbeatResponse, PushedCommands, TaskState, TaskStatus,
+};
 use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, Micros, TaskId};
 use serde::Deserialize;
 use std::cell::RefCell;
@@ -21,7 +23,7 @@
     pub state: Rc<State>,
     /// Controllers by name, in the order in which they are tried.
     pub controllers: RefCell<Vec<(String, SocketAddr)>>,
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     pub lease: Micros,
     /// A task takes its job's estimate times this.
     pub factor: f64,
@@ -55,11 +57,11 @@
         self.present.borrow().keys().any(|t| t.job == *job)
     }
 
-    pub fn new(state: Rc<State>, report: Micros, lease: Micros, factor: f64) -> Works {
+    pub fn new(state: Rc<State>, heartbeat_interval: Micros, lease: Micros, factor: f64) -> Works {
         Works {
             state,
             controllers: RefCell::default(),
-            report,
+            heartbeat_interval,
             lease,
             factor,
             failing: RefCell::default(),
@@ -86,8 +88,8 @@
 }
 
 struct Inner {
-    session: u64,
-    seq: u64,
+    epoch: u64,
+    sequence: u64,
     token: FencingToken,
     tasks: BTreeMap<(TaskId, Attempt), Task>,
     images: BTreeSet<String>,
@@ -133,8 +135,8 @@
             async move { worker.map_or(Response::empty(503), |w| w.answer(&request)) }
         })?;
         let inner = Inner {
-            session: 1,
-            seq: 0,
+            epoch: 1,
+            sequence: 0,
             token: FencingToken(0),
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
@@ -165,43 +167,43 @@
 
     fn answer(self: &Rc<Worker>, request: &Request) -> Response {
         match (request.method, request.path.as_str()) {
-            (Method::Get, "/show") => Response::of(200, &self.report()),
+            (Method::Get, "/show") => Response::of(200, &self.heartbeat()),
             (Method::Post, "/commands") => {
-                let Ok(orders) = decode::<DirectOrders>(&request.body) else { return Response::empty(400) };
+                let Ok(commands) = decode::<PushedCommands>(&request.body) else { return Response::empty(400) };
                 let fits = {
                     let inner = self.inner.borrow();
-                    orders.token >= inner.token && orders.session == inner.session
+                    commands.token >= inner.token && commands.epoch == inner.epoch
                 };
                 if !fits {
-                    return Response::of(409, &self.report());
+                    return Response::of(409, &self.heartbeat());
                 }
-                self.obey(orders.token, orders.orders);
-                Response::of(200, &self.report())
+                self.obey(commands.token, commands.commands);
+                Response::of(200, &self.heartbeat())
             }
             _ => Response::empty(404),
         }
     }
 
-    fn report(&self) -> Report {
+    fn heartbeat(&self) -> Heartbeat {
         let mut inner = self.inner.borrow_mut();
-        inner.seq += 1;
-        let tasks = inner.tasks.iter().map(|((task, attempt), t)| TaskReport {
+        inner.sequence += 1;
+        let tasks = inner.tasks.iter().map(|((task, attempt), t)| TaskStatus {
             task: task.to_string(),
             attempt: *attempt,
             state: t.state,
             why: t.why,
             saved: false,
         });
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             address: self.address.to_string(),
             machine_type: self.kind.name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: inner.session,
-            seq: inner.seq,
+            epoch: inner.epoch,
+            sequence: inner.sequence,
             token: inner.token,
-            notice_s: None,
+            preemption_notice_s: None,
             tasks: tasks.collect(),
         }
     }
@@ -221,25 +223,26 @@
                 client = Some((addr, Client::new(addr)));
             }
             let Some((_, c)) = &client else { continue };
-            let report = self.report();
-            let (sent, session) = (runtime::now(), report.session);
-            let body = hopyoke_protocol::encode(&report);
+            let heartbeat = self.heartbeat();
+            let (sent, epoch) = (runtime::now(), heartbeat.epoch);
+            let body = hopyoke_protocol::encode(&heartbeat);
             match c.send(Method::Post, "/hello", &body, Micros::from_secs(4)).await {
                 Ok(r) if r.status == 200 => {
-                    if let Ok(orders) = decode::<Orders>(&r.body) {
+                    if let Ok(commands) = decode::<HeartbeatResponse>(&r.body) {
                         let fits = {
                             let mut inner = self.inner.borrow_mut();
-                            let fits = orders.token >= inner.token && inner.session == session;
+                            let fits = commands.token >= inner.token && inner.epoch == epoch;
                             if fits {
                                 inner.answered = sent;
                             }
                             fits
                         };
                         if fits {
-                            self.obey(orders.token, orders.orders);
+                            self.obey(commands.token, commands.commands);
                         }
                     }
-                    let next = sent + Micros((self.works.report.0 as f64 * rand::random_range(0.75..1.25)) as u64);
+                    let next = sent
+                        + Micros((self.works.heartbeat_interval.0 as f64 * rand::random_range(0.75..1.25)) as u64);
                     self.changed.wait_until(next).await;
                     // Not more often than every half second.
                     runtime::sleep_until(sent + Micros::from_millis(500)).await;
@@ -269,7 +272,7 @@
             if runtime::now() > self.inner.borrow().answered + self.works.lease {
                 self.kill_all();
                 let mut inner = self.inner.borrow_mut();
-                inner.session += 1;
+                inner.epoch += 1;
                 inner.answered = runtime::now();
             }
         }
@@ -290,21 +293,21 @@
         }
     }
 
-    fn obey(self: &Rc<Worker>, token: FencingToken, orders: Vec<Order>) {
+    fn obey(self: &Rc<Worker>, token: FencingToken, commands: Vec<Command>) {
         self.inner.borrow_mut().token = token;
-        for order in orders {
-            match order {
-                Order::Start { task, attempt } => {
+        for command in commands {
+            match command {
+                Command::Start { task, attempt } => {
                     if let Some(task) = TaskId::parse(&task) {
                         self.run(task, attempt);
                     }
                 }
-                Order::Stop { task, attempt, .. } => {
+                Command::Stop { task, attempt, .. } => {
                     if let Some(task) = TaskId::parse(&task) {
                         self.exit(&task, attempt, ExitReason::Stopped);
                     }
                 }
-                Order::Forget { task, attempt } => {
+                Command::Acknowledge { task, attempt } => {
                     if let Some(task) = TaskId::parse(&task) {
                         let key = (task, attempt);
                         let mut inner = self.inner.borrow_mut();
@@ -324,8 +327,8 @@
         }
         let spec = self.works.spec(&task);
         let refusal = match &spec {
-            None => Some(ExitReason::NoSuch),
-            Some(s) if task.index >= s.tasks => Some(ExitReason::NoSuch),
+            None => Some(ExitReason::UnknownTask),
+            Some(s) if task.index >= s.tasks => Some(ExitReason::UnknownTask),
             Some(s) => {
                 let inner = self.inner.borrow();
                 let live = || inner.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended);
@@ -337,7 +340,7 @@
                 if live().any(|((t, _), _)| *t == task) {
                     Some(ExitReason::Busy)
                 } else if sum.0 > k.cpus + 1e-9 || sum.1 > k.gpus + 1e-9 || sum.2 > k.memory_gb + 1e-9 {
-                    Some(ExitReason::NoRoom)
+                    Some(ExitReason::InsufficientResources)
                 } else {
                     None
                 }
--- a/crates/hopyoke-heartbeat/src/carrier.rs
+++ b/crates/hopyoke-heartbeat/src/carrier.rs
@@ -34,14 +34,14 @@
 
 impl Carrier {
     /// A report arrives. `None`: too many wait.
-    pub fn arrive(&mut self, report: Vec<u8>, now: Micros) -> Option<Number> {
+    pub fn arrive(&mut self, heartbeat: Vec<u8>, now: Micros) -> Option<Number> {
         if self.waiting.len() >= MOST_WAITING {
             self.refused += 1;
             return None;
         }
         self.next += 1;
         let number = Number(self.next);
-        self.waiting.push_back((number, now, report));
+        self.waiting.push_back((number, now, heartbeat));
         Some(number)
     }
 
@@ -68,7 +68,7 @@
             return (Load::new(), late);
         }
         let n = self.waiting.len().min(MOST);
-        let load: Load = self.waiting.drain(..n).map(|(number, _, report)| (number, report)).collect();
+        let load: Load = self.waiting.drain(..n).map(|(number, _, heartbeat)| (number, heartbeat)).collect();
         self.calls += 1;
         self.carried += load.len() as u64;
         (load, late)
--- a/crates/hopyoke-heartbeat/src/hearing.rs
+++ b/crates/hopyoke-heartbeat/src/hearing.rs
@@ -6,7 +6,7 @@
 /// A leader that no worker reaches is no leader worth having; how soon that is certain depends on how many
 /// should have come.
 ///
-/// Each worker reports every `report`, give or take a quarter. When many have found us, not one report for one and a
+/// Each worker reports every `heartbeat`, give or take a quarter. When many have found us, not one report for one and a
 /// half intervals is no chance; of a few it may be. After a takeover workers have to find us first: each tries one node
 /// after the other, and those that are away cost it the time of an answer that does not come. Whoever answers our
 /// orders meanwhile shows that we are not the one that is cut off. Only
@@ -16,7 +16,7 @@
 /// new leader that gives up before workers have been past the nodes that are away.)
 #[derive(Debug, Clone)]
 pub struct Hearing {
-    report: Micros,
+    heartbeat_interval: Micros,
     /// What a worker needs at the most until it has found the one node that answers.
     search: Micros,
     /// Some of the machines that have found us, as many as matter.
@@ -35,11 +35,18 @@
 const STEP: Micros = Micros::from_millis(500);
 
 impl Hearing {
-    /// Nothing is heard yet. `report` is the time between two reports of one worker; `nodes` is how many nodes there
+    /// Nothing is heard yet. `heartbeat_interval` is the time between two heartbeats of one worker; `nodes` is how many nodes there
     /// are, this one included.
-    pub fn new(report: Micros, nodes: u32, now: Micros) -> Hearing {
-        let search = TRY.times(u64::from(nodes.saturating_sub(1))) + report.times(2);
-        Hearing { report, search, found: BTreeSet::new(), reached: false, quiet: Micros::ZERO, looked: now }
+    pub fn new(heartbeat_interval: Micros, nodes: u32, now: Micros) -> Hearing {
+        let search = TRY.times(u64::from(nodes.saturating_sub(1))) + heartbeat_interval.times(2);
+        Hearing {
+            heartbeat_interval,
+            search,
+            found: BTreeSet::new(),
+            reached: false,
+            quiet: Micros::ZERO,
+            looked: now,
+        }
     }
 
     /// A worker's report came; `answered`: it shows that the worker has had an answer, or orders, of this leader. One
@@ -71,10 +78,10 @@
     }
 
     fn patience(&self, machines: usize) -> Micros {
-        let few = self.report.times(3).max(Micros::from_secs(6));
+        let few = self.heartbeat_interval.times(3).max(Micros::from_secs(6));
         if self.found.len() < machines.min(MANY) {
             return if self.reached { few.max(self.search) } else { few };
         }
-        if machines >= MANY { Micros(self.report.0 * 3 / 2) + STEP } else { few }
+        if machines >= MANY { Micros(self.heartbeat_interval.0 * 3 / 2) + STEP } else { few }
     }
 }
--- a/crates/hopyoke-protocol/src/worker.rs
+++ b/crates/hopyoke-protocol/src/worker.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "vessel")]
     pub machine: MachineId,
     pub address: String,
@@ -15,19 +15,19 @@
     #[serde(rename = "driftboats", default)]
     pub spot: bool,
     #[serde(rename = "watch")]
-    pub session: u64,
+    pub epoch: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "helm", default)]
     pub token: FencingToken,
     #[serde(rename = "recall_s", default)]
-    pub notice_s: Option<f64>,
+    pub preemption_notice_s: Option<f64>,
     #[serde(rename = "oars", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "oar")]
     pub task: String,
     #[serde(rename = "launch")]
@@ -61,17 +61,17 @@
     #[serde(rename = "halted")]
     Stopped,
     #[serde(rename = "mates_gone")]
-    PeersGone,
+    GangPeersLost,
     #[serde(rename = "incomplete")]
     Incomplete,
     #[serde(rename = "error")]
     Error,
     #[serde(rename = "no_room")]
-    NoRoom,
+    InsufficientResources,
     #[serde(rename = "busy")]
     Busy,
     #[serde(rename = "no_such")]
-    NoSuch,
+    UnknownTask,
     /// A reason that this version does not know: the task is over and not done.
     #[serde(other)]
     Other,
@@ -79,7 +79,7 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "order")]
-pub enum Order {
+pub enum Command {
     #[serde(rename = "run")]
     Start {
         #[serde(rename = "oar")]
@@ -97,7 +97,7 @@
         grace_s: f64,
     },
     #[serde(rename = "reap")]
-    Forget {
+    Acknowledge {
         #[serde(rename = "oar")]
         task: String,
         #[serde(rename = "launch")]
@@ -107,20 +107,22 @@
 
 /// The answer to a report.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Orders {
+pub struct HeartbeatResponse {
     #[serde(rename = "helm")]
     pub token: FencingToken,
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Orders sent straight to a worker.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct DirectOrders {
+pub struct PushedCommands {
     #[serde(rename = "helm")]
     pub token: FencingToken,
     #[serde(rename = "watch")]
-    pub session: u64,
-    pub orders: Vec<Order>,
+    pub epoch: u64,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Sends a worker to the node that serves it.
--- a/crates/hopyoke-scheduler/src/reports.rs
+++ b/crates/hopyoke-scheduler/src/heartbeats.rs
@@ -3,7 +3,7 @@
 use super::fleet::{Machine, Phase, Slot, SlotState, Stop};
 use super::{Action, Core};
 use hopyoke_protocol::user::{JobKind, JobSpec};
-use hopyoke_protocol::worker::{ExitReason, Order, Report, TaskReport, TaskState};
+use hopyoke_protocol::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use hopyoke_run_times::End;
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, TaskId};
@@ -16,17 +16,17 @@
     pub token: FencingToken,
     /// The report was newer than all before. One that is not says nothing about now.
     pub fresh: bool,
-    pub orders: Vec<Order>,
+    pub commands: Vec<Command>,
 }
 
 impl Core {
     /// A report came in on `/hello`; the answer renews the worker's lease.
-    pub fn report(&mut self, report: &Report, now: Micros) -> Answer {
+    pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Micros) -> Answer {
         // A late report, or one of a machine that is gone, is answered without orders.
-        let fresh = self.merge(report, true, now);
+        let fresh = self.merge(heartbeat, true, now);
         let lease_bound = self.cfg.lease_bound();
-        let mut orders = Vec::new();
-        if let Some(m) = self.machines.get_mut(&report.machine) {
+        let mut commands = Vec::new();
+        if let Some(m) = self.machines.get_mut(&heartbeat.machine) {
             // Counted from the answer, the worker counts from its earlier sending: we are never early.
             m.lease_end = m.lease_end.max(now + lease_bound);
         }
@@ -35,17 +35,23 @@
             if self.changed && self.plan_due(now) {
                 self.settle(now);
             }
-            orders = self.orders_for(&report.machine, Some((report.session, report.seq)), now);
+            commands = self.orders_for(&heartbeat.machine, Some((heartbeat.epoch, heartbeat.sequence)), now);
         }
-        Answer { token: self.token, fresh, orders }
+        Answer { token: self.token, fresh, commands }
     }
 
     /// A worker answered direct orders (or refused them) with its report.
-    pub fn direct_answer(&mut self, machine: &MachineId, executed: bool, report: Option<&Report>, now: Micros) {
+    pub fn direct_answer(
+        &mut self,
+        machine: &MachineId,
+        executed: bool,
+        heartbeat: Option<&Heartbeat>,
+        now: Micros,
+    ) {
         self.probe_over(machine);
         if let Some(m) = self.machines.get_mut(machine) {
             m.direct_open = false;
-            let answered = report.map(|r| (r.session, r.seq));
+            let answered = heartbeat.map(|r| (r.epoch, r.sequence));
             for (_, slot) in m.slots_in_flight().filter(|(_, s)| s.direct) {
                 slot.direct = false;
                 match answered {
@@ -56,11 +62,11 @@
                 }
             }
             // A probe that met another session than we believed can be repeated at once.
-            if !executed && report.is_none_or(|r| r.session == m.session) {
+            if !executed && heartbeat.is_none_or(|r| r.epoch == m.epoch) {
                 m.direct_retry_at = now + Micros::from_millis(500);
             }
         }
-        if let Some(r) = report
+        if let Some(r) = heartbeat
             && r.machine == *machine
         {
             self.merge(r, false, now);
@@ -70,7 +76,7 @@
             self.probes.push_back(machine.clone());
         }
         // What changed meanwhile, or was refused, is still to be sent.
-        self.orders_due.insert(machine.clone());
+        self.commands_due.insert(machine.clone());
     }
 
     /// Direct orders got no answer. If they may have been sent they may be executed late, at any
@@ -88,13 +94,13 @@
                 slot.direct = false;
                 slot.doubtful |= maybe_sent;
             }
-            self.orders_due.insert(machine.clone());
+            self.commands_due.insert(machine.clone());
         }
     }
 
     /// Takes over what a report says if it is newer than all before; true if so.
-    fn merge(&mut self, report: &Report, hello: bool, now: Micros) -> bool {
-        let id = &report.machine;
+    fn merge(&mut self, heartbeat: &Heartbeat, hello: bool, now: Micros) -> bool {
+        let id = &heartbeat.machine;
         if self.gone.contains_key(id) {
             return false;
         }
@@ -103,24 +109,29 @@
                 return false;
             }
             // A machine that nobody told us of: an earlier leader's, or a late rental's.
-            let mut m =
-                Machine::new(id.clone(), report.machine_type.clone(), report.zone.clone(), report.spot, now);
+            let mut m = Machine::new(
+                id.clone(),
+                heartbeat.machine_type.clone(),
+                heartbeat.zone.clone(),
+                heartbeat.spot,
+                now,
+            );
             m.lease_end = now + self.cfg.lease_bound();
             self.machines.insert(id.clone(), m);
         }
         let old_sessions_are_over = self.old_sessions_are_over(now);
         let Some(m) = self.machines.get_mut(id) else { return false };
         // Reports can arrive late: only the newest counts.
-        if (report.session, report.seq) <= (m.session, m.seq) {
+        if (heartbeat.epoch, heartbeat.sequence) <= (m.epoch, m.sequence) {
             return false;
         }
-        let new_session = report.session > m.session;
+        let new_session = heartbeat.epoch > m.epoch;
         let back = m.phase != Phase::Up;
         let booted = (m.phase == Phase::Booting && m.dated).then_some(now - m.rented_at);
         let was_settled = m.settled(self.token);
-        m.session = report.session;
-        m.seq = report.seq;
-        m.token_seen = m.token_seen.max(report.token);
+        m.epoch = heartbeat.epoch;
+        m.sequence = heartbeat.sequence;
+        m.token_seen = m.token_seen.max(heartbeat.token);
         m.young_session |= hello && old_sessions_are_over;
         self.changed |= back || was_settled != m.settled(self.token);
         if !m.registered {
@@ -129,8 +140,8 @@
         m.last_seen = now;
         m.unreachable = false;
         m.suspect = false;
-        m.address = report.address.parse().ok();
-        m.spot = report.spot;
+        m.address = heartbeat.address.parse().ok();
+        m.spot = heartbeat.spot;
         m.phase = Phase::Up;
         if new_session || (back && m.lease_end <= now) {
             // A session has its whole lease from its beginning, and that may have been just now: the
@@ -138,29 +149,29 @@
             // new session as well as a report does. (Scenario session_learned_by_order.)
             m.lease_end = m.lease_end.max(now + self.cfg.lease_bound());
         }
-        let notice = report.notice_s.map(|s| now + Micros::from_secs_f64(s));
+        let notice = heartbeat.preemption_notice_s.map(|s| now + Micros::from_secs_f64(s));
         if notice.is_some() && m.notice.is_none() {
             self.changed = true;
-            info!(machine = %id, zone = %m.zone, in_s = report.notice_s, "notice: machine will be taken");
+            info!(machine = %id, zone = %m.zone, in_s = heartbeat.preemption_notice_s, "notice: machine will be taken");
         }
         m.notice = notice;
         let (spot, zone) = (m.spot, m.zone.clone());
         if back {
-            info!(machine = %id, zone = %zone, spot, session = report.session, "machine up");
+            info!(machine = %id, zone = %zone, spot, epoch = heartbeat.epoch, "machine up");
         }
-        let nominal = self.boot_time(&report.machine_type);
+        let nominal = self.boot_time(&heartbeat.machine_type);
         if let Some(took) = booted.filter(|_| nominal > Micros::ZERO) {
             let in_boots = |t: Micros| t.as_secs_f64() / nominal.as_secs_f64();
-            self.boots.came_up(&report.machine_type, in_boots(took), in_boots(now));
+            self.boots.came_up(&heartbeat.machine_type, in_boots(took), in_boots(now));
         }
         if new_session {
             // Everything of earlier sessions is gone, and so are their late direct orders.
             self.clear_slots(id);
         }
         let slots = self.machines.get(id).map_or(0, |m| m.slots().len());
-        self.looked_at(1 + report.tasks.len() + slots);
-        let mut listed = Vec::with_capacity(report.tasks.len());
-        for t in &report.tasks {
+        self.looked_at(1 + heartbeat.tasks.len() + slots);
+        let mut listed = Vec::with_capacity(heartbeat.tasks.len());
+        for t in &heartbeat.tasks {
             let Some(task) = TaskId::parse(&t.task) else {
                 warn!(machine = %id, task = %t.task, "report names a malformed task");
                 continue;
@@ -169,11 +180,11 @@
             self.merge_task(id, task, t, now);
         }
         listed.sort_unstable();
-        self.merge_absent(id, &listed, hello, report, now);
+        self.merge_absent(id, &listed, hello, heartbeat, now);
         true
     }
 
-    fn merge_task(&mut self, id: &MachineId, task: TaskId, t: &TaskReport, now: Micros) {
+    fn merge_task(&mut self, id: &MachineId, task: TaskId, t: &TaskStatus, now: Micros) {
         let key = (task, t.attempt);
         let known = self.machines.get(id).is_some_and(|m| m.slots().contains_key(&key));
         if !known {
@@ -212,7 +223,7 @@
             SlotState::Ended(why) => {
                 let end = match why {
                     ExitReason::Done => End::Done,
-                    ExitReason::Stopped | ExitReason::PeersGone => End::Cut,
+                    ExitReason::Stopped | ExitReason::GangPeersLost => End::Cut,
                     _ => End::Void,
                 };
                 if !known && end == End::Done {
@@ -298,14 +309,14 @@
                 self.note_image(id, image, gb);
             }
             ExitReason::Error => self.task_failed(id, task, now),
-            ExitReason::NoRoom | ExitReason::Busy => {
+            ExitReason::InsufficientResources | ExitReason::Busy => {
                 // Our view of the machine was wrong: leave it alone until it has reported again.
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.cool_until = now + self.cfg.report.times(2);
+                    m.cool_until = now + self.cfg.heartbeat_interval.times(2);
                 }
                 warn!(machine = %id, task = %task, why = ?why, "start refused");
             }
-            ExitReason::NoSuch => {
+            ExitReason::UnknownTask => {
                 job.hold_until = now + Micros::from_secs(2);
                 warn!(machine = %id, task = %task, "start refused: the worker can't find the job");
             }
@@ -369,11 +380,11 @@
         id: &MachineId,
         listed: &[(TaskId, Attempt)],
         hello: bool,
-        report: &Report,
+        heartbeat: &Heartbeat,
         now: Micros,
     ) {
         let Some(m) = self.machines.get_mut(id) else { return };
-        let now_id = (report.session, report.seq);
+        let now_id = (heartbeat.epoch, heartbeat.sequence);
         let absent: Vec<(TaskId, Attempt)> = m
             .slots()
             .iter()
@@ -405,7 +416,7 @@
         let slots = std::mem::take(m.slots_mut());
         // For all that we know they ran until it was last heard of.
         let seen = m.last_seen;
-        self.orders_due.remove(id);
+        self.commands_due.remove(id);
         let mut held = 0;
         for ((task, attempt), slot) in slots {
             if slot.is_live() {
@@ -473,25 +484,25 @@
             && let Some(slot) = m.slots_mut().get_mut(&key)
         {
             slot.stop = Some(stop);
-            self.orders_due.insert(id.clone());
+            self.commands_due.insert(id.clone());
         }
     }
 
     /// The orders that bring a machine in line; all of them can be repeated.
-    fn orders_for(&mut self, id: &MachineId, answers: Option<(u64, u64)>, now: Micros) -> Vec<Order> {
+    fn orders_for(&mut self, id: &MachineId, answers: Option<(u64, u64)>, now: Micros) -> Vec<Command> {
         let Some(m) = self.machines.get_mut(id) else { return Vec::new() };
-        self.orders_due.remove(id);
+        self.commands_due.remove(id);
         let may_start = m.registered && m.settled(self.token);
         // Stops of work that is over come first and are never left for the next answer: this one renews the
         // lease of whatever it does not stop. (Guards `ran_cancelled`.)
         let mut stops = Vec::new();
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for ((task, attempt), slot) in m.slots_in_flight() {
             let (name, attempt) = (task.to_string(), *attempt);
             let job = self.jobs.get(&task.job);
             // Answers to workers are bounded; the rest goes with the next. A machine holds no more attempts than
             // its report has room for, so all stops fit.
-            let room = orders.len() < MOST_ORDERS;
+            let room = commands.len() < MOST_ORDERS;
             match slot.state {
                 SlotState::Ended(why) => {
                     let recorded = match job {
@@ -503,7 +514,7 @@
                     // A result is reaped only once it is recorded, and an attempt whose start may
                     // yet be executed late never: after a reap it would run again.
                     if room && recorded && !slot.doubtful && !slot.direct {
-                        orders.push(Order::Forget { task: name, attempt });
+                        commands.push(Command::Acknowledge { task: name, attempt });
                     }
                 }
                 SlotState::Sent => {
@@ -514,14 +525,14 @@
                                 Some(a) => slot.offered = Some(a),
                                 None => slot.direct = true,
                             }
-                            orders.push(Order::Start { task: name, attempt });
+                            commands.push(Command::Start { task: name, attempt });
                         }
                         // It may be executed late unless the worker knows it as stopped already.
                         Some(_) if slot.doubtful && now >= slot.since + Micros::from_secs(5) => {
-                            stops.push(Order::Start { task: name.clone(), attempt });
-                            stops.push(Order::Stop { task: name, attempt, grace_s: 0.0 });
+                            stops.push(Command::Start { task: name.clone(), attempt });
+                            stops.push(Command::Stop { task: name, attempt, grace_s: 0.0 });
                         }
-                        Some(_) => stops.push(Order::Stop { task: name, attempt, grace_s: 0.0 }),
+                        Some(_) => stops.push(Command::Stop { task: name, attempt, grace_s: 0.0 }),
                         None => {}
                     }
                 }
@@ -529,12 +540,12 @@
                     if let Some(stop) = slot.stop
                         && (state != TaskState::Saving || stop.grace_s == 0.0)
                     {
-                        stops.push(Order::Stop { task: name, attempt, grace_s: stop.grace_s });
+                        stops.push(Command::Stop { task: name, attempt, grace_s: stop.grace_s });
                     }
                 }
             }
         }
-        stops.append(&mut orders);
+        stops.append(&mut commands);
         stops
     }
 
@@ -560,8 +571,8 @@
             m.probed_at = now;
             self.open_probes += 1;
             // Most machines are in their first session; another is told by the refusal.
-            let session = m.session.max(1);
-            self.actions.push_back(Action::Direct { machine: id, address, session, orders: Vec::new() });
+            let epoch = m.epoch.max(1);
+            self.actions.push_back(Action::Direct { machine: id, address, epoch, commands: Vec::new() });
         }
     }
 
@@ -579,9 +590,9 @@
 
     /// Sends new orders at once instead of with the answer to the next report. Results that are
     /// merely to be forgotten can wait for that.
-    pub(super) fn direct_orders(&mut self, now: Micros) {
+    pub(super) fn pushed_commands(&mut self, now: Micros) {
         let mut later = Vec::new();
-        while let Some(id) = self.orders_due.pop_first() {
+        while let Some(id) = self.commands_due.pop_first() {
             let Some(m) = self.machines.get(&id) else { continue };
             // Whatever is not up yet gets its orders with the answer to its first report.
             if m.phase != Phase::Up || !m.settled(self.token) || m.address.is_none() {
@@ -595,16 +606,16 @@
                 later.push(id);
                 continue;
             }
-            let orders: Vec<Order> = self.orders_for(&id, None, now);
+            let commands: Vec<Command> = self.orders_for(&id, None, now);
             let Some(m) = self.machines.get_mut(&id) else { continue };
             if let Some(address) = m.address
-                && orders.iter().any(|o| !matches!(o, Order::Forget { .. }))
+                && commands.iter().any(|o| !matches!(o, Command::Acknowledge { .. }))
             {
                 m.direct_open = true;
-                self.actions.push_back(Action::Direct { machine: id, address, session: m.session, orders });
+                self.actions.push_back(Action::Direct { machine: id, address, epoch: m.epoch, commands });
             }
         }
-        self.orders_due.extend(later);
+        self.commands_due.extend(later);
     }
 }
 
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`job`], [`fleet`]: the ledger of jobs and machines.
 //! - `check`: the three-way check of a task's recorded previous attempt.
-//! - `reports`: workers' reports rebuild and update the ledger; orders answer them.
+//! - `heartbeats`: workers' reports rebuild and update the ledger; orders answer them.
 //! - `plan`: placement inside the leased blocks, and the demand for machines.
 //! - `rent`: renting and returning machines.
 //! - `register`: which machines may hold tasks, in pages in the state service.
@@ -14,6 +14,7 @@
 mod check;
 mod fleet;
 pub mod fragmentation;
+mod heartbeats;
 mod hours;
 mod job;
 mod learn;
@@ -24,7 +25,6 @@
 mod records;
 mod register;
 mod rent;
-mod reports;
 pub mod reservation;
 pub mod starvation;
 mod tuning;
@@ -33,19 +33,19 @@
 pub use batch::{Batch, BatchError, RegisterPage, Write};
 pub use check::Verdict;
 pub use fleet::{Load, Machine, Phase, Slot, SlotState};
+pub use heartbeats::Answer;
 pub use job::{EndRecord, Job, JobRecord};
 pub use learn::{Ask, Past, When};
 pub use plan::HELD;
 pub use ranges::Ranges;
 pub use rent::RentOutcome;
-pub use reports::Answer;
 pub use tuning::Tuning;
 
 use crate::provisioning::Boots;
 use crate::reservation::KeptRoom;
 use hopyoke_consistency::Ended;
 use hopyoke_protocol::cloud::MachineType;
-use hopyoke_protocol::worker::Order;
+use hopyoke_protocol::worker::Command;
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
@@ -58,7 +58,7 @@
 pub struct Config {
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     pub lease: Micros,
     pub gang_wait: Micros,
     pub gang_peer: Micros,
@@ -86,7 +86,7 @@
                     gpus_max: t.gpus_max,
                 })
                 .collect(),
-            report: Micros::from_secs_f64(f.workers.report_s),
+            heartbeat_interval: Micros::from_secs_f64(f.workers.report_s),
             lease: Micros::from_secs_f64(f.workers.lease_s),
             gang_wait: Micros::from_secs_f64(f.workers.gang_wait_s),
             gang_peer: Micros::from_secs_f64(f.workers.gang_peer_s),
@@ -148,8 +148,8 @@
     Direct {
         machine: MachineId,
         address: std::net::SocketAddr,
-        session: u64,
-        orders: Vec<Order>,
+        epoch: u64,
+        commands: Vec<Command>,
     },
 }
 
@@ -204,7 +204,7 @@
     /// When silent machines and lapsed leases are looked for again.
     next_sweep: Micros,
     /// Machines whose orders have changed since they were last sent.
-    orders_due: BTreeSet<MachineId>,
+    commands_due: BTreeSet<MachineId>,
     register: register::Register,
     /// Machines to be asked what is on them, after a takeover.
     probes: VecDeque<MachineId>,
@@ -261,7 +261,7 @@
             tuning: Tuning::default(),
             plans: 0,
             next_sweep: Micros::ZERO,
-            orders_due: BTreeSet::new(),
+            commands_due: BTreeSet::new(),
             register: register::Register::default(),
             probes: VecDeque::new(),
             open_probes: 0,
@@ -302,7 +302,7 @@
         if now >= self.deaf_until {
             info!(machines = self.machines.len(), "not all machines can be heard");
         }
-        self.deaf_until = now + self.cfg.report.times(2);
+        self.deaf_until = now + self.cfg.heartbeat_interval.times(2);
     }
 
     fn is_deaf(&self, now: Micros) -> bool {
@@ -377,14 +377,14 @@
 
     /// Something waits to be done or sent.
     pub fn has_actions(&self) -> bool {
-        !self.actions.is_empty() || !self.orders_due.is_empty() || self.may_probe()
+        !self.actions.is_empty() || !self.commands_due.is_empty() || self.may_probe()
     }
 
     /// Does what is due; to be called after events and at least every half second.
     pub fn tick(&mut self, now: Micros) {
         self.settle(now);
         self.probe(now);
-        self.direct_orders(now);
+        self.pushed_commands(now);
     }
 
     /// All of a tick but the sending of direct orders.
@@ -533,7 +533,7 @@
     /// be back, and machines rented there now could not report either.
     fn note_cut_zones(&mut self, now: Micros) {
         let zones = self.cfg.zones.len() + 1;
-        let quiet = self.cfg.report.times(2) + Micros::from_secs(1);
+        let quiet = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(1);
         let mut seen = vec![(0usize, 0usize); zones];
         for m in self.machines.values().filter(|m| m.registered && !m.deleting) {
             let since = m.last_seen.max(self.resumed);
@@ -561,13 +561,14 @@
     /// that its tasks are gone, sooner than its lease's lapse would. Were it this node that is cut
     /// off, most would be silent, and nothing is deleted.
     fn give_up_silent(&mut self, now: Micros) {
-        let silent_after = (self.cfg.report.times(4)).max(Micros::from_secs(8));
+        let silent_after = (self.cfg.heartbeat_interval.times(4)).max(Micros::from_secs(8));
         // After a takeover, or a time in which we were not entitled to answer (scenario
         // outage_short), workers need a moment to find us.
         let since = |m: &Machine| m.last_seen.max(self.resumed + Micros::from_secs(1));
         let watched: Vec<&Machine> =
             self.machines.values().filter(|m| m.registered && m.phase != Phase::Lost && !m.deleting).collect();
-        let is_fresh = |m: &&&Machine| m.phase == Phase::Up && now < m.last_seen + self.cfg.report.times(2);
+        let is_fresh =
+            |m: &&&Machine| m.phase == Phase::Up && now < m.last_seen + self.cfg.heartbeat_interval.times(2);
         let fresh = watched.iter().filter(is_fresh).count();
         if fresh == 0 {
             return;
@@ -584,8 +585,8 @@
         let is_mute = |m: &Machine| m.unreachable || (m.probing && now >= m.probed_at + MUTE_AFTER);
         let mute = watched.iter().filter(|m| self.recovering && self.unaccounted(m) && is_mute(m)).count();
         let last_few = !deaf && open > 0 && open == mute && open * 50 <= watched.len();
-        let overdue_after = Micros(self.cfg.report.0 * 5 / 4) + Micros::from_secs(1);
-        let unlisted_after = self.cfg.report.times(2);
+        let overdue_after = Micros(self.cfg.heartbeat_interval.0 * 5 / 4) + Micros::from_secs(1);
+        let unlisted_after = self.cfg.heartbeat_interval.times(2);
         let unlisted = |m: &Machine| self.listed.as_ref().is_some_and(|l| !l.contains(&m.id));
         let silent: Vec<MachineId> = watched
             .iter()
@@ -646,7 +647,7 @@
                 m.phase = Phase::Lost;
                 m.deleting |= !cut && !deaf;
                 m.idle_since = None;
-                info!(machine = %id, zone = %m.zone, spot = m.spot, tasks = held, session = m.session, "machine lost: its lease lapsed");
+                info!(machine = %id, zone = %m.zone, spot = m.spot, tasks = held, epoch = m.epoch, "machine lost: its lease lapsed");
             }
             self.changed = true;
         }
--- a/crates/hopyoke-scheduler/src/plan/mod.rs
+++ b/crates/hopyoke-scheduler/src/plan/mod.rs
@@ -266,7 +266,7 @@
         if self.tuning.use_for_demand {
             self.run_commanded(&task, s.attempt, now);
         }
-        self.orders_due.insert(s.machine.clone());
+        self.commands_due.insert(s.machine.clone());
         self.place_add(&s.machine, &task, s.attempt);
     }
 
--- a/crates/hopyoke-scheduler/src/plan/view.rs
+++ b/crates/hopyoke-scheduler/src/plan/view.rs
@@ -251,7 +251,7 @@
 
 impl Core {
     pub(super) fn fill_bins(&mut self, plan: &mut Plan, now: Micros) {
-        let quiet = self.cfg.report.times(2) + Micros::from_secs(2);
+        let quiet = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(2);
         let Core { machines, cfg, types, token, .. } = self;
         for m in machines.values_mut() {
             let load = m.load(&cfg.teams);
--- a/crates/hopyoke-scheduler/src/records.rs
+++ b/crates/hopyoke-scheduler/src/records.rs
@@ -227,7 +227,7 @@
                             // It may start now; results are reaped with the next answers.
                             if first_start || job.is_gang() {
                                 let places = job.places.values().flatten().map(|(m, _)| m.clone());
-                                self.orders_due.extend(places);
+                                self.commands_due.extend(places);
                             }
                         }
                         Err(e) => self.reread_after(&id, e),
--- a/crates/hopyoke-scheduler/tests/direct_orders.rs
+++ b/crates/hopyoke-scheduler/tests/pushed_commands.rs
@@ -2,7 +2,7 @@
 
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::JobSpec;
-use hopyoke_protocol::worker::{Order, Report};
+use hopyoke_protocol::worker::{Command, Heartbeat};
 use hopyoke_scheduler::{Action, Config, Core, JobRecord, RegisterPage, Team};
 use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, Micros, ModRevision};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
     Config {
         zones: vec!["a".into()],
         teams: vec![Team { name: "crew".into(), ..Team::default() }],
-        report: Micros::from_secs(2),
+        heartbeat_interval: Micros::from_secs(2),
         lease: Micros::from_secs(14),
         gang_wait: Micros::from_secs(50),
         gang_peer: Micros::from_secs(6),
@@ -70,24 +70,24 @@
         at,
     );
     core.set_catalog(vec![machine_type()]);
-    let report = Report {
+    let heartbeat = Heartbeat {
         machine: machine.clone(),
         address: "10.1.0.1:9000".into(),
         machine_type: "std".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq: 3,
+        epoch: 1,
+        sequence: 3,
         token: FencingToken(5),
-        notice_s: None,
+        preemption_notice_s: None,
         tasks: Vec::new(),
     };
     let probed = std::iter::from_fn(|| core.next_action()).count();
     assert_eq!(probed, 0);
-    core.direct_answer(&machine, true, Some(&report), at);
+    core.direct_answer(&machine, true, Some(&heartbeat), at);
     core.tick(at + Micros::from_secs(1));
     let starts = |a: Action| match a {
-        Action::Direct { orders, .. } => orders.iter().any(|o| matches!(o, Order::Start { .. })),
+        Action::Direct { commands, .. } => commands.iter().any(|o| matches!(o, Command::Start { .. })),
         _ => false,
     };
     assert!(std::iter::from_fn(|| core.next_action()).any(starts), "the task is started");
--- a/crates/hopyoke-simulator/src/controller.rs
+++ b/crates/hopyoke-simulator/src/controller.rs
@@ -2,14 +2,14 @@
 
 use super::digest::Channel;
 use super::store::{Change, Store, Value};
-use super::worker::{MOST_CHARS, report_chars};
+use super::worker::{MOST_CHARS, heartbeat_chars};
 use super::{Host, World};
 use hopyoke_admission::Importance;
 use hopyoke_consistency::leader_lease::{Entitlement, PROMISE};
 use hopyoke_consistency::{Confirmed, Delivered};
 use hopyoke_protocol::cloud::Rent;
 use hopyoke_protocol::user::JobState;
-use hopyoke_protocol::worker::Report;
+use hopyoke_protocol::worker::Heartbeat;
 use hopyoke_scheduler::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, RentOutcome, Write};
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
@@ -629,8 +629,8 @@
                 });
             }
             Action::Reread { job } => self.reread(i, process, job),
-            Action::Direct { machine, session, orders, .. } => {
-                self.log(|| format!("node {i} to {machine} session {session} {orders:?}"));
+            Action::Direct { machine, epoch, commands, .. } => {
+                self.log(|| format!("node {i} to {machine} session {epoch} {commands:?}"));
                 let m = machine.clone();
                 let sent = self.now;
                 if self.no_sockets.get(&i).is_some_and(|t| sent < *t) {
@@ -640,12 +640,12 @@
                     return;
                 }
                 self.send(Host::Node(i), self.worker(&machine), move |w| {
-                    w.direct_arrives(i, process, machine, token, session, orders, sent);
+                    w.direct_arrives(i, process, machine, token, epoch, commands, sent);
                 });
                 self.timer(i, Micros::from_secs(3), move |w| {
                     let now = w.now;
                     if let Some(l) = w.lead(i, process)
-                        && l.core.machines.get(&m).is_some_and(|x| x.direct_open && x.session.max(1) == session)
+                        && l.core.machines.get(&m).is_some_and(|x| x.direct_open && x.epoch.max(1) == epoch)
                     {
                         l.core.direct_failed(&m, true, now);
                     }
@@ -688,23 +688,23 @@
         process: u64,
         machine: MachineId,
         token: FencingToken,
-        session: u64,
-        orders: Vec<hopyoke_protocol::worker::Order>,
+        epoch: u64,
+        commands: Vec<hopyoke_protocol::worker::Command>,
         sent: Micros,
     ) {
         let held = self.machines.get(&machine).map(|m| m.orders_held_until).filter(|t| *t > self.now);
         if let Some(t) = self.hung(&machine).or(held) {
-            return self.at(t, move |w| w.direct_arrives(i, process, machine, token, session, orders, sent));
+            return self.at(t, move |w| w.direct_arrives(i, process, machine, token, epoch, commands, sent));
         }
         if self.hits(self.late_commands) {
             let late = Micros(self.random(2_000_000, 16_000_000));
             // It reaches the worker, whoever leads by now; nobody waits for the answer.
             return self.on_machine(&machine.clone(), late, move |w| {
                 w.log(|| format!("{machine} takes orders of token {} late", token.0));
-                w.direct(&machine, token, session, orders);
+                w.direct(&machine, token, epoch, commands);
             });
         }
-        let Some((executed, report)) = self.direct(&machine, token, session, orders) else { return };
+        let Some((executed, heartbeat)) = self.direct(&machine, token, epoch, commands) else { return };
         let leaves = self.machines.get(&machine).map_or(self.now, |m| m.answers_held_until);
         if self.now.max(leaves) >= sent + Micros::from_secs(3) {
             return;
@@ -715,7 +715,7 @@
                 if now < sent + Micros::from_secs(3)
                     && let Some(l) = w.lead(i, process)
                 {
-                    l.core.direct_answer(&machine, executed, Some(&report), now);
+                    l.core.direct_answer(&machine, executed, Some(&heartbeat), now);
                     w.act(i, process);
                 }
             });
@@ -804,30 +804,31 @@
     }
 
     /// A report reaches a node.
-    pub fn node_report(&mut self, i: usize, report: Report, number: u64, copy: bool) {
+    pub fn node_heartbeat(&mut self, i: usize, heartbeat: Heartbeat, number: u64, copy: bool) {
         if !self.nodes[i].up && copy {
             return;
         }
         if !self.nodes[i].up {
-            let (m, s) = (report.machine.clone(), report.session);
+            let (m, s) = (heartbeat.machine.clone(), heartbeat.epoch);
             let sent = self.now;
-            return self
-                .after(Micros::from_millis(5), move |w| w.report_answered(&m, s, number, sent, Some(Err(None))));
+            return self.after(Micros::from_millis(5), move |w| {
+                w.heartbeat_answered(&m, s, number, sent, Some(Err(None)))
+            });
         }
-        self.digest_message(Channel::Heartbeat, &report);
+        self.digest_message(Channel::Heartbeat, &heartbeat);
         let now = self.now;
         let entitled = self.entitled(i);
         let seen = self.nodes[i].leader_seen;
         let answer = match &mut self.nodes[i].lead {
             // No node takes a longer body.
-            _ if report_chars(&report) > MOST_CHARS => Err(None),
-            Some(l) if entitled && report.token <= l.core.token => {
+            _ if heartbeat_chars(&heartbeat) > MOST_CHARS => Err(None),
+            Some(l) if entitled && heartbeat.token <= l.core.token => {
                 let (looks, plans) = (l.core.looks(), l.core.plans());
-                let a = l.core.report(&report, now);
+                let a = l.core.heartbeat(&heartbeat, now);
                 if l.core.plans() == plans {
                     self.report_looks = self.report_looks.max(l.core.looks() - looks);
                 }
-                Ok((a.token, a.orders))
+                Ok((a.token, a.commands))
             }
             Some(_) => Err(None),
             None => Err(seen.filter(|s| *s != i)),
@@ -837,10 +838,10 @@
             // Nobody waits for its answer.
             return self.act(i, p);
         }
-        let (m, s) = (report.machine.clone(), report.session);
+        let (m, s) = (heartbeat.machine.clone(), heartbeat.epoch);
         let sent = self.machines.get(&m).map_or(now, |m| m.last_report);
         let to = self.worker(&m);
-        self.send(Host::Node(i), to, move |w| w.report_answered(&m, s, number, sent, Some(answer)));
+        self.send(Host::Node(i), to, move |w| w.heartbeat_answered(&m, s, number, sent, Some(answer)));
         self.act(i, p);
     }
 
--- a/crates/hopyoke-simulator/src/digest.rs
+++ b/crates/hopyoke-simulator/src/digest.rs
@@ -4,7 +4,7 @@
 use super::World;
 use super::store::{Change, Value};
 use hopyoke_protocol::state::Condition;
-use hopyoke_protocol::worker::{DirectOrders, Order, Orders};
+use hopyoke_protocol::worker::{Command, HeartbeatResponse, PushedCommands};
 use hopyoke_types::FencingToken;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
@@ -15,7 +15,7 @@
     /// A worker's heartbeat as a controller receives it.
     Heartbeat = 1,
     /// The answer to a heartbeat as the worker receives it.
-    HeartbeatAnswer = 2,
+    HeartbeatResponse = 2,
     /// Commands pushed to a worker.
     PushedCommands = 3,
     /// A transaction that reaches the key-value store.
@@ -77,14 +77,14 @@
     }
 
     /// Adds the answer to a heartbeat.
-    pub(crate) fn digest_orders(&mut self, token: FencingToken, orders: &[Order]) {
-        let answer = Orders { token, orders: orders.to_vec() };
-        self.digest_message(Channel::HeartbeatAnswer, &answer);
+    pub(crate) fn digest_heartbeat_response(&mut self, token: FencingToken, commands: &[Command]) {
+        let answer = HeartbeatResponse { token, commands: commands.to_vec() };
+        self.digest_message(Channel::HeartbeatResponse, &answer);
     }
 
     /// Adds commands that reach a worker directly.
-    pub(crate) fn digest_direct(&mut self, token: FencingToken, session: u64, orders: &[Order]) {
-        let direct = DirectOrders { token, session, orders: orders.to_vec() };
+    pub(crate) fn digest_pushed_commands(&mut self, token: FencingToken, epoch: u64, commands: &[Command]) {
+        let direct = PushedCommands { token, epoch, commands: commands.to_vec() };
         self.digest_message(Channel::PushedCommands, &direct);
     }
 
--- a/crates/hopyoke-simulator/src/lib.rs
+++ b/crates/hopyoke-simulator/src/lib.rs
@@ -227,7 +227,7 @@
             cfg: Config {
                 zones: vec!["a".into(), "b".into(), "c".into()],
                 teams: Vec::new(),
-                report: Micros::from_secs(2),
+                heartbeat_interval: Micros::from_secs(2),
                 lease: Micros::from_secs(14),
                 gang_wait: Micros::from_secs(50),
                 gang_peer: Micros::from_secs(6),
--- a/crates/hopyoke-simulator/src/script.rs
+++ b/crates/hopyoke-simulator/src/script.rs
@@ -191,7 +191,7 @@
         }
         "patience" => w.patience = Some(secs(word(&mut it))),
         "idle_return" => w.tuning.idle_return = secs(word(&mut it)),
-        "report" => w.cfg.report = secs(word(&mut it)),
+        "report" => w.cfg.heartbeat_interval = secs(word(&mut it)),
         "lease" => w.cfg.lease = secs(word(&mut it)),
         "cancel_s" => w.cancel_s = secs(word(&mut it)),
         "capacity" => {
@@ -430,7 +430,7 @@
             if let Some(m) = w.machines.get_mut(&id) {
                 m.notice = Some(until);
             }
-            w.report_soon(&id);
+            w.heartbeat_soon(&id);
             w.at(until, move |w| w.remove_machine(&id));
         }
         other => panic!("unknown event {other}"),
--- a/crates/hopyoke-simulator/src/store.rs
+++ b/crates/hopyoke-simulator/src/store.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use super::digest::Channel;
-use hopyoke_protocol::worker::Report;
+use hopyoke_protocol::worker::Heartbeat;
 use hopyoke_scheduler::{EndRecord, JobRecord, RegisterPage};
 use hopyoke_types::Micros;
 use std::collections::BTreeMap;
@@ -139,7 +139,7 @@
     pub held: Spell,
     /// How long after the beginning.
     pub after: Micros,
-    pub kept: Vec<Report>,
+    pub kept: Vec<Heartbeat>,
 }
 
 impl World {
--- a/crates/hopyoke-simulator/src/worker.rs
+++ b/crates/hopyoke-simulator/src/worker.rs
@@ -2,7 +2,7 @@
 
 use super::{Host, World};
 use hopyoke_protocol::user::JobKind;
-use hopyoke_protocol::worker::{ExitReason, Order, Report, TaskReport, TaskState};
+use hopyoke_protocol::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, TaskId};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 }
 
 /// 200 with orders, or another status, perhaps with the node to go to.
-pub type Answer = Result<(FencingToken, Vec<Order>), Option<usize>>;
+pub type Answer = Result<(FencingToken, Vec<Command>), Option<usize>>;
 
 pub struct Worker {
     pub id: MachineId,
@@ -38,8 +38,8 @@
     pub sick: bool,
     /// How many times as long tasks take here.
     pub slowness: f64,
-    pub session: u64,
-    pub seq: u64,
+    pub epoch: u64,
+    pub sequence: u64,
     pub token: FencingToken,
     pub notice: Option<Micros>,
     pub tasks: BTreeMap<(TaskId, Attempt), Task>,
@@ -70,8 +70,8 @@
             answers_held_until: Micros::ZERO,
             sick: false,
             slowness: 1.0,
-            session: 1,
-            seq: 0,
+            epoch: 1,
+            sequence: 0,
             token: FencingToken(0),
             notice: None,
             tasks: BTreeMap::new(),
@@ -84,12 +84,12 @@
         }
     }
 
-    pub fn report(&mut self, now: Micros) -> Report {
-        self.seq += 1;
+    pub fn heartbeat(&mut self, now: Micros) -> Heartbeat {
+        self.sequence += 1;
         let tasks = self
             .tasks
             .iter()
-            .map(|((task, attempt), t)| TaskReport {
+            .map(|((task, attempt), t)| TaskStatus {
                 task: task.to_string(),
                 attempt: *attempt,
                 state: t.state,
@@ -97,26 +97,26 @@
                 saved: t.saved,
             })
             .collect();
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             address: format!("10.1.0.1:{}", 1000 + self.id.as_str()[2..].parse::<u32>().unwrap_or(0)),
             machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            epoch: self.epoch,
+            sequence: self.sequence,
             token: self.token,
-            notice_s: self.notice.map(|t| (t - now).as_secs_f64()),
+            preemption_notice_s: self.notice.map(|t| (t - now).as_secs_f64()),
             tasks,
         }
     }
 }
 
 /// How long a report is in the form in which the protocol counts its limit.
-pub fn report_chars(report: &Report) -> usize {
+pub fn heartbeat_chars(heartbeat: &Heartbeat) -> usize {
     let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
-    let of = |t: &TaskReport| 62 + t.task.len() + digits(t.attempt.0);
-    220 + report.tasks.iter().map(of).sum::<usize>()
+    let of = |t: &TaskStatus| 62 + t.task.len() + digits(t.attempt.0);
+    220 + heartbeat.tasks.iter().map(of).sum::<usize>()
 }
 
 /// A body may have this many.
@@ -138,7 +138,7 @@
 
     /// The worker's own timer.
     fn worker_loop(&mut self, id: &MachineId) {
-        let base = self.cfg.report.0;
+        let base = self.cfg.heartbeat_interval.0;
         let wait = Micros(self.random(base * 3 / 4, base * 5 / 4));
         let m = id.clone();
         self.after(wait, move |w| {
@@ -158,7 +158,7 @@
         let Some(m) = self.machines.get_mut(id) else { return };
         let limit = Micros((lease.0 as f64 * (1.0 + m.drift)) as u64);
         if now > m.lease_from + limit {
-            m.session += 1;
+            m.epoch += 1;
             self.lapses += 1;
             m.lease_from = now;
             m.in_flight = None;
@@ -188,7 +188,7 @@
     }
 
     /// Reports soon, because something has changed.
-    pub fn report_soon(&mut self, id: &MachineId) {
+    pub fn heartbeat_soon(&mut self, id: &MachineId) {
         let now = self.now;
         let Some(m) = self.machines.get_mut(id) else { return };
         if std::mem::replace(&mut m.wanted, true) {
@@ -214,8 +214,8 @@
         if !m.up || m.in_flight.is_some() {
             return;
         }
-        let report = m.report(now);
-        let number = m.seq;
+        let heartbeat = m.heartbeat(now);
+        let number = m.sequence;
         m.in_flight = Some(number);
         m.last_report = now;
         let node = m.node;
@@ -224,61 +224,63 @@
             // Its connection finds no room.
             let (s, me) = (m_session(self, id), me);
             return self.after(Micros::from_millis(1), move |w| {
-                w.report_answered(&me, s, number, now, Some(Err(None)));
+                w.heartbeat_answered(&me, s, number, now, Some(Err(None)));
             });
         }
-        let session = m_session(self, id);
+        let epoch = m_session(self, id);
         if self.machines.get(id).is_some_and(|m| now < m.mute_until) {
             // It opens no connection.
-            return self.after(Micros::from_secs(4), move |w| w.report_answered(&me, session, number, now, None));
+            return self.after(Micros::from_secs(4), move |w| w.heartbeat_answered(&me, epoch, number, now, None));
         }
         if self.hits(self.late_reports) {
             // A copy arrives again, up to well over a lease later.
-            let copy = report.clone();
+            let copy = heartbeat.clone();
             let span = Micros(self.random(2_000_000, self.cfg.lease.0 * 8 / 5));
             self.after(span, move |w| {
                 let from = w.worker(&copy.machine);
-                w.send(from, Host::Node(node), move |w| w.node_report(node, copy, number, true));
+                w.send(from, Host::Node(node), move |w| w.node_heartbeat(node, copy, number, true));
             });
         }
         if self.hits(self.reports_for_next.copied) {
-            self.reports_for_next.kept.push(report.clone());
+            self.reports_for_next.kept.push(heartbeat.clone());
         }
         if self.hits(self.reports_for_next.held) {
-            self.reports_for_next.kept.push(report);
+            self.reports_for_next.kept.push(heartbeat);
         } else {
-            self.send(self.worker(id), Host::Node(node), move |w| w.node_report(node, report, number, false));
+            self.send(self.worker(id), Host::Node(node), move |w| {
+                w.node_heartbeat(node, heartbeat, number, false)
+            });
         }
         self.after(Micros::from_secs(4), move |w| {
-            w.report_answered(&me, session, number, now, None);
+            w.heartbeat_answered(&me, epoch, number, now, None);
         });
     }
 
     /// A new leader begins: reports that were kept for it reach every controller, out of order.
     pub fn next_leader_begins(&mut self) {
-        for report in std::mem::take(&mut self.reports_for_next.kept) {
+        for heartbeat in std::mem::take(&mut self.reports_for_next.kept) {
             for node in 0..self.nodes.len() {
-                let (report, seq) = (report.clone(), report.seq);
+                let (heartbeat, sequence) = (heartbeat.clone(), heartbeat.sequence);
                 self.after(self.reports_for_next.after, move |w| {
-                    let from = w.worker(&report.machine);
-                    w.send(from, Host::Node(node), move |w| w.node_report(node, report, seq, true));
+                    let from = w.worker(&heartbeat.machine);
+                    w.send(from, Host::Node(node), move |w| w.node_heartbeat(node, heartbeat, sequence, true));
                 });
             }
         }
     }
 
     /// An answer to a report, or its absence. `Some(Ok)`: 200, `Some(Err)`: another node.
-    pub fn report_answered(
+    pub fn heartbeat_answered(
         &mut self,
         id: &MachineId,
-        session: u64,
+        epoch: u64,
         number: u64,
         sent: Micros,
         answer: Option<Answer>,
     ) {
         if let Some(t) = self.hung(id) {
             let id = id.clone();
-            return self.at(t, move |w| w.report_answered(&id, session, number, sent, answer));
+            return self.at(t, move |w| w.heartbeat_answered(&id, epoch, number, sent, answer));
         }
         let nodes = self.nodes.len();
         let now = self.now;
@@ -288,9 +290,9 @@
         }
         if now < m.answers_held_until && answer.is_some() {
             let (id, until) = (id.clone(), m.answers_held_until);
-            return self.at(until, move |w| w.report_answered(&id, session, number, sent, answer));
+            return self.at(until, move |w| w.heartbeat_answered(&id, epoch, number, sent, answer));
         }
-        if m.in_flight != Some(number) || m.session != session {
+        if m.in_flight != Some(number) || m.epoch != epoch {
             return;
         }
         if now > sent + Micros::from_secs(4) && answer.is_some() {
@@ -298,17 +300,17 @@
         }
         m.in_flight = None;
         match answer {
-            Some(Ok((token, orders))) => {
-                self.digest_orders(token, &orders);
+            Some(Ok((token, commands))) => {
+                self.digest_heartbeat_response(token, &commands);
                 let Some(m) = self.machines.get_mut(id) else { return };
                 if token >= m.token {
                     let higher = token > m.token;
                     m.token = token;
                     m.lease_from = sent;
                     if higher {
-                        self.report_soon(id);
+                        self.heartbeat_soon(id);
                     }
-                    self.execute(id, orders);
+                    self.execute(id, commands);
                 }
             }
             Some(Err(Some(to))) if to != m.node => {
@@ -329,28 +331,28 @@
         &mut self,
         id: &MachineId,
         token: FencingToken,
-        session: u64,
-        orders: Vec<Order>,
-    ) -> Option<(bool, Report)> {
-        self.digest_direct(token, session, &orders);
+        epoch: u64,
+        commands: Vec<Command>,
+    ) -> Option<(bool, Heartbeat)> {
+        self.digest_pushed_commands(token, epoch, &commands);
         let now = self.now;
         let m = self.machines.get_mut(id).filter(|m| now >= m.deaf_until)?;
-        let ok = token >= m.token && session == m.session;
+        let ok = token >= m.token && epoch == m.epoch;
         if ok {
             m.token = token;
-            self.execute(id, orders);
+            self.execute(id, commands);
         }
         let m = self.machines.get_mut(id)?;
-        Some((ok, m.report(now)))
+        Some((ok, m.heartbeat(now)))
     }
 
-    pub fn execute(&mut self, id: &MachineId, orders: Vec<Order>) {
-        for order in orders {
-            self.log(|| format!("{id} {order:?}"));
-            match order {
-                Order::Start { task, attempt } => self.start(id, &task, attempt),
-                Order::Stop { task, attempt, grace_s } => self.stop(id, &task, attempt, grace_s),
-                Order::Forget { task, attempt } => {
+    pub fn execute(&mut self, id: &MachineId, commands: Vec<Command>) {
+        for command in commands {
+            self.log(|| format!("{id} {command:?}"));
+            match command {
+                Command::Start { task, attempt } => self.start(id, &task, attempt),
+                Command::Stop { task, attempt, grace_s } => self.stop(id, &task, attempt, grace_s),
+                Command::Acknowledge { task, attempt } => {
                     if let (Some(t), Some(m)) = (TaskId::parse(&task), self.machines.get_mut(id))
                         && m.tasks.get(&(t.clone(), attempt)).is_some_and(|x| x.state == TaskState::Ended)
                     {
@@ -385,40 +387,40 @@
             }
         }
         let why = match (&spec, kind) {
-            (None, _) => Some(ExitReason::NoSuch),
+            (None, _) => Some(ExitReason::UnknownTask),
             (Some(_), _) if busy => Some(ExitReason::Busy),
             (Some(s), Some(k))
                 if used.0 + s.cpus > k.cpus + 1e-6
                     || used.1 + s.gpus > k.gpus + 1e-6
                     || used.2 + s.memory_gb > k.memory_gb + 1e-6 =>
             {
-                Some(ExitReason::NoRoom)
+                Some(ExitReason::InsufficientResources)
             }
             _ => None,
         };
         let state = if why.is_some() { TaskState::Ended } else { TaskState::Fetching };
         m.tasks.insert(key, Task { state, why, saved: false, started: now });
-        let (Some(spec), None) = (spec, why) else { return self.report_soon(id) };
+        let (Some(spec), None) = (spec, why) else { return self.heartbeat_soon(id) };
         let cached = m.images.contains(&spec.image);
         let rate = kind.map_or(1.0, |k| k.fetch_gb_per_s);
         let fetch = if cached { Micros::from_millis(1) } else { Micros::from_secs_f64(spec.image_gb / rate) };
-        let session = m.session;
+        let epoch = m.epoch;
         let me = id.clone();
-        self.report_soon(id);
-        self.on_machine(id, fetch, move |w| w.fetched(&me, session, task, attempt));
+        self.heartbeat_soon(id);
+        self.on_machine(id, fetch, move |w| w.fetched(&me, epoch, task, attempt));
     }
 
-    fn live(&mut self, id: &MachineId, session: u64, key: &(TaskId, Attempt)) -> Option<&mut Task> {
+    fn live(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) -> Option<&mut Task> {
         let m = self.machines.get_mut(id)?;
-        if m.session != session {
+        if m.epoch != epoch {
             return None;
         }
         m.tasks.get_mut(key).filter(|t| t.state != TaskState::Ended)
     }
 
-    fn fetched(&mut self, id: &MachineId, session: u64, task: TaskId, attempt: Attempt) {
+    fn fetched(&mut self, id: &MachineId, epoch: u64, task: TaskId, attempt: Attempt) {
         let key = (task.clone(), attempt);
-        if self.live(id, session, &key).is_none_or(|t| t.state != TaskState::Fetching) {
+        if self.live(id, epoch, &key).is_none_or(|t| t.state != TaskState::Fetching) {
             return;
         }
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
@@ -439,29 +441,29 @@
             return self.exit(id, &key, ExitReason::Error, false);
         }
         if spec.kind == JobKind::Gang {
-            if let Some(t) = self.live(id, session, &key) {
+            if let Some(t) = self.live(id, epoch, &key) {
                 t.state = TaskState::Waiting;
             }
             let wait = self.cfg.gang_wait;
             let (me, k) = (id.clone(), key.clone());
             self.on_machine(id, wait, move |w| {
-                if w.live(&me, session, &k).is_some_and(|t| t.state == TaskState::Waiting) {
+                if w.live(&me, epoch, &k).is_some_and(|t| t.state == TaskState::Waiting) {
                     w.exit(&me, &k, ExitReason::Incomplete, false);
                 }
             });
-            self.report_soon(id);
+            self.heartbeat_soon(id);
             return self.gang_ready(&task.job, attempt);
         }
-        self.begin(id, session, &key);
+        self.begin(id, epoch, &key);
     }
 
-    fn begin(&mut self, id: &MachineId, session: u64, key: &(TaskId, Attempt)) {
+    fn begin(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
         let now = self.now;
-        if let Some(t) = self.live(id, session, key) {
+        if let Some(t) = self.live(id, epoch, key) {
             t.state = TaskState::Running;
             t.started = now;
         }
-        self.report_soon(id);
+        self.heartbeat_soon(id);
         let Some(job) = self.jobs.get(&key.0.job) else { return };
         if job.spec.kind == JobKind::Service {
             return;
@@ -475,11 +477,11 @@
         let left = Micros((left.0 as f64 * slowest) as u64);
         let (me, k) = (id.clone(), key.clone());
         self.ends_in(&key.0, left);
-        self.on_machine(id, left, move |w| w.complete(&me, session, &k));
+        self.on_machine(id, left, move |w| w.complete(&me, epoch, &k));
     }
 
-    fn complete(&mut self, id: &MachineId, session: u64, key: &(TaskId, Attempt)) {
-        if self.live(id, session, key).is_none_or(|t| t.state != TaskState::Running) {
+    fn complete(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
+        if self.live(id, epoch, key).is_none_or(|t| t.state != TaskState::Running) {
             return;
         }
         let gang = self.jobs.get(&key.0.job).is_some_and(|j| j.spec.kind == JobKind::Gang);
@@ -543,7 +545,7 @@
                 let wait = Micros(self.random(0, peer.0));
                 self.on_machine(&m.clone(), wait, move |w| {
                     if w.live(&m, s, &key).is_some() {
-                        w.exit(&m, &key, ExitReason::PeersGone, false);
+                        w.exit(&m, &key, ExitReason::GangPeersLost, false);
                     }
                 });
             }
@@ -553,10 +555,10 @@
     fn stop(&mut self, id: &MachineId, task: &str, attempt: Attempt, grace_s: f64) {
         let Some(task) = TaskId::parse(task) else { return };
         let key = (task, attempt);
-        let session = m_session(self, id);
+        let epoch = m_session(self, id);
         let Some(job) = self.jobs.get(&key.0.job) else { return };
         let spec = job.spec.clone();
-        let Some(t) = self.live(id, session, &key) else { return };
+        let Some(t) = self.live(id, epoch, &key) else { return };
         let saves = t.state == TaskState::Running && spec.checkpoint_s > 0.0 && grace_s >= spec.save_s;
         if t.state == TaskState::Saving && grace_s > 0.0 {
             return;
@@ -567,9 +569,9 @@
         t.state = TaskState::Saving;
         let progress = self.now - self.machines[id].tasks[&key].started;
         let me = id.clone();
-        self.report_soon(id);
+        self.heartbeat_soon(id);
         self.on_machine(id, Micros::from_secs_f64(spec.save_s), move |w| {
-            if w.live(&me, session, &key).is_none_or(|t| t.state != TaskState::Saving) {
+            if w.live(&me, epoch, &key).is_none_or(|t| t.state != TaskState::Saving) {
                 return;
             }
             let whole = w.members(&key.0.job, key.1).len() as u32 == spec.tasks;
@@ -587,7 +589,7 @@
             t.saved = saved;
         }
         self.log(|| format!("{id} {} exits: {why:?}", key.0));
-        self.report_soon(id);
+        self.heartbeat_soon(id);
         if why != ExitReason::Done {
             self.gang_lost(&key.0.job, key.1);
         }
@@ -595,5 +597,5 @@
 }
 
 pub fn m_session(w: &World, id: &MachineId) -> u64 {
-    w.machines.get(id).map_or(0, |m| m.session)
+    w.machines.get(id).map_or(0, |m| m.epoch)
 }
--- a/crates/hopyoke/src/carriage.rs
+++ b/crates/hopyoke/src/carriage.rs
@@ -22,8 +22,8 @@
 
 impl Carriage {
     /// Carries a report to the leader. `None`: it has not been answered.
-    pub async fn carry(&self, report: Vec<u8>) -> Option<Vec<u8>> {
-        let number = self.carrier.borrow_mut().arrive(report, runtime::now())?;
+    pub async fn carry(&self, heartbeat: Vec<u8>) -> Option<Vec<u8>> {
+        let number = self.carrier.borrow_mut().arrive(heartbeat, runtime::now())?;
         let (place, bell) = (Place::default(), Bell::default());
         self.waiting.borrow_mut().insert(number, (place.clone(), bell.clone()));
         self.bell.ring();
@@ -66,10 +66,10 @@
 }
 
 async fn send(node: &Node, load: Load) {
-    let (numbers, reports): (Vec<Number>, Vec<Vec<u8>>) = load.into_iter().unzip();
+    let (numbers, heartbeats): (Vec<Number>, Vec<Vec<u8>>) = load.into_iter().unzip();
     let leader = node.leader.borrow().clone();
     let answers = match leader.as_deref().and_then(|l| node.links.by_name(l)) {
-        Some(link) => link.carry(&node.settings.node, reports).await,
+        Some(link) => link.carry(&node.settings.node, heartbeats).await,
         None => None,
     };
     let carriage = &node.carriage;
--- a/crates/hopyoke/src/flows.rs
+++ b/crates/hopyoke/src/flows.rs
@@ -291,7 +291,7 @@
 
 fn not_known(e: &StateError) -> Outcome {
     match e {
-        StateError::Refused(_) | StateError::NoRoom => Outcome::Later(Micros::from_millis(500)),
+        StateError::Refused(_) | StateError::InsufficientResources => Outcome::Later(Micros::from_millis(500)),
         _ => Outcome::Unknown,
     }
 }
--- a/crates/hopyoke/src/lead.rs
+++ b/crates/hopyoke/src/lead.rs
@@ -192,7 +192,7 @@
     let leading = Rc::new(Leading {
         core: RefCell::new(core),
         right,
-        hearing: RefCell::new(Hearing::new(node.config.report, node.settings.facts.nodes, now)),
+        hearing: RefCell::new(Hearing::new(node.config.heartbeat_interval, node.settings.facts.nodes, now)),
         bell: Bell::default(),
         write_bell: Bell::default(),
         cancel: cancel.clone(),
@@ -509,8 +509,8 @@
                     l.core.borrow_mut().reread_failed(job);
                 }
             },
-            Action::Direct { machine, address, session, orders } => {
-                direct.send(&l, token, machine, address, session, orders).await;
+            Action::Direct { machine, address, epoch, commands } => {
+                direct.send(&l, token, machine, address, epoch, commands).await;
             }
         }
         l.bell.ring();
--- a/crates/hopyoke/src/links.rs
+++ b/crates/hopyoke/src/links.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use proto::mesh_client::MeshClient;
 use proto::{
-    FlowAnswer, FlowRequest, Greeting, HistoryAnswer, HistoryRequest, News, Reports, StaffedAnswer,
+    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HistoryAnswer, HistoryRequest, JobChange, StaffedAnswer,
     StaffedRequest, StatusRequest, UserRequest, WhenAnswer, WhenRequest,
 };
 use std::cell::{Cell, RefCell};
@@ -220,15 +220,15 @@
     /// Tells the peer that a job was accepted or cancelled. Only a hint: its watch tells it too.
     pub async fn notify(&self, from: &str, job: &JobId) {
         if self.fresh() {
-            let news = News { node: from.to_owned(), job: job.to_string() };
+            let news = JobChange { node: from.to_owned(), job: job.to_string() };
             let _ = self.call(GREET, |mut c| async move { c.notify(news).await }).await;
         }
     }
 
     /// Carries workers' reports to the leader; the answers in the same order.
-    pub async fn carry(&self, from: &str, reports: Vec<Vec<u8>>) -> Option<Vec<Vec<u8>>> {
-        let n = reports.len();
-        let message = Reports { node: from.to_owned(), reports };
+    pub async fn carry(&self, from: &str, heartbeats: Vec<Vec<u8>>) -> Option<Vec<Vec<u8>>> {
+        let n = heartbeats.len();
+        let message = HeartbeatBatch { node: from.to_owned(), heartbeats };
         let answer = self.call(CARRY, |mut c| async move { c.carry(message).await }).await?;
         (answer.answers.len() == n).then_some(answer.answers)
     }
--- a/crates/hopyoke/src/mesh.rs
+++ b/crates/hopyoke/src/mesh.rs
@@ -6,8 +6,9 @@
 
 use crate::links::proto::mesh_server::{Mesh, MeshServer};
 use crate::links::proto::{
-    FlowAnswer, FlowRequest, Greeting, HistoryAnswer, HistoryRequest, News, ReportAnswers, Reports, StaffedAnswer,
-    StaffedRequest, StatusAnswer, StatusRequest, UserAnswer, UserRequest, WhenAnswer, WhenRequest,
+    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer, HistoryRequest,
+    JobChange, StaffedAnswer, StaffedRequest, StatusAnswer, StatusRequest, UserAnswer, UserRequest, WhenAnswer,
+    WhenRequest,
 };
 use crate::links::{GREET, LocalExec};
 use crate::node::{Leading, Node};
@@ -139,9 +140,9 @@
 /// A request that reached us over the mesh, with where its answer goes.
 enum Call {
     Greet(Greeting, oneshot::Sender<Greeting>),
-    Notify(News, oneshot::Sender<Greeting>),
+    Notify(JobChange, oneshot::Sender<Greeting>),
     Forward(UserRequest, oneshot::Sender<UserAnswer>),
-    Carry(Reports, oneshot::Sender<ReportAnswers>),
+    Carry(HeartbeatBatch, oneshot::Sender<HeartbeatResponses>),
     Status(oneshot::Sender<String>),
     When(WhenRequest, oneshot::Sender<WhenAnswer>),
     History(HistoryRequest, oneshot::Sender<HistoryAnswer>),
@@ -169,13 +170,16 @@
     async fn greet(&self, r: tonic::Request<Greeting>) -> Result<tonic::Response<Greeting>, Status> {
         self.pass(|reply| Call::Greet(r.into_inner(), reply)).await
     }
-    async fn notify(&self, r: tonic::Request<News>) -> Result<tonic::Response<Greeting>, Status> {
+    async fn notify(&self, r: tonic::Request<JobChange>) -> Result<tonic::Response<Greeting>, Status> {
         self.pass(|reply| Call::Notify(r.into_inner(), reply)).await
     }
     async fn forward(&self, r: tonic::Request<UserRequest>) -> Result<tonic::Response<UserAnswer>, Status> {
         self.pass(|reply| Call::Forward(r.into_inner(), reply)).await
     }
-    async fn carry(&self, r: tonic::Request<Reports>) -> Result<tonic::Response<ReportAnswers>, Status> {
+    async fn carry(
+        &self,
+        r: tonic::Request<HeartbeatBatch>,
+    ) -> Result<tonic::Response<HeartbeatResponses>, Status> {
         self.pass(|reply| Call::Carry(r.into_inner(), reply)).await
     }
     async fn status(&self, _: tonic::Request<StatusRequest>) -> Result<tonic::Response<StatusAnswer>, Status> {
@@ -304,8 +308,8 @@
             if known(node, &message.node).is_none() {
                 return;
             }
-            let answers = message.reports.iter().map(|body| crate::workers::carried(node, body)).collect();
-            let _ = reply.send(ReportAnswers { answers });
+            let answers = message.heartbeats.iter().map(|body| crate::workers::carried(node, body)).collect();
+            let _ = reply.send(HeartbeatResponses { answers });
         }
         Call::Status(reply) => {
             let _ = reply.send(crate::status::text(node));
--- a/crates/hopyoke/src/state.rs
+++ b/crates/hopyoke/src/state.rs
@@ -101,7 +101,7 @@
     Refused(u16),
     /// Not sent: this node's part of what the service takes is used up by what matters as much or more.
     #[error("no room in this node's part")]
-    NoRoom,
+    InsufficientResources,
     /// It may have been executed, or may yet be.
     #[error("no answer")]
     Unknown,
@@ -115,7 +115,7 @@
 impl StateError {
     /// The request was certainly not executed, and never will be.
     pub fn is_refusal(&self) -> bool {
-        matches!(self, StateError::Refused(_) | StateError::NoRoom)
+        matches!(self, StateError::Refused(_) | StateError::InsufficientResources)
     }
 }
 
@@ -216,7 +216,7 @@
                 Err(wait) => wait,
             };
             if importance == Importance::Accepts || now + wait > until {
-                return Err(StateError::NoRoom);
+                return Err(StateError::InsufficientResources);
             }
             runtime::sleep(wait + Micros::from_millis(rand::random_range(1..=10))).await;
         }
--- a/crates/hopyoke/src/workers.rs
+++ b/crates/hopyoke/src/workers.rs
@@ -4,7 +4,7 @@
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, ClientError, Method, Request, Response};
 use hopyoke_heartbeat::Route;
-use hopyoke_protocol::worker::{DirectOrders, Order, Orders, Redirect, Report};
+use hopyoke_protocol::worker::{Command, Heartbeat, HeartbeatResponse, PushedCommands, Redirect};
 use hopyoke_protocol::{decode, encode};
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, MachineId};
@@ -29,8 +29,8 @@
             let other = &node.links.0[peer].peer.node;
             return Response::of(421, &Redirect { report_to: Some(other) }).closing();
         }
-        return match report(node, &leading, &request.body) {
-            Ok(orders) => Response::of(200, &orders),
+        return match heartbeat(node, &leading, &request.body) {
+            Ok(commands) => Response::of(200, &commands),
             Err(status) => Response::empty(status),
         };
     }
@@ -51,20 +51,20 @@
 /// A report that another node carried here; an empty answer: it is not answered.
 pub fn carried(node: &Node, body: &[u8]) -> Vec<u8> {
     let Some(leading) = node.leading() else { return Vec::new() };
-    report(node, &leading, body).map_or_else(|_| Vec::new(), |orders| encode(&orders))
+    heartbeat(node, &leading, body).map_or_else(|_| Vec::new(), |commands| encode(&commands))
 }
 
 /// A worker's report to this leader, by whichever way it came.
 ///
 /// # Errors
 /// The status of the refusal.
-fn report(node: &Node, leading: &Leading, body: &[u8]) -> Result<Orders, u16> {
+fn heartbeat(node: &Node, leading: &Leading, body: &[u8]) -> Result<HeartbeatResponse, u16> {
     // Not entitled to act: the worker tries the next node. (Guards `ran_twice`: an answer now
     // could renew a lease that the next holder counts as lapsed.)
     if !leading.entitled() {
         return Err(503);
     }
-    let report: Report = match decode(body) {
+    let heartbeat: Heartbeat = match decode(body) {
         Ok(r) => r,
         Err(e) => {
             warn!(error = %e, "unreadable report");
@@ -73,16 +73,16 @@
     };
     let now = runtime::now();
     let mut core = leading.core.borrow_mut();
-    if report.token > core.token {
+    if heartbeat.token > core.token {
         // Somebody has been granted more than we know of.
-        warn!(machine = %report.machine, token = report.token.0, "worker has seen a higher token");
+        warn!(machine = %heartbeat.machine, token = heartbeat.token.0, "worker has seen a higher token");
         return Err(503);
     }
-    let answer = leading.planning(node, &mut core, |core| core.report(&report, now));
+    let answer = leading.planning(node, &mut core, |core| core.heartbeat(&heartbeat, now));
     // A copy that arrives late does not show that its worker reaches us now. (Guards against a leader that no
     // worker reaches any more, and that goes on for as long as old reports arrive.)
     if answer.fresh {
-        leading.hearing.borrow_mut().heard(&report.machine, report.token == answer.token);
+        leading.hearing.borrow_mut().heard(&heartbeat.machine, heartbeat.token == answer.token);
     }
     // A report without news leaves nothing to do.
     if core.next_due(now) <= now || core.has_actions() {
@@ -92,14 +92,14 @@
         leading.write_bell.ring();
     }
     tell_starts(
-        &report.machine,
+        &heartbeat.machine,
         answer.token,
-        report.session,
-        report.seq,
-        &answer.orders,
+        heartbeat.epoch,
+        heartbeat.sequence,
+        &answer.commands,
         "starts with an answer",
     );
-    Ok(Orders { token: answer.token, orders: answer.orders })
+    Ok(HeartbeatResponse { token: answer.token, commands: answer.commands })
 }
 
 fn redirect(node: &Node) -> Response {
@@ -109,19 +109,26 @@
 }
 
 /// A task's whole story can be told from the log at `debug`: which start went where, by which holder.
-fn tell_starts(machine: &MachineId, token: FencingToken, session: u64, seq: u64, orders: &[Order], how: &str) {
+fn tell_starts(
+    machine: &MachineId,
+    token: FencingToken,
+    epoch: u64,
+    sequence: u64,
+    commands: &[Command],
+    how: &str,
+) {
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
     }
-    let starts: Vec<String> = orders
+    let starts: Vec<String> = commands
         .iter()
         .filter_map(|o| match o {
-            Order::Start { task, attempt } => Some(format!("{task}@{attempt}")),
+            Command::Start { task, attempt } => Some(format!("{task}@{attempt}")),
             _ => None,
         })
         .collect();
     if !starts.is_empty() {
-        debug!(machine = %machine, token = token.0, session, seq, starts = ?starts, "{how}");
+        debug!(machine = %machine, token = token.0, epoch, sequence, starts = ?starts, "{how}");
     }
 }
 
@@ -163,15 +170,15 @@
         token: FencingToken,
         machine: MachineId,
         address: SocketAddr,
-        session: u64,
-        orders: Vec<Order>,
+        epoch: u64,
+        commands: Vec<Command>,
     ) {
         if !leading.entitled() {
             leading.core.borrow_mut().direct_failed(&machine, false, runtime::now());
             return;
         }
-        tell_starts(&machine, token, session, 0, &orders, "starts by direct orders");
-        let body = encode(&DirectOrders { token, session, orders });
+        tell_starts(&machine, token, epoch, 0, &commands, "starts by direct orders");
+        let body = encode(&PushedCommands { token, epoch, commands });
         // Asked again once the connection stands: a process that is behind may get there long after
         // the next holder was granted its token.
         let may = || leading.entitled();
@@ -181,9 +188,9 @@
         let mut core = leading.core.borrow_mut();
         match result {
             Ok(r) if matches!(r.status, 200 | 409) => {
-                let report: Option<Report> = decode(&r.body).ok();
+                let heartbeat: Option<Heartbeat> = decode(&r.body).ok();
                 leading.hearing.borrow_mut().answered();
-                core.direct_answer(&machine, r.status == 200, report.as_ref(), now);
+                core.direct_answer(&machine, r.status == 200, heartbeat.as_ref(), now);
             }
             Ok(r) => {
                 warn!(machine = %machine, status = r.status, "direct orders refused");
