--- a/crates/hopyoke-emulator/src/cloud.rs
+++ b/crates/hopyoke-emulator/src/cloud.rs
@@ -37,7 +37,7 @@
 }
 
 #[derive(Deserialize)]
-struct Rent {
+struct ScaleOutRequest {
     charter: String,
     rig: String,
     basin: String,
@@ -88,7 +88,7 @@
         let (path, query) = target(&request.path);
         match (request.method, path) {
             (Method::Get, "/catalog") => Response::of(200, &json!({ "rigs": self.types })),
-            (Method::Post, "/machines") => match decode::<Rent>(&request.body) {
+            (Method::Post, "/machines") => match decode::<ScaleOutRequest>(&request.body) {
                 Ok(r) => self.rent(&r),
                 Err(_) => Response::empty(400),
             },
@@ -108,7 +108,7 @@
         }
     }
 
-    fn rent(self: &Rc<Cloud>, r: &Rent) -> Response {
+    fn rent(self: &Rc<Cloud>, r: &ScaleOutRequest) -> Response {
         if let Some(known) = self.charters.borrow().get(&r.charter) {
             return Response::of(200, &json!({ "vessels": known }));
         }
--- a/crates/hopyoke-emulator/src/state.rs
+++ b/crates/hopyoke-emulator/src/state.rs
@@ -56,21 +56,21 @@
 }
 
 #[derive(Deserialize)]
-struct Txn {
+struct Transaction {
     #[serde(rename = "when", default)]
-    conditions: Vec<Condition>,
+    conditions: Vec<Compare>,
     #[serde(rename = "apply", default)]
-    changes: Vec<Change>,
+    changes: Vec<Mutation>,
 }
 
 #[derive(Deserialize)]
-struct Condition {
+struct Compare {
     key: String,
     mod_revision: u64,
 }
 
 #[derive(Deserialize)]
-struct Change {
+struct Mutation {
     #[serde(default)]
     write: Option<String>,
     #[serde(default)]
@@ -237,7 +237,7 @@
     }
 
     fn txn(&self, body: &[u8]) -> Response {
-        let Ok(txn) = decode::<Txn>(body) else { return Response::empty(400) };
+        let Ok(txn) = decode::<Transaction>(body) else { return Response::empty(400) };
         self.changes.set(self.changes.get() + txn.changes.len() as u64);
         let mut inner = self.inner.borrow_mut();
         let mod_revision = |k: &String| inner.keys.get(k).map_or(0, |e| e.mod_revision);
--- a/crates/hopyoke-protocol/src/cloud.rs
+++ b/crates/hopyoke-protocol/src/cloud.rs
@@ -32,7 +32,7 @@
 }
 
 #[derive(Debug, Serialize)]
-pub struct Rent<'a> {
+pub struct ScaleOutRequest<'a> {
     #[serde(rename = "charter")]
     pub request: &'a str,
     #[serde(rename = "rig")]
@@ -46,7 +46,7 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Machines {
+pub struct MachineNames {
     #[serde(rename = "vessels")]
     pub machines: Vec<MachineId>,
 }
@@ -54,13 +54,13 @@
 #[derive(Debug, Deserialize)]
 pub struct MachineList {
     #[serde(rename = "vessels")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     #[serde(default)]
     pub more: bool,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     pub id: MachineId,
     #[serde(default)]
     pub address: Option<String>,
@@ -71,13 +71,13 @@
     #[serde(rename = "driftboats", default)]
     pub spot: bool,
     #[serde(rename = "bearing")]
-    pub state: ListedState,
+    pub state: ListedMachineState,
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-pub enum ListedState {
+pub enum ListedMachineState {
     #[serde(rename = "booting")]
     Booting,
     #[serde(rename = "running")]
--- a/crates/hopyoke-protocol/src/state.rs
+++ b/crates/hopyoke-protocol/src/state.rs
@@ -24,7 +24,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(bound = "T: DeserializeOwned")]
-pub struct Pair<T> {
+pub struct KeyValue<T> {
     #[serde(default)]
     pub key: String,
     #[serde(rename = "v")]
@@ -35,8 +35,8 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(bound = "T: DeserializeOwned")]
-pub struct Page<T> {
-    pub pairs: Vec<Pair<T>>,
+pub struct KeyValuePage<T> {
+    pub pairs: Vec<KeyValue<T>>,
     #[serde(default)]
     pub more: bool,
     #[serde(rename = "tide")]
@@ -44,7 +44,7 @@
 }
 
 #[derive(Debug, Clone, Serialize)]
-pub struct Condition {
+pub struct Compare {
     pub key: String,
     #[serde(rename = "mark")]
     pub mod_revision: ModRevision,
@@ -52,7 +52,7 @@
 
 #[derive(Debug, Clone, Serialize)]
 #[serde(untagged, bound = "V: Serialize")]
-pub enum Change<V> {
+pub enum Mutation<V> {
     Put {
         #[serde(rename = "write")]
         key: String,
@@ -61,7 +61,7 @@
         #[serde(rename = "tether", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    Drop {
+    Delete {
         #[serde(rename = "drop")]
         key: String,
     },
@@ -69,52 +69,52 @@
 
 #[derive(Debug, Serialize)]
 #[serde(bound = "V: Serialize")]
-pub struct Txn<V> {
+pub struct Transaction<V> {
     #[serde(rename = "when")]
-    pub conditions: Vec<Condition>,
+    pub compares: Vec<Compare>,
     #[serde(rename = "apply")]
-    pub changes: Vec<Change<V>>,
+    pub mutations: Vec<Mutation<V>>,
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Applied {
+pub struct TransactionResponse {
     #[serde(rename = "tide")]
     pub revision: u64,
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Failed {
+pub struct CompareFailed {
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
 #[derive(Debug, Serialize)]
-pub struct Grant {
+pub struct LeaseGrantRequest {
     pub ttl_ms: u64,
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Granted {
+pub struct LeaseGrantResponse {
     #[serde(rename = "tether")]
     pub lease: u64,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(bound = "T: DeserializeOwned")]
-pub struct Events<T> {
+pub struct WatchResponse<T> {
     #[serde(rename = "tide")]
     pub revision: u64,
     #[serde(default)]
-    pub events: Vec<Event<T>>,
+    pub events: Vec<WatchEvent<T>>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(bound = "T: DeserializeOwned")]
-pub struct Event<T> {
+pub struct WatchEvent<T> {
     #[serde(rename = "write", default)]
     pub put: Option<String>,
     #[serde(rename = "drop", default)]
-    pub drop: Option<String>,
+    pub deleted: Option<String>,
     #[serde(rename = "v", default = "none")]
     pub value: Option<Stored<T>>,
     #[serde(rename = "mark")]
--- a/crates/hopyoke-protocol/src/worker.rs
+++ b/crates/hopyoke-protocol/src/worker.rs
@@ -127,7 +127,7 @@
 
 /// Sends a worker to the node that serves it.
 #[derive(Debug, Serialize)]
-pub struct Redirect<'a> {
+pub struct HeartbeatRedirect<'a> {
     #[serde(rename = "harbormaster", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<&'a str>,
 }
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -130,7 +130,7 @@
 /// What the core wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    Rent {
+    ScaleOut {
         request: String,
         machine_type: String,
         zone: String,
--- a/crates/hopyoke-scheduler/src/rent.rs
+++ b/crates/hopyoke-scheduler/src/rent.rs
@@ -3,7 +3,7 @@
 use super::fleet::{Machine, Phase};
 use super::{Action, Core};
 use crate::provisioning::Verdict;
-use hopyoke_protocol::cloud::{Listed, ListedState};
+use hopyoke_protocol::cloud::{ListedMachine, ListedMachineState};
 use hopyoke_protocol::user::Priority;
 use hopyoke_types::MachineId;
 use hopyoke_types::Micros;
@@ -182,7 +182,7 @@
     }
 
     /// The cloud's list. It lags, so it never proves that a machine is not there.
-    pub fn listed(&mut self, list: &[Listed], now: Micros) {
+    pub fn listed(&mut self, list: &[ListedMachine], now: Micros) {
         self.listed = Some(list.iter().map(|l| l.id.clone()).collect());
         for l in list {
             if self.gone.contains_key(&l.id) {
@@ -199,7 +199,7 @@
                 self.changed = true;
                 info!(machine = %l.id, zone = %l.zone, spot = l.spot, "found an unknown machine");
             }
-            if l.state == ListedState::Failed && !m.deleting {
+            if l.state == ListedMachineState::Failed && !m.deleting {
                 // It stopped by itself; the deletion proves it.
                 m.deleting = true;
                 self.changed = true;
@@ -303,7 +303,7 @@
 }
 
 fn rent_action(request: &str, r: &OpenRent) -> Action {
-    Action::Rent {
+    Action::ScaleOut {
         request: request.to_owned(),
         machine_type: r.offer.machine_type.clone(),
         zone: r.offer.zone.clone(),
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -1,7 +1,7 @@
 //! What controllers answer users, as the daemon's routines of that name do it: any node by itself, from its
 //! final states, its core or the records.
 
-use super::store::{Change, Entry, Value};
+use super::store::{Entry, Mutation, Value};
 use super::{Host, World};
 use hopyoke_protocol::user::{JobSpec, JobState};
 use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
@@ -258,7 +258,7 @@
             let at = w.time_of_day(i).0;
             let record = if flow { JobRecord::of_flow(spec, at) } else { JobRecord::accepted(spec, at) };
             let when = [(format!("job/{id}"), 0), (format!("end/{id}"), 0)];
-            let put = Change::Put(format!("job/{id}"), Value::Job(record), None);
+            let put = Mutation::Put(format!("job/{id}"), Value::Job(record), None);
             let Some(result) = w.transact(&when, vec![put]) else { return };
             w.send(Host::State, Host::Node(i), move |w| match result {
                 _ if !w.alive(i, process) => {}
@@ -283,7 +283,8 @@
                     return;
                 }
                 let (job, over) = (format!("job/{id}"), format!("end/{id}"));
-                let apply = vec![Change::Drop(job.clone()), Change::Put(over.clone(), Value::End(end), None)];
+                let apply =
+                    vec![Mutation::Delete(job.clone()), Mutation::Put(over.clone(), Value::End(end), None)];
                 let Some(result) = w.transact(&[(job, mod_revision.0), (over, 0)], apply) else { return };
                 w.send(Host::State, Host::Node(i), move |w| match result {
                     _ if !w.alive(i, process) => {}
--- a/crates/hopyoke-simulator/src/cloud.rs
+++ b/crates/hopyoke-simulator/src/cloud.rs
@@ -2,7 +2,7 @@
 //! than the one before, or miss what is up.
 
 use crate::World;
-use hopyoke_protocol::cloud::{Listed, ListedState};
+use hopyoke_protocol::cloud::{ListedMachine, ListedMachineState};
 use hopyoke_types::Micros;
 use std::collections::VecDeque;
 
@@ -16,7 +16,7 @@
     /// Until when a list may be any that was true of late.
     pub old_lists: Micros,
     /// What was there, newest last.
-    seen: VecDeque<(Micros, Vec<Listed>)>,
+    seen: VecDeque<(Micros, Vec<ListedMachine>)>,
 }
 
 impl World {
@@ -29,18 +29,18 @@
     }
 
     /// What the cloud answers: machines as they were, at least the lag ago, or at some time before that.
-    pub fn cloud_list(&mut self) -> Vec<Listed> {
+    pub fn cloud_list(&mut self) -> Vec<ListedMachine> {
         let now = self.now;
-        let there = self.machines.values().map(|m| Listed {
+        let there = self.machines.values().map(|m| ListedMachine {
             id: m.id.clone(),
             address: None,
             machine_type: m.kind.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            state: if m.up { ListedState::Running } else { ListedState::Booting },
+            state: if m.up { ListedMachineState::Running } else { ListedMachineState::Booting },
             age_s: (now - m.rented_at).as_secs_f64(),
         });
-        let there: Vec<Listed> = there.collect();
+        let there: Vec<ListedMachine> = there.collect();
         let lag = self.cfg.list_lag;
         self.cloud.seen.push_back((now, there.clone()));
         if self.cloud.seen.len() > LISTS {
--- a/crates/hopyoke-simulator/src/controller.rs
+++ b/crates/hopyoke-simulator/src/controller.rs
@@ -1,13 +1,13 @@
 //! Controllers: the real core, with leadership and messages as `lead` does them.
 
 use super::digest::Channel;
-use super::store::{Change, Store, Value};
+use super::store::{Mutation, Store, Value};
 use super::worker::{MOST_CHARS, heartbeat_chars};
 use super::{Host, World};
 use hopyoke_admission::Importance;
 use hopyoke_consistency::leader_lease::{Entitlement, PROMISE};
 use hopyoke_consistency::{Confirmed, Delivered};
-use hopyoke_protocol::cloud::Rent;
+use hopyoke_protocol::cloud::ScaleOutRequest;
 use hopyoke_protocol::user::JobState;
 use hopyoke_protocol::worker::Heartbeat;
 use hopyoke_scheduler::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, RentOutcome, Write};
@@ -238,7 +238,7 @@
             };
             let until = w.now + w.ttl;
             let lease = w.store.grant(until);
-            let put = Change::Put("leader".into(), Value::Holder(i), Some(lease));
+            let put = Mutation::Put("leader".into(), Value::Holder(i), Some(lease));
             match w.transact(&[("leader".into(), mod_revision)], vec![put]) {
                 // Who leads counts as trying for as long as its process lives: it never promises.
                 Some(Ok(token)) => {
@@ -600,9 +600,15 @@
 
     fn perform(&mut self, i: usize, process: u64, token: FencingToken, action: Action) {
         match action {
-            Action::Rent { request, machine_type, zone, spot, count } => {
+            Action::ScaleOut { request, machine_type, zone, spot, count } => {
                 self.send(Host::Node(i), Host::Cloud, move |w| {
-                    let rent = Rent { request: &request, machine_type: &machine_type, zone: &zone, spot, count };
+                    let rent = ScaleOutRequest {
+                        request: &request,
+                        machine_type: &machine_type,
+                        zone: &zone,
+                        spot,
+                        count,
+                    };
                     w.digest_message(Channel::ScaleOut, &rent);
                     let got = w.cloud_rent(&request, &machine_type, &zone, spot, count);
                     w.send(Host::Cloud, Host::Node(i), move |w| {
@@ -729,24 +735,24 @@
             match wr {
                 Write::Update { job, mod_revision, record } => {
                     when.push((format!("job/{job}"), mod_revision.0));
-                    apply.push(Change::Put(format!("job/{job}"), Value::Job(record.clone()), None));
+                    apply.push(Mutation::Put(format!("job/{job}"), Value::Job(record.clone()), None));
                 }
                 Write::End { job, mod_revision, end } => {
                     when.push((format!("job/{job}"), mod_revision.0));
-                    apply.push(Change::Drop(format!("job/{job}")));
-                    apply.push(Change::Put(format!("end/{job}"), Value::End(*end), None));
+                    apply.push(Mutation::Delete(format!("job/{job}")));
+                    apply.push(Mutation::Put(format!("end/{job}"), Value::End(*end), None));
                 }
                 Write::Page { key, mod_revision, page } => {
                     when.push((format!("fleet/{key}"), mod_revision.0));
                     apply.push(match page {
-                        Some(p) => Change::Put(format!("fleet/{key}"), Value::Page(p.clone()), None),
-                        None => Change::Drop(format!("fleet/{key}")),
+                        Some(p) => Mutation::Put(format!("fleet/{key}"), Value::Page(p.clone()), None),
+                        None => Mutation::Delete(format!("fleet/{key}")),
                     });
                 }
                 Write::Learned { key, page } => {
-                    apply.push(Change::Put(format!("learn/{key}"), Value::Learned(page.clone()), None));
+                    apply.push(Mutation::Put(format!("learn/{key}"), Value::Learned(page.clone()), None));
                 }
-                Write::DropPage { key } => apply.push(Change::Drop(format!("fleet/{key}"))),
+                Write::DropPage { key } => apply.push(Mutation::Delete(format!("fleet/{key}"))),
             }
         }
         let (sent, changes) = (self.now, batch.changes());
--- a/crates/hopyoke-simulator/src/digest.rs
+++ b/crates/hopyoke-simulator/src/digest.rs
@@ -2,8 +2,8 @@
 //! and each random draw. Two builds that decide alike have equal digests for a scenario and seed.
 
 use super::World;
-use super::store::{Change, Value};
-use hopyoke_protocol::state::Condition;
+use super::store::{Mutation, Value};
+use hopyoke_protocol::state::Compare;
 use hopyoke_protocol::worker::{Command, HeartbeatResponse, PushedCommands};
 use hopyoke_types::FencingToken;
 use serde::Serialize;
@@ -89,20 +89,19 @@
     }
 
     /// Adds a transaction as the store receives it.
-    pub(crate) fn digest_transaction(&mut self, when: &[(String, u64)], apply: &[Change]) {
+    pub(crate) fn digest_transaction(&mut self, when: &[(String, u64)], apply: &[Mutation]) {
         for (key, mod_revision) in when {
-            let condition =
-                Condition { key: key.clone(), mod_revision: hopyoke_types::ModRevision(*mod_revision) };
+            let condition = Compare { key: key.clone(), mod_revision: hopyoke_types::ModRevision(*mod_revision) };
             self.digest_message(Channel::Transaction, &condition);
         }
         for change in apply {
             match change {
-                Change::Put(key, value, lease) => {
+                Mutation::Put(key, value, lease) => {
                     self.digest_bytes(Channel::Transaction, key.as_bytes());
                     self.digest_bytes(Channel::Transaction, &stored(value));
                     self.digest_message(Channel::Transaction, lease);
                 }
-                Change::Drop(key) => self.digest_bytes(Channel::Transaction, key.as_bytes()),
+                Mutation::Delete(key) => self.digest_bytes(Channel::Transaction, key.as_bytes()),
             }
         }
     }
--- a/crates/hopyoke-simulator/src/store.rs
+++ b/crates/hopyoke-simulator/src/store.rs
@@ -42,14 +42,14 @@
     pub late_writes: Spell,
 }
 
-pub enum Change {
+pub enum Mutation {
     Put(String, Value, Option<u64>),
-    Drop(String),
+    Delete(String),
 }
 
 impl Store {
     /// Applies the changes if every condition holds; else says which did not.
-    pub fn txn(&mut self, when: &[(String, u64)], apply: Vec<Change>) -> Result<u64, Vec<String>> {
+    pub fn txn(&mut self, when: &[(String, u64)], apply: Vec<Mutation>) -> Result<u64, Vec<String>> {
         let mod_revision = |key: &String| self.keys.get(key).map_or(0, |e| e.mod_revision);
         let failed: Vec<String> =
             when.iter().filter(|(k, m)| mod_revision(k) != *m).map(|(k, _)| k.clone()).collect();
@@ -57,7 +57,7 @@
             return Err(failed);
         }
         // A write on a lease that is over is refused.
-        let lapsed = |c: &Change| matches!(c, Change::Put(_, _, Some(l)) if !self.leases.contains_key(l));
+        let lapsed = |c: &Mutation| matches!(c, Mutation::Put(_, _, Some(l)) if !self.leases.contains_key(l));
         if apply.iter().any(lapsed) {
             return Err(Vec::new());
         }
@@ -65,7 +65,7 @@
         let mod_revision = self.revision;
         for c in apply {
             match c {
-                Change::Put(key, value, lease) => {
+                Mutation::Put(key, value, lease) => {
                     // What is written must fit: checked as the service would.
                     if let Value::Job(record) = &value {
                         let size = serde_json::to_vec(record).map_or(0, |v| v.len());
@@ -82,7 +82,7 @@
                     self.log.push((mod_revision, key.clone(), false));
                     self.keys.insert(key, Entry { value, mod_revision, lease });
                 }
-                Change::Drop(key) => {
+                Mutation::Delete(key) => {
                     if self.keys.remove(&key).is_some() {
                         self.log.push((mod_revision, key, true));
                     }
@@ -108,7 +108,7 @@
         let keys: Vec<String> =
             self.keys.iter().filter(|(_, e)| e.lease == Some(lease)).map(|(k, _)| k.clone()).collect();
         if !keys.is_empty() {
-            let _ = self.txn(&[], keys.into_iter().map(Change::Drop).collect());
+            let _ = self.txn(&[], keys.into_iter().map(Mutation::Delete).collect());
         }
     }
 }
@@ -160,7 +160,7 @@
     }
 
     /// A transaction that the service does not refuse; `None`: it has no answer.
-    pub fn transact(&mut self, when: &[(String, u64)], apply: Vec<Change>) -> Option<Result<u64, Vec<String>>> {
+    pub fn transact(&mut self, when: &[(String, u64)], apply: Vec<Mutation>) -> Option<Result<u64, Vec<String>>> {
         self.digest_transaction(when, &apply);
         match self.fate() {
             Fate::Usual => {
--- a/crates/hopyoke/src/api.rs
+++ b/crates/hopyoke/src/api.rs
@@ -3,7 +3,7 @@
 use crate::links::{ASK_LEADER, ASK_PEER};
 use crate::node::{Leading, Node};
 use crate::records::{self, Lookup, lookup, lookup_ended};
-use crate::state::{StateError, TxnEnd};
+use crate::state::{StateError, TransactionOutcome};
 use hopyoke_admission::RetryAfter;
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Method, Request, Response};
@@ -244,12 +244,12 @@
         end => end?,
     };
     match end {
-        TxnEnd::Applied(_) => {
+        TransactionOutcome::Applied(_) => {
             debug!(job = %id, "accepted");
             let answer = JobAnswer { id: id.as_str(), state: JobState::Queued, done: None, running: None };
             Ok(Response::of(201, &answer))
         }
-        TxnEnd::Failed(_) => match lookup(node, node.state.accepting(), &id).await? {
+        TransactionOutcome::Failed(_) => match lookup(node, node.state.accepting(), &id).await? {
             // It can't have vanished: the user is to ask again.
             Lookup::Missing => Ok(later("the job's record changed meanwhile")),
             found if found.is_flow() => Ok(problem(422, "the id is that of a workflow's step")),
--- a/crates/hopyoke/src/cloud.rs
+++ b/crates/hopyoke/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, Method};
-use hopyoke_protocol::cloud::{Catalog, Listed, MachineList, MachineType, Machines, Rent};
+use hopyoke_protocol::cloud::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
 use hopyoke_protocol::{decode, encode};
 use hopyoke_scheduler::RentOutcome;
 use hopyoke_types::MachineId;
@@ -43,11 +43,11 @@
         (r.status == 200).then(|| decode::<Catalog>(&r.body).ok()).flatten().map(|c| c.types)
     }
 
-    pub async fn rent(&self, rent: &Rent<'_>) -> RentOutcome {
+    pub async fn rent(&self, rent: &ScaleOutRequest<'_>) -> RentOutcome {
         self.pace().await;
         match self.client.send(Method::Post, "/machines", &encode(rent), LIMIT).await {
             Ok(r) if r.status == 200 => {
-                decode::<Machines>(&r.body).map_or(RentOutcome::Unsure, |m| RentOutcome::Rented(m.machines))
+                decode::<MachineNames>(&r.body).map_or(RentOutcome::Unsure, |m| RentOutcome::Rented(m.machines))
             }
             // Both "no capacity" and "trouble" come as 503.
             Ok(r) if r.status == 503 && !has_word(&r.body, b"trouble") => RentOutcome::NoCapacity,
@@ -59,12 +59,12 @@
     /// True once the cloud has confirmed that the machines are gone.
     pub async fn delete(&self, ids: Vec<MachineId>) -> bool {
         self.pace().await;
-        let body = encode(&Machines { machines: ids });
+        let body = encode(&MachineNames { machines: ids });
         matches!(self.client.send(Method::Post, "/machines/delete", &body, LIMIT).await, Ok(r) if r.status == 200)
     }
 
-    pub async fn list(&self) -> Option<Vec<Listed>> {
-        let mut all: Vec<Listed> = Vec::new();
+    pub async fn list(&self) -> Option<Vec<ListedMachine>> {
+        let mut all: Vec<ListedMachine> = Vec::new();
         loop {
             self.pace().await;
             let since = all.last().map_or(String::new(), |l| format!("since={}&", l.id));
--- a/crates/hopyoke/src/flow_calls.rs
+++ b/crates/hopyoke/src/flow_calls.rs
@@ -9,11 +9,11 @@
 };
 use crate::node::{Flows, Node};
 use crate::state::{
-    FLOW_ENDS, FLOW_HEADS, StateError, TxnEnd, flow_end_key, flow_key, flow_page_key, flow_plan_key,
+    FLOW_ENDS, FLOW_HEADS, StateError, TransactionOutcome, flow_end_key, flow_key, flow_page_key, flow_plan_key,
     flow_plan_prefix,
 };
 use hopyoke_event_loop as runtime;
-use hopyoke_protocol::state::{Change, Condition, Stored};
+use hopyoke_protocol::state::{Compare, Mutation, Stored};
 use hopyoke_scheduler::{JobRecord, never_runs};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
@@ -194,22 +194,20 @@
         }
         flows.pages_from.set(from + Micros::from_secs_f64(chunk.len() as f64 / rate));
         runtime::sleep_until(from).await;
-        let conditions = chunk
-            .iter()
-            .map(|n| Condition { key: flow_plan_key(run, *n), mod_revision: ModRevision(0) })
-            .collect();
+        let conditions =
+            chunk.iter().map(|n| Compare { key: flow_plan_key(run, *n), mod_revision: ModRevision(0) }).collect();
         let changes = chunk
             .iter()
-            .map(|n| Change::Put {
+            .map(|n| Mutation::Put {
                 key: flow_plan_key(run, *n),
                 value: Value::Plan(pages[*n as usize].clone()),
                 lease: None,
             })
             .collect();
         match node.state.spare().txn(conditions, changes).await? {
-            TxnEnd::Applied(_) => known.extend(chunk),
+            TransactionOutcome::Applied(_) => known.extend(chunk),
             // An earlier try of this call may have been executed late.
-            TxnEnd::Failed(_) => return refuse(503, "the plan's pages changed meanwhile"),
+            TransactionOutcome::Failed(_) => return refuse(503, "the plan's pages changed meanwhile"),
         }
     }
     Ok(())
@@ -220,16 +218,16 @@
     let info = told(&head, run, 0, 0);
     let digest = head.digest;
     let conditions = vec![
-        Condition { key: flow_key(run), mod_revision: ModRevision(0) },
-        Condition { key: flow_end_key(run), mod_revision: ModRevision(0) },
+        Compare { key: flow_key(run), mod_revision: ModRevision(0) },
+        Compare { key: flow_end_key(run), mod_revision: ModRevision(0) },
     ];
-    let change = Change::Put { key: flow_key(run), value: Value::Head(Box::new(head)), lease: None };
+    let change = Mutation::Put { key: flow_key(run), value: Value::Head(Box::new(head)), lease: None };
     match node.state.spare().txn(conditions, vec![change]).await? {
-        TxnEnd::Applied(_) => {
+        TransactionOutcome::Applied(_) => {
             info!(%run, name = info.name, team = info.team, steps = info.steps, "run accepted");
             Ok(one(201, info))
         }
-        TxnEnd::Failed(_) => match head_of(node, run).await? {
+        TransactionOutcome::Failed(_) => match head_of(node, run).await? {
             Some((head, _)) if head.digest == digest && head.owner == info.owner => {
                 Ok(one(200, told(&head, run, 0, 0)))
             }
@@ -351,14 +349,14 @@
             return Ok(one(200, told(&head, run, 0, 0)));
         }
         let head = Head { state: RunState::Cancelling, ..head };
-        let change = Change::Put { key: flow_key(run), value: Value::Head(Box::new(head.clone())), lease: None };
-        match node.state.spare().txn(vec![Condition { key: flow_key(run), mod_revision }], vec![change]).await? {
-            TxnEnd::Applied(_) => {
+        let change = Mutation::Put { key: flow_key(run), value: Value::Head(Box::new(head.clone())), lease: None };
+        match node.state.spare().txn(vec![Compare { key: flow_key(run), mod_revision }], vec![change]).await? {
+            TransactionOutcome::Applied(_) => {
                 info!(%run, "run cancelled");
                 return Ok(one(200, told(&head, run, 0, 0)));
             }
             // Its carrier changed it meanwhile.
-            TxnEnd::Failed(_) => {}
+            TransactionOutcome::Failed(_) => {}
         }
     }
     refuse(503, "the run's record keeps changing")
@@ -398,12 +396,12 @@
     let rate = flows.engine.borrow().limits.writes_per_s.max(0.5);
     for (page, _, value) in pages_of(node, old).await? {
         let key = flow_page_key(run, page);
-        let change = Change::Put { key: key.clone(), value: Value::Page(value.done_alone()), lease: None };
+        let change = Mutation::Put { key: key.clone(), value: Value::Page(value.done_alone()), lease: None };
         let conditions = vec![
-            Condition { key: flow_key(run), mod_revision: ModRevision(0) },
-            Condition { key: flow_end_key(run), mod_revision: ModRevision(0) },
+            Compare { key: flow_key(run), mod_revision: ModRevision(0) },
+            Compare { key: flow_end_key(run), mod_revision: ModRevision(0) },
         ];
-        if let TxnEnd::Failed(_) = node.state.spare().txn(conditions, vec![change]).await? {
+        if let TransactionOutcome::Failed(_) = node.state.spare().txn(conditions, vec![change]).await? {
             return refuse(503, "the run changed meanwhile");
         }
         runtime::sleep(Micros::from_secs_f64(1.0 / rate)).await;
--- a/crates/hopyoke/src/flows.rs
+++ b/crates/hopyoke/src/flows.rs
@@ -4,11 +4,11 @@
 use crate::node::{Flows, Node};
 use crate::records::{self, Lookup, lookup};
 use crate::state::{
-    FLOW_HEADS, FLOW_HOLDS, FLOWS, StateError, TxnEnd, flow_end_key, flow_hold_key, flow_key, flow_page_key,
-    flow_page_prefix, flow_plan_prefix,
+    FLOW_HEADS, FLOW_HOLDS, FLOWS, StateError, TransactionOutcome, flow_end_key, flow_hold_key, flow_key,
+    flow_page_key, flow_page_prefix, flow_plan_prefix,
 };
 use hopyoke_event_loop as runtime;
-use hopyoke_protocol::state::{Change, Condition, Events, Pair, Stored};
+use hopyoke_protocol::state::{Compare, KeyValue, Mutation, Stored, WatchResponse};
 use hopyoke_protocol::user::{JobSpec, JobState};
 use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
 use hopyoke_types::{JobId, Micros, ModRevision};
@@ -121,13 +121,13 @@
             }
             continue;
         };
-        let result: Result<Events<Value>, _> = node.state.spare().changes(FLOWS, from, WATCH).await;
+        let result: Result<WatchResponse<Value>, _> = node.state.spare().watch(FLOWS, from, WATCH).await;
         match result {
             Ok(events) => {
                 since = Some(events.revision.max(from));
                 let any = !events.events.is_empty();
                 for e in events.events {
-                    if let Some(key) = e.drop {
+                    if let Some(key) = e.deleted {
                         dropped(&node, &key, e.mod_revision);
                     } else if let (Some(key), Some(Stored::Value(value))) = (e.put, e.value) {
                         seen(&node, &key, value, e.mod_revision);
@@ -174,7 +174,7 @@
 }
 
 /// All runs and grants as of a revision: what is not among them is gone.
-fn all_seen(node: &Node, pairs: Vec<Pair<Value>>, revision: ModRevision) {
+fn all_seen(node: &Node, pairs: Vec<KeyValue<Value>>, revision: ModRevision) {
     let mut heads = BTreeSet::new();
     let mut holds = BTreeSet::new();
     for p in pairs {
@@ -220,7 +220,8 @@
             },
         };
         since = Some(from);
-        let result: Result<Events<EndRecord>, _> = node.state.spare().changes(&prefix, from.max(1), WATCH).await;
+        let result: Result<WatchResponse<EndRecord>, _> =
+            node.state.spare().watch(&prefix, from.max(1), WATCH).await;
         match result {
             Ok(events) => {
                 since = Some(events.revision.max(from));
@@ -306,13 +307,13 @@
         _ => return Err(None),
     };
     let conditions = vec![
-        Condition { key: key.clone(), mod_revision: ModRevision(0) },
-        Condition { key: flow_key(run), mod_revision: head },
+        Compare { key: key.clone(), mod_revision: ModRevision(0) },
+        Compare { key: flow_key(run), mod_revision: head },
     ];
-    let changes = vec![Change::Put { key: key.clone(), value: hold.clone(), lease: Some(lease) }];
+    let changes = vec![Mutation::Put { key: key.clone(), value: hold.clone(), lease: Some(lease) }];
     match node.state.spare().txn(conditions, changes).await {
-        Ok(TxnEnd::Applied(mod_revision)) => Ok(mod_revision),
-        Ok(TxnEnd::Failed(_)) => match node.state.spare().get::<Hold>(&key).await {
+        Ok(TransactionOutcome::Applied(mod_revision)) => Ok(mod_revision),
+        Ok(TransactionOutcome::Failed(_)) => match node.state.spare().get::<Hold>(&key).await {
             // An earlier try of this very process went through.
             Ok(Some((Stored::Value(h), mod_revision))) if h == hold => Ok(mod_revision),
             Ok(Some((_, mod_revision))) => Err(Some(mod_revision)),
@@ -341,7 +342,7 @@
 pub(crate) async fn pages_of(node: &Node, run: RunId) -> Result<Vec<(u32, ModRevision, StepPage)>, StateError> {
     let prefix = flow_page_prefix(run);
     let (pairs, _) = node.state.spare().list::<StepPage>(&prefix).await?;
-    let page = |p: Pair<StepPage>| {
+    let page = |p: KeyValue<StepPage>| {
         let number = p.key.strip_prefix(&prefix)?.parse().ok()?;
         // An unreadable page is no knowledge; the jobs' own records tell.
         Some((number, p.mod_revision, p.value.readable().unwrap_or_default()))
@@ -417,13 +418,13 @@
     }
     let record = JobRecord::of_flow(spec.clone(), runtime::time_of_day().0);
     let more = vec![
-        Condition { key: flow_hold_key(run), mod_revision: grant },
-        Condition { key: flow_key(run), mod_revision: head },
+        Compare { key: flow_hold_key(run), mod_revision: grant },
+        Compare { key: flow_key(run), mod_revision: head },
     ];
     Ok(match records::accept(node, record, more).await? {
-        TxnEnd::Applied(_) => Outcome::Accepted,
+        TransactionOutcome::Applied(_) => Outcome::Accepted,
         // The three-way check: what does the job's own record say?
-        TxnEnd::Failed(_) => match lookup(node, node.state.spare(), &spec.id).await? {
+        TransactionOutcome::Failed(_) => match lookup(node, node.state.spare(), &spec.id).await? {
             Lookup::Missing => Outcome::Stale,
             found => known(&found),
         },
@@ -447,31 +448,31 @@
     head: Option<&(ModRevision, Head)>,
     release: bool,
 ) -> Written {
-    let mut conditions = vec![Condition { key: flow_hold_key(run), mod_revision: grant }];
+    let mut conditions = vec![Compare { key: flow_hold_key(run), mod_revision: grant }];
     let mut changes = Vec::new();
     for (page, mod_revision, value) in pages {
         let key = flow_page_key(run, *page);
-        conditions.push(Condition { key: key.clone(), mod_revision: *mod_revision });
-        changes.push(Change::Put { key, value: Value::Page(value.clone()), lease: None });
+        conditions.push(Compare { key: key.clone(), mod_revision: *mod_revision });
+        changes.push(Mutation::Put { key, value: Value::Page(value.clone()), lease: None });
     }
     if let Some((mod_revision, head)) = head {
-        conditions.push(Condition { key: flow_key(run), mod_revision: *mod_revision });
+        conditions.push(Compare { key: flow_key(run), mod_revision: *mod_revision });
         let mut head = head.clone();
         let key = if head.state.is_final() {
             head.ended_us = runtime::time_of_day().0;
-            changes.push(Change::Drop { key: flow_key(run) });
+            changes.push(Mutation::Delete { key: flow_key(run) });
             flow_end_key(run)
         } else {
             flow_key(run)
         };
-        changes.push(Change::Put { key, value: Value::Head(Box::new(head)), lease: None });
+        changes.push(Mutation::Put { key, value: Value::Head(Box::new(head)), lease: None });
     }
     if release {
-        changes.push(Change::Drop { key: flow_hold_key(run) });
+        changes.push(Mutation::Delete { key: flow_hold_key(run) });
     }
     match node.state.spare().txn(conditions, changes).await {
-        Ok(TxnEnd::Applied(mod_revision)) => Written::Applied(mod_revision),
-        Ok(TxnEnd::Failed(_)) => Written::Conflict,
+        Ok(TransactionOutcome::Applied(mod_revision)) => Written::Applied(mod_revision),
+        Ok(TransactionOutcome::Failed(_)) => Written::Conflict,
         Err(e) if e.is_refusal() => Written::Refused,
         Err(_) => Written::Unknown,
     }
--- a/crates/hopyoke/src/follow.rs
+++ b/crates/hopyoke/src/follow.rs
@@ -4,7 +4,7 @@
 use crate::node::{Leading, Node};
 use crate::state::{JOBS, StateError};
 use hopyoke_event_loop as runtime;
-use hopyoke_protocol::state::{Events, Pair, Stored};
+use hopyoke_protocol::state::{KeyValue, Stored, WatchResponse};
 use hopyoke_scheduler::JobRecord;
 use hopyoke_types::{JobId, Micros, ModRevision};
 use std::collections::BTreeSet;
@@ -23,7 +23,7 @@
     loop {
         let sent = runtime::now();
         let since = leading.core.borrow().applied().0;
-        let result: Result<Events<JobRecord>, _> = node.state.records().changes(JOBS, since, WATCH).await;
+        let result: Result<WatchResponse<JobRecord>, _> = node.state.records().watch(JOBS, since, WATCH).await;
         match result {
             Ok(events) => {
                 apply(&leading, events, sent);
@@ -77,8 +77,8 @@
         };
         let sent = runtime::now();
         let since = leading.core.borrow().applied().0;
-        let result: Result<Events<JobRecord>, StateError> =
-            node.state.records().changes(JOBS, since.max(1), Micros::ZERO).await;
+        let result: Result<WatchResponse<JobRecord>, StateError> =
+            node.state.records().watch(JOBS, since.max(1), Micros::ZERO).await;
         match result {
             Ok(events) => {
                 apply(&leading, events, sent);
@@ -96,16 +96,16 @@
 
 /// Brings the core up to what the state service said. Events may come twice, by the watch and by a
 /// question: those of a mark that is known change nothing, and a job that is over stays over.
-pub fn apply(leading: &Leading, events: Events<JobRecord>, sent: Micros) {
+pub fn apply(leading: &Leading, events: WatchResponse<JobRecord>, sent: Micros) {
     let now = runtime::now();
     leading.right.borrow_mut().heard(sent);
     let any = !events.events.is_empty();
     let mut core = leading.core.borrow_mut();
     for e in events.events {
-        if let Some(id) = e.drop.as_deref().and_then(job_id_of) {
+        if let Some(id) = e.deleted.as_deref().and_then(job_id_of) {
             core.job_dropped(&id, now);
         } else if let (Some(key), Some(value)) = (e.put, e.value)
-            && let Some((id, record, mod_revision)) = job_of(Pair { key, value, mod_revision: e.mod_revision })
+            && let Some((id, record, mod_revision)) = job_of(KeyValue { key, value, mod_revision: e.mod_revision })
         {
             core.job_seen(id, record, mod_revision, now);
         }
@@ -117,7 +117,7 @@
     }
 }
 
-pub(crate) fn job_of(pair: Pair<JobRecord>) -> Option<(JobId, JobRecord, ModRevision)> {
+pub(crate) fn job_of(pair: KeyValue<JobRecord>) -> Option<(JobId, JobRecord, ModRevision)> {
     let id = JobId::parse(pair.key.strip_prefix(JOBS)?)?;
     match pair.value {
         Stored::Value(record) => Some((id, record, pair.mod_revision)),
--- a/crates/hopyoke/src/lead.rs
+++ b/crates/hopyoke/src/lead.rs
@@ -5,7 +5,8 @@
 use crate::node::{Leading, Node};
 use crate::replica::Replica;
 use crate::state::{
-    FLEET, JOBS, LEADER, LEARNED, StateError, TxnEnd, block_key, end_key, fleet_key, job_key, learned_key,
+    FLEET, JOBS, LEADER, LEARNED, StateError, TransactionOutcome, block_key, end_key, fleet_key, job_key,
+    learned_key,
 };
 use crate::workers::Direct;
 use crate::{staffed, tuning};
@@ -14,8 +15,8 @@
 use hopyoke_event_loop::{self as runtime, Bell, Cancel};
 use hopyoke_heartbeat::Hearing;
 use hopyoke_policy::Figures;
-use hopyoke_protocol::cloud::Rent;
-use hopyoke_protocol::state::{Change, Condition};
+use hopyoke_protocol::cloud::ScaleOutRequest;
+use hopyoke_protocol::state::{Compare, Mutation};
 use hopyoke_scheduler::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, Write};
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, ModRevision};
@@ -92,7 +93,7 @@
         fresh_start = false;
         // Wait until the key changes.
         let wait = if mod_revision == ModRevision(0) { Micros::from_secs(1) } else { Micros::from_secs(10) };
-        match node.state.vital().changes::<Holder>(LEADER, mod_revision.0.max(1), wait).await {
+        match node.state.vital().watch::<Holder>(LEADER, mod_revision.0.max(1), wait).await {
             Ok(_) => {}
             Err(_) => runtime::sleep(Micros::from_millis(200) + jitter(Micros::from_millis(300))).await,
         }
@@ -122,14 +123,14 @@
             return Acquired::No;
         }
     };
-    let mut changes = vec![Change::Put { key: LEADER.to_owned(), value: me.clone(), lease: Some(lease) }];
+    let mut mutations = vec![Mutation::Put { key: LEADER.to_owned(), value: me.clone(), lease: Some(lease) }];
     for zone in &node.config.zones {
-        changes.push(Change::Put { key: block_key(zone), value: me.clone(), lease: Some(lease) });
+        mutations.push(Mutation::Put { key: block_key(zone), value: me.clone(), lease: Some(lease) });
     }
     let until = sent + ttl.less_drift();
     let outcome = loop {
-        let conditions = vec![Condition { key: LEADER.to_owned(), mod_revision }];
-        match node.state.vital().txn(conditions, changes.clone()).await {
+        let compares = vec![Compare { key: LEADER.to_owned(), mod_revision }];
+        match node.state.vital().txn(compares, mutations.clone()).await {
             // Certainly not executed: the same lease serves the next try, while enough of it is left.
             Err(e) if e.is_refusal() && runtime::now() < until - Micros(ttl.0 / 2) => {
                 debug!(error = %e, "leadership not decided");
@@ -139,7 +140,7 @@
         }
     };
     match outcome {
-        Ok(TxnEnd::Applied(m)) => {
+        Ok(TransactionOutcome::Applied(m)) => {
             info!(token = m.0, blocks = ?node.config.zones, "leading: all blocks granted to this node");
             Acquired::Lead(lease, FencingToken(m.0), until)
         }
@@ -147,7 +148,7 @@
             let _ = node.state.vital().release(lease).await;
             Acquired::No
         }
-        Ok(TxnEnd::Failed(_)) => {
+        Ok(TransactionOutcome::Failed(_)) => {
             let _ = node.state.vital().release(lease).await;
             Acquired::No
         }
@@ -366,35 +367,35 @@
 
 /// Every write is conditional on our grant, so that late ones of old holders fail.
 async fn commit(node: &Node, token: FencingToken, batch: &Batch) -> Result<ModRevision, BatchError> {
-    let mut conditions = vec![Condition { key: LEADER.to_owned(), mod_revision: ModRevision(token.0) }];
-    let mut changes = Vec::new();
+    let mut compares = vec![Compare { key: LEADER.to_owned(), mod_revision: ModRevision(token.0) }];
+    let mut mutations = Vec::new();
     for w in &batch.writes {
         match w {
             Write::Update { job, mod_revision, record } => {
-                conditions.push(Condition { key: job_key(job), mod_revision: *mod_revision });
-                changes.push(Change::Put { key: job_key(job), value: Value::Job(record), lease: None });
+                compares.push(Compare { key: job_key(job), mod_revision: *mod_revision });
+                mutations.push(Mutation::Put { key: job_key(job), value: Value::Job(record), lease: None });
             }
             Write::End { job, mod_revision, end } => {
-                conditions.push(Condition { key: job_key(job), mod_revision: *mod_revision });
-                changes.push(Change::Drop { key: job_key(job) });
-                changes.push(Change::Put { key: end_key(job), value: Value::End(end), lease: None });
+                compares.push(Compare { key: job_key(job), mod_revision: *mod_revision });
+                mutations.push(Mutation::Delete { key: job_key(job) });
+                mutations.push(Mutation::Put { key: end_key(job), value: Value::End(end), lease: None });
             }
             Write::Page { key, mod_revision, page } => {
-                conditions.push(Condition { key: fleet_key(key), mod_revision: *mod_revision });
-                changes.push(match page {
-                    Some(p) => Change::Put { key: fleet_key(key), value: Value::Page(p), lease: None },
-                    None => Change::Drop { key: fleet_key(key) },
+                compares.push(Compare { key: fleet_key(key), mod_revision: *mod_revision });
+                mutations.push(match page {
+                    Some(p) => Mutation::Put { key: fleet_key(key), value: Value::Page(p), lease: None },
+                    None => Mutation::Delete { key: fleet_key(key) },
                 });
             }
             Write::Learned { key, page } => {
-                changes.push(Change::Put { key: learned_key(*key), value: Value::Learned(page), lease: None });
+                mutations.push(Mutation::Put { key: learned_key(*key), value: Value::Learned(page), lease: None });
             }
-            Write::DropPage { key } => changes.push(Change::Drop { key: fleet_key(key) }),
+            Write::DropPage { key } => mutations.push(Mutation::Delete { key: fleet_key(key) }),
         }
     }
-    match node.state.records().txn(conditions, changes).await {
-        Ok(TxnEnd::Applied(mod_revision)) => Ok(mod_revision),
-        Ok(TxnEnd::Failed(keys)) => {
+    match node.state.records().txn(compares, mutations).await {
+        Ok(TransactionOutcome::Applied(mod_revision)) => Ok(mod_revision),
+        Ok(TransactionOutcome::Failed(keys)) => {
             if keys.iter().any(|k| k == LEADER) {
                 return Err(BatchError::Deposed);
             }
@@ -480,8 +481,9 @@
     let (node, l, direct) = (node.clone(), leading.clone(), direct.clone());
     runtime::spawn_until(leading.cancel.clone(), async move {
         match action {
-            Action::Rent { request, machine_type, zone, spot, count } => {
-                let rent = Rent { request: &request, machine_type: &machine_type, zone: &zone, spot, count };
+            Action::ScaleOut { request, machine_type, zone, spot, count } => {
+                let rent =
+                    ScaleOutRequest { request: &request, machine_type: &machine_type, zone: &zone, spot, count };
                 let outcome = node.cloud.rent(&rent).await;
                 l.core.borrow_mut().rented(&request, outcome, runtime::now());
             }
--- a/crates/hopyoke/src/records.rs
+++ b/crates/hopyoke/src/records.rs
@@ -1,9 +1,9 @@
 //! Jobs' records in the state service, as any node reads and changes them.
 
 use crate::node::Node;
-use crate::state::{Ask, LEADER, StateError, TxnEnd, end_key, job_key};
+use crate::state::{Ask, LEADER, StateError, TransactionOutcome, end_key, job_key};
 use hopyoke_event_loop as runtime;
-use hopyoke_protocol::state::{Change, Condition, Stored};
+use hopyoke_protocol::state::{Compare, Mutation, Stored};
 use hopyoke_protocol::user::JobState;
 use hopyoke_scheduler::{EndRecord, JobRecord};
 use hopyoke_types::{JobId, Micros, ModRevision};
@@ -94,16 +94,20 @@
 }
 
 /// Writes the record of a new job, on the condition that there is none, and on more.
-pub async fn accept(node: &Rc<Node>, record: JobRecord, more: Vec<Condition>) -> Result<TxnEnd, StateError> {
+pub async fn accept(
+    node: &Rc<Node>,
+    record: JobRecord,
+    more: Vec<Compare>,
+) -> Result<TransactionOutcome, StateError> {
     let id = record.spec.id.clone();
     let mut conditions = vec![
-        Condition { key: job_key(&id), mod_revision: ModRevision(0) },
-        Condition { key: end_key(&id), mod_revision: ModRevision(0) },
+        Compare { key: job_key(&id), mod_revision: ModRevision(0) },
+        Compare { key: end_key(&id), mod_revision: ModRevision(0) },
     ];
     conditions.extend(more);
-    let changes = vec![Change::Put { key: job_key(&id), value: record, lease: None }];
+    let changes = vec![Mutation::Put { key: job_key(&id), value: record, lease: None }];
     let end = node.state.accepting().txn(conditions, changes).await?;
-    if matches!(end, TxnEnd::Applied(_)) {
+    if matches!(end, TransactionOutcome::Applied(_)) {
         notify(node, &id);
     }
     Ok(end)
@@ -122,20 +126,22 @@
         let flow = record.is_some_and(|r| r.flow);
         let end = EndRecord { flow, ..EndRecord::new(JobState::Cancelled, done) };
         let conditions = vec![
-            Condition { key: job_key(id), mod_revision },
-            Condition { key: end_key(id), mod_revision: ModRevision(0) },
+            Compare { key: job_key(id), mod_revision },
+            Compare { key: end_key(id), mod_revision: ModRevision(0) },
+        ];
+        let changes = vec![
+            Mutation::Delete { key: job_key(id) },
+            Mutation::Put { key: end_key(id), value: end, lease: None },
         ];
-        let changes =
-            vec![Change::Drop { key: job_key(id) }, Change::Put { key: end_key(id), value: end, lease: None }];
         match node.state.cancelling().txn(conditions, changes).await? {
-            TxnEnd::Applied(mod_revision) => {
+            TransactionOutcome::Applied(mod_revision) => {
                 found_ended(node, id, end, mod_revision);
                 notify(node, id);
                 return Ok(Some(Lookup::Finished(end)));
             }
             // Its record changed meanwhile, by the leader's progress most likely.
-            TxnEnd::Failed(_) if runtime::now() < started + Micros::from_secs(2) => {}
-            TxnEnd::Failed(_) => return Ok(None),
+            TransactionOutcome::Failed(_) if runtime::now() < started + Micros::from_secs(2) => {}
+            TransactionOutcome::Failed(_) => return Ok(None),
         }
     }
 }
--- a/crates/hopyoke/src/staffed.rs
+++ b/crates/hopyoke/src/staffed.rs
@@ -2,12 +2,12 @@
 
 use crate::links::proto::{StaffedAnswer, StaffedRequest};
 use crate::node::{Leading, Node};
-use crate::state::{SWITCH, StateError, TxnEnd};
+use crate::state::{SWITCH, StateError, TransactionOutcome};
 use crate::tuning;
 use hopyoke_calendar::{Hours, Switch};
 use hopyoke_event_loop as runtime;
 use hopyoke_policy::Figures;
-use hopyoke_protocol::state::{Change, Condition, Stored};
+use hopyoke_protocol::state::{Compare, Mutation, Stored};
 use hopyoke_types::{Micros, ModRevision};
 use std::rc::Rc;
 use tracing::{info, warn};
@@ -94,13 +94,15 @@
     };
     if request.word != "show" {
         let change = match &word {
-            Some(w) => Change::Put { key: SWITCH.to_owned(), value: w.clone(), lease: None },
-            None => Change::Drop { key: SWITCH.to_owned() },
+            Some(w) => Mutation::Put { key: SWITCH.to_owned(), value: w.clone(), lease: None },
+            None => Mutation::Delete { key: SWITCH.to_owned() },
         };
-        let condition = Condition { key: SWITCH.to_owned(), mod_revision };
+        let condition = Compare { key: SWITCH.to_owned(), mod_revision };
         match node.state.cancelling().txn(vec![condition], vec![change]).await.map_err(not_now)? {
-            TxnEnd::Applied(_) => info!(word = request.word, by = request.by, "staffed hours"),
-            TxnEnd::Failed(_) => return Err("somebody else said something at the same moment; look again".into()),
+            TransactionOutcome::Applied(_) => info!(word = request.word, by = request.by, "staffed hours"),
+            TransactionOutcome::Failed(_) => {
+                return Err("somebody else said something at the same moment; look again".into());
+            }
         }
     }
     hours.switch = word;
--- a/crates/hopyoke/src/state.rs
+++ b/crates/hopyoke/src/state.rs
@@ -19,7 +19,8 @@
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, ClientError, Method, Response};
 use hopyoke_protocol::state::{
-    Applied, Change, Condition, Events, Failed, Grant, Granted, Page, Pair, Stored, Txn,
+    Compare, CompareFailed, KeyValue, KeyValuePage, LeaseGrantRequest, LeaseGrantResponse, Mutation, Stored,
+    Transaction, TransactionResponse, WatchResponse,
 };
 use hopyoke_protocol::{decode, encode};
 use hopyoke_run_times::PageKey;
@@ -121,7 +122,7 @@
 
 /// How a transaction ended.
 #[derive(Debug)]
-pub enum TxnEnd {
+pub enum TransactionOutcome {
     Applied(ModRevision),
     /// These keys did not have the given marks.
     Failed(Vec<String>),
@@ -264,7 +265,7 @@
         let r = self.send(Method::Get, &format!("/kv/{key}"), &[], READ_LIMIT).await?;
         match r.status {
             200 => {
-                let pair: Pair<T> = read(&r)?;
+                let pair: KeyValue<T> = read(&r)?;
                 Ok(Some((pair.value, pair.mod_revision)))
             }
             404 => Ok(None),
@@ -274,12 +275,12 @@
 
     /// All pairs under a prefix, and the revision as of the first page: watching from there on
     /// misses nothing.
-    pub async fn list<T: DeserializeOwned>(self, prefix: &str) -> Result<(Vec<Pair<T>>, u64), StateError> {
-        let mut all: Vec<Pair<T>> = Vec::new();
+    pub async fn list<T: DeserializeOwned>(self, prefix: &str) -> Result<(Vec<KeyValue<T>>, u64), StateError> {
+        let mut all: Vec<KeyValue<T>> = Vec::new();
         let mut revision = None;
         loop {
             let mut tries = 0;
-            let page: Page<T> = loop {
+            let page: KeyValuePage<T> = loop {
                 match self.page(prefix, all.last().map(|p| p.key.as_str()), PAGE).await {
                     Err(e) if tries < PAGE_TRIES => {
                         debug!(error = %e, under = prefix, "page not read");
@@ -304,7 +305,7 @@
         prefix: &str,
         since: Option<&str>,
         most: u32,
-    ) -> Result<Page<T>, StateError> {
+    ) -> Result<KeyValuePage<T>, StateError> {
         let since = since.map_or(String::new(), |s| format!("&since={s}"));
         let path = format!("/kv?under={prefix}{since}&most={most}");
         let r = self.send(Method::Get, &path, &[], PAGE_LIMIT).await?;
@@ -316,23 +317,23 @@
 
     pub async fn txn<V: Serialize>(
         self,
-        conditions: Vec<Condition>,
-        changes: Vec<Change<V>>,
-    ) -> Result<TxnEnd, StateError> {
-        let body = encode(&Txn { conditions, changes });
+        compares: Vec<Compare>,
+        mutations: Vec<Mutation<V>>,
+    ) -> Result<TransactionOutcome, StateError> {
+        let body = encode(&Transaction { compares, mutations });
         let r = self.send(Method::Post, "/multi", &body, WRITE_LIMIT).await?;
         match r.status {
-            200 => Ok(TxnEnd::Applied(ModRevision(read::<Applied>(&r)?.revision))),
-            409 => Ok(TxnEnd::Failed(read::<Failed>(&r)?.failed)),
+            200 => Ok(TransactionOutcome::Applied(ModRevision(read::<TransactionResponse>(&r)?.revision))),
+            409 => Ok(TransactionOutcome::Failed(read::<CompareFailed>(&r)?.failed)),
             s => Err(StateError::Refused(s)),
         }
     }
 
     pub async fn grant(self, ttl: Micros) -> Result<u64, StateError> {
-        let body = encode(&Grant { ttl_ms: ttl.as_millis() });
+        let body = encode(&LeaseGrantRequest { ttl_ms: ttl.as_millis() });
         let r = self.send(Method::Post, "/holds", &body, READ_LIMIT).await?;
         match r.status {
-            200 | 201 => Ok(read::<Granted>(&r)?.lease),
+            200 | 201 => Ok(read::<LeaseGrantResponse>(&r)?.lease),
             s => Err(StateError::Refused(s)),
         }
     }
@@ -356,12 +357,12 @@
     }
 
     /// Waits for changes under a prefix after a revision, at most for `wait`.
-    pub async fn changes<T: DeserializeOwned>(
+    pub async fn watch<T: DeserializeOwned>(
         self,
         prefix: &str,
         since: u64,
         wait: Micros,
-    ) -> Result<Events<T>, StateError> {
+    ) -> Result<WatchResponse<T>, StateError> {
         let path = format!("/changes?under={prefix}&since={since}&wait_ms={}", wait.as_millis());
         let r = self.send(Method::Get, &path, &[], wait + Micros::from_millis(1_500)).await?;
         match r.status {
--- a/crates/hopyoke/src/workers.rs
+++ b/crates/hopyoke/src/workers.rs
@@ -4,7 +4,7 @@
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, ClientError, Method, Request, Response};
 use hopyoke_heartbeat::Route;
-use hopyoke_protocol::worker::{Command, Heartbeat, HeartbeatResponse, PushedCommands, Redirect};
+use hopyoke_protocol::worker::{Command, Heartbeat, HeartbeatRedirect, HeartbeatResponse, PushedCommands};
 use hopyoke_protocol::{decode, encode};
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, MachineId};
@@ -27,7 +27,7 @@
             && leading.entitled()
         {
             let other = &node.links.0[peer].peer.node;
-            return Response::of(421, &Redirect { report_to: Some(other) }).closing();
+            return Response::of(421, &HeartbeatRedirect { report_to: Some(other) }).closing();
         }
         return match heartbeat(node, &leading, &request.body) {
             Ok(commands) => Response::of(200, &commands),
@@ -105,7 +105,7 @@
 fn redirect(node: &Node) -> Response {
     let leader = node.leader.borrow();
     let other = leader.as_deref().filter(|l| *l != node.settings.node);
-    Response::of(421, &Redirect { report_to: other })
+    Response::of(421, &HeartbeatRedirect { report_to: other })
 }
 
 /// A task's whole story can be told from the log at `debug`: which start went where, by which holder.
