--- a/crates/hopyoke-emulator/src/cloud.rs
+++ b/crates/hopyoke-emulator/src/cloud.rs
@@ -3,7 +3,7 @@
 use crate::worker::{Worker, Works};
 use crate::{param, serve, target};
 use hopyoke_event_loop::http::{Method, Request, Response};
-use hopyoke_event_loop::{self as runtime, Cancel};
+use hopyoke_event_loop::{self as runtime, CancellationToken};
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::decode;
 use hopyoke_types::{MachineId, Micros};
@@ -21,7 +21,7 @@
     spot: bool,
     since: Micros,
     worker: Option<Rc<Worker>>,
-    cancel: Cancel,
+    cancel: CancellationToken,
 }
 
 /// A cloud on loopback.
@@ -33,7 +33,7 @@
     machines: RefCell<BTreeMap<MachineId, Machine>>,
     charters: RefCell<BTreeMap<String, Vec<MachineId>>>,
     next: Cell<u32>,
-    cancel: Cancel,
+    cancel: CancellationToken,
 }
 
 #[derive(Deserialize)]
@@ -57,7 +57,7 @@
     /// # Errors
     /// If it cannot listen.
     pub fn start(
-        cancel: &Cancel,
+        cancel: &CancellationToken,
         types: Vec<MachineType>,
         capacity: usize,
         works: Rc<Works>,
@@ -126,7 +126,7 @@
     fn add(self: &Rc<Cloud>, kind: &MachineType, zone: &str, spot: bool) -> MachineId {
         self.next.set(self.next.get() + 1);
         let id = MachineId::new(&format!("m-{:06}", self.next.get()));
-        let cancel = Cancel::new();
+        let cancel = CancellationToken::new();
         let machine = Machine {
             kind: kind.name.clone(),
             zone: zone.to_owned(),
--- a/crates/hopyoke-emulator/src/lib.rs
+++ b/crates/hopyoke-emulator/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod worker;
 
 use hopyoke_event_loop::http::{self, Limits, OpenCount, Request, Response};
-use hopyoke_event_loop::{self as runtime, Cancel, TcpListener};
+use hopyoke_event_loop::{self as runtime, CancellationToken, TcpListener};
 use hopyoke_types::Micros;
 use std::future::Future;
 use std::io;
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 
 /// Serves requests on a loopback port of the system's choice.
-pub(crate) fn serve<F, G>(cancel: &Cancel, handler: F) -> io::Result<SocketAddr>
+pub(crate) fn serve<F, G>(cancel: &CancellationToken, handler: F) -> io::Result<SocketAddr>
 where
     F: Fn(Request) -> G + 'static,
     G: Future<Output = Response> + 'static,
--- a/crates/hopyoke-emulator/src/site.rs
+++ b/crates/hopyoke-emulator/src/site.rs
@@ -3,7 +3,7 @@
 use crate::cloud::Cloud;
 use crate::state::State;
 use crate::worker::Works;
-use hopyoke_event_loop::{self as runtime, Cancel};
+use hopyoke_event_loop::{self as runtime, CancellationToken};
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_types::Micros;
 use std::fmt::Write;
@@ -63,7 +63,7 @@
     pub mesh: Vec<SocketAddr>,
     pub plan: Plan,
     children: Vec<Option<Child>>,
-    cancel: Cancel,
+    cancel: CancellationToken,
 }
 
 /// Addresses that were free a moment ago.
@@ -79,7 +79,7 @@
     /// What could not be started.
     pub fn start(plan: Plan) -> io::Result<Site> {
         std::fs::create_dir_all(&plan.dir)?;
-        let cancel = Cancel::new();
+        let cancel = CancellationToken::new();
         let (state, state_addr) = State::start(&cancel)?;
         let (heartbeat, lease) = (0.5, 6.0);
         let works =
--- a/crates/hopyoke-emulator/src/state.rs
+++ b/crates/hopyoke-emulator/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::{param, serve, target};
 use hopyoke_event_loop::http::{Method, Request, Response};
-use hopyoke_event_loop::{self as runtime, Cancel};
+use hopyoke_event_loop::{self as runtime, CancellationToken};
 use hopyoke_protocol::decode;
 use hopyoke_types::Micros;
 use serde::Deserialize;
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// If it cannot listen.
-    pub fn start(cancel: &Cancel) -> io::Result<(Rc<State>, SocketAddr)> {
+    pub fn start(cancel: &CancellationToken) -> io::Result<(Rc<State>, SocketAddr)> {
         let state = Rc::new(State::default());
         let s = state.clone();
         let addr = serve(cancel, move |request| {
--- a/crates/hopyoke-emulator/src/worker.rs
+++ b/crates/hopyoke-emulator/src/worker.rs
@@ -3,7 +3,7 @@
 use crate::serve;
 use crate::state::State;
 use hopyoke_event_loop::http::{Client, Method, Request, Response};
-use hopyoke_event_loop::{self as runtime, Bell, Cancel};
+use hopyoke_event_loop::{self as runtime, CancellationToken, Notify};
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::decode;
 use hopyoke_protocol::user::{JobKind, JobSpec};
@@ -84,7 +84,7 @@
     state: TaskState,
     why: Option<ExitReason>,
     spec: Option<JobSpec>,
-    cancel: Cancel,
+    cancel: CancellationToken,
 }
 
 struct Inner {
@@ -106,7 +106,7 @@
     spot: bool,
     works: Rc<Works>,
     inner: RefCell<Inner>,
-    changed: Bell,
+    changed: Notify,
 }
 
 #[derive(Deserialize)]
@@ -126,7 +126,7 @@
         zone: &str,
         spot: bool,
         works: Rc<Works>,
-        cancel: &Cancel,
+        cancel: &CancellationToken,
     ) -> io::Result<Rc<Worker>> {
         let slot: Rc<RefCell<Option<Rc<Worker>>>> = Rc::default();
         let door = slot.clone();
@@ -150,7 +150,7 @@
             spot,
             works,
             inner: RefCell::new(inner),
-            changed: Bell::default(),
+            changed: Notify::default(),
         });
         *slot.borrow_mut() = Some(worker.clone());
         runtime::spawn_until(cancel.clone(), worker.clone().report_on());
@@ -347,10 +347,10 @@
             }
         };
         let state = if refusal.is_some() { TaskState::Ended } else { TaskState::Fetching };
-        let cancel = Cancel::new();
+        let cancel = CancellationToken::new();
         let entry = Task { state, why: refusal, spec: spec.clone(), cancel: cancel.clone() };
         self.inner.borrow_mut().tasks.insert(key, entry);
-        self.changed.ring();
+        self.changed.notify();
         if let Some(spec) = spec.filter(|_| refusal.is_none()) {
             let w = self.clone();
             runtime::spawn_until(cancel, async move { w.live(task, attempt, spec).await });
@@ -403,7 +403,7 @@
         if let Some(t) = self.inner.borrow_mut().tasks.get_mut(&(task.clone(), attempt)) {
             t.state = state;
         }
-        self.changed.ring();
+        self.changed.notify();
     }
 
     fn exit(&self, task: &TaskId, attempt: Attempt, why: ExitReason) {
@@ -418,6 +418,6 @@
         drop(inner);
         cancel.cancel();
         self.leave(task);
-        self.changed.ring();
+        self.changed.notify();
     }
 }
--- a/crates/hopyoke-emulator/tests/close_looks/history.rs
+++ b/crates/hopyoke-emulator/tests/close_looks/history.rs
@@ -7,7 +7,7 @@
 pub enum Request {
     Submit,
     Poll,
-    Cancel,
+    CancellationToken,
 }
 
 /// What an answer says of the job.
@@ -92,7 +92,7 @@
     let first_begun = |request| looks.iter().filter(|l| l.request == request).map(|l| l.begun).min();
     let before = |l: &Look, request| first_begun(request).is_none_or(|begun| l.received < begun);
     for l in &by_receipt {
-        if l.said == Said::Cancelled && before(l, Request::Cancel) {
+        if l.said == Said::Cancelled && before(l, Request::CancellationToken) {
             found.push(format!("cancelled unasked: {l}"));
         }
         if l.said.stage() > Some(0) && before(l, Request::Submit) {
@@ -126,7 +126,7 @@
             &[
                 look(Submit, (1, 10), Said::Accepted),
                 look(Poll, (2, 11), Said::Unknown),
-                look(Cancel, (12, 20), Said::Cancelled),
+                look(CancellationToken, (12, 20), Said::Cancelled),
                 look(Poll, (19, 40), Said::Accepted),
                 look(Poll, (21, 30), Said::Cancelled),
                 look(Submit, (31, 41), Said::Cancelled),
@@ -141,10 +141,10 @@
         let accepted = look(Submit, (1, 2), Said::Accepted);
         check(&[accepted, look(Poll, (3, 4), Said::Unknown)], &["older"]);
         check(&[accepted, look(Submit, (3, 4), Said::Refused)], &["older"]);
-        let cancelled = look(Cancel, (3, 4), Said::Cancelled);
+        let cancelled = look(CancellationToken, (3, 4), Said::Cancelled);
         check(&[accepted, cancelled, look(Poll, (5, 9), Said::Accepted)], &["older"]);
         check(&[accepted, cancelled, look(Submit, (5, 9), Said::Accepted)], &["older"]);
-        check(&[accepted, cancelled, look(Cancel, (5, 9), Said::Unknown)], &["older"]);
+        check(&[accepted, cancelled, look(CancellationToken, (5, 9), Said::Unknown)], &["older"]);
         let done = look(Poll, (3, 4), Said::Done);
         check(
             &[accepted, done, look(Poll, (5, 6), Said::Accepted), look(Poll, (7, 8), Said::Unknown)],
@@ -169,12 +169,12 @@
         let accepted = look(Submit, (1, 9), Said::Accepted);
         // At the same time, but there is only one end.
         check(
-            &[accepted, look(Cancel, (10, 20), Said::Cancelled), look(Poll, (11, 19), Said::Done)],
+            &[accepted, look(CancellationToken, (10, 20), Said::Cancelled), look(Poll, (11, 19), Said::Done)],
             &["two ends"],
         );
         check(&[accepted, look(Poll, (10, 20), Said::Cancelled)], &["cancelled unasked"]);
         check(
-            &[accepted, look(Poll, (10, 20), Said::Cancelled), look(Cancel, (21, 22), Said::Cancelled)],
+            &[accepted, look(Poll, (10, 20), Said::Cancelled), look(CancellationToken, (21, 22), Said::Cancelled)],
             &["cancelled unasked"],
         );
         check(&[look(Poll, (1, 2), Said::Accepted), look(Submit, (3, 4), Said::Accepted)], &["invented"]);
--- a/crates/hopyoke-emulator/tests/close_looks/main.rs
+++ b/crates/hopyoke-emulator/tests/close_looks/main.rs
@@ -107,7 +107,7 @@
         let (method, path, body) = match request {
             Request::Submit => (Method::Post, "/api/jobs".to_owned(), &job.body[..]),
             Request::Poll => (Method::Get, path, &[][..]),
-            Request::Cancel => (Method::Post, format!("{path}/withdraw"), &[][..]),
+            Request::CancellationToken => (Method::Post, format!("{path}/withdraw"), &[][..]),
         };
         let limit = if request == Request::Poll { ms(2_000) } else { ms(5_000) };
         let begun = self.tick();
@@ -151,7 +151,7 @@
             for after in [0, 9, 35] {
                 self.ask_later(job, node, Request::Submit, ms(after));
                 if stage == 2 {
-                    self.ask_later(job, node, Request::Cancel, ms(after + 2));
+                    self.ask_later(job, node, Request::CancellationToken, ms(after + 2));
                 }
             }
         }
@@ -170,7 +170,7 @@
     /// Cancels, at one node after the other, until it is told an end.
     async fn cancel(self: &Rc<Users>, job: &Rc<Job>, first: usize) {
         for node in (0..NODES).cycle().skip(first) {
-            if self.ask(job, node, Request::Cancel).await.is_final() {
+            if self.ask(job, node, Request::CancellationToken).await.is_final() {
                 return;
             }
             runtime::sleep(self.some(1..15)).await;
@@ -337,7 +337,9 @@
         let looks: Vec<Look> = jobs.iter().flat_map(|j| j.looks.borrow().clone()).collect();
         let count = |what: &dyn Fn(&Look) -> bool| looks.iter().filter(|l| what(l)).count();
         for node in 0..NODES {
-            for (request, least) in [(Request::Poll, 500), (Request::Submit, 150), (Request::Cancel, 100)] {
+            for (request, least) in
+                [(Request::Poll, 500), (Request::Submit, 150), (Request::CancellationToken, 100)]
+            {
                 let of = |l: &Look| l.node == node && l.request == request;
                 let answered = count(&|l| of(l) && l.said.stage().is_some());
                 println!("node {node}: {request:?} {answered} of {}", count(&of));
@@ -384,7 +386,7 @@
         };
         users.accept(&long, other).await;
         until(true).await;
-        assert_eq!(users.ask(&long, other, Request::Cancel).await, Said::Cancelled);
+        assert_eq!(users.ask(&long, other, Request::CancellationToken).await, Said::Cancelled);
         until(false).await;
         let jobs: Vec<Rc<Job>> = (0..JOBS / 2).map(|n| users.job(5000 + n, ESTIMATE_S)).collect();
         play(&users, site, &jobs, |_, _| {}).await;
@@ -447,14 +449,14 @@
         for node in 0..NODES {
             assert_eq!(users.ask(&open, node, Request::Poll).await, Said::Accepted, "node {node}");
             assert_eq!(users.ask(&open, node, Request::Submit).await, Said::Accepted, "node {node}");
-            for request in [Request::Poll, Request::Submit, Request::Cancel] {
+            for request in [Request::Poll, Request::Submit, Request::CancellationToken] {
                 assert_eq!(users.ask(&over, node, request).await, Said::Nothing, "{request:?} at node {node}");
             }
             let path = format!("/api/jobs/{}?from=here", ended.id);
             let answer = users.clients[node].send(Method::Get, &path, &[], ms(2_000)).await.expect("an answer");
             assert_eq!(answer.status, 200, "node {node}");
         }
-        assert_eq!(users.ask(&open, 1, Request::Cancel).await, Said::Cancelled);
+        assert_eq!(users.ask(&open, 1, Request::CancellationToken).await, Said::Cancelled);
         for node in 0..NODES {
             assert_eq!(users.ask(&open, node, Request::Poll).await, Said::Cancelled, "node {node}");
         }
--- a/crates/hopyoke-event-loop/src/cancel.rs
+++ b/crates/hopyoke-event-loop/src/cancel.rs
@@ -7,7 +7,7 @@
 
 /// A cancellation token; clones share the same fate.
 #[derive(Clone, Default)]
-pub struct Cancel(Rc<State>);
+pub struct CancellationToken(Rc<State>);
 
 #[derive(Default)]
 struct State {
@@ -15,9 +15,9 @@
     wakers: RefCell<slab::Slab<Waker>>,
 }
 
-impl Cancel {
-    pub fn new() -> Cancel {
-        Cancel::default()
+impl CancellationToken {
+    pub fn new() -> CancellationToken {
+        CancellationToken::default()
     }
 
     pub fn cancel(&self) {
@@ -53,7 +53,7 @@
 
 /// Removes the waker when the watching routine ends first.
 struct Slot {
-    cancel: Cancel,
+    cancel: CancellationToken,
     key: Option<usize>,
 }
 
--- a/crates/hopyoke-event-loop/src/http/server.rs
+++ b/crates/hopyoke-event-loop/src/http/server.rs
@@ -2,7 +2,7 @@
 
 use super::message::{ReadError, Reader};
 use super::{Request, Response};
-use crate::{self as runtime, Cancel, TcpListener, TcpStream};
+use crate::{self as runtime, CancellationToken, TcpListener, TcpStream};
 use futures_util::future::LocalBoxFuture;
 use hopyoke_types::Micros;
 use std::cell::Cell;
@@ -44,7 +44,13 @@
 type Handler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, Response>>;
 
 /// Serves `listener` until cancelled.
-pub async fn serve(listener: TcpListener, limits: Limits, open: OpenCount, cancel: Cancel, handler: Handler) {
+pub async fn serve(
+    listener: TcpListener,
+    limits: Limits,
+    open: OpenCount,
+    cancel: CancellationToken,
+    handler: Handler,
+) {
     let (open, held) = (open.0, open.1);
     loop {
         // In short spans: a hold may end early.
--- a/crates/hopyoke-event-loop/src/lib.rs
+++ b/crates/hopyoke-event-loop/src/lib.rs
@@ -1,13 +1,13 @@
 //! A single-threaded executor on `mio`: routines are futures, woken by sockets and timers.
 //!
 //! There is one runtime per process (thread). Every connection and every long-lived duty is a
-//! routine of its own; a [`Cancel`] token ends a routine in an orderly way.
+//! routine of its own; a [`CancellationToken`] token ends a routine in an orderly way.
 
 mod cancel;
 pub mod http;
 mod net;
 
-pub use cancel::Cancel;
+pub use cancel::CancellationToken;
 pub use net::{TcpListener, TcpStream};
 
 use hopyoke_types::Micros;
@@ -219,7 +219,7 @@
 }
 
 /// Starts a routine that ends, at its next wait, when `cancel` is cancelled.
-pub fn spawn_until<F: Future<Output = ()> + 'static>(cancel: Cancel, future: F) {
+pub fn spawn_until<F: Future<Output = ()> + 'static>(cancel: CancellationToken, future: F) {
     spawn(async move {
         cancel.run(future).await;
     });
@@ -305,16 +305,16 @@
 
 /// A bell that one routine waits for and others ring; a ring while nobody waits is kept.
 #[derive(Clone, Default)]
-pub struct Bell(Rc<BellInner>);
+pub struct Notify(Rc<NotifyInner>);
 
 #[derive(Default)]
-struct BellInner {
+struct NotifyInner {
     rung: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
-impl Bell {
-    pub fn ring(&self) {
+impl Notify {
+    pub fn notify(&self) {
         self.0.rung.set(true);
         if let Some(w) = self.0.waker.borrow_mut().take() {
             w.wake();
--- a/crates/hopyoke-wes/src/main.rs
+++ b/crates/hopyoke-wes/src/main.rs
@@ -5,7 +5,7 @@
 use hopyoke::links::proto::{ResumeRun, RunInfo, RunList, RunQuestion, SubmitRun};
 use hopyoke_cwl::load::{Files, Source, name_of};
 use hopyoke_cwl::{Faults, graph, open, yaml};
-use hopyoke_event_loop::{self as runtime, Cancel};
+use hopyoke_event_loop::{self as runtime, CancellationToken};
 use hopyoke_types::Micros;
 use hopyoke_wes::access::Access;
 use hopyoke_wes::calls::Controllers;
@@ -57,7 +57,7 @@
         to: To,
     },
     /// Cancel a run
-    Cancel {
+    CancellationToken {
         run: String,
         #[command(flatten)]
         to: To,
@@ -184,7 +184,7 @@
         Command::Run(run) => run_document(&run),
         Command::List { to } => wait(move || list(to)),
         Command::Status { run, to } => wait(move || status(run, to)),
-        Command::Cancel { run, to } => wait(move || change(run, "cancel", to, None)),
+        Command::CancellationToken { run, to } => wait(move || change(run, "cancel", to, None)),
         Command::Resume { run, to, descriptions } => wait(move || change(run, "resume", to, descriptions)),
         Command::Serve { config, check } => serve(&config, check),
         Command::Digest => digest(),
@@ -553,7 +553,7 @@
             let old = RunId::parse(&run).ok_or_else(|| format!("{run} is no run's id: twelve digits"))?;
             let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(format!("resume/{old}").as_bytes()));
             let ask = match verb {
-                "cancel" => Ask::Cancel(RunQuestion { run: old.number(), ..RunQuestion::default() }),
+                "cancel" => Ask::CancellationToken(RunQuestion { run: old.number(), ..RunQuestion::default() }),
                 _ => Ask::Resume(ResumeRun { run: old.number(), new_run: new.number(), owner: String::new() }),
             };
             if let Some(dir) = descriptions {
@@ -577,7 +577,10 @@
     wait(move || async move {
         let listen = config.listen;
         let ready = |addr: SocketAddr| tracing::info!(%addr, "serving");
-        Server::new(config).serve(Cancel::new(), ready).await.map_err(|e| End::Failed(format!("{listen}: {e}")))
+        Server::new(config)
+            .serve(CancellationToken::new(), ready)
+            .await
+            .map_err(|e| End::Failed(format!("{listen}: {e}")))
     })
 }
 
--- a/crates/hopyoke-wes/src/server.rs
+++ b/crates/hopyoke-wes/src/server.rs
@@ -13,7 +13,7 @@
 use hopyoke::links::proto::flow_request::Ask;
 use hopyoke::links::proto::{self, RunInfo, RunQuestion, StepInfo, SubmitRun};
 use hopyoke_event_loop::http::{self, Limits, Method, OpenCount, Request, Response};
-use hopyoke_event_loop::{Cancel, TcpListener};
+use hopyoke_event_loop::{CancellationToken, TcpListener};
 use hopyoke_types::{JobId, Micros};
 use hopyoke_workflow::{RunId, is_reserved, parts_of};
 use serde::Serialize;
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// If it cannot listen.
-    pub async fn serve(self, cancel: Cancel, ready: impl FnOnce(SocketAddr)) -> std::io::Result<()> {
+    pub async fn serve(self, cancel: CancellationToken, ready: impl FnOnce(SocketAddr)) -> std::io::Result<()> {
         let listener = TcpListener::bind(self.config.listen)?;
         ready(listener.local_addr()?);
         let limits = Limits {
--- a/crates/hopyoke/src/carriage.rs
+++ b/crates/hopyoke/src/carriage.rs
@@ -2,7 +2,7 @@
 //! has no room for them (see [`hopyoke_heartbeat`]).
 
 use crate::node::Node;
-use hopyoke_event_loop::{self as runtime, Bell};
+use hopyoke_event_loop::{self as runtime, Notify};
 use hopyoke_heartbeat::{Carrier, Load, Number};
 use hopyoke_types::Micros;
 use std::cell::RefCell;
@@ -16,26 +16,26 @@
 pub struct Carriage {
     carrier: RefCell<Carrier>,
     /// Rung when there may be something to carry.
-    bell: Bell,
-    waiting: RefCell<BTreeMap<Number, (Place, Bell)>>,
+    wakeup: Notify,
+    waiting: RefCell<BTreeMap<Number, (Place, Notify)>>,
 }
 
 impl Carriage {
     /// Carries a report to the leader. `None`: it has not been answered.
     pub async fn carry(&self, heartbeat: Vec<u8>) -> Option<Vec<u8>> {
         let number = self.carrier.borrow_mut().arrive(heartbeat, runtime::now())?;
-        let (place, bell) = (Place::default(), Bell::default());
-        self.waiting.borrow_mut().insert(number, (place.clone(), bell.clone()));
-        self.bell.ring();
-        bell.wait().await;
+        let (place, wakeup) = (Place::default(), Notify::default());
+        self.waiting.borrow_mut().insert(number, (place.clone(), wakeup.clone()));
+        self.wakeup.notify();
+        wakeup.wait().await;
         let answer = place.borrow_mut().take();
         answer.filter(|a| !a.is_empty())
     }
 
     fn answered(&self, number: Number, answer: Vec<u8>) {
-        if let Some((place, bell)) = self.waiting.borrow_mut().remove(&number) {
+        if let Some((place, wakeup)) = self.waiting.borrow_mut().remove(&number) {
             *place.borrow_mut() = Some(answer);
-            bell.ring();
+            wakeup.notify();
         }
     }
 
@@ -52,7 +52,7 @@
         let due = carriage.carrier.borrow().due();
         match due {
             Some(due) => runtime::sleep_until(due).await,
-            None => carriage.bell.wait_until(runtime::now() + Micros::from_secs(5)).await,
+            None => carriage.wakeup.wait_until(runtime::now() + Micros::from_secs(5)).await,
         }
         let (load, late) = carriage.carrier.borrow_mut().load(runtime::now());
         for number in late {
@@ -78,5 +78,5 @@
     for (number, answer) in numbers.into_iter().zip(answers) {
         carriage.answered(number, answer);
     }
-    carriage.bell.ring();
+    carriage.wakeup.notify();
 }
--- a/crates/hopyoke/src/flows.rs
+++ b/crates/hopyoke/src/flows.rs
@@ -66,11 +66,11 @@
                 execute(&node, action).await;
                 let flows = of(&node);
                 flows.busy.set(flows.busy.get() - 1);
-                flows.bell.ring();
+                flows.wakeup.notify();
             });
         }
         let due = flows.engine.borrow().next_due(now).max(now + Micros::from_millis(1));
-        flows.bell.wait_until(due).await;
+        flows.wakeup.wait_until(due).await;
     }
 }
 
@@ -89,7 +89,7 @@
                     warn!("the lease on which this node carries runs is gone");
                     flows.lease.set(None);
                     flows.engine.borrow_mut().lease_lost(runtime::now());
-                    flows.bell.ring();
+                    flows.wakeup.notify();
                     continue;
                 }
                 Err(e) => debug!(error = %e, "lease for runs not renewed"),
@@ -134,7 +134,7 @@
                     }
                 }
                 if any {
-                    flows.bell.ring();
+                    flows.wakeup.notify();
                 }
             }
             Err(StateError::Gone) => since = None,
@@ -196,7 +196,7 @@
         }
     }
     engine.news_lost(runtime::now());
-    flows.bell.ring();
+    flows.wakeup.notify();
 }
 
 /// Learns of the ends of steps' jobs, and of no others.
@@ -236,7 +236,7 @@
                     }
                 }
                 drop(engine);
-                flows.bell.ring();
+                flows.wakeup.notify();
             }
             Err(StateError::Gone) => since = None,
             Err(_) => runtime::sleep(Micros::from_millis(300)).await,
--- a/crates/hopyoke/src/follow.rs
+++ b/crates/hopyoke/src/follow.rs
@@ -48,7 +48,7 @@
                     }
                     core.caught_up(ModRevision(revision), sent);
                     leading.right.borrow_mut().heard(sent);
-                    leading.bell.ring();
+                    leading.wakeup.notify();
                 }
                 Err(_) => runtime::sleep(Micros::from_millis(300)).await,
             },
@@ -66,7 +66,7 @@
     loop {
         let due = replica.reads.borrow().due();
         let Some(due) = due else {
-            replica.bell.wait().await;
+            replica.wakeup.wait().await;
             continue;
         };
         runtime::sleep_until(due).await;
@@ -113,7 +113,7 @@
     core.caught_up(ModRevision(events.revision), sent);
     drop(core);
     if any {
-        leading.bell.ring();
+        leading.wakeup.notify();
     }
 }
 
--- a/crates/hopyoke/src/lead.rs
+++ b/crates/hopyoke/src/lead.rs
@@ -12,7 +12,7 @@
 use crate::{staffed, tuning};
 use hopyoke_consistency::Delivered;
 use hopyoke_consistency::leader_lease::Entitlement;
-use hopyoke_event_loop::{self as runtime, Bell, Cancel};
+use hopyoke_event_loop::{self as runtime, CancellationToken, Notify};
 use hopyoke_heartbeat::Hearing;
 use hopyoke_policy::Figures;
 use hopyoke_protocol::cloud::ScaleOutRequest;
@@ -164,10 +164,10 @@
     *node.leader.borrow_mut() = Some(node.settings.node.clone());
     // From the grant, not from the reading of the records: old holders had stopped by then.
     let granted_at = runtime::now();
-    let cancel = Cancel::new();
+    let cancel = CancellationToken::new();
     let ttl = node.settings.leader_ttl();
     let right = Rc::new(RefCell::new(Entitlement::new(until, ttl, WATCH, node.links.0.len())));
-    let lost = Bell::default();
+    let lost = Notify::default();
     runtime::spawn_until(
         cancel.clone(),
         keep_lease(node.clone(), lease, right.clone(), lost.clone(), cancel.clone()),
@@ -194,8 +194,8 @@
         core: RefCell::new(core),
         right,
         hearing: RefCell::new(Hearing::new(node.config.heartbeat_interval, node.settings.facts.nodes, now)),
-        bell: Bell::default(),
-        write_bell: Bell::default(),
+        wakeup: Notify::default(),
+        write_wakeup: Notify::default(),
         cancel: cancel.clone(),
         replica: Replica::default(),
         delivered: RefCell::new(Delivered::new(node.links.0.len())),
@@ -248,7 +248,13 @@
 /// may do nothing, and nobody else could lead. (Test a_slow_state_service_keeps_its_leader.)
 const RENEWAL: Micros = Micros::from_secs(1);
 
-async fn keep_lease(node: Rc<Node>, lease: u64, right: Rc<RefCell<Entitlement>>, lost: Bell, cancel: Cancel) {
+async fn keep_lease(
+    node: Rc<Node>,
+    lease: u64,
+    right: Rc<RefCell<Entitlement>>,
+    lost: Notify,
+    cancel: CancellationToken,
+) {
     let ttl = node.settings.leader_ttl();
     let longest = Micros(ttl.0 / 2).max(RENEWAL);
     let mut patience = RENEWAL;
@@ -258,12 +264,12 @@
             Ok(()) => {
                 patience = (runtime::now() - sent).times(2).clamp(RENEWAL, longest);
                 right.borrow_mut().renewed(sent);
-                lost.ring();
+                lost.notify();
                 runtime::sleep(Micros(ttl.0 / 4)).await;
             }
             Err(StateError::Gone) => {
                 cancel.cancel();
-                lost.ring();
+                lost.notify();
                 return;
             }
             // Our lease may outlive an outage: try on until the service says that it is gone.
@@ -331,7 +337,7 @@
                 node.door.short();
             }
             let pause = if more { Micros::from_millis(50) } else { Micros::from_secs(1) };
-            leading.write_bell.wait_until(runtime::now() + pause).await;
+            leading.write_wakeup.wait_until(runtime::now() + pause).await;
             continue;
         };
         let token = leading.core.borrow().token;
@@ -352,7 +358,7 @@
             }
         }
         leading.core.borrow_mut().batch_ended(batch, result, runtime::now());
-        leading.bell.ring();
+        leading.wakeup.notify();
     }
 }
 
@@ -415,7 +421,7 @@
     loop {
         if let Some(list) = node.cloud.list().await {
             leading.core.borrow_mut().listed(&list, runtime::now());
-            leading.bell.ring();
+            leading.wakeup.notify();
         }
         let pause = node.config.list_lag.max(Micros::from_secs(5));
         runtime::sleep(pause + jitter(Micros::from_secs(1))).await;
@@ -468,11 +474,11 @@
                 perform(&node, &leading, &direct, token, action);
             }
             if writes {
-                leading.write_bell.ring();
+                leading.write_wakeup.notify();
             }
             next = due;
         }
-        leading.bell.wait_until(next).await;
+        leading.wakeup.wait_until(next).await;
     }
 }
 
@@ -515,7 +521,7 @@
                 direct.send(&l, token, machine, address, epoch, commands).await;
             }
         }
-        l.bell.ring();
-        l.write_bell.ring();
+        l.wakeup.notify();
+        l.write_wakeup.notify();
     });
 }
--- a/crates/hopyoke/src/links.rs
+++ b/crates/hopyoke/src/links.rs
@@ -1,7 +1,7 @@
 //! Calls to the other controllers: gRPC by `tonic`, over hyper's HTTP/2 on our own event loop.
 
 use hopyoke_event_loop::http::{Request, Response};
-use hopyoke_event_loop::{self as runtime, Cancel, TcpStream};
+use hopyoke_event_loop::{self as runtime, CancellationToken, TcpStream};
 use hopyoke_settings::Peer;
 use hopyoke_types::{JobId, Micros};
 use hyper::body::Incoming;
@@ -69,7 +69,7 @@
 pub const ASK_LEADER: Micros = Micros::from_millis(500);
 pub const ASK_PEER: Micros = Micros::from_millis(1_800);
 
-async fn connect(addr: SocketAddr, cancel: &Cancel) -> io::Result<Channel> {
+async fn connect(addr: SocketAddr, cancel: &CancellationToken) -> io::Result<Channel> {
     let stream = TcpStream::connect(addr, CONNECT).await?;
     let (sender, connection) =
         hyper::client::conn::http2::handshake(LocalExec, stream).await.map_err(io::Error::other)?;
@@ -82,7 +82,7 @@
 /// What we know of one peer.
 pub struct PeerLink {
     pub peer: Peer,
-    channel: RefCell<Option<(MeshClient<Channel>, Cancel)>>,
+    channel: RefCell<Option<(MeshClient<Channel>, CancellationToken)>>,
     seen: Cell<Micros>,
     state_ok: Cell<bool>,
     token: Cell<u64>,
@@ -174,7 +174,7 @@
         if let Some((client, _)) = &*self.channel.borrow() {
             return Ok(client.clone());
         }
-        let cancel = Cancel::new();
+        let cancel = CancellationToken::new();
         let client = MeshClient::new(connect(self.peer.addr, &cancel).await?);
         *self.channel.borrow_mut() = Some((client.clone(), cancel));
         Ok(client)
@@ -307,7 +307,7 @@
     F: FnOnce(MeshClient<Channel>) -> G,
     G: Future<Output = Result<tonic::Response<T>, Status>>,
 {
-    let cancel = Cancel::new();
+    let cancel = CancellationToken::new();
     let client = MeshClient::new(connect(addr, &cancel).await?);
     let answer = runtime::timeout(limit, f(client)).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
     answer.map(tonic::Response::into_inner).map_err(io::Error::other)
--- a/crates/hopyoke/src/mesh.rs
+++ b/crates/hopyoke/src/mesh.rs
@@ -131,7 +131,7 @@
             // Also of jobs that we have not heard of: news of them may be on its way.
             core.job_dropped(&id, now);
         }
-        leading.bell.ring();
+        leading.wakeup.notify();
     }
     leading.delivered.borrow_mut().took(peer, answer.process, answer.cancelled_upto);
     leading.right.borrow_mut().answered(peer, sent, span, now);
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -12,7 +12,7 @@
 use hopyoke_consistency::Delivered;
 use hopyoke_consistency::leader_lease::Entitlement;
 use hopyoke_event_loop::http::OpenCount;
-use hopyoke_event_loop::{self as runtime, Bell, Cancel};
+use hopyoke_event_loop::{self as runtime, CancellationToken, Notify};
 use hopyoke_heartbeat::{Hearing, Routes};
 use hopyoke_policy::Policy;
 use hopyoke_protocol::cloud::MachineType;
@@ -50,14 +50,14 @@
     pub behind_until: Cell<Micros>,
     /// Runs of workflows, if this node takes part.
     pub flows: Option<Flows>,
-    pub cancel: Cancel,
+    pub cancel: CancellationToken,
 }
 
 /// What a node has to carry runs of workflows.
 pub struct Flows {
     pub engine: RefCell<Engine>,
     /// Rung when the engine has something to do.
-    pub bell: Bell,
+    pub wakeup: Notify,
     /// The lease on which this node's grants are.
     pub lease: Cell<Option<u64>>,
     /// Actions under way.
@@ -74,10 +74,10 @@
     /// Whether workers reach us.
     pub hearing: RefCell<Hearing>,
     /// Rung when the core has changed.
-    pub bell: Bell,
+    pub wakeup: Notify,
     /// Rung when something is to be written.
-    pub write_bell: Bell,
-    pub cancel: Cancel,
+    pub write_wakeup: Notify,
+    pub cancel: CancellationToken,
     /// Polls that wait until the core is known to follow the records.
     pub replica: Replica,
     /// How far we have the peers' accounts of cancellations.
@@ -141,7 +141,7 @@
             let engine = Engine::new(limits, &settings.node, nodes, ops, rand::random(), runtime::now());
             Flows {
                 engine: RefCell::new(engine),
-                bell: Bell::default(),
+                wakeup: Notify::default(),
                 lease: Cell::new(None),
                 busy: Cell::new(0),
                 pages_from: Cell::new(Micros::ZERO),
@@ -164,7 +164,7 @@
             routes: RefCell::new(Routes::new(settings.peers.len())),
             carriage: Carriage::default(),
             behind_until: Cell::new(Micros::ZERO),
-            cancel: Cancel::new(),
+            cancel: CancellationToken::new(),
             settings,
             policy,
         }
--- a/crates/hopyoke/src/records.rs
+++ b/crates/hopyoke/src/records.rs
@@ -42,7 +42,7 @@
             && core.applied() < mod_revision
         {
             core.job_dropped(id, runtime::now());
-            leading.bell.ring();
+            leading.wakeup.notify();
         }
     }
     node.finals.add(id, end);
--- a/crates/hopyoke/src/replica.rs
+++ b/crates/hopyoke/src/replica.rs
@@ -3,7 +3,7 @@
 
 use hopyoke_consistency::read_index::{Limits, Reads, Verdict};
 use hopyoke_event_loop as runtime;
-use hopyoke_event_loop::Bell;
+use hopyoke_event_loop::Notify;
 use std::cell::RefCell;
 use std::task::{Poll, Waker};
 
@@ -11,7 +11,7 @@
 pub struct Replica {
     pub(crate) reads: RefCell<Reads>,
     /// Rung when a read arrives while none waited.
-    pub(crate) bell: Bell,
+    pub(crate) wakeup: Notify,
     waiters: RefCell<Vec<Waker>>,
 }
 
@@ -19,7 +19,7 @@
     fn default() -> Replica {
         Replica {
             reads: RefCell::new(Reads::new(Limits::default())),
-            bell: Bell::default(),
+            wakeup: Notify::default(),
             waiters: RefCell::default(),
         }
     }
@@ -30,7 +30,7 @@
     /// [asks](crate::follow::ask).
     pub(crate) async fn current(&self) -> bool {
         let Some(ticket) = self.reads.borrow_mut().arrive(runtime::now()) else { return false };
-        self.bell.ring();
+        self.wakeup.notify();
         let verdict = std::future::poll_fn(|cx| {
             if let Some(v) = self.reads.borrow().verdict(ticket) {
                 return Poll::Ready(v);
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -122,7 +122,7 @@
             Some(types) if !types.is_empty() => {
                 if let Some(l) = node.leading() {
                     l.core.borrow_mut().set_catalog(types.clone());
-                    l.bell.ring();
+                    l.wakeup.notify();
                 }
                 *node.catalog.borrow_mut() = types;
                 Micros::from_secs(60)
--- a/crates/hopyoke/src/staffed.rs
+++ b/crates/hopyoke/src/staffed.rs
@@ -57,7 +57,7 @@
         let pause = match read(&node).await {
             Ok((switch, _)) => {
                 leading.core.borrow_mut().set_switch(switch);
-                leading.bell.ring();
+                leading.wakeup.notify();
                 FOLLOW
             }
             Err(_) => Micros::from_millis(500),
--- a/crates/hopyoke/src/workers.rs
+++ b/crates/hopyoke/src/workers.rs
@@ -86,10 +86,10 @@
     }
     // A report without news leaves nothing to do.
     if core.next_due(now) <= now || core.has_actions() {
-        leading.bell.ring();
+        leading.wakeup.notify();
     }
     if core.has_writes() {
-        leading.write_bell.ring();
+        leading.write_wakeup.notify();
     }
     tell_starts(
         &heartbeat.machine,
--- a/crates/hopyoke/tests/checks/mod.rs
+++ b/crates/hopyoke/tests/checks/mod.rs
@@ -1,7 +1,7 @@
 //! Scenario statements that need no world: bodies of requests, settings, and raw HTTP.
 
 use hopyoke_event_loop::http::{self, Limits, OpenCount, Request, Response};
-use hopyoke_event_loop::{self as runtime, Cancel, TcpListener, TcpStream};
+use hopyoke_event_loop::{self as runtime, CancellationToken, TcpListener, TcpStream};
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_scheduler::{Team, never_runs};
@@ -145,7 +145,7 @@
     let io = |e: std::io::Error| e.to_string();
     let listener = TcpListener::bind("127.0.0.1:0".parse().expect("an address")).map_err(io)?;
     let addr = listener.local_addr().map_err(io)?;
-    let cancel = Cancel::new();
+    let cancel = CancellationToken::new();
     let limits = Limits {
         connections: 8,
         crowded,
