--- /dev/null
+++ b/crates/hopyoke-calendar/tests/frozen_forms.rs
@@ -0,0 +1,14 @@
+//! The operators' word on staffed hours, under `staffed` in the state service, keeps its bytes.
+
+#[path = "../../hopyoke-wire/tests/frozen/mod.rs"]
+mod frozen;
+
+use frozen::assert_stored;
+use hopyoke_calendar::Switch;
+
+#[test]
+fn switches() {
+    let on = Switch { staffed: true, until_us: 1_700_000_000_000_000, by: "ana".into() };
+    assert_stored("switch-on", &on);
+    assert_stored("switch-off", &Switch { staffed: false, by: "ben".into(), ..on });
+}
--- /dev/null
+++ b/crates/hopyoke-flow/tests/frozen_forms.rs
@@ -0,0 +1,114 @@
+//! Records of workflow runs keep their bytes, and a plan keeps its digest: any node may go on with a run that
+//! a node of another version began.
+
+#[path = "../../hopyoke-wire/tests/frozen/mod.rs"]
+mod frozen;
+
+use frozen::{assert_read_as, assert_stored, read, text};
+use hopyoke_flow::{Head, Hold, OnError, Plan, PlanPage, PlanStep, RunId, RunState, StepMark, StepNo, StepPage};
+use hopyoke_types::JobId;
+use hopyoke_wire::user::JobSpec;
+use std::collections::BTreeMap;
+
+fn run(number: u64) -> Option<RunId> {
+    RunId::new(number)
+}
+
+fn plan() -> Plan {
+    let step = |path: &str, after: &[u32], shape, tasks| PlanStep {
+        path: path.into(),
+        after: after.iter().map(|n| StepNo(*n)).collect(),
+        shape,
+        tasks,
+    };
+    Plan {
+        shapes: vec![JobSpec::plain(JobId::new("req-0"), "convert", "vision", "registry/convert:3")],
+        steps: vec![
+            step("split", &[], Some(0), 1),
+            step("convert", &[0], Some(0), 8),
+            step("join", &[0, 1], None, 0),
+        ],
+        outputs: r#"{"video":"join/out"}"#.into(),
+    }
+}
+
+fn fresh() -> Head {
+    Head::new("nightly", "vision", "ana", &plan(), 1, 1_700_000_000_000_000)
+}
+
+#[test]
+fn heads() {
+    assert_stored("head-fresh", &fresh());
+    let full = Head {
+        ended_us: 1_700_000_360_000_000,
+        on_error: OnError::Continue,
+        state: RunState::Failed,
+        reason: "step convert: exit 2".into(),
+        done: 2,
+        resumes: run(41_000_000_007),
+        plan_of: run(41_000_000_005),
+        tags: BTreeMap::from([("color".into(), "red".into()), ("shift".into(), "night".into())]),
+        ..fresh()
+    };
+    assert_stored("head-full", &full);
+    assert_stored(
+        "run-states",
+        &vec![
+            RunState::Running,
+            RunState::Failing,
+            RunState::Cancelling,
+            RunState::Done,
+            RunState::Failed,
+            RunState::Cancelled,
+        ],
+    );
+    assert_stored("on-error", &vec![OnError::Stop, OnError::Continue]);
+}
+
+/// Without the fields that have a default.
+#[test]
+fn heads_of_earlier_versions() {
+    let older = Head { owner: String::new(), digest: 12_345_678_901_234_567_890, ..fresh() };
+    assert_read_as("head-older", &older);
+}
+
+#[test]
+fn holds() {
+    assert_stored("hold", &Hold { node: "node-2".into(), lease: 31 });
+}
+
+#[test]
+fn step_pages() {
+    let page = StepPage { marks: "dfws.?d".into(), tries: BTreeMap::from([(1, 3), (4, 1)]) };
+    assert_stored("step-page", &page);
+    let marks: Vec<_> = read::<StepPage>("step-page").read(0).collect();
+    let want = [
+        (StepNo(0), StepMark::Done, 0),
+        (StepNo(1), StepMark::Failed, 3),
+        (StepNo(2), StepMark::Withdrawn, 0),
+        (StepNo(3), StepMark::Skipped, 0),
+        (StepNo(4), StepMark::Open, 1),
+        (StepNo(5), StepMark::Open, 0),
+        (StepNo(6), StepMark::Done, 0),
+    ];
+    assert_eq!(marks, want);
+    assert_stored("step-page-no-tries", &StepPage { marks: "d.".into(), tries: BTreeMap::new() });
+}
+
+#[test]
+fn plan_pages() {
+    let pages = plan().pages(4096).expect("fits");
+    let [page] = &pages[..] else { panic!("one page: {pages:?}") };
+    assert_stored("plan-page", page);
+    assert_stored("plan-page-empty", &PlanPage::default());
+}
+
+/// Clients send plans as JSON; a repeated submission is told by the digest.
+#[test]
+fn plans_as_json() {
+    let old = text("plan.json");
+    let read: Plan = serde_json::from_str(&old).expect("a plan");
+    assert_eq!(read, plan());
+    assert_eq!(serde_json::to_string(&read).expect("JSON") + "\n", old);
+    assert_eq!(format!("{:016x}\n", read.digest()), text("plan-digest.txt"));
+}
