--- /dev/null
+++ b/crates/hopyoke/tests/frozen_forms.rs
@@ -0,0 +1,173 @@
+//! What controllers tell each other keeps its bytes: field numbers and types of `proto/mesh.proto`. Each message
+//! is written with all of its fields, compared with its fixture, read, and written again.
+
+#[path = "../../hopyoke-wire/tests/frozen/mod.rs"]
+mod frozen;
+
+use frozen::{assert_bytes, bytes};
+use hopyoke::links::proto::flow_request::Ask;
+use hopyoke::links::proto::{
+    FlowAnswer, FlowRequest, Greeting, HistoryAnswer, HistoryRequest, News, Place, ReportAnswers, Reports,
+    ResumeRun, RunInfo, RunList, RunQuestion, StaffedAnswer, StaffedRequest, StatusAnswer, StatusRequest,
+    StepInfo, SubmitRun, UserAnswer, UserRequest, WhenAnswer, WhenRequest,
+};
+use prost::Message;
+use std::collections::HashMap;
+use std::fmt::Debug;
+
+fn assert_message<T: Message + Default + PartialEq + Debug>(name: &str, message: &T) {
+    assert_bytes(name, &message.encode_to_vec());
+    let again = T::decode(&bytes(name)[..]).unwrap_or_else(|e| panic!("{name}: {e}"));
+    assert_eq!(&again, message, "{name}: read as another message");
+}
+
+/// One entry only: a map's order on the wire is not fixed.
+fn tags() -> HashMap<String, String> {
+    HashMap::from([("color".into(), "red".into())])
+}
+
+#[test]
+fn greetings() {
+    let full = Greeting {
+        node: "node-2".into(),
+        state_ok: true,
+        token: 5_000_000_007,
+        process: 7_001,
+        promise_us: 2_000_000,
+        cancelled: vec!["req-41".into(), "req-42".into()],
+        cancelled_upto: 12,
+        applied: 950,
+        delivered_process: 7_002,
+        delivered_upto: 11,
+        need: 3.5,
+        wants: 20.25,
+        lent: 8.75,
+        open: 140,
+        most: 1_500,
+        shares: true,
+        line: vec![Place { job: "req-43".into(), team: 2, due_us: 900_000 }],
+    };
+    assert_message("greeting", &full);
+    assert_message("greeting-empty", &Greeting::default());
+}
+
+#[test]
+fn users_and_news() {
+    let request = UserRequest {
+        node: "node-2".into(),
+        method: "POST".into(),
+        path: "/jobs".into(),
+        body: vec![0x81, 0xa2, 0x69, 0x64],
+    };
+    assert_message("user-request", &request);
+    assert_message("user-answer", &UserAnswer { status: 429, body: vec![0x80], retry_after_s: 7 });
+    assert_message("news", &News { node: "node-2".into(), job: "req-41".into() });
+}
+
+#[test]
+fn carried_reports() {
+    let reports = Reports { node: "node-2".into(), reports: vec![vec![0x81, 0xc0], vec![0x80]] };
+    assert_message("reports", &reports);
+    // An empty answer keeps its place.
+    assert_message("report-answers", &ReportAnswers { answers: vec![vec![0x82], Vec::new(), vec![0x83]] });
+}
+
+#[test]
+fn operators_questions() {
+    assert_message("status-request", &StatusRequest {});
+    assert_message("status-answer", &StatusAnswer { text: "leads\n".into() });
+    let when = WhenRequest {
+        node: "node-2".into(),
+        job: "req-41".into(),
+        team: "vision".into(),
+        gpus: 4.5,
+        zone: "east".into(),
+    };
+    assert_message("when-request", &when);
+    let answer = WhenAnswer { error: "no".into(), p50_s: 60.5, p90_s: 120.25, rests_on: "8 runs".into() };
+    assert_message("when-answer", &answer);
+    assert_message("history-request", &HistoryRequest { node: "node-2".into(), token: 5_000_000_007, since: 80 });
+    let history =
+        HistoryAnswer { error: "no".into(), csv: "1,train\n".into(), token: 5_000_000_007, last: 81, more: true };
+    assert_message("history-answer", &history);
+    assert_message("staffed-request", &StaffedRequest { word: "on".into(), span_s: 3_600, by: "ana".into() });
+    assert_message("staffed-answer", &StaffedAnswer { error: "no".into(), text: "staffed".into() });
+}
+
+#[test]
+fn workflow_requests() {
+    let submit = SubmitRun {
+        run: 41_000_000_007,
+        name: "nightly".into(),
+        team: "vision".into(),
+        owner: "ana".into(),
+        keep_on: true,
+        tags: tags(),
+        plan: b"{\"steps\":[]}".to_vec(),
+    };
+    let question = RunQuestion { run: 41_000_000_007, from: 200, most: 100 };
+    let asks = [
+        ("flow-submit", Ask::Submit(submit)),
+        ("flow-get", Ask::Get(question)),
+        ("flow-list", Ask::List(RunList { after: 41_000_000_006, most: 50, owner: "ana".into() })),
+        ("flow-cancel", Ask::Cancel(question)),
+        (
+            "flow-resume",
+            Ask::Resume(ResumeRun { run: 41_000_000_007, new_run: 41_000_000_008, owner: "ana".into() }),
+        ),
+    ];
+    for (name, ask) in asks {
+        assert_message(name, &FlowRequest { ask: Some(ask) });
+    }
+    assert_message("flow-none", &FlowRequest { ask: None });
+}
+
+#[test]
+fn workflow_answers() {
+    let run = RunInfo {
+        run: 41_000_000_008,
+        name: "nightly".into(),
+        team: "vision".into(),
+        owner: "ana".into(),
+        state: "failed".into(),
+        submitted_us: 1_700_000_000_000_000,
+        ended_us: 1_700_000_360_000_000,
+        steps: 9,
+        done: 4,
+        in_flight: 2,
+        reason: "step convert: exit 2".into(),
+        resumes: 41_000_000_007,
+        tags: tags(),
+    };
+    let step = StepInfo {
+        number: 3,
+        path: "convert".into(),
+        tasks: 8,
+        state: "submitted".into(),
+        job: "req-90410000000080000300".into(),
+    };
+    let answer = FlowAnswer {
+        status: 200,
+        error: "no".into(),
+        retry_after_s: 5,
+        runs: vec![run],
+        steps: vec![step],
+        outputs: "{}".into(),
+        more: true,
+    };
+    assert_message("flow-answer", &answer);
+}
+
+/// Names of the package, the service and its calls are in the requests' paths.
+#[test]
+fn calls() {
+    let old = frozen::text("calls.txt");
+    let source = include_str!("../proto/mesh.proto");
+    let package =
+        source.lines().find_map(|l| l.strip_prefix("package ")).expect("a package").trim_end_matches(';');
+    let service =
+        source.lines().find_map(|l| l.strip_prefix("service ")).expect("a service").trim_end_matches(" {");
+    let call = |l: &str| Some(l.trim().strip_prefix("rpc ")?.split('(').next()?.to_owned());
+    let paths: String = source.lines().filter_map(call).map(|c| format!("/{package}.{service}/{c}\n")).collect();
+    assert_eq!(paths, old);
+}
