--- a/crates/hopyoke-wes/src/main.rs
+++ b/crates/hopyoke-wes/src/main.rs
@@ -553,7 +553,7 @@
             let old = RunId::parse(&run).ok_or_else(|| format!("{run} is no run's id: twelve digits"))?;
             let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(format!("resume/{old}").as_bytes()));
             let ask = match verb {
-                "cancel" => Ask::CancellationToken(RunQuestion { run: old.number(), ..RunQuestion::default() }),
+                "cancel" => Ask::Cancel(RunQuestion { run: old.number(), ..RunQuestion::default() }),
                 _ => Ask::Resume(ResumeRun { run: old.number(), new_run: new.number(), owner: String::new() }),
             };
             if let Some(dir) = descriptions {
