--- a/crates/hopyoke-consistency/src/cancellation_log.rs
+++ b/crates/hopyoke-consistency/src/cancellation_log.rs
@@ -5,7 +5,7 @@
 
 /// What a leader may not know yet of the cancellations confirmed here.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Delta {
+pub struct CancellationDelta {
     pub jobs: Vec<JobId>,
     /// The number of the last one that is in it, or was before.
     pub upto: u64,
@@ -19,7 +19,7 @@
 /// revision knows of every cancellation up to it. So an entry need not go by time; it goes when there are
 /// too many, oldest revision first, and a leader that has not come so far gets no promise any more.
 #[derive(Debug, Clone)]
-pub struct Confirmed {
+pub struct CancellationLog {
     entries: BTreeMap<(ModRevision, JobId), u64>,
     /// Entries are numbered from 1 as they are noted.
     last: u64,
@@ -31,10 +31,10 @@
 /// Jobs named in one answer. With ids of at most 24 bytes it stays well below 64 KiB.
 const MOST_IN_DELTA: usize = 1024;
 
-impl Confirmed {
+impl CancellationLog {
     /// `most`: entries kept, at least 1.
-    pub fn new(most: usize) -> Confirmed {
-        Confirmed { entries: BTreeMap::new(), last: 0, missing: None, most: most.max(1) }
+    pub fn new(most: usize) -> CancellationLog {
+        CancellationLog { entries: BTreeMap::new(), last: 0, missing: None, most: most.max(1) }
     }
 
     /// The state service was at this revision, at some moment after this process began.
@@ -71,7 +71,7 @@
 
     /// What a leader has to be told that has applied all changes up to `applied` and was told of entries
     /// up to number `delivered`.
-    pub fn since(&self, applied: ModRevision, delivered: u64) -> Delta {
+    pub fn since(&self, applied: ModRevision, delivered: u64) -> CancellationDelta {
         let later = self.entries.range(after(applied)..);
         let mut open: Vec<(u64, &JobId)> =
             later.filter(|(_, n)| **n > delivered).map(|((_, job), n)| (*n, job)).collect();
@@ -80,7 +80,7 @@
         open.truncate(MOST_IN_DELTA);
         let upto = if all { self.last } else { open.last().map_or(delivered, |(n, _)| *n) };
         let jobs = open.into_iter().map(|(_, job)| job.clone()).collect();
-        Delta { jobs, upto, complete: all && self.covers(applied) }
+        CancellationDelta { jobs, upto, complete: all && self.covers(applied) }
     }
 
     /// Nothing is missing for a leader that has applied all changes up to `applied`; one on this very node, too.
--- a/crates/hopyoke-consistency/src/delivery.rs
+++ b/crates/hopyoke-consistency/src/delivery.rs
@@ -16,11 +16,11 @@
 
 /// A leader's places in the accounts of its peers.
 #[derive(Debug, Clone)]
-pub struct Delivered(Vec<Cursor>);
+pub struct DeliveryCursors(Vec<Cursor>);
 
-impl Delivered {
-    pub fn new(peers: usize) -> Delivered {
-        Delivered(vec![Cursor::default(); peers])
+impl DeliveryCursors {
+    pub fn new(peers: usize) -> DeliveryCursors {
+        DeliveryCursors(vec![Cursor::default(); peers])
     }
 
     /// What to ask a peer from.
--- a/crates/hopyoke-consistency/src/leader_lease.rs
+++ b/crates/hopyoke-consistency/src/leader_lease.rs
@@ -21,11 +21,11 @@
 use hopyoke_types::Micros;
 
 /// How long a promise lasts.
-pub const PROMISE: Micros = Micros::from_secs(2);
+pub const SUPPORT_DURATION: Micros = Micros::from_secs(2);
 
 /// A leader's right to command.
 #[derive(Debug, Clone)]
-pub struct Entitlement {
+pub struct LeaderLease {
     ttl: Micros,
     /// How long after the sending of a watch its answer covers cancellations.
     news: Micros,
@@ -36,10 +36,10 @@
     promised_until: Vec<Micros>,
 }
 
-impl Entitlement {
+impl LeaderLease {
     /// `until` is what the grant of the lease allows; nothing is heard yet.
-    pub fn new(until: Micros, ttl: Micros, watch: Micros, peers: usize) -> Entitlement {
-        Entitlement {
+    pub fn new(until: Micros, ttl: Micros, watch: Micros, peers: usize) -> LeaderLease {
+        LeaderLease {
             ttl,
             news: watch + ttl,
             lease_until: until,
@@ -64,15 +64,15 @@
     /// have been taken in before.
     pub fn answered(&mut self, peer: usize, sent: Micros, span: Option<Micros>, now: Micros) {
         let Some(until) = self.promised_until.get_mut(peer) else { return };
-        *until = span.map_or(Micros::ZERO, |span| sent + span.min(PROMISE).less_drift());
-        if self.holds(now) {
+        *until = span.map_or(Micros::ZERO, |span| sent + span.min(SUPPORT_DURATION).less_drift());
+        if self.is_valid(now) {
             let all = self.promised_until.iter().min().copied().unwrap_or(Micros::ZERO);
             self.vouched_until = self.vouched_until.max(all);
         }
     }
 
     /// We may command workers and renew their leases.
-    pub fn holds(&self, now: Micros) -> bool {
+    pub fn is_valid(&self, now: Micros) -> bool {
         (now < self.lease_until && now < self.heard_until) || now < self.vouched_until
     }
 }
--- a/crates/hopyoke-consistency/src/lib.rs
+++ b/crates/hopyoke-consistency/src/lib.rs
@@ -6,11 +6,11 @@
 //! cancelled jobs would be kept alive. (Guards `ran_cancelled`.)
 //!
 //! - [`leader_lease`]: how long a leader may go on commanding agents.
-//! - [`Confirmed`], at every node: cancellations acknowledged here, noted *before* the user is told. It is
+//! - [`CancellationLog`], at every node: cancellations acknowledged here, noted *before* the user is told. It is
 //!   bounded by number; what it has dropped is known by revision, and then no support is granted.
-//! - [`Delivered`], at the leader: how far it has received each peer's log, so that an answer carries only
+//! - [`DeliveryCursors`], at the leader: how far it has received each peer's log, so that an answer carries only
 //!   what is new.
-//! - [`Ended`], at the leader: jobs that are over, for as long as older events of them may still arrive.
+//! - [`Tombstones`], at the leader: jobs that are over, for as long as older events of them may still arrive.
 //! - [`read_index`]: linearizable reads by waiting callers, batched into one query.
 
 mod cancellation_log;
@@ -19,6 +19,6 @@
 pub mod read_index;
 mod tombstones;
 
-pub use cancellation_log::{Confirmed, Delta};
-pub use delivery::{Cursor, Delivered};
-pub use tombstones::Ended;
+pub use cancellation_log::{CancellationDelta, CancellationLog};
+pub use delivery::{Cursor, DeliveryCursors};
+pub use tombstones::Tombstones;
--- a/crates/hopyoke-consistency/src/read_index.rs
+++ b/crates/hopyoke-consistency/src/read_index.rs
@@ -6,7 +6,7 @@
 //! that wait at that moment. A read that arrives while a question is under way waits for the next
 //! one: the answer on its way may be older than what another node has told that user meanwhile.
 //!
-//! Without I/O: [`Reads`] says when to ask and which reads an answer serves.
+//! Without I/O: [`ReadIndex`] says when to ask and which reads an answer serves.
 
 use hopyoke_types::Micros;
 use std::collections::VecDeque;
@@ -17,14 +17,14 @@
 
 /// A question under way.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct ReadQuery {
     /// The last read that had arrived when it was sent.
     covers: u64,
 }
 
 /// What becomes of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ReadOutcome {
     /// The replica includes all that was written before the read arrived.
     Current,
     /// No question was answered in time: whoever reads is to come back.
@@ -59,7 +59,7 @@
 
 /// Reads that wait, and the questions that serve them.
 #[derive(Debug)]
-pub struct Reads {
+pub struct ReadIndex {
     limits: Limits,
     next: u64,
     /// Reads up to this one are served.
@@ -77,9 +77,9 @@
     reads: u64,
 }
 
-impl Reads {
-    pub fn new(limits: Limits) -> Reads {
-        Reads {
+impl ReadIndex {
+    pub fn new(limits: Limits) -> ReadIndex {
+        ReadIndex {
             limits,
             next: 1,
             served: 0,
@@ -112,18 +112,18 @@
     }
 
     /// A question, if one is due. It must be sent now, not later.
-    pub fn ask(&mut self, now: Micros) -> Option<Question> {
+    pub fn ask(&mut self, now: Micros) -> Option<ReadQuery> {
         self.give_up(now);
         if self.due().is_none_or(|t| now < t) {
             return None;
         }
         self.asking = true;
         self.questions += 1;
-        Some(Question { covers: self.next - 1 })
+        Some(ReadQuery { covers: self.next - 1 })
     }
 
     /// A question was answered, and the replica brought up to the answer.
-    pub fn answered(&mut self, question: Question, now: Micros) {
+    pub fn answered(&mut self, question: ReadQuery, now: Micros) {
         self.asking = false;
         self.failures = 0;
         while let Some((ticket, arrived)) = self.waiting.front().copied()
@@ -136,7 +136,7 @@
     }
 
     /// A question was refused or not answered. `jitter`: a draw from 0 to 1.
-    pub fn failed(&mut self, _question: Question, jitter: f64, now: Micros) {
+    pub fn failed(&mut self, _question: ReadQuery, jitter: f64, now: Micros) {
         self.asking = false;
         let full = self.limits.pause_least.times(1 << self.failures.min(8)).min(self.limits.pause_most);
         self.failures += 1;
@@ -145,11 +145,11 @@
     }
 
     /// What becomes of a read; `None`: it waits.
-    pub fn verdict(&self, ticket: Ticket) -> Option<Verdict> {
+    pub fn verdict(&self, ticket: Ticket) -> Option<ReadOutcome> {
         if ticket.0 <= self.served {
-            Some(Verdict::Current)
+            Some(ReadOutcome::Current)
         } else if ticket.0 <= self.late {
-            Some(Verdict::Late)
+            Some(ReadOutcome::Late)
         } else {
             None
         }
--- a/crates/hopyoke-consistency/src/tombstones.rs
+++ b/crates/hopyoke-consistency/src/tombstones.rs
@@ -10,13 +10,13 @@
 /// another path than the changes are remembered until the changes have come so far; how many those are
 /// follows from how long that takes, and no constant decides it.
 #[derive(Debug, Clone, Default)]
-pub struct Ended {
+pub struct Tombstones {
     known: ModRevision,
     /// Jobs that are over, and when that was learned.
     recent: BTreeMap<JobId, Micros>,
 }
 
-impl Ended {
+impl Tombstones {
     /// A job is over.
     pub fn add(&mut self, job: &JobId, now: Micros) {
         self.recent.insert(job.clone(), now);
--- a/crates/hopyoke-consistency/tests/cancellation_log.rs
+++ b/crates/hopyoke-consistency/tests/cancellation_log.rs
@@ -1,6 +1,6 @@
 //! The accounts, by cases and by random ones against a plain model.
 
-use hopyoke_consistency::{Confirmed, Delivered, Ended};
+use hopyoke_consistency::{CancellationLog, DeliveryCursors, Tombstones};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,8 +10,8 @@
 }
 
 /// An account of a process that has read a revision.
-fn begun(most: usize, revision: u64) -> Confirmed {
-    let mut c = Confirmed::new(most);
+fn begun(most: usize, revision: u64) -> CancellationLog {
+    let mut c = CancellationLog::new(most);
     c.began_before(ModRevision(revision));
     c
 }
@@ -19,7 +19,7 @@
 /// What a former process confirmed is covered by the first revision that this one read.
 #[test]
 fn a_new_process_knows_what_it_misses() {
-    let mut c = Confirmed::new(3);
+    let mut c = CancellationLog::new(3);
     c.note(&job(1), ModRevision(12));
     assert!(!c.since(ModRevision(100), 0).complete, "it has read no revision yet");
     c.began_before(ModRevision(10));
@@ -81,7 +81,7 @@
 /// The numbers of a former process mean nothing to the next.
 #[test]
 fn another_process_begins_anew() {
-    let mut d = Delivered::new(1);
+    let mut d = DeliveryCursors::new(1);
     d.took(0, 7, 12);
     d.took(0, 7, 9);
     assert_eq!(d.cursor(0).in_process(7), 12);
@@ -132,7 +132,7 @@
     /// Old news never brings a job back, in whatever order ends, changes and old records arrive.
     #[test]
     fn the_ended_stay_ended(steps in prop::collection::vec((0u8..3, 1u64..6), 1..60)) {
-        let mut e = Ended::default();
+        let mut e = Tombstones::default();
         // Job n was accepted at revision n and dropped at 10 + n.
         let mut over: BTreeSet<u64> = BTreeSet::new();
         let mut now = Micros::ZERO;
--- a/crates/hopyoke-consistency/tests/read_index.rs
+++ b/crates/hopyoke-consistency/tests/read_index.rs
@@ -1,7 +1,7 @@
 //! Reads against a store in virtual time: a read that is called current sees all that was written
 //! before it arrived, whatever is late, lost or refused.
 
-use hopyoke_consistency::read_index::{Limits, Question, Reads, Verdict};
+use hopyoke_consistency::read_index::{Limits, ReadIndex, ReadOutcome, ReadQuery};
 use hopyoke_types::Micros;
 use proptest::prelude::*;
 
@@ -11,7 +11,7 @@
 
 #[test]
 fn one_question_serves_all_that_wait() {
-    let mut r = Reads::new(Limits::default());
+    let mut r = ReadIndex::new(Limits::default());
     let tickets: Vec<_> = (0..200).map(|i| r.arrive(ms(i / 10)).expect("room")).collect();
     assert_eq!(r.ask(ms(39)), None);
     let q = r.ask(ms(40)).expect("due");
@@ -19,18 +19,18 @@
     let after = r.arrive(ms(41)).expect("room");
     assert_eq!(r.ask(ms(500)), None, "one question at a time");
     r.answered(q, ms(45));
-    assert!(tickets.iter().all(|t| r.verdict(*t) == Some(Verdict::Current)));
+    assert!(tickets.iter().all(|t| r.verdict(*t) == Some(ReadOutcome::Current)));
     assert_eq!(r.verdict(after), None);
     let q = r.ask(ms(81)).expect("due");
     r.answered(q, ms(85));
-    assert_eq!(r.verdict(after), Some(Verdict::Current));
+    assert_eq!(r.verdict(after), Some(ReadOutcome::Current));
     assert_eq!(r.counts(), (2, 201));
     assert_eq!(r.due(), None);
 }
 
 #[test]
 fn failures_pause_and_patience_ends() {
-    let mut r = Reads::new(Limits::default());
+    let mut r = ReadIndex::new(Limits::default());
     let t = r.arrive(ms(0)).expect("room");
     let mut asked = 0;
     for now in 0..1_300 {
@@ -40,13 +40,13 @@
         }
     }
     assert!((3..=7).contains(&asked), "{asked} questions in 1.2 s");
-    assert_eq!(r.verdict(t), Some(Verdict::Late));
+    assert_eq!(r.verdict(t), Some(ReadOutcome::Late));
     assert_eq!(r.due(), None);
 }
 
 #[test]
 fn the_newest_are_refused() {
-    let mut r = Reads::new(Limits { waiting: 3, ..Limits::default() });
+    let mut r = ReadIndex::new(Limits { waiting: 3, ..Limits::default() });
     let tickets: Vec<_> = (0..5).map(|_| r.arrive(ms(0))).collect();
     assert!(tickets[..3].iter().all(Option::is_some) && tickets[3..].iter().all(Option::is_none));
     let q = r.ask(ms(40)).expect("due");
@@ -74,11 +74,11 @@
     fn current_is_current(acts in prop::collection::vec(prop_oneof![
         Just(Act::Write), Just(Act::Read), (1u64..120).prop_map(Act::Wait), Just(Act::Execute), Just(Act::Answer), Just(Act::Fail)
     ], 1..200)) {
-        let mut r = Reads::new(Limits::default());
+        let mut r = ReadIndex::new(Limits::default());
         let (mut now, mut store, mut replica) = (Micros::ZERO, 0u64, 0u64);
         let mut open: Vec<(hopyoke_consistency::read_index::Ticket, u64)> = Vec::new();
         // The question, and what the store said to it.
-        let mut under_way: Option<(Question, Option<u64>)> = None;
+        let mut under_way: Option<(ReadQuery, Option<u64>)> = None;
         for act in acts {
             match act {
                 Act::Write => store += 1,
@@ -96,8 +96,8 @@
                 under_way = Some((q, None));
             }
             open.retain(|(t, at_arrival)| match r.verdict(*t) {
-                Some(Verdict::Current) => { assert!(replica >= *at_arrival, "an older answer"); false }
-                Some(Verdict::Late) => false,
+                Some(ReadOutcome::Current) => { assert!(replica >= *at_arrival, "an older answer"); false }
+                Some(ReadOutcome::Late) => false,
                 None => true,
             });
         }
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -43,7 +43,7 @@
 
 use crate::provisioning::Boots;
 use crate::reservation::KeptRoom;
-use hopyoke_consistency::Ended;
+use hopyoke_consistency::Tombstones;
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::worker::Command;
 use hopyoke_settings::Settings;
@@ -181,7 +181,7 @@
     /// What the cloud listed last.
     listed: Option<BTreeSet<MachineId>>,
     /// Jobs whose record has left `job/`.
-    ended: Ended,
+    tombstones: Tombstones,
     recovering: bool,
     counter: u64,
     rents: rent::Rents,
@@ -245,7 +245,7 @@
             types: Vec::new(),
             gone: BTreeMap::new(),
             listed: None,
-            ended: Ended::default(),
+            tombstones: Tombstones::default(),
             recovering: false,
             counter: 0,
             learned: learn::Learned::default(),
@@ -319,7 +319,7 @@
     /// A job's record as the state service has it.
     pub fn job_seen(&mut self, id: JobId, record: JobRecord, mod_revision: ModRevision, now: Micros) {
         match self.jobs.get_mut(&id) {
-            None if self.ended.outdates(&id, mod_revision) => return,
+            None if self.tombstones.outdates(&id, mod_revision) => return,
             None => {
                 // Whatever was first written after our grant can't have been started by an earlier
                 // holder: its time was over before the grant was applied.
@@ -345,7 +345,7 @@
 
     /// The job's record is gone: it was cancelled, or we recorded its end ourselves.
     pub fn job_dropped(&mut self, id: &JobId, now: Micros) {
-        self.ended.add(id, now);
+        self.tombstones.add(id, now);
         let Some(job) = self.jobs.remove(id) else { return };
         for (index, places) in job.places {
             for (machine, attempt) in places {
@@ -358,12 +358,12 @@
     /// All changes of jobs' records up to `revision` have been told to us, by an answer to what was asked at
     /// `sent`.
     pub fn caught_up(&mut self, revision: ModRevision, sent: Micros) {
-        self.ended.caught_up(revision, sent);
+        self.tombstones.caught_up(revision, sent);
     }
 
     /// All changes of jobs' records up to this revision are known here.
     pub fn applied(&self) -> ModRevision {
-        self.ended.known()
+        self.tombstones.known()
     }
 
     pub fn job_ids(&self) -> Vec<JobId> {
--- a/crates/hopyoke-simulator/src/controller.rs
+++ b/crates/hopyoke-simulator/src/controller.rs
@@ -5,8 +5,8 @@
 use super::worker::{MOST_CHARS, heartbeat_chars};
 use super::{Host, World};
 use hopyoke_admission::Importance;
-use hopyoke_consistency::leader_lease::{Entitlement, PROMISE};
-use hopyoke_consistency::{Confirmed, Delivered};
+use hopyoke_consistency::leader_lease::{LeaderLease, SUPPORT_DURATION};
+use hopyoke_consistency::{CancellationLog, DeliveryCursors};
 use hopyoke_protocol::cloud::ScaleOutRequest;
 use hopyoke_protocol::user::JobState;
 use hopyoke_protocol::worker::Heartbeat;
@@ -33,7 +33,7 @@
     /// Tries to lead that have no answer: they may succeed late.
     tries: u32,
     /// Cancellations that users were told of here.
-    pub(crate) confirmed: Confirmed,
+    pub(crate) confirmed: CancellationLog,
     /// Final states that it has written or read.
     pub finals: BTreeMap<JobId, JobState>,
 }
@@ -44,8 +44,8 @@
 pub struct Lead {
     pub core: Core,
     pub lease: u64,
-    pub right: Entitlement,
-    delivered: Delivered,
+    pub leader_lease: LeaderLease,
+    delivered: DeliveryCursors,
     /// Number of the watch that is open.
     watch: u64,
     writing: bool,
@@ -121,7 +121,7 @@
             kept_until: Micros::ZERO,
             own_kept_until: Micros::ZERO,
             tries: 0,
-            confirmed: Confirmed::new(MOST_CONFIRMED),
+            confirmed: CancellationLog::new(MOST_CONFIRMED),
             finals: BTreeMap::new(),
         }
     }
@@ -136,10 +136,10 @@
         n.up = true;
         n.process += 1;
         n.lead = None;
-        n.kept_until = self.now + PROMISE.with_drift();
+        n.kept_until = self.now + SUPPORT_DURATION.with_drift();
         n.own_kept_until = Micros::ZERO;
         n.tries = 0;
-        n.confirmed = Confirmed::new(MOST_CONFIRMED);
+        n.confirmed = CancellationLog::new(MOST_CONFIRMED);
         n.finals.clear();
         let p = n.process;
         self.learn_beginning(i, p);
@@ -186,8 +186,8 @@
         self.nodes.iter().position(|n| n.lead.is_some())
     }
 
-    fn entitled(&self, i: usize) -> bool {
-        self.nodes[i].lead.as_ref().is_some_and(|l| l.right.holds(self.now))
+    fn lease_is_valid(&self, i: usize) -> bool {
+        self.nodes[i].lead.as_ref().is_some_and(|l| l.leader_lease.is_valid(self.now))
     }
 
     /// Looks who leads; tries to lead if nobody does.
@@ -321,8 +321,8 @@
             core.learned(key, Some(page));
         }
         core.set_catalog(self.types.clone());
-        let mut right = Entitlement::new(r.until, self.ttl, WATCH, self.nodes.len());
-        right.heard(at);
+        let mut leader_lease = LeaderLease::new(r.until, self.ttl, WATCH, self.nodes.len());
+        leader_lease.heard(at);
         core.caught_up(revision, at);
         for id in self.nodes[i].confirmed.after(revision) {
             core.job_dropped(&id, self.now);
@@ -331,8 +331,8 @@
         let lead = Lead {
             core,
             lease: r.lease,
-            right,
-            delivered: Delivered::new(self.nodes.len()),
+            leader_lease,
+            delivered: DeliveryCursors::new(self.nodes.len()),
             watch: 0,
             writing: false,
             recovers_since: Some(at),
@@ -393,7 +393,7 @@
             w.send(Host::State, Host::Node(i), move |w| {
                 let Some(lead) = w.lead(i, process) else { return };
                 if alive {
-                    lead.right.renewed(sent);
+                    lead.leader_lease.renewed(sent);
                 } else if lead.lease == lease {
                     w.nodes[i].lead = None;
                     w.log(|| format!("node {i} lost its lease"));
@@ -420,7 +420,7 @@
         let Some(lead) = self.lead(i, process) else { return };
         let (applied, delivered) = (lead.core.applied(), lead.delivered.clone());
         // Who is not entitled gets no promises; its own place among the peers needs none.
-        let entitled = self.entitled(i);
+        let lease_is_valid = self.lease_is_valid(i);
         let sent = self.now;
         for j in (0..self.nodes.len()).filter(|j| *j != i) {
             let cursor = delivered.cursor(j);
@@ -431,10 +431,10 @@
                 let (now, refused) = (w.now, w.state_refuses(j) || w.cut(Host::Node(j), Host::State).is_some());
                 let n = &mut w.nodes[j];
                 let delta = n.confirmed.since(applied, cursor.in_process(n.process));
-                let may = entitled && delta.complete && n.lead.is_none() && n.tries == 0;
-                let span = (refused && may).then_some(PROMISE);
+                let may = lease_is_valid && delta.complete && n.lead.is_none() && n.tries == 0;
+                let span = (refused && may).then_some(SUPPORT_DURATION);
                 if span.is_some() {
-                    n.own_kept_until = n.own_kept_until.max(now + PROMISE.with_drift());
+                    n.own_kept_until = n.own_kept_until.max(now + SUPPORT_DURATION.with_drift());
                 }
                 let its = n.process;
                 // The peer hears with it what our records need.
@@ -449,14 +449,14 @@
                         lead.core.job_dropped(id, now);
                     }
                     lead.delivered.took(j, its, delta.upto);
-                    lead.right.answered(j, sent, span, now);
+                    lead.leader_lease.answered(j, sent, span, now);
                 });
             });
         }
         // Our own place among the peers: nothing is asked of it, but what it confirmed itself counts as well.
-        let span = self.nodes[i].confirmed.covers(applied).then_some(PROMISE);
+        let span = self.nodes[i].confirmed.covers(applied).then_some(SUPPORT_DURATION);
         if let Some(lead) = self.lead(i, process) {
-            lead.right.answered(i, sent, span, sent);
+            lead.leader_lease.answered(i, sent, span, sent);
         }
         self.timer(i, Micros::from_millis(600), move |w| w.greet(i, process));
     }
@@ -528,7 +528,7 @@
     pub(crate) fn take_news(&mut self, i: usize, process: u64, news: News, sent: Micros) {
         let now = self.now;
         let Some(lead) = self.lead(i, process) else { return };
-        lead.right.heard(sent);
+        lead.leader_lease.heard(sent);
         for (id, record, mod_revision, dropped) in news.events {
             match record {
                 Some(r) => lead.core.job_seen(id, r, mod_revision, now),
@@ -549,7 +549,7 @@
 
     /// Lets the core decide and does what it wants done.
     fn act(&mut self, i: usize, process: u64) {
-        if !self.entitled(i) || self.stands_still(i) {
+        if !self.lease_is_valid(i) || self.stands_still(i) {
             return;
         }
         let now = self.now;
@@ -823,12 +823,12 @@
         }
         self.digest_message(Channel::Heartbeat, &heartbeat);
         let now = self.now;
-        let entitled = self.entitled(i);
+        let lease_is_valid = self.lease_is_valid(i);
         let seen = self.nodes[i].leader_seen;
         let answer = match &mut self.nodes[i].lead {
             // No node takes a longer body.
             _ if heartbeat_chars(&heartbeat) > MOST_CHARS => Err(None),
-            Some(l) if entitled && heartbeat.token <= l.core.token => {
+            Some(l) if lease_is_valid && heartbeat.token <= l.core.token => {
                 let (looks, plans) = (l.core.looks(), l.core.plans());
                 let a = l.core.heartbeat(&heartbeat, now);
                 if l.core.plans() == plans {
--- a/crates/hopyoke/src/api.rs
+++ b/crates/hopyoke/src/api.rs
@@ -1,7 +1,7 @@
 //! What users ask: submit, poll, cancel. Any node answers by itself, from the state service.
 
 use crate::links::{ASK_LEADER, ASK_PEER};
-use crate::node::{Leading, Node};
+use crate::node::{Leadership, Node};
 use crate::records::{self, Lookup, lookup, lookup_ended};
 use crate::state::{StateError, TransactionOutcome};
 use hopyoke_admission::RetryAfter;
@@ -67,7 +67,7 @@
 /// A user's request: a poll is best answered by the leader, which knows what runs; whatever we
 /// cannot decide is passed to a peer that reaches the state service.
 pub async fn jobs(node: &Rc<Node>, rest: &str, request: &Request) -> Response {
-    if request.method == Method::Get && node.leading().is_none() {
+    if request.method == Method::Get && node.leadership().is_none() {
         let leader = node.leader.borrow().clone();
         if let Some(link) = leader.as_deref().and_then(|l| node.links.by_name(l))
             && link.leads()
@@ -136,11 +136,11 @@
     Response::of(200, &JobAnswer { id: id.as_str(), state: end.state, done, running: done.map(|_| 0) })
 }
 
-/// `leading`: the leadership whose core may know how much of it runs.
-fn unfinished(leading: Option<&Leading>, id: &JobId, record: Option<JobRecord>) -> Response {
+/// `leadership`: the leadership whose core may know how much of it runs.
+fn unfinished(leadership: Option<&Leadership>, id: &JobId, record: Option<JobRecord>) -> Response {
     let done = record.map_or(0, |r| r.done.tidy(r.spec.tasks).count());
     let mut answer = JobAnswer { id: id.as_str(), state: JobState::Queued, done: Some(done), running: Some(0) };
-    if let Some(core) = leading.map(|l| l.core.borrow())
+    if let Some(core) = leadership.map(|l| l.core.borrow())
         && let Some(job) = core.jobs.get(id)
     {
         let running = core.running(id);
@@ -160,7 +160,7 @@
             if matches!(record, Stored::Unreadable(_)) {
                 warn!(job = %id, "unreadable record");
             }
-            unfinished(node.leading().as_deref(), id, record.readable())
+            unfinished(node.leadership().as_deref(), id, record.readable())
         }
         Lookup::Unreadable => later("the job's record can't be read"),
         Lookup::Missing => problem(404, "no such job"),
@@ -171,12 +171,12 @@
     if let Some(end) = node.finals.get(id) {
         return Ok(finished(id, end));
     }
-    if let Some(leading) = node.leading() {
-        if leading.is_current().await {
+    if let Some(leadership) = node.leadership() {
+        if leadership.is_current().await {
             // Whatever was written before the poll arrived is in the core now. (Guards `went_back` and
             // `forgotten`; an older answer than another node's is not possible.)
-            if leading.core.borrow().jobs.contains_key(id) {
-                return Ok(unfinished(Some(&leading), id, None));
+            if leadership.core.borrow().jobs.contains_key(id) {
+                return Ok(unfinished(Some(&leadership), id, None));
             }
             if let Some(end) = node.finals.get(id) {
                 return Ok(finished(id, end));
@@ -184,7 +184,7 @@
             // Over, or never accepted, or its record can't be read: its own records tell.
             return Ok(answer(node, id, lookup_ended(node, id).await?));
         }
-        if !leading.cancel.is_cancelled() {
+        if !leadership.cancel.is_cancelled() {
             // More reads would not help: it is busy, or away. The user polls again.
             return Ok(later("the state service did not answer in time"));
         }
@@ -232,7 +232,7 @@
         debug!(job = %id, after_s = after.0, "refused at the door");
         // A repeated submission of what is accepted gets its answer all the same, where that costs
         // nothing of its own.
-        let known = node.leading().is_some_and(|l| l.core.borrow().jobs.contains_key(&id));
+        let known = node.leadership().is_some_and(|l| l.core.borrow().jobs.contains_key(&id));
         return if known { poll(node, &id).await } else { Ok(no_room(after)) };
     }
     let team = spec.team.clone();
--- a/crates/hopyoke/src/door.rs
+++ b/crates/hopyoke/src/door.rs
@@ -30,13 +30,13 @@
     /// # Errors
     /// There is no room: when to come back.
     pub fn enter(&self, node: &Node, spec: &JobSpec) -> Result<(), RetryAfter> {
-        let (team, leads) = (self.team(&spec.team), node.leading().is_some());
+        let (team, leads) = (self.team(&spec.team), node.leadership().is_some());
         self.decisions.borrow_mut().enter(&spec.id, team, leads, runtime::now())
     }
 
     /// One was let in, and found no room further on.
     pub fn refuse(&self, node: &Node, id: &JobId, team: &str) -> RetryAfter {
-        let (team, leads) = (self.team(team), node.leading().is_some());
+        let (team, leads) = (self.team(team), node.leadership().is_some());
         self.decisions.borrow_mut().refuse(id, team, leads, runtime::now())
     }
 
--- a/crates/hopyoke/src/finals.rs
+++ b/crates/hopyoke/src/finals.rs
@@ -7,13 +7,13 @@
 
 /// Final states never change, so a few of them are remembered.
 #[derive(Default)]
-pub struct Finals {
+pub struct TerminalStateCache {
     known: RefCell<(BTreeMap<JobId, EndRecord>, VecDeque<JobId>)>,
 }
 
 const MOST_FINALS: usize = 4096;
 
-impl Finals {
+impl TerminalStateCache {
     pub fn get(&self, id: &JobId) -> Option<EndRecord> {
         self.known.borrow().0.get(id).copied()
     }
--- a/crates/hopyoke/src/flows.rs
+++ b/crates/hopyoke/src/flows.rs
@@ -40,7 +40,7 @@
 /// Starts the routines, if this node takes part.
 pub fn start(node: &Rc<Node>) {
     if node.flows.is_some() {
-        runtime::spawn_until(node.cancel.clone(), keep_lease(node.clone()));
+        runtime::spawn_until(node.cancel.clone(), keep_lease_alive(node.clone()));
         runtime::spawn_until(node.cancel.clone(), watch_runs(node.clone()));
         runtime::spawn_until(node.cancel.clone(), watch_ends(node.clone()));
         runtime::spawn_until(node.cancel.clone(), drive(node.clone()));
@@ -75,7 +75,7 @@
 }
 
 /// Keeps the lease on which this node's grants are.
-async fn keep_lease(node: Rc<Node>) {
+async fn keep_lease_alive(node: Rc<Node>) {
     let flows = of(&node);
     loop {
         match flows.lease.get() {
@@ -176,10 +176,10 @@
 /// All runs and grants as of a revision: what is not among them is gone.
 fn all_seen(node: &Node, pairs: Vec<KeyValue<Value>>, revision: ModRevision) {
     let mut heads = BTreeSet::new();
-    let mut holds = BTreeSet::new();
+    let mut is_valid = BTreeSet::new();
     for p in pairs {
         heads.extend(run_of(&p.key, FLOW_HEADS));
-        holds.extend(run_of(&p.key, FLOW_HOLDS));
+        is_valid.extend(run_of(&p.key, FLOW_HOLDS));
         match p.value {
             Stored::Value(v) => seen(node, &p.key, v, p.mod_revision),
             Stored::Unreadable(_) => warn!(key = %p.key, "unreadable record of a run"),
@@ -191,7 +191,7 @@
     for run in known {
         if !heads.contains(&run) {
             engine.head_gone(run, revision);
-        } else if !holds.contains(&run) {
+        } else if !is_valid.contains(&run) {
             engine.hold_gone(run, revision, runtime::now());
         }
     }
--- a/crates/hopyoke/src/follow.rs
+++ b/crates/hopyoke/src/follow.rs
@@ -1,7 +1,7 @@
 //! Keeps the leader's core up to the jobs' records: by a watch, by questions for reads that wait, and
 //! by other nodes' hints.
 
-use crate::node::{Leading, Node};
+use crate::node::{Leadership, Node};
 use crate::state::{JOBS, StateError};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{KeyValue, Stored, WatchResponse};
@@ -19,21 +19,21 @@
 const GATHER: Micros = Micros::from_millis(80);
 
 /// Learns of jobs that other nodes accept or cancel.
-pub async fn watch(node: Rc<Node>, leading: Rc<Leading>) {
+pub async fn watch(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
         let sent = runtime::now();
-        let since = leading.core.borrow().applied().0;
+        let since = leadership.core.borrow().applied().0;
         let result: Result<WatchResponse<JobRecord>, _> = node.state.records().watch(JOBS, since, WATCH).await;
         match result {
             Ok(events) => {
-                apply(&leading, events, sent);
+                apply(&leadership, events, sent);
                 // While much changes each answer comes at once: several changes share a request.
                 runtime::sleep_until(sent + GATHER).await;
             }
             Err(StateError::Gone) => match node.state.records().list::<JobRecord>(JOBS).await {
                 Ok((pairs, revision)) => {
                     let now = runtime::now();
-                    let mut core = leading.core.borrow_mut();
+                    let mut core = leadership.core.borrow_mut();
                     let listed: BTreeSet<JobId> = pairs.iter().filter_map(|p| job_id_of(&p.key)).collect();
                     // A job that is newer than the list has come by a notification or a question meanwhile.
                     // (Guards `forgotten`: it would be taken for over.)
@@ -47,8 +47,8 @@
                         core.job_seen(id, record, mod_revision, now);
                     }
                     core.caught_up(ModRevision(revision), sent);
-                    leading.right.borrow_mut().heard(sent);
-                    leading.wakeup.notify();
+                    leadership.leader_lease.borrow_mut().heard(sent);
+                    leadership.wakeup.notify();
                 }
                 Err(_) => runtime::sleep(Micros::from_millis(300)).await,
             },
@@ -61,8 +61,8 @@
 }
 
 /// Asks, whenever reads wait.
-pub async fn ask(node: Rc<Node>, leading: Rc<Leading>) {
-    let replica = &leading.replica;
+pub async fn ask(node: Rc<Node>, leadership: Rc<Leadership>) {
+    let replica = &leadership.replica;
     loop {
         let due = replica.reads.borrow().due();
         let Some(due) = due else {
@@ -76,12 +76,12 @@
             continue;
         };
         let sent = runtime::now();
-        let since = leading.core.borrow().applied().0;
+        let since = leadership.core.borrow().applied().0;
         let result: Result<WatchResponse<JobRecord>, StateError> =
             node.state.records().watch(JOBS, since.max(1), Micros::ZERO).await;
         match result {
             Ok(events) => {
-                apply(&leading, events, sent);
+                apply(&leadership, events, sent);
                 replica.reads.borrow_mut().answered(question, runtime::now());
             }
             // If the revision is too old, the watch reads all records again.
@@ -96,11 +96,11 @@
 
 /// Brings the core up to what the state service said. Events may come twice, by the watch and by a
 /// question: those of a mark that is known change nothing, and a job that is over stays over.
-pub fn apply(leading: &Leading, events: WatchResponse<JobRecord>, sent: Micros) {
+pub fn apply(leadership: &Leadership, events: WatchResponse<JobRecord>, sent: Micros) {
     let now = runtime::now();
-    leading.right.borrow_mut().heard(sent);
+    leadership.leader_lease.borrow_mut().heard(sent);
     let any = !events.events.is_empty();
-    let mut core = leading.core.borrow_mut();
+    let mut core = leadership.core.borrow_mut();
     for e in events.events {
         if let Some(id) = e.deleted.as_deref().and_then(job_id_of) {
             core.job_dropped(&id, now);
@@ -113,7 +113,7 @@
     core.caught_up(ModRevision(events.revision), sent);
     drop(core);
     if any {
-        leading.wakeup.notify();
+        leadership.wakeup.notify();
     }
 }
 
--- a/crates/hopyoke/src/lead.rs
+++ b/crates/hopyoke/src/lead.rs
@@ -2,7 +2,7 @@
 //! blocks to itself, takes over the records, and runs the core.
 
 use crate::follow::{self, WATCH, job_id_of, job_of};
-use crate::node::{Leading, Node};
+use crate::node::{Leadership, Node};
 use crate::replica::Replica;
 use crate::state::{
     FLEET, JOBS, LEADER, LEARNED, StateError, TransactionOutcome, block_key, end_key, fleet_key, job_key,
@@ -10,8 +10,8 @@
 };
 use crate::workers::Direct;
 use crate::{staffed, tuning};
-use hopyoke_consistency::Delivered;
-use hopyoke_consistency::leader_lease::Entitlement;
+use hopyoke_consistency::DeliveryCursors;
+use hopyoke_consistency::leader_lease::LeaderLease;
 use hopyoke_event_loop::{self as runtime, CancellationToken, Notify};
 use hopyoke_heartbeat::Hearing;
 use hopyoke_policy::Figures;
@@ -27,7 +27,7 @@
 
 /// The value of `leader` and of every `block/ZONE`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Holder {
+struct LeaseHolder {
     node: String,
 }
 
@@ -37,13 +37,13 @@
 
 /// Follows the leader key, and leads when nobody does.
 pub async fn run(node: Rc<Node>) {
-    let me = Holder { node: node.settings.node.clone() };
+    let me = LeaseHolder { node: node.settings.node.clone() };
     // A node that found itself cut off from the workers lets others lead first.
-    let mut shy_until = Micros::ZERO;
+    let mut campaign_not_before = Micros::ZERO;
     let mut fresh_start = true;
     loop {
         let asked = runtime::now();
-        let (found, mod_revision) = match node.state.vital().get::<Holder>(LEADER).await {
+        let (found, mod_revision) = match node.state.vital().get::<LeaseHolder>(LEADER).await {
             Ok(Some((value, mod_revision))) => (value.readable(), mod_revision),
             Ok(None) => {
                 // Nobody leads, so nobody's records need anything.
@@ -61,7 +61,7 @@
         // token, so its lease need not run out.
         let own_former = found.as_ref() == Some(&me);
         let now = runtime::now();
-        if (mod_revision == ModRevision(0) || own_former) && now >= shy_until {
+        if (mod_revision == ModRevision(0) || own_former) && now >= campaign_not_before {
             if !own_former && !fresh_start {
                 runtime::sleep(jitter(Micros::from_millis(150))).await;
             }
@@ -82,9 +82,9 @@
                 }
             }
             if let Acquired::Lead(lease, token, until) = acquired {
-                let starved = lead(&node, (lease, token, until)).await;
-                if starved {
-                    shy_until = runtime::now() + Micros::from_secs(12);
+                let isolated = lead(&node, (lease, token, until)).await;
+                if isolated {
+                    campaign_not_before = runtime::now() + Micros::from_secs(12);
                 }
             }
             node.promises.leads.set(false);
@@ -93,7 +93,7 @@
         fresh_start = false;
         // Wait until the key changes.
         let wait = if mod_revision == ModRevision(0) { Micros::from_secs(1) } else { Micros::from_secs(10) };
-        match node.state.vital().watch::<Holder>(LEADER, mod_revision.0.max(1), wait).await {
+        match node.state.vital().watch::<LeaseHolder>(LEADER, mod_revision.0.max(1), wait).await {
             Ok(_) => {}
             Err(_) => runtime::sleep(Micros::from_millis(200) + jitter(Micros::from_millis(300))).await,
         }
@@ -101,7 +101,7 @@
 }
 
 /// A new leader takes no new connections for so long while it reads the records.
-const TAKE_OVER: Micros = Micros::from_secs(6);
+const FAILOVER: Micros = Micros::from_secs(6);
 
 /// How a try to lead ended.
 enum Acquired {
@@ -112,7 +112,7 @@
 }
 
 /// Tries to become the leader and to lease all blocks; the revision of that write is the token.
-async fn acquire(node: &Rc<Node>, me: &Holder, mod_revision: ModRevision) -> Acquired {
+async fn acquire(node: &Rc<Node>, me: &LeaseHolder, mod_revision: ModRevision) -> Acquired {
     let ttl = node.settings.leader_ttl();
     let sent = runtime::now();
     let lease = match node.state.vital().grant(ttl).await {
@@ -166,15 +166,15 @@
     let granted_at = runtime::now();
     let cancel = CancellationToken::new();
     let ttl = node.settings.leader_ttl();
-    let right = Rc::new(RefCell::new(Entitlement::new(until, ttl, WATCH, node.links.0.len())));
+    let leader_lease = Rc::new(RefCell::new(LeaderLease::new(until, ttl, WATCH, node.links.0.len())));
     let lost = Notify::default();
     runtime::spawn_until(
         cancel.clone(),
-        keep_lease(node.clone(), lease, right.clone(), lost.clone(), cancel.clone()),
+        keep_lease_alive(node.clone(), lease, leader_lease.clone(), lost.clone(), cancel.clone()),
     );
     // Nobody is served before the records are read, and a whole fleet knocks once a second.
-    node.open.hold_until(granted_at + TAKE_OVER);
-    let taken = cancel.run(take_over(node, token, granted_at)).await;
+    node.open.hold_until(granted_at + FAILOVER);
+    let taken = cancel.run(fail_over(node, token, granted_at)).await;
     node.open.hold_until(Micros::ZERO);
     let Some(Some(mut core)) = taken else {
         cancel.cancel();
@@ -189,58 +189,58 @@
     // A process that has just begun may not have learned a revision yet; this one does as well.
     node.promises.confirmed.borrow_mut().began_before(core.applied());
     // All that was cancelled before the records were read is missing in them.
-    right.borrow_mut().heard(granted_at);
-    let leading = Rc::new(Leading {
+    leader_lease.borrow_mut().heard(granted_at);
+    let leadership = Rc::new(Leadership {
         core: RefCell::new(core),
-        right,
+        leader_lease,
         hearing: RefCell::new(Hearing::new(node.config.heartbeat_interval, node.settings.facts.nodes, now)),
         wakeup: Notify::default(),
         write_wakeup: Notify::default(),
         cancel: cancel.clone(),
         replica: Replica::default(),
-        delivered: RefCell::new(Delivered::new(node.links.0.len())),
+        delivered: RefCell::new(DeliveryCursors::new(node.links.0.len())),
         plan_cost: Cell::new(Micros::ZERO),
         plans_from: Cell::new(now),
         plans_may: node.settings.facts.limits.cpu_share,
     });
-    *node.leading.borrow_mut() = Some(leading.clone());
-    runtime::spawn_until(cancel.clone(), follow::watch(node.clone(), leading.clone()));
-    runtime::spawn_until(cancel.clone(), follow::ask(node.clone(), leading.clone()));
-    runtime::spawn_until(cancel.clone(), write_records(node.clone(), leading.clone()));
-    runtime::spawn_until(cancel.clone(), list_machines(node.clone(), leading.clone()));
-    runtime::spawn_until(cancel.clone(), staffed::follow(node.clone(), leading.clone()));
-    runtime::spawn_until(cancel.clone(), act(node.clone(), leading.clone()));
-    runtime::spawn_until(cancel.clone(), read_learned(node.clone(), leading.clone()));
+    *node.leadership.borrow_mut() = Some(leadership.clone());
+    runtime::spawn_until(cancel.clone(), follow::watch(node.clone(), leadership.clone()));
+    runtime::spawn_until(cancel.clone(), follow::ask(node.clone(), leadership.clone()));
+    runtime::spawn_until(cancel.clone(), write_records(node.clone(), leadership.clone()));
+    runtime::spawn_until(cancel.clone(), list_machines(node.clone(), leadership.clone()));
+    runtime::spawn_until(cancel.clone(), staffed::follow(node.clone(), leadership.clone()));
+    runtime::spawn_until(cancel.clone(), act(node.clone(), leadership.clone()));
+    runtime::spawn_until(cancel.clone(), read_learned(node.clone(), leadership.clone()));
     if node.policy.is_live() {
-        runtime::spawn_until(cancel.clone(), follow_figures(node.clone(), leading.clone()));
+        runtime::spawn_until(cancel.clone(), follow_figures(node.clone(), leadership.clone()));
     }
     // Until the lease is lost, or no worker reaches us.
-    let starved = loop {
+    let isolated = loop {
         if cancel.is_cancelled() {
             break false;
         }
         lost.wait_until(runtime::now() + Micros::from_millis(200)).await;
-        if starving(&leading) {
+        if is_isolated(&leadership) {
             break true;
         }
     };
-    *node.leading.borrow_mut() = None;
+    *node.leadership.borrow_mut() = None;
     cancel.cancel();
-    if starved {
+    if isolated {
         info!(token = token.0, "giving up leadership: no worker reaches this node");
         let _ = node.state.vital().release(lease).await;
         *node.leader.borrow_mut() = None;
     } else {
         info!(token = token.0, "leadership lost");
     }
-    starved
+    isolated
 }
 
 /// Machines are up but none reports: this node is cut off from the workers, another may not be.
-fn starving(leading: &Leading) -> bool {
-    let core = leading.core.borrow();
+fn is_isolated(leadership: &Leadership) -> bool {
+    let core = leadership.core.borrow();
     let expected = core.machines.values().filter(|m| m.registered && !m.deleting).count();
-    leading.hearing.borrow_mut().is_cut_off(expected, leading.entitled(), runtime::now())
+    leadership.hearing.borrow_mut().is_cut_off(expected, leadership.lease_is_valid(), runtime::now())
 }
 
 /// The least wait for the answer to a renewal. One that is lost is soon repeated; where the service is slow, up to half of
@@ -248,10 +248,10 @@
 /// may do nothing, and nobody else could lead. (Test a_slow_state_service_keeps_its_leader.)
 const RENEWAL: Micros = Micros::from_secs(1);
 
-async fn keep_lease(
+async fn keep_lease_alive(
     node: Rc<Node>,
     lease: u64,
-    right: Rc<RefCell<Entitlement>>,
+    leader_lease: Rc<RefCell<LeaderLease>>,
     lost: Notify,
     cancel: CancellationToken,
 ) {
@@ -263,7 +263,7 @@
         match node.state.vital().renew(lease, patience).await {
             Ok(()) => {
                 patience = (runtime::now() - sent).times(2).clamp(RENEWAL, longest);
-                right.borrow_mut().renewed(sent);
+                leader_lease.borrow_mut().renewed(sent);
                 lost.notify();
                 runtime::sleep(Micros(ttl.0 / 4)).await;
             }
@@ -284,7 +284,7 @@
     }
 }
 
-async fn take_over(node: &Rc<Node>, token: FencingToken, granted_at: Micros) -> Option<Core> {
+async fn fail_over(node: &Rc<Node>, token: FencingToken, granted_at: Micros) -> Option<Core> {
     let (pages, _) = retry(|| node.state.vital().list::<RegisterPage>(FLEET)).await?;
     let (jobs, revision) = retry(|| node.state.vital().list::<JobRecord>(JOBS)).await?;
     let register = pages
@@ -324,29 +324,29 @@
 }
 
 /// Writes what the core wants recorded, one batch at a time.
-async fn write_records(node: Rc<Node>, leading: Rc<Leading>) {
+async fn write_records(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
         let batch = {
-            let mut core = leading.core.borrow_mut();
+            let mut core = leadership.core.borrow_mut();
             core.set_pressed(node.door.is_pressed());
-            if leading.entitled() { core.next_batch(runtime::now()) } else { None }
+            if leadership.lease_is_valid() { core.next_batch(runtime::now()) } else { None }
         };
         let Some(batch) = batch else {
-            let more = leading.core.borrow().has_writes();
-            if leading.core.borrow().short_of_writes() {
+            let more = leadership.core.borrow().has_writes();
+            if leadership.core.borrow().short_of_writes() {
                 node.door.short();
             }
             let pause = if more { Micros::from_millis(50) } else { Micros::from_secs(1) };
-            leading.write_wakeup.wait_until(runtime::now() + pause).await;
+            leadership.write_wakeup.wait_until(runtime::now() + pause).await;
             continue;
         };
-        let token = leading.core.borrow().token;
+        let token = leadership.core.borrow().token;
         node.door.wrote(batch.changes());
         let result = commit(&node, token, &batch).await;
         if result == Err(BatchError::Deposed) {
             // Only our grant itself can have failed: somebody else leads.
             warn!(token = token.0, "a write found our grant gone");
-            leading.cancel.cancel();
+            leadership.cancel.cancel();
             return;
         }
         if result.is_ok() {
@@ -357,8 +357,8 @@
                 }
             }
         }
-        leading.core.borrow_mut().batch_ended(batch, result, runtime::now());
-        leading.wakeup.notify();
+        leadership.core.borrow_mut().batch_ended(batch, result, runtime::now());
+        leadership.wakeup.notify();
     }
 }
 
@@ -417,11 +417,11 @@
 }
 
 /// The list shows failed machines and ones that nobody knows of.
-async fn list_machines(node: Rc<Node>, leading: Rc<Leading>) {
+async fn list_machines(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
         if let Some(list) = node.cloud.list().await {
-            leading.core.borrow_mut().listed(&list, runtime::now());
-            leading.wakeup.notify();
+            leadership.core.borrow_mut().listed(&list, runtime::now());
+            leadership.wakeup.notify();
         }
         let pause = node.config.list_lag.max(Micros::from_secs(5));
         runtime::sleep(pause + jitter(Micros::from_secs(1))).await;
@@ -429,14 +429,14 @@
 }
 
 /// Reads what earlier leaders have learned of run times. Nothing waits for it.
-async fn read_learned(node: Rc<Node>, leading: Rc<Leading>) {
-    if !leading.core.borrow().tuning.learn {
+async fn read_learned(node: Rc<Node>, leadership: Rc<Leadership>) {
+    if !leadership.core.borrow().tuning.learn {
         return;
     }
     let Some((pages, _)) = retry(|| node.state.spare().list::<hopyoke_run_times::Page>(LEARNED)).await else {
         return;
     };
-    let mut core = leading.core.borrow_mut();
+    let mut core = leadership.core.borrow_mut();
     for pair in pages {
         if let Some(key) = pair.key.strip_prefix(LEARNED) {
             core.learned(key, pair.value.readable().as_ref());
@@ -445,22 +445,22 @@
 }
 
 /// Settings that depend on live figures follow them.
-async fn follow_figures(node: Rc<Node>, leading: Rc<Leading>) {
+async fn follow_figures(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
-        tuning::refresh(&node.policy, &leading);
+        tuning::refresh(&node.policy, &leadership);
         runtime::sleep(Micros::from_secs(1)).await;
     }
 }
 
 /// Lets the core decide, and does what it wants done.
-async fn act(node: Rc<Node>, leading: Rc<Leading>) {
+async fn act(node: Rc<Node>, leadership: Rc<Leadership>) {
     let direct = Rc::new(Direct::new(node.settings.facts.limits.max_connections));
     loop {
         let mut next = runtime::now() + Micros::from_millis(250);
-        if leading.entitled() {
-            let mut core = leading.core.borrow_mut();
+        if leadership.lease_is_valid() {
+            let mut core = leadership.core.borrow_mut();
             core.note_time(runtime::now(), runtime::time_of_day());
-            let due = leading.planning(&node, &mut core, |core| {
+            let due = leadership.planning(&node, &mut core, |core| {
                 core.tick(runtime::now());
                 core.next_due(runtime::now())
             });
@@ -471,21 +471,27 @@
             let (token, writes) = (core.token, core.has_writes());
             drop(core);
             for action in actions {
-                perform(&node, &leading, &direct, token, action);
+                perform(&node, &leadership, &direct, token, action);
             }
             if writes {
-                leading.write_wakeup.notify();
+                leadership.write_wakeup.notify();
             }
             next = due;
         }
-        leading.wakeup.wait_until(next).await;
+        leadership.wakeup.wait_until(next).await;
     }
 }
 
 /// Starts a routine for one action.
-fn perform(node: &Rc<Node>, leading: &Rc<Leading>, direct: &Rc<Direct>, token: FencingToken, action: Action) {
-    let (node, l, direct) = (node.clone(), leading.clone(), direct.clone());
-    runtime::spawn_until(leading.cancel.clone(), async move {
+fn perform(
+    node: &Rc<Node>,
+    leadership: &Rc<Leadership>,
+    direct: &Rc<Direct>,
+    token: FencingToken,
+    action: Action,
+) {
+    let (node, l, direct) = (node.clone(), leadership.clone(), direct.clone());
+    runtime::spawn_until(leadership.cancel.clone(), async move {
         match action {
             Action::ScaleOut { request, machine_type, zone, spot, count } => {
                 let rent =
--- a/crates/hopyoke/src/links.rs
+++ b/crates/hopyoke/src/links.rs
@@ -80,7 +80,7 @@
 }
 
 /// What we know of one peer.
-pub struct PeerLink {
+pub struct PeerClient {
     pub peer: Peer,
     channel: RefCell<Option<(MeshClient<Channel>, CancellationToken)>>,
     seen: Cell<Micros>,
@@ -110,9 +110,9 @@
 /// behind being buried under requests that nobody waits for any more.)
 const MOST_CARRIED: usize = 24;
 
-impl PeerLink {
-    fn new(peer: Peer) -> PeerLink {
-        PeerLink {
+impl PeerClient {
+    fn new(peer: Peer) -> PeerClient {
+        PeerClient {
             peer,
             channel: RefCell::default(),
             seen: Cell::new(Micros::ZERO),
@@ -262,11 +262,11 @@
 }
 
 /// All peers, and how many messages came of nodes that are none.
-pub struct Links(pub Vec<PeerLink>, Cell<u64>);
+pub struct PeerClients(pub Vec<PeerClient>, Cell<u64>);
 
-impl Links {
-    pub fn new(peers: &[Peer]) -> Links {
-        Links(peers.iter().cloned().map(PeerLink::new).collect(), Cell::new(0))
+impl PeerClients {
+    pub fn new(peers: &[Peer]) -> PeerClients {
+        PeerClients(peers.iter().cloned().map(PeerClient::new).collect(), Cell::new(0))
     }
 
     /// Counts a message of an unknown node.
@@ -279,7 +279,7 @@
         self.1.get()
     }
 
-    pub fn by_name(&self, name: &str) -> Option<&PeerLink> {
+    pub fn by_name(&self, name: &str) -> Option<&PeerClient> {
         self.0.iter().find(|l| l.peer.node == name)
     }
 
@@ -288,7 +288,7 @@
         self.0.iter().position(|l| l.peer.node == name)
     }
 
-    pub fn any_reaches_state(&self) -> Option<&PeerLink> {
+    pub fn any_reaches_state(&self) -> Option<&PeerClient> {
         self.0.iter().find(|l| l.reaches_state())
     }
 }
--- a/crates/hopyoke/src/mesh.rs
+++ b/crates/hopyoke/src/mesh.rs
@@ -11,7 +11,7 @@
     WhenRequest,
 };
 use crate::links::{GREET, LocalExec};
-use crate::node::{Leading, Node};
+use crate::node::{Leadership, Node};
 use crate::{api, questions};
 use futures_channel::{mpsc, oneshot};
 use futures_util::StreamExt;
@@ -29,14 +29,14 @@
 /// What this node says of itself to a peer.
 fn greeting(node: &Node) -> Greeting {
     let crowd = node.routes.borrow_mut().own(
-        node.leading().is_some(),
+        node.leadership().is_some(),
         node.is_behind(),
         node.open.count(),
         node.most_connections(),
         runtime::now(),
     );
-    let leading = node.leading().filter(|l| l.entitled());
-    let (token, applied) = leading.map_or((0, 0), |l| {
+    let leadership = node.leadership().filter(|l| l.lease_is_valid());
+    let (token, applied) = leadership.map_or((0, 0), |l| {
         let core = l.core.borrow();
         (core.token.0, core.applied().0)
     });
@@ -49,14 +49,14 @@
         open: crowd.open,
         most: crowd.most,
         shares: crowd.shares,
-        need: node.leading().map_or(0.0, |_| node.door.need()),
+        need: node.leadership().map_or(0.0, |_| node.door.need()),
         ..Greeting::default()
     }
 }
 
 /// A greeting to a peer that is asked for its own.
 fn question(node: &Node, peer: usize) -> Greeting {
-    let cursor = node.leading().map_or_else(Default::default, |l| l.delivered.borrow().cursor(peer));
+    let cursor = node.leadership().map_or_else(Default::default, |l| l.delivered.borrow().cursor(peer));
     Greeting {
         wants: node.door.wants(),
         line: node.door.words(peer),
@@ -99,8 +99,8 @@
             if answer.token > 0 {
                 node.door.heard(answer.need, sent);
             }
-            if let Some(leading) = node.leading() {
-                heed(&node, &leading, peer, sent, &answer);
+            if let Some(leadership) = node.leadership() {
+                heed(&node, &leadership, peer, sent, &answer);
             }
         }
         // Promises are short: they are asked for again well before they end.
@@ -121,20 +121,20 @@
 /// A leader takes what a peer answered into account: first the cancellations, then the promise that rests on
 /// its knowing them. It rests as well on the leader's knowing of what was confirmed at its own node, before it
 /// led. (Guards `ran_cancelled`. Scenario gap_fresh_leader.)
-fn heed(node: &Node, leading: &Leading, peer: usize, sent: Micros, answer: &Greeting) {
+fn heed(node: &Node, leadership: &Leadership, peer: usize, sent: Micros, answer: &Greeting) {
     let now = runtime::now();
-    let own = node.promises.confirmed.borrow().covers(leading.core.borrow().applied());
+    let own = node.promises.confirmed.borrow().covers(leadership.core.borrow().applied());
     let span = (answer.promise_us > 0 && own).then_some(Micros(answer.promise_us));
     if !answer.cancelled.is_empty() {
-        let mut core = leading.core.borrow_mut();
+        let mut core = leadership.core.borrow_mut();
         for id in answer.cancelled.iter().filter_map(|id| JobId::parse(id)) {
             // Also of jobs that we have not heard of: news of them may be on its way.
             core.job_dropped(&id, now);
         }
-        leading.wakeup.notify();
+        leadership.wakeup.notify();
     }
-    leading.delivered.borrow_mut().took(peer, answer.process, answer.cancelled_upto);
-    leading.right.borrow_mut().answered(peer, sent, span, now);
+    leadership.delivered.borrow_mut().took(peer, answer.process, answer.cancelled_upto);
+    leadership.leader_lease.borrow_mut().answered(peer, sent, span, now);
 }
 
 /// A request that reached us over the mesh, with where its answer goes.
@@ -285,8 +285,8 @@
             }
             let _ = reply.send(greeting(node));
             // One question serves all that is hinted at meanwhile, and the polls that wait.
-            if let Some(leading) = node.leading() {
-                leading.is_current().await;
+            if let Some(leadership) = node.leadership() {
+                leadership.is_current().await;
             }
         }
         Call::Forward(message, reply) => {
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -3,14 +3,14 @@
 use crate::carriage::Carriage;
 use crate::cloud::Cloud;
 use crate::door::Door;
-use crate::finals::Finals;
-use crate::links::Links;
-use crate::promises::Promises;
+use crate::finals::TerminalStateCache;
+use crate::links::PeerClients;
+use crate::promises::LeaseSupport;
 use crate::replica::Replica;
 use crate::state::State;
 use hopyoke_admission::Bounds;
-use hopyoke_consistency::Delivered;
-use hopyoke_consistency::leader_lease::Entitlement;
+use hopyoke_consistency::DeliveryCursors;
+use hopyoke_consistency::leader_lease::LeaderLease;
 use hopyoke_event_loop::http::OpenCount;
 use hopyoke_event_loop::{self as runtime, CancellationToken, Notify};
 use hopyoke_heartbeat::{Hearing, Routes};
@@ -36,11 +36,11 @@
     /// The node that leads, as last seen.
     pub leader: RefCell<Option<String>>,
     /// Set while this node leads.
-    pub leading: RefCell<Option<Rc<Leading>>>,
+    pub leadership: RefCell<Option<Rc<Leadership>>>,
     /// What this node promises its peers.
-    pub promises: Promises,
-    pub finals: Finals,
-    pub links: Links,
+    pub promises: LeaseSupport,
+    pub finals: TerminalStateCache,
+    pub links: PeerClients,
     /// Users' and workers' connections that are open.
     pub open: OpenCount,
     /// Where workers' reports go.
@@ -67,10 +67,10 @@
 }
 
 /// What a leading node has.
-pub struct Leading {
+pub struct Leadership {
     pub core: RefCell<Core>,
     /// How long we may command workers.
-    pub right: Rc<RefCell<Entitlement>>,
+    pub leader_lease: Rc<RefCell<LeaderLease>>,
     /// Whether workers reach us.
     pub hearing: RefCell<Hearing>,
     /// Rung when the core has changed.
@@ -81,7 +81,7 @@
     /// Polls that wait until the core is known to follow the records.
     pub replica: Replica,
     /// How far we have the peers' accounts of cancellations.
-    pub delivered: RefCell<Delivered>,
+    pub delivered: RefCell<DeliveryCursors>,
     /// What plans have cost since `plans_from`, and the share of what they might have.
     pub plan_cost: Cell<Micros>,
     pub plans_from: Cell<Micros>,
@@ -91,7 +91,7 @@
 /// Plans of a process that is behind take this much of what they may.
 const PLANS_WHEN_BEHIND: f64 = 0.4;
 
-impl Leading {
+impl Leadership {
     /// The share of this node's processor share that plans took since this was last asked.
     pub fn plan_busy(&self) -> f64 {
         let now = runtime::now();
@@ -102,8 +102,8 @@
     /// We may command workers, and renew their leases. Past our lease another node may lead;
     /// without news of cancellations we must not keep tasks alive. (Guards `ran_twice` and
     /// `ran_cancelled`.)
-    pub fn entitled(&self) -> bool {
-        self.right.borrow().holds(runtime::now()) && !self.cancel.is_cancelled()
+    pub fn lease_is_valid(&self) -> bool {
+        self.leader_lease.borrow().is_valid(runtime::now()) && !self.cancel.is_cancelled()
     }
 
     /// Waits until the core is known to include all that was written before now; false: nobody can say so in
@@ -156,10 +156,10 @@
             cloud: Cloud::new(settings.endpoints.cloud, settings.facts.cloud.rps),
             catalog: RefCell::default(),
             leader: RefCell::default(),
-            leading: RefCell::default(),
-            promises: Promises::of_new_process(),
-            finals: Finals::default(),
-            links: Links::new(&settings.peers),
+            leadership: RefCell::default(),
+            promises: LeaseSupport::of_new_process(),
+            finals: TerminalStateCache::default(),
+            links: PeerClients::new(&settings.peers),
             open: OpenCount::default(),
             routes: RefCell::new(Routes::new(settings.peers.len())),
             carriage: Carriage::default(),
@@ -181,7 +181,7 @@
         self.settings.facts.limits.max_connections as u64 * 3 / 4
     }
 
-    pub fn leading(&self) -> Option<Rc<Leading>> {
-        self.leading.borrow().clone()
+    pub fn leadership(&self) -> Option<Rc<Leadership>> {
+        self.leadership.borrow().clone()
     }
 }
--- a/crates/hopyoke/src/promises.rs
+++ b/crates/hopyoke/src/promises.rs
@@ -1,7 +1,7 @@
 //! What a node promises its peers for an outage of the state service.
 
-use hopyoke_consistency::Confirmed;
-use hopyoke_consistency::leader_lease::PROMISE;
+use hopyoke_consistency::CancellationLog;
+use hopyoke_consistency::leader_lease::SUPPORT_DURATION;
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use std::cell::{Cell, RefCell};
@@ -11,7 +11,7 @@
 const MOST_CONFIRMED: usize = 8192;
 
 /// What peers may rely on while the state service refuses everybody; see [`hopyoke_consistency::leader_lease`].
-pub struct Promises {
+pub struct LeaseSupport {
     /// Tells this process from its predecessors and successors.
     pub process: u64,
     /// This process promised not to try to lead before this.
@@ -21,19 +21,19 @@
     /// It leads or tries to, or a try may still succeed late: it can't promise.
     pub leads: Cell<bool>,
     /// Cancellations that users were told of here.
-    pub confirmed: RefCell<Confirmed>,
+    pub confirmed: RefCell<CancellationLog>,
 }
 
-impl Promises {
+impl LeaseSupport {
     /// Of a process that starts now. What a former one promised is forgotten, so all that it can
     /// have promised is kept.
-    pub fn of_new_process() -> Promises {
-        Promises {
+    pub fn of_new_process() -> LeaseSupport {
+        LeaseSupport {
             process: rand::random(),
             until: Cell::new(Micros::ZERO),
-            inherited_until: runtime::now() + PROMISE.with_drift(),
+            inherited_until: runtime::now() + SUPPORT_DURATION.with_drift(),
             leads: Cell::new(false),
-            confirmed: RefCell::new(Confirmed::new(MOST_CONFIRMED)),
+            confirmed: RefCell::new(CancellationLog::new(MOST_CONFIRMED)),
         }
     }
 
@@ -48,7 +48,7 @@
         if self.leads.get() {
             return None;
         }
-        self.until.set(self.until.get().max(runtime::now() + PROMISE.with_drift()));
-        Some(PROMISE)
+        self.until.set(self.until.get().max(runtime::now() + SUPPORT_DURATION.with_drift()));
+        Some(SUPPORT_DURATION)
     }
 }
--- a/crates/hopyoke/src/questions.rs
+++ b/crates/hopyoke/src/questions.rs
@@ -1,7 +1,7 @@
 //! Operators' questions about learned run times. Any node takes them; the leader answers.
 
 use crate::links::proto::{HistoryAnswer, HistoryRequest, WhenAnswer, WhenRequest};
-use crate::links::{GREET, PeerLink};
+use crate::links::{GREET, PeerClient};
 use crate::node::Node;
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::user::JobKind;
@@ -16,8 +16,8 @@
 
 /// When a job will be over, or GPUs will be free.
 pub async fn when(node: &Node, mut request: WhenRequest) -> WhenAnswer {
-    if let Some(leading) = node.leading() {
-        let core = leading.core.borrow();
+    if let Some(leadership) = node.leadership() {
+        let core = leadership.core.borrow();
         let now = runtime::now();
         let found = if request.job.is_empty() {
             let zone = (!request.zone.is_empty()).then_some(request.zone);
@@ -44,7 +44,7 @@
 }
 
 /// The node that leads, for a question that nobody has passed on yet.
-fn leader<'a>(node: &'a Node, passed_on_by: &str) -> Result<&'a PeerLink, &'static str> {
+fn leader<'a>(node: &'a Node, passed_on_by: &str) -> Result<&'a PeerClient, &'static str> {
     if !passed_on_by.is_empty() {
         return Err("the node that was asked does not lead");
     }
@@ -54,8 +54,8 @@
 
 /// Runs that have ended.
 pub async fn history(node: &Node, mut request: HistoryRequest) -> HistoryAnswer {
-    if let Some(leading) = node.leading() {
-        let core = leading.core.borrow();
+    if let Some(leadership) = node.leadership() {
+        let core = leadership.core.borrow();
         let token = core.token.0;
         // Another leader counts its runs anew.
         let since = if request.token == token { request.since } else { 0 };
--- a/crates/hopyoke/src/records.rs
+++ b/crates/hopyoke/src/records.rs
@@ -37,12 +37,12 @@
 fn found_ended(node: &Node, id: &JobId, end: EndRecord, mod_revision: ModRevision) {
     if end.state == JobState::Cancelled {
         node.promises.confirmed.borrow_mut().note(id, mod_revision);
-        if let Some(leading) = node.leading()
-            && let mut core = leading.core.borrow_mut()
+        if let Some(leadership) = node.leadership()
+            && let mut core = leadership.core.borrow_mut()
             && core.applied() < mod_revision
         {
             core.job_dropped(id, runtime::now());
-            leading.wakeup.notify();
+            leadership.wakeup.notify();
         }
     }
     node.finals.add(id, end);
@@ -148,7 +148,7 @@
 
 /// Tells the leader, in the background, that a job was accepted or cancelled here.
 fn notify(node: &Rc<Node>, id: &JobId) {
-    if node.leading().is_some() {
+    if node.leadership().is_some() {
         return;
     }
     let (node, id) = (node.clone(), id.clone());
--- a/crates/hopyoke/src/replica.rs
+++ b/crates/hopyoke/src/replica.rs
@@ -1,7 +1,7 @@
 //! Polls answered from the leader's replica of the records: one question to the state service serves
 //! all that wait (see [`hopyoke_consistency::read_index`]).
 
-use hopyoke_consistency::read_index::{Limits, Reads, Verdict};
+use hopyoke_consistency::read_index::{Limits, ReadIndex, ReadOutcome};
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::Notify;
 use std::cell::RefCell;
@@ -9,7 +9,7 @@
 
 /// What the leader has to answer polls by itself.
 pub struct Replica {
-    pub(crate) reads: RefCell<Reads>,
+    pub(crate) reads: RefCell<ReadIndex>,
     /// Rung when a read arrives while none waited.
     pub(crate) wakeup: Notify,
     waiters: RefCell<Vec<Waker>>,
@@ -18,7 +18,7 @@
 impl Default for Replica {
     fn default() -> Replica {
         Replica {
-            reads: RefCell::new(Reads::new(Limits::default())),
+            reads: RefCell::new(ReadIndex::new(Limits::default())),
             wakeup: Notify::default(),
             waiters: RefCell::default(),
         }
@@ -38,7 +38,7 @@
             self.waiters.borrow_mut().push(cx.waker().clone());
             Poll::Pending
         });
-        verdict.await == Verdict::Current
+        verdict.await == ReadOutcome::Current
     }
 
     pub(crate) fn wake(&self) {
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -100,9 +100,9 @@
             node.behind_until.set(now + BEHIND_FOR);
         }
         if (now > due + BEHIND || node.open.count() >= node.most_connections())
-            && let Some(leading) = node.leading()
+            && let Some(leadership) = node.leadership()
         {
-            leading.core.borrow_mut().deaf(now);
+            leadership.core.borrow_mut().deaf(now);
         }
     }
 }
@@ -120,7 +120,7 @@
         let got = node.cloud.catalog().await;
         let pause = match got {
             Some(types) if !types.is_empty() => {
-                if let Some(l) = node.leading() {
+                if let Some(l) = node.leadership() {
                     l.core.borrow_mut().set_catalog(types.clone());
                     l.wakeup.notify();
                 }
--- a/crates/hopyoke/src/staffed.rs
+++ b/crates/hopyoke/src/staffed.rs
@@ -1,7 +1,7 @@
 //! Staffed hours on a node: the operators' word is a record, and the leader keeps it in mind.
 
 use crate::links::proto::{StaffedAnswer, StaffedRequest};
-use crate::node::{Leading, Node};
+use crate::node::{Leadership, Node};
 use crate::state::{SWITCH, StateError, TransactionOutcome};
 use crate::tuning;
 use hopyoke_calendar::{Hours, Switch};
@@ -49,15 +49,15 @@
 }
 
 /// Keeps the operators' word in the leader's mind.
-pub async fn follow(node: Rc<Node>, leading: Rc<Leading>) {
+pub async fn follow(node: Rc<Node>, leadership: Rc<Leadership>) {
     if hours(&node).is_none() {
         return;
     }
     loop {
         let pause = match read(&node).await {
             Ok((switch, _)) => {
-                leading.core.borrow_mut().set_switch(switch);
-                leading.wakeup.notify();
+                leadership.core.borrow_mut().set_switch(switch);
+                leadership.wakeup.notify();
                 FOLLOW
             }
             Err(_) => Micros::from_millis(500),
--- a/crates/hopyoke/src/status.rs
+++ b/crates/hopyoke/src/status.rs
@@ -37,8 +37,8 @@
     let _ = writeln!(out, "mesh unknown {} stale {stale}", node.links.refused());
     let confirmed = node.promises.confirmed.borrow();
     let _ = writeln!(out, "cancellations remembered {}", confirmed.len());
-    let Some(leading) = node.leading() else { return out };
-    let core = leading.core.borrow();
+    let Some(leadership) = node.leadership() else { return out };
+    let core = leadership.core.borrow();
     let now = runtime::now();
     let (runs, classes, _, forgotten) = core.learned_counts();
     let _ = writeln!(out, "learned classes {classes} forgotten {forgotten} runs_under_way {runs}");
@@ -46,9 +46,15 @@
         let _ =
             writeln!(out, "slow machine {} factor {:.2} from {:.0} runs", slow.machine, slow.factor, slow.runs);
     }
-    let (questions, reads) = leading.replica.counts();
+    let (questions, reads) = leadership.replica.counts();
     let _ = writeln!(out, "polls from the replica {reads} questions {questions}");
-    let _ = writeln!(out, "token {} entitled {} recovering {}", core.token, leading.entitled(), core.recovering());
+    let _ = writeln!(
+        out,
+        "token {} entitled {} recovering {}",
+        core.token,
+        leadership.lease_is_valid(),
+        core.recovering()
+    );
     for zone in &core.cfg.zones {
         let n = core.machines.values().filter(|m| m.zone == *zone).count();
         let _ = writeln!(out, "block {zone} holder {leader} machines {n}");
--- a/crates/hopyoke/src/tuning.rs
+++ b/crates/hopyoke/src/tuning.rs
@@ -1,6 +1,6 @@
 //! From the operators' settings to the tuning of the core, and from the core to live figures.
 
-use crate::node::Leading;
+use crate::node::Leadership;
 use hopyoke_calendar::{Calendar, CalendarFault, Held, Hours};
 use hopyoke_event_loop as runtime;
 use hopyoke_policy::{Figures, Values};
@@ -99,10 +99,10 @@
 }
 
 /// Finds the settings' values anew; says so if they have changed.
-pub fn refresh(policy: &hopyoke_policy::Policy, leading: &Leading) {
+pub fn refresh(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
     let now = runtime::now();
-    let mut core = leading.core.borrow_mut();
-    let values = policy.evaluate(&figures(&core, leading.plan_busy(), now));
+    let mut core = leadership.core.borrow_mut();
+    let values = policy.evaluate(&figures(&core, leadership.plan_busy(), now));
     let tuning = tuning_of(&values);
     if tuning != core.tuning {
         info!(?tuning, "settings follow the live figures");
--- a/crates/hopyoke/src/workers.rs
+++ b/crates/hopyoke/src/workers.rs
@@ -1,6 +1,6 @@
 //! Workers' reports, and orders sent straight to workers.
 
-use crate::node::{Leading, Node};
+use crate::node::{Leadership, Node};
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, ClientError, Method, Request, Response};
 use hopyoke_heartbeat::Route;
@@ -20,16 +20,16 @@
         return Response::empty(405);
     }
     let now = runtime::now();
-    if let Some(leading) = node.leading() {
+    if let Some(leadership) = node.leadership() {
         let route =
             node.routes.borrow_mut().at_leader(node.is_behind(), node.open.count(), node.most_connections(), now);
         if let Route::To(peer) = route
-            && leading.entitled()
+            && leadership.lease_is_valid()
         {
             let other = &node.links.0[peer].peer.node;
             return Response::of(421, &HeartbeatRedirect { report_to: Some(other) }).closing();
         }
-        return match heartbeat(node, &leading, &request.body) {
+        return match heartbeat(node, &leadership, &request.body) {
             Ok(commands) => Response::of(200, &commands),
             Err(status) => Response::empty(status),
         };
@@ -50,18 +50,18 @@
 
 /// A report that another node carried here; an empty answer: it is not answered.
 pub fn carried(node: &Node, body: &[u8]) -> Vec<u8> {
-    let Some(leading) = node.leading() else { return Vec::new() };
-    heartbeat(node, &leading, body).map_or_else(|_| Vec::new(), |commands| encode(&commands))
+    let Some(leadership) = node.leadership() else { return Vec::new() };
+    heartbeat(node, &leadership, body).map_or_else(|_| Vec::new(), |commands| encode(&commands))
 }
 
 /// A worker's report to this leader, by whichever way it came.
 ///
 /// # Errors
 /// The status of the refusal.
-fn heartbeat(node: &Node, leading: &Leading, body: &[u8]) -> Result<HeartbeatResponse, u16> {
+fn heartbeat(node: &Node, leadership: &Leadership, body: &[u8]) -> Result<HeartbeatResponse, u16> {
     // Not entitled to act: the worker tries the next node. (Guards `ran_twice`: an answer now
     // could renew a lease that the next holder counts as lapsed.)
-    if !leading.entitled() {
+    if !leadership.lease_is_valid() {
         return Err(503);
     }
     let heartbeat: Heartbeat = match decode(body) {
@@ -72,24 +72,24 @@
         }
     };
     let now = runtime::now();
-    let mut core = leading.core.borrow_mut();
+    let mut core = leadership.core.borrow_mut();
     if heartbeat.token > core.token {
         // Somebody has been granted more than we know of.
         warn!(machine = %heartbeat.machine, token = heartbeat.token.0, "worker has seen a higher token");
         return Err(503);
     }
-    let answer = leading.planning(node, &mut core, |core| core.heartbeat(&heartbeat, now));
+    let answer = leadership.planning(node, &mut core, |core| core.heartbeat(&heartbeat, now));
     // A copy that arrives late does not show that its worker reaches us now. (Guards against a leader that no
     // worker reaches any more, and that goes on for as long as old reports arrive.)
     if answer.fresh {
-        leading.hearing.borrow_mut().heard(&heartbeat.machine, heartbeat.token == answer.token);
+        leadership.hearing.borrow_mut().heard(&heartbeat.machine, heartbeat.token == answer.token);
     }
     // A report without news leaves nothing to do.
     if core.next_due(now) <= now || core.has_actions() {
-        leading.wakeup.notify();
+        leadership.wakeup.notify();
     }
     if core.has_writes() {
-        leading.write_wakeup.notify();
+        leadership.write_wakeup.notify();
     }
     tell_starts(
         &heartbeat.machine,
@@ -166,30 +166,30 @@
     /// Sends orders to a worker and tells the core how that ended.
     pub async fn send(
         &self,
-        leading: &Leading,
+        leadership: &Leadership,
         token: FencingToken,
         machine: MachineId,
         address: SocketAddr,
         epoch: u64,
         commands: Vec<Command>,
     ) {
-        if !leading.entitled() {
-            leading.core.borrow_mut().direct_failed(&machine, false, runtime::now());
+        if !leadership.lease_is_valid() {
+            leadership.core.borrow_mut().direct_failed(&machine, false, runtime::now());
             return;
         }
         tell_starts(&machine, token, epoch, 0, &commands, "starts by direct orders");
         let body = encode(&PushedCommands { token, epoch, commands });
         // Asked again once the connection stands: a process that is behind may get there long after
         // the next holder was granted its token.
-        let may = || leading.entitled();
+        let may = || leadership.lease_is_valid();
         let client = self.client(address);
         let result = client.send_while(may, Method::Post, "/commands", &body, DIRECT_LIMIT).await;
         let now = runtime::now();
-        let mut core = leading.core.borrow_mut();
+        let mut core = leadership.core.borrow_mut();
         match result {
             Ok(r) if matches!(r.status, 200 | 409) => {
                 let heartbeat: Option<Heartbeat> = decode(&r.body).ok();
-                leading.hearing.borrow_mut().answered();
+                leadership.hearing.borrow_mut().answered();
                 core.direct_answer(&machine, r.status == 200, heartbeat.as_ref(), now);
             }
             Ok(r) => {
