--- a/crates/hopyoke-admission/src/door.rs
+++ b/crates/hopyoke-admission/src/controller.rs
@@ -1,28 +1,32 @@
 //! A node's door for new work: the gate, at the rate that its share of the changes allows.
 
-use crate::gate::{Gate, RetryAfter};
-use crate::need::Need;
-use crate::pace::Bounds;
-use crate::share::Share;
-use crate::words::Word;
+use crate::gate::{AdmissionGate, RetryAfter};
+use crate::gossip::QueueGossip;
+use crate::rate_limiter::Bounds;
+use crate::rate_share::RateShare;
+use crate::write_demand::WriteDemand;
 use hopyoke_types::{JobId, Micros};
 
 /// Who of those that bring new work is let in, by what this node may spend on it of the changes that the
 /// state service takes.
 #[derive(Debug, Clone)]
-pub struct Door {
-    gate: Gate,
-    share: Share,
-    need: Need,
+pub struct AdmissionController {
+    gate: AdmissionGate,
+    share: RateShare,
+    write_demand: WriteDemand,
 }
 
-impl Door {
+impl AdmissionController {
     /// `changes`: what the state service takes a second from all nodes, and how many nodes there are; `guaranteed`: of
     /// each team of the settings whether it has a guarantee.
-    pub fn new(changes: Bounds, guaranteed: &[bool], now: Micros) -> Door {
-        let share = Share::new(changes);
+    pub fn new(changes: Bounds, guaranteed: &[bool], now: Micros) -> AdmissionController {
+        let share = RateShare::new(changes);
         let peers = changes.nodes.saturating_sub(1) as usize;
-        Door { gate: Gate::new(share.rate(now), guaranteed, peers, now), share, need: Need::new(changes, now) }
+        AdmissionController {
+            gate: AdmissionGate::new(share.rate(now), guaranteed, peers, now),
+            share,
+            write_demand: WriteDemand::new(changes, now),
+        }
     }
 
     /// A team's job asks to be let in; `leads`: this node leads, so its own records need changes.
@@ -38,18 +42,18 @@
         self.turn(leads, now).refuse(job, team, now)
     }
 
-    fn turn(&mut self, leads: bool, now: Micros) -> &mut Gate {
+    fn turn(&mut self, leads: bool, now: Micros) -> &mut AdmissionGate {
         if leads {
-            let need = self.need.rate(now);
-            self.share.heard(need, now);
+            let write_demand = self.write_demand.rate(now);
+            self.share.heard(write_demand, now);
         }
         self.gate.set_rate(self.share.rate(now), self.share.part(now), now);
         &mut self.gate
     }
 
     /// The leader told what its records need, in answer to what was sent at `sent`.
-    pub fn heard(&mut self, need: f64, sent: Micros) {
-        self.share.heard(need, sent);
+    pub fn heard(&mut self, write_demand: f64, sent: Micros) {
+        self.share.heard(write_demand, sent);
     }
 
     /// What we ask our peers for, in changes a second: as much as they can spare, while users wait.
@@ -69,12 +73,12 @@
     }
 
     /// What to tell a peer of the line now.
-    pub fn words(&mut self, peer: usize, now: Micros) -> Vec<Word> {
+    pub fn words(&mut self, peer: usize, now: Micros) -> Vec<QueueGossip> {
         self.gate.words(peer, now)
     }
 
     /// A peer told of its line.
-    pub fn heard_words(&mut self, peer: usize, words: &[Word], now: Micros) {
+    pub fn heard_words(&mut self, peer: usize, words: &[QueueGossip], now: Micros) {
         self.gate.heard(peer, words, now);
     }
 
@@ -85,17 +89,17 @@
 
     /// We lead, and wrote so many changes, or have more to write than the rate allows.
     pub fn wrote(&mut self, changes: usize, now: Micros) {
-        self.need.wrote(changes, now);
+        self.write_demand.wrote(changes, now);
     }
 
     /// We lead, and have more to write than the rate allows.
     pub fn short(&mut self, now: Micros) {
-        self.need.short(now);
+        self.write_demand.short(now);
     }
 
     /// What our records need while we lead, in changes a second.
-    pub fn need(&mut self, now: Micros) -> f64 {
-        self.need.rate(now)
+    pub fn write_demand(&mut self, now: Micros) -> f64 {
+        self.write_demand.rate(now)
     }
 
     /// Let in, refused, the line, and the rate, for operators.
--- a/crates/hopyoke-admission/src/gate.rs
+++ b/crates/hopyoke-admission/src/gate.rs
@@ -1,9 +1,9 @@
 //! Who is let in, and when those refused are to come back.
 
-use crate::bucket::Bucket;
-use crate::line::Line;
+use crate::gossip::{GossipOutbox, QueueGossip};
 use crate::tenants::Tenants;
-use crate::words::{Word, Words};
+use crate::token_bucket::TokenBucket;
+use crate::wait_queue::WaitQueue;
 use hopyoke_types::{JobId, Micros};
 
 /// When one that was refused is to come back, in whole seconds (1 to 30).
@@ -30,11 +30,11 @@
 /// Each tenant has a part of the rate, equal among those that ask at the time; what one does not use others
 /// may. One that has used up its own leaves a reserve to the others, whose newcomers do not wait behind its line.
 #[derive(Debug, Clone)]
-pub struct Gate {
-    bucket: Bucket,
+pub struct AdmissionGate {
+    bucket: TokenBucket,
     lasting: f64,
-    line: Line,
-    words: Words,
+    line: WaitQueue,
+    words: GossipOutbox,
     tenants: Tenants,
     let_in: u64,
     refused: u64,
@@ -44,15 +44,15 @@
     used: f64,
 }
 
-impl Gate {
+impl AdmissionGate {
     /// Lets in `rate` a second. `guaranteed`: of each tenant, in the order of their indices, whether it has a
     /// guarantee; `peers`: other nodes with whom the line may be shared.
-    pub fn new(rate: f64, guaranteed: &[bool], peers: usize, now: Micros) -> Gate {
-        Gate {
-            bucket: Bucket::full(rate, now),
+    pub fn new(rate: f64, guaranteed: &[bool], peers: usize, now: Micros) -> AdmissionGate {
+        AdmissionGate {
+            bucket: TokenBucket::full(rate, now),
             lasting: rate,
-            line: Line::default(),
-            words: Words::new(peers),
+            line: WaitQueue::default(),
+            words: GossipOutbox::new(peers),
             tenants: Tenants::new(guaranteed, now),
             let_in: 0,
             refused: 0,
@@ -118,12 +118,12 @@
     }
 
     /// What to tell a peer of the line now.
-    pub fn words(&mut self, peer: usize, now: Micros) -> Vec<Word> {
+    pub fn words(&mut self, peer: usize, now: Micros) -> Vec<QueueGossip> {
         self.words.take(peer, now)
     }
 
     /// A peer told of its line, or that there is nothing new.
-    pub fn heard(&mut self, peer: usize, words: &[Word], now: Micros) {
+    pub fn heard(&mut self, peer: usize, words: &[QueueGossip], now: Micros) {
         self.words.heard(peer, now);
         self.line.expire(now);
         for word in words {
--- a/crates/hopyoke-admission/src/words.rs
+++ b/crates/hopyoke-admission/src/gossip.rs
@@ -12,7 +12,7 @@
 
 /// One place, as a node tells it to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Word {
+pub struct QueueGossip {
     /// Whose place it is.
     pub job: JobId,
     /// The place of its team in the settings.
@@ -29,13 +29,13 @@
 
 /// What is to be told to each peer, and which of them are there.
 #[derive(Debug, Clone)]
-pub(crate) struct Words {
+pub(crate) struct GossipOutbox {
     peers: Vec<Peer>,
 }
 
-impl Words {
-    pub(crate) fn new(peers: usize) -> Words {
-        Words { peers: vec![Peer::default(); peers] }
+impl GossipOutbox {
+    pub(crate) fn new(peers: usize) -> GossipOutbox {
+        GossipOutbox { peers: vec![Peer::default(); peers] }
     }
 
     /// A job is to come back at `due`; `None`: it was let in.
@@ -49,11 +49,11 @@
     }
 
     /// What to tell this peer now. It is told once: a word that is lost costs somebody its place, no more.
-    pub(crate) fn take(&mut self, peer: usize, now: Micros) -> Vec<Word> {
+    pub(crate) fn take(&mut self, peer: usize, now: Micros) -> Vec<QueueGossip> {
         let Some(peer) = self.peers.get_mut(peer) else { return Vec::new() };
         let n = peer.waiting.len().min(AT_ONCE);
         let words = peer.waiting.drain(..n);
-        words.map(|(job, tenant, due)| Word { job, tenant, due_in: due.map(|due| due - now) }).collect()
+        words.map(|(job, tenant, due)| QueueGossip { job, tenant, due_in: due.map(|due| due - now) }).collect()
     }
 
     pub(crate) fn heard(&mut self, peer: usize, now: Micros) {
--- a/crates/hopyoke-admission/src/pace.rs
+++ b/crates/hopyoke-admission/src/rate_limiter.rs
@@ -1,13 +1,13 @@
 //! One limit of a shared service, spent by importance.
 
-use crate::bucket::Bucket;
+use crate::token_bucket::TokenBucket;
 use hopyoke_types::Micros;
 
 /// What depends on a request, most first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Importance {
+pub enum RequestPriority {
     /// Leases, grants, and what a new leader reads: a rule or all service rests on it.
-    Vital,
+    Critical,
     /// The leader's records, and its news of them.
     Records,
     /// Cancellations: nobody has any use for what goes on until they are recorded.
@@ -17,29 +17,29 @@
     /// Polls: users come again by themselves.
     Polls,
     /// What can wait: learning, clean-up, probes.
-    Spare,
+    Background,
 }
 
-impl Importance {
+impl RequestPriority {
     /// All of them, most first.
-    pub const ALL: [Importance; 6] = [
-        Importance::Vital,
-        Importance::Records,
-        Importance::Cancels,
-        Importance::Accepts,
-        Importance::Polls,
-        Importance::Spare,
+    pub const ALL: [RequestPriority; 6] = [
+        RequestPriority::Critical,
+        RequestPriority::Records,
+        RequestPriority::Cancels,
+        RequestPriority::Accepts,
+        RequestPriority::Polls,
+        RequestPriority::Background,
     ];
 
     /// The part of the node's bucket that is kept for what matters more.
     fn floor(self) -> f64 {
         match self {
-            Importance::Vital => 0.0,
-            Importance::Records => 0.15,
-            Importance::Cancels => 0.25,
-            Importance::Accepts => 0.35,
-            Importance::Polls => 0.5,
-            Importance::Spare => 0.7,
+            RequestPriority::Critical => 0.0,
+            RequestPriority::Records => 0.15,
+            RequestPriority::Cancels => 0.25,
+            RequestPriority::Accepts => 0.35,
+            RequestPriority::Polls => 0.5,
+            RequestPriority::Background => 0.7,
         }
     }
 }
@@ -63,24 +63,24 @@
 /// believes of the others; so while nodes keep to them the service refuses nothing, and no node's
 /// flood takes what another's leases need.
 #[derive(Debug, Clone)]
-pub struct Pace {
-    bucket: Bucket,
+pub struct RateLimiter {
+    bucket: TokenBucket,
     refused: [u64; 6],
     taken: [u64; 6],
 }
 
-impl Pace {
+impl RateLimiter {
     /// A node's part.
-    pub fn new(bounds: Bounds, now: Micros) -> Pace {
+    pub fn new(bounds: Bounds, now: Micros) -> RateLimiter {
         let part = bounds.per_second * SHARED_OUT / f64::from(bounds.nodes.max(1));
-        Pace { bucket: Bucket::full(part, now), refused: [0; 6], taken: [0; 6] }
+        RateLimiter { bucket: TokenBucket::full(part, now), refused: [0; 6], taken: [0; 6] }
     }
 
     /// Takes `n` (requests, or changes).
     ///
     /// # Errors
     /// There is no room: how long it takes at least until there may be.
-    pub fn take(&mut self, importance: Importance, n: u32, now: Micros) -> Result<(), Micros> {
+    pub fn take(&mut self, importance: RequestPriority, n: u32, now: Micros) -> Result<(), Micros> {
         let floor = importance.floor() * self.bucket.most();
         let taken = self.bucket.take(f64::from(n), floor, now);
         let count = if taken.is_ok() { &mut self.taken } else { &mut self.refused };
@@ -89,7 +89,7 @@
     }
 
     /// How often room was found and not found, for operators.
-    pub fn counts(&self, importance: Importance) -> (u64, u64) {
+    pub fn counts(&self, importance: RequestPriority) -> (u64, u64) {
         (self.taken[importance as usize], self.refused[importance as usize])
     }
 }
--- a/crates/hopyoke-admission/src/share.rs
+++ b/crates/hopyoke-admission/src/rate_share.rs
@@ -1,7 +1,7 @@
 //! The changes that one node may spend on new work: its part, what it lends, and what it borrows.
 
-use crate::need::RECORDS;
-use crate::pace::Bounds;
+use crate::rate_limiter::Bounds;
+use crate::write_demand::RECORDS;
 use hopyoke_types::Micros;
 
 /// Of all changes this much is given out.
@@ -37,7 +37,7 @@
 /// Only the leader's need can rise sooner than others hear of it: for [`FRESH`] at most, together they
 /// may then spend up to half of the limit too much, which the service refuses.
 #[derive(Debug, Clone)]
-pub struct Share {
+pub struct RateShare {
     bounds: Bounds,
     /// What the leader said that it needs.
     word: Option<Loan>,
@@ -47,31 +47,31 @@
     borrowed: Vec<(Micros, Loan)>,
 }
 
-impl Share {
+impl RateShare {
     /// For a node with `bounds.nodes - 1` peers.
-    pub fn new(bounds: Bounds) -> Share {
+    pub fn new(bounds: Bounds) -> RateShare {
         let peers = bounds.nodes.saturating_sub(1) as usize;
         let none = (Micros::ZERO, Loan::default());
-        Share { bounds, word: None, lent: vec![Vec::new(); peers], borrowed: vec![none; peers] }
+        RateShare { bounds, word: None, lent: vec![Vec::new(); peers], borrowed: vec![none; peers] }
     }
 
     /// The leader says what its records need; `sent` is when it was asked, so that no word is
     /// believed for longer than the leader means it.
-    pub fn heard(&mut self, need: f64, sent: Micros) {
+    pub fn heard(&mut self, write_demand: f64, sent: Micros) {
         let until = sent + FRESH;
-        if need.is_finite() && need >= 0.0 && self.word.is_none_or(|w| until >= w.until) {
-            self.word = Some(Loan { rate: need, until });
+        if write_demand.is_finite() && write_demand >= 0.0 && self.word.is_none_or(|w| until >= w.until) {
+            self.word = Some(Loan { rate: write_demand, until });
         }
     }
 
     /// This node's own part.
     pub fn part(&self, now: Micros) -> f64 {
         let most = self.bounds.per_second * RECORDS;
-        let need = match self.word {
+        let write_demand = match self.word {
             Some(w) if now < w.until => w.rate.clamp(LEAST * self.bounds.per_second, most),
             _ => most,
         };
-        (self.bounds.per_second * GIVEN_OUT - need) / f64::from(self.bounds.nodes.max(1))
+        (self.bounds.per_second * GIVEN_OUT - write_demand) / f64::from(self.bounds.nodes.max(1))
     }
 
     /// Changes a second that may be spent on new work.
--- a/crates/hopyoke-admission/src/bucket.rs
+++ b/crates/hopyoke-admission/src/token_bucket.rs
@@ -3,17 +3,17 @@
 use hopyoke_types::Micros;
 
 #[derive(Debug, Clone)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     /// A second.
     rate: f64,
     level: f64,
     filled: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Full at `now`. `rate` is a second; at least one is always allowed at once.
-    pub(crate) fn full(rate: f64, now: Micros) -> Bucket {
-        let mut bucket = Bucket { rate: rate.max(0.01), level: 0.0, filled: now };
+    pub(crate) fn full(rate: f64, now: Micros) -> TokenBucket {
+        let mut bucket = TokenBucket { rate: rate.max(0.01), level: 0.0, filled: now };
         bucket.level = bucket.most();
         bucket
     }
--- a/crates/hopyoke-admission/src/line.rs
+++ b/crates/hopyoke-admission/src/wait_queue.rs
@@ -19,14 +19,14 @@
 
 /// Places in the order in which they were first given out.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Line {
+pub(crate) struct WaitQueue {
     places: BTreeMap<u64, Place>,
     of_job: BTreeMap<JobId, u64>,
     by_due: BTreeSet<(Micros, u64)>,
     next: u64,
 }
 
-impl Line {
+impl WaitQueue {
     /// Places whose holders did not come back when they were told to are given up.
     pub(crate) fn expire(&mut self, now: Micros) {
         while let Some((due, seq)) = self.by_due.first().copied().filter(|(due, _)| now >= *due + KEPT) {
--- a/crates/hopyoke-admission/src/need.rs
+++ b/crates/hopyoke-admission/src/write_demand.rs
@@ -1,7 +1,7 @@
 //! What the leader's own records need of the changes that the state service takes.
 
-use crate::pace::Bounds;
-use crate::share::FRESH;
+use crate::rate_limiter::Bounds;
+use crate::rate_share::FRESH;
 use hopyoke_types::Micros;
 
 /// The leader's records may take this part of all changes.
@@ -11,7 +11,7 @@
 
 /// What the leader's records need, a second: what it tells the others.
 #[derive(Debug, Clone)]
-pub struct Need {
+pub struct WriteDemand {
     most: f64,
     began: Micros,
     count: f64,
@@ -19,9 +19,15 @@
     short_until: Micros,
 }
 
-impl Need {
-    pub fn new(bounds: Bounds, now: Micros) -> Need {
-        Need { most: bounds.per_second * RECORDS, began: now, count: 0.0, last: 0.0, short_until: Micros::ZERO }
+impl WriteDemand {
+    pub fn new(bounds: Bounds, now: Micros) -> WriteDemand {
+        WriteDemand {
+            most: bounds.per_second * RECORDS,
+            began: now,
+            count: 0.0,
+            last: 0.0,
+            short_until: Micros::ZERO,
+        }
     }
 
     /// So many changes were written.
--- a/crates/hopyoke-admission/tests/limits.rs
+++ b/crates/hopyoke-admission/tests/limits.rs
@@ -1,6 +1,6 @@
 //! The bounds hold for any order of events, and each check is seen to fail where a bound is left out.
 
-use hopyoke_admission::{Bounds, Gate, Importance, Need, Pace, Share};
+use hopyoke_admission::{AdmissionGate, Bounds, RateLimiter, RateShare, RequestPriority, WriteDemand};
 use hopyoke_types::{JobId, Micros};
 use proptest::prelude::*;
 
@@ -34,15 +34,15 @@
     }
 }
 
-fn importance(n: u8) -> Importance {
-    Importance::ALL[n as usize % 6]
+fn importance(n: u8) -> RequestPriority {
+    RequestPriority::ALL[n as usize % 6]
 }
 
 proptest! {
     /// Whatever the nodes are asked to send and when, the service refuses nothing that they let through.
     #[test]
     fn parts_never_exceed_the_limit(events in prop::collection::vec((0u64..40_000, 0usize..3, 0u8..6, 1u32..5), 1..2000)) {
-        let mut nodes: Vec<Pace> = (0..3).map(|_| Pace::new(REQUESTS, Micros::ZERO)).collect();
+        let mut nodes: Vec<RateLimiter> = (0..3).map(|_| RateLimiter::new(REQUESTS, Micros::ZERO)).collect();
         let mut service = Service::new(REQUESTS.per_second);
         let mut now = Micros::ZERO;
         for (pause, node, class, n) in events {
@@ -56,7 +56,7 @@
     /// A flood of anything less important never keeps a lease's renewal waiting.
     #[test]
     fn vital_always_finds_room(class in 1u8..6, offered in 1u32..200) {
-        let mut pace = Pace::new(REQUESTS, Micros::ZERO);
+        let mut pace = RateLimiter::new(REQUESTS, Micros::ZERO);
         for ms in 0..5_000u64 {
             let now = Micros::from_millis(ms);
             for _ in 0..offered {
@@ -64,7 +64,7 @@
             }
             if ms % 500 == 0 {
                 for _ in 0..4 {
-                    prop_assert!(pace.take(Importance::Vital, 1, now).is_ok(), "at {ms} ms");
+                    prop_assert!(pace.take(RequestPriority::Critical, 1, now).is_ok(), "at {ms} ms");
                 }
             }
         }
@@ -73,13 +73,13 @@
     /// The records' need and all nodes' shares together stay within the changes, when nobody has
     /// heard of the leader, and when all have heard the same.
     #[test]
-    fn shares_and_need_fit(need in 0.0f64..200.0, heard in any::<bool>()) {
-        let mut share = Share::new(CHANGES);
+    fn shares_and_need_fit(write_demand in 0.0f64..200.0, heard in any::<bool>()) {
+        let mut share = RateShare::new(CHANGES);
         if heard {
-            share.heard(need, Micros::ZERO);
+            share.heard(write_demand, Micros::ZERO);
         }
-        let need = if heard { need.min(CHANGES.per_second * 0.5) } else { CHANGES.per_second * 0.5 };
-        let all = share.rate(Micros::from_secs(1)) * 3.0 + need;
+        let write_demand = if heard { write_demand.min(CHANGES.per_second * 0.5) } else { CHANGES.per_second * 0.5 };
+        let all = share.rate(Micros::from_secs(1)) * 3.0 + write_demand;
         prop_assert!(all <= CHANGES.per_second, "{all}");
     }
 
@@ -89,7 +89,7 @@
     fn loans_never_count_twice(events in prop::collection::vec((0u64..400_000, 0usize..3, 0usize..2, 0u8..6, 0.0f64..60.0), 1..1500)) {
         // Whose peer number `p` of node `n` is, and which peer of that one `n` is.
         let other = |n: usize, p: usize| { let o = [[1, 2], [0, 2], [0, 1]][n][p]; (o, usize::from(n > [[2, 1], [2, 0], [1, 0]][n][p])) };
-        let mut nodes: Vec<Share> = (0..3).map(|_| Share::new(CHANGES)).collect();
+        let mut nodes: Vec<RateShare> = (0..3).map(|_| RateShare::new(CHANGES)).collect();
         let part = nodes[0].part(Micros::ZERO);
         let mut asked: Vec<(usize, usize, Micros, f64)> = Vec::new();
         let mut answers: Vec<(usize, usize, Micros, f64)> = Vec::new();
@@ -120,7 +120,7 @@
     /// Those refused are told to come back no faster than the gate lets in, and none beyond what users wait.
     #[test]
     fn the_line_moves_at_the_rate(rate in 1.0f64..50.0, many in 1usize..1500) {
-        let mut gate = Gate::new(rate, &[true], 0, Micros::ZERO);
+        let mut gate = AdmissionGate::new(rate, &[true], 0, Micros::ZERO);
         let mut told = [0usize; 31];
         for n in 0..many {
             if let Err(after) = gate.enter(&job(n), 0, Micros::ZERO) {
@@ -137,7 +137,7 @@
 
 #[test]
 fn a_word_counts_from_when_it_was_asked_for() {
-    let mut share = Share::new(CHANGES);
+    let mut share = RateShare::new(CHANGES);
     let safe = share.rate(Micros::ZERO);
     share.heard(1.0, Micros::from_secs(1));
     assert!(share.rate(Micros::from_millis(3_400)) > safe);
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_line_that_nobody_joins_is_gone() {
-    let mut gate = Gate::new(10.0, &[true], 0, Micros::ZERO);
+    let mut gate = AdmissionGate::new(10.0, &[true], 0, Micros::ZERO);
     for n in 0..60 {
         let _ = gate.enter(&job(n), 0, Micros::ZERO);
     }
@@ -162,20 +162,20 @@
 
 #[test]
 fn the_need_follows_what_is_written_and_rises_at_once() {
-    let mut need = Need::new(CHANGES, Micros::ZERO);
+    let mut write_demand = WriteDemand::new(CHANGES, Micros::ZERO);
     for ms in 0..30u64 {
-        need.wrote(1, Micros::from_millis(ms * 100));
+        write_demand.wrote(1, Micros::from_millis(ms * 100));
     }
-    let rate = need.rate(Micros::from_secs(3));
+    let rate = write_demand.rate(Micros::from_secs(3));
     assert!((8.0..=16.0).contains(&rate), "{rate}");
-    need.short(Micros::from_secs(3));
-    assert_eq!(need.rate(Micros::from_secs(3)), 25.0);
-    assert!(need.rate(Micros::from_secs(30)) < 2.0);
+    write_demand.short(Micros::from_secs(3));
+    assert_eq!(write_demand.rate(Micros::from_secs(3)), 25.0);
+    assert!(write_demand.rate(Micros::from_secs(30)) < 2.0);
 }
 
 /// Users of two teams at one gate: `offers[t]` jobs a second of team `t`, each tried as told for a minute. Returns
 /// by team: accepted, given up, and the longest wait of those accepted.
-fn crowd(gate: &mut Gate, offers: [usize; 2], seconds: u64) -> [(usize, usize, f64); 2] {
+fn crowd(gate: &mut AdmissionGate, offers: [usize; 2], seconds: u64) -> [(usize, usize, f64); 2] {
     let mut tries: std::collections::BTreeMap<(Micros, usize), (usize, Micros)> = Default::default();
     let mut n = 0;
     for ms in 0..seconds * 1000 {
@@ -209,7 +209,7 @@
 
 #[test]
 fn a_team_that_offers_ten_times_as_much_makes_no_line_for_others() {
-    let mut gate = Gate::new(10.0, &[true, true], 0, Micros::ZERO);
+    let mut gate = AdmissionGate::new(10.0, &[true, true], 0, Micros::ZERO);
     let [(hot, _, _), (other, gave_up, waited)] = crowd(&mut gate, [40, 4], 60);
     assert_eq!((other, gave_up), (240, 0));
     assert!(waited < 3.0, "{waited}");
@@ -220,7 +220,7 @@
 #[test]
 fn who_comes_back_as_told_is_not_overtaken_until_it_gives_up() {
     // A third more than there is room for, for forty seconds: all are let in, in the order in which they came.
-    let mut gate = Gate::new(9.0, &[true, true], 0, Micros::ZERO);
+    let mut gate = AdmissionGate::new(9.0, &[true, true], 0, Micros::ZERO);
     let ends = crowd(&mut gate, [6, 6], 40);
     assert_eq!((ends[0].1, ends[1].1), (0, 0));
     assert!(ends.iter().all(|e| e.2 < 25.0), "{ends:?}");
@@ -228,7 +228,7 @@
 
 #[test]
 fn a_guest_gets_a_part_however_much_others_offer() {
-    let mut gate = Gate::new(10.0, &[true, false], 0, Micros::ZERO);
+    let mut gate = AdmissionGate::new(10.0, &[true, false], 0, Micros::ZERO);
     let [_, (guest, _, _)] = crowd(&mut gate, [60, 2], 60);
     assert!(guest >= 110, "{guest}");
 }
--- a/crates/hopyoke-heartbeat/src/carrier.rs
+++ b/crates/hopyoke-heartbeat/src/batcher.rs
@@ -24,7 +24,7 @@
 /// Gathers reports for calls to the leader. Bounded: what finds no room is refused at once, and the
 /// worker tries the next node.
 #[derive(Debug, Default)]
-pub struct Carrier {
+pub struct HeartbeatBatcher {
     waiting: VecDeque<(Number, Micros, Vec<u8>)>,
     next: u64,
     calls: usize,
@@ -32,7 +32,7 @@
     refused: u64,
 }
 
-impl Carrier {
+impl HeartbeatBatcher {
     /// A report arrives. `None`: too many wait.
     pub fn arrive(&mut self, heartbeat: Vec<u8>, now: Micros) -> Option<Number> {
         if self.waiting.len() >= MOST_WAITING {
--- a/crates/hopyoke-heartbeat/src/lib.rs
+++ b/crates/hopyoke-heartbeat/src/lib.rs
@@ -7,13 +7,13 @@
 //! worker drops whatever comes 4 s after it sent its report, by whichever way it came.
 //!
 //! - [`Routes`]: where a report goes.
-//! - [`Carrier`]: which reports go to the leader together.
-//! - [`Hearing`]: whether any machine still reaches the leader.
+//! - [`HeartbeatBatcher`]: which reports go to the leader together.
+//! - [`HeartbeatMonitor`]: whether any machine still reaches the leader.
 
-mod carrier;
-mod hearing;
+mod batcher;
+mod monitor;
 mod routes;
 
-pub use carrier::{Carrier, Load, Number};
-pub use hearing::Hearing;
+pub use batcher::{HeartbeatBatcher, Load, Number};
+pub use monitor::HeartbeatMonitor;
 pub use routes::{Crowd, Peer, Route, Routes};
--- a/crates/hopyoke-heartbeat/src/hearing.rs
+++ b/crates/hopyoke-heartbeat/src/monitor.rs
@@ -15,7 +15,7 @@
 /// given away on waking, against machines whose leases lapse while a deaf leader waits, and against a
 /// new leader that gives up before workers have been past the nodes that are away.)
 #[derive(Debug, Clone)]
-pub struct Hearing {
+pub struct HeartbeatMonitor {
     heartbeat_interval: Micros,
     /// What a worker needs at the most until it has found the one node that answers.
     search: Micros,
@@ -34,12 +34,12 @@
 /// Between two looks no more than this counts: a process that runs looks more often.
 const STEP: Micros = Micros::from_millis(500);
 
-impl Hearing {
+impl HeartbeatMonitor {
     /// Nothing is heard yet. `heartbeat_interval` is the time between two heartbeats of one worker; `nodes` is how many nodes there
     /// are, this one included.
-    pub fn new(heartbeat_interval: Micros, nodes: u32, now: Micros) -> Hearing {
+    pub fn new(heartbeat_interval: Micros, nodes: u32, now: Micros) -> HeartbeatMonitor {
         let search = TRY.times(u64::from(nodes.saturating_sub(1))) + heartbeat_interval.times(2);
-        Hearing {
+        HeartbeatMonitor {
             heartbeat_interval,
             search,
             found: BTreeSet::new(),
--- a/crates/hopyoke-heartbeat/tests/routing.rs
+++ b/crates/hopyoke-heartbeat/tests/routing.rs
@@ -1,6 +1,6 @@
 //! Where reports go, and how they are carried, for any order of events.
 
-use hopyoke_heartbeat::{Carrier, Crowd, Hearing, Route, Routes};
+use hopyoke_heartbeat::{Crowd, HeartbeatBatcher, HeartbeatMonitor, Route, Routes};
 use hopyoke_types::{MachineId, Micros};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -77,7 +77,7 @@
     /// Each report is carried once or given up once; calls and what waits stay bounded.
     #[test]
     fn every_report_has_one_end(events in prop::collection::vec((0u64..60_000, 0u8..4), 1..3000)) {
-        let mut carrier = Carrier::default();
+        let mut carrier = HeartbeatBatcher::default();
         let (mut now, mut open) = (Micros::ZERO, 0usize);
         let (mut taken, mut over) = (BTreeSet::new(), BTreeSet::new());
         for (pause, what) in events {
@@ -110,20 +110,20 @@
 }
 
 /// Looks every 200 ms from `from` to `until` (in tenths of a second); when it is found cut off.
-fn all_found(h: &mut Hearing) {
+fn all_found(h: &mut HeartbeatMonitor) {
     for n in 0..100 {
         h.heard(&MachineId::new(&format!("m-{n:06}")), true);
     }
 }
 
-fn cut_off_at(h: &mut Hearing, machines: usize, from: u64, until: u64) -> Option<u64> {
+fn cut_off_at(h: &mut HeartbeatMonitor, machines: usize, from: u64, until: u64) -> Option<u64> {
     (from..until).step_by(2).find(|t| h.is_cut_off(machines, true, Micros::from_millis(t * 100)))
 }
 
 #[test]
 fn many_silent_machines_are_certain_sooner_than_few() {
     let hearing = |heard: bool| {
-        let mut h = Hearing::new(Micros::from_secs(2), 3, Micros::ZERO);
+        let mut h = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
         if heard {
             all_found(&mut h);
         }
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_standstill_speaks_against_nobody() {
-    let mut h = Hearing::new(Micros::from_secs(2), 3, Micros::ZERO);
+    let mut h = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
     all_found(&mut h);
     assert_eq!(cut_off_at(&mut h, 100, 0, 20), None);
     // It stood still for 18 s: what came meanwhile has not been read yet.
@@ -149,7 +149,7 @@
 
 #[test]
 fn who_was_not_entitled_waits_for_workers_to_come_back() {
-    let mut h = Hearing::new(Micros::from_secs(2), 3, Micros::ZERO);
+    let mut h = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
     all_found(&mut h);
     assert!(!h.is_cut_off(100, false, Micros::from_secs(10)));
     assert_eq!(cut_off_at(&mut h, 100, 101, 150), None);
@@ -160,7 +160,7 @@
 /// attempts were killed by their lease.
 #[test]
 fn a_new_leader_waits_until_workers_have_been_past_the_others() {
-    let mut h = Hearing::new(Micros::from_secs(2), 3, Micros::ZERO);
+    let mut h = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
     h.answered();
     // One came by chance.
     h.heard(&MachineId::new("m-000001"), true);
@@ -173,7 +173,7 @@
 /// found it: they may still be on their way past nodes that are away.
 #[test]
 fn old_reports_do_not_find_a_leader() {
-    let mut h = Hearing::new(Micros::from_secs(2), 3, Micros::ZERO);
+    let mut h = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
     for n in 0..100 {
         h.heard(&MachineId::new(&format!("m-{n:06}")), false);
     }
@@ -182,6 +182,6 @@
 
 #[test]
 fn who_reaches_no_worker_does_not_wait_for_them() {
-    let mut h = Hearing::new(Micros::from_secs(2), 3, Micros::ZERO);
+    let mut h = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
     assert!(cut_off_at(&mut h, 100, 0, 65).is_some());
 }
--- a/crates/hopyoke-simulator/src/controller.rs
+++ b/crates/hopyoke-simulator/src/controller.rs
@@ -4,7 +4,7 @@
 use super::store::{Mutation, Store, Value};
 use super::worker::{MOST_CHARS, heartbeat_chars};
 use super::{Host, World};
-use hopyoke_admission::Importance;
+use hopyoke_admission::RequestPriority;
 use hopyoke_consistency::leader_lease::{LeaderLease, SUPPORT_DURATION};
 use hopyoke_consistency::{CancellationLog, DeliveryCursors};
 use hopyoke_protocol::cloud::ScaleOutRequest;
@@ -202,7 +202,7 @@
             let wait = n.own_kept_until - sent;
             return self.timer(i, wait, move |w| w.seek(i, process, first));
         }
-        if let Err(wait) = self.finds_room(i, Importance::Vital) {
+        if let Err(wait) = self.finds_room(i, RequestPriority::Critical) {
             return self.timer(i, wait, move |w| w.seek(i, process, first));
         }
         self.nodes[i].tries += 1;
@@ -360,7 +360,7 @@
         let pause = Micros(self.ttl.0 / 4);
         self.timer(i, pause, move |w| w.renew(i, process));
         let sent = self.now;
-        match self.finds_room(i, Importance::Vital) {
+        match self.finds_room(i, RequestPriority::Critical) {
             Ok(()) => self.renew_once(i, process, lease, sent),
             Err(wait) => self.timer(i, wait, move |w| w.renew_once(i, process, lease, sent)),
         }
@@ -438,7 +438,7 @@
                 }
                 let its = n.process;
                 // The peer hears with it what our records need.
-                let need = w.nodes[i].part.as_mut().map(|p| p.door.need(now));
+                let need = w.nodes[i].part.as_mut().map(|p| p.door.write_demand(now));
                 if let (Some(need), Some(p)) = (need, w.nodes[j].part.as_mut()) {
                     p.door.heard(need, sent);
                 }
--- a/crates/hopyoke-simulator/src/limits.rs
+++ b/crates/hopyoke-simulator/src/limits.rs
@@ -1,7 +1,7 @@
 //! The state service's limits, and what the nodes make of them.
 
 use super::{Host, World};
-use hopyoke_admission::{Bounds, Door, Importance, Pace};
+use hopyoke_admission::{AdmissionController, Bounds, RateLimiter, RequestPriority};
 use hopyoke_scheduler::Team;
 use hopyoke_types::{JobId, Micros};
 
@@ -22,8 +22,8 @@
 
 /// What one node may ask.
 pub struct Part {
-    pub pace: Pace,
-    pub door: Door,
+    pub pace: RateLimiter,
+    pub door: AdmissionController,
 }
 
 impl Limits {
@@ -51,8 +51,8 @@
         let bounds = |per_second| Bounds { per_second, nodes: nodes as u32 };
         let guaranteed: Vec<bool> = teams.iter().map(|t| t.cpus > 0.0 || t.gpus > 0.0).collect();
         Part {
-            pace: Pace::new(bounds(self.requests), now),
-            door: Door::new(bounds(self.changes), &guaranteed, now),
+            pace: RateLimiter::new(bounds(self.requests), now),
+            door: AdmissionController::new(bounds(self.changes), &guaranteed, now),
         }
     }
 }
@@ -65,7 +65,7 @@
     }
 
     /// A node finds room in its part for a request; else how long until it may.
-    pub fn finds_room(&mut self, i: usize, importance: Importance) -> Result<(), Micros> {
+    pub fn finds_room(&mut self, i: usize, importance: RequestPriority) -> Result<(), Micros> {
         if self.limits.as_ref().is_none_or(|l| l.unpaced) {
             return Ok(());
         }
@@ -104,7 +104,7 @@
         let team = self.cfg.teams.iter().position(|t| t.name == team).unwrap_or(self.cfg.teams.len());
         let Some(p) = self.nodes[i].part.as_mut() else { return Ok(()) };
         let room = p.door.enter(job, team, leads, now).and_then(|()| {
-            let room = p.pace.take(Importance::Accepts, 1, now);
+            let room = p.pace.take(RequestPriority::Accepts, 1, now);
             room.map_err(|_| p.door.refuse(job, team, leads, now))
         });
         room.map_err(|after| Micros::from_secs(u64::from(after.0)))
--- a/crates/hopyoke/src/carriage.rs
+++ b/crates/hopyoke/src/carriage.rs
@@ -3,7 +3,7 @@
 
 use crate::node::Node;
 use hopyoke_event_loop::{self as runtime, Notify};
-use hopyoke_heartbeat::{Carrier, Load, Number};
+use hopyoke_heartbeat::{HeartbeatBatcher, Load, Number};
 use hopyoke_types::Micros;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,14 +13,14 @@
 type Place = Rc<RefCell<Option<Vec<u8>>>>;
 
 #[derive(Default)]
-pub struct Carriage {
-    carrier: RefCell<Carrier>,
+pub struct HeartbeatRelay {
+    carrier: RefCell<HeartbeatBatcher>,
     /// Rung when there may be something to carry.
     wakeup: Notify,
     waiting: RefCell<BTreeMap<Number, (Place, Notify)>>,
 }
 
-impl Carriage {
+impl HeartbeatRelay {
     /// Carries a report to the leader. `None`: it has not been answered.
     pub async fn carry(&self, heartbeat: Vec<u8>) -> Option<Vec<u8>> {
         let number = self.carrier.borrow_mut().arrive(heartbeat, runtime::now())?;
--- a/crates/hopyoke/src/door.rs
+++ b/crates/hopyoke/src/door.rs
@@ -1,24 +1,27 @@
-//! Who of those that bring new work is let in: [`hopyoke_admission::Door`] with this node's clock.
+//! Who of those that bring new work is let in: [`hopyoke_admission::AdmissionController`] with this node's clock.
 
 use crate::links::proto::Place;
 use crate::node::Node;
-use hopyoke_admission::{Bounds, Door as Decisions, RetryAfter, Word};
+use hopyoke_admission::{AdmissionController as Decisions, Bounds, QueueGossip, RetryAfter};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
 use std::cell::RefCell;
 
-pub struct Door {
+pub struct AdmissionController {
     decisions: RefCell<Decisions>,
     teams: Vec<String>,
 }
 
-impl Door {
+impl AdmissionController {
     /// `changes`: what the state service takes a second from all nodes, and how many nodes there are.
-    pub fn new(changes: Bounds, teams: &[hopyoke_scheduler::Team]) -> Door {
+    pub fn new(changes: Bounds, teams: &[hopyoke_scheduler::Team]) -> AdmissionController {
         let guaranteed: Vec<bool> = teams.iter().map(|t| t.cpus > 0.0 || t.gpus > 0.0).collect();
         let decisions = Decisions::new(changes, &guaranteed, runtime::now());
-        Door { decisions: RefCell::new(decisions), teams: teams.iter().map(|t| t.name.clone()).collect() }
+        AdmissionController {
+            decisions: RefCell::new(decisions),
+            teams: teams.iter().map(|t| t.name.clone()).collect(),
+        }
     }
 
     fn team(&self, name: &str) -> usize {
@@ -63,7 +66,7 @@
     /// What to tell a peer of our line.
     pub fn words(&self, peer: usize) -> Vec<Place> {
         let words = self.decisions.borrow_mut().words(peer, runtime::now());
-        let place = |w: Word| Place {
+        let place = |w: QueueGossip| Place {
             job: w.job.to_string(),
             team: w.tenant as u32,
             due_us: w.due_in.map_or(0, |span| span.0.max(1)),
@@ -75,9 +78,9 @@
     pub fn heard_words(&self, peer: usize, places: &[Place]) {
         let word = |p: &Place| {
             let due_in = (p.due_us > 0).then_some(Micros(p.due_us));
-            Some(Word { job: JobId::parse(&p.job)?, tenant: p.team as usize, due_in })
+            Some(QueueGossip { job: JobId::parse(&p.job)?, tenant: p.team as usize, due_in })
         };
-        let words: Vec<Word> = places.iter().filter_map(word).collect();
+        let words: Vec<QueueGossip> = places.iter().filter_map(word).collect();
         self.decisions.borrow_mut().heard_words(peer, &words, runtime::now());
     }
 
@@ -97,7 +100,7 @@
 
     /// What our records need while we lead.
     pub fn need(&self) -> f64 {
-        self.decisions.borrow_mut().need(runtime::now())
+        self.decisions.borrow_mut().write_demand(runtime::now())
     }
 
     /// Let in, refused, the line, and the rate, for operators.
--- a/crates/hopyoke/src/flow_calls.rs
+++ b/crates/hopyoke/src/flow_calls.rs
@@ -173,7 +173,7 @@
 /// a repeated call goes on from where the last one stopped.
 async fn write_plan(node: &Node, flows: &Flows, run: RunId, pages: &[PlanPage]) -> Answer<()> {
     let until = runtime::now() + WRITING;
-    let (there, _) = node.state.spare().list::<PlanPage>(&flow_plan_prefix(run)).await?;
+    let (there, _) = node.state.background().list::<PlanPage>(&flow_plan_prefix(run)).await?;
     let mut known = BTreeSet::new();
     for p in there {
         let number = p.key.rsplit('/').next().and_then(|n| n.parse::<u32>().ok());
@@ -204,7 +204,7 @@
                 lease: None,
             })
             .collect();
-        match node.state.spare().txn(conditions, changes).await? {
+        match node.state.background().txn(conditions, changes).await? {
             TransactionOutcome::Applied(_) => known.extend(chunk),
             // An earlier try of this call may have been executed late.
             TransactionOutcome::Failed(_) => return refuse(503, "the plan's pages changed meanwhile"),
@@ -222,7 +222,7 @@
         Compare { key: flow_end_key(run), mod_revision: ModRevision(0) },
     ];
     let change = Mutation::Put { key: flow_key(run), value: Value::Head(Box::new(head)), lease: None };
-    match node.state.spare().txn(conditions, vec![change]).await? {
+    match node.state.background().txn(conditions, vec![change]).await? {
         TransactionOutcome::Applied(_) => {
             info!(%run, name = info.name, team = info.team, steps = info.steps, "run accepted");
             Ok(one(201, info))
@@ -256,7 +256,7 @@
     }
     let mut submitted = BTreeSet::new();
     if !head.state.is_final() {
-        let (jobs, _) = node.state.spare().list::<JobRecord>(&format!("job/{}", job_prefix(run))).await?;
+        let (jobs, _) = node.state.background().list::<JobRecord>(&format!("job/{}", job_prefix(run))).await?;
         let ours = jobs.iter().filter(|p| matches!(&p.value, Stored::Value(r) if r.flow));
         submitted.extend(ours.filter_map(|p| Some(parts_of(&job_id_of(&p.key)?)?.1)));
     }
@@ -298,7 +298,7 @@
         let mut more = false;
         for prefix in [FLOW_HEADS, FLOW_ENDS] {
             let since = format!("{prefix}{after}");
-            let page = node.state.spare().page::<Head>(prefix, Some(&since), MOST_LISTED).await?;
+            let page = node.state.background().page::<Head>(prefix, Some(&since), MOST_LISTED).await?;
             let last = page.pairs.last().and_then(|p| RunId::parse(p.key.strip_prefix(prefix)?));
             if page.more {
                 // Beyond this one the other list may have runs that this page does not reach.
@@ -350,7 +350,8 @@
         }
         let head = Head { state: RunState::Cancelling, ..head };
         let change = Mutation::Put { key: flow_key(run), value: Value::Head(Box::new(head.clone())), lease: None };
-        match node.state.spare().txn(vec![Compare { key: flow_key(run), mod_revision }], vec![change]).await? {
+        match node.state.background().txn(vec![Compare { key: flow_key(run), mod_revision }], vec![change]).await?
+        {
             TransactionOutcome::Applied(_) => {
                 info!(%run, "run cancelled");
                 return Ok(one(200, told(&head, run, 0, 0)));
@@ -401,7 +402,7 @@
             Compare { key: flow_key(run), mod_revision: ModRevision(0) },
             Compare { key: flow_end_key(run), mod_revision: ModRevision(0) },
         ];
-        if let TransactionOutcome::Failed(_) = node.state.spare().txn(conditions, vec![change]).await? {
+        if let TransactionOutcome::Failed(_) = node.state.background().txn(conditions, vec![change]).await? {
             return refuse(503, "the run changed meanwhile");
         }
         runtime::sleep(Micros::from_secs_f64(1.0 / rate)).await;
--- a/crates/hopyoke/src/flows.rs
+++ b/crates/hopyoke/src/flows.rs
@@ -79,11 +79,11 @@
     let flows = of(&node);
     loop {
         match flows.lease.get() {
-            None => match node.state.vital().grant(TTL).await {
+            None => match node.state.critical().grant(TTL).await {
                 Ok(lease) => flows.lease.set(Some(lease)),
                 Err(e) => debug!(error = %e, "no lease for runs"),
             },
-            Some(lease) => match node.state.vital().renew(lease, Micros::from_millis(1500)).await {
+            Some(lease) => match node.state.critical().renew(lease, Micros::from_millis(1500)).await {
                 Ok(()) => {}
                 Err(StateError::Gone) => {
                     warn!("the lease on which this node carries runs is gone");
@@ -109,7 +109,7 @@
     let mut since = None;
     loop {
         let Some(from) = since else {
-            match node.state.spare().list::<Value>(FLOWS).await {
+            match node.state.background().list::<Value>(FLOWS).await {
                 Ok((pairs, revision)) => {
                     all_seen(&node, pairs, ModRevision(revision));
                     since = Some(revision);
@@ -121,7 +121,7 @@
             }
             continue;
         };
-        let result: Result<WatchResponse<Value>, _> = node.state.spare().watch(FLOWS, from, WATCH).await;
+        let result: Result<WatchResponse<Value>, _> = node.state.background().watch(FLOWS, from, WATCH).await;
         match result {
             Ok(events) => {
                 since = Some(events.revision.max(from));
@@ -176,10 +176,10 @@
 /// All runs and grants as of a revision: what is not among them is gone.
 fn all_seen(node: &Node, pairs: Vec<KeyValue<Value>>, revision: ModRevision) {
     let mut heads = BTreeSet::new();
-    let mut is_valid = BTreeSet::new();
+    let mut holds = BTreeSet::new();
     for p in pairs {
         heads.extend(run_of(&p.key, FLOW_HEADS));
-        is_valid.extend(run_of(&p.key, FLOW_HOLDS));
+        holds.extend(run_of(&p.key, FLOW_HOLDS));
         match p.value {
             Stored::Value(v) => seen(node, &p.key, v, p.mod_revision),
             Stored::Unreadable(_) => warn!(key = %p.key, "unreadable record of a run"),
@@ -191,7 +191,7 @@
     for run in known {
         if !heads.contains(&run) {
             engine.head_gone(run, revision);
-        } else if !is_valid.contains(&run) {
+        } else if !holds.contains(&run) {
             engine.hold_gone(run, revision, runtime::now());
         }
     }
@@ -208,7 +208,7 @@
         let from = match since {
             Some(s) => s,
             // What came before is read with each run's records.
-            None => match node.state.spare().page::<EndRecord>(&prefix, None, 1).await {
+            None => match node.state.background().page::<EndRecord>(&prefix, None, 1).await {
                 Ok(page) => {
                     flows.engine.borrow_mut().news_lost(runtime::now());
                     page.revision
@@ -221,7 +221,7 @@
         };
         since = Some(from);
         let result: Result<WatchResponse<EndRecord>, _> =
-            node.state.spare().watch(&prefix, from.max(1), WATCH).await;
+            node.state.background().watch(&prefix, from.max(1), WATCH).await;
         match result {
             Ok(events) => {
                 since = Some(events.revision.max(from));
@@ -302,7 +302,7 @@
     let hold = Hold { node: node.settings.node.clone(), lease };
     let key = flow_hold_key(run);
     // A run that is over is not claimed: its head must still be there.
-    let head = match node.state.spare().get::<Value>(&flow_key(run)).await {
+    let head = match node.state.background().get::<Value>(&flow_key(run)).await {
         Ok(Some((_, mod_revision))) => mod_revision,
         _ => return Err(None),
     };
@@ -311,9 +311,9 @@
         Compare { key: flow_key(run), mod_revision: head },
     ];
     let changes = vec![Mutation::Put { key: key.clone(), value: hold.clone(), lease: Some(lease) }];
-    match node.state.spare().txn(conditions, changes).await {
+    match node.state.background().txn(conditions, changes).await {
         Ok(TransactionOutcome::Applied(mod_revision)) => Ok(mod_revision),
-        Ok(TransactionOutcome::Failed(_)) => match node.state.spare().get::<Hold>(&key).await {
+        Ok(TransactionOutcome::Failed(_)) => match node.state.background().get::<Hold>(&key).await {
             // An earlier try of this very process went through.
             Ok(Some((Stored::Value(h), mod_revision))) if h == hold => Ok(mod_revision),
             Ok(Some((_, mod_revision))) => Err(Some(mod_revision)),
@@ -326,7 +326,7 @@
 /// Reads a run's head, wherever it is: a head only ever moves from `flow/head/` to `flowend/`.
 pub(crate) async fn head_of(node: &Node, run: RunId) -> Result<Option<(Head, ModRevision)>, StateError> {
     for key in [flow_key(run), flow_end_key(run)] {
-        match node.state.spare().get::<Head>(&key).await? {
+        match node.state.background().get::<Head>(&key).await? {
             Some((Stored::Value(head), mod_revision)) => return Ok(Some((head, mod_revision))),
             Some((Stored::Unreadable(_), _)) => {
                 warn!(%run, "unreadable head");
@@ -341,7 +341,7 @@
 /// The pages of a run's progress.
 pub(crate) async fn pages_of(node: &Node, run: RunId) -> Result<Vec<(u32, ModRevision, StepPage)>, StateError> {
     let prefix = flow_page_prefix(run);
-    let (pairs, _) = node.state.spare().list::<StepPage>(&prefix).await?;
+    let (pairs, _) = node.state.background().list::<StepPage>(&prefix).await?;
     let page = |p: KeyValue<StepPage>| {
         let number = p.key.strip_prefix(&prefix)?.parse().ok()?;
         // An unreadable page is no knowledge; the jobs' own records tell.
@@ -352,13 +352,15 @@
 
 /// A run's plan, if all its pages can be read.
 pub(crate) async fn plan_of(node: &Node, run: RunId, head: &Head) -> Result<Option<Plan>, StateError> {
-    let (pairs, _) = node.state.spare().list::<PlanPage>(&flow_plan_prefix(head.plan_of.unwrap_or(run))).await?;
+    let (pairs, _) =
+        node.state.background().list::<PlanPage>(&flow_plan_prefix(head.plan_of.unwrap_or(run))).await?;
     let pages: Option<Vec<PlanPage>> = pairs.into_iter().map(|p| p.value.readable()).collect();
     Ok(pages.filter(|p| p.len() == head.plan_pages as usize).map(Plan::of_pages))
 }
 
 async fn fetch(node: &Node, run: RunId, plan: bool) -> Result<Option<Fetched>, StateError> {
-    let grant = node.state.spare().get::<Hold>(&flow_hold_key(run)).await?.map(|(_, mod_revision)| mod_revision);
+    let grant =
+        node.state.background().get::<Hold>(&flow_hold_key(run)).await?.map(|(_, mod_revision)| mod_revision);
     let Some((head, head_revision)) = head_of(node, run).await? else { return Ok(None) };
     let plan = if plan && !head.state.is_final() {
         match plan_of(node, run, &head).await? {
@@ -371,8 +373,8 @@
     let pages = pages_of(node, run).await?;
     // Unfinished jobs first: a record only ever moves to the ended ones.
     let prefix = job_prefix(run);
-    let (jobs, _) = node.state.spare().list::<JobRecord>(&format!("job/{prefix}")).await?;
-    let (ends, _) = node.state.spare().list::<EndRecord>(&format!("end/{prefix}")).await?;
+    let (jobs, _) = node.state.background().list::<JobRecord>(&format!("job/{prefix}")).await?;
+    let (ends, _) = node.state.background().list::<EndRecord>(&format!("end/{prefix}")).await?;
     let id = |key: &str| JobId::parse(key.split_once('/')?.1);
     Ok(Some(Fetched {
         head,
@@ -411,7 +413,7 @@
     };
     if let Some(why) = never {
         // An accepted job stays accepted, whatever the catalog says now.
-        return Ok(match lookup(node, node.state.spare(), &spec.id).await? {
+        return Ok(match lookup(node, node.state.background(), &spec.id).await? {
             Lookup::Missing => Outcome::Never(why),
             found => known(&found),
         });
@@ -424,7 +426,7 @@
     Ok(match records::accept(node, record, more).await? {
         TransactionOutcome::Applied(_) => Outcome::Accepted,
         // The three-way check: what does the job's own record say?
-        TransactionOutcome::Failed(_) => match lookup(node, node.state.spare(), &spec.id).await? {
+        TransactionOutcome::Failed(_) => match lookup(node, node.state.background(), &spec.id).await? {
             Lookup::Missing => Outcome::Stale,
             found => known(&found),
         },
@@ -470,7 +472,7 @@
     if release {
         changes.push(Mutation::Delete { key: flow_hold_key(run) });
     }
-    match node.state.spare().txn(conditions, changes).await {
+    match node.state.background().txn(conditions, changes).await {
         Ok(TransactionOutcome::Applied(mod_revision)) => Written::Applied(mod_revision),
         Ok(TransactionOutcome::Failed(_)) => Written::Conflict,
         Err(e) if e.is_refusal() => Written::Refused,
--- a/crates/hopyoke/src/lead.rs
+++ b/crates/hopyoke/src/lead.rs
@@ -13,7 +13,7 @@
 use hopyoke_consistency::DeliveryCursors;
 use hopyoke_consistency::leader_lease::LeaderLease;
 use hopyoke_event_loop::{self as runtime, CancellationToken, Notify};
-use hopyoke_heartbeat::Hearing;
+use hopyoke_heartbeat::HeartbeatMonitor;
 use hopyoke_policy::Figures;
 use hopyoke_protocol::cloud::ScaleOutRequest;
 use hopyoke_protocol::state::{Compare, Mutation};
@@ -43,7 +43,7 @@
     let mut fresh_start = true;
     loop {
         let asked = runtime::now();
-        let (found, mod_revision) = match node.state.vital().get::<LeaseHolder>(LEADER).await {
+        let (found, mod_revision) = match node.state.critical().get::<LeaseHolder>(LEADER).await {
             Ok(Some((value, mod_revision))) => (value.readable(), mod_revision),
             Ok(None) => {
                 // Nobody leads, so nobody's records need anything.
@@ -77,7 +77,7 @@
             if let Acquired::Unsure(lease) = acquired {
                 // The try may yet be executed, late: until its lease is gone for certain, nothing
                 // can be promised.
-                while node.state.vital().release(lease).await.is_err() {
+                while node.state.critical().release(lease).await.is_err() {
                     runtime::sleep(Micros::from_millis(500)).await;
                 }
             }
@@ -93,7 +93,7 @@
         fresh_start = false;
         // Wait until the key changes.
         let wait = if mod_revision == ModRevision(0) { Micros::from_secs(1) } else { Micros::from_secs(10) };
-        match node.state.vital().watch::<LeaseHolder>(LEADER, mod_revision.0.max(1), wait).await {
+        match node.state.critical().watch::<LeaseHolder>(LEADER, mod_revision.0.max(1), wait).await {
             Ok(_) => {}
             Err(_) => runtime::sleep(Micros::from_millis(200) + jitter(Micros::from_millis(300))).await,
         }
@@ -115,7 +115,7 @@
 async fn acquire(node: &Rc<Node>, me: &LeaseHolder, mod_revision: ModRevision) -> Acquired {
     let ttl = node.settings.leader_ttl();
     let sent = runtime::now();
-    let lease = match node.state.vital().grant(ttl).await {
+    let lease = match node.state.critical().grant(ttl).await {
         Ok(l) => l,
         Err(e) => {
             debug!(error = %e, "no lease");
@@ -130,7 +130,7 @@
     let until = sent + ttl.less_drift();
     let outcome = loop {
         let compares = vec![Compare { key: LEADER.to_owned(), mod_revision }];
-        match node.state.vital().txn(compares, mutations.clone()).await {
+        match node.state.critical().txn(compares, mutations.clone()).await {
             // Certainly not executed: the same lease serves the next try, while enough of it is left.
             Err(e) if e.is_refusal() && runtime::now() < until - Micros(ttl.0 / 2) => {
                 debug!(error = %e, "leadership not decided");
@@ -145,11 +145,11 @@
             Acquired::Lead(lease, FencingToken(m.0), until)
         }
         Err(e) if e.is_refusal() => {
-            let _ = node.state.vital().release(lease).await;
+            let _ = node.state.critical().release(lease).await;
             Acquired::No
         }
         Ok(TransactionOutcome::Failed(_)) => {
-            let _ = node.state.vital().release(lease).await;
+            let _ = node.state.critical().release(lease).await;
             Acquired::No
         }
         Err(e) => {
@@ -193,7 +193,11 @@
     let leadership = Rc::new(Leadership {
         core: RefCell::new(core),
         leader_lease,
-        hearing: RefCell::new(Hearing::new(node.config.heartbeat_interval, node.settings.facts.nodes, now)),
+        hearing: RefCell::new(HeartbeatMonitor::new(
+            node.config.heartbeat_interval,
+            node.settings.facts.nodes,
+            now,
+        )),
         wakeup: Notify::default(),
         write_wakeup: Notify::default(),
         cancel: cancel.clone(),
@@ -228,7 +232,7 @@
     cancel.cancel();
     if isolated {
         info!(token = token.0, "giving up leadership: no worker reaches this node");
-        let _ = node.state.vital().release(lease).await;
+        let _ = node.state.critical().release(lease).await;
         *node.leader.borrow_mut() = None;
     } else {
         info!(token = token.0, "leadership lost");
@@ -260,7 +264,7 @@
     let mut patience = RENEWAL;
     loop {
         let sent = runtime::now();
-        match node.state.vital().renew(lease, patience).await {
+        match node.state.critical().renew(lease, patience).await {
             Ok(()) => {
                 patience = (runtime::now() - sent).times(2).clamp(RENEWAL, longest);
                 leader_lease.borrow_mut().renewed(sent);
@@ -285,8 +289,8 @@
 }
 
 async fn fail_over(node: &Rc<Node>, token: FencingToken, granted_at: Micros) -> Option<Core> {
-    let (pages, _) = retry(|| node.state.vital().list::<RegisterPage>(FLEET)).await?;
-    let (jobs, revision) = retry(|| node.state.vital().list::<JobRecord>(JOBS)).await?;
+    let (pages, _) = retry(|| node.state.critical().list::<RegisterPage>(FLEET)).await?;
+    let (jobs, revision) = retry(|| node.state.critical().list::<JobRecord>(JOBS)).await?;
     let register = pages
         .into_iter()
         .filter_map(|p| {
@@ -433,7 +437,7 @@
     if !leadership.core.borrow().tuning.learn {
         return;
     }
-    let Some((pages, _)) = retry(|| node.state.spare().list::<hopyoke_run_times::Page>(LEARNED)).await else {
+    let Some((pages, _)) = retry(|| node.state.background().list::<hopyoke_run_times::Page>(LEARNED)).await else {
         return;
     };
     let mut core = leadership.core.borrow_mut();
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -1,19 +1,19 @@
 //! What the routines of one controller node share.
 
-use crate::carriage::Carriage;
+use crate::carriage::HeartbeatRelay;
 use crate::cloud::Cloud;
-use crate::door::Door;
+use crate::door::AdmissionController;
 use crate::finals::TerminalStateCache;
 use crate::links::PeerClients;
 use crate::promises::LeaseSupport;
 use crate::replica::Replica;
-use crate::state::State;
+use crate::state::KvClient;
 use hopyoke_admission::Bounds;
 use hopyoke_consistency::DeliveryCursors;
 use hopyoke_consistency::leader_lease::LeaderLease;
 use hopyoke_event_loop::http::OpenCount;
 use hopyoke_event_loop::{self as runtime, CancellationToken, Notify};
-use hopyoke_heartbeat::{Hearing, Routes};
+use hopyoke_heartbeat::{HeartbeatMonitor, Routes};
 use hopyoke_policy::Policy;
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_scheduler::{Config, Core};
@@ -29,8 +29,8 @@
     /// The operators' own settings.
     pub policy: Policy,
     pub config: Config,
-    pub state: State,
-    pub door: Door,
+    pub state: KvClient,
+    pub door: AdmissionController,
     pub cloud: Cloud,
     pub catalog: RefCell<Vec<MachineType>>,
     /// The node that leads, as last seen.
@@ -45,7 +45,7 @@
     pub open: OpenCount,
     /// Where workers' reports go.
     pub routes: RefCell<Routes>,
-    pub carriage: Carriage,
+    pub carriage: HeartbeatRelay,
     /// Until then this process counts as behind on its processor.
     pub behind_until: Cell<Micros>,
     /// Runs of workflows, if this node takes part.
@@ -72,7 +72,7 @@
     /// How long we may command workers.
     pub leader_lease: Rc<RefCell<LeaderLease>>,
     /// Whether workers reach us.
-    pub hearing: RefCell<Hearing>,
+    pub hearing: RefCell<HeartbeatMonitor>,
     /// Rung when the core has changed.
     pub wakeup: Notify,
     /// Rung when something is to be written.
@@ -151,8 +151,8 @@
         Node {
             flows,
             config: Config::of(&settings),
-            state: State::new(settings.endpoints.state, bounds(settings.facts.state.rps)),
-            door: Door::new(bounds(settings.facts.state.write_rps), &Config::of(&settings).teams),
+            state: KvClient::new(settings.endpoints.state, bounds(settings.facts.state.rps)),
+            door: AdmissionController::new(bounds(settings.facts.state.write_rps), &Config::of(&settings).teams),
             cloud: Cloud::new(settings.endpoints.cloud, settings.facts.cloud.rps),
             catalog: RefCell::default(),
             leader: RefCell::default(),
@@ -162,7 +162,7 @@
             links: PeerClients::new(&settings.peers),
             open: OpenCount::default(),
             routes: RefCell::new(Routes::new(settings.peers.len())),
-            carriage: Carriage::default(),
+            carriage: HeartbeatRelay::default(),
             behind_until: Cell::new(Micros::ZERO),
             cancel: CancellationToken::new(),
             settings,
--- a/crates/hopyoke/src/records.rs
+++ b/crates/hopyoke/src/records.rs
@@ -1,7 +1,7 @@
 //! Jobs' records in the state service, as any node reads and changes them.
 
 use crate::node::Node;
-use crate::state::{Ask, LEADER, StateError, TransactionOutcome, end_key, job_key};
+use crate::state::{LEADER, PrioritizedClient, StateError, TransactionOutcome, end_key, job_key};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, Mutation, Stored};
 use hopyoke_protocol::user::JobState;
@@ -52,7 +52,7 @@
 /// revision that this process has read.
 pub async fn learn_beginning(node: Rc<Node>) {
     loop {
-        match node.state.vital().page::<serde::de::IgnoredAny>(LEADER, None, 1).await {
+        match node.state.critical().page::<serde::de::IgnoredAny>(LEADER, None, 1).await {
             Ok(page) => return node.promises.confirmed.borrow_mut().began_before(ModRevision(page.revision)),
             Err(e) => debug!(error = %e, "the service's revision is not known yet"),
         }
@@ -62,14 +62,14 @@
 
 /// Reads a job's record. A record only ever moves from `job/` to `end/`, so reading in this order
 /// can't miss it; only then is it truly missing. (Guards `forgotten` and `invented`.)
-pub async fn lookup(node: &Node, ask: Ask<'_>, id: &JobId) -> Result<Lookup, StateError> {
+pub async fn lookup(node: &Node, client: PrioritizedClient<'_>, id: &JobId) -> Result<Lookup, StateError> {
     if let Some(end) = node.finals.get(id) {
         return Ok(Lookup::Finished(end));
     }
-    if let Some((record, mod_revision)) = ask.get::<JobRecord>(&job_key(id)).await? {
+    if let Some((record, mod_revision)) = client.get::<JobRecord>(&job_key(id)).await? {
         return Ok(Lookup::Unfinished(record, mod_revision));
     }
-    Ok(match ask.get::<EndRecord>(&end_key(id)).await? {
+    Ok(match client.get::<EndRecord>(&end_key(id)).await? {
         Some((Stored::Value(end), mod_revision)) => {
             found_ended(node, id, end, mod_revision);
             Lookup::Finished(end)
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -82,7 +82,7 @@
     let every = Micros::from_secs(1);
     loop {
         if runtime::now() > node.state.last_answer() + every {
-            let _ = node.state.spare().get::<serde::de::IgnoredAny>(crate::state::LEADER).await;
+            let _ = node.state.background().get::<serde::de::IgnoredAny>(crate::state::LEADER).await;
         }
         runtime::sleep(every).await;
     }
--- a/crates/hopyoke/src/staffed.rs
+++ b/crates/hopyoke/src/staffed.rs
@@ -38,7 +38,7 @@
 }
 
 async fn read(node: &Node) -> Result<(Option<Switch>, ModRevision), StateError> {
-    Ok(match node.state.spare().get::<Switch>(SWITCH).await? {
+    Ok(match node.state.background().get::<Switch>(SWITCH).await? {
         Some((Stored::Value(s), mod_revision)) => (Some(s), mod_revision),
         Some((Stored::Unreadable(_), mod_revision)) => {
             warn!("unreadable word on staffed hours: the calendar holds");
--- a/crates/hopyoke/src/state.rs
+++ b/crates/hopyoke/src/state.rs
@@ -15,7 +15,7 @@
 //! | `flowplan/RUN/N` | a page of its plan, written once |
 //! | `flowpage/RUN/N` | a page of its steps' progress |
 
-use hopyoke_admission::{Bounds, Importance, Pace};
+use hopyoke_admission::{Bounds, RateLimiter, RequestPriority};
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, ClientError, Method, Response};
 use hopyoke_protocol::state::{
@@ -131,11 +131,11 @@
 /// A value with the mark of its last change.
 pub type Found<T> = Option<(Stored<T>, ModRevision)>;
 
-pub struct State {
+pub struct KvClient {
     client: Client,
     /// What is vital has connections of its own: those of the others may all be in use.
     vital_client: Client,
-    pace: RefCell<Pace>,
+    pace: RefCell<RateLimiter>,
     last_answer: Cell<Micros>,
     last_failure: Cell<Micros>,
 }
@@ -150,13 +150,13 @@
 /// How long a request may wait for room in this node's part.
 const PATIENCE: Micros = Micros::from_millis(900);
 
-impl State {
+impl KvClient {
     /// `requests`: what the service takes a second from all nodes, and how many nodes there are.
-    pub fn new(addr: SocketAddr, requests: Bounds) -> State {
-        State {
+    pub fn new(addr: SocketAddr, requests: Bounds) -> KvClient {
+        KvClient {
             client: Client::new(addr),
             vital_client: Client::new(addr),
-            pace: RefCell::new(Pace::new(requests, runtime::now())),
+            pace: RefCell::new(RateLimiter::new(requests, runtime::now())),
             last_answer: Cell::new(Micros::ZERO),
             last_failure: Cell::new(Micros::ZERO),
         }
@@ -173,42 +173,42 @@
     }
 
     /// Requests let through and held back, for operators.
-    pub fn counts(&self, importance: Importance) -> (u64, u64) {
+    pub fn counts(&self, importance: RequestPriority) -> (u64, u64) {
         self.pace.borrow().counts(importance)
     }
 
     /// Leases, grants, and what a new leader reads.
-    pub fn vital(&self) -> Ask<'_> {
-        Ask { state: self, importance: Importance::Vital }
+    pub fn critical(&self) -> PrioritizedClient<'_> {
+        PrioritizedClient { state: self, importance: RequestPriority::Critical }
     }
 
     /// The leader's records, and its news of them.
-    pub fn records(&self) -> Ask<'_> {
-        Ask { state: self, importance: Importance::Records }
+    pub fn records(&self) -> PrioritizedClient<'_> {
+        PrioritizedClient { state: self, importance: RequestPriority::Records }
     }
 
     /// Cancellations.
-    pub fn cancelling(&self) -> Ask<'_> {
-        Ask { state: self, importance: Importance::Cancels }
+    pub fn cancelling(&self) -> PrioritizedClient<'_> {
+        PrioritizedClient { state: self, importance: RequestPriority::Cancels }
     }
 
     /// Polls.
-    pub fn polling(&self) -> Ask<'_> {
-        Ask { state: self, importance: Importance::Polls }
+    pub fn polling(&self) -> PrioritizedClient<'_> {
+        PrioritizedClient { state: self, importance: RequestPriority::Polls }
     }
 
     /// New work. Never waits for room: a user who finds none is told so at once.
-    pub fn accepting(&self) -> Ask<'_> {
-        Ask { state: self, importance: Importance::Accepts }
+    pub fn accepting(&self) -> PrioritizedClient<'_> {
+        PrioritizedClient { state: self, importance: RequestPriority::Accepts }
     }
 
     /// What can wait.
-    pub fn spare(&self) -> Ask<'_> {
-        Ask { state: self, importance: Importance::Spare }
+    pub fn background(&self) -> PrioritizedClient<'_> {
+        PrioritizedClient { state: self, importance: RequestPriority::Background }
     }
 
     /// Waits for room in this node's part.
-    async fn room(&self, importance: Importance) -> Result<(), StateError> {
+    async fn room(&self, importance: RequestPriority) -> Result<(), StateError> {
         let until = runtime::now() + PATIENCE;
         loop {
             let now = runtime::now();
@@ -216,7 +216,7 @@
                 Ok(()) => return Ok(()),
                 Err(wait) => wait,
             };
-            if importance == Importance::Accepts || now + wait > until {
+            if importance == RequestPriority::Accepts || now + wait > until {
                 return Err(StateError::InsufficientResources);
             }
             runtime::sleep(wait + Micros::from_millis(rand::random_range(1..=10))).await;
@@ -225,14 +225,14 @@
 
     async fn send(
         &self,
-        importance: Importance,
+        importance: RequestPriority,
         method: Method,
         path: &str,
         body: &[u8],
         limit: Micros,
     ) -> Result<Response, StateError> {
         self.room(importance).await?;
-        let client = if importance == Importance::Vital { &self.vital_client } else { &self.client };
+        let client = if importance == RequestPriority::Critical { &self.vital_client } else { &self.client };
         let result = client.send(method, path, body, limit).await;
         if !matches!(&result, Ok(r) if r.status != 503) {
             self.last_failure.set(runtime::now());
@@ -251,12 +251,12 @@
 
 /// Requests of one importance.
 #[derive(Clone, Copy)]
-pub struct Ask<'a> {
-    state: &'a State,
-    importance: Importance,
+pub struct PrioritizedClient<'a> {
+    state: &'a KvClient,
+    importance: RequestPriority,
 }
 
-impl Ask<'_> {
+impl PrioritizedClient<'_> {
     async fn send(self, method: Method, path: &str, body: &[u8], limit: Micros) -> Result<Response, StateError> {
         self.state.send(self.importance, method, path, body, limit).await
     }
--- a/crates/hopyoke/src/status.rs
+++ b/crates/hopyoke/src/status.rs
@@ -1,7 +1,7 @@
 //! What a controller tells its operators: leader, blocks, machines, jobs, teams, and why jobs wait.
 
 use crate::node::Node;
-use hopyoke_admission::Importance;
+use hopyoke_admission::RequestPriority;
 use hopyoke_event_loop as runtime;
 use hopyoke_scheduler::{Amounts, HELD, Phase};
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
     for (team, let_in, refused) in node.door.team_counts().into_iter().filter(|(_, l, r)| l + r > 0) {
         let _ = writeln!(out, "door team {team} let_in {let_in} refused {refused}");
     }
-    for importance in Importance::ALL {
+    for importance in RequestPriority::ALL {
         let (sent, held_back) = node.state.counts(importance);
         let _ = writeln!(out, "state requests {importance:?} sent {sent} held_back {held_back}");
     }
