--- a/crates/hopyoke-experiments/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -214,15 +214,15 @@
 /// Twice a second, whoever leads is asked about jobs that are newly seen running.
 fn look(w: &mut World, watch: Rc<RefCell<Watch>>) {
     let now = w.now;
-    if let Some(core) = w.leader().and_then(|i| w.nodes[i].lead.as_ref()).map(|l| &l.core) {
+    if let Some(scheduler) = w.leader().and_then(|i| w.nodes[i].lead.as_ref()).map(|l| &l.scheduler) {
         let mut watch_now = watch.borrow_mut();
         let mut told = Vec::new();
         for (id, n) in &watch_now.open {
-            let Some(job) = core.jobs.get(id) else { continue };
+            let Some(job) = scheduler.jobs.get(id) else { continue };
             let Some((index, places)) = job.places.first_key_value() else { continue };
             let Some((_, attempt)) = places.first() else { continue };
             let task = TaskId { job: id.clone(), index: *index };
-            let left = |p: f64| core.remaining_s(&task, *attempt, p, now);
+            let left = |p: f64| scheduler.remaining_s(&task, *attempt, p, now);
             if let (Some(p10), Some(p50), Some(p90)) = (left(0.1), left(0.5), left(0.9)) {
                 let t = now.as_secs_f64();
                 told.push((id.clone(), *n, (t, t + p10, t + p50, t + p90)));
--- a/crates/hopyoke-scheduler/src/amounts.rs
+++ b/crates/hopyoke-scheduler/src/amounts.rs
@@ -9,33 +9,33 @@
 const EPSILON: f64 = 1e-6;
 
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Amounts {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
 }
 
-impl Amounts {
-    pub fn of_task(s: &JobSpec) -> Amounts {
-        Amounts { cpus: s.cpus, gpus: s.gpus, memory_gb: s.memory_gb }
+impl Resources {
+    pub fn of_task(s: &JobSpec) -> Resources {
+        Resources { cpus: s.cpus, gpus: s.gpus, memory_gb: s.memory_gb }
     }
 
-    pub fn of_type(t: &MachineType) -> Amounts {
-        Amounts { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb }
+    pub fn of_type(t: &MachineType) -> Resources {
+        Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb }
     }
 
-    pub fn times(self, n: f64) -> Amounts {
-        Amounts { cpus: self.cpus * n, gpus: self.gpus * n, memory_gb: self.memory_gb * n }
+    pub fn times(self, n: f64) -> Resources {
+        Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory_gb: self.memory_gb * n }
     }
 
-    pub fn fits_in(&self, room: &Amounts) -> bool {
+    pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + EPSILON
             && self.gpus <= room.gpus + EPSILON
             && self.memory_gb <= room.memory_gb + EPSILON
     }
 
     /// How many of `task` go into this.
-    pub fn holds(&self, task: &Amounts) -> u32 {
+    pub fn holds(&self, task: &Resources) -> u32 {
         let of =
             |room: f64, one: f64| if one > 0.0 { ((room + EPSILON) / one).floor().max(0.0) } else { f64::MAX };
         let n = of(self.cpus, task.cpus).min(of(self.gpus, task.gpus)).min(of(self.memory_gb, task.memory_gb));
@@ -43,17 +43,17 @@
     }
 }
 
-impl Add for Amounts {
-    type Output = Amounts;
-    fn add(self, o: Amounts) -> Amounts {
-        Amounts { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus, memory_gb: self.memory_gb + o.memory_gb }
+impl Add for Resources {
+    type Output = Resources;
+    fn add(self, o: Resources) -> Resources {
+        Resources { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus, memory_gb: self.memory_gb + o.memory_gb }
     }
 }
 
-impl Sub for Amounts {
-    type Output = Amounts;
-    fn sub(self, o: Amounts) -> Amounts {
-        Amounts { cpus: self.cpus - o.cpus, gpus: self.gpus - o.gpus, memory_gb: self.memory_gb - o.memory_gb }
+impl Sub for Resources {
+    type Output = Resources;
+    fn sub(self, o: Resources) -> Resources {
+        Resources { cpus: self.cpus - o.cpus, gpus: self.gpus - o.gpus, memory_gb: self.memory_gb - o.memory_gb }
     }
 }
 
@@ -69,14 +69,14 @@
 
 impl Team {
     /// A limit of 0 means that none is set.
-    pub fn allows(&self, used: &Amounts) -> bool {
+    pub fn allows(&self, used: &Resources) -> bool {
         (self.cpus_max <= 0.0 || used.cpus <= self.cpus_max + EPSILON)
             && (self.gpus_max <= 0.0 || used.gpus <= self.gpus_max + EPSILON)
     }
 
     /// True if work of this size is within the guarantee. A resource without a guarantee counts
     /// only if the team has a guarantee of no resource at all.
-    pub fn guarantees(&self, used: &Amounts) -> bool {
+    pub fn guarantees(&self, used: &Resources) -> bool {
         if self.cpus <= 0.0 && self.gpus <= 0.0 {
             return false;
         }
@@ -91,13 +91,13 @@
     let Some(team) = teams.iter().find(|t| t.name == spec.team) else {
         return Some(format!("crew: no team is named '{}'", spec.team));
     };
-    let task = Amounts::of_task(spec);
+    let task = Resources::of_task(spec);
     let allowed = |t: &&MachineType| spec.types.as_ref().is_none_or(|names| names.contains(&t.name));
     let zone_ok = |t: &MachineType| match &spec.zone {
         Some(z) => t.zones.is_empty() && zones.contains(z) || t.zones.contains(z),
         None => true,
     };
-    if !types.iter().filter(allowed).any(|t| task.fits_in(&Amounts::of_type(t)) && zone_ok(t)) {
+    if !types.iter().filter(allowed).any(|t| task.fits_in(&Resources::of_type(t)) && zone_ok(t)) {
         return Some("a task fits no allowed machine type".into());
     }
     let tasks = if spec.kind == JobKind::Array { 1.0 } else { f64::from(spec.tasks) };
@@ -110,7 +110,7 @@
         if spec.one_zone {
             return Some("together: its tasks must be apart as well".into());
         }
-        let fits = |t: &&MachineType| task.fits_in(&Amounts::of_type(t)) && zone_ok(t);
+        let fits = |t: &&MachineType| task.fits_in(&Resources::of_type(t)) && zone_ok(t);
         let usable = types.iter().filter(allowed).filter(fits);
         let usable = usable.flat_map(|t| if t.zones.is_empty() { zones } else { &t.zones[..] });
         let usable = usable.filter(|z| spec.zone.as_ref().is_none_or(|only| only == *z));
--- a/crates/hopyoke-scheduler/src/batch.rs
+++ b/crates/hopyoke-scheduler/src/batch.rs
@@ -14,7 +14,7 @@
     /// Move the record, which must still have this mark, to its final place.
     End { job: JobId, mod_revision: ModRevision, end: EndRecord },
     /// Replace a page of the register, which must still have this mark, or drop it.
-    Page { key: String, mod_revision: ModRevision, page: Option<RegisterPage> },
+    Page { key: String, mod_revision: ModRevision, page: Option<RegistryPage> },
     /// Drop a page of the register whatever it holds.
     DropPage { key: String },
     /// Replace a page of learned run times.
@@ -48,7 +48,7 @@
 
 /// A page of the register, under `fleet/KEY`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RegisterPage {
+pub struct RegistryPage {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -59,7 +59,7 @@
 /// An address with its port, quotes and separators: `"255.255.255.255:65535":,""`.
 pub(super) const ADDRESS_BYTES: usize = 30;
 
-impl RegisterPage {
+impl RegistryPage {
     /// Bytes that it takes as a value, at the most.
     pub fn bytes(&self) -> usize {
         let names: usize = self.machines.keys().map(|m| m.as_str().len() + ADDRESS_BYTES).sum();
--- a/crates/hopyoke-scheduler/src/check.rs
+++ b/crates/hopyoke-scheduler/src/check.rs
@@ -1,11 +1,11 @@
 //! The three-way check before any start: the recorded previous attempt against workers' reports.
 
-use super::Core;
+use super::Scheduler;
 use super::job::Job;
 
 /// What is to be done about a task that is not recorded as done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RestartDecision {
     /// An attempt holds a place, or may: stay connected to it.
     Reconnect,
     /// A worker reported it as done: take its result; nothing is started.
@@ -13,19 +13,19 @@
     /// Nobody has reported it, and not every machine that could run it is accounted for.
     Unknown,
     /// No attempt is left anywhere: it may be started anew.
-    StartAnew,
+    Restart,
 }
 
-impl Core {
-    pub fn check(&self, job: &Job, index: u32) -> Verdict {
+impl Scheduler {
+    pub fn check(&self, job: &Job, index: u32) -> RestartDecision {
         if job.done.contains(index) {
-            Verdict::AcceptResult
+            RestartDecision::AcceptResult
         } else if job.places.get(&index).is_some_and(|p| !p.is_empty()) {
-            Verdict::Reconnect
-        } else if job.inherited && self.recovering() {
-            Verdict::Unknown
+            RestartDecision::Reconnect
+        } else if job.inherited && self.is_reconciling() {
+            RestartDecision::Unknown
         } else {
-            Verdict::StartAnew
+            RestartDecision::Restart
         }
     }
 }
--- a/crates/hopyoke-scheduler/src/fleet.rs
+++ b/crates/hopyoke-scheduler/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Machines and what is known to be, or may be, on them.
 
-use super::amounts::Amounts;
-use crate::provisioning::Verdict;
+use super::amounts::Resources;
+use crate::provisioning::ProvisioningState;
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_protocol::worker::{ExitReason, TaskState};
@@ -28,25 +28,25 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Load {
     /// What live attempts take.
-    pub used: Amounts,
+    pub used: Resources,
     /// Live attempts.
     pub live: u32,
     /// Replicas of services among them, which stay long.
     pub replicas: u32,
     /// What attempts take that have been told to go at once.
-    pub freeing: Amounts,
+    pub freeing: Resources,
     /// What tasks of arrays below production take that nobody has stopped yet.
-    pub preemptible: Amounts,
+    pub preemptible: Resources,
     /// A live attempt of a job that the ledger doesn't know.
-    pub strange: bool,
+    pub orphaned: bool,
     /// What live attempts take, by team (a place in the settings' list).
-    pub teams: Vec<(u16, Amounts)>,
+    pub teams: Vec<(u16, Resources)>,
     /// Images that it has or fetches.
     pub images: Vec<ImageKey>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum MachinePhase {
     /// Rented, its worker has not reported yet.
     Booting,
     /// Its worker reports.
@@ -57,8 +57,8 @@
 
 /// An attempt on a machine, from its start command until the worker no longer lists it.
 #[derive(Debug, Clone)]
-pub struct Slot {
-    pub state: SlotState,
+pub struct Allocation {
+    pub state: AllocationState,
     /// What it takes and of which job, kept here because it must be charged until it is proven
     /// gone, even when its job is over. `None`: a job that the ledger doesn't know.
     pub spec: Option<Rc<JobSpec>>,
@@ -67,7 +67,7 @@
     /// A direct start command is under way.
     pub direct: bool,
     /// A direct start command got no answer: it may be executed at any later time of this session.
-    pub doubtful: bool,
+    pub outcome_unknown: bool,
     pub stop: Option<Stop>,
     /// When it was commanded, or first seen.
     pub since: Micros,
@@ -76,7 +76,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SlotState {
+pub enum AllocationState {
     /// Commanded; no report has shown it yet.
     Sent,
     Live(TaskState),
@@ -89,14 +89,14 @@
     pub grace_s: f64,
 }
 
-impl Slot {
-    pub fn new(state: SlotState, spec: Option<Rc<JobSpec>>, now: Micros) -> Slot {
-        Slot {
+impl Allocation {
+    pub fn new(state: AllocationState, spec: Option<Rc<JobSpec>>, now: Micros) -> Allocation {
+        Allocation {
             state,
             spec,
             offered: None,
             direct: false,
-            doubtful: false,
+            outcome_unknown: false,
             stop: None,
             since: now,
             running_since: None,
@@ -104,11 +104,11 @@
     }
 
     pub fn is_live(&self) -> bool {
-        !matches!(self.state, SlotState::Ended(_))
+        !matches!(self.state, AllocationState::Ended(_))
     }
 
-    pub fn amounts(&self) -> Amounts {
-        self.spec.as_ref().map_or(Amounts::default(), |s| Amounts::of_task(s))
+    pub fn amounts(&self) -> Resources {
+        self.spec.as_ref().map_or(Resources::default(), |s| Resources::of_task(s))
     }
 }
 
@@ -118,7 +118,7 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub phase: Phase,
+    pub phase: MachinePhase,
     pub epoch: u64,
     pub sequence: u64,
     pub token_seen: FencingToken,
@@ -131,7 +131,7 @@
     pub lease_end: Micros,
     /// When the cloud takes it away.
     pub notice: Option<Micros>,
-    slots: BTreeMap<(TaskId, Attempt), Slot>,
+    allocations: BTreeMap<(TaskId, Attempt), Allocation>,
     load: Option<Load>,
     /// Most recently used last.
     images: Vec<(ImageKey, f64)>,
@@ -139,7 +139,7 @@
     /// When it was rented is known: from the cloud's answer, or its list.
     pub dated: bool,
     /// What to think of it while it boots.
-    pub boot: Verdict,
+    pub boot: ProvisioningState,
     pub idle_since: Option<Micros>,
     /// Jobs whose tasks failed here since one last succeeded here.
     pub failed_jobs: BTreeSet<JobId>,
@@ -151,14 +151,14 @@
     /// A refused start: nothing is placed here before this.
     pub cool_until: Micros,
     /// It stands in the register of machines that may hold tasks.
-    pub registered: bool,
+    pub is_registered: bool,
     /// It stood there when this leader read it.
     pub inherited: bool,
     /// A deletion is wanted or under way.
     pub deleting: bool,
     pub delete_sent: bool,
     /// Overdue and no longer listed by the cloud: most likely gone.
-    pub suspect: bool,
+    pub is_crash_looping: bool,
     /// The latest direct order to it got no answer, and no report has come since.
     pub unreachable: bool,
     pub direct_open: bool,
@@ -176,7 +176,7 @@
             machine_type,
             zone,
             spot,
-            phase: Phase::Booting,
+            phase: MachinePhase::Booting,
             epoch: 0,
             sequence: 0,
             token_seen: FencingToken(0),
@@ -185,23 +185,23 @@
             last_seen: now,
             lease_end: Micros::ZERO,
             notice: None,
-            slots: BTreeMap::new(),
+            allocations: BTreeMap::new(),
             load: None,
             images: Vec::new(),
             rented_at: now,
             dated: false,
-            boot: Verdict::Awaited,
+            boot: ProvisioningState::Awaited,
             idle_since: None,
             failed_jobs: BTreeSet::new(),
             failures: 0,
             faulty: false,
             slow: false,
             cool_until: Micros::ZERO,
-            registered: false,
+            is_registered: false,
             inherited: false,
             deleting: false,
             delete_sent: false,
-            suspect: false,
+            is_crash_looping: false,
             unreachable: false,
             direct_open: false,
             probing: false,
@@ -211,23 +211,23 @@
     }
 
     /// Commands of earlier holders can no longer be executed on it.
-    pub fn settled(&self, token: FencingToken) -> bool {
+    pub fn is_reconciled(&self, token: FencingToken) -> bool {
         self.ours || self.young_session || self.token_seen >= token
     }
 
-    pub fn slots(&self) -> &BTreeMap<(TaskId, Attempt), Slot> {
-        &self.slots
+    pub fn allocations(&self) -> &BTreeMap<(TaskId, Attempt), Allocation> {
+        &self.allocations
     }
 
     /// The slots, to be changed: the sums over them are counted anew when next needed.
-    pub fn slots_mut(&mut self) -> &mut BTreeMap<(TaskId, Attempt), Slot> {
+    pub fn slots_mut(&mut self) -> &mut BTreeMap<(TaskId, Attempt), Allocation> {
         self.load = None;
-        &mut self.slots
+        &mut self.allocations
     }
 
     /// Notes how far orders have come. Only for what does not show in the sums.
-    pub(super) fn slots_in_flight(&mut self) -> impl Iterator<Item = (&(TaskId, Attempt), &mut Slot)> {
-        self.slots.iter_mut()
+    pub(super) fn slots_in_flight(&mut self) -> impl Iterator<Item = (&(TaskId, Attempt), &mut Allocation)> {
+        self.allocations.iter_mut()
     }
 
     /// The sums over its slots.
@@ -241,26 +241,26 @@
     /// The sums, counted anew; `None` from [`Machine::kept_load`] means that they will be.
     pub fn count(&self, teams: &[super::Team]) -> Load {
         let mut load = Load { images: self.images.iter().map(|(i, _)| *i).collect(), ..Load::default() };
-        for slot in self.slots.values() {
-            let Some(spec) = &slot.spec else {
-                load.strange |= slot.is_live();
+        for allocation in self.allocations.values() {
+            let Some(spec) = &allocation.spec else {
+                load.orphaned |= allocation.is_live();
                 continue;
             };
             let image = ImageKey::of(&spec.image);
             if !load.images.contains(&image) {
                 load.images.push(image);
             }
-            if !slot.is_live() {
+            if !allocation.is_live() {
                 continue;
             }
-            let amounts = slot.amounts();
+            let amounts = allocation.amounts();
             load.used = load.used + amounts;
             load.live += 1;
             load.replicas += u32::from(spec.kind == JobKind::Service);
-            if slot.stop.is_some_and(|s| s.grace_s == 0.0) {
+            if allocation.stop.is_some_and(|s| s.grace_s == 0.0) {
                 load.freeing = load.freeing + amounts;
             }
-            if slot.stop.is_none() && spec.kind == JobKind::Array && spec.priority > Priority::Production {
+            if allocation.stop.is_none() && spec.kind == JobKind::Array && spec.priority > Priority::Production {
                 load.preemptible = load.preemptible + amounts;
             }
             // A team that the settings do not name has no limit to be charged against.
@@ -281,7 +281,7 @@
     }
 
     pub fn has_live(&self) -> bool {
-        self.slots.values().any(Slot::is_live)
+        self.allocations.values().any(Allocation::is_live)
     }
 
     /// Notes that an image is in the machine's cache of `capacity` GB.
--- a/crates/hopyoke-scheduler/src/fragmentation.rs
+++ b/crates/hopyoke-scheduler/src/fragmentation.rs
@@ -1,20 +1,20 @@
 //! Where work goes: what a choice of place leaves to others, without any I/O.
 //!
-//! [`Niches`]: kinds of machine that some of the waiting work has no alternative to.
+//! [`Fragmentation`]: kinds of machine that some of the waiting work has no alternative to.
 
 /// Kinds of machine (places in a catalog) that some work which waits can only run on.
 ///
 /// Work that has a choice leaves them alone: of two places that are as good for it, the one that nobody else depends
 /// on costs the fleet less.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Niches {
+pub struct Fragmentation {
     wanted: Vec<bool>,
 }
 
-impl Niches {
+impl Fragmentation {
     /// None, of so many kinds.
-    pub fn none(kinds: usize) -> Niches {
-        Niches { wanted: vec![false; kinds] }
+    pub fn none(kinds: usize) -> Fragmentation {
+        Fragmentation { wanted: vec![false; kinds] }
     }
 
     /// Some work that waits can run on these kinds.
--- a/crates/hopyoke-scheduler/src/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Workers' reports: they rebuild and update the ledger, and are answered with orders.
 
-use super::fleet::{Machine, Phase, Slot, SlotState, Stop};
-use super::{Action, Core};
+use super::fleet::{Allocation, AllocationState, Machine, MachinePhase, Stop};
+use super::{Action, Scheduler};
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_protocol::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use hopyoke_run_times::End;
@@ -12,16 +12,16 @@
 
 /// What to answer to a report.
 #[derive(Debug, PartialEq)]
-pub struct Answer {
+pub struct HeartbeatReply {
     pub token: FencingToken,
     /// The report was newer than all before. One that is not says nothing about now.
     pub fresh: bool,
     pub commands: Vec<Command>,
 }
 
-impl Core {
+impl Scheduler {
     /// A report came in on `/hello`; the answer renews the worker's lease.
-    pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Micros) -> Answer {
+    pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Micros) -> HeartbeatReply {
         // A late report, or one of a machine that is gone, is answered without orders.
         let fresh = self.merge(heartbeat, true, now);
         let lease_bound = self.cfg.lease_bound();
@@ -37,7 +37,7 @@
             }
             commands = self.orders_for(&heartbeat.machine, Some((heartbeat.epoch, heartbeat.sequence)), now);
         }
-        Answer { token: self.token, fresh, commands }
+        HeartbeatReply { token: self.token, fresh, commands }
     }
 
     /// A worker answered direct orders (or refused them) with its report.
@@ -52,12 +52,12 @@
         if let Some(m) = self.machines.get_mut(machine) {
             m.direct_open = false;
             let answered = heartbeat.map(|r| (r.epoch, r.sequence));
-            for (_, slot) in m.slots_in_flight().filter(|(_, s)| s.direct) {
-                slot.direct = false;
+            for (_, allocation) in m.slots_in_flight().filter(|(_, s)| s.direct) {
+                allocation.direct = false;
                 match answered {
                     // Its report can't be read: what was started is unknown until another shows it.
-                    None => slot.doubtful |= executed,
-                    Some(_) if executed && slot.offered < answered => slot.offered = answered,
+                    None => allocation.outcome_unknown |= executed,
+                    Some(_) if executed && allocation.offered < answered => allocation.offered = answered,
                     Some(_) => {}
                 }
             }
@@ -72,7 +72,7 @@
             self.merge(r, false, now);
         }
         // The session was another than we believed; now we know it.
-        if self.recovering && self.machines.get(machine).is_some_and(|m| !m.settled(self.token)) {
+        if self.is_reconciling && self.machines.get(machine).is_some_and(|m| !m.is_reconciled(self.token)) {
             self.probes.push_back(machine.clone());
         }
         // What changed meanwhile, or was refused, is still to be sent.
@@ -87,12 +87,12 @@
             m.direct_open = false;
             m.direct_retry_at = now + Micros::from_secs(3);
             m.unreachable = true;
-            if self.recovering && !m.settled(self.token) {
+            if self.is_reconciling && !m.is_reconciled(self.token) {
                 self.probes.push_back(machine.clone());
             }
-            for (_, slot) in m.slots_in_flight().filter(|(_, s)| s.direct) {
-                slot.direct = false;
-                slot.doubtful |= maybe_sent;
+            for (_, allocation) in m.slots_in_flight().filter(|(_, s)| s.direct) {
+                allocation.direct = false;
+                allocation.outcome_unknown |= maybe_sent;
             }
             self.commands_due.insert(machine.clone());
         }
@@ -126,23 +126,23 @@
             return false;
         }
         let new_session = heartbeat.epoch > m.epoch;
-        let back = m.phase != Phase::Up;
-        let booted = (m.phase == Phase::Booting && m.dated).then_some(now - m.rented_at);
-        let was_settled = m.settled(self.token);
+        let back = m.phase != MachinePhase::Up;
+        let booted = (m.phase == MachinePhase::Booting && m.dated).then_some(now - m.rented_at);
+        let was_settled = m.is_reconciled(self.token);
         m.epoch = heartbeat.epoch;
         m.sequence = heartbeat.sequence;
         m.token_seen = m.token_seen.max(heartbeat.token);
         m.young_session |= hello && old_sessions_are_over;
-        self.changed |= back || was_settled != m.settled(self.token);
-        if !m.registered {
-            self.register.want(id);
+        self.changed |= back || was_settled != m.is_reconciled(self.token);
+        if !m.is_registered {
+            self.registry.want(id);
         }
         m.last_seen = now;
         m.unreachable = false;
-        m.suspect = false;
+        m.is_crash_looping = false;
         m.address = heartbeat.address.parse().ok();
         m.spot = heartbeat.spot;
-        m.phase = Phase::Up;
+        m.phase = MachinePhase::Up;
         if new_session || (back && m.lease_end <= now) {
             // A session has its whole lease from its beginning, and that may have been just now: the
             // end that was counted is that of the session before. A direct order's answer tells of a
@@ -162,14 +162,14 @@
         let nominal = self.boot_time(&heartbeat.machine_type);
         if let Some(took) = booted.filter(|_| nominal > Micros::ZERO) {
             let in_boots = |t: Micros| t.as_secs_f64() / nominal.as_secs_f64();
-            self.boots.came_up(&heartbeat.machine_type, in_boots(took), in_boots(now));
+            self.provisioning_estimator.came_up(&heartbeat.machine_type, in_boots(took), in_boots(now));
         }
         if new_session {
             // Everything of earlier sessions is gone, and so are their late direct orders.
-            self.clear_slots(id);
+            self.clear_allocations(id);
         }
-        let slots = self.machines.get(id).map_or(0, |m| m.slots().len());
-        self.looked_at(1 + heartbeat.tasks.len() + slots);
+        let allocations = self.machines.get(id).map_or(0, |m| m.allocations().len());
+        self.add_visited(1 + heartbeat.tasks.len() + allocations);
         let mut listed = Vec::with_capacity(heartbeat.tasks.len());
         for t in &heartbeat.tasks {
             let Some(task) = TaskId::parse(&t.task) else {
@@ -186,41 +186,41 @@
 
     fn merge_task(&mut self, id: &MachineId, task: TaskId, t: &TaskStatus, now: Micros) {
         let key = (task, t.attempt);
-        let known = self.machines.get(id).is_some_and(|m| m.slots().contains_key(&key));
+        let known = self.machines.get(id).is_some_and(|m| m.allocations().contains_key(&key));
         if !known {
             // Reconnect: an attempt of an earlier holder, or one that we believed gone.
             let spec = self.jobs.get(&key.0.job).map(|j| j.spec.clone());
-            let slot = Slot::new(SlotState::Live(TaskState::Fetching), spec, now);
+            let allocation = Allocation::new(AllocationState::Live(TaskState::Fetching), spec, now);
             if let Some(m) = self.machines.get_mut(id) {
-                m.slots_mut().insert(key.clone(), slot);
+                m.slots_mut().insert(key.clone(), allocation);
             }
             self.place_add(id, &key.0, t.attempt);
             self.changed = true;
             debug!(machine = %id, task = %key.0, attempt = t.attempt.0, state = ?t.state, "attempt found");
         }
         let state = match (t.state, t.why) {
-            (TaskState::Ended, why) => SlotState::Ended(why.unwrap_or(ExitReason::Other)),
-            (s, _) => SlotState::Live(s),
+            (TaskState::Ended, why) => AllocationState::Ended(why.unwrap_or(ExitReason::Other)),
+            (s, _) => AllocationState::Live(s),
         };
         let Some(m) = self.machines.get_mut(id) else { return };
-        let Some(was) = m.slots().get(&key).map(|s| s.state) else { return };
-        if matches!(was, SlotState::Ended(_)) || (known && was == state) {
+        let Some(was) = m.allocations().get(&key).map(|s| s.state) else { return };
+        if matches!(was, AllocationState::Ended(_)) || (known && was == state) {
             return;
         }
-        let Some(slot) = m.slots_mut().get_mut(&key) else { return };
-        slot.state = state;
+        let Some(allocation) = m.slots_mut().get_mut(&key) else { return };
+        allocation.state = state;
         // Only an end makes room.
-        self.changed |= matches!(state, SlotState::Ended(_));
+        self.changed |= matches!(state, AllocationState::Ended(_));
         match state {
-            SlotState::Live(TaskState::Running) => {
-                let first = slot.running_since.is_none();
-                slot.running_since.get_or_insert(now);
+            AllocationState::Live(TaskState::Running) => {
+                let first = allocation.running_since.is_none();
+                allocation.running_since.get_or_insert(now);
                 self.task_runs(id, &key.0, t.attempt);
                 if first {
                     self.run_began(id, &key.0, t.attempt, known, now);
                 }
             }
-            SlotState::Ended(why) => {
+            AllocationState::Ended(why) => {
                 let end = match why {
                     ExitReason::Done => End::Done,
                     ExitReason::Stopped | ExitReason::GangPeersLost => End::Cut,
@@ -244,7 +244,7 @@
     fn judge_adopted(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             // Cancelled or done, or never accepted.
-            return self.stop_slot(id, &task.job, task.index, attempt, 0.0);
+            return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
         };
         // A later attempt was only started once all earlier ones were proven to be gone: if one is found beside it, an old
         // report tells of that, and the later goes on. (Scenario old_report_stops_nothing.)
@@ -252,7 +252,7 @@
         let others: Vec<_> = places.filter(|(m, a)| m != id || *a != attempt).cloned().collect();
         let surplus = others.iter().any(|(_, a)| *a >= attempt);
         if job.done.contains(task.index) || task.index >= job.spec.tasks || surplus {
-            return self.stop_slot(id, &task.job, task.index, attempt, 0.0);
+            return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
         }
         if job.is_gang() {
             // All tasks of a gang share their latest recorded attempt; others are being wound up.
@@ -260,11 +260,11 @@
                 job.term = attempt;
                 self.writes.note(&task.job);
             } else if attempt < job.term {
-                self.stop_slot(id, &task.job, task.index, attempt, 0.0);
+                self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
             }
         }
         for (machine, earlier) in others {
-            self.stop_slot(&machine, &task.job, task.index, earlier, 0.0);
+            self.stop_allocation(&machine, &task.job, task.index, earlier, 0.0);
         }
     }
 
@@ -336,7 +336,7 @@
     fn task_failed(&mut self, id: &MachineId, task: &TaskId, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         job.failed_on.insert(id.clone());
-        let bad_job = job.suspect(self.tuning.suspect_after);
+        let bad_job = job.is_crash_looping(self.tuning.suspect_after);
         if bad_job {
             // Its failures so far speak against it, not against the machines.
             for m in &job.failed_on {
@@ -386,13 +386,15 @@
         let Some(m) = self.machines.get_mut(id) else { return };
         let now_id = (heartbeat.epoch, heartbeat.sequence);
         let absent: Vec<(TaskId, Attempt)> = m
-            .slots()
+            .allocations()
             .iter()
             .filter(|(k, _)| listed.binary_search(k).is_err())
             .filter(|(_, s)| match s.state {
                 // One report is in flight at a time, so a newer report shows whether the orders
                 // that answered an older one were executed. A direct answer may overtake them.
-                SlotState::Sent => hello && !s.direct && !s.doubtful && s.offered.is_some_and(|o| o < now_id),
+                AllocationState::Sent => {
+                    hello && !s.direct && !s.outcome_unknown && s.offered.is_some_and(|o| o < now_id)
+                }
                 _ => true,
             })
             .map(|(k, _)| k.clone())
@@ -411,17 +413,17 @@
     }
 
     /// Forgets all that was on a machine; returns how many attempts held a place.
-    pub(super) fn clear_slots(&mut self, id: &MachineId) -> usize {
+    pub(super) fn clear_allocations(&mut self, id: &MachineId) -> usize {
         let Some(m) = self.machines.get_mut(id) else { return 0 };
-        let slots = std::mem::take(m.slots_mut());
+        let allocations = std::mem::take(m.slots_mut());
         // For all that we know they ran until it was last heard of.
         let seen = m.last_seen;
         self.commands_due.remove(id);
         let mut held = 0;
-        for ((task, attempt), slot) in slots {
-            if slot.is_live() {
+        for ((task, attempt), allocation) in allocations {
+            if allocation.is_live() {
                 held += 1;
-                if slot.running_since.is_some() {
+                if allocation.running_since.is_some() {
                     self.run_ended(id, &task, attempt, End::Cut, seen);
                 }
             }
@@ -436,15 +438,15 @@
     }
 
     /// A job appeared in the ledger of which workers have reported tasks already.
-    pub(super) fn adopt_slots(&mut self, id: &JobId, spec: &Rc<JobSpec>) {
+    pub(super) fn adopt_allocations(&mut self, id: &JobId, spec: &Rc<JobSpec>) {
         let mut found = Vec::new();
-        let strange = |m: &Machine| m.slots().iter().any(|((t, _), s)| t.job == *id && s.spec.is_none());
-        for m in self.machines.values_mut().filter(|m| strange(m)) {
+        let orphaned = |m: &Machine| m.allocations().iter().any(|((t, _), s)| t.job == *id && s.spec.is_none());
+        for m in self.machines.values_mut().filter(|m| orphaned(m)) {
             let machine = m.id.clone();
-            for ((task, attempt), slot) in m.slots_mut() {
-                if task.job == *id && slot.spec.is_none() {
-                    slot.spec = Some(spec.clone());
-                    if slot.is_live() {
+            for ((task, attempt), allocation) in m.slots_mut() {
+                if task.job == *id && allocation.spec.is_none() {
+                    allocation.spec = Some(spec.clone());
+                    if allocation.is_live() {
                         found.push((machine.clone(), task.clone(), *attempt));
                     }
                 }
@@ -468,22 +470,33 @@
     }
 
     /// Has an attempt stopped. One that was never offered to the worker just goes.
-    pub(super) fn stop_slot(&mut self, id: &MachineId, job: &JobId, index: u32, attempt: Attempt, grace_s: f64) {
+    pub(super) fn stop_allocation(
+        &mut self,
+        id: &MachineId,
+        job: &JobId,
+        index: u32,
+        attempt: Attempt,
+        grace_s: f64,
+    ) {
         let key = (TaskId { job: job.clone(), index }, attempt);
         let Some(m) = self.machines.get_mut(id) else { return };
-        let Some(slot) = m.slots().get(&key) else { return };
-        if slot.state == SlotState::Sent && slot.offered.is_none() && !slot.direct && !slot.doubtful {
+        let Some(allocation) = m.allocations().get(&key) else { return };
+        if allocation.state == AllocationState::Sent
+            && allocation.offered.is_none()
+            && !allocation.direct
+            && !allocation.outcome_unknown
+        {
             m.slots_mut().remove(&key);
             self.changed = true;
             return self.place_remove(id, &key.0, attempt);
         }
         let stop = Stop { grace_s };
         // A stop is only ever made harsher.
-        if slot.is_live()
-            && slot.stop.is_none_or(|s| grace_s < s.grace_s)
-            && let Some(slot) = m.slots_mut().get_mut(&key)
+        if allocation.is_live()
+            && allocation.stop.is_none_or(|s| grace_s < s.grace_s)
+            && let Some(allocation) = m.slots_mut().get_mut(&key)
         {
-            slot.stop = Some(stop);
+            allocation.stop = Some(stop);
             self.commands_due.insert(id.clone());
         }
     }
@@ -492,19 +505,19 @@
     fn orders_for(&mut self, id: &MachineId, answers: Option<(u64, u64)>, now: Micros) -> Vec<Command> {
         let Some(m) = self.machines.get_mut(id) else { return Vec::new() };
         self.commands_due.remove(id);
-        let may_start = m.registered && m.settled(self.token);
+        let may_start = m.is_registered && m.is_reconciled(self.token);
         // Stops of work that is over come first and are never left for the next answer: this one renews the
         // lease of whatever it does not stop. (Guards `ran_cancelled`.)
         let mut stops = Vec::new();
         let mut commands = Vec::new();
-        for ((task, attempt), slot) in m.slots_in_flight() {
+        for ((task, attempt), allocation) in m.slots_in_flight() {
             let (name, attempt) = (task.to_string(), *attempt);
             let job = self.jobs.get(&task.job);
             // Answers to workers are bounded; the rest goes with the next. A machine holds no more attempts than
             // its report has room for, so all stops fit.
             let room = commands.len() < MOST_ORDERS;
-            match slot.state {
-                SlotState::Ended(why) => {
+            match allocation.state {
+                AllocationState::Ended(why) => {
                     let recorded = match job {
                         Some(j) if why == ExitReason::Done && j.spec.kind != JobKind::Service => {
                             j.recorded.contains(task.index)
@@ -513,22 +526,24 @@
                     };
                     // A result is reaped only once it is recorded, and an attempt whose start may
                     // yet be executed late never: after a reap it would run again.
-                    if room && recorded && !slot.doubtful && !slot.direct {
+                    if room && recorded && !allocation.outcome_unknown && !allocation.direct {
                         commands.push(Command::Acknowledge { task: name, attempt });
                     }
                 }
-                SlotState::Sent => {
+                AllocationState::Sent => {
                     let recorded = job.is_none_or(|j| j.may_start(attempt));
-                    match slot.stop {
+                    match allocation.stop {
                         None if room && may_start && recorded => {
                             match answers {
-                                Some(a) => slot.offered = Some(a),
-                                None => slot.direct = true,
+                                Some(a) => allocation.offered = Some(a),
+                                None => allocation.direct = true,
                             }
                             commands.push(Command::Start { task: name, attempt });
                         }
                         // It may be executed late unless the worker knows it as stopped already.
-                        Some(_) if slot.doubtful && now >= slot.since + Micros::from_secs(5) => {
+                        Some(_)
+                            if allocation.outcome_unknown && now >= allocation.since + Micros::from_secs(5) =>
+                        {
                             stops.push(Command::Start { task: name.clone(), attempt });
                             stops.push(Command::Stop { task: name, attempt, grace_s: 0.0 });
                         }
@@ -536,8 +551,8 @@
                         None => {}
                     }
                 }
-                SlotState::Live(state) => {
-                    if let Some(stop) = slot.stop
+                AllocationState::Live(state) => {
+                    if let Some(stop) = allocation.stop
                         && (state != TaskState::Saving || stop.grace_s == 0.0)
                     {
                         stops.push(Command::Stop { task: name, attempt, grace_s: stop.grace_s });
@@ -560,7 +575,9 @@
             }
             let Some(id) = self.probes.pop_front() else { return };
             let Some(m) = self.machines.get_mut(&id) else { continue };
-            let wanted = m.phase != Phase::Lost && !m.deleting && (m.suspect || !m.settled(self.token));
+            let wanted = m.phase != MachinePhase::Lost
+                && !m.deleting
+                && (m.is_crash_looping || !m.is_reconciled(self.token));
             let Some(address) = m.address.filter(|_| wanted) else { continue };
             if m.direct_open || now < m.direct_retry_at {
                 self.probes.push_back(id);
@@ -595,7 +612,7 @@
         while let Some(id) = self.commands_due.pop_first() {
             let Some(m) = self.machines.get(&id) else { continue };
             // Whatever is not up yet gets its orders with the answer to its first report.
-            if m.phase != Phase::Up || !m.settled(self.token) || m.address.is_none() {
+            if m.phase != MachinePhase::Up || !m.is_reconciled(self.token) || m.address.is_none() {
                 continue;
             }
             if m.direct_open {
--- a/crates/hopyoke-scheduler/src/hours.rs
+++ b/crates/hopyoke-scheduler/src/hours.rs
@@ -3,8 +3,8 @@
 //! What was commanded shortly before and has not begun when they end is stopped; what runs goes on,
 //! unless the operators' settings say drain.
 
-use super::Core;
-use super::fleet::SlotState;
+use super::Scheduler;
+use super::fleet::AllocationState;
 use hopyoke_calendar::{Hours, Switch, Window};
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_protocol::worker::TaskState;
@@ -21,7 +21,7 @@
     window: Option<(Micros, Window)>,
 }
 
-impl Core {
+impl Scheduler {
     /// The operators' hours; `None`: nothing is ever held.
     pub fn set_hours(&mut self, hours: Option<Hours>) {
         self.staffing.hours = hours;
@@ -52,7 +52,7 @@
     }
 
     /// Looks whether staffed hours have begun or ended; the calendar itself only when a window is over.
-    pub(super) fn mind_hours(&mut self, now: Micros) {
+    pub(super) fn apply_staffed_hours(&mut self, now: Micros) {
         let s = &mut self.staffing;
         let Some(hours) = &s.hours else { return };
         let time_of_day = s.clock.1 + (now - s.clock.0);
@@ -101,7 +101,7 @@
             for (&index, places) in &job.places {
                 for (m, attempt) in places {
                     let key = (hopyoke_types::TaskId { job: id.clone(), index }, *attempt);
-                    let state = self.machines.get(m).and_then(|m| m.slots().get(&key)).map(|s| s.state);
+                    let state = self.machines.get(m).and_then(|m| m.allocations().get(&key)).map(|s| s.state);
                     // A gang that has begun goes on as a whole.
                     let begun = job.gang_started || matches!(state, Some(s) if has_begun(s));
                     if !begun {
@@ -117,7 +117,7 @@
             info!(tasks = stops.len(), drain, "staffed hours end: held tasks are stopped");
         }
         for (machine, job, index, attempt, grace) in stops {
-            self.stop_slot(&machine, &job, index, attempt, grace);
+            self.stop_allocation(&machine, &job, index, attempt, grace);
         }
     }
 
@@ -129,19 +129,19 @@
         job: &JobId,
         index: u32,
         attempt: Attempt,
-        state: SlotState,
+        state: AllocationState,
     ) {
         if let Some(j) = self.jobs.get(job)
-            && matches!(state, SlotState::Live(_))
+            && matches!(state, AllocationState::Live(_))
             && !has_begun(state)
             && !j.gang_started
             && self.is_held(&j.spec)
         {
-            self.stop_slot(id, job, index, attempt, 0.0);
+            self.stop_allocation(id, job, index, attempt, 0.0);
         }
     }
 }
 
-fn has_begun(state: SlotState) -> bool {
-    matches!(state, SlotState::Live(TaskState::Running | TaskState::Saving) | SlotState::Ended(_))
+fn has_begun(state: AllocationState) -> bool {
+    matches!(state, AllocationState::Live(TaskState::Running | TaskState::Saving) | AllocationState::Ended(_))
 }
--- a/crates/hopyoke-scheduler/src/job.rs
+++ b/crates/hopyoke-scheduler/src/job.rs
@@ -1,6 +1,6 @@
 //! A job in the leader's ledger, and its record in the state service.
 
-use super::amounts::Amounts;
+use super::amounts::Resources;
 use super::fleet::ImageKey;
 use super::ranges::Ranges;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
@@ -82,7 +82,7 @@
 pub struct Job {
     pub spec: Rc<JobSpec>,
     /// What one task takes.
-    pub task: Amounts,
+    pub task: Resources,
     pub image: ImageKey,
     pub accepted_us: u64,
     /// Of the record as last seen.
@@ -128,7 +128,7 @@
         let inherited = inherited && record.may_have_started();
         let done = record.done.tidy(record.spec.tasks);
         Job {
-            task: Amounts::of_task(&record.spec),
+            task: Resources::of_task(&record.spec),
             image: ImageKey::of(&record.spec.image),
             accepted_us: record.accepted_us,
             mod_revision,
@@ -167,7 +167,7 @@
     }
 
     /// Tasks that are neither done nor hold a place.
-    pub fn unplaced(&self) -> u32 {
+    pub fn unplaced_tasks(&self) -> u32 {
         let tasks = self.spec.tasks;
         // Of a task that is done, or that the job never had, a worker may still report an attempt.
         let beyond = self.places.last_key_value().is_some_and(|(i, _)| *i >= tasks);
@@ -207,7 +207,7 @@
     }
 
     /// Failed on several machines: the fault is its own most likely.
-    pub fn suspect(&self, after: usize) -> bool {
+    pub fn is_crash_looping(&self, after: usize) -> bool {
         self.failed_on.len() >= after
     }
 
--- a/crates/hopyoke-scheduler/src/learn.rs
+++ b/crates/hopyoke-scheduler/src/learn.rs
@@ -1,8 +1,8 @@
 //! Learned run times: what the core feeds the learner, and what it asks of it. Nothing here
 //! decides a rule.
 
-use crate::fleet::{Phase, SlotState};
-use crate::{Core, Tuning};
+use crate::fleet::{AllocationState, MachinePhase};
+use crate::{Scheduler, Tuning};
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_run_times::capacity::{Freeing, when_free};
@@ -77,7 +77,7 @@
     Work { class: &spec.class, team: &spec.team, estimate_s: spec.estimate_s }
 }
 
-impl Core {
+impl Scheduler {
     /// A number that no other start of any task has had: the token is unique, and the counter is
     /// ours alone and rises. It never falls behind the time since the grant, so that a later
     /// leader can tell when an attempt was commanded without any record of it.
@@ -177,8 +177,8 @@
                 ((TaskId { job: task.job.clone(), index: 0 }, attempt), machines)
             }
         };
-        let slot = self.machines.get(id).and_then(|m| m.slots().get(&(task.clone(), attempt)));
-        if let Some(since) = slot.filter(|_| seen).map(|s| s.since) {
+        let allocation = self.machines.get(id).and_then(|m| m.allocations().get(&(task.clone(), attempt)));
+        if let Some(since) = allocation.filter(|_| seen).map(|s| s.since) {
             self.learned.learner.note_lead(&spec.class, (now - since).as_secs_f64());
         }
         let before = seen.then_some(Micros::ZERO);
@@ -227,7 +227,7 @@
 
     /// Looks after runs that have outlived their bands, and machines that are far slower than
     /// their peers.
-    pub(super) fn look_at_runs(&mut self, now: Micros) {
+    pub(super) fn observe_runs(&mut self, now: Micros) {
         if !self.tuning.learn {
             return;
         }
@@ -239,11 +239,11 @@
             return;
         }
         self.learned.next_look = now + Micros::from_secs(5);
-        if !self.tuning.use_for_slow_machines || self.recovering {
+        if !self.tuning.use_for_slow_machines || self.is_reconciling {
             return;
         }
-        self.looked_at(self.machines.len());
-        let up = self.machines.values().filter(|m| m.phase == Phase::Up).count();
+        self.add_visited(self.machines.len());
+        let up = self.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
         let mut draining = self.machines.values().filter(|m| m.slow && !m.deleting).count();
         for slow in self.learned.learner.all_slow(self.tuning.slow_factor) {
             // One in twenty at a time: were most slow, the fault would be elsewhere.
@@ -252,7 +252,7 @@
             }
             if let Some(m) = self.machines.get_mut(&slow.machine)
                 && !m.slow
-                && m.phase == Phase::Up
+                && m.phase == MachinePhase::Up
             {
                 m.slow = true;
                 draining += 1;
@@ -334,7 +334,7 @@
                 placed += 1;
             }
         }
-        let waiting = job.unplaced();
+        let waiting = job.unplaced_tasks();
         if waiting > 0 {
             // What has no place yet follows in as many turns as it takes beside what runs now.
             let turns = if job.is_gang() { 1.0 } else { f64::from(waiting.div_ceil(placed.max(1))) };
@@ -382,10 +382,10 @@
         let (mut here, mut own) = (Vec::new(), Vec::new());
         for m in self.machines.values() {
             let zone = ask.zone.as_ref().is_none_or(|z| *z == m.zone);
-            let usable = zone && m.phase == Phase::Up && !m.deleting && !m.faulty && m.notice.is_none();
+            let usable = zone && m.phase == MachinePhase::Up && !m.deleting && !m.faulty && m.notice.is_none();
             let mut room = self.machine_type(&m.machine_type).map_or(0.0, |t| t.gpus);
-            for ((task, attempt), slot) in m.slots().iter().filter(|(_, s)| s.is_live()) {
-                let Some(spec) = &slot.spec else { continue };
+            for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live()) {
+                let Some(spec) = &allocation.spec else { continue };
                 room -= spec.gpus;
                 used += if spec.team == ask.team { spec.gpus } else { 0.0 };
                 if spec.kind == JobKind::Service || spec.gpus <= 0.0 {
@@ -393,11 +393,12 @@
                 }
                 let index = if spec.kind == JobKind::Gang { 0 } else { task.index };
                 let key = (TaskId { job: task.job.clone(), index }, *attempt);
-                let waits = matches!(slot.state, SlotState::Sent | SlotState::Live(TaskState::Fetching));
+                let waits =
+                    matches!(allocation.state, AllocationState::Sent | AllocationState::Live(TaskState::Fetching));
                 let (run, ran_s) = match self.learned.learner.remaining(&key, now) {
                     Some(found) => found,
                     None if waits => (self.expected(spec).distribution, 0.0),
-                    None => (self.expected(spec).distribution, (now - slot.since).as_secs_f64()),
+                    None => (self.expected(spec).distribution, (now - allocation.since).as_secs_f64()),
                 };
                 let freeing = Freeing { run, ran_s, amount: spec.gpus };
                 if usable {
@@ -416,7 +417,7 @@
             .jobs
             .values()
             .filter(|j| ask.zone.is_none() || j.spec.zone.is_none() || j.spec.zone == ask.zone)
-            .map(|j| f64::from(j.unplaced()) * j.spec.gpus)
+            .map(|j| f64::from(j.unplaced_tasks()) * j.spec.gpus)
             .sum();
         let place = ask.zone.as_ref().map_or(String::new(), |z| format!(" in zone {z}"));
         let Some(mut found) = when_free(&here, free, ask.gpus + ahead) else {
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -5,7 +5,7 @@
 //! - `heartbeats`: workers' reports rebuild and update the ledger; orders answer them.
 //! - `plan`: placement inside the leased blocks, and the demand for machines.
 //! - `rent`: renting and returning machines.
-//! - `register`: which machines may hold tasks, in pages in the state service.
+//! - `registry`: which machines may hold tasks, in pages in the state service.
 //! - `hours`: work that is held while nobody is there.
 //! - `records`: what must be written to the state service, in batches.
 
@@ -23,26 +23,26 @@
 pub mod queue_order;
 mod ranges;
 mod records;
-mod register;
+mod registry;
 mod rent;
 pub mod reservation;
 pub mod starvation;
 mod tuning;
 
-pub use amounts::{Amounts, Team, never_runs};
-pub use batch::{Batch, BatchError, RegisterPage, Write};
-pub use check::Verdict;
-pub use fleet::{Load, Machine, Phase, Slot, SlotState};
-pub use heartbeats::Answer;
+pub use amounts::{Resources, Team, never_runs};
+pub use batch::{Batch, BatchError, RegistryPage, Write};
+pub use check::RestartDecision;
+pub use fleet::{Allocation, AllocationState, Load, Machine, MachinePhase};
+pub use heartbeats::HeartbeatReply;
 pub use job::{EndRecord, Job, JobRecord};
 pub use learn::{Ask, Past, When};
 pub use plan::HELD;
 pub use ranges::Ranges;
-pub use rent::RentOutcome;
+pub use rent::ScaleOutOutcome;
 pub use tuning::Tuning;
 
-use crate::provisioning::Boots;
-use crate::reservation::KeptRoom;
+use crate::provisioning::ProvisioningEstimator;
+use crate::reservation::Reservations;
 use hopyoke_consistency::Tombstones;
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::worker::Command;
@@ -55,7 +55,7 @@
 
 /// What the core needs to know of the settings.
 #[derive(Debug, Clone)]
-pub struct Config {
+pub struct SchedulerConfig {
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
     pub heartbeat_interval: Micros,
@@ -70,10 +70,10 @@
     pub margin: Micros,
 }
 
-impl Config {
-    pub fn of(s: &Settings) -> Config {
+impl SchedulerConfig {
+    pub fn of(s: &Settings) -> SchedulerConfig {
         let f = &s.facts;
-        Config {
+        SchedulerConfig {
             zones: f.zones.clone(),
             teams: f
                 .teams
@@ -141,7 +141,7 @@
         machines: Vec<MachineId>,
     },
     /// Read the job's record again: a write of it failed or went unanswered.
-    Reread {
+    ReloadRecord {
         job: JobId,
     },
     /// Send orders straight to a worker.
@@ -163,8 +163,8 @@
 /// How often machines are looked at for what only time brings.
 const SWEEP: Micros = Micros::from_millis(100);
 
-pub struct Core {
-    pub cfg: Config,
+pub struct Scheduler {
+    pub cfg: SchedulerConfig,
     pub tuning: Tuning,
     /// Says that we are entitled to command; the revision at which the blocks were granted to us.
     pub token: FencingToken,
@@ -182,14 +182,14 @@
     listed: Option<BTreeSet<MachineId>>,
     /// Jobs whose record has left `job/`.
     tombstones: Tombstones,
-    recovering: bool,
+    is_reconciling: bool,
     counter: u64,
-    rents: rent::Rents,
-    boots: Boots,
+    pending_scale_outs: rent::PendingScaleOuts,
+    provisioning_estimator: ProvisioningEstimator,
     writes: records::Writes,
     learned: learn::Learned,
     staffing: hours::Staffing,
-    kept_room: KeptRoom,
+    reservations: Reservations,
     actions: VecDeque<Action>,
     /// Something changed that a plan must see.
     changed: bool,
@@ -205,7 +205,7 @@
     next_sweep: Micros,
     /// Machines whose orders have changed since they were last sent.
     commands_due: BTreeSet<MachineId>,
-    register: register::Register,
+    registry: registry::MachineRegistry,
     /// Machines to be asked what is on them, after a takeover.
     probes: VecDeque<MachineId>,
     open_probes: usize,
@@ -215,25 +215,25 @@
     moves_earned: Micros,
     next_fleet_line: Micros,
     /// Machines, jobs, bins and slots looked at so far; scenarios assert that it stays in bounds.
-    looks: Cell<u64>,
+    entities_visited: Cell<u64>,
     /// Zones of which most machines fell silent together, by their place in the settings' list.
     cut_zones: Vec<bool>,
     /// No replica is moved before this.
     next_move: Micros,
     /// Until then silence speaks against us, not against machines.
-    deaf_until: Micros,
+    receive_overloaded_until: Micros,
 }
 
-impl Core {
-    /// Takes over: `jobs` and `register` are as read after the grant of `token`.
+impl Scheduler {
+    /// Takes over: `jobs` and `registry` are as read after the grant of `token`.
     pub fn new(
-        cfg: Config,
+        cfg: SchedulerConfig,
         token: FencingToken,
         jobs: Vec<(JobId, JobRecord, ModRevision)>,
-        register: Vec<(String, ModRevision, Option<RegisterPage>)>,
+        registry: Vec<(String, ModRevision, Option<RegistryPage>)>,
         now: Micros,
-    ) -> Core {
-        let mut core = Core {
+    ) -> Scheduler {
+        let mut scheduler = Scheduler {
             writes: records::Writes::new(&cfg, now),
             cfg,
             token,
@@ -246,13 +246,13 @@
             gone: BTreeMap::new(),
             listed: None,
             tombstones: Tombstones::default(),
-            recovering: false,
+            is_reconciling: false,
             counter: 0,
             learned: learn::Learned::default(),
             staffing: hours::Staffing::default(),
-            kept_room: KeptRoom::default(),
-            rents: rent::Rents::default(),
-            boots: Boots::default(),
+            reservations: Reservations::default(),
+            pending_scale_outs: rent::PendingScaleOuts::default(),
+            provisioning_estimator: ProvisioningEstimator::default(),
             actions: VecDeque::new(),
             changed: true,
             next_plan: Micros::ZERO,
@@ -262,35 +262,35 @@
             plans: 0,
             next_sweep: Micros::ZERO,
             commands_due: BTreeSet::new(),
-            register: register::Register::default(),
+            registry: registry::MachineRegistry::default(),
             probes: VecDeque::new(),
             open_probes: 0,
             open_deletes: 0,
             move_budget: 0.0,
             moves_earned: now,
             next_fleet_line: Micros::ZERO,
-            looks: Cell::new(0),
+            entities_visited: Cell::new(0),
             cut_zones: Vec::new(),
             next_move: Micros::ZERO,
-            deaf_until: Micros::ZERO,
+            receive_overloaded_until: Micros::ZERO,
         };
         for (id, record, mod_revision) in jobs {
-            core.job_seen(id, record, mod_revision, now);
+            scheduler.job_seen(id, record, mod_revision, now);
         }
-        for (key, mod_revision, page) in register {
-            for id in core.register.read(key, mod_revision, page.as_ref()) {
+        for (key, mod_revision, page) in registry {
+            for id in scheduler.registry.read(key, mod_revision, page.as_ref()) {
                 let Some(p) = &page else { continue };
                 let mut m = Machine::new(id.clone(), p.machine_type.clone(), p.zone.clone(), p.spot, now);
-                (m.registered, m.inherited) = (true, true);
+                (m.is_registered, m.inherited) = (true, true);
                 m.address = p.machines.get(&id).and_then(|a| a.parse().ok());
-                core.probes.push_back(id.clone());
+                scheduler.probes.push_back(id.clone());
                 // An earlier holder may have answered it until just before our grant.
-                m.lease_end = now + core.cfg.lease_bound();
-                core.machines.insert(id, m);
+                m.lease_end = now + scheduler.cfg.lease_bound();
+                scheduler.machines.insert(id, m);
             }
         }
-        core.recovering = !core.register.is_empty();
-        core
+        scheduler.is_reconciling = !scheduler.registry.is_empty();
+        scheduler
     }
 
     /// Reports can't all be heard: this node is behind on its own processor, or has no room for
@@ -298,15 +298,15 @@
     /// its silence, and none is rented in place of those that are not heard. (Guards against a fleet
     /// that is deleted and rented anew because its leader is overloaded: seen at four to six times
     /// heirloomlane-fleet's size.)
-    pub fn deaf(&mut self, now: Micros) {
-        if now >= self.deaf_until {
+    pub fn set_receive_overloaded(&mut self, now: Micros) {
+        if now >= self.receive_overloaded_until {
             info!(machines = self.machines.len(), "not all machines can be heard");
         }
-        self.deaf_until = now + self.cfg.heartbeat_interval.times(2);
+        self.receive_overloaded_until = now + self.cfg.heartbeat_interval.times(2);
     }
 
-    fn is_deaf(&self, now: Micros) -> bool {
-        now < self.deaf_until
+    fn is_receive_overloaded(&self, now: Micros) -> bool {
+        now < self.receive_overloaded_until
     }
 
     pub fn set_catalog(&mut self, types: Vec<MachineType>) {
@@ -327,7 +327,7 @@
                 let job = Job::new(record, mod_revision, inherited, now);
                 let spec = job.spec.clone();
                 self.jobs.insert(id.clone(), job);
-                self.adopt_slots(&id, &spec);
+                self.adopt_allocations(&id, &spec);
             }
             Some(job) if mod_revision > job.mod_revision => {
                 let done = record.done.tidy(job.spec.tasks);
@@ -349,7 +349,7 @@
         let Some(job) = self.jobs.remove(id) else { return };
         for (index, places) in job.places {
             for (machine, attempt) in places {
-                self.stop_slot(&machine, id, index, attempt, 0.0);
+                self.stop_allocation(&machine, id, index, attempt, 0.0);
             }
         }
         self.changed = true;
@@ -393,21 +393,21 @@
             self.resumed = now;
         }
         self.last_settled = now;
-        self.mind_hours(now);
+        self.apply_staffed_hours(now);
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP;
-            self.looked_at(4 * self.machines.len());
-            self.note_cut_zones(now);
-            self.lapse_leases(now);
-            self.give_up_silent(now);
-            self.note_recovery(now);
-            self.look_at_runs(now);
+            self.add_visited(4 * self.machines.len());
+            self.detect_partitioned_zones(now);
+            self.expire_leases(now);
+            self.remove_unresponsive(now);
+            self.update_reconciliation(now);
+            self.observe_runs(now);
         }
         if self.plan_due(now) {
             self.changed = false;
             self.next_plan = now + self.plan_gap;
             self.plan_by = now + Micros::from_millis(500).max(self.plan_gap);
-            self.wind_up();
+            self.stop_finished();
             let demand = self.plan(now);
             self.rent(demand, now);
             self.return_idle(now);
@@ -425,12 +425,12 @@
     }
 
     /// What has been looked at so far: machines, jobs, bins, slots.
-    pub fn looks(&self) -> u64 {
-        self.looks.get()
+    pub fn entities_visited(&self) -> u64 {
+        self.entities_visited.get()
     }
 
-    fn looked_at(&self, n: usize) {
-        self.looks.set(self.looks.get() + n as u64);
+    fn add_visited(&self, n: usize) {
+        self.entities_visited.set(self.entities_visited.get() + n as u64);
     }
 
     /// Plans made so far.
@@ -442,7 +442,8 @@
     pub fn plan_cost(&mut self, cost: Micros, share: f64) {
         let gap = Micros::from_secs_f64(cost.as_secs_f64() / share.max(0.001));
         // A plan that nobody hears the answers to serves nobody: a node that is behind plans less often.
-        let most = self.tuning.plan_gap_most.times(if self.is_deaf(self.last_settled) { 4 } else { 1 });
+        let most =
+            self.tuning.plan_gap_most.times(if self.is_receive_overloaded(self.last_settled) { 4 } else { 1 });
         self.plan_gap = gap.clamp(self.tuning.plan_gap_least, most);
     }
 
@@ -456,7 +457,7 @@
             {
                 faults.push(format!("sums of {} are stale: {kept:?}", m.id));
             }
-            if m.registered && !self.register.names(&m.id) {
+            if m.is_registered && !self.registry.names(&m.id) {
                 faults.push(format!("{} counts as registered but is on no page", m.id));
             }
         }
@@ -466,16 +467,16 @@
             }
             let tasks = job.spec.tasks;
             let open = job.done.missing(tasks).filter(|i| !job.places.contains_key(i)).count();
-            if open as u32 != job.unplaced() {
-                faults.push(format!("{id} has {open} tasks without a place, not {}", job.unplaced()));
+            if open as u32 != job.unplaced_tasks() {
+                faults.push(format!("{id} has {open} tasks without a place, not {}", job.unplaced_tasks()));
             }
         }
         faults
     }
 
     /// True while tasks that nobody has reported may still be on a machine.
-    pub fn recovering(&self) -> bool {
-        self.recovering
+    pub fn is_reconciling(&self) -> bool {
+        self.is_reconciling
     }
 
     /// Recovery ends when every machine in the register is accounted for: it reported after
@@ -486,16 +487,16 @@
     /// Time alone ends it only for machines on pages that can't be read: whoever we have answered
     /// lives on, and an order of an earlier holder may have reached it between its report and our
     /// answer. (Scenario recovery_outlasts_leases.)
-    fn note_recovery(&mut self, now: Micros) {
-        if !self.recovering {
+    fn update_reconciliation(&mut self, now: Micros) {
+        if !self.is_reconciling {
             return;
         }
-        let blind = self.register.blind();
-        let open = self.machines.values().filter(|m| self.unaccounted(m)).count();
+        let blind = self.registry.blind();
+        let open = self.machines.values().filter(|m| self.is_unreconciled(m)).count();
         if open == 0 && (!blind || now >= self.started + self.cfg.lease_bound()) {
-            self.recovering = false;
+            self.is_reconciling = false;
             self.changed = true;
-            self.register.recovered();
+            self.registry.recovered();
             info!(token = self.token.0, after_ms = (now - self.started).as_millis(), "recovered");
         }
     }
@@ -503,9 +504,9 @@
     /// An earlier holder may have started something on it, and it has not shown yet that no more can come. What was
     /// not in the register when we read it has nothing of theirs: they start nothing on a machine before its page is
     /// written for certain. (Scenario recovery_new_machines.)
-    fn unaccounted(&self, m: &Machine) -> bool {
-        let may_hold = m.inherited || (self.register.blind() && m.phase == Phase::Up);
-        may_hold && m.phase != Phase::Lost && !m.settled(self.token)
+    fn is_unreconciled(&self, m: &Machine) -> bool {
+        let may_hold = m.inherited || (self.registry.blind() && m.phase == MachinePhase::Up);
+        may_hold && m.phase != MachinePhase::Lost && !m.is_reconciled(self.token)
     }
 
     /// A new report that still shows an older token, from now on, is of a session that began after our
@@ -531,15 +532,15 @@
 
     /// When most machines of a zone fall silent together, the zone is most likely cut off: they will
     /// be back, and machines rented there now could not report either.
-    fn note_cut_zones(&mut self, now: Micros) {
+    fn detect_partitioned_zones(&mut self, now: Micros) {
         let zones = self.cfg.zones.len() + 1;
         let quiet = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(1);
         let mut seen = vec![(0usize, 0usize); zones];
-        for m in self.machines.values().filter(|m| m.registered && !m.deleting) {
+        for m in self.machines.values().filter(|m| m.is_registered && !m.deleting) {
             let since = m.last_seen.max(self.resumed);
             let (all, silent) = &mut seen[self.cfg.zone_index(&m.zone)];
             *all += 1;
-            *silent += usize::from(m.phase == Phase::Lost || now >= since + quiet);
+            *silent += usize::from(m.phase == MachinePhase::Lost || now >= since + quiet);
         }
         // Were all zones silent, the fault would be ours.
         let heard = seen.iter().any(|(all, silent)| *all > 0 && silent * 2 < *all);
@@ -560,31 +561,35 @@
     /// A machine that has fallen silent while most others report is given up: its deletion proves
     /// that its tasks are gone, sooner than its lease's lapse would. Were it this node that is cut
     /// off, most would be silent, and nothing is deleted.
-    fn give_up_silent(&mut self, now: Micros) {
+    fn remove_unresponsive(&mut self, now: Micros) {
         let silent_after = (self.cfg.heartbeat_interval.times(4)).max(Micros::from_secs(8));
         // After a takeover, or a time in which we were not entitled to answer (scenario
         // outage_short), workers need a moment to find us.
         let since = |m: &Machine| m.last_seen.max(self.resumed + Micros::from_secs(1));
-        let watched: Vec<&Machine> =
-            self.machines.values().filter(|m| m.registered && m.phase != Phase::Lost && !m.deleting).collect();
-        let is_fresh =
-            |m: &&&Machine| m.phase == Phase::Up && now < m.last_seen + self.cfg.heartbeat_interval.times(2);
+        let watched: Vec<&Machine> = self
+            .machines
+            .values()
+            .filter(|m| m.is_registered && m.phase != MachinePhase::Lost && !m.deleting)
+            .collect();
+        let is_fresh = |m: &&&Machine| {
+            m.phase == MachinePhase::Up && now < m.last_seen + self.cfg.heartbeat_interval.times(2)
+        };
         let fresh = watched.iter().filter(is_fresh).count();
         if fresh == 0 {
             return;
         }
         let most_report = watched.len() >= 3 && fresh * 10 >= watched.len() * 6;
-        let deaf = self.is_deaf(now);
+        let set_receive_overloaded = self.is_receive_overloaded(now);
         // One that the cloud no longer lists is most likely gone: the list proves nothing, but the
         // deletion does. It is asked first, and given up if it does not answer either, though most were silent:
         // what was returned while the state service could not be written is still in the register, and a new
         // leader would wait for it until all leases had run out. (Scenario returned_in_outage.)
         // A new leader gives up the last few that did not answer it: work of the whole fleet waits for
         // them. Were they many, they might be cut off or hang, and be back.
-        let open = watched.iter().filter(|m| self.recovering && self.unaccounted(m)).count();
+        let open = watched.iter().filter(|m| self.is_reconciling && self.is_unreconciled(m)).count();
         let is_mute = |m: &Machine| m.unreachable || (m.probing && now >= m.probed_at + MUTE_AFTER);
-        let mute = watched.iter().filter(|m| self.recovering && self.unaccounted(m) && is_mute(m)).count();
-        let last_few = !deaf && open > 0 && open == mute && open * 50 <= watched.len();
+        let mute = watched.iter().filter(|m| self.is_reconciling && self.is_unreconciled(m) && is_mute(m)).count();
+        let last_few = !set_receive_overloaded && open > 0 && open == mute && open * 50 <= watched.len();
         let overdue_after = Micros(self.cfg.heartbeat_interval.0 * 5 / 4) + Micros::from_secs(1);
         let unlisted_after = self.cfg.heartbeat_interval.times(2);
         let unlisted = |m: &Machine| self.listed.as_ref().is_some_and(|l| !l.contains(&m.id));
@@ -592,18 +597,19 @@
             .iter()
             .filter(|m| {
                 let quiet = now.saturating_sub(since(m));
-                (most_report && last_few && self.unaccounted(m))
-                    || (most_report && quiet >= silent_after && !self.zone_cut(&m.zone) && !deaf)
+                (most_report && last_few && self.is_unreconciled(m))
+                    || (most_report && quiet >= silent_after && !self.zone_cut(&m.zone) && !set_receive_overloaded)
                     || unlisted(m)
-                        && ((m.unreachable && (most_report || !deaf)) || (most_report && quiet >= unlisted_after))
+                        && ((m.unreachable && (most_report || !set_receive_overloaded))
+                            || (most_report && quiet >= unlisted_after))
             })
             .map(|m| m.id.clone())
             .collect();
-        let overdue = |m: &&&Machine| !m.suspect && unlisted(m) && now >= m.last_seen + overdue_after;
+        let overdue = |m: &&&Machine| !m.is_crash_looping && unlisted(m) && now >= m.last_seen + overdue_after;
         let suspects: Vec<MachineId> = watched.iter().filter(overdue).map(|m| m.id.clone()).collect();
         for id in suspects {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.suspect = true;
+                m.is_crash_looping = true;
                 self.probes.push_back(id);
             }
         }
@@ -618,19 +624,19 @@
 
     /// Sessions end by themselves when we have not answered for long enough; then everything on
     /// the machine is gone. (Guards `ran_twice`: not a moment earlier.)
-    fn lapse_leases(&mut self, now: Micros) {
-        let deaf = self.is_deaf(now);
+    fn expire_leases(&mut self, now: Micros) {
+        let set_receive_overloaded = self.is_receive_overloaded(now);
         let lapsed: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.phase != Phase::Lost && m.lease_end > Micros::ZERO && now >= m.lease_end)
+            .filter(|m| m.phase != MachinePhase::Lost && m.lease_end > Micros::ZERO && now >= m.lease_end)
             .map(|m| m.id.clone())
             .collect();
         // Machines of a zone that is cut off are kept for as long as new ones would take to boot.
         let kept: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.phase == Phase::Lost && !m.deleting && !deaf)
+            .filter(|m| m.phase == MachinePhase::Lost && !m.deleting && !set_receive_overloaded)
             .filter(|m| now >= m.lease_end + self.boot_time(&m.machine_type))
             .map(|m| m.id.clone())
             .collect();
@@ -641,11 +647,11 @@
             }
         }
         for id in lapsed {
-            let held = self.clear_slots(&id);
+            let held = self.clear_allocations(&id);
             let cut = self.machines.get(&id).is_some_and(|m| self.zone_cut(&m.zone));
             if let Some(m) = self.machines.get_mut(&id) {
-                m.phase = Phase::Lost;
-                m.deleting |= !cut && !deaf;
+                m.phase = MachinePhase::Lost;
+                m.deleting |= !cut && !set_receive_overloaded;
                 m.idle_since = None;
                 info!(machine = %id, zone = %m.zone, spot = m.spot, tasks = held, epoch = m.epoch, "machine lost: its lease lapsed");
             }
--- a/crates/hopyoke-scheduler/src/plan/consolidate.rs
+++ b/crates/hopyoke-scheduler/src/plan/defragment.rs
@@ -2,18 +2,18 @@
 
 use super::TaskKey;
 use super::view::{Bin, Plan};
-use crate::Core;
-use crate::amounts::Amounts;
-use crate::fleet::{Machine, Slot};
+use crate::Scheduler;
+use crate::amounts::Resources;
+use crate::fleet::{Allocation, Machine};
 use hopyoke_types::Micros;
 use tracing::info;
 
-impl Core {
+impl Scheduler {
     /// Moves replicas off machines that hold little else than free room, to ones that are fuller:
     /// the machine can then hold a gang, or be returned. A move costs the replica a moment, so a
     /// small share of all replicas' time is what moves may take. (Moving replicas to drain a
     /// machine is allowed.)
-    pub(super) fn consolidate(&mut self, plan: &Plan, now: Micros) {
+    pub(super) fn defragment(&mut self, plan: &Plan, now: Micros) {
         let replicas: u32 = plan.bins.iter().map(|b| b.replicas).sum();
         let move_s = self.tuning.move_cost.as_secs_f64();
         // A small deployment earns a move a minute.
@@ -23,7 +23,7 @@
         // At most what 20 s earn is kept, but enough for one move.
         let most = (f64::from(replicas) * self.tuning.move_share * 20.0).max(move_s + 30.0);
         self.move_budget = (self.move_budget + earned).min(most);
-        if now < self.next_move || self.recovering() {
+        if now < self.next_move || self.is_reconciling() {
             return;
         }
         self.next_move = now + Micros::from_secs(2);
@@ -38,13 +38,13 @@
             .map(|(i, b)| (usage(b), i))
             .collect();
         hosts.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut free: Vec<Amounts> = hosts.iter().map(|h| plan.bins[h.1].free).collect();
+        let mut free: Vec<Resources> = hosts.iter().map(|h| plan.bins[h.1].free).collect();
         let mut moves = Vec::new();
         // Each look searches all hosts; what is not reached now is reached when others have gone.
         for from in 0..hosts.len().min(self.tuning.drain_looks) {
             let bin = &plan.bins[hosts[from].1];
             let Some(m) = bin.machine.as_ref().and_then(|id| self.machines.get(id)) else { continue };
-            self.looked_at(hosts.len());
+            self.add_visited(hosts.len());
             let Some(drain) = self.drain_of(m, now) else {
                 continue;
             };
@@ -72,7 +72,7 @@
             if targets.len() as u32 == bin.replicas && cost <= self.move_budget {
                 self.move_budget -= cost;
                 // Nothing is moved to a machine that is being drained.
-                free[from] = Amounts::default();
+                free[from] = Resources::default();
                 moves.extend(targets.into_iter().map(|t| t.2));
             } else {
                 for (to, task, _) in targets {
@@ -82,20 +82,20 @@
         }
         for (machine, task, attempt, grace) in moves {
             info!(machine = %machine, task = %task, "moving replica to drain machine");
-            self.stop_slot(&machine, &task.job, task.index, attempt, grace);
+            self.stop_allocation(&machine, &task.job, task.index, attempt, grace);
         }
     }
 
     /// The replicas whose leaving would empty a machine, if it holds nothing else and all of them
     /// have run for a while.
     pub(super) fn drain_of(&self, m: &Machine, now: Micros) -> Option<Vec<TaskKey>> {
-        let settled = self.tuning.move_settled;
+        let is_reconciled = self.tuning.move_settled;
         let load = m.kept_load()?;
         if load.live == 0 || load.live != load.replicas {
             return None;
         }
-        let ran = |s: &Slot| s.stop.is_none() && s.running_since.is_some_and(|t| now >= t + settled);
-        let live = || m.slots().iter().filter(|(_, s)| s.is_live());
+        let ran = |s: &Allocation| s.stop.is_none() && s.running_since.is_some_and(|t| now >= t + is_reconciled);
+        let live = || m.allocations().iter().filter(|(_, s)| s.is_live());
         live().all(|(_, s)| ran(s)).then(|| live().map(|(k, _)| k.clone()).collect())
     }
 }
--- a/crates/hopyoke-scheduler/src/plan/each.rs
+++ b/crates/hopyoke-scheduler/src/plan/each.rs
@@ -2,8 +2,8 @@
 
 use super::Start;
 use super::view::Plan;
-use crate::Core;
-use crate::check::Verdict;
+use crate::Scheduler;
+use crate::check::RestartDecision;
 use hopyoke_protocol::user::Priority;
 use hopyoke_types::{JobId, Micros};
 
@@ -11,7 +11,7 @@
 /// there; no machine is rented for it, and nothing is stopped.
 const AHEAD: usize = 4;
 
-impl Core {
+impl Scheduler {
     /// Arrays and services: each task for itself.
     pub(super) fn place_each(&mut self, id: &JobId, plan: &mut Plan, now: Micros) -> &'static str {
         let (Some(mut needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else { return "" };
@@ -31,13 +31,13 @@
             }
             match self.check(job, index) {
                 _ if begun.is_some_and(|(first, _)| first == index) => {}
-                Verdict::StartAnew if n >= window => ahead.push(index),
-                Verdict::StartAnew => startable.push(index),
-                Verdict::Unknown => unknown = true,
-                Verdict::Reconnect | Verdict::AcceptResult => {}
+                RestartDecision::Restart if n >= window => ahead.push(index),
+                RestartDecision::Restart => startable.push(index),
+                RestartDecision::Unknown => unknown = true,
+                RestartDecision::Reconnect | RestartDecision::AcceptResult => {}
             }
         }
-        if needs.suspect {
+        if needs.is_crash_looping {
             // It failed on several machines: one task at a time shows whether it still does, on room that
             // is there. Nothing is rented or stopped for it. (Guards against arrays with a mistake that
             // fill the fleet again after each backoff; scenario mistaken_array.)
@@ -110,7 +110,7 @@
             self.start_on(bin, id, index, image, plan, now);
         }
         match (unknown, soon) {
-            _ if needs.suspect => "a trial of one task",
+            _ if needs.is_crash_looping => "a trial of one task",
             (true, _) => "recovery",
             (_, true) => "running tasks that end soon",
             _ => "",
@@ -121,7 +121,7 @@
     pub(super) fn place_first(&mut self, id: &JobId, plan: &mut Plan, now: Micros) {
         let (Some(mut needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else { return };
         let index = job.done.first_missing();
-        if needs.suspect || self.check(job, index) != Verdict::StartAnew {
+        if needs.is_crash_looping || self.check(job, index) != RestartDecision::Restart {
             return;
         }
         // Most that are overdue wait for their team's limit: no bins are looked at for them.
--- a/crates/hopyoke-scheduler/src/plan/estimates.rs
+++ b/crates/hopyoke-scheduler/src/plan/estimates.rs
@@ -4,13 +4,13 @@
 use super::needs::Needs;
 use super::view::{Plan, Soon};
 use super::{Keyed, TaskKey};
-use crate::Core;
-use crate::amounts::Amounts;
-use crate::fleet::{Phase, Slot};
+use crate::Scheduler;
+use crate::amounts::Resources;
+use crate::fleet::{Allocation, MachinePhase};
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_types::Micros;
 
-impl Core {
+impl Scheduler {
     /// Jobs with a deadline change places among themselves, within one importance, by when they
     /// must start at the latest. The places that they hold together stay the same.
     pub(super) fn order_by_latest_start(&self, keyed: &mut [Keyed]) {
@@ -38,8 +38,8 @@
     }
 
     /// What stopping a task costs, in seconds: what it has run; more, the nearer it is to its end.
-    pub(super) fn work_lost(&self, key: &TaskKey, slot: &Slot, now: Micros) -> f64 {
-        let ran = slot.running_since.map_or(0.0, |t| (now - t).as_secs_f64());
+    pub(super) fn work_lost(&self, key: &TaskKey, allocation: &Allocation, now: Micros) -> f64 {
+        let ran = allocation.running_since.map_or(0.0, |t| (now - t).as_secs_f64());
         if !self.tuning.use_for_victims {
             return ran;
         }
@@ -52,13 +52,13 @@
         let mut complete = 0.0f64;
         for &i in taken {
             let Some(m) = plan.bins[i].machine.as_ref().and_then(|id| self.machines.get(id)) else { continue };
-            if m.phase == Phase::Booting {
+            if m.phase == MachinePhase::Booting {
                 complete = complete.max((m.rented_at + self.boot_time(&m.machine_type) - now).as_secs_f64());
             }
-            for ((task, attempt), slot) in m.slots().iter().filter(|(_, s)| s.is_live()) {
+            for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live()) {
                 let left = match self.remaining_s(task, *attempt, 0.5, now) {
                     Some(s) => s,
-                    None => slot.spec.as_ref().map_or(0.0, |s| self.expected(s).distribution.quantile(0.5)),
+                    None => allocation.spec.as_ref().map_or(0.0, |s| self.expected(s).distribution.quantile(0.5)),
                 };
                 complete = complete.max(left);
             }
@@ -131,7 +131,7 @@
             }
         }
         for (task, _) in self.learned.learner.ending_within(now, span) {
-            self.looked_at(1);
+            self.add_visited(1);
             let Some(job) = self.jobs.get(&task.job) else { continue };
             let only = (!job.is_gang()).then_some(task.index);
             for (_, places) in job.places.iter().filter(|(i, _)| only.is_none_or(|o| **i == o)) {
@@ -140,7 +140,7 @@
                         continue;
                     };
                     let Some(kind) = self.types.iter().position(|t| t.name == m.machine_type) else { continue };
-                    let room: Amounts = job.task;
+                    let room: Resources = job.task;
                     soon.push(Soon { kind, zone: self.cfg.zone_index(&m.zone), spot: m.spot, room });
                 }
             }
--- a/crates/hopyoke-scheduler/src/plan/gang.rs
+++ b/crates/hopyoke-scheduler/src/plan/gang.rs
@@ -3,15 +3,15 @@
 use super::Start;
 use super::needs::Needs;
 use super::view::Plan;
-use crate::Core;
-use crate::amounts::Amounts;
-use crate::check::Verdict;
+use crate::Scheduler;
+use crate::amounts::Resources;
+use crate::check::RestartDecision;
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_types::{JobId, Micros};
 use std::cmp::Reverse;
 use tracing::debug;
 
-impl Core {
+impl Scheduler {
     /// Gangs: all tasks at once, or the replacements that a waiting gang lacks.
     pub(super) fn place_gang(&mut self, id: &JobId, plan: &mut Plan, now: Micros) -> &'static str {
         let (Some(needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else { return "" };
@@ -24,27 +24,27 @@
         if job.gang_failing || (job.gang_started && missing.len() < n as usize) {
             return "its old attempt to end";
         }
-        if missing.iter().any(|&i| self.check(job, i) != Verdict::StartAnew) {
+        if missing.iter().any(|&i| self.check(job, i) != RestartDecision::Restart) {
             return "recovery";
         }
         let anew = missing.len() == n as usize;
         let term = job.term;
         let count = missing.len() as u32;
         if !plan.charge(&needs, count, &self.cfg.teams) {
-            if plan.keeps_room && !needs.suspect {
+            if plan.keeps_room && !needs.is_crash_looping {
                 self.reserve_quota(&needs, plan, count);
             }
             return "its team's limit";
         }
         // For a gang that failed on several machines nothing is rented and no room is kept.
-        let offers = needs.suspect.then(|| std::mem::take(&mut plan.offers));
+        let offers = needs.is_crash_looping.then(|| std::mem::take(&mut plan.offers));
         let chosen = self.choose_all(&needs, plan, count);
         if let Some(offers) = offers {
             plan.offers = offers;
         }
         let Some(bins) = chosen else {
             plan.refund(&needs, count);
-            if plan.keeps_room && !needs.suspect {
+            if plan.keeps_room && !needs.is_crash_looping {
                 self.reserve(&needs, plan, count, now);
             }
             return "machines";
@@ -136,10 +136,10 @@
     /// (Scenario largest_begin.)
     fn reserve_quota(&self, needs: &Needs, plan: &mut Plan, count: u32) {
         let Some(team) = needs.team else { return };
-        self.looked_at(self.jobs.len());
+        self.add_visited(self.jobs.len());
         let of_team = |spec: &JobSpec| spec.kind == JobKind::Service && spec.team == needs.spec.team;
         let lasting = self.jobs.values().filter(|j| of_team(&j.spec));
-        let lasting = lasting.fold(Amounts::default(), |sum, j| sum + j.task.times(j.places.len() as f64));
+        let lasting = lasting.fold(Resources::default(), |sum, j| sum + j.task.times(j.places.len() as f64));
         let gang = needs.task.times(f64::from(count));
         if self.cfg.teams[team].allows(&(lasting + gang)) {
             plan.used[team] = plan.used[team] + gang;
@@ -154,7 +154,7 @@
             return;
         }
         plan.reservations += 1;
-        self.looked_at(plan.bins.len());
+        self.add_visited(plan.bins.len());
         let holds: Vec<u32> = plan.kinds.iter().map(|k| k.holds(&needs.task)).collect();
         let zones = if needs.spec.one_zone { self.cfg.zones.len() + 1 } else { 1 };
         let mut fits: Vec<Vec<(u32, u32, usize)>> = vec![Vec::new(); zones];
@@ -187,7 +187,7 @@
             }
             for i in taken {
                 plan.bins[i].wanted = true;
-                plan.bins[i].free = Amounts::default();
+                plan.bins[i].free = Resources::default();
             }
         }
     }
--- a/crates/hopyoke-scheduler/src/plan/mod.rs
+++ b/crates/hopyoke-scheduler/src/plan/mod.rs
@@ -8,21 +8,21 @@
 //! its slots change, jobs that have all their places are passed over, and the bins are searched
 //! once per job, not once per task.
 
-mod consolidate;
+mod defragment;
 mod each;
 mod estimates;
 mod gang;
 mod needs;
 mod offers;
 mod preempt;
+mod stop_finished;
 mod turns;
 mod view;
-mod wind_up;
 
-use super::amounts::{Amounts, Team};
-use super::fleet::{Slot, SlotState};
+use super::amounts::{Resources, Team};
+use super::fleet::{Allocation, AllocationState};
 use super::rent::Demand;
-use super::{Core, Job};
+use super::{Job, Scheduler};
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
@@ -61,17 +61,17 @@
     image: bool,
 }
 
-impl Core {
+impl Scheduler {
     /// Makes a plan, starts what it can, and says which machines to rent.
     pub(super) fn plan(&mut self, now: Micros) -> Demand {
         self.plans += 1;
-        self.looked_at(self.jobs.len() + 2 * self.machines.len());
+        self.add_visited(self.jobs.len() + 2 * self.machines.len());
         self.judge_boots(now);
         let order = self.order(now);
         let mut plan = self.new_plan(&order, now);
         // A task on a machine whose job we don't know may belong to any team: until it is gone
         // (it has been told to stop) nothing that counts against a limit is started.
-        let strange = plan.strange;
+        let orphaned = plan.orphaned;
         let unbounded = !self.charge_unknown(&mut plan);
         for Turn { id, first } in order {
             let Some(job) = self.jobs.get(&id) else { continue };
@@ -81,7 +81,7 @@
                 HELD
             } else if now < job.hold_until {
                 "its backoff"
-            } else if (strange || unbounded) && self.limited(&job.spec.team) {
+            } else if (orphaned || unbounded) && self.limited(&job.spec.team) {
                 "recovery"
             } else if first {
                 self.place_first(&id, &mut plan, now);
@@ -107,9 +107,9 @@
         }
         for (machine, (task, attempt)) in std::mem::take(&mut plan.victims) {
             info!(machine = %machine, task = %task, "preempted for a production task");
-            self.stop_slot(&machine, &task.job, task.index, attempt, 0.0);
+            self.stop_allocation(&machine, &task.job, task.index, attempt, 0.0);
         }
-        self.consolidate(&plan, now);
+        self.defragment(&plan, now);
         let offers = plan.offers.into_iter().zip(plan.demand).filter(|(_, n)| *n > 0);
         Demand {
             offers: offers.map(|(o, n)| (o.offer, n)).collect(),
@@ -122,12 +122,12 @@
             bins: Vec::with_capacity(self.machines.len() + 64),
             open: Vec::new(),
             images: Vec::new(),
-            kinds: self.types.iter().map(Amounts::of_type).collect(),
+            kinds: self.types.iter().map(Resources::of_type).collect(),
             offers: self.offers(now),
             demand: Vec::new(),
-            used: vec![Amounts::default(); self.cfg.teams.len()],
-            strange: false,
-            keeps_room: self.kept_room.keeps(now),
+            used: vec![Resources::default(); self.cfg.teams.len()],
+            orphaned: false,
+            keeps_room: self.reservations.keeps(now),
             starts: Vec::new(),
             begun: BTreeMap::new(),
             victims: Vec::new(),
@@ -135,12 +135,12 @@
             preempt_searches: 0,
             lending: Vec::new(),
             soon: None,
-            niches: self.niches(order),
+            fragmentation: self.fragmentation(order),
         };
         plan.demand = vec![0; plan.offers.len()];
         self.fill_bins(&mut plan, now);
         // Bins without room even for the smallest waiting task need no second look.
-        let least = order.iter().filter_map(|t| self.jobs.get(&t.id)).map(|j| j.task).reduce(|a, b| Amounts {
+        let least = order.iter().filter_map(|t| self.jobs.get(&t.id)).map(|j| j.task).reduce(|a, b| Resources {
             cpus: a.cpus.min(b.cpus),
             gpus: a.gpus.min(b.gpus),
             memory_gb: a.memory_gb.min(b.memory_gb),
@@ -169,27 +169,27 @@
     /// room; so that is charged to every team. False if even that is not known.
     /// (Guards `quota`; scenario cancelled_before_takeover.)
     fn charge_unknown(&self, plan: &mut Plan) -> bool {
-        if !self.recovering() {
+        if !self.is_reconciling() {
             return true;
         }
-        let mut most = Amounts::default();
-        for m in self.machines.values().filter(|m| self.unaccounted(m)) {
+        let mut most = Resources::default();
+        for m in self.machines.values().filter(|m| self.is_unreconciled(m)) {
             let Some(t) = self.machine_type(&m.machine_type) else { return false };
-            most = most + Amounts::of_type(t);
+            most = most + Resources::of_type(t);
         }
         for used in &mut plan.used {
             *used = *used + most;
         }
-        !self.register.blind()
+        !self.registry.blind()
     }
 
     /// Jobs with work that has no place, in the order in which they get room.
     fn order(&mut self, now: Micros) -> Vec<Turn> {
         let mut jobs: Vec<(u64, &JobId)> = self.jobs.iter().map(|(id, j)| (j.accepted_us, id)).collect();
         jobs.sort_unstable();
-        let mut claimed = vec![Amounts::default(); self.cfg.teams.len()];
+        let mut claimed = vec![Resources::default(); self.cfg.teams.len()];
         let mut keyed = Vec::new();
-        let mut settled = Vec::new();
+        let mut is_reconciled = Vec::new();
         for (accepted_us, id) in jobs {
             let job = &self.jobs[id];
             let spec = &job.spec;
@@ -198,9 +198,9 @@
                 claimed[t] = claimed[t] + job.task.times(left);
                 self.cfg.teams[t].guarantees(&claimed[t])
             });
-            if job.unplaced() == 0 {
+            if job.unplaced_tasks() == 0 {
                 if !job.waits_for.is_empty() {
-                    settled.push(id.clone());
+                    is_reconciled.push(id.clone());
                 }
                 continue;
             }
@@ -222,7 +222,7 @@
         if self.tuning.use_for_deadlines {
             self.order_by_latest_start(&mut keyed);
         }
-        for id in settled {
+        for id in is_reconciled {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.waits_for = "";
             }
@@ -233,7 +233,7 @@
     /// A gang that its turn does not serve, for it needs much of its team's limit at once.
     fn is_due(&self, job: &Job, now: Micros) -> bool {
         let Some(team) = self.team(&job.spec.team) else { return false };
-        let need = job.task.times(f64::from(job.unplaced()));
+        let need = job.task.times(f64::from(job.unplaced_tasks()));
         let part = |need: f64, most: f64| if most > 0.0 { need / most } else { 0.0 };
         let part = part(need.cpus, team.cpus_max).max(part(need.gpus, team.gpus_max));
         crate::starvation::is_due(part, self.ago(job.accepted_us, now))
@@ -260,8 +260,8 @@
         let spec = job.spec.clone();
         let Some(m) = self.machines.get_mut(&s.machine) else { return };
         let task = TaskId { job: s.job, index: s.index };
-        let slot = Slot::new(SlotState::Sent, Some(spec), now);
-        m.slots_mut().insert((task.clone(), s.attempt), slot);
+        let allocation = Allocation::new(AllocationState::Sent, Some(spec), now);
+        m.slots_mut().insert((task.clone(), s.attempt), allocation);
         m.idle_since = None;
         if self.tuning.use_for_demand {
             self.run_commanded(&task, s.attempt, now);
@@ -275,8 +275,9 @@
         let Some(job) = self.jobs.get(id) else { return 0 };
         let runs = |index: u32, machine: &MachineId, attempt: Attempt| {
             let key = (TaskId { job: id.clone(), index }, attempt);
-            let slot = self.machines.get(machine).and_then(|m| m.slots().get(&key));
-            slot.is_some_and(|s| matches!(s.state, SlotState::Live(TaskState::Running | TaskState::Saving)))
+            let allocation = self.machines.get(machine).and_then(|m| m.allocations().get(&key));
+            allocation
+                .is_some_and(|s| matches!(s.state, AllocationState::Live(TaskState::Running | TaskState::Saving)))
         };
         let places = job.places.iter().flat_map(|(i, p)| p.iter().map(move |(m, a)| (*i, m, *a)));
         places.filter(|(i, m, a)| runs(*i, m, *a)).count() as u32
--- a/crates/hopyoke-scheduler/src/plan/needs.rs
+++ b/crates/hopyoke-scheduler/src/plan/needs.rs
@@ -2,10 +2,10 @@
 
 use super::Turn;
 use super::view::{Bin, Plan};
-use crate::Core;
-use crate::amounts::Amounts;
+use crate::Scheduler;
+use crate::amounts::Resources;
 use crate::fleet::ImageKey;
-use crate::fragmentation::Niches;
+use crate::fragmentation::Fragmentation;
 use hopyoke_protocol::user::{JobKind, JobSpec, Priority};
 use hopyoke_types::JobId;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 pub(super) struct Needs {
     pub(super) id: JobId,
     pub(super) spec: Rc<JobSpec>,
-    pub(super) task: Amounts,
+    pub(super) task: Resources,
     pub(super) image: ImageKey,
     pub(super) team: Option<usize>,
     /// The only zone allowed.
@@ -25,7 +25,7 @@
     /// How many types can hold a task of it.
     pub(super) choices: usize,
     /// It failed on several machines, so no machine is avoided for that.
-    pub(super) suspect: bool,
+    pub(super) is_crash_looping: bool,
     /// Spot machines are to be had: it leaves empty ordinary ones to work that needs them.
     pub(super) spare_ordinary: bool,
     /// Places of the job's tasks by zone.
@@ -82,7 +82,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     pub(super) fn needs(&self, id: &JobId) -> Option<Needs> {
         let job = self.jobs.get(id)?;
         let kinds: Vec<bool> = self.kinds_of(&job.spec).collect();
@@ -95,7 +95,7 @@
             zone: job.spec.zone.as_ref().map(|z| self.cfg.zone_index(z)),
             choices: kinds.iter().filter(|fits| **fits).count(),
             kinds,
-            suspect: job.suspect(self.tuning.suspect_after),
+            is_crash_looping: job.is_crash_looping(self.tuning.suspect_after),
             spare_ordinary: false,
             zones: vec![0; self.cfg.zones.len() + 1],
         };
@@ -111,19 +111,20 @@
 
     /// Which types hold a task of the job, by their place in the catalog.
     fn kinds_of(&self, spec: &JobSpec) -> impl Iterator<Item = bool> {
-        let task = Amounts::of_task(spec);
+        let task = Resources::of_task(spec);
         self.types.iter().map(move |t| {
-            spec.types.as_ref().is_none_or(|names| names.contains(&t.name)) && task.fits_in(&Amounts::of_type(t))
+            spec.types.as_ref().is_none_or(|names| names.contains(&t.name)) && task.fits_in(&Resources::of_type(t))
         })
     }
 
     /// Types that some of the waiting work has no alternative to.
-    pub(super) fn niches(&self, waiting: &[Turn]) -> Niches {
-        let mut niches = Niches::none(self.types.len());
+    pub(super) fn fragmentation(&self, waiting: &[Turn]) -> Fragmentation {
+        let mut fragmentation = Fragmentation::none(self.types.len());
         for job in waiting.iter().filter_map(|t| self.jobs.get(&t.id)) {
-            niches.add(self.kinds_of(&job.spec).enumerate().filter(|(_, fits)| *fits).map(|(kind, _)| kind));
+            fragmentation
+                .add(self.kinds_of(&job.spec).enumerate().filter(|(_, fits)| *fits).map(|(kind, _)| kind));
         }
-        niches
+        fragmentation
     }
 
     /// The job may use this machine.
@@ -133,7 +134,7 @@
             && (needs.spec.spot || !bin.spot)
             && !(needs.spare_ordinary && !bin.spot && bin.empty)
             && !(bin.returning && needs.spec.priority == Priority::Production)
-            && (needs.suspect || !bin.failed || !self.failed_on(bin, &needs.id))
+            && (needs.is_crash_looping || !bin.failed || !self.failed_on(bin, &needs.id))
     }
 
     pub(super) fn failed_on(&self, bin: &Bin, job: &JobId) -> bool {
@@ -143,7 +144,7 @@
 
     /// All bins that have room for a task of the job, best first.
     pub(super) fn candidates(&self, needs: &Needs, plan: &Plan, zone: Option<usize>) -> Candidates {
-        self.looked_at(plan.open.len());
+        self.add_visited(plan.open.len());
         let zones = if needs.cares_for_zones() { self.cfg.zones.len() + 1 } else { 1 };
         let mut scored: Vec<Vec<(f64, usize)>> = vec![Vec::new(); zones];
         for &i in &plan.open {
--- a/crates/hopyoke-scheduler/src/plan/offers.rs
+++ b/crates/hopyoke-scheduler/src/plan/offers.rs
@@ -2,7 +2,7 @@
 
 use super::needs::Needs;
 use super::view::{Bin, OfferView, Plan};
-use crate::Core;
+use crate::Scheduler;
 use crate::rent::Offer;
 use hopyoke_types::Micros;
 
@@ -22,10 +22,10 @@
             {
                 continue;
             }
-            let slots = self.kinds[o.kind].holds(&needs.task).min(left.max(1));
-            let avoided = self.niches.avoids(o.kind, needs.choices);
-            let cost = o.cost * if avoided { NICHE_BURDEN } else { 1.0 } / f64::from(slots);
-            if slots > 0 && best.is_none_or(|(c, _)| cost < c) {
+            let allocations = self.kinds[o.kind].holds(&needs.task).min(left.max(1));
+            let avoided = self.fragmentation.avoids(o.kind, needs.choices);
+            let cost = o.cost * if avoided { NICHE_BURDEN } else { 1.0 } / f64::from(allocations);
+            if allocations > 0 && best.is_none_or(|(c, _)| cost < c) {
                 best = Some((cost, i));
             }
         }
@@ -43,7 +43,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// What can be rented, but for what the cloud refused of late.
     pub(super) fn offers(&self, now: Micros) -> Vec<OfferView> {
         let mut here = vec![0u32; self.cfg.zones.len() + 1];
@@ -61,7 +61,7 @@
                 for spot in [true, false] {
                     let price = if spot { t.spot_price } else { t.price };
                     let offer = Offer { machine_type: t.name.clone(), zone: z.clone(), spot };
-                    if (spot && price <= 0.0) || self.rents.refused(&offer, now) || self.zone_cut(z) {
+                    if (spot && price <= 0.0) || self.pending_scale_outs.refused(&offer, now) || self.zone_cut(z) {
                         continue;
                     }
                     offers.push(OfferView { offer, kind, zone, spot, cost: price * burden });
--- a/crates/hopyoke-scheduler/src/plan/preempt.rs
+++ b/crates/hopyoke-scheduler/src/plan/preempt.rs
@@ -3,16 +3,16 @@
 use super::TaskKey;
 use super::needs::Needs;
 use super::view::Plan;
-use crate::Core;
-use crate::amounts::Amounts;
-use crate::fleet::Slot;
+use crate::Scheduler;
+use crate::amounts::Resources;
+use crate::fleet::Allocation;
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::Micros;
 
 /// What making room costs, in which bin, and who must go.
 type Room = (f64, usize, Vec<TaskKey>);
 
-impl Core {
+impl Scheduler {
     /// Makes room for a production task on a machine that is up by stopping tasks of arrays of
     /// lower priority: nobody else is preempted, for arrays lose least. The room is taken in the
     /// plan; the task starts once the others have exited. Returns the zone.
@@ -21,7 +21,7 @@
             return None;
         }
         plan.preempt_searches += 1;
-        self.looked_at(plan.bins.len());
+        self.add_visited(plan.bins.len());
         let mut best: Option<Room> = None;
         for (i, bin) in plan.bins.iter().enumerate() {
             if !bin.ready
@@ -39,8 +39,8 @@
             let mut victims = Vec::new();
             let mut lost = 0.0;
             let Some(m) = bin.machine.as_ref().and_then(|m| self.machines.get(m)) else { continue };
-            let mut candidates: Vec<(f64, &TaskKey, &Slot)> = m
-                .slots()
+            let mut candidates: Vec<(f64, &TaskKey, &Allocation)> = m
+                .allocations()
                 .iter()
                 .filter(|(k, s)| s.is_live() && s.stop.is_none() && !plan.victims.iter().any(|v| v.1 == **k))
                 .filter(|(_, s)| {
@@ -49,11 +49,11 @@
                 .map(|(k, s)| (self.work_lost(k, s, now), k, s))
                 .collect();
             candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-            for (ran, key, slot) in candidates {
+            for (ran, key, allocation) in candidates {
                 if needs.task.fits_in(&room) {
                     break;
                 }
-                room = room + slot.amounts();
+                room = room + allocation.amounts();
                 lost += ran + 1.0;
                 victims.push(key.clone());
             }
@@ -68,12 +68,15 @@
         let (_, i, victims) = best?;
         let bin = &mut plan.bins[i];
         let machine = bin.machine.clone()?;
-        let freed = victims.iter().filter_map(|k| self.machines.get(&machine)?.slots().get(k)).map(Slot::amounts);
-        let freed = freed.fold(Amounts::default(), |a, b| a + b);
+        let freed = victims
+            .iter()
+            .filter_map(|k| self.machines.get(&machine)?.allocations().get(k))
+            .map(Allocation::amounts);
+        let freed = freed.fold(Resources::default(), |a, b| a + b);
         // Room that is promised to this task is neither free nor freeing for others.
         bin.freeing = bin.freeing + bin.free + freed - needs.task;
         bin.preemptible = bin.preemptible - freed;
-        bin.free = Amounts::default();
+        bin.free = Resources::default();
         bin.wanted = true;
         plan.victims.extend(victims.into_iter().map(|k| (machine.clone(), k)));
         Some(plan.bins[i].zone)
--- a/crates/hopyoke-scheduler/src/plan/wind_up.rs
+++ b/crates/hopyoke-scheduler/src/plan/stop_finished.rs
@@ -1,18 +1,18 @@
 //! Attempts that must end before anything else is placed.
 
-use crate::Core;
+use crate::Scheduler;
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::{Attempt, JobId, MachineId};
 use std::collections::BTreeSet;
 
-impl Core {
+impl Scheduler {
     /// Gangs that lost a task after they started, or that are to move, must end altogether first;
     /// services leave machines that are about to be taken.
-    pub(crate) fn wind_up(&mut self) {
+    pub(crate) fn stop_finished(&mut self) {
         let mut stops: Vec<(MachineId, JobId, u32, Attempt, f64)> = Vec::new();
         let mut moving: BTreeSet<JobId> = BTreeSet::new();
         for m in self.machines.values().filter(|m| m.notice.is_some() || m.faulty) {
-            for ((task, attempt), _) in m.slots().iter().filter(|(_, s)| s.is_live()) {
+            for ((task, attempt), _) in m.allocations().iter().filter(|(_, s)| s.is_live()) {
                 let Some(job) = self.jobs.get(&task.job) else { continue };
                 match job.spec.kind {
                     JobKind::Service => {
@@ -48,7 +48,7 @@
             }
         }
         for (machine, job, index, attempt, grace) in stops {
-            self.stop_slot(&machine, &job, index, attempt, grace);
+            self.stop_allocation(&machine, &job, index, attempt, grace);
         }
     }
 }
--- a/crates/hopyoke-scheduler/src/plan/turns.rs
+++ b/crates/hopyoke-scheduler/src/plan/turns.rs
@@ -2,12 +2,12 @@
 
 use super::{Keyed, OVERDUE};
 use crate::queue_order::Waiting;
-use crate::{Core, Job};
+use crate::{Job, Scheduler};
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_types::Micros;
 use std::collections::BTreeMap;
 
-impl Core {
+impl Scheduler {
     /// Arrays and gangs of one tenant change places among themselves, within one importance: most are to
     /// be served when the tenant offers more than it can get. (Guards against a day on which less
     /// than half of a class ends although its team's limit was used all day; scenario
@@ -24,7 +24,7 @@
             places.push(place);
             waiting.push(Waiting {
                 tenant,
-                work_s: f64::from(job.unplaced()) * spec.estimate_s.max(1.0),
+                work_s: f64::from(job.unplaced_tasks()) * spec.estimate_s.max(1.0),
                 waited: self.ago(*accepted_us, now),
             });
         }
--- a/crates/hopyoke-scheduler/src/plan/view.rs
+++ b/crates/hopyoke-scheduler/src/plan/view.rs
@@ -2,11 +2,11 @@
 
 use super::needs::Needs;
 use super::{Start, TaskKey};
-use crate::Core;
-use crate::amounts::{Amounts, Team};
-use crate::fleet::{ImageKey, Phase};
-use crate::fragmentation::Niches;
-use crate::provisioning::Verdict;
+use crate::Scheduler;
+use crate::amounts::{Resources, Team};
+use crate::fleet::{ImageKey, MachinePhase};
+use crate::fragmentation::Fragmentation;
+use crate::provisioning::ProvisioningState;
 use crate::rent::Offer;
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::{JobId, MachineId, Micros};
@@ -28,16 +28,16 @@
     /// Its zone: a place in the settings' list, or just past it.
     pub(super) zone: usize,
     pub(super) spot: bool,
-    pub(super) free: Amounts,
+    pub(super) free: Resources,
     pub(super) empty: bool,
     /// Attempts that its worker's report still has room for.
     pub(super) reportable: usize,
     /// Replicas on it, which stay long.
     pub(super) replicas: u32,
     /// What its tasks will free that have been told to go at once.
-    pub(super) freeing: Amounts,
+    pub(super) freeing: Resources,
     /// What could be freed for production work.
-    pub(super) preemptible: Amounts,
+    pub(super) preemptible: Resources,
     /// Where its images stand in the plan's list.
     pub(super) images: (u32, u32),
     /// The image of the task that this plan put on it last.
@@ -49,7 +49,7 @@
     /// The plan counts on it.
     pub(super) wanted: bool,
     /// Room that is kept for a gang, and for how many seconds nobody will miss it.
-    pub(super) lent: Option<(Amounts, f64)>,
+    pub(super) lent: Option<(Resources, f64)>,
 }
 
 /// A kind of machine that the cloud sells, as seen by one plan.
@@ -69,13 +69,13 @@
     pub(super) open: Vec<usize>,
     pub(super) images: Vec<ImageKey>,
     /// What a machine of each type offers.
-    pub(super) kinds: Vec<Amounts>,
+    pub(super) kinds: Vec<Resources>,
     pub(super) offers: Vec<OfferView>,
     pub(super) demand: Vec<u32>,
     /// Use by team.
-    pub(super) used: Vec<Amounts>,
+    pub(super) used: Vec<Resources>,
     /// Some live attempt is of a job that the ledger doesn't know.
-    pub(super) strange: bool,
+    pub(super) orphaned: bool,
     /// Room is kept for gangs that need it to collect; now and then a plan keeps none.
     pub(super) keeps_room: bool,
     pub(super) starts: Vec<Start>,
@@ -93,7 +93,7 @@
     /// looked up yet.
     pub(super) soon: Option<Vec<Soon>>,
     /// Kinds of machine that some of the waiting work has no alternative to.
-    pub(super) niches: Niches,
+    pub(super) fragmentation: Fragmentation,
 }
 
 /// Room that is about to be free.
@@ -101,14 +101,14 @@
     pub(super) kind: usize,
     pub(super) zone: usize,
     pub(super) spot: bool,
-    pub(super) room: Amounts,
+    pub(super) room: Resources,
 }
 
 /// What of a bin a gang's try changes.
-pub(super) type Before = (Amounts, bool, usize, u32, Option<ImageKey>, bool);
+pub(super) type Before = (Resources, bool, usize, u32, Option<ImageKey>, bool);
 
 impl Bin {
-    pub(super) fn rented(kind: usize, zone: usize, spot: bool, total: Amounts) -> Bin {
+    pub(super) fn rented(kind: usize, zone: usize, spot: bool, total: Resources) -> Bin {
         Bin {
             machine: None,
             ready: false,
@@ -119,8 +119,8 @@
             empty: true,
             reportable: MOST_REPORTED,
             replicas: 0,
-            freeing: Amounts::default(),
-            preemptible: Amounts::default(),
+            freeing: Resources::default(),
+            preemptible: Resources::default(),
             images: (0, 0),
             latest: None,
             failed: false,
@@ -166,7 +166,7 @@
             score += 20.0;
         }
         // Work that has a choice leaves room to work that has none.
-        if self.niches.avoids(bin.kind, needs.choices) {
+        if self.fragmentation.avoids(bin.kind, needs.choices) {
             score -= 60.0;
         }
         if needs.spec.kind == JobKind::Service {
@@ -240,7 +240,7 @@
         b.empty = false;
         b.reportable = b.reportable.saturating_sub(1);
         if b.reportable == 0 {
-            b.free = Amounts::default();
+            b.free = Resources::default();
         }
         b.replicas += u32::from(needs.spec.kind == JobKind::Service);
         b.latest = Some(needs.image);
@@ -249,23 +249,23 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     pub(super) fn fill_bins(&mut self, plan: &mut Plan, now: Micros) {
         let quiet = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(2);
-        let Core { machines, cfg, types, token, .. } = self;
+        let Scheduler { machines, cfg, types, token, .. } = self;
         for m in machines.values_mut() {
             let load = m.load(&cfg.teams);
-            plan.strange |= load.strange;
+            plan.orphaned |= load.orphaned;
             for (team, amounts) in &load.teams {
                 let used = &mut plan.used[usize::from(*team)];
                 *used = *used + *amounts;
             }
-            let fresh = m.phase == Phase::Up && now < m.last_seen + quiet;
-            if (m.phase == Phase::Up && !fresh)
+            let fresh = m.phase == MachinePhase::Up && now < m.last_seen + quiet;
+            if (m.phase == MachinePhase::Up && !fresh)
                 || m.deleting
                 || m.faulty
                 || m.slow
-                || (m.phase == Phase::Booting && m.boot != Verdict::Awaited)
+                || (m.phase == MachinePhase::Booting && m.boot != ProvisioningState::Awaited)
                 || m.notice.is_some()
                 || now < m.cool_until
             {
@@ -273,16 +273,16 @@
             }
             let Some(kind) = types.iter().position(|t| t.name == m.machine_type) else { continue };
             let Some(load) = m.kept_load() else { continue };
-            let reportable = MOST_REPORTED.saturating_sub(m.slots().len());
+            let reportable = MOST_REPORTED.saturating_sub(m.allocations().len());
             let first = plan.images.len() as u32;
             plan.images.extend_from_slice(&load.images);
             plan.bins.push(Bin {
                 machine: Some(m.id.clone()),
-                ready: fresh && m.registered && m.settled(*token),
+                ready: fresh && m.is_registered && m.is_reconciled(*token),
                 kind,
                 zone: cfg.zone_index(&m.zone),
                 spot: m.spot,
-                free: if reportable > 0 { plan.kinds[kind] - load.used } else { Amounts::default() },
+                free: if reportable > 0 { plan.kinds[kind] - load.used } else { Resources::default() },
                 empty: load.live == 0,
                 reportable,
                 replicas: load.replicas,
@@ -292,13 +292,13 @@
                 latest: None,
                 failed: !m.failed_jobs.is_empty(),
                 // Its lease has lapsed, but its zone is cut off and it may be back.
-                returning: m.phase == Phase::Lost,
+                returning: m.phase == MachinePhase::Lost,
                 wanted: false,
                 lent: None,
             });
         }
         // Machines that are being rented right now.
-        for (offer, n) in self.rents.open() {
+        for (offer, n) in self.pending_scale_outs.open() {
             if let Some(kind) = self.types.iter().position(|t| t.name == offer.machine_type) {
                 let zone = self.cfg.zone_index(&offer.zone);
                 for _ in 0..n {
--- a/crates/hopyoke-scheduler/src/provisioning.rs
+++ b/crates/hopyoke-scheduler/src/provisioning.rs
@@ -1,8 +1,8 @@
 //! How long machines take to come up, without any I/O.
 //!
 //! What is on order is no date but a distribution: most machines are up at about the nominal time, some
-//! take several times as long, some never come. [`Boots`] learns it for each type from machines that came
-//! up and, as censored observations, from those that have not. [`Boots::judge`] then compares a machine that
+//! take several times as long, some never come. [`ProvisioningEstimator`] learns it for each type from machines that came
+//! up and, as censored observations, from those that have not. [`ProvisioningEstimator::judge`] then compares a machine that
 //! is late with one that would be ordered now: only if the new one is likely to be there first is the late
 //! one no longer counted on. When all machines are slow a new one would be as slow, and nothing is ordered twice.
 //!
@@ -32,12 +32,12 @@
 
 /// What to think of a machine that boots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ProvisioningState {
     /// It is counted on.
     Awaited,
     /// A machine ordered now is likely to be there first. If this one comes all the same it is welcome.
     Late,
-    /// As [`Verdict::Late`], and it is most likely never to come: it is to be returned.
+    /// As [`ProvisioningState::Late`], and it is most likely never to come: it is to be returned.
     Hopeless,
 }
 
@@ -103,11 +103,11 @@
         1.0 - stays
     }
 
-    fn judge(&self, age: f64) -> Verdict {
+    fn judge(&self, age: f64) -> ProvisioningState {
         if age < 1.0 || self.chance(age, AHEAD) + GAIN >= self.chance(0.0, AHEAD) {
-            return Verdict::Awaited;
+            return ProvisioningState::Awaited;
         }
-        if self.chance(age, 1.0) < HOPE { Verdict::Hopeless } else { Verdict::Late }
+        if self.chance(age, 1.0) < HOPE { ProvisioningState::Hopeless } else { ProvisioningState::Late }
     }
 }
 
@@ -117,11 +117,11 @@
 
 /// What is known of how long machines take to come up, by type. As many types are kept as are named.
 #[derive(Debug, Clone, Default)]
-pub struct Boots {
+pub struct ProvisioningEstimator {
     curves: BTreeMap<String, Curve>,
 }
 
-impl Boots {
+impl ProvisioningEstimator {
     fn curve(&mut self, kind: &str) -> &mut Curve {
         self.curves.entry(kind.to_owned()).or_insert_with(Curve::believed)
     }
@@ -142,9 +142,9 @@
 
     /// Judges the machines of one type that boot, by their ages in nominal boots: a verdict for each. They count
     /// as seen up to now, so that what none of them has done yet is known.
-    pub fn judge(&mut self, kind: &str, ages: &[f64], now: f64) -> Vec<Verdict> {
+    pub fn judge(&mut self, kind: &str, ages: &[f64], now: f64) -> Vec<ProvisioningState> {
         if !ages.iter().any(|age| *age >= 1.0) {
-            return vec![Verdict::Awaited; ages.len()];
+            return vec![ProvisioningState::Awaited; ages.len()];
         }
         let mut curve = self.curve(kind).clone();
         curve.fade(now);
--- a/crates/hopyoke-scheduler/src/records.rs
+++ b/crates/hopyoke-scheduler/src/records.rs
@@ -1,8 +1,8 @@
 //! What must be written to the state service, in batches within half of its write rate.
 
-use super::batch::{Batch, BatchError, RegisterPage, Write};
+use super::batch::{Batch, BatchError, RegistryPage, Write};
 use super::job::JobRecord;
-use super::{Action, Config, Core, Phase};
+use super::{Action, MachinePhase, Scheduler, SchedulerConfig};
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 const MOST_BYTES: usize = 40 * 1024;
 
 impl Writes {
-    pub fn new(cfg: &Config, now: Micros) -> Writes {
+    pub fn new(cfg: &SchedulerConfig, now: Micros) -> Writes {
         Writes {
             due: BTreeMap::new(),
             budget: cfg.write_rps / 2.0,
@@ -72,10 +72,10 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// True if anything waits to be written.
     pub fn has_writes(&self) -> bool {
-        !self.writes.due.is_empty() || self.register.has_additions() || self.register.has_removals()
+        !self.writes.due.is_empty() || self.registry.has_additions() || self.registry.has_removals()
     }
 
     /// New work finds no room at the nodes' doors, or finds it again.
@@ -106,7 +106,7 @@
         // task, then whatever completes, then what can be gathered.
         let mut ranked: Vec<(u8, JobId)> = Vec::new();
         let (jobs, tuning, machines) = (&self.jobs, &self.tuning, &self.machines);
-        let up = |m: &MachineId| machines.get(m).is_some_and(|m| m.phase == Phase::Up);
+        let up = |m: &MachineId| machines.get(m).is_some_and(|m| m.phase == MachinePhase::Up);
         let (pressed, mut patient) = (w.pressed, w.patient);
         w.due.retain(|id, since| {
             let Some(job) = jobs.get(id) else { return false };
@@ -146,7 +146,7 @@
         self.draft_jobs(&mut draft, ranked);
         self.draft_pages(&mut draft, false);
         self.draft_jobs(&mut draft, rest);
-        if now >= self.writes.removals_at && draft.has_room(2, 0) && self.register.has_removals() {
+        if now >= self.writes.removals_at && draft.has_room(2, 0) && self.registry.has_removals() {
             self.writes.removals_at = now + Micros::from_millis(500);
             self.draft_pages(&mut draft, true);
         }
@@ -186,18 +186,18 @@
     /// A machine is registered once its worker has reported, and before its first task: so the
     /// next leader waits for no machine that still boots.
     fn draft_pages(&mut self, draft: &mut Draft, removals: bool) {
-        for id in self.register.take_wanted() {
+        for id in self.registry.take_wanted() {
             let Some(m) = self.machines.get(&id) else { continue };
-            if m.phase != super::Phase::Up || m.deleting {
+            if m.phase != super::MachinePhase::Up || m.deleting {
                 continue;
             }
             let (counter, token) = (&mut self.counter, self.token);
             let kind = (m.machine_type.as_str(), m.zone.as_str(), m.spot);
             let address = m.address.map(|a| a.to_string()).unwrap_or_default();
-            self.register.add(id, address, kind, self.cfg.value_bytes, || page_key(counter, token));
+            self.registry.add(id, address, kind, self.cfg.value_bytes, || page_key(counter, token));
         }
         while draft.has_room(1, self.cfg.value_bytes) || (draft.writes.is_empty() && draft.most >= 1) {
-            let Some(write) = self.register.next(removals) else { return };
+            let Some(write) = self.registry.next(removals) else { return };
             let bytes = match &write {
                 Write::Page { page: Some(page), .. } => page.bytes(),
                 _ => 0,
@@ -249,54 +249,54 @@
                 Write::Learned { key, .. } => self.learned_written(key, result.is_ok()),
                 Write::DropPage { key } => {
                     if result.is_err() {
-                        self.register.refused(&key);
+                        self.registry.refused(&key);
                     }
                 }
             }
         }
     }
 
-    fn page_ended(&mut self, key: &str, page: Option<&RegisterPage>, result: &Result<ModRevision, BatchError>) {
+    fn page_ended(&mut self, key: &str, page: Option<&RegistryPage>, result: &Result<ModRevision, BatchError>) {
         let changed_by_others = |pages: &[String]| pages.iter().any(|p| p == key);
         match result {
             Ok(mod_revision) => {
-                for id in self.register.written(key, *mod_revision, page) {
+                for id in self.registry.written(key, *mod_revision, page) {
                     if let Some(m) = self.machines.get_mut(&id)
-                        && !m.registered
+                        && !m.is_registered
                     {
-                        m.registered = true;
+                        m.is_registered = true;
                         self.changed = true;
                     }
                 }
             }
-            Err(BatchError::Conflict { pages, .. }) if !changed_by_others(pages) => self.register.refused(key),
-            Err(BatchError::Refused) => self.register.refused(key),
+            Err(BatchError::Conflict { pages, .. }) if !changed_by_others(pages) => self.registry.refused(key),
+            Err(BatchError::Refused) => self.registry.refused(key),
             Err(_) => {
                 let (counter, token) = (&mut self.counter, self.token);
-                self.register.doubtful(key, || page_key(counter, token));
+                self.registry.outcome_unknown(key, || page_key(counter, token));
             }
         }
     }
 
     /// After a conflict, or without an answer, the record itself says what holds.
     fn reread_after(&mut self, id: &JobId, error: &BatchError) {
-        let reread = match error {
+        let record_reloaded = match error {
             BatchError::Conflict { jobs, .. } => jobs.contains(id),
             BatchError::Deposed => false,
             BatchError::Refused => false,
             BatchError::Unknown => true,
         };
         if let Some(job) = self.jobs.get_mut(id)
-            && reread
+            && record_reloaded
         {
             // No further write of it before its record has been read.
             job.writing = true;
-            self.actions.push_back(Action::Reread { job: id.clone() });
+            self.actions.push_back(Action::ReloadRecord { job: id.clone() });
         }
     }
 
-    /// The answer to [`Action::Reread`]; `None`: the record is gone.
-    pub fn reread(&mut self, id: JobId, record: Option<(JobRecord, ModRevision)>, now: Micros) {
+    /// The answer to [`Action::ReloadRecord`]; `None`: the record is gone.
+    pub fn record_reloaded(&mut self, id: JobId, record: Option<(JobRecord, ModRevision)>, now: Micros) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.writing = false;
         }
@@ -307,8 +307,8 @@
     }
 
     /// The record could not be read; it is tried again.
-    pub fn reread_failed(&mut self, id: JobId) {
-        self.actions.push_back(Action::Reread { job: id });
+    pub fn record_reload_failed(&mut self, id: JobId) {
+        self.actions.push_back(Action::ReloadRecord { job: id });
     }
 }
 
--- a/crates/hopyoke-scheduler/src/register.rs
+++ b/crates/hopyoke-scheduler/src/registry.rs
@@ -5,12 +5,12 @@
 //! an older page back. (Guards `ran_twice`: a machine whose entry was lost would not be waited
 //! for.) A page whose write went unanswered is left behind for a new one.
 
-use super::batch::{ADDRESS_BYTES, RegisterPage, Write};
+use super::batch::{ADDRESS_BYTES, RegistryPage, Write};
 use hopyoke_types::{MachineId, ModRevision};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Page {
-    content: RegisterPage,
+    content: RegistryPage,
     mod_revision: ModRevision,
     writing: bool,
     /// Machines were added that the state service does not know of.
@@ -20,7 +20,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Register {
+pub(super) struct MachineRegistry {
     pages: BTreeMap<String, Page>,
     at: BTreeMap<MachineId, String>,
     /// Machines that wait for a place on a page.
@@ -31,9 +31,9 @@
     drops: Vec<String>,
 }
 
-impl Register {
+impl MachineRegistry {
     /// Takes over a page; returns the machines on it.
-    pub fn read(&mut self, key: String, mod_revision: ModRevision, page: Option<&RegisterPage>) -> Vec<MachineId> {
+    pub fn read(&mut self, key: String, mod_revision: ModRevision, page: Option<&RegistryPage>) -> Vec<MachineId> {
         let Some(content) = page.cloned() else {
             self.unreadable.push(key);
             return Vec::new();
@@ -82,7 +82,7 @@
         value_bytes: usize,
         new_key: impl FnOnce() -> String,
     ) {
-        let of_kind = |c: &RegisterPage| (c.machine_type.as_str(), c.zone.as_str(), c.spot) == kind;
+        let of_kind = |c: &RegistryPage| (c.machine_type.as_str(), c.zone.as_str(), c.spot) == kind;
         let room = |p: &&mut Page| {
             of_kind(&p.content) && p.content.bytes() + id.as_str().len() + ADDRESS_BYTES < value_bytes
         };
@@ -95,7 +95,7 @@
             }
             None => {
                 let key = new_key();
-                let content = RegisterPage {
+                let content = RegistryPage {
                     machine_type: kind.0.to_owned(),
                     zone: kind.1.to_owned(),
                     spot: kind.2,
@@ -150,7 +150,7 @@
         &mut self,
         key: &str,
         mod_revision: ModRevision,
-        content: Option<&RegisterPage>,
+        content: Option<&RegistryPage>,
     ) -> Vec<MachineId> {
         let Some(page) = self.pages.get_mut(key) else { return Vec::new() };
         page.writing = false;
@@ -175,7 +175,7 @@
 
     /// A write may have happened or may yet happen: its machines move to a new page, and the old
     /// one goes only once that stands.
-    pub fn doubtful(&mut self, key: &str, new_key: impl FnOnce() -> String) {
+    pub fn outcome_unknown(&mut self, key: &str, new_key: impl FnOnce() -> String) {
         let Some(old) = self.pages.get_mut(key) else { return self.drops.push(key.to_owned()) };
         old.writing = false;
         let content = old.content.clone();
--- a/crates/hopyoke-scheduler/src/rent.rs
+++ b/crates/hopyoke-scheduler/src/rent.rs
@@ -1,8 +1,8 @@
 //! Renting machines for the demand, and returning those that stay idle.
 
-use super::fleet::{Machine, Phase};
-use super::{Action, Core};
-use crate::provisioning::Verdict;
+use super::fleet::{Machine, MachinePhase};
+use super::{Action, Scheduler};
+use crate::provisioning::ProvisioningState;
 use hopyoke_protocol::cloud::{ListedMachine, ListedMachineState};
 use hopyoke_protocol::user::Priority;
 use hopyoke_types::MachineId;
@@ -26,7 +26,7 @@
 
 /// How a rental request ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum RentOutcome {
+pub enum ScaleOutOutcome {
     Rented(Vec<MachineId>),
     NoCapacity,
     /// Not executed for another reason, or no answer: the same request is to be sent again.
@@ -47,12 +47,12 @@
 }
 
 #[derive(Default)]
-pub struct Rents {
+pub struct PendingScaleOuts {
     open: BTreeMap<String, OpenRent>,
     refusals: BTreeMap<Offer, Refusal>,
 }
 
-impl Rents {
+impl PendingScaleOuts {
     /// What is being rented right now.
     pub fn open(&self) -> Vec<(Offer, u32)> {
         self.open.values().map(|r| (r.offer.clone(), r.count)).collect()
@@ -77,7 +77,7 @@
 /// for a failed one is only tried again after a pause.
 const MOST_OPEN_DELETES: usize = 2;
 
-impl Core {
+impl Scheduler {
     pub(super) fn rent(&mut self, demand: Demand, now: Micros) {
         for m in &demand.wanted {
             if let Some(m) = self.machines.get_mut(m) {
@@ -85,46 +85,46 @@
             }
         }
         let again: Vec<String> = self
-            .rents
+            .pending_scale_outs
             .open
             .iter()
             .filter(|(_, r)| r.retry_at.is_some_and(|t| now >= t))
             .map(|(name, _)| name.clone())
             .collect();
         for name in again {
-            if let Some(r) = self.rents.open.get_mut(&name) {
+            if let Some(r) = self.pending_scale_outs.open.get_mut(&name) {
                 r.retry_at = None;
                 self.actions.push_back(rent_action(&name, r));
             }
         }
-        if self.is_deaf(now) {
+        if self.is_receive_overloaded(now) {
             return;
         }
         for (offer, count) in demand.offers {
-            let busy = self.rents.open.values().any(|r| r.offer == offer);
-            if busy || self.rents.open.len() >= self.tuning.rent_requests {
+            let busy = self.pending_scale_outs.open.values().any(|r| r.offer == offer);
+            if busy || self.pending_scale_outs.open.len() >= self.tuning.rent_requests {
                 continue;
             }
             let request = self.new_request();
             let open = OpenRent { offer, count: count.min(MOST_PER_REQUEST), tries: 0, retry_at: None };
             self.actions.push_back(rent_action(&request, &open));
-            self.rents.open.insert(request, open);
+            self.pending_scale_outs.open.insert(request, open);
         }
     }
 
     /// A rental request ended.
-    pub fn rented(&mut self, request: &str, outcome: RentOutcome, now: Micros) {
-        let Some(open) = self.rents.open.get_mut(request) else { return };
+    pub fn rented(&mut self, request: &str, outcome: ScaleOutOutcome, now: Micros) {
+        let Some(open) = self.pending_scale_outs.open.get_mut(request) else { return };
         self.changed = true;
         match outcome {
-            RentOutcome::Rented(ids) => {
-                let Some(open) = self.rents.open.remove(request) else { return };
+            ScaleOutOutcome::Rented(ids) => {
+                let Some(open) = self.pending_scale_outs.open.remove(request) else { return };
                 let o = open.offer;
                 info!(machine_type = %o.machine_type, zone = %o.zone, spot = o.spot, wanted = open.count, got = ids.len(), "rented");
                 if (ids.len() as u32) < open.count {
-                    self.rents.refuse(&o, self.tuning.refusal_pause, now);
+                    self.pending_scale_outs.refuse(&o, self.tuning.refusal_pause, now);
                 } else {
-                    self.rents.refusals.remove(&o);
+                    self.pending_scale_outs.refusals.remove(&o);
                 }
                 for id in ids {
                     if self.gone.contains_key(&id) {
@@ -139,17 +139,17 @@
                     m.dated = true;
                 }
             }
-            RentOutcome::NoCapacity => {
-                if let Some(open) = self.rents.open.remove(request) {
+            ScaleOutOutcome::NoCapacity => {
+                if let Some(open) = self.pending_scale_outs.open.remove(request) {
                     info!(machine_type = %open.offer.machine_type, zone = %open.offer.zone, spot = open.offer.spot, "no capacity");
-                    self.rents.refuse(&open.offer, self.tuning.refusal_pause, now);
+                    self.pending_scale_outs.refuse(&open.offer, self.tuning.refusal_pause, now);
                 }
             }
-            RentOutcome::Unsure => {
+            ScaleOutOutcome::Unsure => {
                 open.tries += 1;
                 if open.tries >= MOST_TRIES {
                     // Should it have been executed, the machines show up in reports or the list.
-                    self.rents.open.remove(request);
+                    self.pending_scale_outs.open.remove(request);
                 } else {
                     open.retry_at = Some(now + Micros::from_secs(1u64 << open.tries.min(3)));
                 }
@@ -162,9 +162,9 @@
         self.open_deletes = self.open_deletes.saturating_sub(1);
         for id in ids {
             self.probe_over(id);
-            self.clear_slots(id);
+            self.clear_allocations(id);
             self.machines.remove(id);
-            self.register.remove(id);
+            self.registry.remove(id);
             self.learned.learner.forget_machine(id);
             self.gone.insert(id.clone(), now);
         }
@@ -221,13 +221,13 @@
     /// Judges the machines that boot. One that is late is no longer counted on, so that what waits for it has
     /// another rented; nothing that keeps a rule looks at this.
     pub(super) fn judge_boots(&mut self, now: Micros) {
-        if self.is_deaf(now) {
+        if self.is_receive_overloaded(now) {
             return;
         }
         let cut: Vec<String> = self.cfg.zones.iter().filter(|z| self.zone_cut(z)).cloned().collect();
-        let Core { machines, types, boots, .. } = self;
+        let Scheduler { machines, types, provisioning_estimator, .. } = self;
         let mut booting: BTreeMap<&str, (f64, Vec<f64>, Vec<&mut Machine>)> = BTreeMap::new();
-        for m in machines.values_mut().filter(|m| m.phase == Phase::Booting && m.dated && !m.deleting) {
+        for m in machines.values_mut().filter(|m| m.phase == MachinePhase::Booting && m.dated && !m.deleting) {
             let Some(t) = types.iter().find(|t| t.name == m.machine_type && t.boot_s > 0.0) else { continue };
             let (nominal, ages, of_type) = booting.entry(&t.name).or_default();
             *nominal = t.boot_s;
@@ -235,13 +235,15 @@
             of_type.push(m);
         }
         for (kind, (nominal, ages, of_type)) in booting {
-            for (m, verdict) in of_type.into_iter().zip(boots.judge(kind, &ages, now.as_secs_f64() / nominal)) {
-                if m.boot == Verdict::Awaited && verdict != Verdict::Awaited {
+            for (m, verdict) in
+                of_type.into_iter().zip(provisioning_estimator.judge(kind, &ages, now.as_secs_f64() / nominal))
+            {
+                if m.boot == ProvisioningState::Awaited && verdict != ProvisioningState::Awaited {
                     info!(machine = %m.id, zone = %m.zone, spot = m.spot, "machine late: no longer counted on");
                 }
                 // In a zone that is cut off it may be up without our hearing of it.
-                let unheard = verdict == Verdict::Hopeless && cut.contains(&m.zone);
-                m.boot = if unheard { Verdict::Late } else { verdict };
+                let unheard = verdict == ProvisioningState::Hopeless && cut.contains(&m.zone);
+                m.boot = if unheard { ProvisioningState::Late } else { verdict };
             }
         }
     }
@@ -255,23 +257,27 @@
         let mut idle_ordinary = self
             .machines
             .values()
-            .filter(|m| !m.spot && m.phase == Phase::Up && m.slots().is_empty() && !m.deleting && !m.faulty)
+            .filter(|m| {
+                !m.spot && m.phase == MachinePhase::Up && m.allocations().is_empty() && !m.deleting && !m.faulty
+            })
             .count();
         let patience = |boot: Micros| Micros((boot.0 as f64 * self.tuning.boot_patience) as u64);
-        let boots: BTreeMap<&str, Micros> =
+        let provisioning_estimator: BTreeMap<&str, Micros> =
             self.types.iter().map(|t| (t.name.as_str(), Micros::from_secs_f64(t.boot_s))).collect();
         for m in self.machines.values_mut() {
-            if !m.slots().is_empty() {
+            if !m.allocations().is_empty() {
                 m.idle_since = None;
-            } else if m.idle_since.is_none() && m.phase == Phase::Up {
+            } else if m.idle_since.is_none() && m.phase == MachinePhase::Up {
                 m.idle_since = Some(now);
             }
-            let boot = boots.get(m.machine_type.as_str()).copied().unwrap_or(Micros::from_secs(60));
-            let never_up = m.phase == Phase::Booting
-                && (m.boot == Verdict::Hopeless || now >= m.rented_at + patience(boot) + Micros::from_secs(30));
-            let idle = m.idle_since.is_some_and(|t| now >= t + idle_for) && !self.recovering;
+            let boot =
+                provisioning_estimator.get(m.machine_type.as_str()).copied().unwrap_or(Micros::from_secs(60));
+            let never_up = m.phase == MachinePhase::Booting
+                && (m.boot == ProvisioningState::Hopeless
+                    || now >= m.rented_at + patience(boot) + Micros::from_secs(30));
+            let idle = m.idle_since.is_some_and(|t| now >= t + idle_for) && !self.is_reconciling;
             let faulty = m.faulty && !m.has_live();
-            let mut unneeded = (idle || (m.slow && m.slots().is_empty())) && !m.has_live();
+            let mut unneeded = (idle || (m.slow && m.allocations().is_empty())) && !m.has_live();
             if unneeded && !m.spot && !m.deleting && !m.slow {
                 if arriving && idle_ordinary <= self.tuning.keep_ready {
                     unneeded = false;
@@ -282,7 +288,11 @@
                 m.deleting = true;
                 if never_up && m.dated && boot > Micros::ZERO {
                     let in_boots = |t: Micros| t.as_secs_f64() / boot.as_secs_f64();
-                    self.boots.given_up(&m.machine_type, in_boots(now - m.rented_at), in_boots(now));
+                    self.provisioning_estimator.given_up(
+                        &m.machine_type,
+                        in_boots(now - m.rented_at),
+                        in_boots(now),
+                    );
                 }
                 info!(machine = %m.id, zone = %m.zone, spot = m.spot, never_up, faulty, "returning machine");
             }
--- a/crates/hopyoke-scheduler/src/reservation.rs
+++ b/crates/hopyoke-scheduler/src/reservation.rs
@@ -14,11 +14,11 @@
 /// keeps nothing, and whoever has waited beside room takes it. In between pieces collect as before, so a gang begins if
 /// the work that it waits for ends within that time.
 #[derive(Debug, Clone, Default)]
-pub struct KeptRoom {
+pub struct Reservations {
     lent_at: Micros,
 }
 
-impl KeptRoom {
+impl Reservations {
     /// Whether the plan that is made now keeps room for anybody.
     pub fn keeps(&mut self, now: Micros) -> bool {
         let keeps = now < self.lent_at + LONGEST;
--- a/crates/hopyoke-scheduler/tests/fragmentation.rs
+++ b/crates/hopyoke-scheduler/tests/fragmentation.rs
@@ -1,10 +1,10 @@
 //! What has a choice gives way to what has none.
 
-use hopyoke_scheduler::fragmentation::Niches;
+use hopyoke_scheduler::fragmentation::Fragmentation;
 
 #[test]
 fn only_what_has_no_alternative_makes_a_niche() {
-    let mut n = Niches::none(3);
+    let mut n = Fragmentation::none(3);
     n.add([0, 1].into_iter());
     n.add([].into_iter());
     n.add([7].into_iter());
@@ -15,7 +15,7 @@
 
 #[test]
 fn who_has_no_choice_either_does_not_give_way() {
-    let mut n = Niches::none(2);
+    let mut n = Fragmentation::none(2);
     n.add([1].into_iter());
     assert!(!n.avoids(1, 1));
     assert!(!n.avoids(9, 2));
--- a/crates/hopyoke-scheduler/tests/frozen_forms.rs
+++ b/crates/hopyoke-scheduler/tests/frozen_forms.rs
@@ -5,7 +5,7 @@
 
 use frozen::{assert_read_as, assert_stored};
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState, Priority};
-use hopyoke_scheduler::{EndRecord, JobRecord, Ranges, RegisterPage};
+use hopyoke_scheduler::{EndRecord, JobRecord, Ranges, RegistryPage};
 use hopyoke_types::{Attempt, JobId, MachineId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -110,7 +110,7 @@
         (MachineId::new("m-17"), "10.0.0.17:7000".to_owned()),
         (MachineId::new("m-18"), "10.0.0.18:7000".to_owned()),
     ]);
-    let page = RegisterPage { machine_type: "g4".into(), zone: "east".into(), spot: true, machines };
+    let page = RegistryPage { machine_type: "g4".into(), zone: "east".into(), spot: true, machines };
     assert_stored("register-page", &page);
-    assert_stored("register-page-empty", &RegisterPage { spot: false, machines: BTreeMap::new(), ..page });
+    assert_stored("register-page-empty", &RegistryPage { spot: false, machines: BTreeMap::new(), ..page });
 }
--- a/crates/hopyoke-scheduler/tests/pushed_commands.rs
+++ b/crates/hopyoke-scheduler/tests/pushed_commands.rs
@@ -3,12 +3,12 @@
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_protocol::worker::{Command, Heartbeat};
-use hopyoke_scheduler::{Action, Config, Core, JobRecord, RegisterPage, Team};
+use hopyoke_scheduler::{Action, JobRecord, RegistryPage, Scheduler, SchedulerConfig, Team};
 use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, Micros, ModRevision};
 use std::collections::BTreeMap;
 
-fn config() -> Config {
-    Config {
+fn config() -> SchedulerConfig {
+    SchedulerConfig {
         zones: vec!["a".into()],
         teams: vec![Team { name: "crew".into(), ..Team::default() }],
         heartbeat_interval: Micros::from_secs(2),
@@ -54,7 +54,7 @@
 fn an_executed_start_without_a_report_is_not_forgotten() {
     let (machine, job) = (MachineId::new("m-1"), JobId::new("req-1"));
     let at = Micros::from_secs(100);
-    let page = RegisterPage {
+    let page = RegistryPage {
         machine_type: "std".into(),
         zone: "a".into(),
         spot: false,
@@ -62,14 +62,14 @@
     };
     // Its first start is recorded, and by this leader.
     let record = JobRecord { term: Attempt(1), ..JobRecord::accepted(spec(), 0) };
-    let mut core = Core::new(
+    let mut scheduler = Scheduler::new(
         config(),
         FencingToken(5),
         vec![(job.clone(), record, ModRevision(7))],
         vec![("p".into(), ModRevision(2), Some(page))],
         at,
     );
-    core.set_catalog(vec![machine_type()]);
+    scheduler.set_catalog(vec![machine_type()]);
     let heartbeat = Heartbeat {
         machine: machine.clone(),
         address: "10.1.0.1:9000".into(),
@@ -82,16 +82,16 @@
         preemption_notice_s: None,
         tasks: Vec::new(),
     };
-    let probed = std::iter::from_fn(|| core.next_action()).count();
+    let probed = std::iter::from_fn(|| scheduler.next_action()).count();
     assert_eq!(probed, 0);
-    core.direct_answer(&machine, true, Some(&heartbeat), at);
-    core.tick(at + Micros::from_secs(1));
+    scheduler.direct_answer(&machine, true, Some(&heartbeat), at);
+    scheduler.tick(at + Micros::from_secs(1));
     let starts = |a: Action| match a {
         Action::Direct { commands, .. } => commands.iter().any(|o| matches!(o, Command::Start { .. })),
         _ => false,
     };
-    assert!(std::iter::from_fn(|| core.next_action()).any(starts), "the task is started");
-    core.direct_answer(&machine, true, None, at + Micros::from_secs(1));
-    core.job_dropped(&job, at + Micros::from_secs(2));
-    assert!(core.machines[&machine].has_live(), "its place is free though it may run");
+    assert!(std::iter::from_fn(|| scheduler.next_action()).any(starts), "the task is started");
+    scheduler.direct_answer(&machine, true, None, at + Micros::from_secs(1));
+    scheduler.job_dropped(&job, at + Micros::from_secs(2));
+    assert!(scheduler.machines[&machine].has_live(), "its place is free though it may run");
 }
--- a/crates/hopyoke-scheduler/tests/reservation.rs
+++ b/crates/hopyoke-scheduler/tests/reservation.rs
@@ -1,6 +1,6 @@
 //! Room is kept, and never for long.
 
-use hopyoke_scheduler::reservation::KeptRoom;
+use hopyoke_scheduler::reservation::Reservations;
 use hopyoke_types::Micros;
 use proptest::prelude::*;
 
@@ -9,7 +9,7 @@
     /// are few, or nothing would ever collect. (Guards against jobs that wait beside room.)
     #[test]
     fn a_plan_that_keeps_nothing_comes_in_time(gaps in prop::collection::vec(1u64..5_000, 1..400)) {
-        let mut kept = KeptRoom::default();
+        let mut kept = Reservations::default();
         let mut now = Micros::from_secs(1_000);
         let mut lent = vec![now];
         prop_assert!(!kept.keeps(now));
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -155,7 +155,7 @@
         // afterwards is answered; one serves all that wait.
         let gather = Micros(self.random(0, GATHER.0));
         self.timer(i, gather, move |w| {
-            let Some(applied) = w.lead(i, process).map(|l| l.core.applied()) else { return };
+            let Some(applied) = w.lead(i, process).map(|l| l.scheduler.applied()) else { return };
             let sent = w.now;
             w.send(Host::Node(i), Host::State, move |w| {
                 if w.state_refuses(i) {
@@ -167,7 +167,7 @@
                         return;
                     }
                     w.take_news(i, process, news, sent);
-                    if w.lead(i, process).is_some_and(|l| l.core.jobs.contains_key(&id)) {
+                    if w.lead(i, process).is_some_and(|l| l.scheduler.jobs.contains_key(&id)) {
                         return reply(w, Answer::Unfinished);
                     }
                     w.lookup_ended(i, process, id, reply);
@@ -248,7 +248,7 @@
             return reply(self, Answer::Finished(end));
         }
         if let Err(after) = self.let_in(i, &id) {
-            let known = self.lead(i, process).is_some_and(|l| l.core.jobs.contains_key(&id));
+            let known = self.lead(i, process).is_some_and(|l| l.scheduler.jobs.contains_key(&id));
             return if known { self.poll_at(i, process, id, reply) } else { reply(self, Answer::Later(after)) };
         }
         self.send(Host::Node(i), Host::State, move |w| {
@@ -307,8 +307,8 @@
         let n = &mut self.nodes[i];
         if end == JobState::Cancelled {
             n.confirmed.note(job, mod_revision);
-            if let Some(lead) = n.lead.as_mut().filter(|l| l.core.applied() < mod_revision) {
-                lead.core.job_dropped(job, now);
+            if let Some(lead) = n.lead.as_mut().filter(|l| l.scheduler.applied() < mod_revision) {
+                lead.scheduler.job_dropped(job, now);
             }
         }
         n.finals.insert(job.clone(), end);
--- a/crates/hopyoke-simulator/src/controller.rs
+++ b/crates/hopyoke-simulator/src/controller.rs
@@ -10,7 +10,7 @@
 use hopyoke_protocol::cloud::ScaleOutRequest;
 use hopyoke_protocol::user::JobState;
 use hopyoke_protocol::worker::Heartbeat;
-use hopyoke_scheduler::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, RentOutcome, Write};
+use hopyoke_scheduler::{Action, Batch, BatchError, JobRecord, RegistryPage, ScaleOutOutcome, Scheduler, Write};
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
 use std::cell::Cell;
@@ -42,7 +42,7 @@
 const MOST_CONFIRMED: usize = 6;
 
 pub struct Lead {
-    pub core: Core,
+    pub scheduler: Scheduler,
     pub lease: u64,
     pub leader_lease: LeaderLease,
     delivered: DeliveryCursors,
@@ -74,7 +74,7 @@
     until: Micros,
     at: Micros,
     jobs: Vec<(JobId, JobRecord, ModRevision)>,
-    register: Vec<(String, ModRevision, Option<RegisterPage>)>,
+    register: Vec<(String, ModRevision, Option<RegistryPage>)>,
     learned: Vec<(String, hopyoke_run_times::Page)>,
     /// Of the first page of jobs: watching from there on misses nothing.
     revision: Option<ModRevision>,
@@ -312,24 +312,24 @@
         let (token, at, revision) = (r.token, r.at, r.revision.unwrap_or_default());
         self.log(|| format!("node {i} leads with token {token}"));
         self.leaders += 1;
-        let mut core = Core::new(self.cfg.clone(), FencingToken(token), r.jobs, r.register, at);
-        core.set_tuning(self.tuning.clone());
-        core.set_time_of_day(self.now, self.now);
-        core.set_hours(self.hours.clone());
-        core.note_time(self.now, self.time_of_day(i));
+        let mut scheduler = Scheduler::new(self.cfg.clone(), FencingToken(token), r.jobs, r.register, at);
+        scheduler.set_tuning(self.tuning.clone());
+        scheduler.set_time_of_day(self.now, self.now);
+        scheduler.set_hours(self.hours.clone());
+        scheduler.note_time(self.now, self.time_of_day(i));
         for (key, page) in &r.learned {
-            core.learned(key, Some(page));
+            scheduler.learned(key, Some(page));
         }
-        core.set_catalog(self.types.clone());
+        scheduler.set_catalog(self.types.clone());
         let mut leader_lease = LeaderLease::new(r.until, self.ttl, WATCH, self.nodes.len());
         leader_lease.heard(at);
-        core.caught_up(revision, at);
+        scheduler.caught_up(revision, at);
         for id in self.nodes[i].confirmed.after(revision) {
-            core.job_dropped(&id, self.now);
+            scheduler.job_dropped(&id, self.now);
         }
         self.nodes[i].confirmed.began_before(revision);
         let lead = Lead {
-            core,
+            scheduler,
             lease: r.lease,
             leader_lease,
             delivered: DeliveryCursors::new(self.nodes.len()),
@@ -418,7 +418,7 @@
     /// Asks the peers for promises.
     fn greet(&mut self, i: usize, process: u64) {
         let Some(lead) = self.lead(i, process) else { return };
-        let (applied, delivered) = (lead.core.applied(), lead.delivered.clone());
+        let (applied, delivered) = (lead.scheduler.applied(), lead.delivered.clone());
         // Who is not entitled gets no promises; its own place among the peers needs none.
         let lease_is_valid = self.lease_is_valid(i);
         let sent = self.now;
@@ -446,7 +446,7 @@
                     let now = w.now;
                     let Some(lead) = w.lead(i, process) else { return };
                     for id in &delta.jobs {
-                        lead.core.job_dropped(id, now);
+                        lead.scheduler.job_dropped(id, now);
                     }
                     lead.delivered.took(j, its, delta.upto);
                     lead.leader_lease.answered(j, sent, span, now);
@@ -465,7 +465,7 @@
         let sent = self.now;
         let Some(lead) = self.lead(i, process) else { return };
         lead.watch += 1;
-        let (since, number) = (lead.core.applied(), lead.watch);
+        let (since, number) = (lead.scheduler.applied(), lead.watch);
         self.send(Host::Node(i), Host::State, move |w| {
             if w.state_refuses(i) {
                 // Only watches that are open wait; a new one is refused, and asked for again.
@@ -531,12 +531,12 @@
         lead.leader_lease.heard(sent);
         for (id, record, mod_revision, dropped) in news.events {
             match record {
-                Some(r) => lead.core.job_seen(id, r, mod_revision, now),
-                None if dropped => lead.core.job_dropped(&id, now),
+                Some(r) => lead.scheduler.job_seen(id, r, mod_revision, now),
+                None if dropped => lead.scheduler.job_dropped(&id, now),
                 None => {}
             }
         }
-        lead.core.caught_up(news.revision, sent);
+        lead.scheduler.caught_up(news.revision, sent);
     }
 
     fn tick(&mut self, i: usize, process: u64) {
@@ -558,28 +558,28 @@
         let time_of_day = self.time_of_day(i);
         let pressed = self.nodes[i].part.as_mut().is_some_and(|p| p.door.is_pressed(now));
         let Some(lead) = self.lead(i, process) else { return };
-        let looks = lead.core.looks();
+        let looks = lead.scheduler.entities_visited();
         if behind {
-            lead.core.deaf(now);
+            lead.scheduler.set_receive_overloaded(now);
         }
-        lead.core.note_time(now, time_of_day);
-        lead.core.tick(now);
-        let looks = lead.core.looks() - looks;
-        let recovered = if lead.core.recovering() { None } else { lead.recovers_since.take() };
+        lead.scheduler.note_time(now, time_of_day);
+        lead.scheduler.tick(now);
+        let looks = lead.scheduler.entities_visited() - looks;
+        let recovered = if lead.scheduler.is_reconciling() { None } else { lead.recovers_since.take() };
         // Auditing a whole fleet at every event would take minutes.
-        let faults = if !thorough && now < lead.next_audit { Vec::new() } else { lead.core.audit() };
+        let faults = if !thorough && now < lead.next_audit { Vec::new() } else { lead.scheduler.audit() };
         if now >= lead.next_audit {
             lead.next_audit = now + Micros::from_secs(1);
         }
         let mut actions = Vec::new();
-        while let Some(a) = lead.core.next_action() {
+        while let Some(a) = lead.scheduler.next_action() {
             actions.push(a);
         }
-        lead.core.set_pressed(pressed);
-        let batch = if lead.writing { None } else { lead.core.next_batch(now) };
-        let short = batch.is_none() && lead.core.short_of_writes();
+        lead.scheduler.set_pressed(pressed);
+        let batch = if lead.writing { None } else { lead.scheduler.next_batch(now) };
+        let short = batch.is_none() && lead.scheduler.short_of_writes();
         lead.writing |= batch.is_some();
-        let token = lead.core.token;
+        let token = lead.scheduler.token;
         if let Some(p) = self.nodes[i].part.as_mut().filter(|_| short) {
             p.door.short(now);
         }
@@ -613,9 +613,13 @@
                     let got = w.cloud_rent(&request, &machine_type, &zone, spot, count);
                     w.send(Host::Cloud, Host::Node(i), move |w| {
                         let now = w.now;
-                        let out = if got.is_empty() { RentOutcome::NoCapacity } else { RentOutcome::Rented(got) };
+                        let out = if got.is_empty() {
+                            ScaleOutOutcome::NoCapacity
+                        } else {
+                            ScaleOutOutcome::Rented(got)
+                        };
                         if let Some(l) = w.lead(i, process) {
-                            l.core.rented(&request, out, now);
+                            l.scheduler.rented(&request, out, now);
                         }
                     });
                 });
@@ -629,19 +633,19 @@
                     w.send(Host::Cloud, Host::Node(i), move |w| {
                         let now = w.now;
                         if let Some(l) = w.lead(i, process) {
-                            l.core.deleted(&machines, now);
+                            l.scheduler.deleted(&machines, now);
                         }
                     });
                 });
             }
-            Action::Reread { job } => self.reread(i, process, job),
+            Action::ReloadRecord { job } => self.record_reloaded(i, process, job),
             Action::Direct { machine, epoch, commands, .. } => {
                 self.log(|| format!("node {i} to {machine} session {epoch} {commands:?}"));
                 let m = machine.clone();
                 let sent = self.now;
                 if self.no_sockets.get(&i).is_some_and(|t| sent < *t) {
                     if let Some(l) = self.lead(i, process) {
-                        l.core.direct_failed(&m, false, sent);
+                        l.scheduler.direct_failed(&m, false, sent);
                     }
                     return;
                 }
@@ -651,9 +655,9 @@
                 self.timer(i, Micros::from_secs(3), move |w| {
                     let now = w.now;
                     if let Some(l) = w.lead(i, process)
-                        && l.core.machines.get(&m).is_some_and(|x| x.direct_open && x.epoch.max(1) == epoch)
+                        && l.scheduler.machines.get(&m).is_some_and(|x| x.direct_open && x.epoch.max(1) == epoch)
                     {
-                        l.core.direct_failed(&m, true, now);
+                        l.scheduler.direct_failed(&m, true, now);
                     }
                 });
             }
@@ -661,14 +665,14 @@
     }
 
     /// Reads a job's record; what has no answer within 1.5 s has failed.
-    fn reread(&mut self, i: usize, process: u64, job: JobId) {
+    fn record_reloaded(&mut self, i: usize, process: u64, job: JobId) {
         let open = Rc::new(Cell::new(true));
         let (late, unanswered) = (job.clone(), open.clone());
         self.timer(i, Micros::from_millis(1500), move |w| {
             if unanswered.replace(false)
                 && let Some(l) = w.lead(i, process)
             {
-                l.core.reread_failed(late);
+                l.scheduler.record_reload_failed(late);
             }
         });
         self.send(Host::Node(i), Host::State, move |w| {
@@ -682,7 +686,11 @@
             w.send(Host::State, Host::Node(i), move |w| {
                 let now = w.now;
                 let Some(l) = w.lead(i, process).filter(|_| open.replace(false)) else { return };
-                if refused { l.core.reread_failed(job) } else { l.core.reread(job, found, now) }
+                if refused {
+                    l.scheduler.record_reload_failed(job)
+                } else {
+                    l.scheduler.record_reloaded(job, found, now)
+                }
             });
         });
     }
@@ -721,7 +729,7 @@
                 if now < sent + Micros::from_secs(3)
                     && let Some(l) = w.lead(i, process)
                 {
-                    l.core.direct_answer(&machine, executed, Some(&heartbeat), now);
+                    l.scheduler.direct_answer(&machine, executed, Some(&heartbeat), now);
                     w.act(i, process);
                 }
             });
@@ -804,7 +812,7 @@
             _ => None,
         });
         let ends: Vec<(JobId, JobState)> = ends.collect();
-        l.core.batch_ended(batch, result, now);
+        l.scheduler.batch_ended(batch, result, now);
         self.nodes[i].finals.extend(ends);
         self.act(i, process);
     }
@@ -828,11 +836,11 @@
         let answer = match &mut self.nodes[i].lead {
             // No node takes a longer body.
             _ if heartbeat_chars(&heartbeat) > MOST_CHARS => Err(None),
-            Some(l) if lease_is_valid && heartbeat.token <= l.core.token => {
-                let (looks, plans) = (l.core.looks(), l.core.plans());
-                let a = l.core.heartbeat(&heartbeat, now);
-                if l.core.plans() == plans {
-                    self.report_looks = self.report_looks.max(l.core.looks() - looks);
+            Some(l) if lease_is_valid && heartbeat.token <= l.scheduler.token => {
+                let (looks, plans) = (l.scheduler.entities_visited(), l.scheduler.plans());
+                let a = l.scheduler.heartbeat(&heartbeat, now);
+                if l.scheduler.plans() == plans {
+                    self.report_looks = self.report_looks.max(l.scheduler.entities_visited() - looks);
                 }
                 Ok((a.token, a.commands))
             }
@@ -858,7 +866,7 @@
         let now = self.now;
         let listed = self.cloud_list();
         if let Some(l) = self.lead(i, process) {
-            l.core.listed(&listed, now);
+            l.scheduler.listed(&listed, now);
         }
         self.timer(i, Micros::from_secs(5), move |w| w.list(i, process));
     }
--- a/crates/hopyoke-simulator/src/lib.rs
+++ b/crates/hopyoke-simulator/src/lib.rs
@@ -16,7 +16,7 @@
 use hopyoke_calendar::Hours;
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::{JobSpec, JobState};
-use hopyoke_scheduler::{Config, Team, Tuning};
+use hopyoke_scheduler::{SchedulerConfig, Team, Tuning};
 use hopyoke_types::Micros;
 use hopyoke_types::{JobId, MachineId};
 use rand::rngs::StdRng;
@@ -154,7 +154,7 @@
     queue: BinaryHeap<Reverse<Timed>>,
     next: u64,
     pub rng: StdRng,
-    pub cfg: Config,
+    pub cfg: SchedulerConfig,
     pub tuning: Tuning,
     /// Staffed hours; the world begins at [`DAWN`] on Thursday 1970-01-01 in UTC.
     pub hours: Option<Hours>,
@@ -224,7 +224,7 @@
             queue: BinaryHeap::new(),
             next: 0,
             rng: StdRng::seed_from_u64(seed),
-            cfg: Config {
+            cfg: SchedulerConfig {
                 zones: vec!["a".into(), "b".into(), "c".into()],
                 teams: Vec::new(),
                 heartbeat_interval: Micros::from_secs(2),
--- a/crates/hopyoke-simulator/src/rules.rs
+++ b/crates/hopyoke-simulator/src/rules.rs
@@ -4,7 +4,7 @@
 use hopyoke_calendar::Hours;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
 use hopyoke_protocol::worker::TaskState;
-use hopyoke_scheduler::Amounts;
+use hopyoke_scheduler::Resources;
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, JobId, MachineId, ModRevision, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
     kind: String,
     zone: String,
     spot: bool,
-    free: Amounts,
+    free: Resources,
 }
 
 /// What one job's tasks take, hold and have done.
@@ -169,13 +169,13 @@
             return self.waiting.clear();
         }
         let mut held: BTreeMap<JobId, Held> = BTreeMap::new();
-        let mut used: BTreeMap<String, Amounts> = BTreeMap::new();
+        let mut used: BTreeMap<String, Resources> = BTreeMap::new();
         let mut rooms = Vec::new();
         for m in self.machines.values() {
-            let mut free = Amounts::of_type(&self.machine_type(&m.kind));
+            let mut free = Resources::of_type(&self.machine_type(&m.kind));
             for ((task, _), _) in m.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended) {
                 let spec = &self.jobs[&task.job].spec;
-                let takes = Amounts::of_task(spec);
+                let takes = Resources::of_task(spec);
                 free = free - takes;
                 let team = used.entry(spec.team.clone()).or_default();
                 *team = *team + takes;
@@ -205,21 +205,21 @@
         let late = waiting.iter().find(|(_, since)| now > **since + WAITED).map(|(id, _)| id.clone());
         self.waiting = waiting;
         if let Some(id) = late {
-            let core = self.leader().and_then(|i| self.nodes[i].lead.as_ref()).map(|l| &l.core);
-            let why = core.map_or("no leader", |c| c.jobs.get(&id).map_or("unknown", |j| j.waits_for));
+            let scheduler = self.leader().and_then(|i| self.nodes[i].lead.as_ref()).map(|l| &l.scheduler);
+            let why = scheduler.map_or("no leader", |c| c.jobs.get(&id).map_or("unknown", |j| j.waits_for));
             self.broke("waits", format!("{id} could have begun for {WAITED:?} ({why})"));
         }
     }
 
     /// One more task of a job, or all of a gang's, could begin.
-    fn could_run(&self, spec: &JobSpec, held: &Held, rooms: &[Room], used: &BTreeMap<String, Amounts>) -> bool {
+    fn could_run(&self, spec: &JobSpec, held: &Held, rooms: &[Room], used: &BTreeMap<String, Resources>) -> bool {
         if let Some(h) = &self.hours
             && h.holds(spec)
         {
             return false;
         }
         let gang = spec.kind == JobKind::Gang;
-        let task = Amounts::of_task(spec);
+        let task = Resources::of_task(spec);
         let wanted = if gang { spec.tasks } else { 1 };
         let taken = used.get(&spec.team).copied().unwrap_or_default();
         if !self.team(&spec.team).allows(&(taken + task.times(f64::from(wanted)))) {
--- a/crates/hopyoke-simulator/src/script.rs
+++ b/crates/hopyoke-simulator/src/script.rs
@@ -286,7 +286,7 @@
                 h.switch.clone_from(&switch);
             }
             for lead in w.nodes.iter_mut().filter_map(|n| n.lead.as_mut()) {
-                lead.core.set_switch(switch.clone());
+                lead.scheduler.set_switch(switch.clone());
             }
         }
         "crash" => {
@@ -582,8 +582,9 @@
     if id.as_str() == "began" {
         // Every accepted job whose user has not cancelled it has begun, the largest ones too.
         let open = |j: &Truth| j.accepted.is_some() && j.cancelled.is_none() && j.told.is_none() && j.starts == 0;
-        let core = w.leader().and_then(|i| w.nodes[i].lead.as_ref()).map(|l| &l.core);
-        let why = |id: &JobId| core.map_or("no leader", |c| c.jobs.get(id).map_or("unknown", |j| j.waits_for));
+        let scheduler = w.leader().and_then(|i| w.nodes[i].lead.as_ref()).map(|l| &l.scheduler);
+        let why =
+            |id: &JobId| scheduler.map_or("no leader", |c| c.jobs.get(id).map_or("unknown", |j| j.waits_for));
         let waits: Vec<String> =
             w.jobs.iter().filter(|(_, j)| open(j)).map(|(id, _)| format!("{id} ({})", why(id))).collect();
         return waits.is_empty().then_some(()).ok_or(format!("never begun: {}", waits.join(" ")));
@@ -724,11 +725,11 @@
 fn expect_when(w: &World, what: &str, it: &mut Words) -> Result<(), String> {
     let leader = w.leader().and_then(|i| w.nodes[i].lead.as_ref()).ok_or("nobody leads")?;
     let found = if what.starts_with("req-") {
-        leader.core.when_job(&JobId::new(what), w.now)
+        leader.scheduler.when_job(&JobId::new(what), w.now)
     } else {
         let (gpus, zone) = (num(word(it)), word(it));
         let zone = (zone != "any").then(|| zone.to_owned());
-        leader.core.when_capacity(&Ask { team: what.to_owned(), gpus, zone }, w.now)
+        leader.scheduler.when_capacity(&Ask { team: what.to_owned(), gpus, zone }, w.now)
     };
     let (first, second) = (word(it), word(it));
     match found {
@@ -748,7 +749,7 @@
     let p = BTreeMap::from([("class", class)]);
     let mut spec = (*job(&JobId::new("req-0"), "array", &p).spec).clone();
     spec.estimate_s = 0.0;
-    let found = leader.core.expected(&spec);
+    let found = leader.scheduler.expected(&spec);
     match word(it) {
         "p50" => {
             let (least, most) = (num(word(it)), num(word(it)));
--- a/crates/hopyoke-simulator/src/store.rs
+++ b/crates/hopyoke-simulator/src/store.rs
@@ -3,7 +3,7 @@
 use super::World;
 use super::digest::Channel;
 use hopyoke_protocol::worker::Heartbeat;
-use hopyoke_scheduler::{EndRecord, JobRecord, RegisterPage};
+use hopyoke_scheduler::{EndRecord, JobRecord, RegistryPage};
 use hopyoke_types::Micros;
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 pub enum Value {
     Job(JobRecord),
     End(EndRecord),
-    Page(RegisterPage),
+    Page(RegistryPage),
     Learned(hopyoke_run_times::Page),
     Holder(usize),
 }
--- a/crates/hopyoke/src/api.rs
+++ b/crates/hopyoke/src/api.rs
@@ -140,10 +140,10 @@
 fn unfinished(leadership: Option<&Leadership>, id: &JobId, record: Option<JobRecord>) -> Response {
     let done = record.map_or(0, |r| r.done.tidy(r.spec.tasks).count());
     let mut answer = JobAnswer { id: id.as_str(), state: JobState::Queued, done: Some(done), running: Some(0) };
-    if let Some(core) = leadership.map(|l| l.core.borrow())
-        && let Some(job) = core.jobs.get(id)
+    if let Some(scheduler) = leadership.map(|l| l.scheduler.borrow())
+        && let Some(job) = scheduler.jobs.get(id)
     {
-        let running = core.running(id);
+        let running = scheduler.running(id);
         answer.done = Some(job.done.count());
         answer.running = Some(running);
         if running > 0 {
@@ -175,7 +175,7 @@
         if leadership.is_current().await {
             // Whatever was written before the poll arrived is in the core now. (Guards `went_back` and
             // `forgotten`; an older answer than another node's is not possible.)
-            if leadership.core.borrow().jobs.contains_key(id) {
+            if leadership.scheduler.borrow().jobs.contains_key(id) {
                 return Ok(unfinished(Some(&leadership), id, None));
             }
             if let Some(end) = node.finals.get(id) {
@@ -232,7 +232,7 @@
         debug!(job = %id, after_s = after.0, "refused at the door");
         // A repeated submission of what is accepted gets its answer all the same, where that costs
         // nothing of its own.
-        let known = node.leadership().is_some_and(|l| l.core.borrow().jobs.contains_key(&id));
+        let known = node.leadership().is_some_and(|l| l.scheduler.borrow().jobs.contains_key(&id));
         return if known { poll(node, &id).await } else { Ok(no_room(after)) };
     }
     let team = spec.team.clone();
--- a/crates/hopyoke/src/cloud.rs
+++ b/crates/hopyoke/src/cloud.rs
@@ -4,7 +4,7 @@
 use hopyoke_event_loop::http::{Client, Method};
 use hopyoke_protocol::cloud::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
 use hopyoke_protocol::{decode, encode};
-use hopyoke_scheduler::RentOutcome;
+use hopyoke_scheduler::ScaleOutOutcome;
 use hopyoke_types::MachineId;
 use hopyoke_types::Micros;
 use std::cell::Cell;
@@ -43,16 +43,15 @@
         (r.status == 200).then(|| decode::<Catalog>(&r.body).ok()).flatten().map(|c| c.types)
     }
 
-    pub async fn rent(&self, rent: &ScaleOutRequest<'_>) -> RentOutcome {
+    pub async fn rent(&self, rent: &ScaleOutRequest<'_>) -> ScaleOutOutcome {
         self.pace().await;
         match self.client.send(Method::Post, "/machines", &encode(rent), LIMIT).await {
-            Ok(r) if r.status == 200 => {
-                decode::<MachineNames>(&r.body).map_or(RentOutcome::Unsure, |m| RentOutcome::Rented(m.machines))
-            }
+            Ok(r) if r.status == 200 => decode::<MachineNames>(&r.body)
+                .map_or(ScaleOutOutcome::Unsure, |m| ScaleOutOutcome::Rented(m.machines)),
             // Both "no capacity" and "trouble" come as 503.
-            Ok(r) if r.status == 503 && !has_word(&r.body, b"trouble") => RentOutcome::NoCapacity,
-            Ok(r) if r.status == 400 => RentOutcome::NoCapacity,
-            _ => RentOutcome::Unsure,
+            Ok(r) if r.status == 503 && !has_word(&r.body, b"trouble") => ScaleOutOutcome::NoCapacity,
+            Ok(r) if r.status == 400 => ScaleOutOutcome::NoCapacity,
+            _ => ScaleOutOutcome::Unsure,
         }
     }
 
--- a/crates/hopyoke/src/follow.rs
+++ b/crates/hopyoke/src/follow.rs
@@ -22,7 +22,7 @@
 pub async fn watch(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
         let sent = runtime::now();
-        let since = leadership.core.borrow().applied().0;
+        let since = leadership.scheduler.borrow().applied().0;
         let result: Result<WatchResponse<JobRecord>, _> = node.state.records().watch(JOBS, since, WATCH).await;
         match result {
             Ok(events) => {
@@ -33,20 +33,20 @@
             Err(StateError::Gone) => match node.state.records().list::<JobRecord>(JOBS).await {
                 Ok((pairs, revision)) => {
                     let now = runtime::now();
-                    let mut core = leadership.core.borrow_mut();
+                    let mut scheduler = leadership.scheduler.borrow_mut();
                     let listed: BTreeSet<JobId> = pairs.iter().filter_map(|p| job_id_of(&p.key)).collect();
                     // A job that is newer than the list has come by a notification or a question meanwhile.
                     // (Guards `forgotten`: it would be taken for over.)
-                    let old = |id: &JobId| core.jobs.get(id).is_some_and(|j| j.mod_revision.0 <= revision);
+                    let old = |id: &JobId| scheduler.jobs.get(id).is_some_and(|j| j.mod_revision.0 <= revision);
                     let gone: Vec<JobId> =
-                        core.job_ids().into_iter().filter(|id| !listed.contains(id) && old(id)).collect();
+                        scheduler.job_ids().into_iter().filter(|id| !listed.contains(id) && old(id)).collect();
                     for id in gone {
-                        core.job_dropped(&id, now);
+                        scheduler.job_dropped(&id, now);
                     }
                     for (id, record, mod_revision) in pairs.into_iter().filter_map(job_of) {
-                        core.job_seen(id, record, mod_revision, now);
+                        scheduler.job_seen(id, record, mod_revision, now);
                     }
-                    core.caught_up(ModRevision(revision), sent);
+                    scheduler.caught_up(ModRevision(revision), sent);
                     leadership.leader_lease.borrow_mut().heard(sent);
                     leadership.wakeup.notify();
                 }
@@ -76,7 +76,7 @@
             continue;
         };
         let sent = runtime::now();
-        let since = leadership.core.borrow().applied().0;
+        let since = leadership.scheduler.borrow().applied().0;
         let result: Result<WatchResponse<JobRecord>, StateError> =
             node.state.records().watch(JOBS, since.max(1), Micros::ZERO).await;
         match result {
@@ -100,18 +100,18 @@
     let now = runtime::now();
     leadership.leader_lease.borrow_mut().heard(sent);
     let any = !events.events.is_empty();
-    let mut core = leadership.core.borrow_mut();
+    let mut scheduler = leadership.scheduler.borrow_mut();
     for e in events.events {
         if let Some(id) = e.deleted.as_deref().and_then(job_id_of) {
-            core.job_dropped(&id, now);
+            scheduler.job_dropped(&id, now);
         } else if let (Some(key), Some(value)) = (e.put, e.value)
             && let Some((id, record, mod_revision)) = job_of(KeyValue { key, value, mod_revision: e.mod_revision })
         {
-            core.job_seen(id, record, mod_revision, now);
+            scheduler.job_seen(id, record, mod_revision, now);
         }
     }
-    core.caught_up(ModRevision(events.revision), sent);
-    drop(core);
+    scheduler.caught_up(ModRevision(events.revision), sent);
+    drop(scheduler);
     if any {
         leadership.wakeup.notify();
     }
--- a/crates/hopyoke/src/lead.rs
+++ b/crates/hopyoke/src/lead.rs
@@ -17,7 +17,7 @@
 use hopyoke_policy::Figures;
 use hopyoke_protocol::cloud::ScaleOutRequest;
 use hopyoke_protocol::state::{Compare, Mutation};
-use hopyoke_scheduler::{Action, Batch, BatchError, Core, JobRecord, RegisterPage, Write};
+use hopyoke_scheduler::{Action, Batch, BatchError, JobRecord, RegistryPage, Scheduler, Write};
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, ModRevision};
 use serde::{Deserialize, Serialize};
@@ -176,22 +176,22 @@
     node.open.hold_until(granted_at + FAILOVER);
     let taken = cancel.run(fail_over(node, token, granted_at)).await;
     node.open.hold_until(Micros::ZERO);
-    let Some(Some(mut core)) = taken else {
+    let Some(Some(mut scheduler)) = taken else {
         cancel.cancel();
         return false;
     };
     let now = runtime::now();
-    info!(token = token.0, jobs = core.jobs.len(), machines = core.machines.len(), "records read");
+    info!(token = token.0, jobs = scheduler.jobs.len(), machines = scheduler.machines.len(), "records read");
     // What users were told here while the records were read may be missing in them.
-    for id in node.promises.confirmed.borrow().after(core.applied()) {
-        core.job_dropped(&id, now);
+    for id in node.promises.confirmed.borrow().after(scheduler.applied()) {
+        scheduler.job_dropped(&id, now);
     }
     // A process that has just begun may not have learned a revision yet; this one does as well.
-    node.promises.confirmed.borrow_mut().began_before(core.applied());
+    node.promises.confirmed.borrow_mut().began_before(scheduler.applied());
     // All that was cancelled before the records were read is missing in them.
     leader_lease.borrow_mut().heard(granted_at);
     let leadership = Rc::new(Leadership {
-        core: RefCell::new(core),
+        scheduler: RefCell::new(scheduler),
         leader_lease,
         hearing: RefCell::new(HeartbeatMonitor::new(
             node.config.heartbeat_interval,
@@ -242,8 +242,8 @@
 
 /// Machines are up but none reports: this node is cut off from the workers, another may not be.
 fn is_isolated(leadership: &Leadership) -> bool {
-    let core = leadership.core.borrow();
-    let expected = core.machines.values().filter(|m| m.registered && !m.deleting).count();
+    let scheduler = leadership.scheduler.borrow();
+    let expected = scheduler.machines.values().filter(|m| m.is_registered && !m.deleting).count();
     leadership.hearing.borrow_mut().is_cut_off(expected, leadership.lease_is_valid(), runtime::now())
 }
 
@@ -288,8 +288,8 @@
     }
 }
 
-async fn fail_over(node: &Rc<Node>, token: FencingToken, granted_at: Micros) -> Option<Core> {
-    let (pages, _) = retry(|| node.state.critical().list::<RegisterPage>(FLEET)).await?;
+async fn fail_over(node: &Rc<Node>, token: FencingToken, granted_at: Micros) -> Option<Scheduler> {
+    let (pages, _) = retry(|| node.state.critical().list::<RegistryPage>(FLEET)).await?;
     let (jobs, revision) = retry(|| node.state.critical().list::<JobRecord>(JOBS)).await?;
     let register = pages
         .into_iter()
@@ -303,13 +303,13 @@
         })
         .collect();
     let jobs = jobs.into_iter().filter_map(job_of).collect();
-    let mut core = Core::new(node.config.clone(), token, jobs, register, granted_at);
-    core.caught_up(ModRevision(revision), granted_at);
-    core.set_tuning(tuning::tuning_of(&node.policy.evaluate(&Figures::default())));
-    core.set_time_of_day(runtime::now(), runtime::time_of_day());
-    core.set_hours(staffed::at_first(node));
-    core.set_catalog(node.catalog.borrow().clone());
-    Some(core)
+    let mut scheduler = Scheduler::new(node.config.clone(), token, jobs, register, granted_at);
+    scheduler.caught_up(ModRevision(revision), granted_at);
+    scheduler.set_tuning(tuning::tuning_of(&node.policy.evaluate(&Figures::default())));
+    scheduler.set_time_of_day(runtime::now(), runtime::time_of_day());
+    scheduler.set_hours(staffed::at_first(node));
+    scheduler.set_catalog(node.catalog.borrow().clone());
+    Some(scheduler)
 }
 
 async fn retry<T, F, G>(mut f: F) -> Option<T>
@@ -331,20 +331,20 @@
 async fn write_records(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
         let batch = {
-            let mut core = leadership.core.borrow_mut();
-            core.set_pressed(node.door.is_pressed());
-            if leadership.lease_is_valid() { core.next_batch(runtime::now()) } else { None }
+            let mut scheduler = leadership.scheduler.borrow_mut();
+            scheduler.set_pressed(node.door.is_pressed());
+            if leadership.lease_is_valid() { scheduler.next_batch(runtime::now()) } else { None }
         };
         let Some(batch) = batch else {
-            let more = leadership.core.borrow().has_writes();
-            if leadership.core.borrow().short_of_writes() {
+            let more = leadership.scheduler.borrow().has_writes();
+            if leadership.scheduler.borrow().short_of_writes() {
                 node.door.short();
             }
             let pause = if more { Micros::from_millis(50) } else { Micros::from_secs(1) };
             leadership.write_wakeup.wait_until(runtime::now() + pause).await;
             continue;
         };
-        let token = leadership.core.borrow().token;
+        let token = leadership.scheduler.borrow().token;
         node.door.wrote(batch.changes());
         let result = commit(&node, token, &batch).await;
         if result == Err(BatchError::Deposed) {
@@ -361,7 +361,7 @@
                 }
             }
         }
-        leadership.core.borrow_mut().batch_ended(batch, result, runtime::now());
+        leadership.scheduler.borrow_mut().batch_ended(batch, result, runtime::now());
         leadership.wakeup.notify();
     }
 }
@@ -371,7 +371,7 @@
 enum Value<'a> {
     Job(&'a JobRecord),
     End(&'a hopyoke_scheduler::EndRecord),
-    Page(&'a RegisterPage),
+    Page(&'a RegistryPage),
     Learned(&'a hopyoke_run_times::Page),
 }
 
@@ -424,7 +424,7 @@
 async fn list_machines(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
         if let Some(list) = node.cloud.list().await {
-            leadership.core.borrow_mut().listed(&list, runtime::now());
+            leadership.scheduler.borrow_mut().listed(&list, runtime::now());
             leadership.wakeup.notify();
         }
         let pause = node.config.list_lag.max(Micros::from_secs(5));
@@ -434,16 +434,16 @@
 
 /// Reads what earlier leaders have learned of run times. Nothing waits for it.
 async fn read_learned(node: Rc<Node>, leadership: Rc<Leadership>) {
-    if !leadership.core.borrow().tuning.learn {
+    if !leadership.scheduler.borrow().tuning.learn {
         return;
     }
     let Some((pages, _)) = retry(|| node.state.background().list::<hopyoke_run_times::Page>(LEARNED)).await else {
         return;
     };
-    let mut core = leadership.core.borrow_mut();
+    let mut scheduler = leadership.scheduler.borrow_mut();
     for pair in pages {
         if let Some(key) = pair.key.strip_prefix(LEARNED) {
-            core.learned(key, pair.value.readable().as_ref());
+            scheduler.learned(key, pair.value.readable().as_ref());
         }
     }
 }
@@ -462,18 +462,18 @@
     loop {
         let mut next = runtime::now() + Micros::from_millis(250);
         if leadership.lease_is_valid() {
-            let mut core = leadership.core.borrow_mut();
-            core.note_time(runtime::now(), runtime::time_of_day());
-            let due = leadership.planning(&node, &mut core, |core| {
-                core.tick(runtime::now());
-                core.next_due(runtime::now())
+            let mut scheduler = leadership.scheduler.borrow_mut();
+            scheduler.note_time(runtime::now(), runtime::time_of_day());
+            let due = leadership.planning(&node, &mut scheduler, |scheduler| {
+                scheduler.tick(runtime::now());
+                scheduler.next_due(runtime::now())
             });
             let mut actions = Vec::new();
-            while let Some(a) = core.next_action() {
+            while let Some(a) = scheduler.next_action() {
                 actions.push(a);
             }
-            let (token, writes) = (core.token, core.has_writes());
-            drop(core);
+            let (token, writes) = (scheduler.token, scheduler.has_writes());
+            drop(scheduler);
             for action in actions {
                 perform(&node, &leadership, &direct, token, action);
             }
@@ -501,30 +501,34 @@
                 let rent =
                     ScaleOutRequest { request: &request, machine_type: &machine_type, zone: &zone, spot, count };
                 let outcome = node.cloud.rent(&rent).await;
-                l.core.borrow_mut().rented(&request, outcome, runtime::now());
+                l.scheduler.borrow_mut().rented(&request, outcome, runtime::now());
             }
             Action::Delete { machines } => {
                 if node.cloud.delete(machines.clone()).await {
-                    l.core.borrow_mut().deleted(&machines, runtime::now());
+                    l.scheduler.borrow_mut().deleted(&machines, runtime::now());
                 } else {
                     runtime::sleep(Micros::from_secs(2)).await;
-                    l.core.borrow_mut().delete_failed(&machines);
+                    l.scheduler.borrow_mut().delete_failed(&machines);
                 }
             }
-            Action::Reread { job } => match node.state.records().get::<JobRecord>(&job_key(&job)).await {
+            Action::ReloadRecord { job } => match node.state.records().get::<JobRecord>(&job_key(&job)).await {
                 Ok(found) => {
                     let found = found.map(|(v, mod_revision)| (v.readable(), mod_revision));
                     match found {
                         Some((Some(record), mod_revision)) => {
-                            l.core.borrow_mut().reread(job, Some((record, mod_revision)), runtime::now());
+                            l.scheduler.borrow_mut().record_reloaded(
+                                job,
+                                Some((record, mod_revision)),
+                                runtime::now(),
+                            );
                         }
                         Some((None, _)) => warn!(job = %job, "unreadable record"),
-                        None => l.core.borrow_mut().reread(job, None, runtime::now()),
+                        None => l.scheduler.borrow_mut().record_reloaded(job, None, runtime::now()),
                     }
                 }
                 Err(_) => {
                     runtime::sleep(Micros::from_millis(300)).await;
-                    l.core.borrow_mut().reread_failed(job);
+                    l.scheduler.borrow_mut().record_reload_failed(job);
                 }
             },
             Action::Direct { machine, address, epoch, commands } => {
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -334,9 +334,9 @@
     call: impl Future<Output = std::io::Result<T>> + 'static,
 ) -> Result<T, String> {
     let answer = Rc::new(RefCell::new(None));
-    let slot = answer.clone();
+    let allocation = answer.clone();
     runtime::run(async move {
-        *slot.borrow_mut() = Some(call.await);
+        *allocation.borrow_mut() = Some(call.await);
     })
     .map_err(text)?;
     match answer.take() {
--- a/crates/hopyoke/src/mesh.rs
+++ b/crates/hopyoke/src/mesh.rs
@@ -37,8 +37,8 @@
     );
     let leadership = node.leadership().filter(|l| l.lease_is_valid());
     let (token, applied) = leadership.map_or((0, 0), |l| {
-        let core = l.core.borrow();
-        (core.token.0, core.applied().0)
+        let scheduler = l.scheduler.borrow();
+        (scheduler.token.0, scheduler.applied().0)
     });
     Greeting {
         node: node.settings.node.clone(),
@@ -123,13 +123,13 @@
 /// led. (Guards `ran_cancelled`. Scenario gap_fresh_leader.)
 fn heed(node: &Node, leadership: &Leadership, peer: usize, sent: Micros, answer: &Greeting) {
     let now = runtime::now();
-    let own = node.promises.confirmed.borrow().covers(leadership.core.borrow().applied());
+    let own = node.promises.confirmed.borrow().covers(leadership.scheduler.borrow().applied());
     let span = (answer.promise_us > 0 && own).then_some(Micros(answer.promise_us));
     if !answer.cancelled.is_empty() {
-        let mut core = leadership.core.borrow_mut();
+        let mut scheduler = leadership.scheduler.borrow_mut();
         for id in answer.cancelled.iter().filter_map(|id| JobId::parse(id)) {
             // Also of jobs that we have not heard of: news of them may be on its way.
-            core.job_dropped(&id, now);
+            scheduler.job_dropped(&id, now);
         }
         leadership.wakeup.notify();
     }
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -16,7 +16,7 @@
 use hopyoke_heartbeat::{HeartbeatMonitor, Routes};
 use hopyoke_policy::Policy;
 use hopyoke_protocol::cloud::MachineType;
-use hopyoke_scheduler::{Config, Core};
+use hopyoke_scheduler::{Scheduler, SchedulerConfig};
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
 use hopyoke_workflow::{Engine, Limits};
@@ -28,7 +28,7 @@
     pub settings: Settings,
     /// The operators' own settings.
     pub policy: Policy,
-    pub config: Config,
+    pub config: SchedulerConfig,
     pub state: KvClient,
     pub door: AdmissionController,
     pub cloud: Cloud,
@@ -68,7 +68,7 @@
 
 /// What a leading node has.
 pub struct Leadership {
-    pub core: RefCell<Core>,
+    pub scheduler: RefCell<Scheduler>,
     /// How long we may command workers.
     pub leader_lease: Rc<RefCell<LeaderLease>>,
     /// Whether workers reach us.
@@ -115,17 +115,17 @@
 
     /// Does something with the core that may make a plan, and has the time between plans follow
     /// from what that cost: a part (`plan_share`) of the processor's share may go to plans.
-    pub fn planning<T>(&self, node: &Node, core: &mut Core, f: impl FnOnce(&mut Core) -> T) -> T {
-        let (plans, began) = (core.plans(), runtime::now());
-        let out = f(core);
-        if core.plans() != plans {
+    pub fn planning<T>(&self, node: &Node, scheduler: &mut Scheduler, f: impl FnOnce(&mut Scheduler) -> T) -> T {
+        let (plans, began) = (scheduler.plans(), runtime::now());
+        let out = f(scheduler);
+        if scheduler.plans() != plans {
             let cost = runtime::now() - began;
             self.plan_cost.set(self.plan_cost.get() + cost);
-            debug!(cost_us = cost.0, machines = core.machines.len(), jobs = core.jobs.len(), "plan");
+            debug!(cost_us = cost.0, machines = scheduler.machines.len(), jobs = scheduler.jobs.len(), "plan");
             // A process that is behind hears its machines first.
             let part = if node.is_behind() { PLANS_WHEN_BEHIND } else { 1.0 };
-            let share = node.settings.facts.limits.cpu_share * core.tuning.plan_share * part;
-            core.plan_cost(cost, share);
+            let share = node.settings.facts.limits.cpu_share * scheduler.tuning.plan_share * part;
+            scheduler.plan_cost(cost, share);
         }
         out
     }
@@ -150,9 +150,12 @@
         let bounds = |per_second| Bounds { per_second, nodes: settings.facts.nodes };
         Node {
             flows,
-            config: Config::of(&settings),
+            config: SchedulerConfig::of(&settings),
             state: KvClient::new(settings.endpoints.state, bounds(settings.facts.state.rps)),
-            door: AdmissionController::new(bounds(settings.facts.state.write_rps), &Config::of(&settings).teams),
+            door: AdmissionController::new(
+                bounds(settings.facts.state.write_rps),
+                &SchedulerConfig::of(&settings).teams,
+            ),
             cloud: Cloud::new(settings.endpoints.cloud, settings.facts.cloud.rps),
             catalog: RefCell::default(),
             leader: RefCell::default(),
--- a/crates/hopyoke/src/questions.rs
+++ b/crates/hopyoke/src/questions.rs
@@ -17,14 +17,14 @@
 /// When a job will be over, or GPUs will be free.
 pub async fn when(node: &Node, mut request: WhenRequest) -> WhenAnswer {
     if let Some(leadership) = node.leadership() {
-        let core = leadership.core.borrow();
+        let scheduler = leadership.scheduler.borrow();
         let now = runtime::now();
         let found = if request.job.is_empty() {
             let zone = (!request.zone.is_empty()).then_some(request.zone);
-            core.when_capacity(&Ask { team: request.team, gpus: request.gpus, zone }, now)
+            scheduler.when_capacity(&Ask { team: request.team, gpus: request.gpus, zone }, now)
         } else {
             match JobId::parse(&request.job) {
-                Some(id) => core.when_job(&id, now),
+                Some(id) => scheduler.when_job(&id, now),
                 None => Err(format!("'{}' is not a job's id", request.job)),
             }
         };
@@ -55,11 +55,11 @@
 /// Runs that have ended.
 pub async fn history(node: &Node, mut request: HistoryRequest) -> HistoryAnswer {
     if let Some(leadership) = node.leadership() {
-        let core = leadership.core.borrow();
-        let token = core.token.0;
+        let scheduler = leadership.scheduler.borrow();
+        let token = scheduler.token.0;
         // Another leader counts its runs anew.
         let since = if request.token == token { request.since } else { 0 };
-        let past = core.history(since, MOST_RUNS + 1);
+        let past = scheduler.history(since, MOST_RUNS + 1);
         let mut writer = Writer::new(false);
         for p in past.iter().take(MOST_RUNS) {
             if let Err(error) = writer.add(&run_of(p)) {
--- a/crates/hopyoke/src/records.rs
+++ b/crates/hopyoke/src/records.rs
@@ -38,10 +38,10 @@
     if end.state == JobState::Cancelled {
         node.promises.confirmed.borrow_mut().note(id, mod_revision);
         if let Some(leadership) = node.leadership()
-            && let mut core = leadership.core.borrow_mut()
-            && core.applied() < mod_revision
+            && let mut scheduler = leadership.scheduler.borrow_mut()
+            && scheduler.applied() < mod_revision
         {
-            core.job_dropped(id, runtime::now());
+            scheduler.job_dropped(id, runtime::now());
             leadership.wakeup.notify();
         }
     }
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -102,7 +102,7 @@
         if (now > due + BEHIND || node.open.count() >= node.most_connections())
             && let Some(leadership) = node.leadership()
         {
-            leadership.core.borrow_mut().deaf(now);
+            leadership.scheduler.borrow_mut().set_receive_overloaded(now);
         }
     }
 }
@@ -121,7 +121,7 @@
         let pause = match got {
             Some(types) if !types.is_empty() => {
                 if let Some(l) = node.leadership() {
-                    l.core.borrow_mut().set_catalog(types.clone());
+                    l.scheduler.borrow_mut().set_catalog(types.clone());
                     l.wakeup.notify();
                 }
                 *node.catalog.borrow_mut() = types;
--- a/crates/hopyoke/src/staffed.rs
+++ b/crates/hopyoke/src/staffed.rs
@@ -56,7 +56,7 @@
     loop {
         let pause = match read(&node).await {
             Ok((switch, _)) => {
-                leadership.core.borrow_mut().set_switch(switch);
+                leadership.scheduler.borrow_mut().set_switch(switch);
                 leadership.wakeup.notify();
                 FOLLOW
             }
