--- a/crates/hopyoke/src/status.rs
+++ b/crates/hopyoke/src/status.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use hopyoke_admission::RequestPriority;
 use hopyoke_event_loop as runtime;
-use hopyoke_scheduler::{Amounts, HELD, Phase};
+use hopyoke_scheduler::{HELD, MachinePhase, Resources};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -38,11 +38,11 @@
     let confirmed = node.promises.confirmed.borrow();
     let _ = writeln!(out, "cancellations remembered {}", confirmed.len());
     let Some(leadership) = node.leadership() else { return out };
-    let core = leadership.core.borrow();
+    let scheduler = leadership.scheduler.borrow();
     let now = runtime::now();
-    let (runs, classes, _, forgotten) = core.learned_counts();
+    let (runs, classes, _, forgotten) = scheduler.learned_counts();
     let _ = writeln!(out, "learned classes {classes} forgotten {forgotten} runs_under_way {runs}");
-    for slow in core.slow_machines() {
+    for slow in scheduler.slow_machines() {
         let _ =
             writeln!(out, "slow machine {} factor {:.2} from {:.0} runs", slow.machine, slow.factor, slow.runs);
     }
@@ -51,45 +51,47 @@
     let _ = writeln!(
         out,
         "token {} entitled {} recovering {}",
-        core.token,
+        scheduler.token,
         leadership.lease_is_valid(),
-        core.recovering()
+        scheduler.is_reconciling()
     );
-    for zone in &core.cfg.zones {
-        let n = core.machines.values().filter(|m| m.zone == *zone).count();
+    for zone in &scheduler.cfg.zones {
+        let n = scheduler.machines.values().filter(|m| m.zone == *zone).count();
         let _ = writeln!(out, "block {zone} holder {leader} machines {n}");
     }
-    if let Some(until) = core.held_until() {
+    if let Some(until) = scheduler.held_until() {
         let _ = writeln!(out, "hours not staffed until {until}");
     }
-    let mut used: BTreeMap<&str, Amounts> = BTreeMap::new();
-    for m in core.machines.values() {
+    let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
+    for m in scheduler.machines.values() {
         let phase = match m.phase {
-            Phase::Booting => "booting",
-            Phase::Up => "up",
-            Phase::Lost => "lost",
+            MachinePhase::Booting => "booting",
+            MachinePhase::Up => "up",
+            MachinePhase::Lost => "lost",
         };
-        let live = m.slots().values().filter(|s| s.is_live()).count();
+        let live = m.allocations().values().filter(|s| s.is_live()).count();
         let _ = writeln!(
             out,
             "machine {} type {} zone {} spot {} {phase} tasks {live} faulty {} returning {}",
             m.id, m.machine_type, m.zone, m.spot, m.faulty, m.deleting
         );
-        for s in m.slots().values().filter(|s| s.is_live()) {
+        for s in m.allocations().values().filter(|s| s.is_live()) {
             if let Some(spec) = &s.spec {
                 let sum = used.entry(spec.team.as_str()).or_default();
-                *sum = *sum + Amounts::of_task(spec);
+                *sum = *sum + Resources::of_task(spec);
             }
         }
     }
-    for t in &core.cfg.teams {
+    for t in &scheduler.cfg.teams {
         let u = used.get(t.name.as_str()).copied().unwrap_or_default();
         let _ =
             writeln!(out, "team {} cpus {} of {} gpus {} of {}", t.name, u.cpus, t.cpus_max, u.gpus, t.gpus_max);
     }
-    for (id, j) in &core.jobs {
-        let unknown =
-            j.done.missing(j.spec.tasks).filter(|&i| core.check(j, i) == hopyoke_scheduler::Verdict::Unknown);
+    for (id, j) in &scheduler.jobs {
+        let unknown = j
+            .done
+            .missing(j.spec.tasks)
+            .filter(|&i| scheduler.check(j, i) == hopyoke_scheduler::RestartDecision::Unknown);
         let _ = write!(
             out,
             "job {id} team {} tasks {} done {} placed {} running {} unknown {}",
@@ -97,13 +99,13 @@
             j.spec.tasks,
             j.done.count(),
             j.places.len(),
-            core.running(id),
+            scheduler.running(id),
             unknown.count()
         );
-        if let Ok(w) = core.when_job(id, now) {
+        if let Ok(w) = scheduler.when_job(id, now) {
             let _ = write!(out, " ends_in {:.0} to {:.0} s", w.p50_s, w.p90_s);
         }
-        let _ = match (j.waits_for, core.held_until()) {
+        let _ = match (j.waits_for, scheduler.held_until()) {
             ("", _) => writeln!(out),
             (HELD, Some(until)) => writeln!(out, " waits for {HELD} until {until}"),
             (why, _) => writeln!(out, " waits for {why}"),
--- a/crates/hopyoke/src/tuning.rs
+++ b/crates/hopyoke/src/tuning.rs
@@ -4,7 +4,7 @@
 use hopyoke_calendar::{Calendar, CalendarFault, Held, Hours};
 use hopyoke_event_loop as runtime;
 use hopyoke_policy::{Figures, Values};
-use hopyoke_scheduler::{Core, Phase, Tuning};
+use hopyoke_scheduler::{MachinePhase, Scheduler, Tuning};
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
 use hopyoke_workflow::Limits;
@@ -83,17 +83,17 @@
 }
 
 /// What is measured now. Looks at all machines and jobs once, so it is not for every plan.
-fn figures(core: &Core, plan_busy: f64, now: Micros) -> Figures {
-    let up = || core.machines.values().filter(|m| m.phase == Phase::Up);
+fn figures(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
+    let up = || scheduler.machines.values().filter(|m| m.phase == MachinePhase::Up);
     let day_us = 86_400_000_000;
     let hour = (runtime::time_of_day().0 % day_us) as f64 / 3_600_000_000.0;
     Figures::default()
         .number("machines", up().count() as f64)
-        .number("idle_machines", up().filter(|m| m.slots().is_empty()).count() as f64)
+        .number("idle_machines", up().filter(|m| m.allocations().is_empty()).count() as f64)
         .number("spot_machines", up().filter(|m| m.spot).count() as f64)
-        .number("unfinished_jobs", core.jobs.len() as f64)
-        .number("unplaced_jobs", core.jobs.values().filter(|j| j.unplaced() > 0).count() as f64)
-        .boolean("production_arriving", core.production_arriving(now))
+        .number("unfinished_jobs", scheduler.jobs.len() as f64)
+        .number("unplaced_jobs", scheduler.jobs.values().filter(|j| j.unplaced_tasks() > 0).count() as f64)
+        .boolean("production_arriving", scheduler.production_arriving(now))
         .number("plan_busy", plan_busy)
         .number("hour", hour)
 }
@@ -101,12 +101,12 @@
 /// Finds the settings' values anew; says so if they have changed.
 pub fn refresh(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
     let now = runtime::now();
-    let mut core = leadership.core.borrow_mut();
-    let values = policy.evaluate(&figures(&core, leadership.plan_busy(), now));
+    let mut scheduler = leadership.scheduler.borrow_mut();
+    let values = policy.evaluate(&figures(&scheduler, leadership.plan_busy(), now));
     let tuning = tuning_of(&values);
-    if tuning != core.tuning {
+    if tuning != scheduler.tuning {
         info!(?tuning, "settings follow the live figures");
-        core.set_tuning(tuning);
+        scheduler.set_tuning(tuning);
     }
 }
 
--- a/crates/hopyoke/src/workers.rs
+++ b/crates/hopyoke/src/workers.rs
@@ -72,23 +72,23 @@
         }
     };
     let now = runtime::now();
-    let mut core = leadership.core.borrow_mut();
-    if heartbeat.token > core.token {
+    let mut scheduler = leadership.scheduler.borrow_mut();
+    if heartbeat.token > scheduler.token {
         // Somebody has been granted more than we know of.
         warn!(machine = %heartbeat.machine, token = heartbeat.token.0, "worker has seen a higher token");
         return Err(503);
     }
-    let answer = leadership.planning(node, &mut core, |core| core.heartbeat(&heartbeat, now));
+    let answer = leadership.planning(node, &mut scheduler, |scheduler| scheduler.heartbeat(&heartbeat, now));
     // A copy that arrives late does not show that its worker reaches us now. (Guards against a leader that no
     // worker reaches any more, and that goes on for as long as old reports arrive.)
     if answer.fresh {
         leadership.hearing.borrow_mut().heard(&heartbeat.machine, heartbeat.token == answer.token);
     }
     // A report without news leaves nothing to do.
-    if core.next_due(now) <= now || core.has_actions() {
+    if scheduler.next_due(now) <= now || scheduler.has_actions() {
         leadership.wakeup.notify();
     }
-    if core.has_writes() {
+    if scheduler.has_writes() {
         leadership.write_wakeup.notify();
     }
     tell_starts(
@@ -174,7 +174,7 @@
         commands: Vec<Command>,
     ) {
         if !leadership.lease_is_valid() {
-            leadership.core.borrow_mut().direct_failed(&machine, false, runtime::now());
+            leadership.scheduler.borrow_mut().direct_failed(&machine, false, runtime::now());
             return;
         }
         tell_starts(&machine, token, epoch, 0, &commands, "starts by direct orders");
@@ -185,20 +185,20 @@
         let client = self.client(address);
         let result = client.send_while(may, Method::Post, "/commands", &body, DIRECT_LIMIT).await;
         let now = runtime::now();
-        let mut core = leadership.core.borrow_mut();
+        let mut scheduler = leadership.scheduler.borrow_mut();
         match result {
             Ok(r) if matches!(r.status, 200 | 409) => {
                 let heartbeat: Option<Heartbeat> = decode(&r.body).ok();
                 leadership.hearing.borrow_mut().answered();
-                core.direct_answer(&machine, r.status == 200, heartbeat.as_ref(), now);
+                scheduler.direct_answer(&machine, r.status == 200, heartbeat.as_ref(), now);
             }
             Ok(r) => {
                 warn!(machine = %machine, status = r.status, "direct orders refused");
-                core.direct_failed(&machine, false, now);
+                scheduler.direct_failed(&machine, false, now);
             }
             Err(e) => {
                 debug!(machine = %machine, error = %e, "direct orders failed");
-                core.direct_failed(&machine, !matches!(e, ClientError::NotSent(_)), now);
+                scheduler.direct_failed(&machine, !matches!(e, ClientError::NotSent(_)), now);
                 self.clients.borrow_mut().remove(&address);
             }
         }
