--- a/crates/hopyoke-experiments/src/flows.rs
+++ b/crates/hopyoke-experiments/src/flows.rs
@@ -1,8 +1,8 @@
 //! Runs of workflows on a site of real processes on loopback: what a step costs, what it waits, and
 //! what is left of many runs when all controllers end. Figures are from stand-ins on one machine.
 
-use hopyoke::links::proto::flow_request::Ask;
-use hopyoke::links::proto::{RunQuestion, SubmitRun};
+use hopyoke::peers::client::proto::flow_request::Ask;
+use hopyoke::peers::client::proto::{RunQuestion, SubmitRun};
 use hopyoke_emulator::site::{self, Site};
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, Method};
--- a/crates/hopyoke-wes/src/calls.rs
+++ b/crates/hopyoke-wes/src/calls.rs
@@ -1,9 +1,9 @@
 //! The controllers, whichever of them answers. Every call here may be repeated: it changes nothing
 //! the second time.
 
-use hopyoke::links::ask_flow;
-use hopyoke::links::proto::flow_request::Ask;
-use hopyoke::links::proto::{FlowAnswer, FlowRequest};
+use hopyoke::peers::client::ask_flow;
+use hopyoke::peers::client::proto::flow_request::Ask;
+use hopyoke::peers::client::proto::{FlowAnswer, FlowRequest};
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use std::cell::Cell;
--- a/crates/hopyoke-wes/src/main.rs
+++ b/crates/hopyoke-wes/src/main.rs
@@ -1,8 +1,8 @@
 //! The program: CWL on the command line, and the workflow service.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use hopyoke::links::proto::flow_request::Ask;
-use hopyoke::links::proto::{ResumeRun, RunInfo, RunList, RunQuestion, SubmitRun};
+use hopyoke::peers::client::proto::flow_request::Ask;
+use hopyoke::peers::client::proto::{ResumeRun, RunInfo, RunList, RunQuestion, SubmitRun};
 use hopyoke_cwl::load::{Files, Source, name_of};
 use hopyoke_cwl::{Faults, graph, open, yaml};
 use hopyoke_event_loop::{self as runtime, CancellationToken};
--- a/crates/hopyoke-wes/src/server.rs
+++ b/crates/hopyoke-wes/src/server.rs
@@ -10,8 +10,8 @@
     BASE, Log, Organization, Problem, Progress, RunIdAnswer, RunList, RunLog, RunRequest, RunStatus, RunSummary,
     ServiceInfo, ServiceType, State, TaskList, TaskLog, TypeVersions, time,
 };
-use hopyoke::links::proto::flow_request::Ask;
-use hopyoke::links::proto::{self, RunInfo, RunQuestion, StepInfo, SubmitRun};
+use hopyoke::peers::client::proto::flow_request::Ask;
+use hopyoke::peers::client::proto::{self, RunInfo, RunQuestion, StepInfo, SubmitRun};
 use hopyoke_event_loop::http::{self, Limits, Method, OpenCount, Request, Response};
 use hopyoke_event_loop::{CancellationToken, TcpListener};
 use hopyoke_types::{JobId, Micros};
--- a/crates/hopyoke-wes/src/wire.rs
+++ b/crates/hopyoke-wes/src/wire.rs
@@ -1,6 +1,6 @@
 //! Messages of the GA4GH Workflow Execution Service 1.1, as published.
 
-use hopyoke::links::proto::RunInfo;
+use hopyoke::peers::client::proto::RunInfo;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
--- a/crates/hopyoke/src/workers.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -26,7 +26,7 @@
         if let Route::To(peer) = route
             && leadership.lease_is_valid()
         {
-            let other = &node.links.0[peer].peer.node;
+            let other = &node.peers.0[peer].peer.node;
             return Response::of(421, &HeartbeatRedirect { report_to: Some(other) }).closing();
         }
         return match heartbeat(node, &leadership, &request.body) {
@@ -34,9 +34,9 @@
             Err(status) => Response::empty(status),
         };
     }
-    let leader = node.leader.borrow().as_deref().and_then(|l| node.links.place_of(l));
+    let leader = node.leader.borrow().as_deref().and_then(|l| node.peers.place_of(l));
     if node.routes.borrow().elsewhere(leader, now) == Route::Carry {
-        return match node.carriage.carry(request.body).await {
+        return match node.heartbeat_relay.carry(request.body).await {
             Some(body) => {
                 let mut response = Response::empty(200);
                 response.body = body;
@@ -82,7 +82,7 @@
     // A copy that arrives late does not show that its worker reaches us now. (Guards against a leader that no
     // worker reaches any more, and that goes on for as long as old reports arrive.)
     if answer.fresh {
-        leadership.hearing.borrow_mut().heard(&heartbeat.machine, heartbeat.token == answer.token);
+        leadership.heartbeat_monitor.borrow_mut().heard(&heartbeat.machine, heartbeat.token == answer.token);
     }
     // A report without news leaves nothing to do.
     if scheduler.next_due(now) <= now || scheduler.has_actions() {
@@ -189,7 +189,7 @@
         match result {
             Ok(r) if matches!(r.status, 200 | 409) => {
                 let heartbeat: Option<Heartbeat> = decode(&r.body).ok();
-                leadership.hearing.borrow_mut().answered();
+                leadership.heartbeat_monitor.borrow_mut().answered();
                 scheduler.direct_answer(&machine, r.status == 200, heartbeat.as_ref(), now);
             }
             Ok(r) => {
--- /dev/null
+++ b/crates/hopyoke/src/agents/mod.rs
@@ -0,0 +1,3 @@
+//! Agents (the workers of the protocol): their heartbeats, and commands pushed to them.
+
+pub mod heartbeats;
--- a/crates/hopyoke/src/door.rs
+++ b/crates/hopyoke/src/api/admission.rs
@@ -1,7 +1,7 @@
 //! Who of those that bring new work is let in: [`hopyoke_admission::AdmissionController`] with this node's clock.
 
-use crate::links::proto::Place;
 use crate::node::Node;
+use crate::peers::client::proto::Place;
 use hopyoke_admission::{AdmissionController as Decisions, Bounds, QueueGossip, RetryAfter};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::user::JobSpec;
--- a/crates/hopyoke/src/api.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -1,9 +1,9 @@
 //! What users ask: submit, poll, cancel. Any node answers by itself, from the state service.
 
-use crate::links::{ASK_LEADER, ASK_PEER};
 use crate::node::{Leadership, Node};
-use crate::records::{self, Lookup, lookup, lookup_ended};
-use crate::state::{StateError, TransactionOutcome};
+use crate::peers::client::{ASK_LEADER, ASK_PEER};
+use crate::store::client::{StateError, TransactionOutcome};
+use crate::store::records::{self, Lookup, lookup, lookup_ended};
 use hopyoke_admission::RetryAfter;
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Method, Request, Response};
@@ -55,7 +55,7 @@
     let quiet = Micros::from_secs(3);
     !node.state.answers()
         && runtime::now() > node.state.last_answer() + quiet
-        && node.links.any_reaches_state().is_some()
+        && node.peers.any_reaches_state().is_some()
 }
 
 /// What of a request's path follows that of all jobs; a query says nothing. Asked directly or by way of a peer, a
@@ -69,7 +69,7 @@
 pub async fn jobs(node: &Rc<Node>, rest: &str, request: &Request) -> Response {
     if request.method == Method::Get && node.leadership().is_none() {
         let leader = node.leader.borrow().clone();
-        if let Some(link) = leader.as_deref().and_then(|l| node.links.by_name(l))
+        if let Some(link) = leader.as_deref().and_then(|l| node.peers.by_name(l))
             && link.leads()
         {
             // The leader answers many with one question of its own; our own would be two for each.
@@ -82,7 +82,7 @@
         }
     }
     if !node.state.answers()
-        && let Some(link) = node.links.any_reaches_state()
+        && let Some(link) = node.peers.any_reaches_state()
         && let Some(r) = link.forward(&node.settings.node, request, ASK_PEER).await
     {
         return r;
@@ -97,7 +97,7 @@
     if own.status == 503
         && request.method == Method::Post
         && !node.state.answers()
-        && let Some(link) = node.links.any_reaches_state()
+        && let Some(link) = node.peers.any_reaches_state()
         && let Some(r) = link.forward(&node.settings.node, request, ASK_PEER).await
     {
         return r;
@@ -168,7 +168,7 @@
 }
 
 async fn poll(node: &Node, id: &JobId) -> Result<Response, StateError> {
-    if let Some(end) = node.finals.get(id) {
+    if let Some(end) = node.terminal_states.get(id) {
         return Ok(finished(id, end));
     }
     if let Some(leadership) = node.leadership() {
@@ -178,7 +178,7 @@
             if leadership.scheduler.borrow().jobs.contains_key(id) {
                 return Ok(unfinished(Some(&leadership), id, None));
             }
-            if let Some(end) = node.finals.get(id) {
+            if let Some(end) = node.terminal_states.get(id) {
                 return Ok(finished(id, end));
             }
             // Over, or never accepted, or its record can't be read: its own records tell.
@@ -225,10 +225,10 @@
 /// is committed.
 async fn accept(node: &Rc<Node>, spec: JobSpec) -> Result<Response, StateError> {
     let id = spec.id.clone();
-    if let Some(end) = node.finals.get(&id).filter(|e| !e.flow) {
+    if let Some(end) = node.terminal_states.get(&id).filter(|e| !e.flow) {
         return Ok(finished(&id, end));
     }
-    if let Err(after) = node.door.enter(node, &spec) {
+    if let Err(after) = node.admission.enter(node, &spec) {
         debug!(job = %id, after_s = after.0, "refused at the door");
         // A repeated submission of what is accepted gets its answer all the same, where that costs
         // nothing of its own.
@@ -239,7 +239,7 @@
     let record = JobRecord::accepted(spec, runtime::time_of_day().0);
     let end = match records::accept(node, record, Vec::new()).await {
         Err(e) if e.is_refusal() && node.state.answers() => {
-            return Ok(no_room(node.door.refuse(node, &id, &team)));
+            return Ok(no_room(node.admission.refuse(node, &id, &team)));
         }
         end => end?,
     };
--- a/crates/hopyoke/src/lead.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -1,15 +1,16 @@
 //! Leadership: one node leads, named by a key on its lease in the state service. It leases all
 //! blocks to itself, takes over the records, and runs the core.
 
-use crate::follow::{self, WATCH, job_id_of, job_of};
+use crate::agents::heartbeats::Direct;
 use crate::node::{Leadership, Node};
-use crate::replica::Replica;
-use crate::state::{
+use crate::operations::settings;
+use crate::operations::staffed_hours;
+use crate::store::client::{
     FLEET, JOBS, LEADER, LEARNED, StateError, TransactionOutcome, block_key, end_key, fleet_key, job_key,
     learned_key,
 };
-use crate::workers::Direct;
-use crate::{staffed, tuning};
+use crate::store::read_index::Replica;
+use crate::store::watch::{self, WATCH, job_id_of, job_of};
 use hopyoke_consistency::DeliveryCursors;
 use hopyoke_consistency::leader_lease::LeaderLease;
 use hopyoke_event_loop::{self as runtime, CancellationToken, Notify};
@@ -47,7 +48,7 @@
             Ok(Some((value, mod_revision))) => (value.readable(), mod_revision),
             Ok(None) => {
                 // Nobody leads, so nobody's records need anything.
-                node.door.heard(0.0, asked);
+                node.admission.heard(0.0, asked);
                 (None, ModRevision(0))
             }
             Err(e) => {
@@ -66,13 +67,13 @@
                 runtime::sleep(jitter(Micros::from_millis(150))).await;
             }
             // No wait between this look and the try: from here on nothing is promised.
-            let kept = node.promises.kept_until(own_former);
+            let kept = node.lease_support.kept_until(own_former);
             if runtime::now() < kept {
                 runtime::sleep_until(kept).await;
                 continue;
             }
             fresh_start = false;
-            node.promises.leads.set(true);
+            node.lease_support.leads.set(true);
             let acquired = acquire(&node, &me, mod_revision).await;
             if let Acquired::Unsure(lease) = acquired {
                 // The try may yet be executed, late: until its lease is gone for certain, nothing
@@ -87,7 +88,7 @@
                     campaign_not_before = runtime::now() + Micros::from_secs(12);
                 }
             }
-            node.promises.leads.set(false);
+            node.lease_support.leads.set(false);
             continue;
         }
         fresh_start = false;
@@ -166,7 +167,7 @@
     let granted_at = runtime::now();
     let cancel = CancellationToken::new();
     let ttl = node.settings.leader_ttl();
-    let leader_lease = Rc::new(RefCell::new(LeaderLease::new(until, ttl, WATCH, node.links.0.len())));
+    let leader_lease = Rc::new(RefCell::new(LeaderLease::new(until, ttl, WATCH, node.peers.0.len())));
     let lost = Notify::default();
     runtime::spawn_until(
         cancel.clone(),
@@ -183,17 +184,17 @@
     let now = runtime::now();
     info!(token = token.0, jobs = scheduler.jobs.len(), machines = scheduler.machines.len(), "records read");
     // What users were told here while the records were read may be missing in them.
-    for id in node.promises.confirmed.borrow().after(scheduler.applied()) {
+    for id in node.lease_support.confirmed.borrow().after(scheduler.applied()) {
         scheduler.job_dropped(&id, now);
     }
     // A process that has just begun may not have learned a revision yet; this one does as well.
-    node.promises.confirmed.borrow_mut().began_before(scheduler.applied());
+    node.lease_support.confirmed.borrow_mut().began_before(scheduler.applied());
     // All that was cancelled before the records were read is missing in them.
     leader_lease.borrow_mut().heard(granted_at);
     let leadership = Rc::new(Leadership {
         scheduler: RefCell::new(scheduler),
         leader_lease,
-        hearing: RefCell::new(HeartbeatMonitor::new(
+        heartbeat_monitor: RefCell::new(HeartbeatMonitor::new(
             node.config.heartbeat_interval,
             node.settings.facts.nodes,
             now,
@@ -202,17 +203,17 @@
         write_wakeup: Notify::default(),
         cancel: cancel.clone(),
         replica: Replica::default(),
-        delivered: RefCell::new(DeliveryCursors::new(node.links.0.len())),
+        delivered: RefCell::new(DeliveryCursors::new(node.peers.0.len())),
         plan_cost: Cell::new(Micros::ZERO),
         plans_from: Cell::new(now),
         plans_may: node.settings.facts.limits.cpu_share,
     });
     *node.leadership.borrow_mut() = Some(leadership.clone());
-    runtime::spawn_until(cancel.clone(), follow::watch(node.clone(), leadership.clone()));
-    runtime::spawn_until(cancel.clone(), follow::ask(node.clone(), leadership.clone()));
+    runtime::spawn_until(cancel.clone(), watch::watch(node.clone(), leadership.clone()));
+    runtime::spawn_until(cancel.clone(), watch::ask(node.clone(), leadership.clone()));
     runtime::spawn_until(cancel.clone(), write_records(node.clone(), leadership.clone()));
     runtime::spawn_until(cancel.clone(), list_machines(node.clone(), leadership.clone()));
-    runtime::spawn_until(cancel.clone(), staffed::follow(node.clone(), leadership.clone()));
+    runtime::spawn_until(cancel.clone(), staffed_hours::follow(node.clone(), leadership.clone()));
     runtime::spawn_until(cancel.clone(), act(node.clone(), leadership.clone()));
     runtime::spawn_until(cancel.clone(), read_learned(node.clone(), leadership.clone()));
     if node.policy.is_live() {
@@ -244,7 +245,7 @@
 fn is_isolated(leadership: &Leadership) -> bool {
     let scheduler = leadership.scheduler.borrow();
     let expected = scheduler.machines.values().filter(|m| m.is_registered && !m.deleting).count();
-    leadership.hearing.borrow_mut().is_cut_off(expected, leadership.lease_is_valid(), runtime::now())
+    leadership.heartbeat_monitor.borrow_mut().is_cut_off(expected, leadership.lease_is_valid(), runtime::now())
 }
 
 /// The least wait for the answer to a renewal. One that is lost is soon repeated; where the service is slow, up to half of
@@ -305,9 +306,9 @@
     let jobs = jobs.into_iter().filter_map(job_of).collect();
     let mut scheduler = Scheduler::new(node.config.clone(), token, jobs, register, granted_at);
     scheduler.caught_up(ModRevision(revision), granted_at);
-    scheduler.set_tuning(tuning::tuning_of(&node.policy.evaluate(&Figures::default())));
+    scheduler.set_tuning(settings::tuning_of(&node.policy.evaluate(&Figures::default())));
     scheduler.set_time_of_day(runtime::now(), runtime::time_of_day());
-    scheduler.set_hours(staffed::at_first(node));
+    scheduler.set_hours(staffed_hours::at_first(node));
     scheduler.set_catalog(node.catalog.borrow().clone());
     Some(scheduler)
 }
@@ -332,20 +333,20 @@
     loop {
         let batch = {
             let mut scheduler = leadership.scheduler.borrow_mut();
-            scheduler.set_pressed(node.door.is_pressed());
+            scheduler.set_pressed(node.admission.is_pressed());
             if leadership.lease_is_valid() { scheduler.next_batch(runtime::now()) } else { None }
         };
         let Some(batch) = batch else {
             let more = leadership.scheduler.borrow().has_writes();
             if leadership.scheduler.borrow().short_of_writes() {
-                node.door.short();
+                node.admission.short();
             }
             let pause = if more { Micros::from_millis(50) } else { Micros::from_secs(1) };
             leadership.write_wakeup.wait_until(runtime::now() + pause).await;
             continue;
         };
         let token = leadership.scheduler.borrow().token;
-        node.door.wrote(batch.changes());
+        node.admission.wrote(batch.changes());
         let result = commit(&node, token, &batch).await;
         if result == Err(BatchError::Deposed) {
             // Only our grant itself can have failed: somebody else leads.
@@ -357,7 +358,7 @@
             // Polls of these need not ask for them.
             for w in &batch.writes {
                 if let Write::End { job, end, .. } = w {
-                    node.finals.add(job, *end);
+                    node.terminal_states.add(job, *end);
                 }
             }
         }
@@ -451,7 +452,7 @@
 /// Settings that depend on live figures follow them.
 async fn follow_figures(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
-        tuning::refresh(&node.policy, &leadership);
+        settings::refresh(&node.policy, &leadership);
         runtime::sleep(Micros::from_secs(1)).await;
     }
 }
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -1,8 +1,8 @@
 //! The program: reads the command line and starts the library.
 
 use clap::{Parser, Subcommand, ValueEnum};
-use hopyoke::links;
-use hopyoke::links::proto::{HistoryRequest, StaffedRequest, WhenRequest};
+use hopyoke::peers::client;
+use hopyoke::peers::client::proto::{HistoryRequest, StaffedRequest, WhenRequest};
 use hopyoke_event_loop as runtime;
 use hopyoke_policy::{Figures, Policy};
 use hopyoke_settings::Settings;
@@ -127,7 +127,7 @@
     let args = Args::parse();
     let result = match args.command {
         Some(Command::Check { config, policy }) => check(config.as_deref(), policy.as_deref()),
-        Some(Command::Status { mesh }) => ask(mesh, links::ask_status(mesh)).map(|text| print!("{text}")),
+        Some(Command::Status { mesh }) => ask(mesh, client::ask_status(mesh)).map(|text| print!("{text}")),
         Some(Command::When { job, team, gpus, zone, mesh }) => {
             let request = WhenRequest {
                 node: String::new(),
@@ -136,7 +136,7 @@
                 gpus: gpus.unwrap_or(0.0),
                 zone: zone.unwrap_or_default(),
             };
-            ask(mesh, links::ask_when(mesh, request)).map(|w| {
+            ask(mesh, client::ask_when(mesh, request)).map(|w| {
                 println!("p50 in {}, p90 in {}", span(w.p50_s), span(w.p90_s));
                 println!("rests on {}", w.rests_on);
             })
@@ -186,7 +186,7 @@
     };
     let by = std::env::var("USER").unwrap_or_default();
     let request = StaffedRequest { word: word.to_owned(), span_s, by };
-    ask(mesh, links::ask_staffed(mesh, request)).map(|a| println!("{}", a.text))
+    ask(mesh, client::ask_staffed(mesh, request)).map(|a| println!("{}", a.text))
 }
 
 /// Becomes the program beside this one that speaks CWL: what it needs stays out of the controller.
@@ -230,7 +230,7 @@
     let policy = Policy::load(&name, &text).map_err(|e| e.to_string())?;
     // What the language can't check of a text's own form.
     let values = policy.evaluate(&Figures::default());
-    hopyoke::tuning::hours_of(&values, Micros::ZERO).map_err(|e| format!("{name}: {e}"))?;
+    hopyoke::operations::settings::hours_of(&values, Micros::ZERO).map_err(|e| format!("{name}: {e}"))?;
     Ok(policy)
 }
 
@@ -305,7 +305,7 @@
     let (mut token, mut since) = (0, 0);
     loop {
         let request = HistoryRequest { node: String::new(), token, since };
-        let answer = ask(mesh, links::ask_history(mesh, request));
+        let answer = ask(mesh, client::ask_history(mesh, request));
         let more = match answer {
             Ok(a) => {
                 print!("{}", a.csv);
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -1,13 +1,13 @@
 //! What the routines of one controller node share.
 
-use crate::carriage::HeartbeatRelay;
+use crate::api::admission::AdmissionController;
 use crate::cloud::Cloud;
-use crate::door::AdmissionController;
-use crate::finals::TerminalStateCache;
-use crate::links::PeerClients;
-use crate::promises::LeaseSupport;
-use crate::replica::Replica;
-use crate::state::KvClient;
+use crate::leadership::lease_support::LeaseSupport;
+use crate::peers::client::PeerClients;
+use crate::peers::heartbeat_relay::HeartbeatRelay;
+use crate::store::client::KvClient;
+use crate::store::read_index::Replica;
+use crate::store::terminal_states::TerminalStateCache;
 use hopyoke_admission::Bounds;
 use hopyoke_consistency::DeliveryCursors;
 use hopyoke_consistency::leader_lease::LeaderLease;
@@ -30,7 +30,7 @@
     pub policy: Policy,
     pub config: SchedulerConfig,
     pub state: KvClient,
-    pub door: AdmissionController,
+    pub admission: AdmissionController,
     pub cloud: Cloud,
     pub catalog: RefCell<Vec<MachineType>>,
     /// The node that leads, as last seen.
@@ -38,14 +38,14 @@
     /// Set while this node leads.
     pub leadership: RefCell<Option<Rc<Leadership>>>,
     /// What this node promises its peers.
-    pub promises: LeaseSupport,
-    pub finals: TerminalStateCache,
-    pub links: PeerClients,
+    pub lease_support: LeaseSupport,
+    pub terminal_states: TerminalStateCache,
+    pub peers: PeerClients,
     /// Users' and workers' connections that are open.
     pub open: OpenCount,
     /// Where workers' reports go.
     pub routes: RefCell<Routes>,
-    pub carriage: HeartbeatRelay,
+    pub heartbeat_relay: HeartbeatRelay,
     /// Until then this process counts as behind on its processor.
     pub behind_until: Cell<Micros>,
     /// Runs of workflows, if this node takes part.
@@ -72,7 +72,7 @@
     /// How long we may command workers.
     pub leader_lease: Rc<RefCell<LeaderLease>>,
     /// Whether workers reach us.
-    pub hearing: RefCell<HeartbeatMonitor>,
+    pub heartbeat_monitor: RefCell<HeartbeatMonitor>,
     /// Rung when the core has changed.
     pub wakeup: Notify,
     /// Rung when something is to be written.
@@ -152,7 +152,7 @@
             flows,
             config: SchedulerConfig::of(&settings),
             state: KvClient::new(settings.endpoints.state, bounds(settings.facts.state.rps)),
-            door: AdmissionController::new(
+            admission: AdmissionController::new(
                 bounds(settings.facts.state.write_rps),
                 &SchedulerConfig::of(&settings).teams,
             ),
@@ -160,12 +160,12 @@
             catalog: RefCell::default(),
             leader: RefCell::default(),
             leadership: RefCell::default(),
-            promises: LeaseSupport::of_new_process(),
-            finals: TerminalStateCache::default(),
-            links: PeerClients::new(&settings.peers),
+            lease_support: LeaseSupport::of_new_process(),
+            terminal_states: TerminalStateCache::default(),
+            peers: PeerClients::new(&settings.peers),
             open: OpenCount::default(),
             routes: RefCell::new(Routes::new(settings.peers.len())),
-            carriage: HeartbeatRelay::default(),
+            heartbeat_relay: HeartbeatRelay::default(),
             behind_until: Cell::new(Micros::ZERO),
             cancel: CancellationToken::new(),
             settings,
--- a/crates/hopyoke/src/questions.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -1,8 +1,8 @@
 //! Operators' questions about learned run times. Any node takes them; the leader answers.
 
-use crate::links::proto::{HistoryAnswer, HistoryRequest, WhenAnswer, WhenRequest};
-use crate::links::{GREET, PeerClient};
 use crate::node::Node;
+use crate::peers::client::proto::{HistoryAnswer, HistoryRequest, WhenAnswer, WhenRequest};
+use crate::peers::client::{GREET, PeerClient};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::user::JobKind;
 use hopyoke_scheduler::{Ask, Past};
@@ -49,7 +49,7 @@
         return Err("the node that was asked does not lead");
     }
     let leader = node.leader.borrow().clone();
-    leader.as_deref().and_then(|l| node.links.by_name(l)).ok_or("nobody leads now")
+    leader.as_deref().and_then(|l| node.peers.by_name(l)).ok_or("nobody leads now")
 }
 
 /// Runs that have ended.
--- a/crates/hopyoke/src/staffed.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -1,9 +1,9 @@
 //! Staffed hours on a node: the operators' word is a record, and the leader keeps it in mind.
 
-use crate::links::proto::{StaffedAnswer, StaffedRequest};
 use crate::node::{Leadership, Node};
-use crate::state::{SWITCH, StateError, TransactionOutcome};
-use crate::tuning;
+use crate::operations::settings;
+use crate::peers::client::proto::{StaffedAnswer, StaffedRequest};
+use crate::store::client::{SWITCH, StateError, TransactionOutcome};
 use hopyoke_calendar::{Hours, Switch};
 use hopyoke_event_loop as runtime;
 use hopyoke_policy::Figures;
@@ -20,7 +20,7 @@
 fn hours(node: &Node) -> Option<Hours> {
     let values = node.policy.evaluate(&Figures::default());
     let skew = Micros::from_secs_f64(node.settings.facts.clock_skew_ms / 1e3);
-    match tuning::hours_of(&values, skew) {
+    match settings::hours_of(&values, skew) {
         Ok(h) => h,
         Err(e) => {
             // Checked when the file was read.
--- a/crates/hopyoke/src/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -13,29 +13,29 @@
     let leader = node.leader.borrow().clone().unwrap_or_else(|| "none".into());
     let _ = writeln!(out, "node {} zone {}", node.settings.node, node.settings.zone);
     let _ = writeln!(out, "leader {leader} state_answers {}", node.state.answers());
-    let (let_in, refused, line, rate) = node.door.counts();
+    let (let_in, refused, line, rate) = node.admission.counts();
     let _ = writeln!(
         out,
         "door let_in {let_in} refused {refused} line_s {:.0} rate {rate:.1} a second",
         line.as_secs_f64()
     );
-    for (team, let_in, refused) in node.door.team_counts().into_iter().filter(|(_, l, r)| l + r > 0) {
+    for (team, let_in, refused) in node.admission.team_counts().into_iter().filter(|(_, l, r)| l + r > 0) {
         let _ = writeln!(out, "door team {team} let_in {let_in} refused {refused}");
     }
     for importance in RequestPriority::ALL {
         let (sent, held_back) = node.state.counts(importance);
         let _ = writeln!(out, "state requests {importance:?} sent {sent} held_back {held_back}");
     }
-    let (carried, not_carried) = node.carriage.counts();
+    let (carried, not_carried) = node.heartbeat_relay.counts();
     let open = node.open.count();
     let _ = writeln!(
         out,
         "connections {open} of {} reports carried {carried} refused {not_carried}",
         node.most_connections()
     );
-    let stale: u64 = node.links.0.iter().map(|l| l.stale()).sum();
-    let _ = writeln!(out, "mesh unknown {} stale {stale}", node.links.refused());
-    let confirmed = node.promises.confirmed.borrow();
+    let stale: u64 = node.peers.0.iter().map(|l| l.stale()).sum();
+    let _ = writeln!(out, "mesh unknown {} stale {stale}", node.peers.refused());
+    let confirmed = node.lease_support.confirmed.borrow();
     let _ = writeln!(out, "cancellations remembered {}", confirmed.len());
     let Some(leadership) = node.leadership() else { return out };
     let scheduler = leadership.scheduler.borrow();
--- a/crates/hopyoke/src/carriage.rs
+++ b/crates/hopyoke/src/peers/heartbeat_relay.rs
@@ -47,16 +47,16 @@
 
 /// Carries what waits, for as long as the node runs.
 pub async fn run(node: Rc<Node>) {
-    let carriage = &node.carriage;
+    let heartbeat_relay = &node.heartbeat_relay;
     loop {
-        let due = carriage.carrier.borrow().due();
+        let due = heartbeat_relay.carrier.borrow().due();
         match due {
             Some(due) => runtime::sleep_until(due).await,
-            None => carriage.wakeup.wait_until(runtime::now() + Micros::from_secs(5)).await,
+            None => heartbeat_relay.wakeup.wait_until(runtime::now() + Micros::from_secs(5)).await,
         }
-        let (load, late) = carriage.carrier.borrow_mut().load(runtime::now());
+        let (load, late) = heartbeat_relay.carrier.borrow_mut().load(runtime::now());
         for number in late {
-            carriage.answered(number, Vec::new());
+            heartbeat_relay.answered(number, Vec::new());
         }
         if !load.is_empty() {
             let own = node.clone();
@@ -68,15 +68,15 @@
 async fn send(node: &Node, load: Load) {
     let (numbers, heartbeats): (Vec<Number>, Vec<Vec<u8>>) = load.into_iter().unzip();
     let leader = node.leader.borrow().clone();
-    let answers = match leader.as_deref().and_then(|l| node.links.by_name(l)) {
+    let answers = match leader.as_deref().and_then(|l| node.peers.by_name(l)) {
         Some(link) => link.carry(&node.settings.node, heartbeats).await,
         None => None,
     };
-    let carriage = &node.carriage;
-    carriage.carrier.borrow_mut().ended();
+    let heartbeat_relay = &node.heartbeat_relay;
+    heartbeat_relay.carrier.borrow_mut().ended();
     let answers = answers.unwrap_or_else(|| vec![Vec::new(); numbers.len()]);
     for (number, answer) in numbers.into_iter().zip(answers) {
-        carriage.answered(number, answer);
+        heartbeat_relay.answered(number, answer);
     }
-    carriage.wakeup.notify();
+    heartbeat_relay.wakeup.notify();
 }
--- /dev/null
+++ b/crates/hopyoke/src/peers/mod.rs
@@ -0,0 +1,5 @@
+//! Other controllers: calls to them, calls from them, and heartbeats relayed to the leader.
+
+pub mod client;
+pub mod heartbeat_relay;
+pub mod server;
--- a/crates/hopyoke/src/mesh.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -4,15 +4,16 @@
 //! them better, and carries promises in an outage (see [`hopyoke_consistency::leader_lease`]). Without it
 //! the rules hold all the same.
 
-use crate::links::proto::mesh_server::{Mesh, MeshServer};
-use crate::links::proto::{
+use crate::api::jobs;
+use crate::node::{Leadership, Node};
+use crate::operations::estimates;
+use crate::peers::client::proto::mesh_server::{Mesh, MeshServer};
+use crate::peers::client::proto::{
     FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer, HistoryRequest,
     JobChange, StaffedAnswer, StaffedRequest, StatusAnswer, StatusRequest, UserAnswer, UserRequest, WhenAnswer,
     WhenRequest,
 };
-use crate::links::{GREET, LocalExec};
-use crate::node::{Leadership, Node};
-use crate::{api, questions};
+use crate::peers::client::{GREET, LocalExec};
 use futures_channel::{mpsc, oneshot};
 use futures_util::StreamExt;
 use hopyoke_consistency::Cursor;
@@ -42,14 +43,14 @@
     });
     Greeting {
         node: node.settings.node.clone(),
-        process: node.promises.process,
+        process: node.lease_support.process,
         state_ok: node.state.answers(),
         token,
         applied,
         open: crowd.open,
         most: crowd.most,
         shares: crowd.shares,
-        need: node.leadership().map_or(0.0, |_| node.door.need()),
+        need: node.leadership().map_or(0.0, |_| node.admission.need()),
         ..Greeting::default()
     }
 }
@@ -58,8 +59,8 @@
 fn question(node: &Node, peer: usize) -> Greeting {
     let cursor = node.leadership().map_or_else(Default::default, |l| l.delivered.borrow().cursor(peer));
     Greeting {
-        wants: node.door.wants(),
-        line: node.door.words(peer),
+        wants: node.admission.wants(),
+        line: node.admission.words(peer),
         delivered_process: cursor.process,
         delivered_upto: cursor.upto,
         ..greeting(node)
@@ -75,9 +76,9 @@
         return answer;
     }
     let cursor = Cursor { process: asked.delivered_process, upto: asked.delivered_upto };
-    let confirmed = node.promises.confirmed.borrow();
-    let delta = confirmed.since(ModRevision(asked.applied), cursor.in_process(node.promises.process));
-    let promise = (delta.complete && !answer.state_ok).then(|| node.promises.promise()).flatten();
+    let confirmed = node.lease_support.confirmed.borrow();
+    let delta = confirmed.since(ModRevision(asked.applied), cursor.in_process(node.lease_support.process));
+    let promise = (delta.complete && !answer.state_ok).then(|| node.lease_support.promise()).flatten();
     answer.promise_us = promise.map_or(0, |span| span.0);
     answer.cancelled_upto = delta.upto;
     answer.cancelled = delta.jobs.iter().map(ToString::to_string).collect();
@@ -88,23 +89,23 @@
 pub async fn greet(node: Rc<Node>, peer: usize) {
     loop {
         let mine = question(&node, peer);
-        let link = &node.links.0[peer];
+        let link = &node.peers.0[peer];
         let sent = runtime::now();
         let answer = link.call(GREET, |mut c| async move { c.greet(mine).await }).await;
         if let Some(answer) = answer
             && link.note(&answer, true)
         {
             note_crowd(&node, peer, &answer);
-            node.door.borrowed(peer, answer.lent, sent);
+            node.admission.borrowed(peer, answer.lent, sent);
             if answer.token > 0 {
-                node.door.heard(answer.need, sent);
+                node.admission.heard(answer.need, sent);
             }
             if let Some(leadership) = node.leadership() {
                 heed(&node, &leadership, peer, sent, &answer);
             }
         }
         // Promises are short: they are asked for again well before they end.
-        let pause = match (node.state.answers(), node.door.is_pressed()) {
+        let pause = match (node.state.answers(), node.admission.is_pressed()) {
             (true, false) => 1000,
             (false, false) => 600,
             (_, true) => 400,
@@ -123,7 +124,7 @@
 /// led. (Guards `ran_cancelled`. Scenario gap_fresh_leader.)
 fn heed(node: &Node, leadership: &Leadership, peer: usize, sent: Micros, answer: &Greeting) {
     let now = runtime::now();
-    let own = node.promises.confirmed.borrow().covers(leadership.scheduler.borrow().applied());
+    let own = node.lease_support.confirmed.borrow().covers(leadership.scheduler.borrow().applied());
     let span = (answer.promise_us > 0 && own).then_some(Micros(answer.promise_us));
     if !answer.cancelled.is_empty() {
         let mut scheduler = leadership.scheduler.borrow_mut();
@@ -258,9 +259,9 @@
 
 /// The place of a node among our peers. What others send is counted and gets no answer.
 fn known(node: &Node, name: &str) -> Option<usize> {
-    let place = node.links.place_of(name);
+    let place = node.peers.place_of(name);
     if place.is_none() {
-        node.links.refuse();
+        node.peers.refuse();
         debug!(node = name, "a message of a node that is not among `others`");
     }
     place
@@ -270,13 +271,13 @@
     match call {
         Call::Greet(greeting, reply) => {
             let Some(peer) = known(node, &greeting.node) else { return };
-            if !node.links.0[peer].note(&greeting, false) {
+            if !node.peers.0[peer].note(&greeting, false) {
                 return;
             }
             let mut answer = answer_to(node, &greeting);
             note_crowd(node, peer, &greeting);
-            node.door.heard_words(peer, &greeting.line);
-            answer.lent = node.door.lend(peer, greeting.wants);
+            node.admission.heard_words(peer, &greeting.line);
+            answer.lent = node.admission.lend(peer, greeting.wants);
             let _ = reply.send(answer);
         }
         Call::Notify(news, reply) => {
@@ -299,8 +300,8 @@
                 _ => return,
             };
             let request = Request::new(method, message.path, message.body);
-            let Some(rest) = api::below_jobs(&request.path) else { return };
-            let r = api::own_answer(node, rest, &request).await;
+            let Some(rest) = jobs::below_jobs(&request.path) else { return };
+            let r = jobs::own_answer(node, rest, &request).await;
             let retry_after_s = r.retry_after_s.unwrap_or(0);
             let _ = reply.send(UserAnswer { status: u32::from(r.status), body: r.body, retry_after_s });
         }
@@ -308,23 +309,24 @@
             if known(node, &message.node).is_none() {
                 return;
             }
-            let answers = message.heartbeats.iter().map(|body| crate::workers::carried(node, body)).collect();
+            let answers =
+                message.heartbeats.iter().map(|body| crate::agents::heartbeats::carried(node, body)).collect();
             let _ = reply.send(HeartbeatResponses { answers });
         }
         Call::Status(reply) => {
-            let _ = reply.send(crate::status::text(node));
+            let _ = reply.send(crate::operations::status::text(node));
         }
         Call::When(request, reply) => {
-            let _ = reply.send(questions::when(node, request).await);
+            let _ = reply.send(estimates::when(node, request).await);
         }
         Call::History(request, reply) => {
-            let _ = reply.send(questions::history(node, request).await);
+            let _ = reply.send(estimates::history(node, request).await);
         }
         Call::Flow(request, reply) => {
-            let _ = reply.send(crate::flow_calls::answer(node, request).await);
+            let _ = reply.send(crate::workflows::calls::answer(node, request).await);
         }
         Call::Staffed(request, reply) => {
-            let _ = reply.send(crate::staffed::answer(node, request).await);
+            let _ = reply.send(crate::operations::staffed_hours::answer(node, request).await);
         }
     }
 }
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -1,7 +1,14 @@
 //! A controller node's routines, and how they are started.
 
+use crate::agents::heartbeats;
+use crate::api::jobs;
+use crate::leadership::election;
 use crate::node::Node;
-use crate::{api, carriage, flows, lead, mesh, records, tuning, workers};
+use crate::operations::settings;
+use crate::peers::heartbeat_relay;
+use crate::peers::server;
+use crate::store::records;
+use crate::workflows::runner;
 use hopyoke_event_loop::http::{self, Limits, Request, Response};
 use hopyoke_event_loop::{self as runtime, TcpListener};
 use hopyoke_policy::{Figures, Policy};
@@ -26,21 +33,21 @@
             }
         };
         let values = policy.evaluate(&Figures::default());
-        let flow_limits = values.boolean("flows").then(|| tuning::flow_limits(&values, &settings));
+        let flow_limits = values.boolean("flows").then(|| settings::flow_limits(&values, &settings));
         let node = Rc::new(Node::new(settings, policy, flow_limits));
         let cancelled_gone_s = node.settings.cancellation_bound().total().as_secs_f64();
         info!(node = %node.settings.node, zone = %node.settings.zone, cancelled_gone_s, "serving");
         runtime::spawn_until(node.cancel.clone(), keep_catalog(node.clone()));
-        runtime::spawn_until(node.cancel.clone(), lead::run(node.clone()));
+        runtime::spawn_until(node.cancel.clone(), election::run(node.clone()));
         runtime::spawn_until(node.cancel.clone(), records::learn_beginning(node.clone()));
-        runtime::spawn_until(node.cancel.clone(), mesh::serve(node.clone()));
-        for peer in 0..node.links.0.len() {
-            runtime::spawn_until(node.cancel.clone(), mesh::greet(node.clone(), peer));
+        runtime::spawn_until(node.cancel.clone(), server::serve(node.clone()));
+        for peer in 0..node.peers.0.len() {
+            runtime::spawn_until(node.cancel.clone(), server::greet(node.clone(), peer));
         }
         runtime::spawn_until(node.cancel.clone(), probe_state(node.clone()));
-        runtime::spawn_until(node.cancel.clone(), carriage::run(node.clone()));
+        runtime::spawn_until(node.cancel.clone(), heartbeat_relay::run(node.clone()));
         runtime::spawn_until(node.cancel.clone(), watch_hearing(node.clone()));
-        flows::start(&node);
+        runner::start(&node);
         // Leave sockets for the state service, the cloud, workers and the mesh.
         let connections = node.most_connections() as usize;
         let limits = Limits {
@@ -68,10 +75,10 @@
 async fn route(node: &Rc<Node>, request: Request) -> Response {
     let path = request.path.split('?').next().unwrap_or("");
     match path {
-        "/healthz" => api::healthz(node, &request),
-        "/hello" => workers::hello(node, request).await,
-        _ => match api::below_jobs(&request.path) {
-            Some(rest) => api::jobs(node, rest, &request).await,
+        "/healthz" => jobs::healthz(node, &request),
+        "/hello" => heartbeats::hello(node, request).await,
+        _ => match jobs::below_jobs(&request.path) {
+            Some(rest) => jobs::jobs(node, rest, &request).await,
             None => Response::empty(404),
         },
     }
@@ -82,7 +89,7 @@
     let every = Micros::from_secs(1);
     loop {
         if runtime::now() > node.state.last_answer() + every {
-            let _ = node.state.background().get::<serde::de::IgnoredAny>(crate::state::LEADER).await;
+            let _ = node.state.background().get::<serde::de::IgnoredAny>(crate::store::client::LEADER).await;
         }
         runtime::sleep(every).await;
     }
--- a/crates/hopyoke/src/replica.rs
+++ b/crates/hopyoke/src/store/read_index.rs
@@ -27,7 +27,7 @@
 
 impl Replica {
     /// Waits until the core is known to include all that was written before now, for as long as somebody
-    /// [asks](crate::follow::ask).
+    /// [asks](crate::store::watch::ask).
     pub(crate) async fn current(&self) -> bool {
         let Some(ticket) = self.reads.borrow_mut().arrive(runtime::now()) else { return false };
         self.wakeup.notify();
--- a/crates/hopyoke/src/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -1,7 +1,7 @@
 //! Jobs' records in the state service, as any node reads and changes them.
 
 use crate::node::Node;
-use crate::state::{LEADER, PrioritizedClient, StateError, TransactionOutcome, end_key, job_key};
+use crate::store::client::{LEADER, PrioritizedClient, StateError, TransactionOutcome, end_key, job_key};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, Mutation, Stored};
 use hopyoke_protocol::user::JobState;
@@ -36,7 +36,7 @@
 /// gap_answer_lost, gap_leader_reads.)
 fn found_ended(node: &Node, id: &JobId, end: EndRecord, mod_revision: ModRevision) {
     if end.state == JobState::Cancelled {
-        node.promises.confirmed.borrow_mut().note(id, mod_revision);
+        node.lease_support.confirmed.borrow_mut().note(id, mod_revision);
         if let Some(leadership) = node.leadership()
             && let mut scheduler = leadership.scheduler.borrow_mut()
             && scheduler.applied() < mod_revision
@@ -45,7 +45,7 @@
             leadership.wakeup.notify();
         }
     }
-    node.finals.add(id, end);
+    node.terminal_states.add(id, end);
 }
 
 /// Learns what cancellations former processes of this node may have confirmed: none that became final after a
@@ -53,7 +53,7 @@
 pub async fn learn_beginning(node: Rc<Node>) {
     loop {
         match node.state.critical().page::<serde::de::IgnoredAny>(LEADER, None, 1).await {
-            Ok(page) => return node.promises.confirmed.borrow_mut().began_before(ModRevision(page.revision)),
+            Ok(page) => return node.lease_support.confirmed.borrow_mut().began_before(ModRevision(page.revision)),
             Err(e) => debug!(error = %e, "the service's revision is not known yet"),
         }
         runtime::sleep(Micros::from_millis(rand::random_range(400..=800))).await;
@@ -63,7 +63,7 @@
 /// Reads a job's record. A record only ever moves from `job/` to `end/`, so reading in this order
 /// can't miss it; only then is it truly missing. (Guards `forgotten` and `invented`.)
 pub async fn lookup(node: &Node, client: PrioritizedClient<'_>, id: &JobId) -> Result<Lookup, StateError> {
-    if let Some(end) = node.finals.get(id) {
+    if let Some(end) = node.terminal_states.get(id) {
         return Ok(Lookup::Finished(end));
     }
     if let Some((record, mod_revision)) = client.get::<JobRecord>(&job_key(id)).await? {
@@ -154,7 +154,7 @@
     let (node, id) = (node.clone(), id.clone());
     runtime::spawn_until(node.cancel.clone(), async move {
         let leader = node.leader.borrow().clone();
-        if let Some(link) = leader.as_deref().and_then(|l| node.links.by_name(l)) {
+        if let Some(link) = leader.as_deref().and_then(|l| node.peers.by_name(l)) {
             link.notify(&node.settings.node, &id).await;
         }
     });
--- a/crates/hopyoke/src/follow.rs
+++ b/crates/hopyoke/src/store/watch.rs
@@ -2,7 +2,7 @@
 //! by other nodes' hints.
 
 use crate::node::{Leadership, Node};
-use crate::state::{JOBS, StateError};
+use crate::store::client::{JOBS, StateError};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{KeyValue, Stored, WatchResponse};
 use hopyoke_scheduler::JobRecord;
--- a/crates/hopyoke/src/flow_calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -1,17 +1,17 @@
 //! Clients' calls about runs of workflows. Any node answers, from the state service; what it was
 //! told is written before it is answered.
 
-use crate::flows::{Value, head_of, pages_of, plan_of};
-use crate::follow::job_id_of;
-use crate::links::proto::flow_request::Ask;
-use crate::links::proto::{
+use crate::node::{Flows, Node};
+use crate::peers::client::proto::flow_request::Ask;
+use crate::peers::client::proto::{
     FlowAnswer, FlowRequest, ResumeRun, RunInfo, RunList, RunQuestion, StepInfo, SubmitRun,
 };
-use crate::node::{Flows, Node};
-use crate::state::{
+use crate::store::client::{
     FLOW_ENDS, FLOW_HEADS, StateError, TransactionOutcome, flow_end_key, flow_key, flow_page_key, flow_plan_key,
     flow_plan_prefix,
 };
+use crate::store::watch::job_id_of;
+use crate::workflows::runner::{Value, head_of, pages_of, plan_of};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, Mutation, Stored};
 use hopyoke_scheduler::{JobRecord, never_runs};
@@ -133,7 +133,7 @@
     }
     possible(node, &plan)?;
     if flows.engine.borrow().runs().count()
-        >= flows.engine.borrow().limits.runs_carried * node.links.0.len().max(1) * 2
+        >= flows.engine.borrow().limits.runs_carried * node.peers.0.len().max(1) * 2
     {
         return refuse(503, "too many runs are waiting");
     }
--- /dev/null
+++ b/crates/hopyoke/src/workflows/mod.rs
@@ -0,0 +1,4 @@
+//! Runs of workflows: clients' calls, and their execution.
+
+pub mod calls;
+pub mod runner;
--- a/crates/hopyoke/src/flows.rs
+++ b/crates/hopyoke/src/workflows/runner.rs
@@ -2,11 +2,11 @@
 //! go to the state service, a few at a time.
 
 use crate::node::{Flows, Node};
-use crate::records::{self, Lookup, lookup};
-use crate::state::{
+use crate::store::client::{
     FLOW_HEADS, FLOW_HOLDS, FLOWS, StateError, TransactionOutcome, flow_end_key, flow_hold_key, flow_key,
     flow_page_key, flow_page_prefix, flow_plan_prefix,
 };
+use crate::store::records::{self, Lookup, lookup};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, KeyValue, Mutation, Stored, WatchResponse};
 use hopyoke_protocol::user::{JobSpec, JobState};
--- a/crates/hopyoke/tests/frozen_forms.rs
+++ b/crates/hopyoke/tests/frozen_forms.rs
@@ -5,8 +5,8 @@
 mod frozen;
 
 use frozen::{assert_bytes, bytes};
-use hopyoke::links::proto::flow_request::Ask;
-use hopyoke::links::proto::{
+use hopyoke::peers::client::proto::flow_request::Ask;
+use hopyoke::peers::client::proto::{
     FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer, HistoryRequest,
     JobChange, Place, ResumeRun, RunInfo, RunList, RunQuestion, StaffedAnswer, StaffedRequest, StatusAnswer,
     StatusRequest, StepInfo, SubmitRun, UserAnswer, UserRequest, WhenAnswer, WhenRequest,
