--- a/crates/hopyoke-admission/src/controller.rs
+++ b/crates/hopyoke-admission/src/controller.rs
@@ -33,7 +33,13 @@
     ///
     /// # Errors
     /// There is no room: when to come back.
-    pub fn enter(&mut self, job: &JobId, team: usize, leads: bool, now: Micros) -> Result<(), RetryAfter> {
+    pub fn enter(
+        &mut self,
+        job: &JobId,
+        team: usize,
+        leads: bool,
+        now: Micros,
+    ) -> Result<(), RetryAfter> {
         self.turn(leads, now).enter(job, team, now)
     }
 
@@ -47,7 +53,8 @@
             let write_demand = self.write_demand.rate(now);
             self.share.heard(write_demand, now);
         }
-        self.gate.set_rate(self.share.rate(now), self.share.part(now), now);
+        self.gate
+            .set_rate(self.share.rate(now), self.share.part(now), now);
         &mut self.gate
     }
 
@@ -58,7 +65,11 @@
 
     /// What we ask our peers for, in changes a second: as much as they can spare, while users wait.
     pub fn wants(&mut self, now: Micros) -> f64 {
-        if self.is_pressed(now) { self.share.part(now) } else { 0.0 }
+        if self.is_pressed(now) {
+            self.share.part(now)
+        } else {
+            0.0
+        }
     }
 
     /// A peer asks for `wants`; what it gets.
--- a/crates/hopyoke-admission/src/gate.rs
+++ b/crates/hopyoke-admission/src/gate.rs
@@ -79,7 +79,11 @@
         self.line.expire(now);
         self.tenants.asks(tenant, self.bucket.rate(), now);
         let within = self.tenants.is_within(tenant);
-        let reserve = if within { 0.0 } else { RESERVE * self.bucket.most() };
+        let reserve = if within {
+            0.0
+        } else {
+            RESERVE * self.bucket.most()
+        };
         // Whoever is due before it has a claim on what there is and on what the next second brings; on what is its
         // own tenant's part only that tenant's.
         let claims = self.line.due(now + SOON, job, |t| t == tenant || !within);
@@ -104,7 +108,10 @@
         let tenant = self.tenants.index(tenant);
         self.refused += 1;
         self.tenants.refused(tenant);
-        let wait = self.line.ahead_of(job).map_or(MOST, |ahead| (ahead + 1) as f64 / self.moves_at(now));
+        let wait = self
+            .line
+            .ahead_of(job)
+            .map_or(MOST, |ahead| (ahead + 1) as f64 / self.moves_at(now));
         let after = wait.ceil().clamp(1.0, MOST);
         let due = now + Micros::from_secs_f64(after);
         self.line.told(job, tenant, due, true);
@@ -130,7 +137,8 @@
             match word.due_in {
                 Some(span) => {
                     let due = now + span.min(Micros::from_secs_f64(MOST));
-                    self.line.told(&word.job, self.tenants.index(word.tenant), due, false);
+                    self.line
+                        .told(&word.job, self.tenants.index(word.tenant), due, false);
                 }
                 None => {
                     self.line.leave(&word.job);
@@ -157,7 +165,9 @@
     /// How long the line is of those whom this node told to come back.
     pub fn line(&mut self, now: Micros) -> Micros {
         self.line.expire(now);
-        Micros::from_secs_f64(self.line.own() as f64 * self.words.sharing(now) as f64 / self.moves_at(now))
+        Micros::from_secs_f64(
+            self.line.own() as f64 * self.words.sharing(now) as f64 / self.moves_at(now),
+        )
     }
 
     /// How many were let in and refused, for operators.
--- a/crates/hopyoke-admission/src/gossip.rs
+++ b/crates/hopyoke-admission/src/gossip.rs
@@ -35,7 +35,9 @@
 
 impl GossipOutbox {
     pub(crate) fn new(peers: usize) -> GossipOutbox {
-        GossipOutbox { peers: vec![Peer::default(); peers] }
+        GossipOutbox {
+            peers: vec![Peer::default(); peers],
+        }
     }
 
     /// A job is to come back at `due`; `None`: it was let in.
@@ -50,10 +52,18 @@
 
     /// What to tell this peer now. It is told once: a word that is lost costs somebody its place, no more.
     pub(crate) fn take(&mut self, peer: usize, now: Micros) -> Vec<QueueGossip> {
-        let Some(peer) = self.peers.get_mut(peer) else { return Vec::new() };
+        let Some(peer) = self.peers.get_mut(peer) else {
+            return Vec::new();
+        };
         let n = peer.waiting.len().min(AT_ONCE);
         let words = peer.waiting.drain(..n);
-        words.map(|(job, tenant, due)| QueueGossip { job, tenant, due_in: due.map(|due| due - now) }).collect()
+        words
+            .map(|(job, tenant, due)| QueueGossip {
+                job,
+                tenant,
+                due_in: due.map(|due| due - now),
+            })
+            .collect()
     }
 
     pub(crate) fn heard(&mut self, peer: usize, now: Micros) {
@@ -64,6 +74,10 @@
 
     /// How many nodes share the line, this one included.
     pub(crate) fn sharing(&self, now: Micros) -> usize {
-        1 + self.peers.iter().filter(|p| p.heard.is_some_and(|at| now < at + FRESH)).count()
+        1 + self
+            .peers
+            .iter()
+            .filter(|p| p.heard.is_some_and(|at| now < at + FRESH))
+            .count()
     }
 }
--- a/crates/hopyoke-admission/src/rate_limiter.rs
+++ b/crates/hopyoke-admission/src/rate_limiter.rs
@@ -73,7 +73,11 @@
     /// A node's part.
     pub fn new(bounds: Bounds, now: Micros) -> RateLimiter {
         let part = bounds.per_second * SHARED_OUT / f64::from(bounds.nodes.max(1));
-        RateLimiter { bucket: TokenBucket::full(part, now), refused: [0; 6], taken: [0; 6] }
+        RateLimiter {
+            bucket: TokenBucket::full(part, now),
+            refused: [0; 6],
+            taken: [0; 6],
+        }
     }
 
     /// Takes `n` (requests, or changes).
@@ -83,13 +87,20 @@
     pub fn take(&mut self, importance: RequestPriority, n: u32, now: Micros) -> Result<(), Micros> {
         let floor = importance.floor() * self.bucket.most();
         let taken = self.bucket.take(f64::from(n), floor, now);
-        let count = if taken.is_ok() { &mut self.taken } else { &mut self.refused };
+        let count = if taken.is_ok() {
+            &mut self.taken
+        } else {
+            &mut self.refused
+        };
         count[importance as usize] += 1;
         taken
     }
 
     /// How often room was found and not found, for operators.
     pub fn counts(&self, importance: RequestPriority) -> (u64, u64) {
-        (self.taken[importance as usize], self.refused[importance as usize])
+        (
+            self.taken[importance as usize],
+            self.refused[importance as usize],
+        )
     }
 }
--- a/crates/hopyoke-admission/src/rate_share.rs
+++ b/crates/hopyoke-admission/src/rate_share.rs
@@ -52,15 +52,26 @@
     pub fn new(bounds: Bounds) -> RateShare {
         let peers = bounds.nodes.saturating_sub(1) as usize;
         let none = (Micros::ZERO, Loan::default());
-        RateShare { bounds, word: None, lent: vec![Vec::new(); peers], borrowed: vec![none; peers] }
+        RateShare {
+            bounds,
+            word: None,
+            lent: vec![Vec::new(); peers],
+            borrowed: vec![none; peers],
+        }
     }
 
     /// The leader says what its records need; `sent` is when it was asked, so that no word is
     /// believed for longer than the leader means it.
     pub fn heard(&mut self, write_demand: f64, sent: Micros) {
         let until = sent + FRESH;
-        if write_demand.is_finite() && write_demand >= 0.0 && self.word.is_none_or(|w| until >= w.until) {
-            self.word = Some(Loan { rate: write_demand, until });
+        if write_demand.is_finite()
+            && write_demand >= 0.0
+            && self.word.is_none_or(|w| until >= w.until)
+        {
+            self.word = Some(Loan {
+                rate: write_demand,
+                until,
+            });
         }
     }
 
@@ -86,7 +97,9 @@
 
     /// It may not have heard of a later, smaller loan yet: the largest counts.
     fn lent_to(&self, peer: usize, now: Micros) -> f64 {
-        self.lent.get(peer).map_or(0.0, |l| l.iter().map(|l| l.at(now)).fold(0.0, f64::max))
+        self.lent
+            .get(peer)
+            .map_or(0.0, |l| l.iter().map(|l| l.at(now)).fold(0.0, f64::max))
     }
 
     /// A peer asks for `wants` changes a second; this node uses `used` itself, or more than it has if
@@ -95,12 +108,25 @@
         let part = self.part(now);
         let others = self.all_lent(now) - self.lent_to(peer, now);
         let kept = (used * 1.25).max(part * KEPT);
-        let free = if pressed { 0.0 } else { (part - kept - others).max(0.0) };
-        let rate = if wants.is_finite() { wants.clamp(0.0, free) } else { 0.0 };
-        let Some(lent) = self.lent.get_mut(peer) else { return 0.0 };
+        let free = if pressed {
+            0.0
+        } else {
+            (part - kept - others).max(0.0)
+        };
+        let rate = if wants.is_finite() {
+            wants.clamp(0.0, free)
+        } else {
+            0.0
+        };
+        let Some(lent) = self.lent.get_mut(peer) else {
+            return 0.0;
+        };
         lent.retain(|l| now < l.until);
         if rate > 0.0 {
-            let loan = Loan { rate, until: now + FRESH.with_drift() };
+            let loan = Loan {
+                rate,
+                until: now + FRESH.with_drift(),
+            };
             // One loan stands for those that end before it and are no larger.
             lent.retain(|l| l.rate > rate);
             lent.push(loan);
@@ -115,7 +141,10 @@
             && rate.is_finite()
         {
             *asked = sent;
-            *loan = Loan { rate: rate.clamp(0.0, self.bounds.per_second), until: sent + FRESH };
+            *loan = Loan {
+                rate: rate.clamp(0.0, self.bounds.per_second),
+                until: sent + FRESH,
+            };
         }
     }
 }
--- a/crates/hopyoke-admission/src/tenants.rs
+++ b/crates/hopyoke-admission/src/tenants.rs
@@ -38,7 +38,14 @@
             let_in: 0,
             refused: 0,
         };
-        Tenants { of: guaranteed.iter().copied().chain([false]).map(tenant).collect() }
+        Tenants {
+            of: guaranteed
+                .iter()
+                .copied()
+                .chain([false])
+                .map(tenant)
+                .collect(),
+        }
     }
 
     /// Any index is one of a tenant: what the settings do not name shares the last.
--- a/crates/hopyoke-admission/src/token_bucket.rs
+++ b/crates/hopyoke-admission/src/token_bucket.rs
@@ -13,7 +13,11 @@
 impl TokenBucket {
     /// Full at `now`. `rate` is a second; at least one is always allowed at once.
     pub(crate) fn full(rate: f64, now: Micros) -> TokenBucket {
-        let mut bucket = TokenBucket { rate: rate.max(0.01), level: 0.0, filled: now };
+        let mut bucket = TokenBucket {
+            rate: rate.max(0.01),
+            level: 0.0,
+            filled: now,
+        };
         bucket.level = bucket.most();
         bucket
     }
--- a/crates/hopyoke-admission/src/wait_queue.rs
+++ b/crates/hopyoke-admission/src/wait_queue.rs
@@ -29,7 +29,12 @@
 impl WaitQueue {
     /// Places whose holders did not come back when they were told to are given up.
     pub(crate) fn expire(&mut self, now: Micros) {
-        while let Some((due, seq)) = self.by_due.first().copied().filter(|(due, _)| now >= *due + KEPT) {
+        while let Some((due, seq)) = self
+            .by_due
+            .first()
+            .copied()
+            .filter(|(due, _)| now >= *due + KEPT)
+        {
             self.by_due.remove(&(due, seq));
             if let Some(place) = self.places.remove(&seq) {
                 self.of_job.remove(&place.job);
@@ -39,7 +44,10 @@
 
     /// The holder of a place was let in; false if it had none.
     pub(crate) fn leave(&mut self, job: &JobId) -> bool {
-        let place = self.of_job.remove(job).and_then(|seq| Some((seq, self.places.remove(&seq)?)));
+        let place = self
+            .of_job
+            .remove(job)
+            .and_then(|seq| Some((seq, self.places.remove(&seq)?)));
         if let Some((seq, place)) = &place {
             self.by_due.remove(&(place.due, *seq));
         }
@@ -57,8 +65,12 @@
     /// Those that are due by then, ahead of the job, and of a tenant that counts.
     pub(crate) fn due(&self, by: Micros, job: &JobId, counts: impl Fn(usize) -> bool) -> usize {
         let own = self.of_job.get(job).copied().unwrap_or(u64::MAX);
-        let due = self.by_due.range(..=(by, u64::MAX)).filter(|(_, seq)| *seq < own);
-        due.filter(|(_, seq)| self.places.get(seq).is_some_and(|p| counts(p.tenant))).count()
+        let due = self
+            .by_due
+            .range(..=(by, u64::MAX))
+            .filter(|(_, seq)| *seq < own);
+        due.filter(|(_, seq)| self.places.get(seq).is_some_and(|p| counts(p.tenant)))
+            .count()
     }
 
     /// The job keeps the place that it has, or gets the next one, and is to come back then.
@@ -74,7 +86,15 @@
         if self.places.len() < PLACES {
             let seq = self.next;
             self.next += 1;
-            self.places.insert(seq, Place { job: job.clone(), tenant, due, own });
+            self.places.insert(
+                seq,
+                Place {
+                    job: job.clone(),
+                    tenant,
+                    due,
+                    own,
+                },
+            );
             self.of_job.insert(job.clone(), seq);
             self.by_due.insert((due, seq));
         }
--- a/crates/hopyoke-admission/src/write_demand.rs
+++ b/crates/hopyoke-admission/src/write_demand.rs
@@ -53,6 +53,10 @@
     /// Changes a second.
     pub fn rate(&mut self, now: Micros) -> f64 {
         self.turn(now);
-        if now < self.short_until { self.most } else { (self.last * 1.25 + 1.0).min(self.most) }
+        if now < self.short_until {
+            self.most
+        } else {
+            (self.last * 1.25 + 1.0).min(self.most)
+        }
     }
 }
--- a/crates/hopyoke-admission/tests/limits.rs
+++ b/crates/hopyoke-admission/tests/limits.rs
@@ -1,11 +1,19 @@
 //! The bounds hold for any order of events, and each check is seen to fail where a bound is left out.
 
-use hopyoke_admission::{AdmissionGate, Bounds, RateLimiter, RateShare, RequestPriority, WriteDemand};
+use hopyoke_admission::{
+    AdmissionGate, Bounds, RateLimiter, RateShare, RequestPriority, WriteDemand,
+};
 use hopyoke_types::{JobId, Micros};
 use proptest::prelude::*;
 
-const REQUESTS: Bounds = Bounds { per_second: 180.0, nodes: 3 };
-const CHANGES: Bounds = Bounds { per_second: 50.0, nodes: 3 };
+const REQUESTS: Bounds = Bounds {
+    per_second: 180.0,
+    nodes: 3,
+};
+const CHANGES: Bounds = Bounds {
+    per_second: 50.0,
+    nodes: 3,
+};
 
 fn job(n: usize) -> JobId {
     JobId::new(&format!("req-{n:06}"))
@@ -20,7 +28,11 @@
 
 impl Service {
     fn new(rate: f64) -> Service {
-        Service { rate, level: rate, at: Micros::ZERO }
+        Service {
+            rate,
+            level: rate,
+            at: Micros::ZERO,
+        }
     }
 
     fn takes(&mut self, n: f64, now: Micros) -> bool {
@@ -176,13 +188,17 @@
 /// Users of two teams at one gate: `offers[t]` jobs a second of team `t`, each tried as told for a minute. Returns
 /// by team: accepted, given up, and the longest wait of those accepted.
 fn crowd(gate: &mut AdmissionGate, offers: [usize; 2], seconds: u64) -> [(usize, usize, f64); 2] {
-    let mut tries: std::collections::BTreeMap<(Micros, usize), (usize, Micros)> = Default::default();
+    let mut tries: std::collections::BTreeMap<(Micros, usize), (usize, Micros)> =
+        Default::default();
     let mut n = 0;
     for ms in 0..seconds * 1000 {
         for (team, per_second) in offers.iter().enumerate() {
             if ms * *per_second as u64 % 1000 < *per_second as u64 {
                 n += 1;
-                tries.insert((Micros::from_millis(ms), n), (team, Micros::from_millis(ms)));
+                tries.insert(
+                    (Micros::from_millis(ms), n),
+                    (team, Micros::from_millis(ms)),
+                );
             }
         }
     }
--- a/crates/hopyoke-calendar/src/calendar.rs
+++ b/crates/hopyoke-calendar/src/calendar.rs
@@ -32,7 +32,11 @@
 const AHEAD_DAYS: i64 = 400;
 
 fn fault(setting: &'static str, part: &str, what: &str) -> CalendarFault {
-    CalendarFault { setting, part: part.to_owned(), what: what.to_owned() }
+    CalendarFault {
+        setting,
+        part: part.to_owned(),
+        what: what.to_owned(),
+    }
 }
 
 impl Calendar {
@@ -42,12 +46,15 @@
     /// # Errors
     /// The setting and the part at fault.
     pub fn parse(hours: &str, zone: &str, holidays: &str) -> Result<Calendar, CalendarFault> {
-        let tz = TimeZone::get(zone).map_err(|_| fault("hours_zone", zone, "no IANA time zone has this name"))?;
+        let tz = TimeZone::get(zone)
+            .map_err(|_| fault("hours_zone", zone, "no IANA time zone has this name"))?;
         let mut week: [Vec<(u32, u32)>; 7] = Default::default();
         for part in hours.split(';').map(str::trim).filter(|p| !p.is_empty()) {
-            let (days, times) =
-                part.split_once(' ').ok_or_else(|| fault("hours", part, "must be as in Mon-Fri 08:00-18:00"))?;
-            let spans: Result<Vec<(u32, u32)>, CalendarFault> = times.split_whitespace().map(span).collect();
+            let (days, times) = part
+                .split_once(' ')
+                .ok_or_else(|| fault("hours", part, "must be as in Mon-Fri 08:00-18:00"))?;
+            let spans: Result<Vec<(u32, u32)>, CalendarFault> =
+                times.split_whitespace().map(span).collect();
             let spans = spans?;
             for day in days_of(days)? {
                 week[day].extend(spans.iter().copied());
@@ -59,14 +66,25 @@
             let date = match numbers.as_deref() {
                 Some(&[y, m, d]) => Date::new(y, m as i8, d as i8).ok().map(|d| once.insert(d)),
                 // 2024 had a 29th of February.
-                Some(&[m, d]) => {
-                    Date::new(2024, m as i8, d as i8).ok().map(|d| yearly.insert((d.month(), d.day())))
-                }
+                Some(&[m, d]) => Date::new(2024, m as i8, d as i8)
+                    .ok()
+                    .map(|d| yearly.insert((d.month(), d.day()))),
                 _ => None,
             };
-            date.ok_or_else(|| fault("holidays", word, "must be a date, YYYY-MM-DD, or MM-DD for each year"))?;
+            date.ok_or_else(|| {
+                fault(
+                    "holidays",
+                    word,
+                    "must be a date, YYYY-MM-DD, or MM-DD for each year",
+                )
+            })?;
         }
-        Ok(Calendar { zone: tz, week, holidays: once, yearly })
+        Ok(Calendar {
+            zone: tz,
+            week,
+            holidays: once,
+            yearly,
+        })
     }
 
     fn instant(&self, date: Date, second: u32) -> Option<i64> {
@@ -74,7 +92,13 @@
         let date = date.checked_add(Span::new().days(i64::from(days))).ok()?;
         let (h, m, s) = (second / 3600, second / 60 % 60, second % 60);
         let at = DateTime::from_parts(date, Time::new(h as i8, m as i8, s as i8, 0).ok()?);
-        Some(self.zone.to_ambiguous_timestamp(at).compatible().ok()?.as_microsecond())
+        Some(
+            self.zone
+                .to_ambiguous_timestamp(at)
+                .compatible()
+                .ok()?
+                .as_microsecond(),
+        )
     }
 
     /// Spans that begin on a day, by true time in microseconds.
@@ -107,10 +131,28 @@
     /// `early` before it, and until when.
     pub fn at(&self, time_of_day: Micros, late: Micros, early: Micros) -> Window {
         let (late, early) = (late.0 as i64, early.0 as i64);
-        let Ok(now) = i64::try_from(time_of_day.0) else { return Window { staffed: false, until: None } };
-        let Ok(stamp) = Timestamp::from_microsecond(now) else { return Window { staffed: false, until: None } };
-        let Ok(first) = self.zone.to_datetime(stamp).date().checked_sub(Span::new().days(2)) else {
-            return Window { staffed: false, until: None };
+        let Ok(now) = i64::try_from(time_of_day.0) else {
+            return Window {
+                staffed: false,
+                until: None,
+            };
+        };
+        let Ok(stamp) = Timestamp::from_microsecond(now) else {
+            return Window {
+                staffed: false,
+                until: None,
+            };
+        };
+        let Ok(first) = self
+            .zone
+            .to_datetime(stamp)
+            .date()
+            .checked_sub(Span::new().days(2))
+        else {
+            return Window {
+                staffed: false,
+                until: None,
+            };
         };
         let time = |t: i64| Some(Micros(t.max(0) as u64));
         // Spans that touch are one.
@@ -120,13 +162,21 @@
             if a >= b || b <= now {
                 None
             } else if a <= now {
-                Some(Window { staffed: true, until: time(b) })
+                Some(Window {
+                    staffed: true,
+                    until: time(b),
+                })
             } else {
-                Some(Window { staffed: false, until: time(a) })
+                Some(Window {
+                    staffed: false,
+                    until: time(a),
+                })
             }
         };
         for day in 0..AHEAD_DAYS {
-            let Ok(date) = first.checked_add(Span::new().days(day)) else { break };
+            let Ok(date) = first.checked_add(Span::new().days(day)) else {
+                break;
+            };
             for (a, b) in self.spans(date) {
                 match &mut open {
                     Some((_, end)) if a <= *end => *end = b.max(*end),
@@ -143,24 +193,50 @@
             Some((a, b)) if a + late <= now && now < b - early => {
                 // It may go on beyond what was looked at.
                 let far = b > now + (AHEAD_DAYS - 10) * 86_400_000_000;
-                Window { staffed: true, until: if far { None } else { time(b - early) } }
+                Window {
+                    staffed: true,
+                    until: if far { None } else { time(b - early) },
+                }
             }
-            Some(span) => verdict(span).unwrap_or(Window { staffed: false, until: None }),
-            None => Window { staffed: false, until: None },
+            Some(span) => verdict(span).unwrap_or(Window {
+                staffed: false,
+                until: None,
+            }),
+            None => Window {
+                staffed: false,
+                until: None,
+            },
         }
     }
 
     /// A time of day as the clocks of the zone show it.
     pub fn local(&self, time_of_day: Micros) -> String {
-        let stamp = i64::try_from(time_of_day.0).ok().and_then(|t| Timestamp::from_microsecond(t).ok());
-        stamp.map_or_else(String::new, |s| self.zone.to_datetime(s).strftime("%a %Y-%m-%d %H:%M").to_string())
+        let stamp = i64::try_from(time_of_day.0)
+            .ok()
+            .and_then(|t| Timestamp::from_microsecond(t).ok());
+        stamp.map_or_else(String::new, |s| {
+            self.zone
+                .to_datetime(s)
+                .strftime("%a %Y-%m-%d %H:%M")
+                .to_string()
+        })
     }
 }
 
 /// `Mon`, `Mon-Fri` or `Sat,Sun`, as places in the week.
 fn days_of(text: &str) -> Result<Vec<usize>, CalendarFault> {
-    let wrong = |part: &str| fault("hours", part, "must be a day such as Mon, or Mon-Fri, or Sat,Sun");
-    let day = |name: &str| DAYS.iter().position(|d| d.eq_ignore_ascii_case(name)).ok_or_else(|| wrong(name));
+    let wrong = |part: &str| {
+        fault(
+            "hours",
+            part,
+            "must be a day such as Mon, or Mon-Fri, or Sat,Sun",
+        )
+    };
+    let day = |name: &str| {
+        DAYS.iter()
+            .position(|d| d.eq_ignore_ascii_case(name))
+            .ok_or_else(|| wrong(name))
+    };
     let mut out = Vec::new();
     for part in text.split(',') {
         match part.split_once('-') {
--- a/crates/hopyoke-calendar/src/hold.rs
+++ b/crates/hopyoke-calendar/src/hold.rs
@@ -41,8 +41,14 @@
 }
 
 fn condition(text: &str) -> Result<Condition, CalendarFault> {
-    let fault = |what: &str| CalendarFault { setting: "held", part: text.to_owned(), what: what.to_owned() };
-    let (key, values) = text.split_once('=').ok_or_else(|| fault("must be class=, team= or priority="))?;
+    let fault = |what: &str| CalendarFault {
+        setting: "held",
+        part: text.to_owned(),
+        what: what.to_owned(),
+    };
+    let (key, values) = text
+        .split_once('=')
+        .ok_or_else(|| fault("must be class=, team= or priority="))?;
     let names: Vec<String> = values.split('|').map(str::to_owned).collect();
     if names.iter().any(String::is_empty) {
         return Err(fault("a name is empty"));
@@ -59,7 +65,8 @@
                 _ => None,
             };
             let list: Option<Vec<Priority>> = names.iter().map(word).collect();
-            list.map(Condition::Priority).ok_or_else(|| fault("a priority is prod, high, standard or best_effort"))
+            list.map(Condition::Priority)
+                .ok_or_else(|| fault("a priority is prod, high, standard or best_effort"))
         }
         _ => Err(fault("must be class=, team= or priority=")),
     }
--- a/crates/hopyoke-calendar/src/lib.rs
+++ b/crates/hopyoke-calendar/src/lib.rs
@@ -62,10 +62,14 @@
                 Micros(s.until_us) + self.skew
             };
             if time_of_day < until {
-                return Window { staffed: s.staffed, until: Some(until) };
+                return Window {
+                    staffed: s.staffed,
+                    until: Some(until),
+                };
             }
         }
-        self.calendar.at(time_of_day, self.skew, self.skew + self.margin)
+        self.calendar
+            .at(time_of_day, self.skew, self.skew + self.margin)
     }
 
     /// This job is held while nobody is there.
--- a/crates/hopyoke-calendar/tests/cases.rs
+++ b/crates/hopyoke-calendar/tests/cases.rs
@@ -18,7 +18,14 @@
 }
 
 fn hours(calendar: Calendar, skew: Micros) -> Hours {
-    Hours { calendar, held: Held::default(), drain: false, skew, margin: Micros::ZERO, switch: None }
+    Hours {
+        calendar,
+        held: Held::default(),
+        drain: false,
+        skew,
+        margin: Micros::ZERO,
+        switch: None,
+    }
 }
 
 #[test]
@@ -28,7 +35,9 @@
     let mut count = 0;
     for (n, line) in (1..).zip(include_str!("cases.txt").lines()) {
         let line = line.split('#').next().unwrap_or("").trim();
-        let Some((verb, rest)) = line.split_once(' ') else { continue };
+        let Some((verb, rest)) = line.split_once(' ') else {
+            continue;
+        };
         let parts: Vec<&str> = rest.split('|').map(str::trim).collect();
         count += 1;
         let result = match verb {
@@ -56,14 +65,24 @@
             }
             "at" => {
                 let words: Vec<&str> = rest.split(' ').collect();
-                let until = if words[3] == "ever" { None } else { Some(time(words[3])) };
-                let want = Window { staffed: words[1] == "staffed", until };
+                let until = if words[3] == "ever" {
+                    None
+                } else {
+                    Some(time(words[3]))
+                };
+                let want = Window {
+                    staffed: words[1] == "staffed",
+                    until,
+                };
                 let got = current.as_ref().expect("a calendar").at(time(words[0]));
                 if got == want {
                     Ok(())
                 } else {
-                    let until =
-                        got.until.map(|t| Timestamp::from_microsecond(t.0 as i64).expect("a time").to_string());
+                    let until = got.until.map(|t| {
+                        Timestamp::from_microsecond(t.0 as i64)
+                            .expect("a time")
+                            .to_string()
+                    });
                     Err(format!("staffed {} until {until:?}", got.staffed))
                 }
             }
--- a/crates/hopyoke-calendar/tests/frozen_forms.rs
+++ b/crates/hopyoke-calendar/tests/frozen_forms.rs
@@ -8,7 +8,18 @@
 
 #[test]
 fn switches() {
-    let on = Switch { staffed: true, until_us: 1_700_000_000_000_000, by: "ana".into() };
+    let on = Switch {
+        staffed: true,
+        until_us: 1_700_000_000_000_000,
+        by: "ana".into(),
+    };
     assert_stored("switch-on", &on);
-    assert_stored("switch-off", &Switch { staffed: false, by: "ben".into(), ..on });
+    assert_stored(
+        "switch-off",
+        &Switch {
+            staffed: false,
+            by: "ben".into(),
+            ..on
+        },
+    );
 }
--- a/crates/hopyoke-consistency/src/cancellation_log.rs
+++ b/crates/hopyoke-consistency/src/cancellation_log.rs
@@ -34,7 +34,12 @@
 impl CancellationLog {
     /// `most`: entries kept, at least 1.
     pub fn new(most: usize) -> CancellationLog {
-        CancellationLog { entries: BTreeMap::new(), last: 0, missing: None, most: most.max(1) }
+        CancellationLog {
+            entries: BTreeMap::new(),
+            last: 0,
+            missing: None,
+            most: most.max(1),
+        }
     }
 
     /// The state service was at this revision, at some moment after this process began.
@@ -55,7 +60,10 @@
             return;
         }
         let next = self.last + 1;
-        let entry = self.entries.entry((mod_revision, job.clone())).or_insert(next);
+        let entry = self
+            .entries
+            .entry((mod_revision, job.clone()))
+            .or_insert(next);
         self.last = self.last.max(*entry);
         if self.entries.len() > self.most
             && let Some(((oldest, _), _)) = self.entries.first_key_value()
@@ -73,14 +81,24 @@
     /// up to number `delivered`.
     pub fn since(&self, applied: ModRevision, delivered: u64) -> CancellationDelta {
         let later = self.entries.range(after(applied)..);
-        let mut open: Vec<(u64, &JobId)> =
-            later.filter(|(_, n)| **n > delivered).map(|((_, job), n)| (*n, job)).collect();
+        let mut open: Vec<(u64, &JobId)> = later
+            .filter(|(_, n)| **n > delivered)
+            .map(|((_, job), n)| (*n, job))
+            .collect();
         open.sort_unstable();
         let all = open.len() <= MOST_IN_DELTA;
         open.truncate(MOST_IN_DELTA);
-        let upto = if all { self.last } else { open.last().map_or(delivered, |(n, _)| *n) };
+        let upto = if all {
+            self.last
+        } else {
+            open.last().map_or(delivered, |(n, _)| *n)
+        };
         let jobs = open.into_iter().map(|(_, job)| job.clone()).collect();
-        CancellationDelta { jobs, upto, complete: all && self.covers(applied) }
+        CancellationDelta {
+            jobs,
+            upto,
+            complete: all && self.covers(applied),
+        }
     }
 
     /// Nothing is missing for a leader that has applied all changes up to `applied`; one on this very node, too.
@@ -99,7 +117,10 @@
 
     /// What a new leader on this node must be told of what the node itself confirmed.
     pub fn after(&self, applied: ModRevision) -> Vec<JobId> {
-        self.entries.range(after(applied)..).map(|((_, job), _)| job.clone()).collect()
+        self.entries
+            .range(after(applied)..)
+            .map(|((_, job), _)| job.clone())
+            .collect()
     }
 }
 
--- a/crates/hopyoke-consistency/src/delivery.rs
+++ b/crates/hopyoke-consistency/src/delivery.rs
@@ -10,7 +10,11 @@
 impl Cursor {
     /// The place in the account of this process; that of another one begins anew.
     pub fn in_process(self, process: u64) -> u64 {
-        if self.process == process { self.upto } else { 0 }
+        if self.process == process {
+            self.upto
+        } else {
+            0
+        }
     }
 }
 
@@ -31,7 +35,10 @@
     /// A peer's answer was taken in, up to this number of its account.
     pub fn took(&mut self, peer: usize, process: u64, upto: u64) {
         if let Some(c) = self.0.get_mut(peer) {
-            *c = Cursor { process, upto: upto.max(c.in_process(process)) };
+            *c = Cursor {
+                process,
+                upto: upto.max(c.in_process(process)),
+            };
         }
     }
 }
--- a/crates/hopyoke-consistency/src/leader_lease.rs
+++ b/crates/hopyoke-consistency/src/leader_lease.rs
@@ -63,10 +63,19 @@
     /// A peer answered what we asked at `sent`; `span` is what it promises, if it does. What came with it must
     /// have been taken in before.
     pub fn answered(&mut self, peer: usize, sent: Micros, span: Option<Micros>, now: Micros) {
-        let Some(until) = self.promised_until.get_mut(peer) else { return };
-        *until = span.map_or(Micros::ZERO, |span| sent + span.min(SUPPORT_DURATION).less_drift());
+        let Some(until) = self.promised_until.get_mut(peer) else {
+            return;
+        };
+        *until = span.map_or(Micros::ZERO, |span| {
+            sent + span.min(SUPPORT_DURATION).less_drift()
+        });
         if self.is_valid(now) {
-            let all = self.promised_until.iter().min().copied().unwrap_or(Micros::ZERO);
+            let all = self
+                .promised_until
+                .iter()
+                .min()
+                .copied()
+                .unwrap_or(Micros::ZERO);
             self.vouched_until = self.vouched_until.max(all);
         }
     }
--- a/crates/hopyoke-consistency/src/read_index.rs
+++ b/crates/hopyoke-consistency/src/read_index.rs
@@ -119,7 +119,9 @@
         }
         self.asking = true;
         self.questions += 1;
-        Some(ReadQuery { covers: self.next - 1 })
+        Some(ReadQuery {
+            covers: self.next - 1,
+        })
     }
 
     /// A question was answered, and the replica brought up to the answer.
@@ -138,9 +140,14 @@
     /// A question was refused or not answered. `jitter`: a draw from 0 to 1.
     pub fn failed(&mut self, _question: ReadQuery, jitter: f64, now: Micros) {
         self.asking = false;
-        let full = self.limits.pause_least.times(1 << self.failures.min(8)).min(self.limits.pause_most);
+        let full = self
+            .limits
+            .pause_least
+            .times(1 << self.failures.min(8))
+            .min(self.limits.pause_most);
         self.failures += 1;
-        self.not_before = now + Micros((full.0 as f64 * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as u64);
+        self.not_before =
+            now + Micros((full.0 as f64 * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as u64);
         self.give_up(now);
     }
 
--- a/crates/hopyoke-consistency/tests/cancellation_log.rs
+++ b/crates/hopyoke-consistency/tests/cancellation_log.rs
@@ -21,7 +21,10 @@
 fn a_new_process_knows_what_it_misses() {
     let mut c = CancellationLog::new(3);
     c.note(&job(1), ModRevision(12));
-    assert!(!c.since(ModRevision(100), 0).complete, "it has read no revision yet");
+    assert!(
+        !c.since(ModRevision(100), 0).complete,
+        "it has read no revision yet"
+    );
     c.began_before(ModRevision(10));
     assert!(!c.since(ModRevision(9), 0).complete);
     let delta = c.since(ModRevision(10), 0);
@@ -38,7 +41,10 @@
     for n in 1..=5 {
         c.note(&job(n), ModRevision(10 * n));
     }
-    assert!(!c.since(ModRevision(19), 0).complete, "the entries of revisions 10 and 20 are gone");
+    assert!(
+        !c.since(ModRevision(19), 0).complete,
+        "the entries of revisions 10 and 20 are gone"
+    );
     let delta = c.since(ModRevision(20), 0);
     assert!(delta.complete);
     assert_eq!(delta.jobs, [job(3), job(4), job(5)]);
--- a/crates/hopyoke-consistency/tests/read_index.rs
+++ b/crates/hopyoke-consistency/tests/read_index.rs
@@ -12,14 +12,20 @@
 #[test]
 fn one_question_serves_all_that_wait() {
     let mut r = ReadIndex::new(Limits::default());
-    let tickets: Vec<_> = (0..200).map(|i| r.arrive(ms(i / 10)).expect("room")).collect();
+    let tickets: Vec<_> = (0..200)
+        .map(|i| r.arrive(ms(i / 10)).expect("room"))
+        .collect();
     assert_eq!(r.ask(ms(39)), None);
     let q = r.ask(ms(40)).expect("due");
     // A read that arrives now is not served by it.
     let after = r.arrive(ms(41)).expect("room");
     assert_eq!(r.ask(ms(500)), None, "one question at a time");
     r.answered(q, ms(45));
-    assert!(tickets.iter().all(|t| r.verdict(*t) == Some(ReadOutcome::Current)));
+    assert!(
+        tickets
+            .iter()
+            .all(|t| r.verdict(*t) == Some(ReadOutcome::Current))
+    );
     assert_eq!(r.verdict(after), None);
     let q = r.ask(ms(81)).expect("due");
     r.answered(q, ms(85));
@@ -46,7 +52,10 @@
 
 #[test]
 fn the_newest_are_refused() {
-    let mut r = ReadIndex::new(Limits { waiting: 3, ..Limits::default() });
+    let mut r = ReadIndex::new(Limits {
+        waiting: 3,
+        ..Limits::default()
+    });
     let tickets: Vec<_> = (0..5).map(|_| r.arrive(ms(0))).collect();
     assert!(tickets[..3].iter().all(Option::is_some) && tickets[3..].iter().all(Option::is_none));
     let q = r.ask(ms(40)).expect("due");
--- a/crates/hopyoke-cwl/benches/documents.rs
+++ b/crates/hopyoke-cwl/benches/documents.rs
@@ -17,11 +17,18 @@
          inputs: {pages: \"File[]\", first: File}\noutputs: {}\nsteps:\n",
     );
     if wide {
-        let _ = writeln!(text, "  all: {{run: {TOOL}, scatter: page, in: {{page: pages}}, out: [out]}}");
+        let _ = writeln!(
+            text,
+            "  all: {{run: {TOOL}, scatter: page, in: {{page: pages}}, out: [out]}}"
+        );
         return text;
     }
     for i in 0..steps {
-        let from = if i == 0 { "first".to_owned() } else { format!("s{}/out", i - 1) };
+        let from = if i == 0 {
+            "first".to_owned()
+        } else {
+            format!("s{}/out", i - 1)
+        };
         let _ = writeln!(
             text,
             "  s{i}: {{run: {TOOL}, in: {{page: {from}, level: {{valueFrom: \"$(1 + 2)\"}}}}, out: [out]}}"
@@ -31,10 +38,12 @@
 }
 
 fn documents(c: &mut Criterion) {
-    for (name, steps, wide, pages) in
-        [("100 steps with an expression each", 100, false, 1), ("a scatter of 500", 1, true, 500)]
-    {
-        let files: BTreeMap<String, String> = [("main.cwl".to_owned(), document(steps, wide))].into();
+    for (name, steps, wide, pages) in [
+        ("100 steps with an expression each", 100, false, 1),
+        ("a scatter of 500", 1, true, 500),
+    ] {
+        let files: BTreeMap<String, String> =
+            [("main.cwl".to_owned(), document(steps, wide))].into();
         let mut job = String::from("first: {class: File, location: a.csv}\npages:\n");
         for i in 0..pages {
             let _ = writeln!(job, "- {{class: File, location: p{i}.csv}}");
@@ -46,8 +55,10 @@
         let (process, _) = open(&files, "main.cwl").expect("sound");
         c.bench_function(&format!("expand {name}"), |b| {
             b.iter(|| {
-                let options =
-                    Options { team: Some("crew".into()), ..Options::new(RunId::new(1).expect("in range")) };
+                let options = Options {
+                    team: Some("crew".into()),
+                    ..Options::new(RunId::new(1).expect("in range"))
+                };
                 expand(&process, &inputs, &options, &mut Faults::default()).expect("sound")
             })
         });
--- a/crates/hopyoke-cwl/src/check.rs
+++ b/crates/hopyoke-cwl/src/check.rs
@@ -35,7 +35,10 @@
                 self.text(&s.pattern, scope);
             }
             for b in i.binding.iter().chain(&i.item_binding) {
-                b.position.iter().chain(&b.value_from).for_each(|t| self.text(t, scope));
+                b.position
+                    .iter()
+                    .chain(&b.value_from)
+                    .for_each(|t| self.text(t, scope));
             }
         }
         match &p.kind {
@@ -60,21 +63,36 @@
             self.faults.error(p.at, "the tool has no command", asks);
         }
         for b in &tool.arguments {
-            b.position.iter().chain(&b.value_from).for_each(|t| self.text(t, scope));
+            b.position
+                .iter()
+                .chain(&b.value_from)
+                .for_each(|t| self.text(t, scope));
         }
-        for t in [&tool.stdin, &tool.stdout, &tool.stderr].into_iter().flatten() {
+        for t in [&tool.stdin, &tool.stdout, &tool.stderr]
+            .into_iter()
+            .flatten()
+        {
             self.text(t, scope);
         }
         for o in &p.outputs {
-            o.glob.iter().chain(&o.output_eval).for_each(|t| self.text(t, scope));
-            o.secondary.iter().for_each(|s| self.text(&s.pattern, scope));
+            o.glob
+                .iter()
+                .chain(&o.output_eval)
+                .for_each(|t| self.text(t, scope));
+            o.secondary
+                .iter()
+                .for_each(|s| self.text(&s.pattern, scope));
         }
     }
 
     /// An expression that can be read, and that may be used here.
     fn text(&mut self, t: &Text, scope: &Scope) {
         match expr::parts(&t.text) {
-            Err(e) => self.faults.error(t.at, e.to_string(), "Expressions: brackets and quotes that match"),
+            Err(e) => self.faults.error(
+                t.at,
+                e.to_string(),
+                "Expressions: brackets and quotes that match",
+            ),
             Ok(parts) => {
                 let more = parts.iter().any(|p| match p {
                     Part::Plain(_) => false,
@@ -83,7 +101,11 @@
                 });
                 if more && scope.find("InlineJavascriptRequirement").is_none() {
                     let asks = "InlineJavascriptRequirement, or a parameter reference such as $(inputs.name)";
-                    self.faults.error(t.at, "an expression that is more than a parameter reference", asks);
+                    self.faults.error(
+                        t.at,
+                        "an expression that is more than a parameter reference",
+                        asks,
+                    );
                 }
             }
         }
@@ -98,7 +120,9 @@
                 "ResourceRequirement" | "ToolTimeLimit" | "cwltool:CUDARequirement" => {
                     self.amounts(&w.body, scope)
                 }
-                "DockerRequirement" if w.body.get("dockerPull").and_then(Node::as_str).is_none() => {
+                "DockerRequirement"
+                    if w.body.get("dockerPull").and_then(Node::as_str).is_none() =>
+                {
                     let asks = "DockerRequirement: dockerPull, the image's name";
                     self.faults.error(w.at, "no image is named", asks);
                 }
@@ -108,30 +132,52 @@
     }
 
     fn amounts(&mut self, body: &Node, scope: &Scope) {
-        for e in body.as_map().unwrap_or_default().iter().filter(|e| e.key != "class") {
+        for e in body
+            .as_map()
+            .unwrap_or_default()
+            .iter()
+            .filter(|e| e.key != "class")
+        {
             match &e.node.data {
                 Data::Int(n) if *n >= 0 => {}
                 Data::Float(x) if *x >= 0.0 => {}
                 Data::Str(s) if expr::has_expression(s) => {
-                    self.text(&Text { at: e.node.at, text: s.clone() }, scope);
+                    self.text(
+                        &Text {
+                            at: e.node.at,
+                            text: s.clone(),
+                        },
+                        scope,
+                    );
                 }
                 // A version, such as that of CUDA, is a text or a list.
-                Data::Str(_) | Data::Seq(_) if e.key.contains("Version") || e.key.contains("Capability") => {}
-                _ => {
-                    self.faults.error(e.node.at, format!("{} must be an amount", e.key), "a number of at least 0")
-                }
+                Data::Str(_) | Data::Seq(_)
+                    if e.key.contains("Version") || e.key.contains("Capability") => {}
+                _ => self.faults.error(
+                    e.node.at,
+                    format!("{} must be an amount", e.key),
+                    "a number of at least 0",
+                ),
             }
         }
     }
 
     fn needs(&mut self, scope: &Scope, class: &str, at: Pos, what: &str) {
         if scope.find(class).is_none() {
-            self.faults.error(at, format!("{what} without {class}"), format!("requirements: {class}"));
+            self.faults.error(
+                at,
+                format!("{what} without {class}"),
+                format!("requirements: {class}"),
+            );
         }
     }
 
     fn workflow(&mut self, p: &Process, steps: &[Step], scope: &Scope) {
-        let mut known: BTreeMap<String, Type> = p.inputs.iter().map(|i| (i.id.clone(), i.ty.clone())).collect();
+        let mut known: BTreeMap<String, Type> = p
+            .inputs
+            .iter()
+            .map(|i| (i.id.clone(), i.ty.clone()))
+            .collect();
         for step in steps {
             for id in &step.outputs {
                 match step.run.output(id) {
@@ -139,9 +185,14 @@
                         known.insert(format!("{}/{id}", step.id), yields(step, o));
                     }
                     None => {
-                        let ids: Vec<&str> = step.run.outputs.iter().map(|o| o.id.as_str()).collect();
+                        let ids: Vec<&str> =
+                            step.run.outputs.iter().map(|o| o.id.as_str()).collect();
                         let what = format!("{} has no output '{id}'", step.run.class());
-                        self.faults.error(step.at, what, format!("WorkflowStep: out, of {}", ids.join(", ")));
+                        self.faults.error(
+                            step.at,
+                            what,
+                            format!("WorkflowStep: out, of {}", ids.join(", ")),
+                        );
                     }
                 }
             }
@@ -157,7 +208,8 @@
                 && !ty.may_go_to(&o.ty)
             {
                 let what = format!("output '{}' is {}, and {ty} flows into it", o.id, o.ty);
-                self.faults.error(o.at, what, "WorkflowOutputParameter: types that fit");
+                self.faults
+                    .error(o.at, what, "WorkflowOutputParameter: types that fit");
             }
         }
         self.circles(steps);
@@ -172,13 +224,19 @@
                 None => {
                     let near: Vec<&str> = known.keys().map(String::as_str).take(12).collect();
                     let asks = format!("a source: {}", near.join(", "));
-                    self.faults.error(t.at, format!("nothing is called '{}'", t.text), asks);
+                    self.faults
+                        .error(t.at, format!("nothing is called '{}'", t.text), asks);
                     return None;
                 }
             }
         }
         if s.from.len() > 1 {
-            self.needs(scope, "MultipleInputFeatureRequirement", s.from[0].at, "several sources");
+            self.needs(
+                scope,
+                "MultipleInputFeatureRequirement",
+                s.from[0].at,
+                "several sources",
+            );
         }
         if !s.many {
             return types.pop();
@@ -193,7 +251,11 @@
                 items.push(t);
             }
         }
-        let item = if items.len() == 1 { items.pop()? } else { Type::Union(items) };
+        let item = if items.len() == 1 {
+            items.pop()?
+        } else {
+            Type::Union(items)
+        };
         Some(match s.pick {
             None => Type::Array(Box::new(item)),
             Some(Pick::AllNonNull) => Type::Array(Box::new(not_null(item))),
@@ -206,7 +268,12 @@
             self.needs(scope, "ScatterFeatureRequirement", step.at, "scatter");
         }
         if matches!(step.run.kind, Kind::Workflow(_)) {
-            self.needs(scope, "SubworkflowFeatureRequirement", step.at, "a workflow as a step");
+            self.needs(
+                scope,
+                "SubworkflowFeatureRequirement",
+                step.at,
+                "a workflow as a step",
+            );
         }
         if step.scatter.len() > 1 && step.method.is_none() {
             self.faults.error(
@@ -219,15 +286,30 @@
             self.text(when, scope);
         }
         let ids: BTreeSet<&str> = step.inputs.iter().map(|i| i.id.as_str()).collect();
-        for s in step.scatter.iter().filter(|s| !ids.contains(s.text.as_str())) {
-            self.faults.error(s.at, format!("the step has no input '{}'", s.text), "scatter: inputs of the step");
+        for s in step
+            .scatter
+            .iter()
+            .filter(|s| !ids.contains(s.text.as_str()))
+        {
+            self.faults.error(
+                s.at,
+                format!("the step has no input '{}'", s.text),
+                "scatter: inputs of the step",
+            );
         }
         for i in &step.inputs {
             if let Some(from) = &i.value_from {
-                self.needs(scope, "StepInputExpressionRequirement", from.at, "valueFrom of a step's input");
+                self.needs(
+                    scope,
+                    "StepInputExpressionRequirement",
+                    from.at,
+                    "valueFrom of a step's input",
+                );
                 self.text(from, scope);
             }
-            let Some(mut ty) = self.flow(&i.source, known, scope) else { continue };
+            let Some(mut ty) = self.flow(&i.source, known, scope) else {
+                continue;
+            };
             if step.scatter.iter().any(|s| s.text == i.id) {
                 match ty.items() {
                     Some(item) => ty = item,
@@ -238,14 +320,17 @@
                     }
                 }
             }
-            let Some(input) = step.run.input(&i.id) else { continue };
+            let Some(input) = step.run.input(&i.id) else {
+                continue;
+            };
             // A default stands in for null.
             if i.default.is_some() || input.default.is_some() {
                 ty = not_null(ty);
             }
             if i.value_from.is_none() && !ty.may_go_to(&input.ty) {
                 let what = format!("input '{}' is {}, and {ty} flows into it", i.id, input.ty);
-                self.faults.error(i.at, what, "WorkflowStepInput: types that fit");
+                self.faults
+                    .error(i.at, what, "WorkflowStepInput: types that fit");
             }
         }
         for input in &step.run.inputs {
@@ -253,11 +338,16 @@
                 continue;
             }
             let given = step.inputs.iter().find(|i| i.id == input.id);
-            let some =
-                given.is_some_and(|i| !i.source.from.is_empty() || i.default.is_some() || i.value_from.is_some());
+            let some = given.is_some_and(|i| {
+                !i.source.from.is_empty() || i.default.is_some() || i.value_from.is_some()
+            });
             if !some {
                 let what = format!("input '{}' of {} is not given", input.id, step.run.class());
-                self.faults.error(step.at, what, format!("WorkflowStep: in, {}: {}", input.id, input.ty));
+                self.faults.error(
+                    step.at,
+                    what,
+                    format!("WorkflowStep: in, {}: {}", input.id, input.ty),
+                );
             }
         }
     }
@@ -267,12 +357,22 @@
             .iter()
             .map(|s| {
                 let sources = s.inputs.iter().flat_map(|i| &i.source.from);
-                (s.id.as_str(), sources.filter_map(|t| t.text.split_once('/')).map(|(step, _)| step).collect())
+                (
+                    s.id.as_str(),
+                    sources
+                        .filter_map(|t| t.text.split_once('/'))
+                        .map(|(step, _)| step)
+                        .collect(),
+                )
             })
             .collect();
         let mut left: BTreeSet<&str> = needs.keys().copied().collect();
         loop {
-            let ready: Vec<&str> = left.iter().copied().filter(|s| needs[s].is_disjoint(&left)).collect();
+            let ready: Vec<&str> = left
+                .iter()
+                .copied()
+                .filter(|s| needs[s].is_disjoint(&left))
+                .collect();
             if ready.is_empty() {
                 break;
             }
@@ -281,7 +381,8 @@
         if let Some(step) = steps.iter().find(|s| left.contains(s.id.as_str())) {
             let list: Vec<&str> = left.into_iter().collect();
             let what = format!("steps wait for each other in a circle: {}", list.join(", "));
-            self.faults.error(step.at, what, "Workflow: steps without circles");
+            self.faults
+                .error(step.at, what, "Workflow: steps without circles");
         }
     }
 }
@@ -306,7 +407,11 @@
     match t {
         Type::Union(mut list) => {
             list.retain(|t| *t != Type::Null);
-            if list.len() == 1 { list.swap_remove(0) } else { Type::Union(list) }
+            if list.len() == 1 {
+                list.swap_remove(0)
+            } else {
+                Type::Union(list)
+            }
         }
         t => t,
     }
--- a/crates/hopyoke-cwl/src/command.rs
+++ b/crates/hopyoke-cwl/src/command.rs
@@ -58,7 +58,10 @@
 }
 
 fn wrong(at: crate::fault::Pos) -> impl Fn(EvalError) -> Wrong {
-    move |e| Wrong { at, what: e.to_string() }
+    move |e| Wrong {
+        at,
+        what: e.to_string(),
+    }
 }
 
 /// Describes one task.
@@ -74,17 +77,28 @@
     for (i, b) in tool.arguments.iter().enumerate() {
         let Some(from) = &b.value_from else { continue };
         let value = eval.value(&from.text, names).map_err(wrong(from.at))?;
-        words.push((position(b, eval, names)?, Place::Argument(i), bound(b, None, &value)));
+        words.push((
+            position(b, eval, names)?,
+            Place::Argument(i),
+            bound(b, None, &value),
+        ));
     }
     for input in &process.inputs {
         let Some(b) = &input.binding else { continue };
         let mut value = names.inputs.get(&input.id).cloned().unwrap_or(Value::Null);
-        let names = Names { this: value.clone(), ..names.clone() };
+        let names = Names {
+            this: value.clone(),
+            ..names.clone()
+        };
         if let Some(from) = b.value_from.as_ref().filter(|_| !value.is_null()) {
             value = eval.value(&from.text, &names).map_err(wrong(from.at))?;
         }
         let item = input.item_binding.as_ref();
-        words.push((position(b, eval, &names)?, Place::Input(input.id.clone()), bound(b, item, &value)));
+        words.push((
+            position(b, eval, &names)?,
+            Place::Input(input.id.clone()),
+            bound(b, item, &value),
+        ));
     }
     words.sort_by(|a, b| (a.0, &a.1).cmp(&(b.0, &b.1)));
     let mut argv: Vec<Value> = tool.base.iter().map(|w| Value::from(w.as_str())).collect();
@@ -94,7 +108,9 @@
         argv = vec![Value::from(line(&argv).map_err(wrong(process.at))?)];
     }
     let text = |t: &Option<crate::model::Text>| {
-        t.as_ref().map(|t| eval.text(&t.text, names).map_err(wrong(t.at))).transpose()
+        t.as_ref()
+            .map(|t| eval.text(&t.text, names).map_err(wrong(t.at)))
+            .transpose()
     };
     let stdin = match &tool.stdin {
         Some(t) => Some(eval.value(&t.text, names).map_err(wrong(t.at))?),
@@ -111,12 +127,17 @@
         stdout: stdout.or_else(|| wants(Type::Stdout).then(|| "stdout.txt".to_owned())),
         stderr: stderr.or_else(|| wants(Type::Stderr).then(|| "stderr.txt".to_owned())),
         environment: environment(scope, eval, names)?,
-        time_limit_s: amount(scope, "ToolTimeLimit", "timelimit", eval, names)?.filter(|t| *t > 0.0),
+        time_limit_s: amount(scope, "ToolTimeLimit", "timelimit", eval, names)?
+            .filter(|t| *t > 0.0),
         network: scope
             .find("NetworkAccess")
             .and_then(|w| w.body.get("networkAccess"))
             .is_some_and(|n| n.data == Data::Bool(true)),
-        success_codes: if tool.success_codes.is_empty() { vec![0] } else { tool.success_codes.clone() },
+        success_codes: if tool.success_codes.is_empty() {
+            vec![0]
+        } else {
+            tool.success_codes.clone()
+        },
         files: files(process, &names.inputs),
         outputs: Map::new(),
     })
@@ -125,8 +146,13 @@
 fn position(b: &Binding, eval: &Evaluator<'_>, names: &Names) -> Result<i64, Wrong> {
     let Some(p) = &b.position else { return Ok(0) };
     let value = eval.value(&p.text, names).map_err(wrong(p.at))?;
-    let number = value.as_i64().or_else(|| value.as_str().and_then(|s| s.parse().ok()));
-    number.ok_or_else(|| Wrong { at: p.at, what: format!("position must be a whole number, not {value}") })
+    let number = value
+        .as_i64()
+        .or_else(|| value.as_str().and_then(|s| s.parse().ok()));
+    number.ok_or_else(|| Wrong {
+        at: p.at,
+        what: format!("position must be a whole number, not {value}"),
+    })
 }
 
 /// A value as words.
@@ -151,17 +177,31 @@
         Value::Array(list) if list.is_empty() => Vec::new(),
         Value::Array(list) => match &b.item_separator {
             Some(sep) => {
-                let words: Vec<String> =
-                    list.iter().map(|v| word(v).as_str().unwrap_or_default().to_owned()).collect();
+                let words: Vec<String> = list
+                    .iter()
+                    .map(|v| word(v).as_str().unwrap_or_default().to_owned())
+                    .collect();
                 if list.iter().any(is_later) {
-                    return prefixed(json!({ "class": crate::expr::LATER, "join": list, "separator": sep }));
+                    return prefixed(
+                        json!({ "class": crate::expr::LATER, "join": list, "separator": sep }),
+                    );
                 }
                 prefixed(Value::from(words.join(sep)))
             }
             None => {
-                let plain = Binding { separate: true, shell_quote: true, ..Binding::default() };
-                let each = list.iter().flat_map(|v| bound(item.unwrap_or(&plain), None, v));
-                b.prefix.iter().map(|p| Value::from(p.as_str())).chain(each).collect()
+                let plain = Binding {
+                    separate: true,
+                    shell_quote: true,
+                    ..Binding::default()
+                };
+                let each = list
+                    .iter()
+                    .flat_map(|v| bound(item.unwrap_or(&plain), None, v));
+                b.prefix
+                    .iter()
+                    .map(|p| Value::from(p.as_str()))
+                    .chain(each)
+                    .collect()
             }
         },
         v => prefixed(word(v)),
@@ -196,12 +236,23 @@
     Ok(out.join(" "))
 }
 
-fn environment(scope: &Scope, eval: &Evaluator<'_>, names: &Names) -> Result<Map<String, Value>, Wrong> {
+fn environment(
+    scope: &Scope,
+    eval: &Evaluator<'_>,
+    names: &Names,
+) -> Result<Map<String, Value>, Wrong> {
     let mut out = Map::new();
-    let Some(want) = scope.find("EnvVarRequirement") else { return Ok(out) };
+    let Some(want) = scope.find("EnvVarRequirement") else {
+        return Ok(out);
+    };
     let mut add = |name: &str, node: &Node| -> Result<(), Wrong> {
-        let text = node.as_str().map_or_else(|| node.to_value().to_string(), str::to_owned);
-        out.insert(name.to_owned(), Value::from(eval.text(&text, names).map_err(wrong(node.at))?));
+        let text = node
+            .as_str()
+            .map_or_else(|| node.to_value().to_string(), str::to_owned);
+        out.insert(
+            name.to_owned(),
+            Value::from(eval.text(&text, names).map_err(wrong(node.at))?),
+        );
         Ok(())
     };
     match want.body.get("envDef").map(|n| &n.data) {
@@ -215,11 +266,21 @@
                 let name = n.get("envName").and_then(Node::as_str);
                 match (name, n.get("envValue")) {
                     (Some(name), Some(value)) => add(name, value)?,
-                    _ => return Err(Wrong { at: n.at, what: "envName and envValue are needed".into() }),
+                    _ => {
+                        return Err(Wrong {
+                            at: n.at,
+                            what: "envName and envValue are needed".into(),
+                        });
+                    }
                 }
             }
         }
-        _ => return Err(Wrong { at: want.at, what: "envDef is missing".into() }),
+        _ => {
+            return Err(Wrong {
+                at: want.at,
+                what: "envDef is missing".into(),
+            });
+        }
     }
     Ok(out)
 }
@@ -232,14 +293,19 @@
     eval: &Evaluator<'_>,
     names: &Names,
 ) -> Result<Option<f64>, Wrong> {
-    let Some(node) = scope.find(class).and_then(|w| w.body.get(field)) else { return Ok(None) };
+    let Some(node) = scope.find(class).and_then(|w| w.body.get(field)) else {
+        return Ok(None);
+    };
     let value = match node.as_str() {
         Some(text) => eval.value(text, names).map_err(wrong(node.at))?,
         None => node.to_value(),
     };
     match value.as_f64() {
         Some(n) if n >= 0.0 && n.is_finite() => Ok(Some(n)),
-        _ => Err(Wrong { at: node.at, what: format!("{field} must be a number of at least 0, not {value}") }),
+        _ => Err(Wrong {
+            at: node.at,
+            what: format!("{field} must be a number of at least 0, not {value}"),
+        }),
     }
 }
 
@@ -247,7 +313,12 @@
 fn files(process: &Process, inputs: &Value) -> Vec<Value> {
     fn find(value: &Value, out: &mut Vec<Value>) {
         match value {
-            Value::Object(o) if matches!(o.get("class").and_then(Value::as_str), Some("File" | "Directory")) => {
+            Value::Object(o)
+                if matches!(
+                    o.get("class").and_then(Value::as_str),
+                    Some("File" | "Directory")
+                ) =>
+            {
                 out.push(json!({ "location": o.get("location"), "path": o.get("path") }));
                 find(o.get("secondaryFiles").unwrap_or(&Value::Null), out);
             }
--- a/crates/hopyoke-cwl/src/expand.rs
+++ b/crates/hopyoke-cwl/src/expand.rs
@@ -7,7 +7,8 @@
 use crate::js::{Bounds, Js};
 use crate::load::Source;
 use crate::model::{
-    Input, Kind, Merge, Method, Output, Pick, Process, Scope, Secondary, Sources, Step, StepInput, Tool,
+    Input, Kind, Merge, Method, Output, Pick, Process, Scope, Secondary, Sources, Step, StepInput,
+    Tool,
 };
 use crate::scatter;
 use crate::types::Type;
@@ -69,7 +70,12 @@
 ///
 /// # Errors
 /// Every fault of the inputs, or the first of the document that only these inputs show.
-pub fn expand(process: &Process, inputs: &Node, options: &Options<'_>, faults: &mut Faults) -> Option<Expanded> {
+pub fn expand(
+    process: &Process,
+    inputs: &Node,
+    options: &Options<'_>,
+    faults: &mut Faults,
+) -> Option<Expanded> {
     let js = match Js::new(options.bounds) {
         Ok(js) => js,
         Err(e) => {
@@ -90,13 +96,19 @@
     };
     let scope = Scope::default().inside(&process.wants);
     let given = e.given(process, inputs).ok()?;
-    let out = e.process(process, "", process.id.as_str(), given, &scope).ok()?;
+    let out = e
+        .process(process, "", process.id.as_str(), given, &scope)
+        .ok()?;
     let outputs: Map<String, Value> = out.into_iter().map(|(k, v)| (k, v.value)).collect();
     e.plan.outputs = Value::Object(outputs).to_string();
     let team = e.team.clone().unwrap_or_default();
     let (plan, tasks) = (e.plan, e.tasks);
     if plan.steps.iter().any(|s| s.shape.is_some()) && team.is_empty() {
-        faults.error(process.at, "no team is named", format!("{}: team, or --team", hints::CLASS));
+        faults.error(
+            process.at,
+            "no team is named",
+            format!("{}: team, or --team", hints::CLASS),
+        );
         return None;
     }
     if let Err(e) = plan.check(&team) {
@@ -150,7 +162,11 @@
     }
 
     fn wrong<T>(&mut self, w: Wrong) -> Result<T> {
-        self.fail(w.at, w.what, "a value that can be told before the task runs")
+        self.fail(
+            w.at,
+            w.what,
+            "a value that can be told before the task runs",
+        )
     }
 
     fn evaluator(&self, scope: &Scope) -> Evaluator<'a> {
@@ -162,7 +178,10 @@
             .iter()
             .filter_map(|n| n.as_str().map(str::to_owned))
             .collect();
-        Evaluator { js: want.map(|_| self.js), library }
+        Evaluator {
+            js: want.map(|_| self.js),
+            library,
+        }
     }
 
     /// The inputs that the submitter gives, checked.
@@ -170,14 +189,24 @@
         let entries = match &inputs.data {
             Data::Map(entries) => entries.as_slice(),
             Data::Null => &[],
-            _ => return self.fail(inputs.at, "inputs must be a map", "a map by the ids of the process's inputs"),
+            _ => {
+                return self.fail(
+                    inputs.at,
+                    "inputs must be a map",
+                    "a map by the ids of the process's inputs",
+                );
+            }
         };
         let mut well = true;
         for e in entries {
             if process.input(&e.key).is_none() && !e.key.contains(':') && e.key != "id" {
                 let ids: Vec<&str> = process.inputs.iter().map(|i| i.id.as_str()).collect();
                 let asks = format!("one of {}", ids.join(", "));
-                self.faults.error(e.at, format!("{} has no input '{}'", process.class(), e.key), asks);
+                self.faults.error(
+                    e.at,
+                    format!("{} has no input '{}'", process.class(), e.key),
+                    asks,
+                );
                 well = false;
             }
         }
@@ -185,22 +214,40 @@
         for input in &process.inputs {
             let entry = entries.iter().find(|e| e.key == input.id);
             let given = entry.map(|e| e.node.to_value()).filter(|v| !v.is_null());
-            let value = given.or_else(|| input.default.clone()).unwrap_or(Value::Null);
+            let value = given
+                .or_else(|| input.default.clone())
+                .unwrap_or(Value::Null);
             if !input.ty.takes(&value) {
                 let (at, what) = match entry {
-                    Some(e) => (e.node.at, format!("input '{}' can't be {}", input.id, e.node.kind())),
+                    Some(e) => (
+                        e.node.at,
+                        format!("input '{}' can't be {}", input.id, e.node.kind()),
+                    ),
                     None => (inputs.at, format!("input '{}' is missing", input.id)),
                 };
                 self.faults.error(at, what, input.ty.to_string());
                 well = false;
             }
-            out.insert(input.id.clone(), Bound { value, deps: BTreeSet::new() });
+            out.insert(
+                input.id.clone(),
+                Bound {
+                    value,
+                    deps: BTreeSet::new(),
+                },
+            );
         }
         if well { Ok(out) } else { Err(Noted) }
     }
 
     /// What a process yields with these inputs; its tasks go into the plan.
-    fn process(&mut self, p: &Process, path: &str, name: &str, given: Values, scope: &Scope) -> Result<Values> {
+    fn process(
+        &mut self,
+        p: &Process,
+        path: &str,
+        name: &str,
+        given: Values,
+        scope: &Scope,
+    ) -> Result<Values> {
         match &p.kind {
             Kind::Tool(tool) => {
                 let mut all = self.tool(p, tool, path, name, vec![given], scope)?;
@@ -211,16 +258,28 @@
                 let names = names_of(&given, Value::Null, json!({}));
                 let value = match self.evaluator(scope).value(&text.text, &names) {
                     Ok(v) => v,
-                    Err(e) => return self.fail(text.at, e.to_string(), "ExpressionTool: expression"),
+                    Err(e) => {
+                        return self.fail(text.at, e.to_string(), "ExpressionTool: expression");
+                    }
                 };
                 let deps = all_deps(given.values());
                 let mut out = Values::new();
                 for o in &p.outputs {
                     let v = value.get(&o.id).cloned().unwrap_or(Value::Null);
                     if !o.ty.takes(&v) {
-                        return self.fail(o.at, format!("output '{}' can't be {v}", o.id), o.ty.to_string());
+                        return self.fail(
+                            o.at,
+                            format!("output '{}' can't be {v}", o.id),
+                            o.ty.to_string(),
+                        );
                     }
-                    out.insert(o.id.clone(), Bound { value: v, deps: deps.clone() });
+                    out.insert(
+                        o.id.clone(),
+                        Bound {
+                            value: v,
+                            deps: deps.clone(),
+                        },
+                    );
                 }
                 Ok(out)
             }
@@ -244,12 +303,19 @@
             let ids: BTreeSet<&str> = left.iter().map(|s| s.id.as_str()).collect();
             let waits = |s: &Step| {
                 let sources = s.inputs.iter().flat_map(|i| &i.source.from);
-                sources.filter_map(|t| t.text.split_once('/')).any(|(step, _)| ids.contains(step))
+                sources
+                    .filter_map(|t| t.text.split_once('/'))
+                    .any(|(step, _)| ids.contains(step))
             };
-            let (ready, later): (Vec<&Step>, Vec<&Step>) = left.iter().copied().partition(|s| !waits(s));
+            let (ready, later): (Vec<&Step>, Vec<&Step>) =
+                left.iter().copied().partition(|s| !waits(s));
             let Some(first) = later.first().filter(|_| ready.is_empty()) else {
                 for step in ready {
-                    let path = if path.is_empty() { step.id.clone() } else { format!("{path}/{}", step.id) };
+                    let path = if path.is_empty() {
+                        step.id.clone()
+                    } else {
+                        format!("{path}/{}", step.id)
+                    };
                     let out = self.step(step, &path, &known, scope)?;
                     for (id, bound) in out {
                         known.insert(format!("{}/{id}", step.id), bound);
@@ -258,7 +324,11 @@
                 left = later;
                 continue;
             };
-            return self.fail(first.at, format!("step '{}' waits for itself", first.id), "steps without circles");
+            return self.fail(
+                first.at,
+                format!("step '{}' waits for itself", first.id),
+                "steps without circles",
+            );
         }
         let mut out = Values::new();
         for o in &p.outputs {
@@ -278,13 +348,20 @@
         let mut deps = BTreeSet::new();
         for source in &s.from {
             let Some(bound) = known.get(&source.text) else {
-                return self.fail(source.at, format!("nothing is called '{}'", source.text), "a source");
+                return self.fail(
+                    source.at,
+                    format!("nothing is called '{}'", source.text),
+                    "a source",
+                );
             };
             deps.extend(bound.deps.iter().copied());
             list.push(bound.value.clone());
         }
         if !s.many {
-            return Ok(Bound { value: list.pop().unwrap_or(Value::Null), deps });
+            return Ok(Bound {
+                value: list.pop().unwrap_or(Value::Null),
+                deps,
+            });
         }
         if s.merge == Merge::Flattened {
             let mut flat = Vec::new();
@@ -304,8 +381,16 @@
             }
             list = flat;
         }
-        let Some(pick) = s.pick else { return Ok(Bound { value: Value::Array(list), deps }) };
-        if let Some(v) = list.iter().find(|v| is_later(v) && v.get("optional").is_some()) {
+        let Some(pick) = s.pick else {
+            return Ok(Bound {
+                value: Value::Array(list),
+                deps,
+            });
+        };
+        if let Some(v) = list
+            .iter()
+            .find(|v| is_later(v) && v.get("optional").is_some())
+        {
             let of = find_later(v).unwrap_or_default().to_owned();
             return self.fail(
                 at,
@@ -349,10 +434,19 @@
         let outer = std::mem::replace(&mut self.floor, (floor, self.plan.steps.len() as u32));
         let out = self.step_at_floor(step, path, given, &scope);
         self.floor = outer;
-        Ok(out?.into_iter().filter(|(id, _)| step.outputs.contains(id)).collect())
+        Ok(out?
+            .into_iter()
+            .filter(|(id, _)| step.outputs.contains(id))
+            .collect())
     }
 
-    fn step_at_floor(&mut self, step: &Step, path: &str, given: Values, scope: &Scope) -> Result<Values> {
+    fn step_at_floor(
+        &mut self,
+        step: &Step,
+        path: &str,
+        given: Values,
+        scope: &Scope,
+    ) -> Result<Values> {
         if step.scatter.is_empty() {
             let deps = all_deps(given.values());
             match self.chosen(step, given, scope)? {
@@ -378,16 +472,28 @@
             match eval.value(&from.text, &names) {
                 // It may use any of the step's inputs.
                 Ok(value) => {
-                    out.insert(id.clone(), Bound { value, deps: all_deps(given.values()) });
+                    out.insert(
+                        id.clone(),
+                        Bound {
+                            value,
+                            deps: all_deps(given.values()),
+                        },
+                    );
                 }
                 Err(e) => return self.fail(from.at, e.to_string(), "WorkflowStepInput: valueFrom"),
             }
         }
-        let Some(when) = &step.when else { return Ok(Some(out)) };
+        let Some(when) = &step.when else {
+            return Ok(Some(out));
+        };
         match eval.value(&when.text, &names_of(&out, Value::Null, json!({}))) {
             Ok(Value::Bool(true)) => Ok(Some(out)),
             Ok(Value::Bool(false)) => Ok(None),
-            Ok(v) => self.fail(when.at, format!("when must be true or false, not {v}"), "WorkflowStep: when"),
+            Ok(v) => self.fail(
+                when.at,
+                format!("when must be true or false, not {v}"),
+                "WorkflowStep: when",
+            ),
             Err(e) => self.fail(when.at, e.to_string(), "WorkflowStep: when"),
         }
     }
@@ -403,8 +509,17 @@
                 bound.value = default.clone();
             }
             if !input.ty.takes(&bound.value) {
-                let at = step.inputs.iter().find(|i| i.id == input.id).map_or(step.at, |i| i.at);
-                let what = format!("input '{}' of step '{}' can't be {}", input.id, step.id, short(&bound.value));
+                let at = step
+                    .inputs
+                    .iter()
+                    .find(|i| i.id == input.id)
+                    .map_or(step.at, |i| i.at);
+                let what = format!(
+                    "input '{}' of step '{}' can't be {}",
+                    input.id,
+                    step.id,
+                    short(&bound.value)
+                );
                 return self.fail(at, what, input.ty.to_string());
             }
             out.insert(input.id.clone(), bound);
@@ -412,10 +527,18 @@
         Ok(out)
     }
 
-    fn scattered(&mut self, step: &Step, path: &str, mut given: Values, scope: &Scope) -> Result<Values> {
+    fn scattered(
+        &mut self,
+        step: &Step,
+        path: &str,
+        mut given: Values,
+        scope: &Scope,
+    ) -> Result<Values> {
         let mut lists: Vec<(&str, Vec<Value>)> = Vec::new();
         for s in &step.scatter {
-            let value = given.get_mut(&s.text).map_or(Value::Null, |b| std::mem::take(&mut b.value));
+            let value = given
+                .get_mut(&s.text)
+                .map_or(Value::Null, |b| std::mem::take(&mut b.value));
             match value {
                 Value::Array(list) => lists.push((&s.text, list)),
                 v => {
@@ -436,10 +559,20 @@
             Err(e) => return self.fail(step.at, e, "WorkflowStep: scatter"),
         };
         // Every place has its own copy of what is not scattered.
-        let copies = places.len().saturating_mul(given.values().map(|b| weight(&b.value)).sum());
+        let copies = places
+            .len()
+            .saturating_mul(given.values().map(|b| weight(&b.value)).sum());
         if copies > MOST_COPIES {
-            let what = format!("{} places with {} values each", places.len(), copies / places.len().max(1));
-            return self.fail(step.at, what, format!("at most {MOST_COPIES} values in all places of a scatter"));
+            let what = format!(
+                "{} places with {} values each",
+                places.len(),
+                copies / places.len().max(1)
+            );
+            return self.fail(
+                step.at,
+                what,
+                format!("at most {MOST_COPIES} values in all places of a scatter"),
+            );
         }
         let deps = all_deps(given.values());
         let mut running: Vec<(usize, Values)> = Vec::new();
@@ -475,26 +608,45 @@
         for id in &step.outputs {
             let mut values = Vec::with_capacity(results.len());
             // Whatever runs waits for the step's sources itself.
-            let mut all = if results.iter().any(Option::is_some) { BTreeSet::new() } else { deps.clone() };
+            let mut all = if results.iter().any(Option::is_some) {
+                BTreeSet::new()
+            } else {
+                deps.clone()
+            };
             for r in &results {
                 let bound = r.as_ref().and_then(|r| r.get(id));
                 values.push(bound.map_or(Value::Null, |b| b.value.clone()));
                 all.extend(bound.iter().flat_map(|b| b.deps.iter().copied()));
             }
             let deps = self.meet(all, path, step.at)?;
-            out.insert(id.clone(), Bound { value: scatter::collect(method, &lengths, values), deps });
+            out.insert(
+                id.clone(),
+                Bound {
+                    value: scatter::collect(method, &lengths, values),
+                    deps,
+                },
+            );
         }
         Ok(out)
     }
 
     /// Few steps that stand for many: joins without work.
-    fn meet(&mut self, mut deps: BTreeSet<StepNo>, path: &str, at: Pos) -> Result<BTreeSet<StepNo>> {
+    fn meet(
+        &mut self,
+        mut deps: BTreeSet<StepNo>,
+        path: &str,
+        at: Pos,
+    ) -> Result<BTreeSet<StepNo>> {
         while deps.len() > MOST_AFTER / 4 {
             let all: Vec<StepNo> = deps.into_iter().collect();
             deps = BTreeSet::new();
             for chunk in all.chunks(MOST_AFTER) {
-                let step =
-                    PlanStep { path: format!("{path} (join)"), after: chunk.to_vec(), shape: None, tasks: 0 };
+                let step = PlanStep {
+                    path: format!("{path} (join)"),
+                    after: chunk.to_vec(),
+                    shape: None,
+                    tasks: 0,
+                };
                 deps.insert(self.add_step(step, at)?);
             }
         }
@@ -503,7 +655,11 @@
 
     fn add_step(&mut self, step: PlanStep, at: Pos) -> Result<StepNo> {
         if self.plan.steps.len() >= MOST_STEPS {
-            return self.fail(at, format!("the run has more than {MOST_STEPS} steps"), "fewer steps");
+            return self.fail(
+                at,
+                format!("the run has more than {MOST_STEPS} steps"),
+                "fewer steps",
+            );
         }
         self.plan.steps.push(step);
         Ok(StepNo(self.plan.steps.len() as u32 - 1))
@@ -523,14 +679,20 @@
         let path = if path.is_empty() { "tool" } else { path };
         self.count += places.len();
         if self.count > MOST_TASKS {
-            return self.fail(p.at, format!("the run has more than {MOST_TASKS} tasks"), "fewer tasks");
+            return self.fail(
+                p.at,
+                format!("the run has more than {MOST_TASKS} tasks"),
+                "fewer tasks",
+            );
         }
         let scheduling = hints::of(scope, self.faults);
         if self.faults.has_errors() {
             return Err(Noted);
         }
-        let want_image =
-            scope.find("DockerRequirement").and_then(|w| w.body.get("dockerPull")).and_then(Node::as_str);
+        let want_image = scope
+            .find("DockerRequirement")
+            .and_then(|w| w.body.get("dockerPull"))
+            .and_then(Node::as_str);
         let image = want_image.map_or_else(|| self.options.image.clone(), str::to_owned);
         let eval = self.evaluator(scope);
         let mut tasks: Vec<Task> = Vec::with_capacity(places.len());
@@ -539,19 +701,31 @@
         for given in places {
             let given = self.prepared(p, given, scope)?;
             deps.extend(all_deps(given.values()));
-            let staged: Values = given.into_iter().map(|(id, b)| (id.clone(), stage(b, &id))).collect();
+            let staged: Values = given
+                .into_iter()
+                .map(|(id, b)| (id.clone(), stage(b, &id)))
+                .collect();
             let names = names_of(&staged, Value::Null, runtime(1.0, 256.0));
             let shape = match self.shape(p, name, &scheduling, &image, &eval, scope, &names) {
                 Ok(s) => s,
                 Err(w) => return self.wrong(w),
             };
-            let Some(spec) = self.shapes_at(shape) else { return Err(Noted) };
-            let names = Names { runtime: runtime(spec.cpus, spec.memory_gb * 1024.0), ..names };
+            let Some(spec) = self.shapes_at(shape) else {
+                return Err(Noted);
+            };
+            let names = Names {
+                runtime: runtime(spec.cpus, spec.memory_gb * 1024.0),
+                ..names
+            };
             let description = match describe(path, p, tool, scope, &eval, &names) {
                 Ok(d) => d,
                 Err(w) => return self.wrong(w),
             };
-            tasks.push(Task { shape, description, names });
+            tasks.push(Task {
+                shape,
+                description,
+                names,
+            });
         }
         // Either of these stands for the other where it holds steps of the same level.
         if deps.iter().all(|s| s.0 < self.floor.1) {
@@ -593,7 +767,13 @@
                     Err(w) => return self.wrong(w),
                 };
                 t.description.outputs.insert(o.id.clone(), collect);
-                values.insert(o.id.clone(), Bound { value, deps: done.clone() });
+                values.insert(
+                    o.id.clone(),
+                    Bound {
+                        value,
+                        deps: done.clone(),
+                    },
+                );
             }
             described.entry(step).or_default().push(t.description);
             out.push(values);
@@ -620,12 +800,18 @@
     ) -> std::result::Result<u32, Wrong> {
         let ask = |class: &str, field: &str| amount(scope, class, field, eval, names);
         let resource = "ResourceRequirement";
-        let cores = ask(resource, "coresMin")?.or(ask(resource, "coresMax")?).unwrap_or(1.0);
-        let ram = ask(resource, "ramMin")?.or(ask(resource, "ramMax")?).unwrap_or(256.0);
+        let cores = ask(resource, "coresMin")?
+            .or(ask(resource, "coresMax")?)
+            .unwrap_or(1.0);
+        let ram = ask(resource, "ramMin")?
+            .or(ask(resource, "ramMax")?)
+            .unwrap_or(256.0);
         let cuda = "cwltool:CUDARequirement";
         let gpus = match scope.find(cuda) {
             None => 0.0,
-            Some(_) => ask(cuda, "cudaDeviceCountMin")?.or(ask(cuda, "cudaDeviceCount")?).unwrap_or(1.0),
+            Some(_) => ask(cuda, "cudaDeviceCountMin")?
+                .or(ask(cuda, "cudaDeviceCount")?)
+                .unwrap_or(1.0),
         };
         let team = match (&self.team, &s.team) {
             (None, Some(t)) => {
@@ -643,12 +829,24 @@
             }
         };
         let fallback = if p.id.is_empty() { name } else { &p.id };
-        let class = s.class.clone().or_else(|| self.options.class.clone()).unwrap_or_else(|| fallback.to_owned());
+        let class = s
+            .class
+            .clone()
+            .or_else(|| self.options.class.clone())
+            .unwrap_or_else(|| fallback.to_owned());
         let spec = JobSpec {
             id: JobId::new("req-0"),
-            class: if class.is_empty() { "cwl".into() } else { class },
+            class: if class.is_empty() {
+                "cwl".into()
+            } else {
+                class
+            },
             team,
-            kind: if s.together { JobKind::Gang } else { JobKind::Array },
+            kind: if s.together {
+                JobKind::Gang
+            } else {
+                JobKind::Array
+            },
             priority: s.priority,
             tasks: 1,
             cpus: cores,
@@ -687,10 +885,20 @@
         let d = &t.description;
         let mut globs = Vec::new();
         for g in &o.glob {
-            match eval.value(&g.text, &t.names).map_err(|e| Wrong { at: g.at, what: e.to_string() })? {
-                Value::Array(list) => globs.extend(list.iter().filter_map(|v| v.as_str().map(str::to_owned))),
+            match eval.value(&g.text, &t.names).map_err(|e| Wrong {
+                at: g.at,
+                what: e.to_string(),
+            })? {
+                Value::Array(list) => {
+                    globs.extend(list.iter().filter_map(|v| v.as_str().map(str::to_owned)))
+                }
                 Value::String(s) => globs.push(s),
-                v => return Err(Wrong { at: g.at, what: format!("glob must be a text, not {v}") }),
+                v => {
+                    return Err(Wrong {
+                        at: g.at,
+                        what: format!("glob must be a text, not {v}"),
+                    });
+                }
             }
         }
         let eval_text = o.output_eval.as_ref().map(|t| t.text.clone());
@@ -717,7 +925,10 @@
         let value = match (&o.ty, globs.as_slice(), &eval_text) {
             (_, _, Some(text)) => {
                 // What does not look at the files is known.
-                let names = Names { this: unknown.clone(), ..t.names.clone() };
+                let names = Names {
+                    this: unknown.clone(),
+                    ..t.names.clone()
+                };
                 match eval.value(text, &names) {
                     Ok(v) if !o.load_contents && find_later(&v).is_none() && o.ty.takes(&v) => v,
                     _ => unknown,
@@ -736,7 +947,14 @@
     /// A process's inputs with what it asks of its files.
     fn prepared(&mut self, p: &Process, mut given: Values, scope: &Scope) -> Result<Values> {
         let eval = self.evaluator(scope);
-        for Input { id, at, secondary, load_contents, .. } in &p.inputs {
+        for Input {
+            id,
+            at,
+            secondary,
+            load_contents,
+            ..
+        } in &p.inputs
+        {
             let Some(bound) = given.get(id) else { continue };
             let mut value = tidy(bound.value.clone());
             if !secondary.is_empty() {
@@ -759,7 +977,10 @@
     fn with_contents(&mut self, mut value: Value, at: Pos) -> Result<Value> {
         let asks = "loadContents: a file of at most 64 KiB that the submitter has";
         if let Value::Array(list) = value {
-            let list: Result<Vec<Value>> = list.into_iter().map(|v| self.with_contents(v, at)).collect();
+            let list: Result<Vec<Value>> = list
+                .into_iter()
+                .map(|v| self.with_contents(v, at))
+                .collect();
             return Ok(Value::Array(list?));
         }
         if value.is_null() || value.get("contents").is_some() {
@@ -769,9 +990,21 @@
             let what = EvalError::Later(of.to_owned()).to_string();
             return self.fail(at, what, asks);
         }
-        let location = value.get("location").and_then(Value::as_str).unwrap_or_default().to_owned();
-        let Some(source) = self.options.source.filter(|_| !location.starts_with("hopyoke:")) else {
-            return self.fail(at, format!("the contents of {location} are not known here"), asks);
+        let location = value
+            .get("location")
+            .and_then(Value::as_str)
+            .unwrap_or_default()
+            .to_owned();
+        let Some(source) = self
+            .options
+            .source
+            .filter(|_| !location.starts_with("hopyoke:"))
+        else {
+            return self.fail(
+                at,
+                format!("the contents of {location} are not known here"),
+                asks,
+            );
         };
         match source.read(location.strip_prefix("file://").unwrap_or(&location)) {
             Ok(text) if text.len() <= MOST_CONTENTS => {
@@ -798,8 +1031,10 @@
         }
         match value {
             Value::Array(list) => {
-                let list: std::result::Result<Vec<Value>, Wrong> =
-                    list.into_iter().map(|v| self.with_secondary(v, secondary, eval, names)).collect();
+                let list: std::result::Result<Vec<Value>, Wrong> = list
+                    .into_iter()
+                    .map(|v| self.with_secondary(v, secondary, eval, names))
+                    .collect();
                 Ok(Value::Array(list?))
             }
             Value::Object(mut o) if o.get("class").and_then(Value::as_str) == Some("File") => {
@@ -807,19 +1042,34 @@
                     Some(Value::Array(list)) => list,
                     _ => Vec::new(),
                 };
-                let location = o.get("location").and_then(Value::as_str).unwrap_or_default().to_owned();
-                let base = o.get("basename").and_then(Value::as_str).unwrap_or_default().to_owned();
+                let location = o
+                    .get("location")
+                    .and_then(Value::as_str)
+                    .unwrap_or_default()
+                    .to_owned();
+                let base = o
+                    .get("basename")
+                    .and_then(Value::as_str)
+                    .unwrap_or_default()
+                    .to_owned();
                 let dir = location.strip_suffix(&base).unwrap_or("").to_owned();
                 for s in secondary.iter().filter(|s| s.required) {
                     let pattern = &s.pattern;
                     let name = if crate::expr::has_expression(&pattern.text) {
-                        let names = Names { this: Value::Object(o.clone()), ..names.clone() };
-                        eval.text(&pattern.text, &names)
-                            .map_err(|e| Wrong { at: pattern.at, what: e.to_string() })?
+                        let names = Names {
+                            this: Value::Object(o.clone()),
+                            ..names.clone()
+                        };
+                        eval.text(&pattern.text, &names).map_err(|e| Wrong {
+                            at: pattern.at,
+                            what: e.to_string(),
+                        })?
                     } else {
                         beside(&base, &pattern.text)
                     };
-                    let there = |v: &Value| v.get("basename").and_then(Value::as_str) == Some(name.as_str());
+                    let there = |v: &Value| {
+                        v.get("basename").and_then(Value::as_str) == Some(name.as_str())
+                    };
                     if !have.iter().any(there) {
                         have.push(file(&format!("{dir}{name}"), "File"));
                     }
@@ -837,7 +1087,10 @@
     let mut stem = base;
     let mut rest = pattern;
     while let Some(r) = rest.strip_prefix('^') {
-        stem = stem.rfind('.').filter(|i| *i > 0).map_or(stem, |i| &stem[..i]);
+        stem = stem
+            .rfind('.')
+            .filter(|i| *i > 0)
+            .map_or(stem, |i| &stem[..i]);
         rest = r;
     }
     format!("{stem}{rest}")
@@ -848,12 +1101,30 @@
 }
 
 fn nulls(step: &Step, deps: &BTreeSet<StepNo>) -> Values {
-    step.outputs.iter().map(|o| (o.clone(), Bound { value: Value::Null, deps: deps.clone() })).collect()
+    step.outputs
+        .iter()
+        .map(|o| {
+            (
+                o.clone(),
+                Bound {
+                    value: Value::Null,
+                    deps: deps.clone(),
+                },
+            )
+        })
+        .collect()
 }
 
 fn names_of(given: &Values, this: Value, runtime: Value) -> Names {
-    let inputs = given.iter().map(|(k, b)| (k.clone(), b.value.clone())).collect();
-    Names { inputs: Value::Object(inputs), this, runtime }
+    let inputs = given
+        .iter()
+        .map(|(k, b)| (k.clone(), b.value.clone()))
+        .collect();
+    Names {
+        inputs: Value::Object(inputs),
+        this,
+        runtime,
+    }
 }
 
 fn runtime(cores: f64, ram: f64) -> Value {
@@ -879,7 +1150,11 @@
 /// A value for a message.
 fn short(v: &Value) -> String {
     let text = v.to_string();
-    if text.chars().count() <= 80 { text } else { format!("{}…", text.chars().take(80).collect::<String>()) }
+    if text.chars().count() <= 80 {
+        text
+    } else {
+        format!("{}…", text.chars().take(80).collect::<String>())
+    }
 }
 
 /// A file by its location.
@@ -892,16 +1167,31 @@
     match value {
         Value::Array(list) => Value::Array(list.into_iter().map(tidy).collect()),
         Value::Object(mut o) => {
-            let class = o.get("class").and_then(Value::as_str).unwrap_or_default().to_owned();
+            let class = o
+                .get("class")
+                .and_then(Value::as_str)
+                .unwrap_or_default()
+                .to_owned();
             if matches!(class.as_str(), "File" | "Directory") {
                 if o.get("location").is_none()
                     && let Some(p) = o.get("path").cloned()
                 {
                     o.insert("location".into(), p);
                 }
-                let location = o.get("location").and_then(Value::as_str).unwrap_or_default();
-                let last = location.trim_end_matches('/').rsplit('/').next().unwrap_or_default().to_owned();
-                let base = o.get("basename").and_then(Value::as_str).map_or(last, str::to_owned);
+                let location = o
+                    .get("location")
+                    .and_then(Value::as_str)
+                    .unwrap_or_default();
+                let last = location
+                    .trim_end_matches('/')
+                    .rsplit('/')
+                    .next()
+                    .unwrap_or_default()
+                    .to_owned();
+                let base = o
+                    .get("basename")
+                    .and_then(Value::as_str)
+                    .map_or(last, str::to_owned);
                 if class == "File" {
                     let dot = base.rfind('.').filter(|i| *i > 0).unwrap_or(base.len());
                     o.insert("nameroot".into(), Value::from(&base[..dot]));
@@ -923,12 +1213,21 @@
 fn stage(bound: Bound, id: &str) -> Bound {
     fn place(value: Value, dir: &str) -> Value {
         match value {
-            Value::Array(list) => {
-                Value::Array(list.into_iter().enumerate().map(|(i, v)| place(v, &format!("{dir}/{i}"))).collect())
-            }
+            Value::Array(list) => Value::Array(
+                list.into_iter()
+                    .enumerate()
+                    .map(|(i, v)| place(v, &format!("{dir}/{i}")))
+                    .collect(),
+            ),
             Value::Object(mut o) => {
-                if matches!(o.get("class").and_then(Value::as_str), Some("File" | "Directory")) {
-                    let base = o.get("basename").and_then(Value::as_str).unwrap_or_default();
+                if matches!(
+                    o.get("class").and_then(Value::as_str),
+                    Some("File" | "Directory")
+                ) {
+                    let base = o
+                        .get("basename")
+                        .and_then(Value::as_str)
+                        .unwrap_or_default();
                     o.insert("path".into(), Value::from(format!("{dir}/{base}")));
                     o.insert("dirname".into(), Value::from(dir));
                     if let Some(Value::Array(list)) = o.remove("secondaryFiles") {
@@ -943,5 +1242,8 @@
             v => v,
         }
     }
-    Bound { value: place(bound.value, &format!("{IN_DIR}/{id}")), deps: bound.deps }
+    Bound {
+        value: place(bound.value, &format!("{IN_DIR}/{id}")),
+        deps: bound.deps,
+    }
 }
--- a/crates/hopyoke-cwl/src/expr.rs
+++ b/crates/hopyoke-cwl/src/expr.rs
@@ -103,12 +103,14 @@
             "an expression with more than {MOST_BRACKETS} brackets in each other"
         )));
     }
-    let broken = |_| EvalError::Syntax("an expression whose brackets or quotes do not match".into());
+    let broken =
+        |_| EvalError::Syntax("an expression whose brackets or quotes do not match".into());
     let pairs = ExprParser::parse(Rule::text, text).map_err(broken)?;
     let mut out: Vec<Part> = Vec::new();
     for pair in pairs.flat_map(|p| p.into_inner()) {
-        let code =
-            |p: pest::iterators::Pair<'_, Rule>| p.into_inner().next().map_or("", |c| c.as_str()).to_owned();
+        let code = |p: pest::iterators::Pair<'_, Rule>| {
+            p.into_inner().next().map_or("", |c| c.as_str()).to_owned()
+        };
         let part = match pair.as_rule() {
             Rule::call => Part::Call(code(pair)),
             Rule::block => Part::Block(code(pair)),
@@ -155,7 +157,11 @@
     let mut out = String::with_capacity(text.len());
     let mut chars = text.chars();
     while let Some(c) = chars.next() {
-        out.push(if c == '\\' { chars.next().unwrap_or('\\') } else { c });
+        out.push(if c == '\\' {
+            chars.next().unwrap_or('\\')
+        } else {
+            c
+        });
     }
     out
 }
@@ -166,7 +172,9 @@
 }
 
 fn follow(steps: &[Step], names: &Names) -> Result<Value, EvalError> {
-    let Some(Step::Name(first)) = steps.first() else { return Err(EvalError::NeedsJs) };
+    let Some(Step::Name(first)) = steps.first() else {
+        return Err(EvalError::NeedsJs);
+    };
     let mut value = match first.as_str() {
         "inputs" => &names.inputs,
         "self" => &names.this,
@@ -177,7 +185,9 @@
     let mut path = first.clone();
     for (i, step) in steps.iter().enumerate().skip(1) {
         if is_later(value) {
-            return Err(EvalError::Later(find_later(value).unwrap_or_default().to_owned()));
+            return Err(EvalError::Later(
+                find_later(value).unwrap_or_default().to_owned(),
+            ));
         }
         let next = match step {
             Step::Name(n) if n == "length" && i + 1 == steps.len() && value.is_array() => {
@@ -227,8 +237,10 @@
     pub fn value(&self, text: &str, names: &Names) -> Result<Value, EvalError> {
         let parts = parts(text)?;
         // Blanks around a single expression do not make it a text.
-        let solid: Vec<&Part> =
-            parts.iter().filter(|p| !matches!(p, Part::Plain(s) if s.trim().is_empty())).collect();
+        let solid: Vec<&Part> = parts
+            .iter()
+            .filter(|p| !matches!(p, Part::Plain(s) if s.trim().is_empty()))
+            .collect();
         if let [only @ (Part::Call(_) | Part::Block(_))] = solid.as_slice() {
             return self.one(only, names);
         }
--- a/crates/hopyoke-cwl/src/fault.rs
+++ b/crates/hopyoke-cwl/src/fault.rs
@@ -48,8 +48,19 @@
         self.files.len() as u32 - 1
     }
 
-    pub(crate) fn add(&mut self, level: Level, at: Pos, message: impl Into<String>, asks: impl Into<String>) {
-        let fault = Fault { level, at, message: message.into(), asks: asks.into() };
+    pub(crate) fn add(
+        &mut self,
+        level: Level,
+        at: Pos,
+        message: impl Into<String>,
+        asks: impl Into<String>,
+    ) {
+        let fault = Fault {
+            level,
+            at,
+            message: message.into(),
+            asks: asks.into(),
+        };
         if self.list.len() < MOST && !self.list.contains(&fault) {
             self.list.push(fault);
         }
@@ -64,7 +75,12 @@
     }
 
     /// A requirement that is not supported: an error of its own kind to callers.
-    pub(crate) fn unsupported(&mut self, at: Pos, message: impl Into<String>, asks: impl Into<String>) {
+    pub(crate) fn unsupported(
+        &mut self,
+        at: Pos,
+        message: impl Into<String>,
+        asks: impl Into<String>,
+    ) {
         self.unsupported = true;
         self.error(at, message, asks);
     }
@@ -91,14 +107,27 @@
 
     /// The same with places, message and advice as texts.
     pub fn sorted_places(&self) -> Vec<(Level, String, String)> {
-        let said = |f: &Fault| (f.level, self.place(f.at), format!("{}; {}", f.message, f.asks));
+        let said = |f: &Fault| {
+            (
+                f.level,
+                self.place(f.at),
+                format!("{}; {}", f.message, f.asks),
+            )
+        };
         self.sorted().into_iter().map(said).collect()
     }
 
     /// A place as people write it.
     pub fn place(&self, at: Pos) -> String {
-        let name = self.files.get(at.file as usize).map_or("", |f| f.0.as_str());
-        if at.line == 0 { name.to_owned() } else { format!("{name}:{}:{}", at.line, at.column) }
+        let name = self
+            .files
+            .get(at.file as usize)
+            .map_or("", |f| f.0.as_str());
+        if at.line == 0 {
+            name.to_owned()
+        } else {
+            format!("{name}:{}:{}", at.line, at.column)
+        }
     }
 
     fn show(&self, fault: &Fault) -> String {
@@ -111,7 +140,9 @@
         };
         let start = offset(text, fault.at);
         let len = text[start..].split(['\n', ' ']).next().map_or(0, str::len);
-        let mark = AnnotationKind::Primary.span(start..start + len).label(&fault.asks);
+        let mark = AnnotationKind::Primary
+            .span(start..start + len)
+            .label(&fault.asks);
         let snippet = Snippet::source(&**text).path(name).annotation(mark);
         Renderer::plain().render(&[look.primary_title(&fault.message).element(snippet)])
     }
@@ -135,7 +166,11 @@
     }
     let line = text[start..].split('\n').next().unwrap_or("");
     let column = at.column.saturating_sub(1) as usize;
-    start + line.char_indices().nth(column).map_or(line.len(), |(i, _)| i)
+    start
+        + line
+            .char_indices()
+            .nth(column)
+            .map_or(line.len(), |(i, _)| i)
 }
 
 impl fmt::Display for Faults {
@@ -146,7 +181,12 @@
         let count = |level| self.list.iter().filter(|f| f.level == level).count();
         let plural = |n: usize| if n == 1 { "" } else { "s" };
         let (errors, warnings) = (count(Level::Error), count(Level::Warning));
-        write!(f, "{errors} error{}, {warnings} warning{}", plural(errors), plural(warnings))
+        write!(
+            f,
+            "{errors} error{}, {warnings} warning{}",
+            plural(errors),
+            plural(warnings)
+        )
     }
 }
 
--- a/crates/hopyoke-cwl/src/hints.rs
+++ b/crates/hopyoke-cwl/src/hints.rs
@@ -60,7 +60,9 @@
 
 /// Reads the hint that holds in a scope.
 pub fn of(scope: &Scope, faults: &mut Faults) -> Scheduling {
-    scope.find(CLASS).map_or_else(Scheduling::default, |w| read(&w.body, faults))
+    scope
+        .find(CLASS)
+        .map_or_else(Scheduling::default, |w| read(&w.body, faults))
 }
 
 /// Reads a hint; what is wrong with it is noted.
@@ -68,7 +70,8 @@
     let mut s = Scheduling::default();
     for e in node.as_map().unwrap_or_default() {
         let n = &e.node;
-        let mut wrong = |asks: &str| faults.error(n.at, format!("{} can't be {}", e.key, n.kind()), asks);
+        let mut wrong =
+            |asks: &str| faults.error(n.at, format!("{} can't be {}", e.key, n.kind()), asks);
         let text = || n.as_str().map(str::to_owned);
         let number = || match n.data {
             Data::Int(i) if i >= 0 => Some(i as f64),
@@ -93,11 +96,19 @@
             "team" => take!(s.team, text().map(Some), "a team's name"),
             "zone" => take!(s.zone, text().map(Some), "a zone's name"),
             "priority" => {
-                take!(s.priority, text().and_then(|t| priority(&t)), "prod, high, standard or best_effort")
+                take!(
+                    s.priority,
+                    text().and_then(|t| priority(&t)),
+                    "prod, high, standard or best_effort"
+                )
             }
             "machineTypes" => {
-                let names =
-                    || n.as_seq()?.iter().map(|n| n.as_str().map(str::to_owned)).collect::<Option<Vec<_>>>();
+                let names = || {
+                    n.as_seq()?
+                        .iter()
+                        .map(|n| n.as_str().map(str::to_owned))
+                        .collect::<Option<Vec<_>>>()
+                };
                 take!(s.machine_types, names().map(Some), "a list of names");
             }
             "spot" => take!(s.spot, flag(), "a boolean"),
@@ -109,7 +120,11 @@
             "checkpoint" => take!(s.checkpoint_s, number(), "seconds, at least 0"),
             "save" => take!(s.save_s, number(), "seconds, at least 0"),
             "imageGb" => take!(s.image_gb, number(), "gigabytes, at least 0"),
-            other => faults.error(e.at, format!("unknown field '{other}'"), format!("{CLASS}: {FIELDS}")),
+            other => faults.error(
+                e.at,
+                format!("unknown field '{other}'"),
+                format!("{CLASS}: {FIELDS}"),
+            ),
         }
     }
     s
--- a/crates/hopyoke-cwl/src/js.rs
+++ b/crates/hopyoke-cwl/src/js.rs
@@ -24,7 +24,12 @@
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        Bounds { time: Duration::from_secs(1), total: Duration::from_secs(20), memory: 64 << 20, stack: 256 << 10 }
+        Bounds {
+            time: Duration::from_secs(1),
+            total: Duration::from_secs(20),
+            memory: 64 << 20,
+            stack: 256 << 10,
+        }
     }
 }
 
@@ -55,8 +60,15 @@
         runtime.set_max_stack_size(bounds.stack);
         let deadline = Arc::new(AtomicU64::new(u64::MAX));
         let until = deadline.clone();
-        runtime.set_interrupt_handler(Some(Box::new(move || since_start() > until.load(Ordering::Relaxed))));
-        Ok(Js { runtime, bounds, deadline, spent: Rc::default() })
+        runtime.set_interrupt_handler(Some(Box::new(move || {
+            since_start() > until.load(Ordering::Relaxed)
+        })));
+        Ok(Js {
+            runtime,
+            bounds,
+            deadline,
+            spent: Rc::default(),
+        })
     }
 
     /// The value of an expression (`$(...)`) or of a function's body (`${...}`).
@@ -70,13 +82,20 @@
         library: &[String],
         names: &Names,
     ) -> Result<Value, EvalError> {
-        let left = self.bounds.total.saturating_sub(self.spent.get()).min(self.bounds.time);
+        let left = self
+            .bounds
+            .total
+            .saturating_sub(self.spent.get())
+            .min(self.bounds.time);
         if left.is_zero() {
             let took = self.bounds.total.as_secs();
-            return Err(EvalError::Js(format!("the document's expressions took more than {took} s together")));
+            return Err(EvalError::Js(format!(
+                "the document's expressions took more than {took} s together"
+            )));
         }
         let began = Instant::now();
-        self.deadline.store(since_start() + left.as_millis() as u64, Ordering::Relaxed);
+        self.deadline
+            .store(since_start() + left.as_millis() as u64, Ordering::Relaxed);
         let result = self.run(&program(code, block, library, names));
         self.deadline.store(u64::MAX, Ordering::Relaxed);
         self.spent.set(self.spent.get() + began.elapsed());
@@ -93,7 +112,8 @@
                 text.len()
             )));
         }
-        serde_json::from_str(&text).map_err(|e| EvalError::Js(format!("its value is not JSON: {e}")))
+        serde_json::from_str(&text)
+            .map_err(|e| EvalError::Js(format!("its value is not JSON: {e}")))
     }
 
     fn run(&self, program: &str) -> Result<String, String> {
@@ -101,9 +121,13 @@
         context.with(|ctx| {
             ctx.eval::<String, _>(program).map_err(|e| {
                 let thrown = ctx.catch();
-                let said = thrown.as_exception().map(|x| x.message().unwrap_or_default());
+                let said = thrown
+                    .as_exception()
+                    .map(|x| x.message().unwrap_or_default());
                 let text = || thrown.as_string().and_then(|s| s.to_string().ok());
-                said.or_else(text).filter(|s| !s.is_empty()).unwrap_or_else(|| e.to_string())
+                said.or_else(text)
+                    .filter(|s| !s.is_empty())
+                    .unwrap_or_else(|| e.to_string())
             })
         })
     }
@@ -114,7 +138,11 @@
 /// Values that are not known yet throw when they are looked into.
 fn program(code: &str, block: bool, library: &[String], names: &Names) -> String {
     let value = |v: &Value| serde_json::to_string(&v.to_string()).unwrap_or_default();
-    let body = if block { code.to_owned() } else { format!("return ({code}\n);") };
+    let body = if block {
+        code.to_owned()
+    } else {
+        format!("return ({code}\n);")
+    };
     format!(
         r#""use strict";
 const __later = (v) => {{
--- a/crates/hopyoke-cwl/src/load.rs
+++ b/crates/hopyoke-cwl/src/load.rs
@@ -24,7 +24,10 @@
     fn read(&self, path: &str) -> Result<String, String> {
         let size = std::fs::metadata(path).map_err(|e| e.to_string())?.len();
         if size > yaml::MOST_BYTES as u64 {
-            return Err(format!("it has {size} bytes; at most {} are read", yaml::MOST_BYTES));
+            return Err(format!(
+                "it has {size} bytes; at most {} are read",
+                yaml::MOST_BYTES
+            ));
         }
         std::fs::read_to_string(path).map_err(|e| e.to_string())
     }
@@ -33,7 +36,9 @@
 /// Files by name, such as the attachments of a request. Nothing else can be reached.
 impl Source for BTreeMap<String, String> {
     fn read(&self, path: &str) -> Result<String, String> {
-        self.get(path).cloned().ok_or_else(|| "it is not among the attachments".to_owned())
+        self.get(path)
+            .cloned()
+            .ok_or_else(|| "it is not among the attachments".to_owned())
     }
 }
 
@@ -78,7 +83,13 @@
 
 impl<'a> Documents<'a> {
     pub fn new(source: &'a dyn Source) -> Documents<'a> {
-        Documents { source, files: BTreeMap::new(), processes: BTreeMap::new(), opened: 0, nodes: 0 }
+        Documents {
+            source,
+            files: BTreeMap::new(),
+            processes: BTreeMap::new(),
+            opened: 0,
+            nodes: 0,
+        }
     }
 
     /// The process of a file, or its part after a `#`; of a `$graph` without one, `main`.
@@ -96,30 +107,60 @@
         faults: &mut Faults,
     ) -> Option<Rc<Process>> {
         let (path, fragment) = reference.split_once('#').unwrap_or((reference, ""));
-        let path = if path.is_empty() { base.to_owned() } else { join(base, path) };
+        let path = if path.is_empty() {
+            base.to_owned()
+        } else {
+            join(base, path)
+        };
         self.find(&path, fragment, Some(at), faults)
     }
 
-    fn find(&mut self, path: &str, fragment: &str, at: Option<Pos>, faults: &mut Faults) -> Option<Rc<Process>> {
+    fn find(
+        &mut self,
+        path: &str,
+        fragment: &str,
+        at: Option<Pos>,
+        faults: &mut Faults,
+    ) -> Option<Rc<Process>> {
         let root = self.file(path, at, faults)?;
         let asks = "a process, or an id of one of those in the file's `$graph`";
         let (node, id) = match root.get("$graph") {
             None => {
                 let id = root.get("id").and_then(Node::as_str).map(read::bare);
                 if !fragment.is_empty() && id != Some(read::bare(fragment)) {
-                    faults.error(at.unwrap_or(root.at), format!("no process '{fragment}' in {path}"), asks);
+                    faults.error(
+                        at.unwrap_or(root.at),
+                        format!("no process '{fragment}' in {path}"),
+                        asks,
+                    );
                     return None;
                 }
                 (&*root, String::new())
             }
             Some(graph) => {
                 let list = graph.as_seq().unwrap_or_default();
-                let want = if fragment.is_empty() { "main" } else { fragment };
-                let id_of = |n: &Node| n.get("id").and_then(Node::as_str).map(|s| read::bare(s).to_owned());
+                let want = if fragment.is_empty() {
+                    "main"
+                } else {
+                    fragment
+                };
+                let id_of = |n: &Node| {
+                    n.get("id")
+                        .and_then(Node::as_str)
+                        .map(|s| read::bare(s).to_owned())
+                };
                 let by_id = list.iter().find(|n| id_of(n).as_deref() == Some(want));
-                let only = if fragment.is_empty() && list.len() == 1 { list.first() } else { None };
+                let only = if fragment.is_empty() && list.len() == 1 {
+                    list.first()
+                } else {
+                    None
+                };
                 let Some(node) = by_id.or(only) else {
-                    faults.error(at.unwrap_or(graph.at), format!("no process '{want}' in {path}"), asks);
+                    faults.error(
+                        at.unwrap_or(graph.at),
+                        format!("no process '{want}' in {path}"),
+                        asks,
+                    );
                     return None;
                 };
                 (node, want.to_owned())
@@ -159,8 +200,12 @@
     }
 
     fn text(&mut self, path: &str, at: Option<Pos>, faults: &mut Faults) -> Option<String> {
-        let place =
-            |faults: &mut Faults| at.unwrap_or_else(|| Pos { file: faults.file(path, ""), ..Pos::default() });
+        let place = |faults: &mut Faults| {
+            at.unwrap_or_else(|| Pos {
+                file: faults.file(path, ""),
+                ..Pos::default()
+            })
+        };
         self.opened += 1;
         if self.opened > MOST_FILES {
             let at = place(faults);
@@ -169,20 +214,34 @@
         }
         if path.contains("://") {
             let at = place(faults);
-            faults.error(at, format!("{path} is not fetched"), "a file beside the document, or in its `$graph`");
+            faults.error(
+                at,
+                format!("{path} is not fetched"),
+                "a file beside the document, or in its `$graph`",
+            );
             return None;
         }
         match self.source.read(path) {
             Ok(text) => Some(text),
             Err(e) => {
                 let at = place(faults);
-                faults.error(at, format!("{path} cannot be read: {e}"), "a file that is there");
+                faults.error(
+                    at,
+                    format!("{path} cannot be read: {e}"),
+                    "a file that is there",
+                );
                 None
             }
         }
     }
 
-    fn read_file(&mut self, path: &str, at: Option<Pos>, depth: usize, faults: &mut Faults) -> Option<Node> {
+    fn read_file(
+        &mut self,
+        path: &str,
+        at: Option<Pos>,
+        depth: usize,
+        faults: &mut Faults,
+    ) -> Option<Node> {
         let text = self.text(path, at, faults)?;
         let file = faults.file(path, &text);
         let mut node = yaml::parse(&text, file, &mut self.nodes, faults)?;
@@ -199,16 +258,24 @@
             _ => None,
         };
         if let Some(path) = named("$include") {
-            let Some(text) = self.text(&path, Some(node.at), faults) else { return false };
+            let Some(text) = self.text(&path, Some(node.at), faults) else {
+                return false;
+            };
             node.data = Data::Str(text);
             return true;
         }
         if let Some(path) = named("$import") {
             if depth >= MOST_IMPORTS {
-                faults.error(node.at, format!("more than {MOST_IMPORTS} files import each other"), "no circles");
+                faults.error(
+                    node.at,
+                    format!("more than {MOST_IMPORTS} files import each other"),
+                    "no circles",
+                );
                 return false;
             }
-            let Some(found) = self.read_file(&path, Some(node.at), depth + 1, faults) else { return false };
+            let Some(found) = self.read_file(&path, Some(node.at), depth + 1, faults) else {
+                return false;
+            };
             *node = found;
             return true;
         }
--- a/crates/hopyoke-cwl/src/model.rs
+++ b/crates/hopyoke-cwl/src/model.rs
@@ -169,7 +169,9 @@
 
     /// The requirement of this class that holds, or else the hint: the innermost.
     pub fn find(&self, class: &str) -> Option<&Want> {
-        let of = |list: fn(&Wants) -> &Vec<Want>| self.0.iter().flat_map(list).find(|w| w.class == class);
+        let of = |list: fn(&Wants) -> &Vec<Want>| {
+            self.0.iter().flat_map(list).find(|w| w.class == class)
+        };
         of(|w| &w.requirements).or_else(|| of(|w| &w.hints))
     }
 }
--- a/crates/hopyoke-cwl/src/read.rs
+++ b/crates/hopyoke-cwl/src/read.rs
@@ -3,8 +3,8 @@
 use crate::fault::{Faults, Pos};
 use crate::load::Documents;
 use crate::model::{
-    Binding, Input, Kind, Merge, Method, Output, Pick, Process, Secondary, Sources, Step, StepInput, Text, Tool,
-    Want, Wants,
+    Binding, Input, Kind, Merge, Method, Output, Pick, Process, Secondary, Sources, Step,
+    StepInput, Text, Tool, Want, Wants,
 };
 use crate::types::{MOST_WORD, Type};
 use crate::yaml::{Data, Entry, Node};
@@ -13,29 +13,56 @@
 
 /// Requirements that are met, and by what.
 pub const SUPPORTED: &[(&str, &str)] = &[
-    ("InlineJavascriptRequirement", "expressions run in the client, within bounds of time and memory"),
+    (
+        "InlineJavascriptRequirement",
+        "expressions run in the client, within bounds of time and memory",
+    ),
     ("SchemaDefRequirement", "types by name"),
     ("SubworkflowFeatureRequirement", "workflows as steps"),
-    ("ScatterFeatureRequirement", "all three methods; equal tasks become one array job"),
+    (
+        "ScatterFeatureRequirement",
+        "all three methods; equal tasks become one array job",
+    ),
     ("MultipleInputFeatureRequirement", "linkMerge"),
     ("StepInputExpressionRequirement", "valueFrom of step inputs"),
     ("ResourceRequirement", "cores and memory of a task"),
-    ("DockerRequirement", "dockerPull names the image that a machine needs"),
+    (
+        "DockerRequirement",
+        "dockerPull names the image that a machine needs",
+    ),
     ("ToolTimeLimit", "in the task's description, for the worker"),
     ("EnvVarRequirement", "in the task's description"),
     ("ShellCommandRequirement", "in the task's description"),
     ("NetworkAccess", "in the task's description"),
-    ("WorkReuse", "no effect: a step that is done is never run again"),
+    (
+        "WorkReuse",
+        "no effect: a step that is done is never run again",
+    ),
     ("cwltool:CUDARequirement", "GPUs of a task"),
-    (crate::hints::CLASS, "team, priority, zone, spot, deadline, checkpoint"),
+    (
+        crate::hints::CLASS,
+        "team, priority, zone, spot, deadline, checkpoint",
+    ),
 ];
 
 /// Classes that the specification has and this engine refuses, and why.
 pub const REFUSED: &[(&str, &str)] = &[
-    ("InitialWorkDirRequirement", "nothing can stage files into a task's directory yet"),
-    ("InplaceUpdateRequirement", "a task's inputs are never changed"),
-    ("LoadListingRequirement", "a directory's listing is not known before its task has run"),
-    ("SoftwareRequirement", "a machine has what is in the image; name it with DockerRequirement"),
+    (
+        "InitialWorkDirRequirement",
+        "nothing can stage files into a task's directory yet",
+    ),
+    (
+        "InplaceUpdateRequirement",
+        "a task's inputs are never changed",
+    ),
+    (
+        "LoadListingRequirement",
+        "a directory's listing is not known before its task has run",
+    ),
+    (
+        "SoftwareRequirement",
+        "a machine has what is in the image; name it with DockerRequirement",
+    ),
 ];
 
 /// An id without its document's or process's part: `#main/step/out` is `out`.
@@ -77,12 +104,24 @@
     let asks = "cwlVersion: v1.2";
     match version.map(|v| (v, v.as_str())) {
         Some((_, Some("v1.2"))) => {}
-        Some((v, Some(other))) => faults.error(v.at, format!("cwlVersion {other} is not read"), asks),
+        Some((v, Some(other))) => {
+            faults.error(v.at, format!("cwlVersion {other} is not read"), asks)
+        }
         Some((v, None)) => faults.error(v.at, "cwlVersion must be a text", asks),
         None => faults.error(node.at, "cwlVersion is missing", asks),
     }
-    let id = node.get("id").and_then(Node::as_str).map(|s| bare(s).to_owned()).unwrap_or_default();
-    let mut r = Reader { documents, faults, base: base.to_owned(), types: BTreeMap::new(), id };
+    let id = node
+        .get("id")
+        .and_then(Node::as_str)
+        .map(|s| bare(s).to_owned())
+        .unwrap_or_default();
+    let mut r = Reader {
+        documents,
+        faults,
+        base: base.to_owned(),
+        types: BTreeMap::new(),
+        id,
+    };
     r.process(node)
 }
 
@@ -137,17 +176,48 @@
     "linkMerge",
     "pickValue",
 ];
-const STEP_FIELDS: &[&str] =
-    &["id", "in", "out", "run", "label", "doc", "requirements", "hints", "scatter", "scatterMethod", "when"];
-const STEP_INPUT_FIELDS: &[&str] =
-    &["id", "source", "linkMerge", "pickValue", "default", "valueFrom", "label", "loadContents", "loadListing"];
-const BINDING_FIELDS: &[&str] =
-    &["position", "prefix", "separate", "itemSeparator", "valueFrom", "shellQuote", "loadContents"];
+const STEP_FIELDS: &[&str] = &[
+    "id",
+    "in",
+    "out",
+    "run",
+    "label",
+    "doc",
+    "requirements",
+    "hints",
+    "scatter",
+    "scatterMethod",
+    "when",
+];
+const STEP_INPUT_FIELDS: &[&str] = &[
+    "id",
+    "source",
+    "linkMerge",
+    "pickValue",
+    "default",
+    "valueFrom",
+    "label",
+    "loadContents",
+    "loadListing",
+];
+const BINDING_FIELDS: &[&str] = &[
+    "position",
+    "prefix",
+    "separate",
+    "itemSeparator",
+    "valueFrom",
+    "shellQuote",
+    "loadContents",
+];
 
 impl Reader<'_, '_, '_> {
     fn process(&mut self, node: &Node) -> Option<Process> {
         if node.as_map().is_none() {
-            self.faults.error(node.at, format!("a process must be a map, not {}", node.kind()), "Process");
+            self.faults.error(
+                node.at,
+                format!("a process must be a map, not {}", node.kind()),
+                "Process",
+            );
             return None;
         }
         let class = self.text_field(node, "class", "Process: class");
@@ -156,16 +226,25 @@
             Some("ExpressionTool") => &["expression"],
             Some("Workflow") => &["steps"],
             Some("Operation") => {
-                self.faults.error(node.at, "an Operation has no implementation to run", "a process that runs");
+                self.faults.error(
+                    node.at,
+                    "an Operation has no implementation to run",
+                    "a process that runs",
+                );
                 return None;
             }
             Some(other) => {
                 let asks = "CommandLineTool, ExpressionTool or Workflow";
-                self.faults.error(node.at, format!("unknown class {other}"), asks);
+                self.faults
+                    .error(node.at, format!("unknown class {other}"), asks);
                 return None;
             }
             None => {
-                self.faults.error(node.at, "class is missing", "CommandLineTool, ExpressionTool or Workflow");
+                self.faults.error(
+                    node.at,
+                    "class is missing",
+                    "CommandLineTool, ExpressionTool or Workflow",
+                );
                 return None;
             }
         };
@@ -179,7 +258,11 @@
             Some("ExpressionTool") => match node.get("expression").and_then(|n| self.text(n)) {
                 Some(t) => Kind::Expression(t),
                 None => {
-                    self.faults.error(node.at, "expression is missing", "ExpressionTool: expression");
+                    self.faults.error(
+                        node.at,
+                        "expression is missing",
+                        "ExpressionTool: expression",
+                    );
                     return None;
                 }
             },
@@ -187,14 +270,25 @@
         };
         self.twice(inputs.iter().map(|i| (&i.id, i.at)), "input");
         self.twice(outputs.iter().map(|o| (&o.id, o.at)), "output");
-        Some(Process { id: self.id.clone(), at: node.at, kind, inputs, outputs, wants })
+        Some(Process {
+            id: self.id.clone(),
+            at: node.at,
+            kind,
+            inputs,
+            outputs,
+            wants,
+        })
     }
 
     fn twice<'x>(&mut self, ids: impl Iterator<Item = (&'x String, Pos)>, what: &str) {
         let mut seen = std::collections::BTreeSet::new();
         for (id, at) in ids {
             if !seen.insert(id.clone()) {
-                self.faults.error(at, format!("the {what} '{id}' stands here twice"), "ids that differ");
+                self.faults.error(
+                    at,
+                    format!("the {what} '{id}' stands here twice"),
+                    "ids that differ",
+                );
             }
         }
     }
@@ -204,17 +298,33 @@
             let ours = known.iter().any(|list| list.contains(&e.key.as_str()));
             // Fields with a prefix are extensions; whoever wrote them knows that others may not.
             if !ours && !e.key.contains(':') && !e.key.starts_with('$') {
-                self.faults.error(e.at, format!("unknown field '{}'", e.key), format!("a field of {section}"));
+                self.faults.error(
+                    e.at,
+                    format!("unknown field '{}'", e.key),
+                    format!("a field of {section}"),
+                );
             }
         }
     }
 
     fn text(&mut self, node: &Node) -> Option<Text> {
         match &node.data {
-            Data::Str(s) => Some(Text { at: node.at, text: s.clone() }),
-            Data::Int(n) => Some(Text { at: node.at, text: n.to_string() }),
-            Data::Float(x) => Some(Text { at: node.at, text: x.to_string() }),
-            Data::Bool(b) => Some(Text { at: node.at, text: b.to_string() }),
+            Data::Str(s) => Some(Text {
+                at: node.at,
+                text: s.clone(),
+            }),
+            Data::Int(n) => Some(Text {
+                at: node.at,
+                text: n.to_string(),
+            }),
+            Data::Float(x) => Some(Text {
+                at: node.at,
+                text: x.to_string(),
+            }),
+            Data::Bool(b) => Some(Text {
+                at: node.at,
+                text: b.to_string(),
+            }),
             _ => {
                 self.faults.error(
                     node.at,
@@ -231,7 +341,11 @@
         match n.as_str() {
             Some(s) => Some(s.to_owned()),
             None => {
-                self.faults.error(n.at, format!("{field} must be a text, not {}", n.kind()), asks);
+                self.faults.error(
+                    n.at,
+                    format!("{field} must be a text, not {}", n.kind()),
+                    asks,
+                );
                 None
             }
         }
@@ -242,21 +356,31 @@
             None => default,
             Some((_, Data::Bool(b))) => *b,
             Some((at, _)) => {
-                self.faults.error(at, format!("{field} must be true or false"), "a boolean");
+                self.faults
+                    .error(at, format!("{field} must be true or false"), "a boolean");
                 default
             }
         }
     }
 
     /// A list of maps with ids, or a map by id; `short` is the field that a plain value stands for.
-    fn items(&mut self, node: Option<&Node>, short: &str, section: &str) -> Vec<(String, Pos, Node)> {
+    fn items(
+        &mut self,
+        node: Option<&Node>,
+        short: &str,
+        section: &str,
+    ) -> Vec<(String, Pos, Node)> {
         let Some(node) = node else { return Vec::new() };
         match &node.data {
             Data::Map(entries) => entries
                 .iter()
                 .map(|e| {
                     let body = match &e.node.data {
-                        Data::Map(m) if short != "type" || m.iter().any(|x| x.key == "type") || m.is_empty() => {
+                        Data::Map(m)
+                            if short != "type"
+                                || m.iter().any(|x| x.key == "type")
+                                || m.is_empty() =>
+                        {
                             e.node.clone()
                         }
                         // A type written as a map, or as a word or a list.
@@ -277,7 +401,9 @@
                 for n in list {
                     match n.get("id").and_then(Node::as_str) {
                         Some(id) => out.push((bare(id).to_owned(), n.at, n.clone())),
-                        None => self.faults.error(n.at, "id is missing", format!("{section}: id")),
+                        None => self
+                            .faults
+                            .error(n.at, "id is missing", format!("{section}: id")),
                     }
                 }
                 out
@@ -292,7 +418,10 @@
 
     fn wants(&mut self, node: &Node) -> Wants {
         let hints = self.want_list(node.get("hints"), true);
-        Wants { requirements: self.want_list(node.get("requirements"), false), hints }
+        Wants {
+            requirements: self.want_list(node.get("requirements"), false),
+            hints,
+        }
     }
 
     fn want_list(&mut self, node: Option<&Node>, hint: bool) -> Vec<Want> {
@@ -300,18 +429,29 @@
         let mut list: Vec<(String, Pos, Node)> = Vec::new();
         match &node.data {
             Data::Map(entries) => {
-                list.extend(entries.iter().map(|e| (e.key.clone(), e.at, e.node.clone())));
+                list.extend(
+                    entries
+                        .iter()
+                        .map(|e| (e.key.clone(), e.at, e.node.clone())),
+                );
             }
             Data::Seq(nodes) => {
                 for n in nodes {
                     match n.get("class").and_then(Node::as_str) {
                         Some(class) => list.push((class.to_owned(), n.at, n.clone())),
-                        None => self.faults.error(n.at, "class is missing", "ProcessRequirement: class"),
+                        None => {
+                            self.faults
+                                .error(n.at, "class is missing", "ProcessRequirement: class")
+                        }
                     }
                 }
             }
             Data::Null => {}
-            _ => self.faults.error(node.at, "a list or a map is needed", "Process: requirements"),
+            _ => self.faults.error(
+                node.at,
+                "a list or a map is needed",
+                "Process: requirements",
+            ),
         }
         let mut out = Vec::new();
         for (class, at, body) in list {
@@ -322,28 +462,55 @@
                 if hint {
                     self.faults.warn(at, message, "the hint is left aside");
                 } else {
-                    self.faults.unsupported(at, message, "a requirement that docs/CWL.md lists, or a hint");
+                    self.faults.unsupported(
+                        at,
+                        message,
+                        "a requirement that docs/CWL.md lists, or a hint",
+                    );
                 }
             } else if known {
-                out.push(Want { class, at, body: Rc::new(body) });
+                out.push(Want {
+                    class,
+                    at,
+                    body: Rc::new(body),
+                });
             } else if hint {
-                self.faults.warn(at, format!("unknown hint {class}"), "the hint is left aside");
+                self.faults.warn(
+                    at,
+                    format!("unknown hint {class}"),
+                    "the hint is left aside",
+                );
             } else {
                 let asks = "a requirement that docs/CWL.md lists";
-                self.faults.unsupported(at, format!("unknown requirement {class}"), asks);
+                self.faults
+                    .unsupported(at, format!("unknown requirement {class}"), asks);
             }
         }
         out
     }
 
     fn schema_types(&mut self, wants: &Wants) {
-        for w in wants.requirements.iter().chain(&wants.hints).filter(|w| w.class == "SchemaDefRequirement") {
-            for t in w.body.get("types").and_then(Node::as_seq).unwrap_or_default() {
+        for w in wants
+            .requirements
+            .iter()
+            .chain(&wants.hints)
+            .filter(|w| w.class == "SchemaDefRequirement")
+        {
+            for t in w
+                .body
+                .get("types")
+                .and_then(Node::as_seq)
+                .unwrap_or_default()
+            {
                 match t.get("name").and_then(Node::as_str) {
                     Some(name) => {
                         self.types.insert(bare(name).to_owned(), t.clone());
                     }
-                    None => self.faults.error(t.at, "name is missing", "SchemaDefRequirement: types with names"),
+                    None => self.faults.error(
+                        t.at,
+                        "name is missing",
+                        "SchemaDefRequirement: types with names",
+                    ),
                 }
             }
         }
@@ -351,7 +518,11 @@
 
     fn ty(&mut self, node: &Node, depth: usize) -> Type {
         if depth > 32 {
-            self.faults.error(node.at, "a type that contains itself", "a type without circles");
+            self.faults.error(
+                node.at,
+                "a type that contains itself",
+                "a type without circles",
+            );
             return Type::Any;
         }
         match &node.data {
@@ -374,17 +545,26 @@
                 }
                 Type::parse(word).unwrap_or_else(|| {
                     let asks = "CWLType, or a name that SchemaDefRequirement has";
-                    self.faults.error(node.at, format!("unknown type '{s}'"), asks);
+                    self.faults
+                        .error(node.at, format!("unknown type '{s}'"), asks);
                     Type::Any
                 })
             }
             Data::Seq(list) => {
                 let list: Vec<Type> = list.iter().map(|n| self.ty(n, depth + 1)).collect();
-                if list.len() == 1 { list.into_iter().next().unwrap_or(Type::Any) } else { Type::Union(list) }
+                if list.len() == 1 {
+                    list.into_iter().next().unwrap_or(Type::Any)
+                } else {
+                    Type::Union(list)
+                }
             }
             Data::Map(_) => self.written_out(node, depth),
             _ => {
-                self.faults.error(node.at, format!("a type is needed, not {}", node.kind()), "CWLType");
+                self.faults.error(
+                    node.at,
+                    format!("a type is needed, not {}", node.kind()),
+                    "CWLType",
+                );
                 Type::Any
             }
         }
@@ -395,16 +575,24 @@
             Some(n) if n.as_str() == Some("array") => match node.get("items") {
                 Some(items) => Type::Array(Box::new(self.ty(items, depth + 1))),
                 None => {
-                    self.faults.error(node.at, "items is missing", "ArraySchema: items");
+                    self.faults
+                        .error(node.at, "items is missing", "ArraySchema: items");
                     Type::Any
                 }
             },
             Some(n) if n.as_str() == Some("enum") => {
-                let symbols = node.get("symbols").and_then(Node::as_seq).unwrap_or_default();
-                let symbols: Vec<String> =
-                    symbols.iter().filter_map(Node::as_str).map(|s| bare(s).to_owned()).collect();
+                let symbols = node
+                    .get("symbols")
+                    .and_then(Node::as_seq)
+                    .unwrap_or_default();
+                let symbols: Vec<String> = symbols
+                    .iter()
+                    .filter_map(Node::as_str)
+                    .map(|s| bare(s).to_owned())
+                    .collect();
                 if symbols.is_empty() {
-                    self.faults.error(node.at, "symbols is missing", "EnumSchema: symbols");
+                    self.faults
+                        .error(node.at, "symbols is missing", "EnumSchema: symbols");
                 }
                 Type::Enum(symbols)
             }
@@ -413,16 +601,23 @@
                 let list = match node.get("fields").map(|n| &n.data) {
                     Some(Data::Seq(list)) => list
                         .iter()
-                        .map(|n| (n.get("name").and_then(Node::as_str).map(str::to_owned), n.clone()))
+                        .map(|n| {
+                            (
+                                n.get("name").and_then(Node::as_str).map(str::to_owned),
+                                n.clone(),
+                            )
+                        })
+                        .collect(),
+                    Some(Data::Map(entries)) => entries
+                        .iter()
+                        .map(|e| (Some(e.key.clone()), e.node.clone()))
                         .collect(),
-                    Some(Data::Map(entries)) => {
-                        entries.iter().map(|e| (Some(e.key.clone()), e.node.clone())).collect()
-                    }
                     _ => Vec::new(),
                 };
                 for (name, body) in list {
                     let Some(name) = name else {
-                        self.faults.error(body.at, "name is missing", "RecordField: name");
+                        self.faults
+                            .error(body.at, "name is missing", "RecordField: name");
                         continue;
                     };
                     let t = body.get("type").unwrap_or(&body).clone();
@@ -442,7 +637,8 @@
         match node.get("type") {
             Some(t) => self.ty(&t.clone(), 0),
             None => {
-                self.faults.error(node.at, "type is missing", format!("{section}: type"));
+                self.faults
+                    .error(node.at, "type is missing", format!("{section}: type"));
                 Type::Any
             }
         }
@@ -451,15 +647,24 @@
     fn inputs(&mut self, node: &Node) -> Vec<Input> {
         let section = "InputParameter";
         if node.get("inputs").is_none() {
-            self.faults.error(node.at, "inputs is missing", "Process: inputs, a list or a map, perhaps empty");
+            self.faults.error(
+                node.at,
+                "inputs is missing",
+                "Process: inputs, a list or a map, perhaps empty",
+            );
         }
         let mut out = Vec::new();
         for (id, at, body) in self.items(node.get("inputs"), "type", section) {
             self.known_fields(&body, &[INPUT_FIELDS], section);
             let ty = self.type_field(&body, section);
-            let item_binding = body.get("type").and_then(|t| t.get("inputBinding")).cloned();
+            let item_binding = body
+                .get("type")
+                .and_then(|t| t.get("inputBinding"))
+                .cloned();
             let load_contents = self.bool_field(&body, "loadContents", false)
-                || body.get("inputBinding").is_some_and(|b| self.bool_field(b, "loadContents", false));
+                || body
+                    .get("inputBinding")
+                    .is_some_and(|b| self.bool_field(b, "loadContents", false));
             out.push(Input {
                 default: body.get("default").map(Node::to_value),
                 secondary: self.secondary(body.get("secondaryFiles")),
@@ -489,7 +694,10 @@
                 if optional {
                     pattern.text.pop();
                 }
-                out.push(Secondary { pattern, required: required && !optional });
+                out.push(Secondary {
+                    pattern,
+                    required: required && !optional,
+                });
             }
         }
         out
@@ -512,7 +720,11 @@
     fn outputs(&mut self, node: &Node, workflow: bool) -> Vec<Output> {
         let section = "OutputParameter";
         if node.get("outputs").is_none() {
-            self.faults.error(node.at, "outputs is missing", "Process: outputs, a list or a map, perhaps empty");
+            self.faults.error(
+                node.at,
+                "outputs is missing",
+                "Process: outputs, a list or a map, perhaps empty",
+            );
         }
         let mut out = Vec::new();
         for (id, at, body) in self.items(node.get("outputs"), "type", section) {
@@ -521,11 +733,18 @@
             let binding = body.get("outputBinding").cloned();
             let glob = binding.as_ref().and_then(|b| b.get("glob")).cloned();
             let one = glob.clone().map(|g| vec![g]).unwrap_or_default();
-            let globs = glob.as_ref().and_then(Node::as_seq).map_or(one, <[Node]>::to_vec);
+            let globs = glob
+                .as_ref()
+                .and_then(Node::as_seq)
+                .map_or(one, <[Node]>::to_vec);
             let glob = globs.iter().filter_map(|n| self.text(n)).collect();
             let source = self.sources(&body, "outputSource");
             if workflow && source.from.is_empty() {
-                self.faults.error(at, "outputSource is missing", "WorkflowOutputParameter: outputSource");
+                self.faults.error(
+                    at,
+                    "outputSource is missing",
+                    "WorkflowOutputParameter: outputSource",
+                );
             }
             out.push(Output {
                 glob,
@@ -534,7 +753,9 @@
                     .and_then(|b| b.get("outputEval"))
                     .cloned()
                     .and_then(|n| self.text(&n)),
-                load_contents: binding.as_ref().is_some_and(|b| self.bool_field(b, "loadContents", false)),
+                load_contents: binding
+                    .as_ref()
+                    .is_some_and(|b| self.bool_field(b, "loadContents", false)),
                 secondary: self.secondary(body.get("secondaryFiles")),
                 source,
                 ty,
@@ -547,19 +768,33 @@
 
     fn sources(&mut self, node: &Node, field: &str) -> Sources {
         let id = self.id.clone();
-        let named = |t: Text| Text { at: t.at, text: source_name(&t.text, &id) };
+        let named = |t: Text| Text {
+            at: t.at,
+            text: source_name(&t.text, &id),
+        };
         let (from, many) = match node.get(field) {
             None => (Vec::new(), false),
             Some(n) => match n.as_seq() {
-                Some(list) => (list.to_vec().iter().filter_map(|n| self.text(n)).map(named).collect(), true),
-                None => (self.text(&n.clone()).map(named).into_iter().collect(), false),
+                Some(list) => (
+                    list.to_vec()
+                        .iter()
+                        .filter_map(|n| self.text(n))
+                        .map(named)
+                        .collect(),
+                    true,
+                ),
+                None => (
+                    self.text(&n.clone()).map(named).into_iter().collect(),
+                    false,
+                ),
             },
         };
         let merge = match node.get("linkMerge").map(|n| (n.at, n.as_str())) {
             None | Some((_, Some("merge_nested"))) => Merge::Nested,
             Some((_, Some("merge_flattened"))) => Merge::Flattened,
             Some((at, _)) => {
-                self.faults.error(at, "unknown linkMerge", "merge_nested or merge_flattened");
+                self.faults
+                    .error(at, "unknown linkMerge", "merge_nested or merge_flattened");
                 Merge::Nested
             }
         };
@@ -569,12 +804,21 @@
             Some((_, Some("the_only_non_null"))) => Some(Pick::OnlyNonNull),
             Some((_, Some("all_non_null"))) => Some(Pick::AllNonNull),
             Some((at, _)) => {
-                self.faults.error(at, "unknown pickValue", "first_non_null, the_only_non_null or all_non_null");
+                self.faults.error(
+                    at,
+                    "unknown pickValue",
+                    "first_non_null, the_only_non_null or all_non_null",
+                );
                 None
             }
         };
         let explicit = node.get("linkMerge").is_some();
-        Sources { many: many || explicit, from, merge, pick }
+        Sources {
+            many: many || explicit,
+            from,
+            merge,
+            pick,
+        }
     }
 
     fn tool(&mut self, node: &Node) -> Tool {
@@ -585,9 +829,17 @@
                 None => r.text(&n.clone()).into_iter().collect(),
             }
         };
-        let base = words(self, node.get("baseCommand")).into_iter().map(|t| t.text).collect();
+        let base = words(self, node.get("baseCommand"))
+            .into_iter()
+            .map(|t| t.text)
+            .collect();
         let mut arguments = Vec::new();
-        for n in node.get("arguments").and_then(Node::as_seq).unwrap_or_default().to_vec() {
+        for n in node
+            .get("arguments")
+            .and_then(Node::as_seq)
+            .unwrap_or_default()
+            .to_vec()
+        {
             if n.as_map().is_some() {
                 arguments.push(self.binding(&n));
             } else if let Some(t) = self.text(&n) {
@@ -601,7 +853,10 @@
             }
         }
         let text = |r: &mut Self, field: &str| node.get(field).cloned().and_then(|n| r.text(&n));
-        let codes = node.get("successCodes").and_then(Node::as_seq).unwrap_or_default();
+        let codes = node
+            .get("successCodes")
+            .and_then(Node::as_seq)
+            .unwrap_or_default();
         Tool {
             base,
             arguments,
@@ -620,7 +875,8 @@
 
     fn steps(&mut self, node: &Node) -> Vec<Step> {
         if node.get("steps").is_none() {
-            self.faults.error(node.at, "steps is missing", "Workflow: steps");
+            self.faults
+                .error(node.at, "steps is missing", "Workflow: steps");
         }
         let mut out: Vec<Step> = Vec::new();
         for (id, at, body) in self.items(node.get("steps"), "run", "WorkflowStep") {
@@ -631,11 +887,16 @@
                     None
                 }
                 Some(n) => match n.as_str() {
-                    Some(name) => self.documents.referred(&self.base.clone(), name, n.at, self.faults),
+                    Some(name) => {
+                        self.documents
+                            .referred(&self.base.clone(), name, n.at, self.faults)
+                    }
                     None => {
                         let mut inner = n.clone();
-                        let id =
-                            inner.get("id").and_then(Node::as_str).map_or_else(|| id.clone(), |s| bare(s).into());
+                        let id = inner
+                            .get("id")
+                            .and_then(Node::as_str)
+                            .map_or_else(|| id.clone(), |s| bare(s).into());
                         if let Data::Map(entries) = &mut inner.data {
                             entries.retain(|e| e.key != "cwlVersion");
                         }
@@ -666,11 +927,18 @@
             for n in body.get("out").and_then(Node::as_seq).unwrap_or_default() {
                 match n.as_str().or_else(|| n.get("id").and_then(Node::as_str)) {
                     Some(id) => outputs.push(bare(id).to_owned()),
-                    None => self.faults.error(n.at, "an output's id is needed", "WorkflowStep: out"),
+                    None => {
+                        self.faults
+                            .error(n.at, "an output's id is needed", "WorkflowStep: out")
+                    }
                 }
             }
             if body.get("out").is_none() {
-                self.faults.error(at, "out is missing", "WorkflowStep: out, a list, perhaps empty");
+                self.faults.error(
+                    at,
+                    "out is missing",
+                    "WorkflowStep: out, a list, perhaps empty",
+                );
             }
             let scatter = match body.get("scatter") {
                 None => Vec::new(),
@@ -678,7 +946,13 @@
                     let one = [n.clone()];
                     let list = n.as_seq().unwrap_or(&one).to_vec();
                     let texts: Vec<Text> = list.iter().filter_map(|n| self.text(n)).collect();
-                    texts.into_iter().map(|t| Text { at: t.at, text: bare(&t.text).to_owned() }).collect()
+                    texts
+                        .into_iter()
+                        .map(|t| Text {
+                            at: t.at,
+                            text: bare(&t.text).to_owned(),
+                        })
+                        .collect()
                 }
             };
             let method = match body.get("scatterMethod").map(|n| (n.at, n.as_str())) {
@@ -695,7 +969,17 @@
             let wants = self.wants(&body);
             let when = body.get("when").cloned().and_then(|n| self.text(&n));
             let Some(run) = run else { continue };
-            out.push(Step { id, at, run, inputs, outputs, scatter, method, when, wants });
+            out.push(Step {
+                id,
+                at,
+                run,
+                inputs,
+                outputs,
+                scatter,
+                method,
+                when,
+                wants,
+            });
         }
         self.twice(out.iter().map(|s| (&s.id, s.at)), "step");
         out
--- a/crates/hopyoke-cwl/src/types.rs
+++ b/crates/hopyoke-cwl/src/types.rs
@@ -113,11 +113,17 @@
             Type::String => value.is_string(),
             Type::File | Type::Stdout | Type::Stderr => class() == Some("File"),
             Type::Directory => class() == Some("Directory"),
-            Type::Array(t) => value.as_array().is_some_and(|l| l.iter().all(|v| t.takes(v))),
-            Type::Enum(symbols) => value.as_str().is_some_and(|s| symbols.iter().any(|x| x == s)),
-            Type::Record(fields) => value
-                .as_object()
-                .is_some_and(|o| fields.iter().all(|(k, t)| t.takes(o.get(k).unwrap_or(&Value::Null)))),
+            Type::Array(t) => value
+                .as_array()
+                .is_some_and(|l| l.iter().all(|v| t.takes(v))),
+            Type::Enum(symbols) => value
+                .as_str()
+                .is_some_and(|s| symbols.iter().any(|x| x == s)),
+            Type::Record(fields) => value.as_object().is_some_and(|o| {
+                fields
+                    .iter()
+                    .all(|(k, t)| t.takes(o.get(k).unwrap_or(&Value::Null)))
+            }),
             Type::Union(list) => list.iter().any(|t| t.takes(value)),
         }
     }
@@ -136,10 +142,12 @@
             (Type::Stdout | Type::Stderr, Type::File) => true,
             (Type::Enum(_), Type::String) | (Type::String, Type::Enum(_)) => true,
             (Type::Enum(a), Type::Enum(b)) => a.iter().any(|s| b.contains(s)),
-            (Type::Record(a), Type::Record(b)) => b.iter().all(|(k, t)| match a.iter().find(|f| f.0 == *k) {
-                Some((_, from)) => from.may_go_to(t),
-                None => t.takes_null(),
-            }),
+            (Type::Record(a), Type::Record(b)) => {
+                b.iter().all(|(k, t)| match a.iter().find(|f| f.0 == *k) {
+                    Some((_, from)) => from.may_go_to(t),
+                    None => t.takes_null(),
+                })
+            }
             (a, b) => a == b,
         }
     }
--- a/crates/hopyoke-cwl/src/yaml.rs
+++ b/crates/hopyoke-cwl/src/yaml.rs
@@ -92,9 +92,12 @@
             Data::Float(x) => Value::from(*x),
             Data::Str(s) => Value::from(s.as_str()),
             Data::Seq(list) => list.iter().map(Node::to_value).collect(),
-            Data::Map(entries) => {
-                Value::Object(entries.iter().map(|e| (e.key.clone(), e.node.to_value())).collect())
-            }
+            Data::Map(entries) => Value::Object(
+                entries
+                    .iter()
+                    .map(|e| (e.key.clone(), e.node.to_value()))
+                    .collect(),
+            ),
         }
     }
 }
@@ -114,7 +117,11 @@
 /// Reads one document. `used`: values read so far, of all documents. `None`: it has a fault, which
 /// is noted.
 pub fn parse(text: &str, file: u32, used: &mut usize, faults: &mut Faults) -> Option<Node> {
-    let start = Pos { file, line: 1, column: 1 };
+    let start = Pos {
+        file,
+        line: 1,
+        column: 1,
+    };
     if text.len() > MOST_BYTES {
         faults.error(
             start,
@@ -123,22 +130,40 @@
         );
         return None;
     }
-    let mut b = Builder { file, nodes: *used, open: Vec::new(), anchors: HashMap::new(), root: None };
+    let mut b = Builder {
+        file,
+        nodes: *used,
+        open: Vec::new(),
+        anchors: HashMap::new(),
+        root: None,
+    };
     let mut documents = 0;
     for event in Parser::new_from_str(text) {
         let result = match event {
             Ok((Event::DocumentStart(_), span)) => {
                 documents += 1;
-                if documents > 1 { Err((b.pos(span), "a second document begins".to_owned())) } else { Ok(()) }
+                if documents > 1 {
+                    Err((b.pos(span), "a second document begins".to_owned()))
+                } else {
+                    Ok(())
+                }
             }
             Ok((event, span)) => b.event(event, span),
             Err(e) => {
-                let at = Pos { file, line: e.marker().line() as u32, column: e.marker().col() as u32 + 1 };
+                let at = Pos {
+                    file,
+                    line: e.marker().line() as u32,
+                    column: e.marker().col() as u32 + 1,
+                };
                 Err((at, e.info().to_owned()))
             }
         };
         if let Err((at, message)) = result {
-            faults.error(at, message, "one YAML or JSON document, within the bounds that docs/CWL.md states");
+            faults.error(
+                at,
+                message,
+                "one YAML or JSON document, within the bounds that docs/CWL.md states",
+            );
             return None;
         }
     }
@@ -162,13 +187,20 @@
 
 impl Builder {
     fn pos(&self, span: Span) -> Pos {
-        Pos { file: self.file, line: span.start.line() as u32, column: span.start.col() as u32 + 1 }
+        Pos {
+            file: self.file,
+            line: span.start.line() as u32,
+            column: span.start.col() as u32 + 1,
+        }
     }
 
     fn count(&mut self, n: usize, at: Pos) -> Result<(), Failure> {
         self.nodes += n;
         if self.nodes > MOST_NODES {
-            return Err((at, format!("more than {MOST_NODES} values, aliases followed")));
+            return Err((
+                at,
+                format!("more than {MOST_NODES} values, aliases followed"),
+            ));
         }
         Ok(())
     }
@@ -178,7 +210,11 @@
         match event {
             Event::Scalar(text, style, anchor, _) => {
                 self.count(1, at)?;
-                let data = if style == ScalarStyle::Plain { plain(&text) } else { Data::Str(text.into_owned()) };
+                let data = if style == ScalarStyle::Plain {
+                    plain(&text)
+                } else {
+                    Data::Str(text.into_owned())
+                };
                 let node = Node { at, data };
                 // A key is taken as it is written.
                 if let Some(Open::Map(_, _, _, key @ None)) = self.open.last_mut() {
@@ -189,11 +225,25 @@
                 self.add(node)
             }
             Event::SequenceStart(anchor, _) => self.begin(Open::Seq(at, anchor, Vec::new()), at),
-            Event::MappingStart(anchor, _) => self.begin(Open::Map(at, anchor, Vec::new(), None), at),
+            Event::MappingStart(anchor, _) => {
+                self.begin(Open::Map(at, anchor, Vec::new(), None), at)
+            }
             Event::SequenceEnd | Event::MappingEnd => {
                 let (node, anchor) = match self.open.pop() {
-                    Some(Open::Seq(at, anchor, list)) => (Node { at, data: Data::Seq(list) }, anchor),
-                    Some(Open::Map(at, anchor, entries, _)) => (Node { at, data: Data::Map(entries) }, anchor),
+                    Some(Open::Seq(at, anchor, list)) => (
+                        Node {
+                            at,
+                            data: Data::Seq(list),
+                        },
+                        anchor,
+                    ),
+                    Some(Open::Map(at, anchor, entries, _)) => (
+                        Node {
+                            at,
+                            data: Data::Map(entries),
+                        },
+                        anchor,
+                    ),
                     None => return Err((at, "an end without its beginning".into())),
                 };
                 if anchor > 0 {
@@ -204,7 +254,10 @@
             }
             Event::Alias(anchor) => {
                 let Some((node, size)) = self.anchors.get(&anchor).cloned() else {
-                    return Err((at, "an alias of a value that contains it, or of none".into()));
+                    return Err((
+                        at,
+                        "an alias of a value that contains it, or of none".into(),
+                    ));
                 };
                 if self.open.len() + depth(&node) > MOST_DEPTH {
                     return Err((at, format!("more than {MOST_DEPTH} levels")));
@@ -243,7 +296,9 @@
             None => self.root = Some(node),
             Some(Open::Seq(_, _, list)) => list.push(node),
             Some(Open::Map(_, _, entries, key)) => {
-                let Some((key, at)) = key.take() else { return Err((node.at, "a value without its key".into())) };
+                let Some((key, at)) = key.take() else {
+                    return Err((node.at, "a value without its key".into()));
+                };
                 if key == "<<" {
                     merge(entries, &node)?;
                 } else if entries.iter().any(|e| e.key == key) {
@@ -264,7 +319,9 @@
         _ => vec![node],
     };
     for map in maps {
-        let Some(more) = map.as_map() else { return Err((map.at, "only a map can be merged".into())) };
+        let Some(more) = map.as_map() else {
+            return Err((map.at, "only a map can be merged".into()));
+        };
         for e in more {
             if !entries.iter().any(|x| x.key == e.key) {
                 entries.push(e.clone());
@@ -315,11 +372,19 @@
     if !digits.starts_with(|c: char| c.is_ascii_digit() || c == '.') {
         return Data::Str(text.to_owned());
     }
-    let radix = |prefix: &str, radix| text.strip_prefix(prefix).and_then(|d| i64::from_str_radix(d, radix).ok());
-    if let Some(n) = radix("0x", 16).or(radix("0o", 8)).or_else(|| text.parse().ok()) {
+    let radix = |prefix: &str, radix| {
+        text.strip_prefix(prefix)
+            .and_then(|d| i64::from_str_radix(d, radix).ok())
+    };
+    if let Some(n) = radix("0x", 16)
+        .or(radix("0o", 8))
+        .or_else(|| text.parse().ok())
+    {
         return Data::Int(n);
     }
-    let number = digits.bytes().all(|b| b.is_ascii_digit() || matches!(b, b'.' | b'e' | b'E' | b'+' | b'-'));
+    let number = digits
+        .bytes()
+        .all(|b| b.is_ascii_digit() || matches!(b, b'.' | b'e' | b'E' | b'+' | b'-'));
     match text.parse::<f64>() {
         Ok(x) if number && digits != "." => Data::Float(x),
         _ => Data::Str(text.to_owned()),
--- a/crates/hopyoke-cwl/tests/cases.rs
+++ b/crates/hopyoke-cwl/tests/cases.rs
@@ -26,8 +26,12 @@
 /// What `part` says is so in `whole`.
 fn holds(part: &Value, whole: &Value) -> bool {
     match (part, whole) {
-        (Value::Object(p), Value::Object(w)) => p.iter().all(|(k, v)| w.get(k).is_some_and(|x| holds(v, x))),
-        (Value::Array(p), Value::Array(w)) => p.len() == w.len() && p.iter().zip(w).all(|(a, b)| holds(a, b)),
+        (Value::Object(p), Value::Object(w)) => {
+            p.iter().all(|(k, v)| w.get(k).is_some_and(|x| holds(v, x)))
+        }
+        (Value::Array(p), Value::Array(w)) => {
+            p.len() == w.len() && p.iter().zip(w).all(|(a, b)| holds(a, b))
+        }
         (Value::Number(a), Value::Number(b)) => a.as_f64() == b.as_f64(),
         (a, b) => a == b,
     }
@@ -43,7 +47,10 @@
         }
     }
     let expect = files.remove("expect").ok_or("no `=== expect`")?;
-    let inputs = files.get("inputs.yml").cloned().unwrap_or_else(|| "{}".into());
+    let inputs = files
+        .get("inputs.yml")
+        .cloned()
+        .unwrap_or_else(|| "{}".into());
     let (expanded, faults) = match open(&files, "main.cwl") {
         Err(faults) => (None, faults),
         Ok((process, mut faults)) => {
@@ -52,7 +59,11 @@
                 None => (None, given),
                 Some(node) => {
                     let run = RunId::new(7).expect("in range");
-                    let options = Options { team: Some("crew".into()), source: Some(&files), ..Options::new(run) };
+                    let options = Options {
+                        team: Some("crew".into()),
+                        source: Some(&files),
+                        ..Options::new(run)
+                    };
                     let expanded = expand(&process, &node, &options, &mut faults);
                     (expanded, faults)
                 }
@@ -74,23 +85,44 @@
             serde_json::from_str(text).map_err(|e| format!("expect line {n}: {e}"))
         };
         if matches!(verb, "fault" | "warning") {
-            let level = if verb == "fault" { Level::Error } else { Level::Warning };
+            let level = if verb == "fault" {
+                Level::Error
+            } else {
+                Level::Warning
+            };
             let (place, text) = rest.split_once(' ').unwrap_or((rest, ""));
-            let hit = said.iter().position(|(l, p, f)| *l == level && p == place && f.contains(text));
+            let hit = said
+                .iter()
+                .position(|(l, p, f)| *l == level && p == place && f.contains(text));
             match hit {
                 Some(i) => matched[i] = true,
                 None => return fail(format!("said: {said:#?}")),
             }
             continue;
         }
-        let Some(x) = &expanded else { return fail(format!("not expanded: {said:#?}")) };
-        let number = |k: usize| rest.split(' ').nth(k).and_then(|w| w.parse::<u32>().ok()).unwrap_or(u32::MAX);
-        let task = || x.tasks.get(&StepNo(number(0))).and_then(|t| t.get(number(1) as usize));
+        let Some(x) = &expanded else {
+            return fail(format!("not expanded: {said:#?}"));
+        };
+        let number = |k: usize| {
+            rest.split(' ')
+                .nth(k)
+                .and_then(|w| w.parse::<u32>().ok())
+                .unwrap_or(u32::MAX)
+        };
+        let task = || {
+            x.tasks
+                .get(&StepNo(number(0)))
+                .and_then(|t| t.get(number(1) as usize))
+        };
         match verb {
-            "steps" if x.plan.steps.len() != number(0) as usize => return fail(format!("{:#?}", x.plan.steps)),
+            "steps" if x.plan.steps.len() != number(0) as usize => {
+                return fail(format!("{:#?}", x.plan.steps));
+            }
             "steps" => {}
             "step" | "join" => {
-                let Some(step) = x.plan.steps.get(number(0) as usize) else { return fail("no such step".into()) };
+                let Some(step) = x.plan.steps.get(number(0) as usize) else {
+                    return fail("no such step".into());
+                };
                 if verb == "join" {
                     if step.shape.is_some() {
                         return fail("it has work".into());
@@ -100,7 +132,13 @@
                 let after: Vec<String> = step.after.iter().map(|s| s.0.to_string()).collect();
                 let said = match after.is_empty() {
                     true => format!("{} {} {}", number(0), step.path, step.tasks),
-                    false => format!("{} {} {} after {}", number(0), step.path, step.tasks, after.join(",")),
+                    false => format!(
+                        "{} {} {} after {}",
+                        number(0),
+                        step.path,
+                        step.tasks,
+                        after.join(",")
+                    ),
                 };
                 if said != rest {
                     return fail(format!("it is `{said}`"));
@@ -108,15 +146,23 @@
             }
             "shape" => {
                 let shape = x.plan.shapes.get(number(0) as usize);
-                let value = shape.and_then(|s| serde_json::to_value(s).ok()).unwrap_or_default();
+                let value = shape
+                    .and_then(|s| serde_json::to_value(s).ok())
+                    .unwrap_or_default();
                 if !holds(&json(1)?, &value) {
                     return fail(value.to_string());
                 }
             }
             "argv" | "about" => {
-                let Some(task) = task() else { return fail("no such task".into()) };
+                let Some(task) = task() else {
+                    return fail("no such task".into());
+                };
                 let value = serde_json::to_value(task).unwrap_or_default();
-                let value = if verb == "argv" { value["argv"].clone() } else { value };
+                let value = if verb == "argv" {
+                    value["argv"].clone()
+                } else {
+                    value
+                };
                 if !holds(&json(2)?, &value) {
                     return fail(value.to_string());
                 }
@@ -131,7 +177,11 @@
             _ => return fail("unknown statement".into()),
         }
     }
-    match said.iter().zip(&matched).find(|(s, m)| !**m && s.0 == Level::Error) {
+    match said
+        .iter()
+        .zip(&matched)
+        .find(|(s, m)| !**m && s.0 == Level::Error)
+    {
         Some((s, _)) => Err(format!("not expected: {s:?}")),
         None => Ok(()),
     }
@@ -145,13 +195,19 @@
         .expect("tests/cases")
         .filter_map(|e| e.ok().map(|e| e.path()))
         .filter(|p| p.extension().is_some_and(|e| e == "case"))
-        .filter(|p| only.as_ref().is_none_or(|o| p.file_stem().is_some_and(|s| s == o.as_str())))
+        .filter(|p| {
+            only.as_ref()
+                .is_none_or(|o| p.file_stem().is_some_and(|s| s == o.as_str()))
+        })
         .collect();
     files.sort();
     assert!(!files.is_empty(), "no cases found");
     let mut failed = 0;
     for file in &files {
-        let name = file.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
+        let name = file
+            .file_stem()
+            .map(|s| s.to_string_lossy().into_owned())
+            .unwrap_or_default();
         match case(&std::fs::read_to_string(file).expect("a readable case")) {
             Ok(()) => println!("ok   {name}"),
             Err(e) => {
--- a/crates/hopyoke-cwl/tests/properties.rs
+++ b/crates/hopyoke-cwl/tests/properties.rs
@@ -25,7 +25,8 @@
     out: [out]
 "#;
 
-const TOOL: &str = "{class: CommandLineTool, baseCommand: t, inputs: {a: Any?, k: int?}, outputs: {out: stdout}}";
+const TOOL: &str =
+    "{class: CommandLineTool, baseCommand: t, inputs: {a: Any?, k: int?}, outputs: {out: stdout}}";
 
 fn read(text: &str) {
     let files: BTreeMap<String, String> = [("main.cwl".to_owned(), text.to_owned())].into();
@@ -35,7 +36,10 @@
             let mut none = Faults::default();
             let inputs = yaml::parse("xs: [p, q]", 0, &mut 0, &mut none).expect("inputs");
             let run = RunId::new(1).expect("in range");
-            let options = Options { team: Some("crew".into()), ..Options::new(run) };
+            let options = Options {
+                team: Some("crew".into()),
+                ..Options::new(run)
+            };
             if let Some(x) = expand(&process, &inputs, &options, &mut faults) {
                 assert!(x.plan.check("crew").is_ok());
             } else {
@@ -133,20 +137,33 @@
     // A billion laughs.
     let mut text = String::from("a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n");
     for i in 1..12 {
-        let _ = writeln!(text, "a{i}: &a{i} [{}]", vec![format!("*a{}", i - 1); 10].join(", "));
+        let _ = writeln!(
+            text,
+            "a{i}: &a{i} [{}]",
+            vec![format!("*a{}", i - 1); 10].join(", ")
+        );
     }
     read(&text);
     // Deep nesting, in three ways.
     read(&"[".repeat(100_000));
     read(&format!("{}x", "a:\n ".repeat(3000)));
-    read(&SEED.replace("$(inputs.x + \"z\")", &format!("$({}1{})", "(".repeat(40_000), ")".repeat(40_000))));
+    read(&SEED.replace(
+        "$(inputs.x + \"z\")",
+        &format!("$({}1{})", "(".repeat(40_000), ")".repeat(40_000)),
+    ));
     // Types in types.
     read(&SEED.replace("string[]", &format!("string{}", "[]".repeat(20_000))));
     // A scatter of a million by a million.
-    let wide = SEED.replace("scatter: x", "scatter: [x, y]\n    scatterMethod: flat_crossproduct");
+    let wide = SEED.replace(
+        "scatter: x",
+        "scatter: [x, y]\n    scatterMethod: flat_crossproduct",
+    );
     read(&wide.replace("in: {x: xs}", "in: {x: xs, y: xs}"));
     // A file that imports itself, many times.
-    let files: BTreeMap<String, String> =
-        [("main.cwl".to_owned(), format!("[{}]", vec!["{$import: main.cwl}"; 30].join(", ")))].into();
+    let files: BTreeMap<String, String> = [(
+        "main.cwl".to_owned(),
+        format!("[{}]", vec!["{$import: main.cwl}"; 30].join(", ")),
+    )]
+    .into();
     assert!(open(&files, "main.cwl").is_err());
 }
--- a/crates/hopyoke-emulator/src/cloud.rs
+++ b/crates/hopyoke-emulator/src/cloud.rs
@@ -81,7 +81,11 @@
 
     /// Machines that are up.
     pub fn up(&self) -> usize {
-        self.machines.borrow().values().filter(|m| m.worker.is_some()).count()
+        self.machines
+            .borrow()
+            .values()
+            .filter(|m| m.worker.is_some())
+            .count()
     }
 
     fn answer(self: &Rc<Cloud>, request: &Request) -> Response {
@@ -112,14 +116,20 @@
         if let Some(known) = self.charters.borrow().get(&r.charter) {
             return Response::of(200, &json!({ "vessels": known }));
         }
-        let Some(kind) = self.types.iter().find(|t| t.name == r.rig) else { return Response::empty(400) };
+        let Some(kind) = self.types.iter().find(|t| t.name == r.rig) else {
+            return Response::empty(400);
+        };
         let room = self.capacity.saturating_sub(self.machines.borrow().len());
         let n = room.min(r.number as usize).min(50);
         if n == 0 {
             return Response::of(503, &json!({ "error": "no capacity" }));
         }
-        let ids: Vec<MachineId> = (0..n).map(|_| self.add(kind, &r.basin, r.driftboats)).collect();
-        self.charters.borrow_mut().insert(r.charter.clone(), ids.clone());
+        let ids: Vec<MachineId> = (0..n)
+            .map(|_| self.add(kind, &r.basin, r.driftboats))
+            .collect();
+        self.charters
+            .borrow_mut()
+            .insert(r.charter.clone(), ids.clone());
         Response::of(200, &json!({ "vessels": ids }))
     }
 
@@ -140,7 +150,14 @@
         let (name, kind, zone) = (id.clone(), kind.clone(), zone.to_owned());
         runtime::spawn_until(self.cancel.clone(), async move {
             runtime::sleep(boot).await;
-            let worker = Worker::start(name.clone(), &kind, &zone, spot, cloud.works.clone(), &cancel);
+            let worker = Worker::start(
+                name.clone(),
+                &kind,
+                &zone,
+                spot,
+                cloud.works.clone(),
+                &cancel,
+            );
             if let (Ok(w), Some(m)) = (worker, cloud.machines.borrow_mut().get_mut(&name)) {
                 m.worker = Some(w);
             }
@@ -150,7 +167,9 @@
 
     fn list(&self, query: &[(&str, &str)]) -> Response {
         let since = MachineId::new(param(query, "since").unwrap_or(""));
-        let most: usize = param(query, "most").and_then(|n| n.parse().ok()).unwrap_or(500);
+        let most: usize = param(query, "most")
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(500);
         let machines = self.machines.borrow();
         let mut after = machines.iter().filter(|(id, _)| **id > since);
         let list: Vec<_> = after
--- a/crates/hopyoke-emulator/src/lib.rs
+++ b/crates/hopyoke-emulator/src/lib.rs
@@ -44,7 +44,10 @@
 /// A path without its query, and the query's pairs.
 pub(crate) fn target(path: &str) -> (&str, Vec<(&str, &str)>) {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
-    (path, query.split('&').filter_map(|p| p.split_once('=')).collect())
+    (
+        path,
+        query.split('&').filter_map(|p| p.split_once('=')).collect(),
+    )
 }
 
 pub(crate) fn param<'a>(query: &[(&'a str, &'a str)], name: &str) -> Option<&'a str> {
--- a/crates/hopyoke-emulator/src/main.rs
+++ b/crates/hopyoke-emulator/src/main.rs
@@ -48,7 +48,10 @@
     let beside = || Some(std::env::current_exe().ok()?.parent()?.join("hopyoke"));
     let program = cli.program.or_else(beside).ok_or("--program is needed")?;
     if !program.is_file() {
-        return Err(format!("{}: no such program; `cargo build --release` makes it", program.display()));
+        return Err(format!(
+            "{}: no such program; `cargo build --release` makes it",
+            program.display()
+        ));
     }
     let policy = match &cli.policy {
         Some(p) => std::fs::read_to_string(p).map_err(|e| format!("{}: {e}", p.display()))?,
@@ -68,7 +71,12 @@
             Ok(s) => s,
             Err(e) => return *failure.borrow_mut() = Some(e.to_string()),
         };
-        let list = |l: &[std::net::SocketAddr]| l.iter().map(ToString::to_string).collect::<Vec<_>>().join(" ");
+        let list = |l: &[std::net::SocketAddr]| {
+            l.iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+                .join(" ")
+        };
         println!("users {}", list(&site.users));
         println!("mesh {}", list(&site.mesh));
         println!("logs {}/node-*.log", site.plan.dir.display());
--- a/crates/hopyoke-emulator/src/site.rs
+++ b/crates/hopyoke-emulator/src/site.rs
@@ -68,7 +68,8 @@
 
 /// Addresses that were free a moment ago.
 fn free_addresses(n: usize) -> io::Result<Vec<SocketAddr>> {
-    let held: io::Result<Vec<TcpListener>> = (0..n).map(|_| TcpListener::bind("127.0.0.1:0")).collect();
+    let held: io::Result<Vec<TcpListener>> =
+        (0..n).map(|_| TcpListener::bind("127.0.0.1:0")).collect();
     held?.iter().map(TcpListener::local_addr).collect()
 }
 
@@ -82,8 +83,12 @@
         let cancel = CancellationToken::new();
         let (state, state_addr) = State::start(&cancel)?;
         let (heartbeat, lease) = (0.5, 6.0);
-        let works =
-            Works::new(state.clone(), Micros::from_secs_f64(heartbeat), Micros::from_secs_f64(lease), plan.factor);
+        let works = Works::new(
+            state.clone(),
+            Micros::from_secs_f64(heartbeat),
+            Micros::from_secs_f64(lease),
+            plan.factor,
+        );
         let works = Rc::new(works);
         let zones = ["a", "b", "c"];
         let kind = MachineType {
@@ -106,13 +111,28 @@
         for i in 0..n {
             let mut text = String::new();
             let _ = writeln!(text, "node = \"{}\"\nzone = \"{}\"", name(i), zones[i % 3]);
-            let _ = writeln!(text, "serve_on = \"{}\"\nmesh_addr = \"{}\"", users[i], mesh[i]);
+            let _ = writeln!(
+                text,
+                "serve_on = \"{}\"\nmesh_addr = \"{}\"",
+                users[i], mesh[i]
+            );
             for j in (0..n).filter(|j| *j != i) {
-                let _ = writeln!(text, "[[others]]\nnode = \"{}\"\nzone = \"{}\"", name(j), zones[j % 3]);
+                let _ = writeln!(
+                    text,
+                    "[[others]]\nnode = \"{}\"\nzone = \"{}\"",
+                    name(j),
+                    zones[j % 3]
+                );
                 let _ = writeln!(text, "endpoint = \"{}\"", mesh[j]);
             }
-            let _ = writeln!(text, "[endpoints]\ncloud = \"{cloud_addr}\"\nstate = \"{state_addr}\"");
-            let _ = writeln!(text, "[facts]\nnodes = {n}\nzones = [\"a\", \"b\", \"c\"]\nskew_ms = 50.0");
+            let _ = writeln!(
+                text,
+                "[endpoints]\ncloud = \"{cloud_addr}\"\nstate = \"{state_addr}\""
+            );
+            let _ = writeln!(
+                text,
+                "[facts]\nnodes = {n}\nzones = [\"a\", \"b\", \"c\"]\nskew_ms = 50.0"
+            );
             for (team, guaranteed, most) in &plan.teams {
                 let _ = writeln!(
                     text,
@@ -120,18 +140,40 @@
                 );
                 let _ = writeln!(text, "cpus = 0.0\ncpus_max = 0.0");
             }
-            let _ = writeln!(text, "[facts.workers]\nreport_s = {heartbeat:?}\nlease_s = {lease:?}");
-            let _ = writeln!(text, "gang_wait_s = 20.0\ngang_peer_s = 3.0\ncancel_s = 20.0");
-            let _ = writeln!(text, "[facts.state]\nrps = {:?}\nwrite_rps = {:?}", plan.rps, plan.write_rps);
+            let _ = writeln!(
+                text,
+                "[facts.workers]\nreport_s = {heartbeat:?}\nlease_s = {lease:?}"
+            );
+            let _ = writeln!(
+                text,
+                "gang_wait_s = 20.0\ngang_peer_s = 3.0\ncancel_s = 20.0"
+            );
+            let _ = writeln!(
+                text,
+                "[facts.state]\nrps = {:?}\nwrite_rps = {:?}",
+                plan.rps, plan.write_rps
+            );
             let _ = writeln!(text, "value_kb = 8.0\ntxn_ops = 16");
             let _ = writeln!(text, "[facts.cloud]\nrps = 20.0\nlist_lag_s = 1.0");
-            let _ = writeln!(text, "[facts.machine_limits]\ncores = 1.0\nmem_mb = 500.0\nmax_connections = 1000");
+            let _ = writeln!(
+                text,
+                "[facts.machine_limits]\ncores = 1.0\nmem_mb = 500.0\nmax_connections = 1000"
+            );
             std::fs::write(plan.dir.join(format!("{}.toml", name(i))), text)?;
         }
         std::fs::write(plan.dir.join("site.policy"), &plan.policy)?;
         *works.controllers.borrow_mut() = (0..n).map(|i| (name(i), users[i])).collect();
         let children = (0..n).map(|_| None).collect();
-        let mut site = Site { state, cloud, works, users, mesh, plan, children, cancel };
+        let mut site = Site {
+            state,
+            cloud,
+            works,
+            users,
+            mesh,
+            plan,
+            children,
+            cancel,
+        };
         for i in 0..n {
             site.start_controller(i)?;
         }
@@ -174,25 +216,46 @@
 
     /// A controller's processor time so far, in seconds; 0 if it does not run.
     pub fn processor_s(&self, i: usize) -> f64 {
-        let Some(child) = &self.children[i] else { return 0.0 };
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
+        let Some(child) = &self.children[i] else {
+            return 0.0;
+        };
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
         // After the name in brackets: fields 14 and 15 are user and system time in hundredths.
         let rest = stat.rsplit(')').next().unwrap_or("");
-        let field = |n: usize| rest.split_whitespace().nth(n).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+        let field = |n: usize| {
+            rest.split_whitespace()
+                .nth(n)
+                .and_then(|f| f.parse::<f64>().ok())
+                .unwrap_or(0.0)
+        };
         (field(11) + field(12)) / 100.0
     }
 
     /// A controller's resident memory in MB; 0 if it does not run.
     pub fn memory_mb(&self, i: usize) -> f64 {
-        let Some(child) = &self.children[i] else { return 0.0 };
-        let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
-        let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or("");
-        line.split_whitespace().nth(1).and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+        let Some(child) = &self.children[i] else {
+            return 0.0;
+        };
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
+        let line = status
+            .lines()
+            .find(|l| l.starts_with("VmRSS:"))
+            .unwrap_or("");
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|n| n.parse::<f64>().ok())
+            .unwrap_or(0.0)
+            / 1024.0
     }
 
     /// Which of the controllers has ended by itself.
     pub fn ended(&mut self) -> Option<usize> {
-        let ended = |c: &mut Option<Child>| c.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(Some(_))));
+        let ended = |c: &mut Option<Child>| {
+            c.as_mut()
+                .is_some_and(|c| matches!(c.try_wait(), Ok(Some(_))))
+        };
         self.children.iter_mut().position(ended)
     }
 
--- a/crates/hopyoke-emulator/src/state.rs
+++ b/crates/hopyoke-emulator/src/state.rs
@@ -100,7 +100,11 @@
         let addr = serve(cancel, move |request| {
             let s = s.clone();
             async move {
-                let lag = s.lag.borrow().as_ref().map_or((Micros::ZERO, Micros::ZERO), |lag| lag(&request));
+                let lag = s
+                    .lag
+                    .borrow()
+                    .as_ref()
+                    .map_or((Micros::ZERO, Micros::ZERO), |lag| lag(&request));
                 runtime::sleep(lag.0).await;
                 let answer = s.answer(request).await;
                 runtime::sleep(lag.1).await;
@@ -135,7 +139,14 @@
         inner.revision += 1;
         let mod_revision = inner.revision;
         inner.note(mod_revision, key, false);
-        inner.keys.insert(key.to_owned(), Entry { value, mod_revision, lease: None });
+        inner.keys.insert(
+            key.to_owned(),
+            Entry {
+                value,
+                mod_revision,
+                lease: None,
+            },
+        );
         inner.wake();
     }
 
@@ -161,8 +172,14 @@
 
     fn expire(&self) {
         let now = runtime::now();
-        let over: Vec<u64> =
-            self.inner.borrow().leases.iter().filter(|(_, (t, _))| *t <= now).map(|(l, _)| *l).collect();
+        let over: Vec<u64> = self
+            .inner
+            .borrow()
+            .leases
+            .iter()
+            .filter(|(_, (t, _))| *t <= now)
+            .map(|(l, _)| *l)
+            .collect();
         for lease in over {
             self.end_lease(lease);
         }
@@ -177,8 +194,12 @@
     fn end_lease(&self, lease: u64) {
         let mut inner = self.inner.borrow_mut();
         inner.leases.remove(&lease);
-        let keys: Vec<String> =
-            inner.keys.iter().filter(|(_, e)| e.lease == Some(lease)).map(|(k, _)| k.clone()).collect();
+        let keys: Vec<String> = inner
+            .keys
+            .iter()
+            .filter(|(_, e)| e.lease == Some(lease))
+            .map(|(k, _)| k.clone())
+            .collect();
         if !keys.is_empty() {
             inner.revision += 1;
             for key in keys {
@@ -213,9 +234,10 @@
     fn read(&self, key: &str) -> Response {
         let inner = self.inner.borrow();
         match inner.keys.get(key) {
-            Some(e) => {
-                Response::of(200, &json!({ "key": key, "v": e.value, "mark": e.mod_revision, "tether": e.lease }))
-            }
+            Some(e) => Response::of(
+                200,
+                &json!({ "key": key, "v": e.value, "mark": e.mod_revision, "tether": e.lease }),
+            ),
             None => Response::of(404, &json!({ "tide": inner.revision })),
         }
     }
@@ -223,9 +245,15 @@
     fn list(&self, query: &[(&str, &str)]) -> Response {
         let prefix = param(query, "under").unwrap_or("");
         let since = param(query, "since").unwrap_or("");
-        let most = param(query, "most").and_then(|n| n.parse().ok()).unwrap_or(1000).min(1000);
+        let most = param(query, "most")
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(1000)
+            .min(1000);
         let inner = self.inner.borrow();
-        let under = inner.keys.range(prefix.to_owned()..).take_while(|(k, _)| k.starts_with(prefix));
+        let under = inner
+            .keys
+            .range(prefix.to_owned()..)
+            .take_while(|(k, _)| k.starts_with(prefix));
         let mut after = under.filter(|(k, _)| k.as_str() > since);
         let pairs: Vec<Value> = after
             .by_ref()
@@ -233,24 +261,41 @@
             .map(|(k, e)| json!({ "key": k, "v": e.value, "mark": e.mod_revision, "tether": e.lease }))
             .collect();
         let more = after.next().is_some();
-        Response::of(200, &json!({ "pairs": pairs, "more": more, "tide": inner.revision }))
+        Response::of(
+            200,
+            &json!({ "pairs": pairs, "more": more, "tide": inner.revision }),
+        )
     }
 
     fn txn(&self, body: &[u8]) -> Response {
-        let Ok(txn) = decode::<Transaction>(body) else { return Response::empty(400) };
-        self.changes.set(self.changes.get() + txn.changes.len() as u64);
+        let Ok(txn) = decode::<Transaction>(body) else {
+            return Response::empty(400);
+        };
+        self.changes
+            .set(self.changes.get() + txn.changes.len() as u64);
         let mut inner = self.inner.borrow_mut();
         let mod_revision = |k: &String| inner.keys.get(k).map_or(0, |e| e.mod_revision);
-        let failed: Vec<&String> =
-            txn.conditions.iter().filter(|c| mod_revision(&c.key) != c.mod_revision).map(|c| &c.key).collect();
+        let failed: Vec<&String> = txn
+            .conditions
+            .iter()
+            .filter(|c| mod_revision(&c.key) != c.mod_revision)
+            .map(|c| &c.key)
+            .collect();
         if !failed.is_empty() {
             return Response::of(409, &json!({ "failed": failed, "tide": inner.revision }));
         }
-        if txn.changes.iter().any(|c| c.tether.is_some_and(|l| !inner.leases.contains_key(&l))) {
+        if txn
+            .changes
+            .iter()
+            .any(|c| c.tether.is_some_and(|l| !inner.leases.contains_key(&l)))
+        {
             return Response::of(400, &json!({ "error": "no such lease" }));
         }
         let size = |v: &Value| serde_json::to_vec(v).map_or(0, |t| t.len());
-        if txn.changes.iter().any(|c| size(&c.v) > VALUE) || txn.changes.len() > 16 || txn.conditions.len() > 64 {
+        if txn.changes.iter().any(|c| size(&c.v) > VALUE)
+            || txn.changes.len() > 16
+            || txn.conditions.len() > 64
+        {
             return Response::of(400, &json!({ "error": "over the limits" }));
         }
         inner.revision += 1;
@@ -260,7 +305,14 @@
                 let first = key.split('/').next().unwrap_or_default().to_owned();
                 *self.written.borrow_mut().entry(first).or_default() += size(&c.v) as u64;
                 inner.note(revision, &key, false);
-                inner.keys.insert(key, Entry { value: c.v, mod_revision: revision, lease: c.tether });
+                inner.keys.insert(
+                    key,
+                    Entry {
+                        value: c.v,
+                        mod_revision: revision,
+                        lease: c.tether,
+                    },
+                );
             } else if let Some(key) = c.drop {
                 inner.drop_key(&key);
             }
@@ -270,7 +322,9 @@
     }
 
     fn grant(&self, body: &[u8]) -> Response {
-        let Ok(ttl) = decode::<Ttl>(body) else { return Response::empty(400) };
+        let Ok(ttl) = decode::<Ttl>(body) else {
+            return Response::empty(400);
+        };
         let ttl = Micros::from_millis(ttl.ttl_ms);
         let mut inner = self.inner.borrow_mut();
         inner.next_lease += 1;
@@ -280,7 +334,9 @@
     }
 
     fn renew(&self, rest: &str) -> Response {
-        let lease = rest.strip_suffix("/renew").and_then(|id| id.parse::<u64>().ok());
+        let lease = rest
+            .strip_suffix("/renew")
+            .and_then(|id| id.parse::<u64>().ok());
         let mut inner = self.inner.borrow_mut();
         match lease.and_then(|l| inner.leases.get_mut(&l)) {
             Some((until, ttl)) => {
@@ -293,8 +349,12 @@
 
     async fn watch(&self, query: &[(&str, &str)]) -> Response {
         let prefix = param(query, "under").unwrap_or("").to_owned();
-        let since: u64 = param(query, "since").and_then(|n| n.parse().ok()).unwrap_or(0);
-        let wait: u64 = param(query, "wait_ms").and_then(|n| n.parse().ok()).unwrap_or(0);
+        let since: u64 = param(query, "since")
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0);
+        let wait: u64 = param(query, "wait_ms")
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0);
         let until = runtime::now() + Micros::from_millis(wait.min(60_000));
         loop {
             {
@@ -307,9 +367,15 @@
                 let new = inner.log.iter().rev().take_while(|(r, ..)| *r > since);
                 let mut events: Vec<Value> = new
                     .filter(|(_, k, _)| k.starts_with(&prefix))
-                    .map(|(r, k, dropped)| match inner.keys.get(k).filter(|e| !dropped && e.mod_revision == *r) {
-                        Some(e) => json!({ "write": k, "v": e.value, "mark": r }),
-                        None => json!({ "drop": k, "mark": r }),
+                    .map(|(r, k, dropped)| {
+                        match inner
+                            .keys
+                            .get(k)
+                            .filter(|e| !dropped && e.mod_revision == *r)
+                        {
+                            Some(e) => json!({ "write": k, "v": e.value, "mark": r }),
+                            None => json!({ "drop": k, "mark": r }),
+                        }
                     })
                     .collect();
                 events.reverse();
