--- a/crates/hopyoke-emulator/src/worker.rs
+++ b/crates/hopyoke-emulator/src/worker.rs
@@ -169,7 +169,9 @@
         match (request.method, request.path.as_str()) {
             (Method::Get, "/show") => Response::of(200, &self.heartbeat()),
             (Method::Post, "/commands") => {
-                let Ok(commands) = decode::<PushedCommands>(&request.body) else { return Response::empty(400) };
+                let Ok(commands) = decode::<PushedCommands>(&request.body) else {
+                    return Response::empty(400);
+                };
                 let fits = {
                     let inner = self.inner.borrow();
                     commands.token >= inner.token && commands.epoch == inner.epoch
@@ -226,7 +228,10 @@
             let heartbeat = self.heartbeat();
             let (sent, epoch) = (runtime::now(), heartbeat.epoch);
             let body = hopyoke_protocol::encode(&heartbeat);
-            match c.send(Method::Post, "/hello", &body, Micros::from_secs(4)).await {
+            match c
+                .send(Method::Post, "/hello", &body, Micros::from_secs(4))
+                .await
+            {
                 Ok(r) if r.status == 200 => {
                     if let Ok(commands) = decode::<HeartbeatResponse>(&r.body) {
                         let fits = {
@@ -242,13 +247,19 @@
                         }
                     }
                     let next = sent
-                        + Micros((self.works.heartbeat_interval.0 as f64 * rand::random_range(0.75..1.25)) as u64);
+                        + Micros(
+                            (self.works.heartbeat_interval.0 as f64
+                                * rand::random_range(0.75..1.25))
+                                as u64,
+                        );
                     self.changed.wait_until(next).await;
                     // Not more often than every half second.
                     runtime::sleep_until(sent + Micros::from_millis(500)).await;
                 }
                 Ok(r) if r.status == 421 => {
-                    let to = decode::<Elsewhere>(&r.body).ok().and_then(|e| e.harbormaster);
+                    let to = decode::<Elsewhere>(&r.body)
+                        .ok()
+                        .and_then(|e| e.harbormaster);
                     match to.and_then(|n| list.iter().position(|(name, _)| *name == n)) {
                         Some(i) if i != at % list.len() => at = i,
                         _ => {
@@ -311,7 +322,11 @@
                     if let Some(task) = TaskId::parse(&task) {
                         let key = (task, attempt);
                         let mut inner = self.inner.borrow_mut();
-                        if inner.tasks.get(&key).is_some_and(|t| t.state == TaskState::Ended) {
+                        if inner
+                            .tasks
+                            .get(&key)
+                            .is_some_and(|t| t.state == TaskState::Ended)
+                        {
                             inner.tasks.remove(&key);
                         }
                     }
@@ -331,7 +346,12 @@
             Some(s) if task.index >= s.tasks => Some(ExitReason::UnknownTask),
             Some(s) => {
                 let inner = self.inner.borrow();
-                let live = || inner.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended);
+                let live = || {
+                    inner
+                        .tasks
+                        .iter()
+                        .filter(|(_, t)| t.state != TaskState::Ended)
+                };
                 let mut sum = (s.cpus, s.gpus, s.memory_gb);
                 for x in live().filter_map(|(_, t)| t.spec.as_ref()) {
                     sum = (sum.0 + x.cpus, sum.1 + x.gpus, sum.2 + x.memory_gb);
@@ -339,16 +359,28 @@
                 let k = &self.kind;
                 if live().any(|((t, _), _)| *t == task) {
                     Some(ExitReason::Busy)
-                } else if sum.0 > k.cpus + 1e-9 || sum.1 > k.gpus + 1e-9 || sum.2 > k.memory_gb + 1e-9 {
+                } else if sum.0 > k.cpus + 1e-9
+                    || sum.1 > k.gpus + 1e-9
+                    || sum.2 > k.memory_gb + 1e-9
+                {
                     Some(ExitReason::InsufficientResources)
                 } else {
                     None
                 }
             }
         };
-        let state = if refusal.is_some() { TaskState::Ended } else { TaskState::Fetching };
+        let state = if refusal.is_some() {
+            TaskState::Ended
+        } else {
+            TaskState::Fetching
+        };
         let cancel = CancellationToken::new();
-        let entry = Task { state, why: refusal, spec: spec.clone(), cancel: cancel.clone() };
+        let entry = Task {
+            state,
+            why: refusal,
+            spec: spec.clone(),
+            cancel: cancel.clone(),
+        };
         self.inner.borrow_mut().tasks.insert(key, entry);
         self.changed.notify();
         if let Some(spec) = spec.filter(|_| refusal.is_none()) {
@@ -360,10 +392,17 @@
     /// A task's way from its image to its end.
     async fn live(self: Rc<Worker>, task: TaskId, attempt: Attempt, spec: JobSpec) {
         if !self.inner.borrow().images.contains(&spec.image) {
-            runtime::sleep(Micros::from_secs_f64(spec.image_gb / self.kind.fetch_gb_per_s.max(0.001))).await;
+            runtime::sleep(Micros::from_secs_f64(
+                spec.image_gb / self.kind.fetch_gb_per_s.max(0.001),
+            ))
+            .await;
             self.inner.borrow_mut().images.insert(spec.image.clone());
         }
-        if let Some(other) = self.works.present.borrow_mut().insert(task.clone(), self.id.clone())
+        if let Some(other) = self
+            .works
+            .present
+            .borrow_mut()
+            .insert(task.clone(), self.id.clone())
             && other != self.id
         {
             let what = format!("ran_twice: {task} starts on {} while on {other}", self.id);
@@ -372,8 +411,19 @@
         if spec.kind == JobKind::Gang {
             self.set(&task, attempt, TaskState::Waiting);
             let key = (task.job.to_string(), attempt);
-            *self.works.gangs.borrow_mut().entry(key.clone()).or_default() += 1;
-            while self.works.gangs.borrow().get(&key).is_none_or(|n| *n < spec.tasks) {
+            *self
+                .works
+                .gangs
+                .borrow_mut()
+                .entry(key.clone())
+                .or_default() += 1;
+            while self
+                .works
+                .gangs
+                .borrow()
+                .get(&key)
+                .is_none_or(|n| *n < spec.tasks)
+            {
                 runtime::sleep(Micros::from_millis(10)).await;
             }
         }
@@ -392,7 +442,9 @@
         if !self.works.done.borrow().contains(&task) {
             match spec.kind {
                 JobKind::Service => std::future::pending().await,
-                _ => runtime::sleep(Micros::from_secs_f64(spec.estimate_s * self.works.factor)).await,
+                _ => {
+                    runtime::sleep(Micros::from_secs_f64(spec.estimate_s * self.works.factor)).await
+                }
             }
         }
         self.works.done.borrow_mut().insert(task.clone());
@@ -400,7 +452,12 @@
     }
 
     fn set(&self, task: &TaskId, attempt: Attempt, state: TaskState) {
-        if let Some(t) = self.inner.borrow_mut().tasks.get_mut(&(task.clone(), attempt)) {
+        if let Some(t) = self
+            .inner
+            .borrow_mut()
+            .tasks
+            .get_mut(&(task.clone(), attempt))
+        {
             t.state = state;
         }
         self.changed.notify();
@@ -408,7 +465,9 @@
 
     fn exit(&self, task: &TaskId, attempt: Attempt, why: ExitReason) {
         let mut inner = self.inner.borrow_mut();
-        let Some(t) = inner.tasks.get_mut(&(task.clone(), attempt)) else { return };
+        let Some(t) = inner.tasks.get_mut(&(task.clone(), attempt)) else {
+            return;
+        };
         if t.state == TaskState::Ended {
             return;
         }
--- a/crates/hopyoke-emulator/tests/close_looks/history.rs
+++ b/crates/hopyoke-emulator/tests/close_looks/history.rs
@@ -89,7 +89,13 @@
     if let (Some(first), Some(other)) = (first_end, by_receipt.iter().find(other_end)) {
         found.push(format!("two ends: {first}; {other}"));
     }
-    let first_begun = |request| looks.iter().filter(|l| l.request == request).map(|l| l.begun).min();
+    let first_begun = |request| {
+        looks
+            .iter()
+            .filter(|l| l.request == request)
+            .map(|l| l.begun)
+            .min()
+    };
     let before = |l: &Look, request| first_begun(request).is_none_or(|begun| l.received < begun);
     for l in &by_receipt {
         if l.said == Said::Cancelled && before(l, Request::CancellationToken) {
@@ -107,12 +113,21 @@
     use super::*;
 
     fn look(request: Request, (begun, received): (u64, u64), said: Said) -> Look {
-        Look { node: begun as usize % 3, request, begun, received, said }
+        Look {
+            node: begun as usize % 3,
+            request,
+            begun,
+            received,
+            said,
+        }
     }
 
     fn check(looks: &[Look], expected: &[&str]) {
         let found = faults(looks);
-        let kinds: Vec<&str> = found.iter().map(|f| f.split(':').next().unwrap_or("")).collect();
+        let kinds: Vec<&str> = found
+            .iter()
+            .map(|f| f.split(':').next().unwrap_or(""))
+            .collect();
         assert_eq!(kinds, expected, "{found:#?}");
         // The order in which answers are noted doesn't matter.
         let turned: Vec<Look> = looks.iter().rev().copied().collect();
@@ -142,25 +157,63 @@
         check(&[accepted, look(Poll, (3, 4), Said::Unknown)], &["older"]);
         check(&[accepted, look(Submit, (3, 4), Said::Refused)], &["older"]);
         let cancelled = look(CancellationToken, (3, 4), Said::Cancelled);
-        check(&[accepted, cancelled, look(Poll, (5, 9), Said::Accepted)], &["older"]);
-        check(&[accepted, cancelled, look(Submit, (5, 9), Said::Accepted)], &["older"]);
-        check(&[accepted, cancelled, look(CancellationToken, (5, 9), Said::Unknown)], &["older"]);
+        check(
+            &[accepted, cancelled, look(Poll, (5, 9), Said::Accepted)],
+            &["older"],
+        );
+        check(
+            &[accepted, cancelled, look(Submit, (5, 9), Said::Accepted)],
+            &["older"],
+        );
+        check(
+            &[
+                accepted,
+                cancelled,
+                look(CancellationToken, (5, 9), Said::Unknown),
+            ],
+            &["older"],
+        );
         let done = look(Poll, (3, 4), Said::Done);
         check(
-            &[accepted, done, look(Poll, (5, 6), Said::Accepted), look(Poll, (7, 8), Said::Unknown)],
+            &[
+                accepted,
+                done,
+                look(Poll, (5, 6), Said::Accepted),
+                look(Poll, (7, 8), Said::Unknown),
+            ],
             &["older"; 2],
         );
         // One that was received first counts, also if it was asked for last.
         let long = look(Poll, (2, 30), Said::Accepted);
-        check(&[long, look(Submit, (1, 20), Said::Done), look(Poll, (21, 22), Said::Accepted)], &["older"]);
+        check(
+            &[
+                long,
+                look(Submit, (1, 20), Said::Done),
+                look(Poll, (21, 22), Said::Accepted),
+            ],
+            &["older"],
+        );
     }
 
     #[test]
     fn no_answer_says_nothing() {
         use Request::*;
         let accepted = look(Submit, (1, 2), Said::Accepted);
-        check(&[accepted, look(Poll, (3, 4), Said::Nothing), look(Poll, (5, 6), Said::Accepted)], &[]);
-        check(&[look(Submit, (1, 2), Said::Nothing), look(Poll, (3, 4), Said::Unknown)], &[]);
+        check(
+            &[
+                accepted,
+                look(Poll, (3, 4), Said::Nothing),
+                look(Poll, (5, 6), Said::Accepted),
+            ],
+            &[],
+        );
+        check(
+            &[
+                look(Submit, (1, 2), Said::Nothing),
+                look(Poll, (3, 4), Said::Unknown),
+            ],
+            &[],
+        );
     }
 
     #[test]
@@ -169,15 +222,32 @@
         let accepted = look(Submit, (1, 9), Said::Accepted);
         // At the same time, but there is only one end.
         check(
-            &[accepted, look(CancellationToken, (10, 20), Said::Cancelled), look(Poll, (11, 19), Said::Done)],
+            &[
+                accepted,
+                look(CancellationToken, (10, 20), Said::Cancelled),
+                look(Poll, (11, 19), Said::Done),
+            ],
             &["two ends"],
         );
-        check(&[accepted, look(Poll, (10, 20), Said::Cancelled)], &["cancelled unasked"]);
         check(
-            &[accepted, look(Poll, (10, 20), Said::Cancelled), look(CancellationToken, (21, 22), Said::Cancelled)],
+            &[accepted, look(Poll, (10, 20), Said::Cancelled)],
             &["cancelled unasked"],
         );
-        check(&[look(Poll, (1, 2), Said::Accepted), look(Submit, (3, 4), Said::Accepted)], &["invented"]);
+        check(
+            &[
+                accepted,
+                look(Poll, (10, 20), Said::Cancelled),
+                look(CancellationToken, (21, 22), Said::Cancelled),
+            ],
+            &["cancelled unasked"],
+        );
+        check(
+            &[
+                look(Poll, (1, 2), Said::Accepted),
+                look(Submit, (3, 4), Said::Accepted),
+            ],
+            &["invented"],
+        );
         check(&[look(Poll, (1, 2), Said::Done)], &["invented"]);
     }
 }
--- a/crates/hopyoke-emulator/tests/close_looks/main.rs
+++ b/crates/hopyoke-emulator/tests/close_looks/main.rs
@@ -28,9 +28,16 @@
 /// The programs are beside the test's own directory.
 fn program() -> PathBuf {
     let test = std::env::current_exe().expect("a path");
-    let dir = test.parent().and_then(Path::parent).expect("target/PROFILE/deps");
+    let dir = test
+        .parent()
+        .and_then(Path::parent)
+        .expect("target/PROFILE/deps");
     let path = dir.join("hopyoke");
-    assert!(path.is_file(), "{} is missing: `cargo build --release` makes it", path.display());
+    assert!(
+        path.is_file(),
+        "{} is missing: `cargo build --release` makes it",
+        path.display()
+    );
     path
 }
 
@@ -38,7 +45,12 @@
 async fn site(name: &str) -> Site {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&dir);
-    let plan = Plan { machines: 4, rps: 9000.0, write_rps: 3000.0, ..Plan::new(&program(), &dir) };
+    let plan = Plan {
+        machines: 4,
+        rps: 9000.0,
+        write_rps: 3000.0,
+        ..Plan::new(&program(), &dir)
+    };
     let site = Site::start(plan).expect("a site");
     let users = Users::new(&site);
     let first = users.job(1, 0.1);
@@ -82,7 +94,11 @@
 impl Users {
     fn new(site: &Site) -> Rc<Users> {
         let clients = site.users.iter().map(|a| Client::new(*a)).collect();
-        Rc::new(Users { clients, moment: Cell::new(0), rng: RefCell::new(StdRng::seed_from_u64(35)) })
+        Rc::new(Users {
+            clients,
+            moment: Cell::new(0),
+            rng: RefCell::new(StdRng::seed_from_u64(35)),
+        })
     }
 
     fn tick(&self) -> u64 {
@@ -97,8 +113,16 @@
 
     fn job(&self, number: u32, estimate_s: f64) -> Rc<Job> {
         let id = JobId::new(&format!("req-{number:06}"));
-        let spec = JobSpec { estimate_s, ..JobSpec::plain(id.clone(), "steady", "crew", "img") };
-        Rc::new(Job { id, body: hopyoke_protocol::encode(&spec), looks: RefCell::default(), stage: Cell::new(0) })
+        let spec = JobSpec {
+            estimate_s,
+            ..JobSpec::plain(id.clone(), "steady", "crew", "img")
+        };
+        Rc::new(Job {
+            id,
+            body: hopyoke_protocol::encode(&spec),
+            looks: RefCell::default(),
+            stage: Cell::new(0),
+        })
     }
 
     /// Asks one node, and at once all of them whenever the answer says more than was known.
@@ -109,21 +133,33 @@
             Request::Poll => (Method::Get, path, &[][..]),
             Request::CancellationToken => (Method::Post, format!("{path}/withdraw"), &[][..]),
         };
-        let limit = if request == Request::Poll { ms(2_000) } else { ms(5_000) };
+        let limit = if request == Request::Poll {
+            ms(2_000)
+        } else {
+            ms(5_000)
+        };
         let begun = self.tick();
         let answer = self.clients[node].send(method, &path, body, limit).await;
         let received = self.tick();
         let said = match answer {
-            Ok(r) if matches!(r.status, 200 | 201) => match decode::<Told>(&r.body).expect("an answer").bearing {
-                JobState::Queued | JobState::Running => Said::Accepted,
-                JobState::Done => Said::Done,
-                JobState::Cancelled => Said::Cancelled,
-            },
+            Ok(r) if matches!(r.status, 200 | 201) => {
+                match decode::<Told>(&r.body).expect("an answer").bearing {
+                    JobState::Queued | JobState::Running => Said::Accepted,
+                    JobState::Done => Said::Done,
+                    JobState::Cancelled => Said::Cancelled,
+                }
+            }
             Ok(r) if r.status == 404 => Said::Unknown,
             Ok(r) if matches!(r.status, 400 | 422) => Said::Refused,
             _ => Said::Nothing,
         };
-        job.looks.borrow_mut().push(Look { node, request, begun, received, said });
+        job.looks.borrow_mut().push(Look {
+            node,
+            request,
+            begun,
+            received,
+            said,
+        });
         if let Some(stage) = said.stage().filter(|s| *s > job.stage.get()) {
             job.stage.set(stage);
             self.look_everywhere(job, stage);
@@ -170,7 +206,11 @@
     /// Cancels, at one node after the other, until it is told an end.
     async fn cancel(self: &Rc<Users>, job: &Rc<Job>, first: usize) {
         for node in (0..NODES).cycle().skip(first) {
-            if self.ask(job, node, Request::CancellationToken).await.is_final() {
+            if self
+                .ask(job, node, Request::CancellationToken)
+                .await
+                .is_final()
+            {
                 return;
             }
             runtime::sleep(self.some(1..15)).await;
@@ -210,7 +250,11 @@
     let lag = move |request: &runtime::http::Request| {
         let some = |most: u64| {
             let mut rng = rng.borrow_mut();
-            ms(if rng.random_bool(0.5) { rng.random_range(0..=most) } else { 0 })
+            ms(if rng.random_bool(0.5) {
+                rng.random_range(0..=most)
+            } else {
+                0
+            })
         };
         let body = String::from_utf8_lossy(&request.body);
         let path = &request.path;
@@ -224,7 +268,14 @@
         } else if path.starts_with("/changes?under=job/") {
             // Now and then so slow that whoever passed a poll on to the leader answers by itself.
             questions.set(questions.get() + 1u32);
-            (some(10), if questions.get().is_multiple_of(10) { ms(650) } else { some(120) })
+            (
+                some(10),
+                if questions.get().is_multiple_of(10) {
+                    ms(650)
+                } else {
+                    some(120)
+                },
+            )
         } else {
             (Micros::ZERO, Micros::ZERO)
         }
@@ -234,7 +285,11 @@
 
 fn leader(site: &Site) -> Option<usize> {
     let name = site.state.get("leader")?;
-    name.get("node").and_then(Value::as_str)?.strip_prefix("node-")?.parse().ok()
+    name.get("node")
+        .and_then(Value::as_str)?
+        .strip_prefix("node-")?
+        .parse()
+        .ok()
 }
 
 const JOBS: u32 = 90;
@@ -287,7 +342,12 @@
 /// Plays one user for each job, one beginning every 75 ms, with something that happens as each begins; then no node may
 /// have answered anything older than what was known, no rule of the workers be broken, and every node have told
 /// every job's end.
-async fn play(users: &Rc<Users>, site: Site, jobs: &[Rc<Job>], happens: impl Fn(&RefCell<Site>, usize)) {
+async fn play(
+    users: &Rc<Users>,
+    site: Site,
+    jobs: &[Rc<Job>],
+    happens: impl Fn(&RefCell<Site>, usize),
+) {
     let started = runtime::now();
     let site = Rc::new(RefCell::new(site));
     for (n, job) in jobs.iter().enumerate() {
@@ -296,7 +356,10 @@
         happens(&site, n);
     }
     let told = |job: &Job, node: usize| {
-        job.looks.borrow().iter().any(|l| l.node == node && l.request == Request::Poll && l.said.is_final())
+        job.looks
+            .borrow()
+            .iter()
+            .any(|l| l.node == node && l.request == Request::Poll && l.said.is_final())
     };
     let all_told = || jobs.iter().all(|j| (0..NODES).all(|n| told(j, n)));
     let end = runtime::now() + Micros::from_secs(30);
@@ -308,9 +371,18 @@
     println!("over after {} ms", (runtime::now() - started).as_millis());
     let mut found = Vec::new();
     for job in jobs {
-        found.extend(faults(&job.looks.borrow()).into_iter().map(|f| format!("{}: {f}", job.id)));
+        found.extend(
+            faults(&job.looks.borrow())
+                .into_iter()
+                .map(|f| format!("{}: {f}", job.id)),
+        );
     }
-    assert!(found.is_empty(), "{} faults, the first:\n{}", found.len(), found[..found.len().min(12)].join("\n"));
+    assert!(
+        found.is_empty(),
+        "{} faults, the first:\n{}",
+        found.len(),
+        found[..found.len().min(12)].join("\n")
+    );
     assert_eq!(*site.borrow().works.broken.borrow(), Vec::<String>::new());
     assert!(all_told(), "a job's end is not told at all nodes");
 }
@@ -329,7 +401,9 @@
                 site.borrow().state.end_lease_of("leader");
             } else if let Some(leader) = leader {
                 site.borrow_mut().kill_controller(leader);
-                site.borrow_mut().start_controller(leader).expect("a controller");
+                site.borrow_mut()
+                    .start_controller(leader)
+                    .expect("a controller");
             }
         };
         play(&users, site, &jobs, ends_leaders).await;
@@ -337,17 +411,30 @@
         let looks: Vec<Look> = jobs.iter().flat_map(|j| j.looks.borrow().clone()).collect();
         let count = |what: &dyn Fn(&Look) -> bool| looks.iter().filter(|l| what(l)).count();
         for node in 0..NODES {
-            for (request, least) in
-                [(Request::Poll, 500), (Request::Submit, 150), (Request::CancellationToken, 100)]
-            {
+            for (request, least) in [
+                (Request::Poll, 500),
+                (Request::Submit, 150),
+                (Request::CancellationToken, 100),
+            ] {
                 let of = |l: &Look| l.node == node && l.request == request;
                 let answered = count(&|l| of(l) && l.said.stage().is_some());
                 println!("node {node}: {request:?} {answered} of {}", count(&of));
-                assert!(answered >= least, "node {node} answered {answered} times to {request:?}");
+                assert!(
+                    answered >= least,
+                    "node {node} answered {answered} times to {request:?}"
+                );
             }
         }
-        let ends = |said| jobs.iter().filter(|j| j.looks.borrow().iter().any(|l| l.said == said)).count();
-        println!("done {}, cancelled {}", ends(Said::Done), ends(Said::Cancelled));
+        let ends = |said| {
+            jobs.iter()
+                .filter(|j| j.looks.borrow().iter().any(|l| l.said == said))
+                .count()
+        };
+        println!(
+            "done {}, cancelled {}",
+            ends(Said::Done),
+            ends(Said::Cancelled)
+        );
         assert!(ends(Said::Done) >= 20 && ends(Said::Cancelled) >= 20);
     });
 }
@@ -379,21 +466,33 @@
             async move {
                 let end = runtime::now() + Micros::from_secs(8);
                 while works.has_task_of(&id) != wanted {
-                    assert!(runtime::now() < end, "a task is there: {}, after 8 s", !wanted);
+                    assert!(
+                        runtime::now() < end,
+                        "a task is there: {}, after 8 s",
+                        !wanted
+                    );
                     runtime::sleep(ms(20)).await;
                 }
             }
         };
         users.accept(&long, other).await;
         until(true).await;
-        assert_eq!(users.ask(&long, other, Request::CancellationToken).await, Said::Cancelled);
+        assert_eq!(
+            users.ask(&long, other, Request::CancellationToken).await,
+            Said::Cancelled
+        );
         until(false).await;
-        let jobs: Vec<Rc<Job>> = (0..JOBS / 2).map(|n| users.job(5000 + n, ESTIMATE_S)).collect();
+        let jobs: Vec<Rc<Job>> = (0..JOBS / 2)
+            .map(|n| users.job(5000 + n, ESTIMATE_S))
+            .collect();
         play(&users, site, &jobs, |_, _| {}).await;
         noisy.set(false);
         let refused = state.too_old.get();
         println!("watches refused as too old: {refused}");
-        assert!(refused >= 20, "only {refused} watches were refused as too old");
+        assert!(
+            refused >= 20,
+            "only {refused} watches were refused as too old"
+        );
     });
 }
 
@@ -422,7 +521,11 @@
             }
             let (users, path, unanswered) = (users.clone(), path.clone(), unanswered.clone());
             runtime::spawn(async move {
-                if users.clients[former].send(Method::Get, &path, &[], ms(2_000)).await.is_err() {
+                if users.clients[former]
+                    .send(Method::Get, &path, &[], ms(2_000))
+                    .await
+                    .is_err()
+                {
                     unanswered.borrow_mut().push(n);
                 }
             });
@@ -430,7 +533,8 @@
         }
         runtime::sleep(ms(2_100)).await;
         assert_eq!(*unanswered.borrow(), Vec::<i32>::new(), "of {asked} polls");
-        let log = std::fs::read_to_string(site.plan.dir.join(format!("node-{former}.log"))).expect("a log");
+        let log = std::fs::read_to_string(site.plan.dir.join(format!("node-{former}.log")))
+            .expect("a log");
         assert!(log.contains("leadership lost"), "{log}");
     });
 }
@@ -443,22 +547,46 @@
         let users = Users::new(&site);
         // Their users were told that they are accepted, or over; what became of them can't be read.
         let (open, over) = (users.job(3000, 1.0), users.job(3001, 1.0));
-        site.state.put(&format!("job/{}", open.id), Value::from("garbled"));
-        site.state.put(&format!("end/{}", over.id), Value::from("garbled"));
+        site.state
+            .put(&format!("job/{}", open.id), Value::from("garbled"));
+        site.state
+            .put(&format!("end/{}", over.id), Value::from("garbled"));
         let ended = users.job(1, 0.1);
         for node in 0..NODES {
-            assert_eq!(users.ask(&open, node, Request::Poll).await, Said::Accepted, "node {node}");
-            assert_eq!(users.ask(&open, node, Request::Submit).await, Said::Accepted, "node {node}");
+            assert_eq!(
+                users.ask(&open, node, Request::Poll).await,
+                Said::Accepted,
+                "node {node}"
+            );
+            assert_eq!(
+                users.ask(&open, node, Request::Submit).await,
+                Said::Accepted,
+                "node {node}"
+            );
             for request in [Request::Poll, Request::Submit, Request::CancellationToken] {
-                assert_eq!(users.ask(&over, node, request).await, Said::Nothing, "{request:?} at node {node}");
+                assert_eq!(
+                    users.ask(&over, node, request).await,
+                    Said::Nothing,
+                    "{request:?} at node {node}"
+                );
             }
             let path = format!("/api/jobs/{}?from=here", ended.id);
-            let answer = users.clients[node].send(Method::Get, &path, &[], ms(2_000)).await.expect("an answer");
+            let answer = users.clients[node]
+                .send(Method::Get, &path, &[], ms(2_000))
+                .await
+                .expect("an answer");
             assert_eq!(answer.status, 200, "node {node}");
         }
-        assert_eq!(users.ask(&open, 1, Request::CancellationToken).await, Said::Cancelled);
+        assert_eq!(
+            users.ask(&open, 1, Request::CancellationToken).await,
+            Said::Cancelled
+        );
         for node in 0..NODES {
-            assert_eq!(users.ask(&open, node, Request::Poll).await, Said::Cancelled, "node {node}");
+            assert_eq!(
+                users.ask(&open, node, Request::Poll).await,
+                Said::Cancelled,
+                "node {node}"
+            );
         }
     });
 }
@@ -471,8 +599,12 @@
         let site = site("slow-renewals").await;
         let users = Users::new(&site);
         let renewal = |r: &runtime::http::Request| r.path.ends_with("/renew");
-        let slow =
-            move |r: &runtime::http::Request| (Micros::ZERO, if renewal(r) { ms(1_300) } else { Micros::ZERO });
+        let slow = move |r: &runtime::http::Request| {
+            (
+                Micros::ZERO,
+                if renewal(r) { ms(1_300) } else { Micros::ZERO },
+            )
+        };
         *site.state.lag.borrow_mut() = Some(Box::new(slow));
         // Longer than any entitlement from before.
         runtime::sleep(Micros::from_secs(12)).await;
--- a/crates/hopyoke-event-loop/src/cancel.rs
+++ b/crates/hopyoke-event-loop/src/cancel.rs
@@ -34,7 +34,10 @@
     /// Runs `future` until it ends (`Some`) or the token is cancelled (`None`).
     pub async fn run<F: Future>(&self, future: F) -> Option<F::Output> {
         let mut future = std::pin::pin!(future);
-        let mut slot = Slot { cancel: self.clone(), key: None };
+        let mut slot = Slot {
+            cancel: self.clone(),
+            key: None,
+        };
         std::future::poll_fn(|cx| {
             if self.is_cancelled() {
                 return Poll::Ready(None);
--- a/crates/hopyoke-event-loop/src/http/client.rs
+++ b/crates/hopyoke-event-loop/src/http/client.rs
@@ -41,7 +41,12 @@
 
 impl Client {
     pub fn new(addr: SocketAddr) -> Client {
-        Client { addr, host: addr.to_string(), idle: RefCell::default(), open: Cell::new(0) }
+        Client {
+            addr,
+            host: addr.to_string(),
+            idle: RefCell::default(),
+            open: Cell::new(0),
+        }
     }
 
     /// Sends a request and waits for its answer, `limit` at most in all.
@@ -65,7 +70,8 @@
         body: &[u8],
         limit: Micros,
     ) -> Result<Response, ClientError> {
-        self.send_if(&may, method, path, (MSGPACK, body), "", limit).await
+        self.send_if(&may, method, path, (MSGPACK, body), "", limit)
+            .await
     }
 
     /// The same with a body of any type, and further header lines, each with its end.
@@ -77,7 +83,8 @@
         headers: &str,
         limit: Micros,
     ) -> Result<Response, ClientError> {
-        self.send_if(&|| true, method, path, body, headers, limit).await
+        self.send_if(&|| true, method, path, body, headers, limit)
+            .await
     }
 
     async fn send_if(
@@ -97,9 +104,9 @@
         let deadline = runtime::now() + limit;
         let stream = match self.pooled() {
             Some(s) => s,
-            None => {
-                TcpStream::connect(self.addr, limit).await.map_err(|_| ClientError::NotSent("no connection"))?
-            }
+            None => TcpStream::connect(self.addr, limit)
+                .await
+                .map_err(|_| ClientError::NotSent("no connection"))?,
         };
         if !may() {
             return Err(ClientError::NotSent("it may no longer be sent"));
@@ -135,9 +142,19 @@
     ) -> Result<(Response, bool), ReadError> {
         use std::io::Write;
         let mut out = Vec::with_capacity(128 + path.len() + body.len());
-        let _ = write!(out, "{} {} HTTP/1.1\r\nHost: {}\r\n{headers}", method.as_str(), path, self.host);
+        let _ = write!(
+            out,
+            "{} {} HTTP/1.1\r\nHost: {}\r\n{headers}",
+            method.as_str(),
+            path,
+            self.host
+        );
         if !body.is_empty() || method == Method::Post {
-            let _ = write!(out, "Content-Type: {content_type}\r\nContent-Length: {}\r\n", body.len());
+            let _ = write!(
+                out,
+                "Content-Type: {content_type}\r\nContent-Length: {}\r\n",
+                body.len()
+            );
         }
         out.extend_from_slice(b"\r\n");
         out.extend_from_slice(body);
@@ -150,6 +167,13 @@
         let body = reader.body(stream, &head, MAX_ANSWER).await?;
         let keep = !head.close && !reader.has_some();
         let retry_after_s = head.retry_after_s;
-        Ok((Response { body, retry_after_s, ..Response::empty(head.status) }, keep))
+        Ok((
+            Response {
+                body,
+                retry_after_s,
+                ..Response::empty(head.status)
+            },
+            keep,
+        ))
     }
 }
--- a/crates/hopyoke-event-loop/src/http/message.rs
+++ b/crates/hopyoke-event-loop/src/http/message.rs
@@ -41,7 +41,12 @@
 
 impl Request {
     pub fn new(method: Method, path: String, body: Vec<u8>) -> Request {
-        Request { method, path, body, ..Request::default() }
+        Request {
+            method,
+            path,
+            body,
+            ..Request::default()
+        }
     }
 }
 
@@ -60,17 +65,30 @@
 
 impl Response {
     pub fn empty(status: u16) -> Response {
-        Response { status, body: Vec::new(), retry_after_s: None, content_type: MSGPACK, close: false }
+        Response {
+            status,
+            body: Vec::new(),
+            retry_after_s: None,
+            content_type: MSGPACK,
+            close: false,
+        }
     }
 
     /// A body of the platform's interfaces.
     pub fn of<T: Serialize>(status: u16, body: &T) -> Response {
-        Response { body: hopyoke_protocol::encode(body), ..Response::empty(status) }
+        Response {
+            body: hopyoke_protocol::encode(body),
+            ..Response::empty(status)
+        }
     }
 
     /// Any other body.
     pub fn with_body(status: u16, content_type: &'static str, body: Vec<u8>) -> Response {
-        Response { body, content_type, ..Response::empty(status) }
+        Response {
+            body,
+            content_type,
+            ..Response::empty(status)
+        }
     }
 
     pub fn retry_after(mut self, seconds: u32) -> Response {
@@ -193,7 +211,12 @@
     }
 
     /// Reads the body that `head` announces, up to `max` bytes, and refuses to read on past it.
-    pub async fn body(&mut self, stream: &TcpStream, head: &Head, max: usize) -> Result<Vec<u8>, ReadError> {
+    pub async fn body(
+        &mut self,
+        stream: &TcpStream,
+        head: &Head,
+        max: usize,
+    ) -> Result<Vec<u8>, ReadError> {
         if head.chunked {
             return self.chunked(stream, max).await;
         }
@@ -228,7 +251,9 @@
             let (used, size) = loop {
                 match httparse::parse_chunk_size(&self.buf) {
                     Ok(httparse::Status::Complete(x)) => break x,
-                    Ok(httparse::Status::Partial) if self.buf.len() <= 256 => self.fill(stream).await?,
+                    Ok(httparse::Status::Partial) if self.buf.len() <= 256 => {
+                        self.fill(stream).await?
+                    }
                     _ => return Err(ReadError::Malformed("chunk size")),
                 }
             };
@@ -267,24 +292,42 @@
     let bad = |_| ReadError::Malformed("head");
     let (mut head, used, version, headers) = if request {
         let mut r = httparse::Request::new(&mut headers);
-        let httparse::Status::Complete(used) = r.parse(buf).map_err(bad)? else { return Ok(None) };
+        let httparse::Status::Complete(used) = r.parse(buf).map_err(bad)? else {
+            return Ok(None);
+        };
         let method = match r.method {
             Some("GET") => Method::Get,
             Some("POST") => Method::Post,
             Some("DELETE") => Method::Delete,
             _ => Method::Other,
         };
-        (blank(method, r.path.unwrap_or("/").to_owned(), 0), used, r.version, r.headers)
+        (
+            blank(method, r.path.unwrap_or("/").to_owned(), 0),
+            used,
+            r.version,
+            r.headers,
+        )
     } else {
         let mut r = httparse::Response::new(&mut headers);
-        let httparse::Status::Complete(used) = r.parse(buf).map_err(bad)? else { return Ok(None) };
-        (blank(Method::Other, String::new(), r.code.unwrap_or(0)), used, r.version, r.headers)
+        let httparse::Status::Complete(used) = r.parse(buf).map_err(bad)? else {
+            return Ok(None);
+        };
+        (
+            blank(Method::Other, String::new(), r.code.unwrap_or(0)),
+            used,
+            r.version,
+            r.headers,
+        )
     };
     head.close = version == Some(0);
     for h in headers.iter() {
-        let value = std::str::from_utf8(h.value).map_err(|_| ReadError::Malformed("header"))?.trim();
+        let value = std::str::from_utf8(h.value)
+            .map_err(|_| ReadError::Malformed("header"))?
+            .trim();
         if h.name.eq_ignore_ascii_case("content-length") {
-            let n: usize = value.parse().map_err(|_| ReadError::Malformed("content-length"))?;
+            let n: usize = value
+                .parse()
+                .map_err(|_| ReadError::Malformed("content-length"))?;
             if head.length.is_some_and(|m| m != n) {
                 return Err(ReadError::Malformed("content-length"));
             }
--- a/crates/hopyoke-event-loop/src/http/server.rs
+++ b/crates/hopyoke-event-loop/src/http/server.rs
@@ -102,16 +102,24 @@
                 _ => return,
             }
         }
-        let request = match runtime::timeout(limits.request, read(&mut reader, &stream, limits.body)).await {
-            Ok(Ok(r)) => r,
-            Ok(Err(e @ (ReadError::Malformed(_) | ReadError::TooLarge))) => {
-                // 400 even for an oversized body: users retry any other status.
-                let refusal = Response::of(400, &Refusal { error: &e.to_string() }).closing();
-                let _ = runtime::timeout(limits.request, stream.write_all(&refusal.encode())).await;
-                return;
-            }
-            _ => return,
-        };
+        let request =
+            match runtime::timeout(limits.request, read(&mut reader, &stream, limits.body)).await {
+                Ok(Ok(r)) => r,
+                Ok(Err(e @ (ReadError::Malformed(_) | ReadError::TooLarge))) => {
+                    // 400 even for an oversized body: users retry any other status.
+                    let refusal = Response::of(
+                        400,
+                        &Refusal {
+                            error: &e.to_string(),
+                        },
+                    )
+                    .closing();
+                    let _ =
+                        runtime::timeout(limits.request, stream.write_all(&refusal.encode())).await;
+                    return;
+                }
+                _ => return,
+            };
         let close = request.close;
         let mut response = handler(request).await;
         response.close |= close || open.get() > limits.crowded;
--- a/crates/hopyoke-event-loop/src/lib.rs
+++ b/crates/hopyoke-event-loop/src/lib.rs
@@ -31,10 +31,16 @@
 
 impl ReadyQueue {
     fn push(&self, id: usize) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).push_back(id);
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push_back(id);
     }
     fn pop(&self) -> Option<usize> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).pop_front()
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .pop_front()
     }
     fn len(&self) -> usize {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).len()
@@ -86,7 +92,9 @@
 }
 
 pub(crate) fn inner() -> Rc<Inner> {
-    CURRENT.with(|c| c.borrow().clone()).expect("used outside of a running runtime")
+    CURRENT
+        .with(|c| c.borrow().clone())
+        .expect("used outside of a running runtime")
 }
 
 /// Runs `main` and everything that it spawns until `main` ends.
@@ -114,7 +122,11 @@
         if finished.get() {
             break;
         }
-        let timeout = if inner.ready.len() > 0 { Some(Duration::ZERO) } else { inner.until_next_timer() };
+        let timeout = if inner.ready.len() > 0 {
+            Some(Duration::ZERO)
+        } else {
+            inner.until_next_timer()
+        };
         match poll.poll(&mut events, timeout) {
             Ok(()) => {}
             Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
@@ -154,9 +166,14 @@
                 e.waker.queued.store(false, Ordering::Relaxed);
                 e.future.take().map(|f| (f, e.waker.clone()))
             });
-            let Some((mut future, waker)) = taken else { continue };
+            let Some((mut future, waker)) = taken else {
+                continue;
+            };
             let waker = Waker::from(waker);
-            let done = future.as_mut().poll(&mut Context::from_waker(&waker)).is_ready();
+            let done = future
+                .as_mut()
+                .poll(&mut Context::from_waker(&waker))
+                .is_ready();
             if done {
                 // Dropped outside of the borrow: a destructor may spawn or cancel timers.
                 drop(future);
@@ -201,7 +218,11 @@
 
 /// The time of day since 1970; it may be off by the settings' `skew_ms`.
 pub fn time_of_day() -> Micros {
-    Micros(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64))
+    Micros(
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as u64),
+    )
 }
 
 /// Starts a routine.
@@ -211,8 +232,15 @@
         let mut routines = rt.routines.borrow_mut();
         let slot = routines.vacant_entry();
         let id = slot.key();
-        let waker = Arc::new(RoutineWaker { id, queued: AtomicBool::new(true), ready: rt.ready.clone() });
-        slot.insert(Entry { future: Some(Box::pin(future)), waker });
+        let waker = Arc::new(RoutineWaker {
+            id,
+            queued: AtomicBool::new(true),
+            ready: rt.ready.clone(),
+        });
+        slot.insert(Entry {
+            future: Some(Box::pin(future)),
+            waker,
+        });
         id
     };
     rt.ready.push(id);
@@ -276,7 +304,9 @@
                 id
             }
         };
-        rt.timers.borrow_mut().insert((self.deadline, id), cx.waker().clone());
+        rt.timers
+            .borrow_mut()
+            .insert((self.deadline, id), cx.waker().clone());
         Poll::Pending
     }
 }
--- a/crates/hopyoke-event-loop/src/net.rs
+++ b/crates/hopyoke-event-loop/src/net.rs
@@ -20,7 +20,10 @@
     fn new(source: &mut impl mio::event::Source, interest: Interest) -> io::Result<Registration> {
         let rt = inner();
         let key = rt.io.borrow_mut().insert(IoWaits::default());
-        let reg = Registration { rt: rt.clone(), key };
+        let reg = Registration {
+            rt: rt.clone(),
+            key,
+        };
         rt.registry.register(source, mio::Token(key), interest)?;
         Ok(reg)
     }
@@ -103,7 +106,9 @@
             }
             match stream.socket.peer_addr() {
                 Ok(_) => Poll::Ready(Ok(())),
-                Err(e) if e.kind() == io::ErrorKind::NotConnected || e.raw_os_error() == Some(115) => {
+                Err(e)
+                    if e.kind() == io::ErrorKind::NotConnected || e.raw_os_error() == Some(115) =>
+                {
                     stream.reg.wait_write(cx);
                     Poll::Pending
                 }
@@ -184,7 +189,11 @@
 }
 
 impl hyper::rt::Write for TcpStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         TcpStream::poll_write(&self, cx, buf)
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/hopyoke-experiments/src/figures.rs
+++ b/crates/hopyoke-experiments/src/figures.rs
@@ -58,7 +58,12 @@
         before: share(&|o| o.finished_s < o.p10_s),
         after: share(&|o| o.finished_s > o.p90_s),
         error: 100.0 * median(all.iter().map(|o| error(o)).collect()),
-        owner_error: 100.0 * median(guessed.map(|o| (o.guess_s - o.ran_s).abs() / o.ran_s).collect()),
+        owner_error: 100.0
+            * median(
+                guessed
+                    .map(|o| (o.guess_s - o.ran_s).abs() / o.ran_s)
+                    .collect(),
+            ),
         width: 100.0 * median(all.iter().map(|o| (o.p90_s - o.p10_s) / o.ran_s).collect()),
     }
 }
@@ -73,26 +78,48 @@
     }
     let mut rows = vec![row("all", &all)];
     rows.extend(classes.iter().map(|(name, of)| row(name, of)));
-    let first = all.iter().map(|o| o.submitted_s).fold(f64::INFINITY, f64::min);
-    let recover = |(class, at): &(String, f64)| recovery(class, first + at, classes.get(class.as_str())?);
-    Figures { rows, recoveries: changes.iter().filter_map(recover).collect() }
+    let first = all
+        .iter()
+        .map(|o| o.submitted_s)
+        .fold(f64::INFINITY, f64::min);
+    let recover =
+        |(class, at): &(String, f64)| recovery(class, first + at, classes.get(class.as_str())?);
+    Figures {
+        rows,
+        recoveries: changes.iter().filter_map(recover).collect(),
+    }
 }
 
 /// After how many completions of changed runs predictions are as good as before.
 fn recovery(class: &str, at_s: f64, of: &[&Outcome]) -> Option<Recovery> {
-    let before: Vec<f64> = of.iter().filter(|o| o.finished_s < at_s).map(|o| error(o)).collect();
+    let before: Vec<f64> = of
+        .iter()
+        .filter(|o| o.finished_s < at_s)
+        .map(|o| error(o))
+        .collect();
     let ordinary = median(before[before.len().saturating_sub(300)..].to_vec());
-    let mut ends: Vec<f64> = of.iter().filter(|o| o.submitted_s >= at_s).map(|o| o.finished_s).collect();
+    let mut ends: Vec<f64> = of
+        .iter()
+        .filter(|o| o.submitted_s >= at_s)
+        .map(|o| o.finished_s)
+        .collect();
     ends.sort_by(f64::total_cmp);
     // Fifteen predictions made next after so many completions; ordinary is up to half more than
     // the median before, for fifteen are few.
     let next = |k: usize| {
         let from = if k == 0 { at_s } else { *ends.get(k - 1)? };
-        let later = of.iter().filter(|o| o.submitted_s >= at_s && o.predicted_at_s >= from);
+        let later = of
+            .iter()
+            .filter(|o| o.submitted_s >= at_s && o.predicted_at_s >= from);
         Some(median(later.take(15).map(|o| error(o)).collect()))
     };
     let completions = (0..40).find(|k| next(*k).is_some_and(|e| e <= ordinary * 1.5));
-    Some(Recovery { class: class.to_owned(), at_s, completions, ordinary: 100.0 * ordinary })
+    Some(Recovery {
+        class: class.to_owned(),
+        at_s,
+        completions,
+        ordinary: 100.0 * ordinary,
+    })
 }
 
 impl Figures {
@@ -115,9 +142,14 @@
             );
         }
         for r in &self.recoveries {
-            let when = r.completions.map_or("not within 40".to_owned(), |k| format!("after {k}"));
-            let _ =
-                writeln!(out, "{} changed at {:.0} s: predictions as before {when} completions", r.class, r.at_s);
+            let when = r
+                .completions
+                .map_or("not within 40".to_owned(), |k| format!("after {k}"));
+            let _ = writeln!(
+                out,
+                "{} changed at {:.0} s: predictions as before {when} completions",
+                r.class, r.at_s
+            );
         }
         out
     }
--- a/crates/hopyoke-experiments/src/flows.rs
+++ b/crates/hopyoke-experiments/src/flows.rs
@@ -25,14 +25,23 @@
 
 fn spec(id: JobId, tasks: u32) -> JobSpec {
     let plain = JobSpec::plain(id, "step", "crew", "img");
-    JobSpec { tasks, image_gb: 0.1, estimate_s: TASK_S, ..plain }
+    JobSpec {
+        tasks,
+        image_gb: 0.1,
+        estimate_s: TASK_S,
+        ..plain
+    }
 }
 
 /// So many chains of so many steps, beside each other.
 fn plan(chains: u32, length: u32) -> Plan {
     let step = |i: u32| PlanStep {
         path: format!("chain{}/step{}", i / length, i % length),
-        after: if i.is_multiple_of(length) { Vec::new() } else { vec![StepNo(i - 1)] },
+        after: if i.is_multiple_of(length) {
+            Vec::new()
+        } else {
+            vec![StepNo(i - 1)]
+        },
         shape: Some(0),
         tasks: 1,
     };
@@ -67,18 +76,30 @@
         plan: serde_json::to_vec(plan).unwrap_or_default(),
         ..SubmitRun::default()
     });
-    controllers.ask(ask, Micros::from_secs(60)).await.map(|_| ()).map_err(|e| e.to_string())
+    controllers
+        .ask(ask, Micros::from_secs(60))
+        .await
+        .map(|_| ())
+        .map_err(|e| e.to_string())
 }
 
 /// Waits until all these runs are over, by their records; the time that took.
 async fn over(site: &Site, runs: &[RunId], limit_s: u64) -> Option<Micros> {
     let began = runtime::now();
-    let all = |s: &Site| runs.iter().all(|r| s.state.get(&format!("flowend/{r}")).is_some());
-    site.until(Micros::from_secs(limit_s), all).await.then(|| runtime::now() - began)
+    let all = |s: &Site| {
+        runs.iter()
+            .all(|r| s.state.get(&format!("flowend/{r}")).is_some())
+    };
+    site.until(Micros::from_secs(limit_s), all)
+        .await
+        .then(|| runtime::now() - began)
 }
 
 fn processor_ms(site: &Site) -> f64 {
-    (0..site.plan.controllers).map(|i| site.processor_s(i)).sum::<f64>() * 1e3
+    (0..site.plan.controllers)
+        .map(|i| site.processor_s(i))
+        .sum::<f64>()
+        * 1e3
 }
 
 fn run(n: u64) -> RunId {
@@ -93,7 +114,8 @@
     let length = (steps / chains).max(2);
     let total = chains * length;
     // Natively: the same jobs, each submitted when the one before it in its chain is done.
-    let site = Site::start(site_plan(program, &dir.join("native"), 1, 8)).map_err(|e| e.to_string())?;
+    let site =
+        Site::start(site_plan(program, &dir.join("native"), 1, 8)).map_err(|e| e.to_string())?;
     warm(&site).await?;
     let (before, began) = (processor_ms(&site), runtime::now());
     let mut next: Vec<u32> = vec![0; chains as usize];
@@ -107,7 +129,9 @@
             let id = JobId::new(&format!("req-{}", 1000 + c as u32 * length + *step / 2));
             if step.is_multiple_of(2) {
                 let body = hopyoke_protocol::encode(&spec(id, 1));
-                let answer = client.send(Method::Post, "/api/jobs", &body, Micros::from_secs(5)).await;
+                let answer = client
+                    .send(Method::Post, "/api/jobs", &body, Micros::from_secs(5))
+                    .await;
                 *step += u32::from(answer.is_ok_and(|r| r.status < 300));
             } else if site.state.get(&format!("end/{id}")).is_some() {
                 *step += 1;
@@ -127,26 +151,44 @@
     });
     drop(site);
     // The same as a run.
-    let site = Site::start(site_plan(program, &dir.join("run"), 1, 8)).map_err(|e| e.to_string())?;
+    let site =
+        Site::start(site_plan(program, &dir.join("run"), 1, 8)).map_err(|e| e.to_string())?;
     warm(&site).await?;
     let controllers = Controllers::new(site.mesh.clone());
     let before = processor_ms(&site);
     submit(&controllers, run(1), &plan(chains, length)).await?;
-    let took = over(&site, &[run(1)], 300).await.ok_or("the run takes too long")?;
+    let took = over(&site, &[run(1)], 300)
+        .await
+        .ok_or("the run takes too long")?;
     let run_ms = (processor_ms(&site) - before) / f64::from(total);
     let run_gap = gap(&site, |job| {
         let (r, step, _) = parts_of(job)?;
         (r == run(1)).then_some((u64::from(step.0 / length), step.0 % length))
     });
-    let bytes = |prefix: &str| site.state.written.borrow().get(prefix).copied().unwrap_or(0) as f64;
+    let bytes = |prefix: &str| {
+        site.state
+            .written
+            .borrow()
+            .get(prefix)
+            .copied()
+            .unwrap_or(0) as f64
+    };
     let per_step = |prefix: &str| bytes(prefix) / f64::from(total);
-    lines.push(format!("{total} steps in {chains} chains, tasks of {TASK_S} s, one controller, 8 machines"));
-    lines.push(format!("processor a step: {run_ms:.2} ms, of a native job: {native_ms:.2} ms"));
+    lines.push(format!(
+        "{total} steps in {chains} chains, tasks of {TASK_S} s, one controller, 8 machines"
+    ));
+    lines.push(format!(
+        "processor a step: {run_ms:.2} ms, of a native job: {native_ms:.2} ms"
+    ));
     lines.push(format!(
         "next step begins after the last one's end: median {run_gap:.2} s, natively {native_gap:.2} s"
     ));
     for share in [0.096, 0.16] {
-        lines.push(format!("steps a second at {:.1}% of a core: {:.0}", share * 100.0, share * 1e3 / run_ms));
+        lines.push(format!(
+            "steps a second at {:.1}% of a core: {:.0}",
+            share * 100.0,
+            share * 1e3 / run_ms
+        ));
     }
     lines.push(format!(
         "bytes written a step: plan {:.0}, progress {:.0}, head and grant {:.0}; of its job {:.0}",
@@ -155,7 +197,11 @@
         per_step("flow") + per_step("flowend"),
         per_step("job") + per_step("end")
     ));
-    lines.push(format!("the run took {:.1} s, its controller {:.0} MB", took.as_secs_f64(), site.memory_mb(0)));
+    lines.push(format!(
+        "the run took {:.1} s, its controller {:.0} MB",
+        took.as_secs_f64(),
+        site.memory_mb(0)
+    ));
     let holds = site.works.broken.borrow().is_empty();
     Ok(Shown { lines, holds })
 }
@@ -163,10 +209,15 @@
 /// Machines are up before anything is measured.
 async fn warm(site: &Site) -> Result<(), String> {
     let client = Client::new(site.users[0]);
-    let body = hopyoke_protocol::encode(&JobSpec { class: "warm".into(), ..spec(JobId::new("req-7"), 100) });
+    let body = hopyoke_protocol::encode(&JobSpec {
+        class: "warm".into(),
+        ..spec(JobId::new("req-7"), 100)
+    });
     let began = runtime::now();
     loop {
-        let answer = client.send(Method::Post, "/api/jobs", &body, Micros::from_secs(5)).await;
+        let answer = client
+            .send(Method::Post, "/api/jobs", &body, Micros::from_secs(5))
+            .await;
         if answer.is_ok_and(|r| r.status < 300) {
             break;
         }
@@ -176,7 +227,11 @@
         runtime::sleep(Micros::from_millis(200)).await;
     }
     let done = |s: &Site| s.state.get("end/req-7").is_some();
-    if site.until(Micros::from_secs(60), done).await { Ok(()) } else { Err("machines don't come up".into()) }
+    if site.until(Micros::from_secs(60), done).await {
+        Ok(())
+    } else {
+        Err("machines don't come up".into())
+    }
 }
 
 /// The median time from a step's end to the start of the next one in its chain, in seconds.
@@ -203,7 +258,8 @@
 /// once.
 pub async fn recovery(program: &Path, dir: &Path, runs: u64, steps: u32) -> Result<Shown, String> {
     let mut lines = Vec::new();
-    let mut site = Site::start(site_plan(program, &dir.join("recovery"), 3, 60)).map_err(|e| e.to_string())?;
+    let mut site =
+        Site::start(site_plan(program, &dir.join("recovery"), 3, 60)).map_err(|e| e.to_string())?;
     warm(&site).await?;
     let controllers = Controllers::new(site.mesh.clone());
     let length = 10.min(steps);
@@ -214,15 +270,24 @@
         submit(&controllers, *id, &plan).await?;
     }
     let ends = |s: &Site| s.state.keys("end/req-9").len() as u64;
-    if !site.until(Micros::from_secs(300), |s| ends(s) >= total * 2 / 5).await {
-        return Err(format!("{} of {total} steps are done after 300 s", ends(&site)));
+    if !site
+        .until(Micros::from_secs(300), |s| ends(s) >= total * 2 / 5)
+        .await
+    {
+        return Err(format!(
+            "{} of {total} steps are done after 300 s",
+            ends(&site)
+        ));
     }
     let (done_then, open_then) = (ends(&site), site.state.keys("job/req-9").len());
     for i in 0..3 {
         site.kill_controller(i);
     }
-    let open: Vec<RunId> =
-        ids.iter().copied().filter(|r| site.state.get(&format!("flowend/{r}")).is_none()).collect();
+    let open: Vec<RunId> = ids
+        .iter()
+        .copied()
+        .filter(|r| site.state.get(&format!("flowend/{r}")).is_none())
+        .collect();
     let killed = runtime::now();
     runtime::sleep(Micros::from_secs(5)).await;
     for i in 0..3 {
@@ -231,13 +296,17 @@
     let restarted = runtime::now();
     let since = |t: Micros| (runtime::now() - t).as_secs_f64();
     // A run goes on once a job of it was accepted, or it ended, after the restart.
-    let known: BTreeMap<String, u64> = open.iter().map(|r| (r.to_string(), accepted(&site, *r))).collect();
+    let known: BTreeMap<String, u64> = open
+        .iter()
+        .map(|r| (r.to_string(), accepted(&site, *r)))
+        .collect();
     let mut first = None;
     let mut all = None;
     let limit = runtime::now() + Micros::from_secs(120);
     while all.is_none() && runtime::now() < limit {
         let on = |r: &&RunId| {
-            accepted(&site, **r) > known[&r.to_string()] || site.state.get(&format!("flowend/{r}")).is_some()
+            accepted(&site, **r) > known[&r.to_string()]
+                || site.state.get(&format!("flowend/{r}")).is_some()
         };
         let n = open.iter().filter(on).count();
         if n > 0 && first.is_none() {
@@ -263,11 +332,21 @@
         .collect();
     let twice = jobs.len() - steps_seen.len();
     let broken = site.works.broken.borrow().len();
-    let told = controllers
-        .ask(Ask::Get(RunQuestion { run: ids[0].number(), ..RunQuestion::default() }), Micros::from_secs(20));
+    let told = controllers.ask(
+        Ask::Get(RunQuestion {
+            run: ids[0].number(),
+            ..RunQuestion::default()
+        }),
+        Micros::from_secs(20),
+    );
     let told = told.await.map_err(|e| e.to_string())?;
-    lines.push(format!("{runs} runs of {} steps, 3 controllers, 60 machines", plan.steps.len()));
-    lines.push(format!("all controllers end with {done_then} of {total} steps done and {open_then} under way"));
+    lines.push(format!(
+        "{runs} runs of {} steps, 3 controllers, 60 machines",
+        plan.steps.len()
+    ));
+    lines.push(format!(
+        "all controllers end with {done_then} of {total} steps done and {open_then} under way"
+    ));
     lines.push(format!(
         "5 s later they are back; of {} open runs the first goes on after {}, all after {}",
         open.len(),
@@ -284,14 +363,20 @@
         (0..3).map(|i| site.memory_mb(i)).fold(0.0, f64::max),
         told.runs.first().map_or("-", |r| r.state.as_str())
     ));
-    let holds =
-        ended.is_some() && done == ids.len() && twice == 0 && broken == 0 && steps_seen.len() as u64 == total;
+    let holds = ended.is_some()
+        && done == ids.len()
+        && twice == 0
+        && broken == 0
+        && steps_seen.len() as u64 == total;
     Ok(Shown { lines, holds })
 }
 
 /// Jobs of a run that were ever accepted.
 fn accepted(site: &Site, run: RunId) -> u64 {
-    let under =
-        |first: &str| site.state.keys(&format!("{first}/{}", hopyoke_workflow::job_prefix(run))).len() as u64;
+    let under = |first: &str| {
+        site.state
+            .keys(&format!("{first}/{}", hopyoke_workflow::job_prefix(run)))
+            .len() as u64
+    };
     under("job") + under("end")
 }
--- a/crates/hopyoke-experiments/src/generate.rs
+++ b/crates/hopyoke-experiments/src/generate.rs
@@ -21,7 +21,13 @@
 }
 
 impl Kind {
-    pub const ALL: [Kind; 5] = [Kind::Steady, Kind::Doubling, Kind::NewClass, Kind::Biased, Kind::HeavyTail];
+    pub const ALL: [Kind; 5] = [
+        Kind::Steady,
+        Kind::Doubling,
+        Kind::NewClass,
+        Kind::Biased,
+        Kind::HeavyTail,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -60,7 +66,11 @@
                 (Kind::Biased, _) => 1.0 / 3.0,
                 _ => 1.0,
             },
-            from: if kind == Kind::NewClass && i >= 3 { (i - 2) * jobs / 10 } else { 0 },
+            from: if kind == Kind::NewClass && i >= 3 {
+                (i - 2) * jobs / 10
+            } else {
+                0
+            },
             processors: shapes[i % 3],
         })
         .collect();
@@ -73,19 +83,31 @@
         at += gap.sample(&mut rng);
         let known: Vec<&Class> = classes.iter().filter(|c| c.from <= n).collect();
         // What is new runs often at first.
-        let newest = known.iter().max_by_key(|c| c.from).filter(|c| c.from > 0 && n < c.from + jobs / 20);
+        let newest = known
+            .iter()
+            .max_by_key(|c| c.from)
+            .filter(|c| c.from > 0 && n < c.from + jobs / 20);
         let class = match newest {
             Some(c) if rng.random_range(0..3) == 0 => c,
             _ => known[rng.random_range(0..known.len())],
         };
-        let spread = if kind == Kind::HeavyTail && rng.random_range(0..6) == 0 { 3.0 } else { 1.0 };
+        let spread = if kind == Kind::HeavyTail && rng.random_range(0..6) == 0 {
+            3.0
+        } else {
+            1.0
+        };
         let grown = kind == Kind::Doubling && n >= jobs / 2 && matches!(class.app, 2 | 3);
         if grown {
             change.get_or_insert(at);
         }
         let input = if grown { 2.0 } else { 1.0 };
-        let run = (class.median_s * input * wide(class.spread * spread).sample(&mut rng)).clamp(2.0, 86_400.0);
-        let told = if grown && class.app == 3 { run / input } else { run };
+        let run = (class.median_s * input * wide(class.spread * spread).sample(&mut rng))
+            .clamp(2.0, 86_400.0);
+        let told = if grown && class.app == 3 {
+            run / input
+        } else {
+            run
+        };
         let estimate = (told * class.owner * guess.sample(&mut rng)).clamp(1.0, 2_000_000.0);
         let processors = class.processors[rng.random_range(0..class.processors.len())];
         let _ = writeln!(
--- a/crates/hopyoke-experiments/src/main.rs
+++ b/crates/hopyoke-experiments/src/main.rs
@@ -108,10 +108,20 @@
             print!("{}", trace(kind.into(), jobs, seed));
             Ok(true)
         }
-        Command::Replay { trace, kill_every, html, strict, seed } => {
-            one(&trace, kill_every, html.as_deref(), strict, seed).map(|()| true)
-        }
-        Command::Flows { which, program, dir, runs, steps } => flows(which, program, dir, runs, steps),
+        Command::Replay {
+            trace,
+            kill_every,
+            html,
+            strict,
+            seed,
+        } => one(&trace, kill_every, html.as_deref(), strict, seed).map(|()| true),
+        Command::Flows {
+            which,
+            program,
+            dir,
+            runs,
+            steps,
+        } => flows(which, program, dir, runs, steps),
         Command::Evidence { jobs, seed, html } => evidence(jobs, seed, html.as_deref()),
     };
     match result {
@@ -134,8 +144,9 @@
     use hopyoke_experiments::flows::{Shown, cost, recovery};
     let beside = || Some(std::env::current_exe().ok()?.parent()?.join("hopyoke"));
     let program = program.or_else(beside).filter(|p| p.is_file());
-    let program =
-        program.ok_or("no controllers' program: `cargo build --release` makes it, or say --program FILE")?;
+    let program = program.ok_or(
+        "no controllers' program: `cargo build --release` makes it, or say --program FILE",
+    )?;
     let slot = std::rc::Rc::new(std::cell::RefCell::new(Err("nothing was shown".to_owned())));
     let out = slot.clone();
     hopyoke_event_loop::run(async move {
@@ -145,7 +156,14 @@
             for line in shown.lines {
                 println!("  {line}");
             }
-            println!("  {}", if shown.holds { "holds" } else { "DOES NOT HOLD" });
+            println!(
+                "  {}",
+                if shown.holds {
+                    "holds"
+                } else {
+                    "DOES NOT HOLD"
+                }
+            );
             holds &= shown.holds;
         };
         if matches!(which, Experiment::Cost | Experiment::All) {
@@ -166,17 +184,30 @@
     slot.replace(Ok(false))
 }
 
-fn one(file: &Path, kill: Option<u64>, page: Option<&Path>, strict: bool, seed: u64) -> Result<(), String> {
+fn one(
+    file: &Path,
+    kill: Option<u64>,
+    page: Option<&Path>,
+    strict: bool,
+    seed: u64,
+) -> Result<(), String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: cannot be read: {e}"))?;
-    let history = hopyoke_workload_trace::read(&text, strict).map_err(|f| format!("{name}: {f}"))?;
+    let history =
+        hopyoke_workload_trace::read(&text, strict).map_err(|f| format!("{name}: {f}"))?;
     for f in history.faults.iter().take(10) {
         eprintln!("{name}: {f}: skipped");
     }
     if history.faults.len() > 10 {
-        eprintln!("{name}: {} lines more were skipped", history.faults.len() - 10);
+        eprintln!(
+            "{name}: {} lines more were skipped",
+            history.faults.len() - 10
+        );
     }
-    let options = Options { seed, kill_every: kill.map(Micros::from_secs) };
+    let options = Options {
+        seed,
+        kill_every: kill.map(Micros::from_secs),
+    };
     let replayed = replay(&history, options)?;
     let found = figures(&replayed, &history.changes);
     print!("{}", found.table());
@@ -214,7 +245,8 @@
         let started: Vec<_> = Kind::ALL
             .into_iter()
             .map(|kind| {
-                let history = hopyoke_workload_trace::read(&trace(kind, jobs, seed), true).unwrap_or_default();
+                let history = hopyoke_workload_trace::read(&trace(kind, jobs, seed), true)
+                    .unwrap_or_default();
                 let threads = kills.map(|kill_every| {
                     let history = history.clone();
                     scope.spawn(move || replay(&history, Options { seed, kill_every }))
@@ -222,9 +254,13 @@
                 (kind, history, threads)
             })
             .collect();
-        let join =
-            |t: std::thread::ScopedJoinHandle<'_, _>| t.join().unwrap_or_else(|_| Err("it panicked".into()));
-        started.into_iter().map(|(kind, history, t)| (kind, history, t.into_iter().map(join).collect())).collect()
+        let join = |t: std::thread::ScopedJoinHandle<'_, _>| {
+            t.join().unwrap_or_else(|_| Err("it panicked".into()))
+        };
+        started
+            .into_iter()
+            .map(|(kind, history, t)| (kind, history, t.into_iter().map(join).collect()))
+            .collect()
     });
     for (kind, history, replays) in replays {
         let mut both = Vec::new();
@@ -232,7 +268,11 @@
             let title = format!(
                 "{}, {}",
                 kind.name(),
-                if kill.is_some() { "leaders killed every 60 s" } else { "undisturbed" }
+                if kill.is_some() {
+                    "leaders killed every 60 s"
+                } else {
+                    "undisturbed"
+                }
             );
             println!("== {title} (generated, {jobs} jobs, seed {seed})");
             let replayed = replayed.map_err(|e| format!("{title}: {e}"))?;
@@ -241,7 +281,11 @@
             told(&replayed);
             if let Some(dir) = pages {
                 std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-                let name = format!("{}{}.html", kind.name(), if kill.is_some() { "-killed" } else { "" });
+                let name = format!(
+                    "{}{}.html",
+                    kind.name(),
+                    if kill.is_some() { "-killed" } else { "" }
+                );
                 write_page(Some(&dir.join(name)), &title, &replayed, &found)?;
             }
             let all = found.all();
@@ -251,21 +295,39 @@
             );
             let most = if kind == Kind::Biased { 0.5 } else { 1.0 };
             let ratio = all.error / all.owner_error;
-            check(ratio <= most, format!("median error {:.2} times the owners' (at most {most})", ratio));
+            check(
+                ratio <= most,
+                format!(
+                    "median error {:.2} times the owners' (at most {most})",
+                    ratio
+                ),
+            );
             for r in &found.recoveries {
                 let ok = r.completions.is_some_and(|k| k <= 10);
-                check(ok, format!("{} recovered after {:?} completions (at most 10)", r.class, r.completions));
+                check(
+                    ok,
+                    format!(
+                        "{} recovered after {:?} completions (at most 10)",
+                        r.class, r.completions
+                    ),
+                );
             }
             both.push((all.inside, all.error));
         }
         if let [(a, e), (b, f)] = both[..] {
             check(
                 (a - b).abs() <= 2.0,
-                format!("inside differs by {:.1} points when leaders are killed (at most 2)", (a - b).abs()),
+                format!(
+                    "inside differs by {:.1} points when leaders are killed (at most 2)",
+                    (a - b).abs()
+                ),
             );
             check(
                 (e - f).abs() <= 2.0,
-                format!("median error differs by {:.1} points (at most 2)", (e - f).abs()),
+                format!(
+                    "median error differs by {:.1} points (at most 2)",
+                    (e - f).abs()
+                ),
             );
         }
     }
--- a/crates/hopyoke-experiments/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -68,10 +68,16 @@
 /// # Errors
 /// A rule that broke, or that the replay did not come to its end.
 pub fn replay(history: &History, options: Options) -> Result<Replayed, String> {
-    let runs: Vec<Run> =
-        history.runs.iter().filter(|r| r.tasks <= MOST_TASKS && r.cpus <= CPUS).cloned().collect();
+    let runs: Vec<Run> = history
+        .runs
+        .iter()
+        .filter(|r| r.tasks <= MOST_TASKS && r.cpus <= CPUS)
+        .cloned()
+        .collect();
     let left_aside = history.runs.len() - runs.len();
-    let Some(first) = runs.first().map(|r| r.submitted_us) else { return Err("no run can be replayed".into()) };
+    let Some(first) = runs.first().map(|r| r.submitted_us) else {
+        return Err("no run can be replayed".into());
+    };
     let start = Micros::from_secs(5);
     let at = |r: &Run| start + Micros(r.submitted_us - first);
     let last = runs.iter().map(at).max().unwrap_or(start);
@@ -90,19 +96,33 @@
         zones: w.cfg.zones.clone(),
     });
     let teams: std::collections::BTreeSet<&str> = runs.iter().map(|r| r.team.as_str()).collect();
-    w.cfg.teams = teams.into_iter().map(|t| Team { name: t.to_owned(), ..Team::default() }).collect();
+    w.cfg.teams = teams
+        .into_iter()
+        .map(|t| Team {
+            name: t.to_owned(),
+            ..Team::default()
+        })
+        .collect();
     // Machines are there from the start, stay, and are enough for the busiest hour: it is run
     // times that are replayed, not queues.
     w.tuning.idle_return = Micros::from_secs(100_000_000);
     let zones = w.cfg.zones.clone();
     for i in 0..machines(&runs) {
-        w.add_machine("std", &zones[i % zones.len()], false, Some(Micros::from_millis(10)));
+        w.add_machine(
+            "std",
+            &zones[i % zones.len()],
+            false,
+            Some(Micros::from_millis(10)),
+        );
     }
     w.expire_leases();
     for i in 0..3 {
         w.start_node(i);
     }
-    let watch = Rc::new(RefCell::new(Watch { open: BTreeMap::new(), told: BTreeMap::new() }));
+    let watch = Rc::new(RefCell::new(Watch {
+        open: BTreeMap::new(),
+        told: BTreeMap::new(),
+    }));
     for (n, run) in runs.iter().enumerate() {
         let truth = truth_of(n, run);
         let (id, watch) = (truth.spec.id.clone(), watch.clone());
@@ -130,7 +150,10 @@
     }
     let undone = w.jobs.values().filter(|j| j.done_at.is_none()).count();
     if undone > 0 {
-        return Err(format!("{undone} jobs were not done after {:.0} s", w.now.as_secs_f64()));
+        return Err(format!(
+            "{undone} jobs were not done after {:.0} s",
+            w.now.as_secs_f64()
+        ));
     }
     let told = &watch.borrow().told;
     let mut out = Replayed {
@@ -142,7 +165,9 @@
     };
     for (n, (predicted_at_s, p10_s, p50_s, p90_s)) in told {
         let run = &runs[*n];
-        let Some(finished) = w.jobs.get(&id_of(*n)).and_then(|j| j.done_at) else { continue };
+        let Some(finished) = w.jobs.get(&id_of(*n)).and_then(|j| j.done_at) else {
+            continue;
+        };
         out.outcomes.push(Outcome {
             class: run.class.clone(),
             submitted_s: at(run).as_secs_f64(),
@@ -155,7 +180,8 @@
             guess_s: run.estimate_s,
         });
     }
-    out.outcomes.sort_by(|a, b| a.predicted_at_s.total_cmp(&b.predicted_at_s));
+    out.outcomes
+        .sort_by(|a, b| a.predicted_at_s.total_cmp(&b.predicted_at_s));
     Ok(out)
 }
 
@@ -169,7 +195,10 @@
     for r in runs {
         let takes = f64::from(r.tasks) * r.cpus.max(0.1);
         edges.push((r.submitted_us, takes));
-        edges.push((r.submitted_us + Micros::from_secs_f64(r.ran_s + 20.0).0, -takes));
+        edges.push((
+            r.submitted_us + Micros::from_secs_f64(r.ran_s + 20.0).0,
+            -takes,
+        ));
     }
     edges.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
     let (mut now, mut most) = (0.0f64, 0.0f64);
@@ -185,7 +214,11 @@
         id: id_of(n),
         class: run.class.clone(),
         team: run.team.clone(),
-        kind: if run.tasks == 1 { JobKind::Array } else { JobKind::Gang },
+        kind: if run.tasks == 1 {
+            JobKind::Array
+        } else {
+            JobKind::Gang
+        },
         priority: Priority::Normal,
         tasks: run.tasks,
         cpus: run.cpus.max(0.1),
@@ -214,14 +247,27 @@
 /// Twice a second, whoever leads is asked about jobs that are newly seen running.
 fn look(w: &mut World, watch: Rc<RefCell<Watch>>) {
     let now = w.now;
-    if let Some(scheduler) = w.leader().and_then(|i| w.nodes[i].lead.as_ref()).map(|l| &l.scheduler) {
+    if let Some(scheduler) = w
+        .leader()
+        .and_then(|i| w.nodes[i].lead.as_ref())
+        .map(|l| &l.scheduler)
+    {
         let mut watch_now = watch.borrow_mut();
         let mut told = Vec::new();
         for (id, n) in &watch_now.open {
-            let Some(job) = scheduler.jobs.get(id) else { continue };
-            let Some((index, places)) = job.places.first_key_value() else { continue };
-            let Some((_, attempt)) = places.first() else { continue };
-            let task = TaskId { job: id.clone(), index: *index };
+            let Some(job) = scheduler.jobs.get(id) else {
+                continue;
+            };
+            let Some((index, places)) = job.places.first_key_value() else {
+                continue;
+            };
+            let Some((_, attempt)) = places.first() else {
+                continue;
+            };
+            let task = TaskId {
+                job: id.clone(),
+                index: *index,
+            };
             let left = |p: f64| scheduler.remaining_s(&task, *attempt, p, now);
             if let (Some(p10), Some(p50), Some(p90)) = (left(0.1), left(0.5), left(0.9)) {
                 let t = now.as_secs_f64();
--- a/crates/hopyoke-experiments/src/report.rs
+++ b/crates/hopyoke-experiments/src/report.rs
@@ -12,7 +12,10 @@
 const OWNERS: RGBColor = RGBColor(214, 120, 39);
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 /// The page.
@@ -56,7 +59,9 @@
     }
     out += "</table>\n";
     for r in &figures.recoveries {
-        let when = r.completions.map_or("not within 40".to_owned(), |k| format!("after {k}"));
+        let when = r
+            .completions
+            .map_or("not within 40".to_owned(), |k| format!("after {k}"));
         let _ = writeln!(
             out,
             "<p>{} changed at {:.0} s: predictions are as good as before (median error {:.1}%) {when} completions.</p>",
@@ -67,7 +72,10 @@
     }
     for (heading, plot) in [
         ("Predicted against actual run", scatter(replayed)),
-        ("Calibration: how many ends lie below each predicted quantile", calibration(replayed)),
+        (
+            "Calibration: how many ends lie below each predicted quantile",
+            calibration(replayed),
+        ),
         ("Median error over time", over_time(replayed)),
         ("Errors, ours and the owners'", errors(replayed)),
     ] {
@@ -77,7 +85,9 @@
 }
 
 fn draw(
-    f: impl FnOnce(&DrawingArea<SVGBackend<'_>, plotters::coord::Shift>) -> Result<(), Box<dyn std::error::Error>>,
+    f: impl FnOnce(
+        &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
+    ) -> Result<(), Box<dyn std::error::Error>>,
 ) -> Drawn {
     let mut svg = String::new();
     {
@@ -111,9 +121,18 @@
             .x_label_area_size(36)
             .y_label_area_size(52)
             .build_cartesian_2d((1.0..most).log_scale(), (1.0..most).log_scale())?;
-        chart.configure_mesh().x_desc("ran, s").y_desc("predicted p50, s").light_line_style(WHITE).draw()?;
+        chart
+            .configure_mesh()
+            .x_desc("ran, s")
+            .y_desc("predicted p50, s")
+            .light_line_style(WHITE)
+            .draw()?;
         chart.draw_series(points.iter().map(|(x, y, inside)| {
-            let colour = if *inside { OURS.mix(0.35) } else { OWNERS.mix(0.5) };
+            let colour = if *inside {
+                OURS.mix(0.35)
+            } else {
+                OWNERS.mix(0.5)
+            };
             Circle::new((*x, *y), 2, colour.filled())
         }))?;
         chart.draw_series(LineSeries::new([(1.0, 1.0), (most, most)], BLACK.mix(0.6)))?;
@@ -123,18 +142,34 @@
 
 fn calibration(replayed: &Replayed) -> Drawn {
     let share = |f: &dyn Fn(&crate::replay::Outcome) -> f64| {
-        let below = replayed.outcomes.iter().filter(|o| o.finished_s <= f(o)).count();
+        let below = replayed
+            .outcomes
+            .iter()
+            .filter(|o| o.finished_s <= f(o))
+            .count();
         100.0 * below as f64 / replayed.outcomes.len().max(1) as f64
     };
-    let points = [(10.0, share(&|o| o.p10_s)), (50.0, share(&|o| o.p50_s)), (90.0, share(&|o| o.p90_s))];
+    let points = [
+        (10.0, share(&|o| o.p10_s)),
+        (50.0, share(&|o| o.p50_s)),
+        (90.0, share(&|o| o.p90_s)),
+    ];
     draw(|area| {
         let mut chart = ChartBuilder::on(area)
             .margin(12)
             .x_label_area_size(36)
             .y_label_area_size(52)
             .build_cartesian_2d(0.0..100.0, 0.0..100.0)?;
-        chart.configure_mesh().x_desc("predicted, %").y_desc("ended below, %").light_line_style(WHITE).draw()?;
-        chart.draw_series(LineSeries::new([(0.0, 0.0), (100.0, 100.0)], BLACK.mix(0.5)))?;
+        chart
+            .configure_mesh()
+            .x_desc("predicted, %")
+            .y_desc("ended below, %")
+            .light_line_style(WHITE)
+            .draw()?;
+        chart.draw_series(LineSeries::new(
+            [(0.0, 0.0), (100.0, 100.0)],
+            BLACK.mix(0.5),
+        ))?;
         chart.draw_series(LineSeries::new(points, OURS.stroke_width(2)))?;
         chart.draw_series(points.iter().map(|p| Circle::new(*p, 5, OURS.filled())))?;
         Ok(())
@@ -146,13 +181,26 @@
     let width = (replayed.outcomes.len() / 100).max(20);
     let (mut ours, mut owners) = (Vec::new(), Vec::new());
     for part in replayed.outcomes.chunks(width) {
-        let Some(at) = part.first().map(|o| o.predicted_at_s) else { continue };
+        let Some(at) = part.first().map(|o| o.predicted_at_s) else {
+            continue;
+        };
         ours.push((at, 100.0 * median(part.iter().map(error).collect())));
         let guesses = part.iter().filter(|o| o.guess_s > 0.0);
-        owners.push((at, 100.0 * median(guesses.map(|o| (o.guess_s - o.ran_s).abs() / o.ran_s).collect())));
+        owners.push((
+            at,
+            100.0
+                * median(
+                    guesses
+                        .map(|o| (o.guess_s - o.ran_s).abs() / o.ran_s)
+                        .collect(),
+                ),
+        ));
     }
     owners.retain(|p| p.1.is_finite());
-    let (from, to) = (ours.first().map_or(0.0, |p| p.0), ours.last().map_or(1.0, |p| p.0).max(1.0));
+    let (from, to) = (
+        ours.first().map_or(0.0, |p| p.0),
+        ours.last().map_or(1.0, |p| p.0).max(1.0),
+    );
     let most = ours.iter().chain(&owners).map(|p| p.1).fold(10.0, f64::max) * 1.1;
     draw(|area| {
         let mut chart = ChartBuilder::on(area)
@@ -160,14 +208,26 @@
             .x_label_area_size(36)
             .y_label_area_size(52)
             .build_cartesian_2d(from..to, 0.0..most)?;
-        chart.configure_mesh().x_desc("s").y_desc("median error, %").light_line_style(WHITE).draw()?;
-        let line = |c: RGBColor| move |(x, y)| PathElement::new([(x, y), (x + 18, y)], c.stroke_width(2));
+        chart
+            .configure_mesh()
+            .x_desc("s")
+            .y_desc("median error, %")
+            .light_line_style(WHITE)
+            .draw()?;
+        let line =
+            |c: RGBColor| move |(x, y)| PathElement::new([(x, y), (x + 18, y)], c.stroke_width(2));
         chart
             .draw_series(LineSeries::new(owners, OWNERS.stroke_width(2)))?
             .label("owners' guesses")
             .legend(line(OWNERS));
-        chart.draw_series(LineSeries::new(ours, OURS.stroke_width(2)))?.label("learned").legend(line(OURS));
-        chart.configure_series_labels().background_style(WHITE.mix(0.8)).draw()?;
+        chart
+            .draw_series(LineSeries::new(ours, OURS.stroke_width(2)))?
+            .label("learned")
+            .legend(line(OURS));
+        chart
+            .configure_series_labels()
+            .background_style(WHITE.mix(0.8))
+            .draw()?;
         Ok(())
     })
 }
@@ -177,11 +237,17 @@
     let curve = |mut v: Vec<f64>| -> Vec<(f64, f64)> {
         v.sort_by(f64::total_cmp);
         let n = v.len().max(1);
-        (0..=100).filter_map(|p| Some((100.0 * *v.get((p * (n - 1)) / 100)?, p as f64))).collect()
+        (0..=100)
+            .filter_map(|p| Some((100.0 * *v.get((p * (n - 1)) / 100)?, p as f64)))
+            .collect()
     };
     let ours = curve(replayed.outcomes.iter().map(error).collect());
     let guesses = replayed.outcomes.iter().filter(|o| o.guess_s > 0.0);
-    let owners = curve(guesses.map(|o| (o.guess_s - o.ran_s).abs() / o.ran_s).collect());
+    let owners = curve(
+        guesses
+            .map(|o| (o.guess_s - o.ran_s).abs() / o.ran_s)
+            .collect(),
+    );
     draw(|area| {
         let mut chart = ChartBuilder::on(area)
             .margin(12)
@@ -194,13 +260,20 @@
             .y_desc("% of runs")
             .light_line_style(WHITE)
             .draw()?;
-        let line = |c: RGBColor| move |(x, y)| PathElement::new([(x, y), (x + 18, y)], c.stroke_width(2));
+        let line =
+            |c: RGBColor| move |(x, y)| PathElement::new([(x, y), (x + 18, y)], c.stroke_width(2));
         chart
             .draw_series(LineSeries::new(owners, OWNERS.stroke_width(2)))?
             .label("owners' guesses")
             .legend(line(OWNERS));
-        chart.draw_series(LineSeries::new(ours, OURS.stroke_width(2)))?.label("learned").legend(line(OURS));
-        chart.configure_series_labels().background_style(WHITE.mix(0.8)).draw()?;
+        chart
+            .draw_series(LineSeries::new(ours, OURS.stroke_width(2)))?
+            .label("learned")
+            .legend(line(OURS));
+        chart
+            .configure_series_labels()
+            .background_style(WHITE.mix(0.8))
+            .draw()?;
         Ok(())
     })
 }
--- a/crates/hopyoke-experiments/tests/evidence.rs
+++ b/crates/hopyoke-experiments/tests/evidence.rs
@@ -8,11 +8,27 @@
 
 #[test]
 fn biased_owners_are_seen_through_also_when_leaders_are_killed() {
-    let history = hopyoke_workload_trace::read(&trace(Kind::Biased, 500, 3), true).expect("a history");
+    let history =
+        hopyoke_workload_trace::read(&trace(Kind::Biased, 500, 3), true).expect("a history");
     for kill_every in [None, Some(Micros::from_secs(60))] {
-        let replayed = replay(&history, Options { seed: 3, kill_every }).expect("a replay");
-        assert!(kill_every.is_none() || replayed.leaders > 5, "{} leaders", replayed.leaders);
-        assert!(replayed.outcomes.len() > 480, "{} predictions", replayed.outcomes.len());
+        let replayed = replay(
+            &history,
+            Options {
+                seed: 3,
+                kill_every,
+            },
+        )
+        .expect("a replay");
+        assert!(
+            kill_every.is_none() || replayed.leaders > 5,
+            "{} leaders",
+            replayed.leaders
+        );
+        assert!(
+            replayed.outcomes.len() > 480,
+            "{} predictions",
+            replayed.outcomes.len()
+        );
         let found = figures(&replayed, &history.changes);
         let all = found.all();
         assert!((72.0..=92.0).contains(&all.inside), "{}", found.table());
@@ -26,9 +42,17 @@
 
 #[test]
 fn a_doubling_is_found_within_ten_completions() {
-    let history = hopyoke_workload_trace::read(&trace(Kind::Doubling, 800, 5), true).expect("a history");
+    let history =
+        hopyoke_workload_trace::read(&trace(Kind::Doubling, 800, 5), true).expect("a history");
     assert_eq!(history.changes.len(), 2);
-    let replayed = replay(&history, Options { seed: 5, kill_every: None }).expect("a replay");
+    let replayed = replay(
+        &history,
+        Options {
+            seed: 5,
+            kill_every: None,
+        },
+    )
+    .expect("a replay");
     let found = figures(&replayed, &history.changes);
     for r in &found.recoveries {
         assert!(r.completions.is_some_and(|k| k <= 10), "{}", found.table());
--- a/crates/hopyoke-heartbeat/src/batcher.rs
+++ b/crates/hopyoke-heartbeat/src/batcher.rs
@@ -51,7 +51,11 @@
         if self.calls >= MOST_CALLS {
             return None;
         }
-        Some(if self.waiting.len() >= MOST { Micros::ZERO } else { *arrived + GATHER })
+        Some(if self.waiting.len() >= MOST {
+            Micros::ZERO
+        } else {
+            *arrived + GATHER
+        })
     }
 
     /// The reports for a call, if one is due, and those that have waited for too long.
@@ -68,7 +72,11 @@
             return (Load::new(), late);
         }
         let n = self.waiting.len().min(MOST);
-        let load: Load = self.waiting.drain(..n).map(|(number, _, heartbeat)| (number, heartbeat)).collect();
+        let load: Load = self
+            .waiting
+            .drain(..n)
+            .map(|(number, _, heartbeat)| (number, heartbeat))
+            .collect();
         self.calls += 1;
         self.carried += load.len() as u64;
         (load, late)
--- a/crates/hopyoke-heartbeat/src/monitor.rs
+++ b/crates/hopyoke-heartbeat/src/monitor.rs
@@ -80,8 +80,16 @@
     fn patience(&self, machines: usize) -> Micros {
         let few = self.heartbeat_interval.times(3).max(Micros::from_secs(6));
         if self.found.len() < machines.min(MANY) {
-            return if self.reached { few.max(self.search) } else { few };
+            return if self.reached {
+                few.max(self.search)
+            } else {
+                few
+            };
+        }
+        if machines >= MANY {
+            Micros(self.heartbeat_interval.0 * 3 / 2) + STEP
+        } else {
+            few
         }
-        if machines >= MANY { Micros(self.heartbeat_interval.0 * 3 / 2) + STEP } else { few }
     }
 }
--- a/crates/hopyoke-heartbeat/src/routes.rs
+++ b/crates/hopyoke-heartbeat/src/routes.rs
@@ -60,13 +60,20 @@
 impl Routes {
     /// For a node with so many peers.
     pub fn new(peers: usize) -> Routes {
-        Routes { peers: vec![Peer::default(); peers], shares: None, next: 0 }
+        Routes {
+            peers: vec![Peer::default(); peers],
+            shares: None,
+            next: 0,
+        }
     }
 
     /// A peer told how crowded it is.
     pub fn heard(&mut self, peer: usize, crowd: Crowd, now: Micros) {
         if let Some(p) = self.peers.get_mut(peer) {
-            *p = Peer { crowd, heard: Some(now) };
+            *p = Peer {
+                crowd,
+                heard: Some(now),
+            };
         }
     }
 
@@ -105,13 +112,19 @@
 
     /// A report came to a node that does not lead; the leader is this peer, if it is known.
     pub fn elsewhere(&self, leader: Option<usize>, now: Micros) -> Route {
-        let shares = leader.and_then(|l| self.peers.get(l)).is_some_and(|p| p.crowd.shares && fresh(p.heard, now));
+        let shares = leader
+            .and_then(|l| self.peers.get(l))
+            .is_some_and(|p| p.crowd.shares && fresh(p.heard, now));
         if shares { Route::Carry } else { Route::Leader }
     }
 }
 
 fn bounds(behind: bool) -> (f64, f64) {
-    if behind { (BEHIND_FROM, BEHIND_UNTIL) } else { (SHARES_FROM, SHARES_UNTIL) }
+    if behind {
+        (BEHIND_FROM, BEHIND_UNTIL)
+    } else {
+        (SHARES_FROM, SHARES_UNTIL)
+    }
 }
 
 fn fresh(heard: Option<Micros>, now: Micros) -> bool {
--- a/crates/hopyoke-heartbeat/tests/routing.rs
+++ b/crates/hopyoke-heartbeat/tests/routing.rs
@@ -6,7 +6,11 @@
 use std::collections::BTreeSet;
 
 fn crowd(open: u64, shares: bool) -> Crowd {
-    Crowd { open, most: 1000, shares }
+    Crowd {
+        open,
+        most: 1000,
+        shares,
+    }
 }
 
 #[test]
@@ -14,7 +18,10 @@
     let mut routes = Routes::new(2);
     routes.heard(0, crowd(0, false), Micros::ZERO);
     assert!(!routes.own(true, false, 879, 1000, Micros::ZERO).shares);
-    assert_eq!(routes.at_leader(false, 950, 1000, Micros::from_secs(3)), Route::Here);
+    assert_eq!(
+        routes.at_leader(false, 950, 1000, Micros::from_secs(3)),
+        Route::Here
+    );
 }
 
 #[test]
@@ -24,7 +31,9 @@
     let now = Micros::from_secs(3);
     routes.heard(0, crowd(797, false), now);
     routes.heard(1, crowd(799, false), now);
-    let sent: Vec<Route> = (0..6).map(|_| routes.at_leader(false, 900, 1000, now)).collect();
+    let sent: Vec<Route> = (0..6)
+        .map(|_| routes.at_leader(false, 900, 1000, now))
+        .collect();
     assert_eq!(sent.iter().filter(|r| **r == Route::To(0)).count(), 3);
     assert_eq!(sent.iter().filter(|r| **r == Route::To(1)).count(), 1);
     assert_eq!(sent.iter().filter(|r| **r == Route::Here).count(), 2);
@@ -34,10 +43,19 @@
 fn a_peer_that_is_not_heard_of_gets_nobody() {
     let mut routes = Routes::new(1);
     routes.own(true, false, 990, 1000, Micros::ZERO);
-    assert_eq!(routes.at_leader(false, 990, 1000, Micros::from_secs(3)), Route::Here);
+    assert_eq!(
+        routes.at_leader(false, 990, 1000, Micros::from_secs(3)),
+        Route::Here
+    );
     routes.heard(0, crowd(0, false), Micros::from_secs(3));
-    assert_eq!(routes.at_leader(false, 990, 1000, Micros::from_secs(6)), Route::To(0));
-    assert_eq!(routes.at_leader(false, 990, 1000, Micros::from_secs(7)), Route::Here);
+    assert_eq!(
+        routes.at_leader(false, 990, 1000, Micros::from_secs(6)),
+        Route::To(0)
+    );
+    assert_eq!(
+        routes.at_leader(false, 990, 1000, Micros::from_secs(7)),
+        Route::Here
+    );
 }
 
 #[test]
@@ -45,10 +63,19 @@
     let mut routes = Routes::new(2);
     assert_eq!(routes.elsewhere(Some(1), Micros::ZERO), Route::Leader);
     routes.heard(1, crowd(900, true), Micros::ZERO);
-    assert_eq!(routes.elsewhere(Some(1), Micros::from_secs(1)), Route::Carry);
-    assert_eq!(routes.elsewhere(Some(0), Micros::from_secs(1)), Route::Leader);
+    assert_eq!(
+        routes.elsewhere(Some(1), Micros::from_secs(1)),
+        Route::Carry
+    );
+    assert_eq!(
+        routes.elsewhere(Some(0), Micros::from_secs(1)),
+        Route::Leader
+    );
     assert_eq!(routes.elsewhere(None, Micros::from_secs(1)), Route::Leader);
-    assert_eq!(routes.elsewhere(Some(1), Micros::from_secs(4)), Route::Leader);
+    assert_eq!(
+        routes.elsewhere(Some(1), Micros::from_secs(4)),
+        Route::Leader
+    );
 }
 
 #[test]
@@ -117,7 +144,9 @@
 }
 
 fn cut_off_at(h: &mut HeartbeatMonitor, machines: usize, from: u64, until: u64) -> Option<u64> {
-    (from..until).step_by(2).find(|t| h.is_cut_off(machines, true, Micros::from_millis(t * 100)))
+    (from..until)
+        .step_by(2)
+        .find(|t| h.is_cut_off(machines, true, Micros::from_millis(t * 100)))
 }
 
 #[test]
@@ -132,7 +161,11 @@
     let at = |heard, machines| cut_off_at(&mut hearing(heard), machines, 0, 200).unwrap_or(999);
     assert!((35..40).contains(&at(true, 100)), "{}", at(true, 100));
     assert!((60..65).contains(&at(true, 3)), "{}", at(true, 3));
-    assert!((60..65).contains(&at(false, 100)), "before the first report {}", at(false, 100));
+    assert!(
+        (60..65).contains(&at(false, 100)),
+        "before the first report {}",
+        at(false, 100)
+    );
     assert_eq!(at(true, 1), 999);
 }
 
--- a/crates/hopyoke-policy/src/check.rs
+++ b/crates/hopyoke-policy/src/check.rs
@@ -35,16 +35,31 @@
     /// The safe range as text; empty if there is none.
     pub fn range_text(&self) -> String {
         self.range.map_or(String::new(), |(a, b)| {
-            format!("{} .. {}", show(self.ty, &Value::Number(a)), show(self.ty, &Value::Number(b)))
+            format!(
+                "{} .. {}",
+                show(self.ty, &Value::Number(a)),
+                show(self.ty, &Value::Number(b))
+            )
         })
     }
 }
 
 #[derive(Debug, Clone)]
 pub(crate) enum Symbol {
-    Figure { ty: Type, low: f64, high: f64 },
-    Setting { ty: Type, live: bool, range: Option<(Expr, Expr)>, expr: Source },
-    Local { expr: Source },
+    Figure {
+        ty: Type,
+        low: f64,
+        high: f64,
+    },
+    Setting {
+        ty: Type,
+        live: bool,
+        range: Option<(Expr, Expr)>,
+        expr: Source,
+    },
+    Local {
+        expr: Source,
+    },
 }
 
 /// An expression, and whether it stands in the operators' file.
@@ -121,25 +136,51 @@
         Policy::over(declared, DEFAULTS, file, text)
     }
 
-    fn over(declared: Vec<Statement>, base: &str, file: &str, text: &str) -> Result<Policy, Faults> {
+    fn over(
+        declared: Vec<Statement>,
+        base: &str,
+        file: &str,
+        text: &str,
+    ) -> Result<Policy, Faults> {
         let mut faults = Faults::new(file, text);
         let mut symbols: BTreeMap<String, Symbol> = BTreeMap::new();
         let mut shown: Vec<Setting> = Vec::new();
         let mut figures = Vec::new();
         for s in declared {
             match s {
-                Statement::Figure { name, ty, range, about } => {
+                Statement::Figure {
+                    name,
+                    ty,
+                    range,
+                    about,
+                } => {
                     let end = |e: &Expr| match &e.node {
                         Node::Literal(_, Value::Number(x)) => *x,
                         _ => 0.0,
                     };
                     let (low, high) = range.as_ref().map_or((0.0, 0.0), |(a, b)| (end(a), end(b)));
                     let range = range.is_some().then_some((low, high));
-                    figures.push(Figure { name: name.clone(), ty, range, about });
+                    figures.push(Figure {
+                        name: name.clone(),
+                        ty,
+                        range,
+                        about,
+                    });
                     symbols.insert(name, Symbol::Figure { ty, low, high });
                 }
-                Statement::Setting { name, ty, live, range, expr, about, safe } => {
-                    let default = base[expr.at.clone()].split_whitespace().collect::<Vec<_>>().join(" ");
+                Statement::Setting {
+                    name,
+                    ty,
+                    live,
+                    range,
+                    expr,
+                    about,
+                    safe,
+                } => {
+                    let default = base[expr.at.clone()]
+                        .split_whitespace()
+                        .collect::<Vec<_>>()
+                        .join(" ");
                     shown.push(Setting {
                         name: name.clone(),
                         ty,
@@ -152,44 +193,83 @@
                         safe,
                         values: String::new(),
                     });
-                    let expr = Source { expr, ours: true, place: 0..0 };
-                    symbols.insert(name, Symbol::Setting { ty, live, range, expr });
+                    let expr = Source {
+                        expr,
+                        ours: true,
+                        place: 0..0,
+                    };
+                    symbols.insert(
+                        name,
+                        Symbol::Setting {
+                            ty,
+                            live,
+                            range,
+                            expr,
+                        },
+                    );
                 }
                 Statement::Assign { .. } => {}
             }
         }
         let mut seen: BTreeMap<String, usize> = BTreeMap::new();
         for s in syntax::read(text, false, &mut faults) {
-            let Statement::Assign { name, at, local, expr } = s else { continue };
+            let Statement::Assign {
+                name,
+                at,
+                local,
+                expr,
+            } = s
+            else {
+                continue;
+            };
             if let Some(line) = seen.get(&name) {
-                faults.add(at, format!("`{name}` is set twice"), format!("first set in line {line}"));
+                faults.add(
+                    at,
+                    format!("`{name}` is set twice"),
+                    format!("first set in line {line}"),
+                );
                 continue;
             }
             seen.insert(name.clone(), text[..at.start].matches('\n').count() + 1);
-            let source = Source { expr, ours: false, place: at.clone() };
+            let source = Source {
+                expr,
+                ours: false,
+                place: at.clone(),
+            };
             match (symbols.get_mut(&name), local) {
                 (None, true) => {
                     symbols.insert(name, Symbol::Local { expr: source });
                 }
                 (None, false) => {
                     let near = nearest(&name, shown.iter().map(|s| s.name.as_str()));
-                    let hint =
-                        near.map_or("`let` makes a name of your own".into(), |n| format!("is `{n}` meant?"));
+                    let hint = near.map_or("`let` makes a name of your own".into(), |n| {
+                        format!("is `{n}` meant?")
+                    });
                     faults.add(at, format!("no setting is named `{name}`"), hint);
                 }
                 (Some(Symbol::Setting { expr, .. }), false) => {
                     if let Some(s) = shown.iter_mut().find(|s| s.name == name) {
-                        s.expression =
-                            text[source.expr.at.clone()].split_whitespace().collect::<Vec<_>>().join(" ");
+                        s.expression = text[source.expr.at.clone()]
+                            .split_whitespace()
+                            .collect::<Vec<_>>()
+                            .join(" ");
                         s.overridden = true;
                     }
                     *expr = source;
                 }
                 (Some(Symbol::Figure { .. }), false) => {
-                    faults.add(at, format!("`{name}` is a live figure"), "figures are measured, not set");
+                    faults.add(
+                        at,
+                        format!("`{name}` is a live figure"),
+                        "figures are measured, not set",
+                    );
                 }
                 (Some(_), true) => {
-                    faults.add(at, format!("`{name}` is taken"), "another name: this one is a setting or figure");
+                    faults.add(
+                        at,
+                        format!("`{name}` is taken"),
+                        "another name: this one is a setting or figure",
+                    );
                 }
                 (Some(Symbol::Local { .. }), false) => {}
             }
@@ -210,7 +290,15 @@
             checker.range(setting);
         }
         let faults = checker.faults.sorted();
-        if faults.faults.is_empty() { Ok(Policy { settings: shown, figures, symbols }) } else { Err(faults) }
+        if faults.faults.is_empty() {
+            Ok(Policy {
+                settings: shown,
+                figures,
+                symbols,
+            })
+        } else {
+            Err(faults)
+        }
     }
 
     /// The live figures that settings may depend on.
@@ -254,7 +342,12 @@
 }
 
 impl Checker<'_> {
-    fn fault(&mut self, at: &Range<usize>, message: impl Into<String>, expected: impl Into<String>) {
+    fn fault(
+        &mut self,
+        at: &Range<usize>,
+        message: impl Into<String>,
+        expected: impl Into<String>,
+    ) {
         let (at, mut message) = (self.blame.clone().unwrap_or(at.clone()), message.into());
         if self.blame.is_some() {
             let by = self.path.first().cloned().unwrap_or_default();
@@ -278,8 +371,10 @@
         let symbols = self.symbols;
         let Some(symbol) = symbols.get(name) else {
             let near = nearest(name, symbols.keys().map(String::as_str));
-            let hint = near
-                .map_or("a setting, a live figure, or a name of this file".into(), |n| format!("is `{n}` meant?"));
+            let hint = near.map_or(
+                "a setting, a live figure, or a name of this file".into(),
+                |n| format!("is `{n}` meant?"),
+            );
             if let Some(at) = at {
                 self.fault(at, format!("nothing is named `{name}`"), hint);
             }
@@ -290,14 +385,28 @@
             names.push(name.to_owned());
             let at = self.place_of_cycle(&names).or(at.cloned()).unwrap_or(0..0);
             self.blame = None;
-            self.fault(&at, format!("`{name}` depends on itself"), names.join(" → "));
+            self.fault(
+                &at,
+                format!("`{name}` depends on itself"),
+                names.join(" → "),
+            );
             return None;
         }
         let (expr, want, live_allowed) = match symbol {
             Symbol::Figure { ty, low, high } => {
-                let span =
-                    if *ty == Type::Boolean { Span::Boolean { yes: true, no: true } } else { number(*low, *high) };
-                let known = Some(Known { ty: *ty, span, live: true });
+                let span = if *ty == Type::Boolean {
+                    Span::Boolean {
+                        yes: true,
+                        no: true,
+                    }
+                } else {
+                    number(*low, *high)
+                };
+                let known = Some(Known {
+                    ty: *ty,
+                    span,
+                    live: true,
+                });
                 self.known.insert(name.to_owned(), known.clone());
                 return known;
             }
@@ -315,11 +424,19 @@
         if let (Some(k), Some(want)) = (&known, want) {
             if k.ty != want {
                 let message = format!("`{name}` is a {want}, this is a {}", k.ty);
-                self.fault(&expr.expr.at, message, format!("expected {}", want.example()));
+                self.fault(
+                    &expr.expr.at,
+                    message,
+                    format!("expected {}", want.example()),
+                );
                 known = None;
             } else if k.live && !live_allowed {
                 let message = format!("`{name}` can't depend on live figures");
-                self.fault(&expr.expr.at, message, "an expression of settings and constants");
+                self.fault(
+                    &expr.expr.at,
+                    message,
+                    "an expression of settings and constants",
+                );
                 known = None;
             }
         }
@@ -334,7 +451,9 @@
     /// A member of a cycle that stands in the operators' file.
     fn place_of_cycle(&self, names: &[String]) -> Option<Range<usize>> {
         names.iter().find_map(|n| match self.symbols.get(n) {
-            Some(Symbol::Setting { expr, .. } | Symbol::Local { expr }) if !expr.ours => Some(expr.place.clone()),
+            Some(Symbol::Setting { expr, .. } | Symbol::Local { expr }) if !expr.ours => {
+                Some(expr.place.clone())
+            }
             _ => None,
         })
     }
@@ -365,14 +484,22 @@
     /// The setting's values stay within its safe range.
     fn range(&mut self, setting: &mut Setting) {
         let symbols = self.symbols;
-        let Some(Symbol::Setting { ty, range, expr, .. }) = symbols.get(&setting.name) else { return };
+        let Some(Symbol::Setting {
+            ty, range, expr, ..
+        }) = symbols.get(&setting.name)
+        else {
+            return;
+        };
         let known = self.known.get(&setting.name).cloned().flatten();
         let text = |x: f64| show(*ty, &Value::Number(x));
         if let Some(k) = &known {
             setting.values = match &k.span {
                 Span::Number { low, high } if low == high => text(*low),
                 Span::Number { low, high } => format!("{} .. {}", text(*low), text(*high)),
-                Span::Boolean { yes: true, no: true } => "true or false".into(),
+                Span::Boolean {
+                    yes: true,
+                    no: true,
+                } => "true or false".into(),
                 Span::Boolean { yes, .. } => yes.to_string(),
                 Span::Text(t) => t.clone().map_or("any text".into(), |t| format!("\"{t}\"")),
             };
@@ -383,20 +510,38 @@
         let ends = (self.infer(low), self.infer(high));
         self.path.pop();
         let blame = self.blame.take();
-        let (Some(low), Some(high)) = ends else { return };
-        let (Some((_, low)), Some((high, _))) = (low.span.bounds(), high.span.bounds()) else { return };
+        let (Some(low), Some(high)) = ends else {
+            return;
+        };
+        let (Some((_, low)), Some((high, _))) = (low.span.bounds(), high.span.bounds()) else {
+            return;
+        };
         setting.range = Some((low, high));
-        let Some((least, most)) = known.and_then(|k| k.span.bounds()) else { return };
+        let Some((least, most)) = known.and_then(|k| k.span.bounds()) else {
+            return;
+        };
         if least < low || most > high {
             let name = &setting.name;
             let value = if least == most {
                 format!("`{name}` would be {}", text(least))
             } else {
-                format!("`{name}` could be anything from {} to {}", text(least), text(most))
+                format!(
+                    "`{name}` could be anything from {} to {}",
+                    text(least),
+                    text(most)
+                )
             };
-            let expected = format!("its safe range is {} to {}: {}", text(low), text(high), setting.safe);
+            let expected = format!(
+                "its safe range is {} to {}: {}",
+                text(low),
+                text(high),
+                setting.safe
+            );
             let (at, message) = if expr.ours {
-                (blame.unwrap_or(0..0), format!("this does not go with the default of `{name}`: {value}"))
+                (
+                    blame.unwrap_or(0..0),
+                    format!("this does not go with the default of `{name}`: {value}"),
+                )
             } else {
                 (expr.expr.at.clone(), value)
             };
@@ -410,10 +555,18 @@
                 if let Value::Number(x) = value
                     && x.abs() > ty.most()
                 {
-                    self.fault(&e.at, "too large", format!("at most {}", show(*ty, &Value::Number(ty.most()))));
+                    self.fault(
+                        &e.at,
+                        "too large",
+                        format!("at most {}", show(*ty, &Value::Number(ty.most()))),
+                    );
                     return None;
                 }
-                Some(Known { ty: *ty, span: Span::of(value), live: false })
+                Some(Known {
+                    ty: *ty,
+                    span: Span::of(value),
+                    live: false,
+                })
             }
             Node::Name(name) => {
                 let mut known = self.name(name, Some(&e.at))?;
@@ -434,12 +587,20 @@
                     );
                     return None;
                 };
-                Some(Known { span: number(-high, -low), ..known })
+                Some(Known {
+                    span: number(-high, -low),
+                    ..known
+                })
             }
             Node::Not(a) => {
                 let known = self.boolean(a)?;
-                let Span::Boolean { yes, no } = known.span else { return None };
-                Some(Known { span: Span::Boolean { yes: no, no: yes }, ..known })
+                let Span::Boolean { yes, no } = known.span else {
+                    return None;
+                };
+                Some(Known {
+                    span: Span::Boolean { yes: no, no: yes },
+                    ..known
+                })
             }
             Node::Binary(op, a, b) => self.binary(*op, a, b, &e.at),
             Node::If(c, a, b) => self.conditional(c, a, b),
@@ -450,7 +611,11 @@
     fn boolean(&mut self, e: &Expr) -> Option<Known> {
         let known = self.infer(e)?;
         if known.ty != Type::Boolean {
-            self.fault(&e.at, format!("this is a {}", known.ty), "expected true or false, or a comparison");
+            self.fault(
+                &e.at,
+                format!("this is a {}", known.ty),
+                "expected true or false, or a comparison",
+            );
             return None;
         }
         Some(known)
@@ -460,15 +625,27 @@
         if matches!(op, Op::And | Op::Or) {
             let (x, y) = (self.boolean(a), self.boolean(b));
             let (x, y) = (x?, y?);
-            let (Span::Boolean { yes: p, no: q }, Span::Boolean { yes: r, no: s }) = (&x.span, &y.span) else {
+            let (Span::Boolean { yes: p, no: q }, Span::Boolean { yes: r, no: s }) =
+                (&x.span, &y.span)
+            else {
                 return None;
             };
             let span = if op == Op::And {
-                Span::Boolean { yes: *p && *r, no: *q || *s }
+                Span::Boolean {
+                    yes: *p && *r,
+                    no: *q || *s,
+                }
             } else {
-                Span::Boolean { yes: *p || *r, no: *q && *s }
+                Span::Boolean {
+                    yes: *p || *r,
+                    no: *q && *s,
+                }
             };
-            return Some(Known { ty: Type::Boolean, span, live: x.live || y.live });
+            return Some(Known {
+                ty: Type::Boolean,
+                span,
+                live: x.live || y.live,
+            });
         }
         let (x, y) = (self.infer(a), self.infer(b));
         let (x, y) = (x?, y?);
@@ -477,7 +654,9 @@
             Op::Mul => Type::product(x.ty, y.ty),
             Op::Div => Type::quotient(x.ty, y.ty),
             Op::Add | Op::Sub if x.ty.is_numeric() && x.ty == y.ty => Some(x.ty),
-            Op::Less | Op::LessEqual | Op::Greater | Op::GreaterEqual if x.ty.is_numeric() && x.ty == y.ty => {
+            Op::Less | Op::LessEqual | Op::Greater | Op::GreaterEqual
+                if x.ty.is_numeric() && x.ty == y.ty =>
+            {
                 Some(Type::Boolean)
             }
             Op::Equal | Op::NotEqual if x.ty == y.ty => Some(Type::Boolean),
@@ -496,7 +675,11 @@
             } else {
                 format!("both sides must be of one unit, such as {}", x.ty.example())
             };
-            self.fault(at, format!("a {} {word} a {} has no meaning", x.ty, y.ty), expected);
+            self.fault(
+                at,
+                format!("a {} {word} a {} has no meaning", x.ty, y.ty),
+                expected,
+            );
             return None;
         };
         let span = match (x.span.bounds(), y.span.bounds()) {
@@ -504,9 +687,15 @@
             (Some(p), Some(q)) => compare(op, p, q),
             _ => {
                 let same = matches!((&x.span, &y.span), (Span::Text(Some(p)), Span::Text(Some(q))) if p == q);
-                let sure = matches!((&x.span, &y.span), (Span::Text(Some(_)), Span::Text(Some(_))));
+                let sure = matches!(
+                    (&x.span, &y.span),
+                    (Span::Text(Some(_)), Span::Text(Some(_)))
+                );
                 let yes = !sure || same == (op == Op::Equal);
-                Span::Boolean { yes, no: !sure || !yes }
+                Span::Boolean {
+                    yes,
+                    no: !sure || !yes,
+                }
             }
         };
         Some(Known { ty, span, live })
@@ -527,7 +716,11 @@
             Op::Mul => [a * c, a * d, b * c, b * d],
             _ => {
                 if c <= 0.0 && d >= 0.0 {
-                    let what = if c == d { "this divides by zero" } else { "this may divide by zero" };
+                    let what = if c == d {
+                        "this divides by zero"
+                    } else {
+                        "this may divide by zero"
+                    };
                     let hint = "a divisor that is never zero; `max(…, 1)` or `if … >= 1 then …` sees to that";
                     self.fault_of_value(&right.at, what.into(), hint.into());
                     return None;
@@ -539,10 +732,17 @@
         let high = corners.iter().copied().fold(f64::NEG_INFINITY, f64::max);
         if !(low >= -ty.most() && high <= ty.most()) {
             let most = show(ty, &Value::Number(ty.most()));
-            self.fault_of_value(at, "this can overflow".into(), format!("a {ty} can be {most} at the most"));
+            self.fault_of_value(
+                at,
+                "this can overflow".into(),
+                format!("a {ty} can be {most} at the most"),
+            );
             return None;
         }
-        Some(number(crate::value::whole(ty, low), crate::value::whole(ty, high)))
+        Some(number(
+            crate::value::whole(ty, low),
+            crate::value::whole(ty, high),
+        ))
     }
 
     fn conditional(&mut self, c: &Expr, a: &Expr, b: &Expr) -> Option<Known> {
@@ -565,7 +765,11 @@
             (false, true) => y.span,
             _ => x.span.join(y.span),
         };
-        Some(Known { ty: x.ty, span, live })
+        Some(Known {
+            ty: x.ty,
+            span,
+            live,
+        })
     }
 
     /// A branch, with what its condition says about names.
@@ -622,7 +826,11 @@
         let known: Vec<Option<Known>> = args.iter().map(|a| self.infer(a)).collect();
         let known: Vec<Known> = known.into_iter().collect::<Option<_>>()?;
         if f == Function::Clamp && known.len() != 3 {
-            self.fault(at, format!("clamp takes 3 values, not {}", known.len()), "clamp(VALUE, LEAST, MOST)");
+            self.fault(
+                at,
+                format!("clamp takes 3 values, not {}", known.len()),
+                "clamp(VALUE, LEAST, MOST)",
+            );
             return None;
         }
         let (ty, live) = (known[0].ty, known.iter().any(|k| k.live));
@@ -631,7 +839,8 @@
             match k.span.bounds() {
                 Some(b) if k.ty == ty => ends.push(b),
                 _ => {
-                    let expected = format!("all values must be of one unit, such as {}", ty.example());
+                    let expected =
+                        format!("all values must be of one unit, such as {}", ty.example());
                     self.fault(&e.at, format!("this is a {}", k.ty), expected);
                     return None;
                 }
@@ -639,17 +848,26 @@
         }
         let fold = |f: fn(f64, f64) -> f64| {
             let first = ends[0];
-            ends.iter().skip(1).fold(first, |s, e| (f(s.0, e.0), f(s.1, e.1)))
+            ends.iter()
+                .skip(1)
+                .fold(first, |s, e| (f(s.0, e.0), f(s.1, e.1)))
         };
         let (low, high) = match f {
             Function::Min => fold(f64::min),
             Function::Max => fold(f64::max),
             Function::Clamp => {
                 let clamp = |x: f64, low: f64, high: f64| x.max(low).min(high);
-                (clamp(ends[0].0, ends[1].0, ends[2].0), clamp(ends[0].1, ends[1].1, ends[2].1))
+                (
+                    clamp(ends[0].0, ends[1].0, ends[2].0),
+                    clamp(ends[0].1, ends[1].1, ends[2].1),
+                )
             }
         };
-        Some(Known { ty, span: number(low, high), live })
+        Some(Known {
+            ty,
+            span: number(low, high),
+            live,
+        })
     }
 }
 
@@ -714,8 +932,16 @@
         let policy = Policy::load("none", "").unwrap_or_else(|e| panic!("{e}"));
         assert!(policy.settings().len() > 20);
         for s in policy.settings() {
-            assert!(s.about.len() > 10 && s.safe.len() > 10, "{} lacks words", s.name);
-            assert!(s.range.is_some() || !s.ty.is_numeric(), "{} lacks a range", s.name);
+            assert!(
+                s.about.len() > 10 && s.safe.len() > 10,
+                "{} lacks words",
+                s.name
+            );
+            assert!(
+                s.range.is_some() || !s.ty.is_numeric(),
+                "{} lacks a range",
+                s.name
+            );
         }
     }
 }
--- a/crates/hopyoke-policy/src/eval.rs
+++ b/crates/hopyoke-policy/src/eval.rs
@@ -64,7 +64,10 @@
 
     /// True or false.
     pub fn boolean(&self, name: &str) -> bool {
-        matches!(self.0.get(name), Some((Type::Boolean, Value::Boolean(true))))
+        matches!(
+            self.0.get(name),
+            Some((Type::Boolean, Value::Boolean(true)))
+        )
     }
 
     /// A setting that is a text; empty if there is none of the name.
@@ -91,7 +94,11 @@
     /// The values of all settings. Figures outside their declared range are brought into it, so
     /// that what the checker proved holds.
     pub fn evaluate(&self, figures: &Figures) -> Values {
-        let moment = Moment { policy: self, figures, known: RefCell::default() };
+        let moment = Moment {
+            policy: self,
+            figures,
+            known: RefCell::default(),
+        };
         let settings = self.settings().iter().map(|s| {
             let value = moment.name(&s.name);
             (s.name.clone(), value)
@@ -118,9 +125,11 @@
             Symbol::Figure { ty, low, high } => {
                 let given = self.figures.0.get(name).cloned();
                 let value = match given {
-                    Some(Value::Number(x)) if ty.is_numeric() => {
-                        Value::Number(if x.is_nan() { *low } else { x.clamp(*low, *high) })
-                    }
+                    Some(Value::Number(x)) if ty.is_numeric() => Value::Number(if x.is_nan() {
+                        *low
+                    } else {
+                        x.clamp(*low, *high)
+                    }),
                     Some(Value::Boolean(b)) if *ty == Type::Boolean => Value::Boolean(b),
                     _ if *ty == Type::Boolean => Value::Boolean(false),
                     _ => Value::Number(*low),
@@ -178,7 +187,9 @@
         if matches!(op, Op::Equal | Op::NotEqual) {
             return (Type::Boolean, Boolean((x.1 == y.1) == (op == Op::Equal)));
         }
-        let (Number(p), Number(q)) = (&x.1, &y.1) else { return (Type::Boolean, Boolean(false)) };
+        let (Number(p), Number(q)) = (&x.1, &y.1) else {
+            return (Type::Boolean, Boolean(false));
+        };
         let (p, q) = (*p, *q);
         let of = |ty: Option<Type>, v: f64| {
             let ty = ty.unwrap_or(Type::Number);
--- a/crates/hopyoke-policy/src/fault.rs
+++ b/crates/hopyoke-policy/src/fault.rs
@@ -28,10 +28,19 @@
 
 impl Faults {
     pub(crate) fn new(file: &str, text: &str) -> Faults {
-        Faults { file: file.to_owned(), faults: Vec::new(), text: text.to_owned() }
+        Faults {
+            file: file.to_owned(),
+            faults: Vec::new(),
+            text: text.to_owned(),
+        }
     }
 
-    pub(crate) fn add(&mut self, at: Range<usize>, message: impl Into<String>, expected: impl Into<String>) {
+    pub(crate) fn add(
+        &mut self,
+        at: Range<usize>,
+        message: impl Into<String>,
+        expected: impl Into<String>,
+    ) {
         let mut floor = at.start.min(self.text.len());
         while !self.text.is_char_boundary(floor) {
             floor -= 1;
@@ -64,13 +73,22 @@
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for fault in &self.faults {
-            let mark = AnnotationKind::Primary.span(fault.at.clone()).label(&fault.expected);
-            let snippet = Snippet::source(&self.text).path(&self.file).annotation(mark);
+            let mark = AnnotationKind::Primary
+                .span(fault.at.clone())
+                .label(&fault.expected);
+            let snippet = Snippet::source(&self.text)
+                .path(&self.file)
+                .annotation(mark);
             let group = Level::ERROR.primary_title(&fault.message).element(snippet);
             writeln!(f, "{}", Renderer::plain().render(&[group]))?;
         }
         let n = self.faults.len();
-        write!(f, "{}: {n} fault{}, nothing was applied", self.file, if n == 1 { "" } else { "s" })
+        write!(
+            f,
+            "{}: {n} fault{}, nothing was applied",
+            self.file,
+            if n == 1 { "" } else { "s" }
+        )
     }
 }
 
--- a/crates/hopyoke-policy/src/syntax.rs
+++ b/crates/hopyoke-policy/src/syntax.rs
@@ -88,7 +88,11 @@
 /// Reads a file; faults of one statement do not hide those of the next.
 pub(crate) fn read(text: &str, builtin: bool, faults: &mut Faults) -> Vec<Statement> {
     if text.len() > MOST_BYTES {
-        faults.add(0..0, "the file is too long", format!("at most {MOST_BYTES} bytes"));
+        faults.add(
+            0..0,
+            "the file is too long",
+            format!("at most {MOST_BYTES} bytes"),
+        );
         return Vec::new();
     }
     let mut out = Vec::new();
@@ -96,15 +100,27 @@
         let part = &text[chunk.clone()];
         if part.trim_end().len() > MOST_STATEMENT {
             let at = chunk.start..chunk.start + 1;
-            faults.add(at, "the statement is too long", format!("at most {MOST_STATEMENT} bytes"));
+            faults.add(
+                at,
+                "the statement is too long",
+                format!("at most {MOST_STATEMENT} bytes"),
+            );
             continue;
         }
         if let Some(deep) = too_deep(part) {
             let at = chunk.start + deep;
-            faults.add(at..at + 1, "nested too deeply", format!("at most {MOST_NESTING} levels"));
+            faults.add(
+                at..at + 1,
+                "nested too deeply",
+                format!("at most {MOST_NESTING} levels"),
+            );
             continue;
         }
-        let rule = if builtin { Rule::builtin_line } else { Rule::assign_line };
+        let rule = if builtin {
+            Rule::builtin_line
+        } else {
+            Rule::assign_line
+        };
         match Grammar::parse(rule, part) {
             Ok(mut pairs) => {
                 let inner = pairs.next().and_then(|p| p.into_inner().next());
@@ -124,7 +140,10 @@
                     start = part.trim_end().len();
                 }
                 let (message, end) = match part[start..].split_whitespace().next() {
-                    Some(word) => (format!("unexpected `{}`", word.chars().take(24).collect::<String>()), end),
+                    Some(word) => (
+                        format!("unexpected `{}`", word.chars().take(24).collect::<String>()),
+                        end,
+                    ),
                     None => ("the statement ends too early".to_owned(), start),
                 };
                 let at = chunk.start + start..chunk.start + end.max(start);
@@ -186,22 +205,37 @@
 }
 
 fn expected(variant: &ErrorVariant<Rule>) -> String {
-    let ErrorVariant::ParsingError { positives, .. } = variant else { return String::new() };
+    let ErrorVariant::ParsingError { positives, .. } = variant else {
+        return String::new();
+    };
     let mut words: Vec<&str> = positives
         .iter()
         .filter_map(|r| {
             Some(match r {
-                Rule::expr | Rule::unary | Rule::atom | Rule::or | Rule::and | Rule::sum | Rule::product => {
-                    "a value"
-                }
-                Rule::comparison | Rule::conditional | Rule::call | Rule::minus | Rule::not => "a value",
-                Rule::boolean | Rule::duration | Rule::share | Rule::money | Rule::number | Rule::text => {
+                Rule::expr
+                | Rule::unary
+                | Rule::atom
+                | Rule::or
+                | Rule::and
+                | Rule::sum
+                | Rule::product => "a value",
+                Rule::comparison | Rule::conditional | Rule::call | Rule::minus | Rule::not => {
                     "a value"
                 }
+                Rule::boolean
+                | Rule::duration
+                | Rule::share
+                | Rule::money
+                | Rule::number
+                | Rule::text => "a value",
                 Rule::function | Rule::digits => "a value",
                 Rule::name => "a name",
-                Rule::assign | Rule::local | Rule::figure | Rule::setting | Rule::live => "NAME = EXPRESSION",
-                Rule::or_op | Rule::and_op | Rule::compare_op | Rule::sum_op | Rule::product_op => "an operator",
+                Rule::assign | Rule::local | Rule::figure | Rule::setting | Rule::live => {
+                    "NAME = EXPRESSION"
+                }
+                Rule::or_op | Rule::and_op | Rule::compare_op | Rule::sum_op | Rule::product_op => {
+                    "an operator"
+                }
                 Rule::unit => "a unit: us, ms, s, min, h or d",
                 Rule::then_word => "`then`",
                 Rule::else_word => "`else`",
@@ -215,7 +249,11 @@
         .collect();
     words.sort_unstable();
     words.dedup();
-    if words.is_empty() { "NAME = EXPRESSION".into() } else { format!("expected {}", words.join(" or ")) }
+    if words.is_empty() {
+        "NAME = EXPRESSION".into()
+    } else {
+        format!("expected {}", words.join(" or "))
+    }
 }
 
 /// Places in the text are counted from the start of the file.
@@ -227,7 +265,10 @@
 }
 
 fn text(pair: Pair<'_, Rule>) -> String {
-    pair.into_inner().flatten().find(|p| p.as_rule() == Rule::inner).map_or(String::new(), |p| p.as_str().into())
+    pair.into_inner()
+        .flatten()
+        .find(|p| p.as_rule() == Rule::inner)
+        .map_or(String::new(), |p| p.as_str().into())
 }
 
 fn statement(pair: Pair<'_, Rule>, base: usize) -> Option<Statement> {
@@ -252,9 +293,27 @@
         }
     }
     Some(match rule {
-        Rule::assign => Statement::Assign { name, at: place, local, expr: value? },
-        Rule::figure => Statement::Figure { name, ty: ty?, range, about },
-        Rule::setting => Statement::Setting { name, ty: ty?, live, range, expr: value?, about, safe },
+        Rule::assign => Statement::Assign {
+            name,
+            at: place,
+            local,
+            expr: value?,
+        },
+        Rule::figure => Statement::Figure {
+            name,
+            ty: ty?,
+            range,
+            about,
+        },
+        Rule::setting => Statement::Setting {
+            name,
+            ty: ty?,
+            live,
+            range,
+            expr: value?,
+            about,
+            safe,
+        },
         _ => return None,
     })
 }
@@ -267,7 +326,10 @@
         Rule::atom => {
             // Parentheses belong to what they hold.
             let inner = expr(pair.into_inner().next()?, base)?;
-            return Some(Expr { node: inner.node, at: place });
+            return Some(Expr {
+                node: inner.node,
+                at: place,
+            });
         }
         Rule::conditional => {
             let mut parts = pair.into_inner().filter(|p| p.as_rule() == Rule::expr);
@@ -303,12 +365,19 @@
                 "max" => Function::Max,
                 _ => Function::Clamp,
             };
-            Node::Call(function, parts.map(|p| expr(p, base)).collect::<Option<_>>()?)
+            Node::Call(
+                function,
+                parts.map(|p| expr(p, base)).collect::<Option<_>>()?,
+            )
         }
         Rule::name => Node::Name(pair.as_str().to_owned()),
         Rule::boolean => Node::Literal(Type::Boolean, Value::Boolean(pair.as_str() == "true")),
         Rule::text => {
-            let inner = pair.into_inner().next().map_or("", |p| p.as_str()).to_owned();
+            let inner = pair
+                .into_inner()
+                .next()
+                .map_or("", |p| p.as_str())
+                .to_owned();
             Node::Literal(Type::Text, Value::Text(inner))
         }
         Rule::duration | Rule::share | Rule::money | Rule::number => literal(pair)?,
--- a/crates/hopyoke-policy/src/value.rs
+++ b/crates/hopyoke-policy/src/value.rs
@@ -97,13 +97,21 @@
 
 /// Durations and money are whole.
 pub(crate) fn whole(ty: Type, x: f64) -> f64 {
-    if matches!(ty, Type::Duration | Type::Money) { x.round() } else { x }
+    if matches!(ty, Type::Duration | Type::Money) {
+        x.round()
+    } else {
+        x
+    }
 }
 
 fn trim(x: f64) -> String {
     let s = format!("{x:.6}");
     let s = s.trim_end_matches('0').trim_end_matches('.');
-    if s.is_empty() || s == "-0" { "0".into() } else { s.into() }
+    if s.is_empty() || s == "-0" {
+        "0".into()
+    } else {
+        s.into()
+    }
 }
 
 /// Writes a value as the language would read it.
@@ -112,10 +120,16 @@
         (_, Value::Boolean(b)) => b.to_string(),
         (_, Value::Text(t)) => format!("\"{t}\""),
         (Type::Duration, Value::Number(us)) => {
-            let (unit, size) = [("d", 86_400e6), ("h", 3600e6), ("min", 60e6), ("s", 1e6), ("ms", 1e3)]
-                .into_iter()
-                .find(|(u, size)| us.abs() >= *size && (us % size == 0.0 || *u == "s"))
-                .unwrap_or(if *us == 0.0 { ("s", 1e6) } else { ("us", 1.0) });
+            let (unit, size) = [
+                ("d", 86_400e6),
+                ("h", 3600e6),
+                ("min", 60e6),
+                ("s", 1e6),
+                ("ms", 1e3),
+            ]
+            .into_iter()
+            .find(|(u, size)| us.abs() >= *size && (us % size == 0.0 || *u == "s"))
+            .unwrap_or(if *us == 0.0 { ("s", 1e6) } else { ("us", 1.0) });
             format!("{}{unit}", trim(us / size))
         }
         (Type::Share, Value::Number(x)) => format!("{}%", trim(x * 100.0)),
@@ -144,12 +158,14 @@
     /// All values of either.
     pub fn join(self, other: Span) -> Span {
         match (self, other) {
-            (Span::Number { low: a, high: b }, Span::Number { low: c, high: d }) => {
-                Span::Number { low: a.min(c), high: b.max(d) }
-            }
-            (Span::Boolean { yes: a, no: b }, Span::Boolean { yes: c, no: d }) => {
-                Span::Boolean { yes: a || c, no: b || d }
-            }
+            (Span::Number { low: a, high: b }, Span::Number { low: c, high: d }) => Span::Number {
+                low: a.min(c),
+                high: b.max(d),
+            },
+            (Span::Boolean { yes: a, no: b }, Span::Boolean { yes: c, no: d }) => Span::Boolean {
+                yes: a || c,
+                no: b || d,
+            },
             (Span::Text(a), Span::Text(b)) if a == b => Span::Text(a),
             _ => Span::Text(None),
         }
--- a/crates/hopyoke-policy/tests/cases.rs
+++ b/crates/hopyoke-policy/tests/cases.rs
@@ -19,7 +19,10 @@
 }
 
 fn case(text: &str, wants: &[&str]) -> Result<(), String> {
-    let faults: Vec<&&str> = wants.iter().filter(|w| w.starts_with(|c: char| c.is_ascii_digit())).collect();
+    let faults: Vec<&&str> = wants
+        .iter()
+        .filter(|w| w.starts_with(|c: char| c.is_ascii_digit()))
+        .collect();
     let policy = match Policy::load("test", text) {
         Ok(p) if faults.is_empty() => p,
         Ok(_) => return Err("no fault was found".into()),
@@ -30,13 +33,18 @@
                 .map(|f| format!("{}:{} {} / {}", f.line, f.column, f.message, f.expected))
                 .collect();
             let place = |w: &str| w.split(' ').next().unwrap_or("").to_owned();
-            let fits =
-                |w: &str, g: &str| place(w) == place(g) && g.contains(w.split_once(' ').map_or("", |x| x.1));
+            let fits = |w: &str, g: &str| {
+                place(w) == place(g) && g.contains(w.split_once(' ').map_or("", |x| x.1))
+            };
             let ok = got.len() == faults.len() && faults.iter().zip(&got).all(|(w, g)| fits(w, g));
             // Every fault is shown with an excerpt that marks the place.
             let shown = e.to_string();
             let marked = shown.matches('^').count() >= got.len();
-            return if ok && marked { Ok(()) } else { Err(format!("got {got:#?}\n{shown}")) };
+            return if ok && marked {
+                Ok(())
+            } else {
+                Err(format!("got {got:#?}\n{shown}"))
+            };
         }
     };
     let mut now = Figures::default();
@@ -45,9 +53,14 @@
             now = figures(f);
             continue;
         }
-        let (name, value) = want.split_once(" = ").ok_or(format!("not understood: {want}"))?;
+        let (name, value) = want
+            .split_once(" = ")
+            .ok_or(format!("not understood: {want}"))?;
         let values = policy.evaluate(&now);
-        let (_, ty, v) = values.iter().find(|(n, ..)| *n == name).ok_or(format!("no {name}"))?;
+        let (_, ty, v) = values
+            .iter()
+            .find(|(n, ..)| *n == name)
+            .ok_or(format!("no {name}"))?;
         if show(ty, v) != value {
             return Err(format!("{name} is {}, not {value}", show(ty, v)));
         }
@@ -62,7 +75,10 @@
     for part in file.split("\n== ").skip(1) {
         let (name, rest) = part.split_once('\n').expect("a name");
         let (text, wants) = rest.split_once("\n--\n").expect("a line --");
-        let wants: Vec<&str> = wants.lines().filter(|l| !l.is_empty() && !l.starts_with('#')).collect();
+        let wants: Vec<&str> = wants
+            .lines()
+            .filter(|l| !l.is_empty() && !l.starts_with('#'))
+            .collect();
         match case(text, &wants) {
             Ok(()) => passed += 1,
             Err(e) => {
@@ -90,7 +106,11 @@
     assert!(n >= 2, "{n} examples");
     // The documented table of settings is that of the program.
     for s in Policy::defaults().settings() {
-        assert!(page.contains(&format!("| `{}` |", s.name)), "{} is not documented", s.name);
+        assert!(
+            page.contains(&format!("| `{}` |", s.name)),
+            "{} is not documented",
+            s.name
+        );
     }
     // So is the file that is deployed.
     let deployed = include_str!("../../../deploy/hopyoke.policy");
--- a/crates/hopyoke-policy/tests/frozen_forms.rs
+++ b/crates/hopyoke-policy/tests/frozen_forms.rs
@@ -14,7 +14,11 @@
 
 /// One line for each setting: its name and its value.
 fn values(policy: &Policy, figures: &Figures) -> String {
-    policy.evaluate(figures).iter().map(|(name, ty, value)| format!("{name} = {}\n", show(ty, value))).collect()
+    policy
+        .evaluate(figures)
+        .iter()
+        .map(|(name, ty, value)| format!("{name} = {}\n", show(ty, value)))
+        .collect()
 }
 
 /// One line for each setting and figure, as operators see it.
@@ -23,22 +27,40 @@
     let policy = Policy::defaults();
     let settings = policy.settings().iter().map(|s| {
         let live = if s.live { "live setting" } else { "setting" };
-        format!("{live} {}: {} in [{}] = {}\n", s.name, s.ty, s.range_text(), s.default)
+        format!(
+            "{live} {}: {} in [{}] = {}\n",
+            s.name,
+            s.ty,
+            s.range_text(),
+            s.default
+        )
     });
-    let figures = policy.figures().iter().map(|f| format!("figure {}: {} in {:?}\n", f.name, f.ty, f.range));
-    assert_eq!(figures.chain(settings).collect::<String>(), form("declarations.txt"));
+    let figures = policy
+        .figures()
+        .iter()
+        .map(|f| format!("figure {}: {} in {:?}\n", f.name, f.ty, f.range));
+    assert_eq!(
+        figures.chain(settings).collect::<String>(),
+        form("declarations.txt")
+    );
 }
 
 #[test]
 fn defaults() {
-    assert_eq!(values(&Policy::defaults(), &Figures::default()), form("defaults.txt"));
+    assert_eq!(
+        values(&Policy::defaults(), &Figures::default()),
+        form("defaults.txt")
+    );
 }
 
 /// With no figures known, and on a busy afternoon.
 #[test]
 fn a_full_file() {
     let policy = full();
-    assert!(policy.settings().iter().all(|s| s.overridden), "the file sets every setting");
+    assert!(
+        policy.settings().iter().all(|s| s.overridden),
+        "the file sets every setting"
+    );
     assert!(policy.is_live());
     assert_eq!(values(&policy, &Figures::default()), form("full-quiet.txt"));
     let busy = Figures::default()
--- a/crates/hopyoke-policy/tests/properties.rs
+++ b/crates/hopyoke-policy/tests/properties.rs
@@ -13,10 +13,18 @@
     ];
     leaf.prop_recursive(4, 24, 3, |inner| {
         prop_oneof![
-            (inner.clone(), "[-+*/]", inner.clone()).prop_map(|(a, op, b)| format!("({a}) {op} ({b})")),
-            (inner.clone(), inner.clone(), inner.clone()).prop_map(|(a, b, c)| format!("clamp({a}, {b}, {c})")),
+            (inner.clone(), "[-+*/]", inner.clone())
+                .prop_map(|(a, op, b)| format!("({a}) {op} ({b})")),
+            (inner.clone(), inner.clone(), inner.clone())
+                .prop_map(|(a, b, c)| format!("clamp({a}, {b}, {c})")),
             (inner.clone(), inner.clone()).prop_map(|(a, b)| format!("max({a}, {b})")),
-            (inner.clone(), "(<|<=|>|>=|==|!=)", inner.clone(), inner.clone(), inner)
+            (
+                inner.clone(),
+                "(<|<=|>|>=|==|!=)",
+                inner.clone(),
+                inner.clone(),
+                inner
+            )
                 .prop_map(|(a, op, b, c, d)| format!("if ({a}) {op} ({b}) then {c} else {d}")),
         ]
     })
--- a/crates/hopyoke-protocol/src/user.rs
+++ b/crates/hopyoke-protocol/src/user.rs
@@ -121,7 +121,11 @@
         if JobId::parse(self.id.as_str()).is_none() {
             return Err("id: must be 'req-' followed by digits".into());
         }
-        for (field, text) in [("berth", &self.class), ("crew", &self.team), ("cargo", &self.image)] {
+        for (field, text) in [
+            ("berth", &self.class),
+            ("crew", &self.team),
+            ("cargo", &self.image),
+        ] {
             if text.is_empty() || text.len() > MAX_NAME {
                 return Err(format!("{field}: must be 1 to {MAX_NAME} bytes long"));
             }
@@ -150,7 +154,9 @@
         if let Some(types) = &self.types
             && (types.len() > MAX_TYPES || types.iter().any(|t| t.len() > MAX_NAME))
         {
-            return Err(format!("rigs: at most {MAX_TYPES} names of at most {MAX_NAME} bytes"));
+            return Err(format!(
+                "rigs: at most {MAX_TYPES} names of at most {MAX_NAME} bytes"
+            ));
         }
         if super::encode(self).len() > MAX_SPEC_BYTES {
             return Err("rigs: the job's description is too long to be kept".into());
@@ -178,10 +184,14 @@
             String::deserialize(d).map(|_| Discard)
         }
     }
-    let Ok(shapes) = super::decode::<BTreeMap<String, Shape>>(body) else { return error.to_owned() };
+    let Ok(shapes) = super::decode::<BTreeMap<String, Shape>>(body) else {
+        return error.to_owned();
+    };
     let want = |field: &str| match field {
         "id" | "berth" | "crew" | "hull" | "rank" | "cargo" => Some("text"),
-        "oars" | "cpus" | "cards" | "mem_gb" | "pull_gb" | "voyage_s" | "logbook_s" | "stow_s" => Some("number"),
+        "oars" | "cpus" | "cards" | "mem_gb" | "pull_gb" | "voyage_s" | "logbook_s" | "stow_s" => {
+            Some("number")
+        }
         "together" | "apart" | "driftboats" => Some("boolean"),
         _ => None,
     };
@@ -205,7 +215,11 @@
     }
     for field in ["hull", "rank"] {
         if shapes.contains_key(field) && error.contains("unknown variant") {
-            let of = if error.contains("group") { "hull" } else { "rank" };
+            let of = if error.contains("group") {
+                "hull"
+            } else {
+                "rank"
+            };
             if of == field {
                 return format!("{field}: {error}");
             }
--- a/crates/hopyoke-protocol/tests/frozen/mod.rs
+++ b/crates/hopyoke-protocol/tests/frozen/mod.rs
@@ -10,10 +10,19 @@
 
 /// The bytes of `tests/forms/NAME.hex`.
 pub fn bytes(name: &str) -> Vec<u8> {
-    let digits: Vec<u8> = text(&format!("{name}.hex")).bytes().filter(|b| !b.is_ascii_whitespace()).collect();
-    assert!(digits.len().is_multiple_of(2), "{name}: an odd number of digits");
+    let digits: Vec<u8> = text(&format!("{name}.hex"))
+        .bytes()
+        .filter(|b| !b.is_ascii_whitespace())
+        .collect();
+    assert!(
+        digits.len().is_multiple_of(2),
+        "{name}: an odd number of digits"
+    );
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16);
-    digits.chunks(2).map(|pair| byte(pair).unwrap_or_else(|e| panic!("{name}: {e}"))).collect()
+    digits
+        .chunks(2)
+        .map(|pair| byte(pair).unwrap_or_else(|e| panic!("{name}: {e}")))
+        .collect()
 }
 
 /// The text of `tests/forms/FILE`.
@@ -25,7 +34,11 @@
 /// Compares bytes with a fixture; a difference is shown as hex.
 pub fn assert_bytes(name: &str, got: &[u8]) {
     let hex = |b: &[u8]| b.iter().map(|x| format!("{x:02x}")).collect::<String>();
-    assert_eq!(hex(got), hex(&bytes(name)), "{name}: other bytes than before");
+    assert_eq!(
+        hex(got),
+        hex(&bytes(name)),
+        "{name}: other bytes than before"
+    );
 }
 
 /// Reads a fixture as MessagePack.
@@ -47,12 +60,20 @@
 /// The same for a value of the state service, which nodes read as [`Stored`].
 pub fn assert_stored<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     assert_round_trip(name, value);
-    let stored: T = read::<Stored<T>>(name).readable().unwrap_or_else(|| panic!("{name}: unreadable"));
+    let stored: T = read::<Stored<T>>(name)
+        .readable()
+        .unwrap_or_else(|| panic!("{name}: unreadable"));
     assert_bytes(name, &encode(&stored));
 }
 
 /// A fixture of an earlier form is read as `value`, which is written otherwise today.
 pub fn assert_read_as<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
-    let stored: T = read::<Stored<T>>(name).readable().unwrap_or_else(|| panic!("{name}: unreadable"));
-    assert_eq!(encode(&stored), encode(value), "{name}: read as another value");
+    let stored: T = read::<Stored<T>>(name)
+        .readable()
+        .unwrap_or_else(|| panic!("{name}: unreadable"));
+    assert_eq!(
+        encode(&stored),
+        encode(value),
+        "{name}: read as another value"
+    );
 }
--- a/crates/hopyoke-protocol/tests/frozen_forms.rs
+++ b/crates/hopyoke-protocol/tests/frozen_forms.rs
@@ -10,12 +10,13 @@
 };
 use hopyoke_protocol::encode;
 use hopyoke_protocol::state::{
-    Compare, CompareFailed, KeyValue, KeyValuePage, LeaseGrantRequest, LeaseGrantResponse, Mutation, Stored,
-    Transaction, TransactionResponse, WatchResponse,
+    Compare, CompareFailed, KeyValue, KeyValuePage, LeaseGrantRequest, LeaseGrantResponse,
+    Mutation, Stored, Transaction, TransactionResponse, WatchResponse,
 };
 use hopyoke_protocol::user::{JobAnswer, JobKind, JobSpec, JobState, Priority};
 use hopyoke_protocol::worker::{
-    Command, ExitReason, Heartbeat, HeartbeatRedirect, HeartbeatResponse, PushedCommands, TaskState, TaskStatus,
+    Command, ExitReason, Heartbeat, HeartbeatRedirect, HeartbeatResponse, PushedCommands,
+    TaskState, TaskStatus,
 };
 use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, ModRevision};
 
@@ -46,12 +47,18 @@
 }
 
 fn plain_spec() -> JobSpec {
-    JobSpec { spread: true, ..JobSpec::plain(JobId::new("req-7"), "lint", "tools", "registry/lint:1") }
+    JobSpec {
+        spread: true,
+        ..JobSpec::plain(JobId::new("req-7"), "lint", "tools", "registry/lint:1")
+    }
 }
 
 #[test]
 fn job_specs() {
-    for (name, spec) in [("job-spec-full", full_spec()), ("job-spec-plain", plain_spec())] {
+    for (name, spec) in [
+        ("job-spec-full", full_spec()),
+        ("job-spec-plain", plain_spec()),
+    ] {
         assert_round_trip(name, &spec);
         assert_eq!(JobSpec::parse(&bytes(name)), Ok(spec), "{name}");
     }
@@ -61,15 +68,37 @@
 
 #[test]
 fn enumerations() {
-    assert_round_trip("job-kinds", &vec![JobKind::Array, JobKind::Gang, JobKind::Service]);
-    assert_round_trip("priorities", &vec![Priority::Production, Priority::High, Priority::Normal, Priority::Low]);
+    assert_round_trip(
+        "job-kinds",
+        &vec![JobKind::Array, JobKind::Gang, JobKind::Service],
+    );
+    assert_round_trip(
+        "priorities",
+        &vec![
+            Priority::Production,
+            Priority::High,
+            Priority::Normal,
+            Priority::Low,
+        ],
+    );
     assert_round_trip(
         "job-states",
-        &vec![JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled],
+        &vec![
+            JobState::Queued,
+            JobState::Running,
+            JobState::Done,
+            JobState::Cancelled,
+        ],
     );
     assert_round_trip(
         "task-states",
-        &vec![TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving, TaskState::Ended],
+        &vec![
+            TaskState::Fetching,
+            TaskState::Waiting,
+            TaskState::Running,
+            TaskState::Saving,
+            TaskState::Ended,
+        ],
     );
     assert_round_trip(
         "exit-reasons",
@@ -100,22 +129,49 @@
 #[test]
 fn job_answers() {
     let cases = [
-        ("job-answer-queued", JobAnswer { id: "req-41", state: JobState::Queued, done: None, running: None }),
+        (
+            "job-answer-queued",
+            JobAnswer {
+                id: "req-41",
+                state: JobState::Queued,
+                done: None,
+                running: None,
+            },
+        ),
         (
             "job-answer-running",
-            JobAnswer { id: "req-41", state: JobState::Running, done: Some(5), running: Some(3) },
+            JobAnswer {
+                id: "req-41",
+                state: JobState::Running,
+                done: Some(5),
+                running: Some(3),
+            },
+        ),
+        (
+            "job-answer-done",
+            JobAnswer {
+                id: "req-41",
+                state: JobState::Done,
+                done: Some(12),
+                running: None,
+            },
         ),
-        ("job-answer-done", JobAnswer { id: "req-41", state: JobState::Done, done: Some(12), running: None }),
         (
             "job-answer-cancelled",
-            JobAnswer { id: "req-41", state: JobState::Cancelled, done: None, running: Some(0) },
+            JobAnswer {
+                id: "req-41",
+                state: JobState::Cancelled,
+                done: None,
+                running: Some(0),
+            },
         ),
     ];
     for (name, answer) in cases {
         assert_written(name, &answer);
         // It borrows its id from the bytes.
         let old = bytes(name);
-        let again: JobAnswer<'_> = rmp_serde::from_slice(&old).unwrap_or_else(|e| panic!("{name}: {e}"));
+        let again: JobAnswer<'_> =
+            rmp_serde::from_slice(&old).unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_bytes(name, &encode(&again));
     }
 }
@@ -141,8 +197,20 @@
         preemption_notice_s: Some(90.5),
         tasks: vec![
             task("req-41/0", 70_001, TaskState::Running, None, false),
-            task("req-41/1", 70_002, TaskState::Ended, Some(ExitReason::Done), false),
-            task("req-41/2", 70_003, TaskState::Ended, Some(ExitReason::Stopped), true),
+            task(
+                "req-41/1",
+                70_002,
+                TaskState::Ended,
+                Some(ExitReason::Done),
+                false,
+            ),
+            task(
+                "req-41/2",
+                70_003,
+                TaskState::Ended,
+                Some(ExitReason::Stopped),
+                true,
+            ),
         ],
     };
     let idle = Heartbeat {
@@ -161,20 +229,48 @@
 #[test]
 fn commands() {
     let commands = vec![
-        Command::Start { task: "req-41/0".into(), attempt: Attempt(70_001) },
-        Command::Stop { task: "req-41/1".into(), attempt: Attempt(70_002), grace_s: 12.5 },
-        Command::Acknowledge { task: "req-41/2".into(), attempt: Attempt(70_003) },
+        Command::Start {
+            task: "req-41/0".into(),
+            attempt: Attempt(70_001),
+        },
+        Command::Stop {
+            task: "req-41/1".into(),
+            attempt: Attempt(70_002),
+            grace_s: 12.5,
+        },
+        Command::Acknowledge {
+            task: "req-41/2".into(),
+            attempt: Attempt(70_003),
+        },
     ];
     assert_round_trip(
         "orders",
-        &HeartbeatResponse { token: FencingToken(5_000_000_007), commands: commands.clone() },
+        &HeartbeatResponse {
+            token: FencingToken(5_000_000_007),
+            commands: commands.clone(),
+        },
+    );
+    assert_round_trip(
+        "orders-none",
+        &HeartbeatResponse {
+            token: FencingToken(3),
+            commands: Vec::new(),
+        },
     );
-    assert_round_trip("orders-none", &HeartbeatResponse { token: FencingToken(3), commands: Vec::new() });
     assert_round_trip(
         "direct-orders",
-        &PushedCommands { token: FencingToken(5_000_000_007), epoch: 901, commands },
+        &PushedCommands {
+            token: FencingToken(5_000_000_007),
+            epoch: 901,
+            commands,
+        },
+    );
+    assert_written(
+        "redirect",
+        &HeartbeatRedirect {
+            report_to: Some("10.0.0.2:8080"),
+        },
     );
-    assert_written("redirect", &HeartbeatRedirect { report_to: Some("10.0.0.2:8080") });
     assert_written("redirect-nowhere", &HeartbeatRedirect { report_to: None });
 }
 
@@ -207,31 +303,60 @@
     assert_round_trip("machine-type", &full);
     // The second lacks all that has a default.
     assert_eq!(read::<Catalog>("catalog").types, [full, least]);
-    let rent = ScaleOutRequest { request: "r-5-1", machine_type: "g4", zone: "east", spot: true, count: 3 };
+    let rent = ScaleOutRequest {
+        request: "r-5-1",
+        machine_type: "g4",
+        zone: "east",
+        spot: true,
+        count: 3,
+    };
     assert_written("rent", &rent);
     assert_round_trip(
         "machines",
-        &MachineNames { machines: vec![MachineId::new("m-17"), MachineId::new("m-18")] },
+        &MachineNames {
+            machines: vec![MachineId::new("m-17"), MachineId::new("m-18")],
+        },
     );
 
     let list: MachineList = read("machine-list");
     assert!(list.more);
-    let [full, least] = &list.machines[..] else { panic!("two machines: {list:?}") };
+    let [full, least] = &list.machines[..] else {
+        panic!("two machines: {list:?}")
+    };
     assert_eq!(full.id, MachineId::new("m-17"));
     assert_eq!(full.address.as_deref(), Some("10.0.0.17:7000"));
-    assert_eq!((full.machine_type.as_str(), full.zone.as_str(), full.spot), ("g4", "east", true));
-    assert_eq!((full.state, full.age_s), (ListedMachineState::Running, 77.5));
+    assert_eq!(
+        (full.machine_type.as_str(), full.zone.as_str(), full.spot),
+        ("g4", "east", true)
+    );
+    assert_eq!(
+        (full.state, full.age_s),
+        (ListedMachineState::Running, 77.5)
+    );
     assert_eq!((least.id.as_str(), &least.address), ("m-18", &None));
-    assert_eq!((least.machine_type.as_str(), least.zone.as_str(), least.spot), ("c1", "west", false));
-    assert_eq!((least.state, least.age_s), (ListedMachineState::Booting, 0.0));
+    assert_eq!(
+        (least.machine_type.as_str(), least.zone.as_str(), least.spot),
+        ("c1", "west", false)
+    );
+    assert_eq!(
+        (least.state, least.age_s),
+        (ListedMachineState::Booting, 0.0)
+    );
     let last: MachineList = read("machine-list-last");
     assert!(last.machines.is_empty() && !last.more);
 }
 
 #[test]
 fn state_requests() {
-    let when = |key: &str, mod_revision| Compare { key: key.into(), mod_revision: ModRevision(mod_revision) };
-    let put = |key: &str, lease| Mutation::Put { key: key.into(), value: "v", lease };
+    let when = |key: &str, mod_revision| Compare {
+        key: key.into(),
+        mod_revision: ModRevision(mod_revision),
+    };
+    let put = |key: &str, lease| Mutation::Put {
+        key: key.into(),
+        value: "v",
+        lease,
+    };
     assert_written(
         "txn",
         &Transaction {
@@ -239,31 +364,52 @@
             mutations: vec![
                 put("end/req-41", None),
                 put("leader", Some(31)),
-                Mutation::Delete { key: "job/req-41".into() },
+                Mutation::Delete {
+                    key: "job/req-41".into(),
+                },
             ],
         },
     );
-    assert_written("txn-empty", &Transaction::<u32> { compares: Vec::new(), mutations: Vec::new() });
+    assert_written(
+        "txn-empty",
+        &Transaction::<u32> {
+            compares: Vec::new(),
+            mutations: Vec::new(),
+        },
+    );
     assert_written("grant", &LeaseGrantRequest { ttl_ms: 6_000 });
 }
 
 #[test]
 fn state_answers() {
     assert_eq!(read::<TransactionResponse>("applied").revision, 901);
-    assert_eq!(read::<CompareFailed>("failed").failed, ["leader", "job/req-41"]);
+    assert_eq!(
+        read::<CompareFailed>("failed").failed,
+        ["leader", "job/req-41"]
+    );
     assert!(read::<CompareFailed>("failed-absent").failed.is_empty());
     assert_eq!(read::<LeaseGrantResponse>("granted").lease, 31);
 
     // Asked by key, the answer has none.
     let pair: KeyValue<JobSpec> = read("pair");
-    assert_eq!((pair.key.as_str(), pair.mod_revision), ("", ModRevision(77)));
+    assert_eq!(
+        (pair.key.as_str(), pair.mod_revision),
+        ("", ModRevision(77))
+    );
     assert_eq!(pair.value.readable(), Some(full_spec()));
 
     let page: KeyValuePage<String> = read("page");
     assert!(page.more);
     assert_eq!(page.revision, 950);
-    let pairs: Vec<_> = page.pairs.into_iter().map(|p| (p.key, p.value.readable(), p.mod_revision)).collect();
-    assert_eq!(pairs[0], ("job/req-41".into(), Some("kept".into()), ModRevision(77)));
+    let pairs: Vec<_> = page
+        .pairs
+        .into_iter()
+        .map(|p| (p.key, p.value.readable(), p.mod_revision))
+        .collect();
+    assert_eq!(
+        pairs[0],
+        ("job/req-41".into(), Some("kept".into()), ModRevision(77))
+    );
     // A value of another type is no fault of the page.
     assert_eq!(pairs[1], ("job/req-42".into(), None, ModRevision(78)));
     let last: KeyValuePage<String> = read("page-last");
@@ -272,18 +418,26 @@
 
     let news: WatchResponse<String> = read("events");
     assert_eq!((news.revision, news.events.len()), (960, 3));
-    let [put, drop, strange] = &news.events[..] else { unreachable!("three events") };
+    let [put, drop, strange] = &news.events[..] else {
+        unreachable!("three events")
+    };
     assert_eq!(
         (put.put.as_deref(), &put.deleted, put.mod_revision),
         (Some("job/req-41"), &None, ModRevision(958))
     );
-    assert!(matches!(&put.value, Some(Stored::Value(v)) if v == "kept"), "{put:?}");
+    assert!(
+        matches!(&put.value, Some(Stored::Value(v)) if v == "kept"),
+        "{put:?}"
+    );
     assert_eq!(
         (&drop.put, drop.deleted.as_deref(), drop.mod_revision),
         (&None, Some("job/req-42"), ModRevision(959))
     );
     assert!(drop.value.is_none(), "{drop:?}");
-    assert!(matches!(&strange.value, Some(Stored::Unreadable(_))), "{strange:?}");
+    assert!(
+        matches!(&strange.value, Some(Stored::Unreadable(_))),
+        "{strange:?}"
+    );
     let none: WatchResponse<String> = read("events-none");
     assert!(none.events.is_empty());
     assert_eq!(none.revision, 961);
--- a/crates/hopyoke-run-times/benches/learner.rs
+++ b/crates/hopyoke-run-times/benches/learner.rs
@@ -8,12 +8,23 @@
 use std::hint::black_box;
 
 fn filled(classes: usize, runs: u64) -> (Learner, Vec<String>, Vec<MachineId>) {
-    let mut learner = Learner::new(Limits { classes: 2000, memory: 40.0 });
+    let mut learner = Learner::new(Limits {
+        classes: 2000,
+        memory: 40.0,
+    });
     let names: Vec<String> = (0..classes).map(|i| format!("class-{i:05}")).collect();
-    let machines: Vec<MachineId> = (0..200).map(|i| MachineId::new(&format!("m-{i:06}"))).collect();
+    let machines: Vec<MachineId> = (0..200)
+        .map(|i| MachineId::new(&format!("m-{i:06}")))
+        .collect();
     let mut rng = StdRng::seed_from_u64(1);
     for i in 0..runs {
-        run(&mut learner, i, &names[(i % classes as u64) as usize], &machines, &mut rng);
+        run(
+            &mut learner,
+            i,
+            &names[(i % classes as u64) as usize],
+            &machines,
+            &mut rng,
+        );
     }
     (learner, names, machines)
 }
@@ -30,8 +41,18 @@
     machines: &[MachineId],
     rng: &mut StdRng,
 ) -> (RunKey, Micros) {
-    let key = (TaskId { job: JobId::new("req-1"), index: i as u32 }, Attempt(i));
-    let work = Work { class, team: "team", estimate_s: 100.0 };
+    let key = (
+        TaskId {
+            job: JobId::new("req-1"),
+            index: i as u32,
+        },
+        Attempt(i),
+    );
+    let work = Work {
+        class,
+        team: "team",
+        estimate_s: 100.0,
+    };
     let machine = machines[rng.random_range(0..machines.len())].clone();
     let began = Micros::from_secs(i / 100 * 100 + 1);
     learner.started(key.clone(), work, vec![machine], began, Some(Micros::ZERO));
@@ -47,7 +68,13 @@
     c.bench_function("a start and the observation at its end", |b| {
         b.iter(|| {
             i += 1;
-            run(&mut learner, i, &names[(i % 100) as usize], &machines, &mut rng);
+            run(
+                &mut learner,
+                i,
+                &names[(i % 100) as usize],
+                &machines,
+                &mut rng,
+            );
         });
     });
     c.bench_function("observation: what ended is learned", |b| {
@@ -57,7 +84,13 @@
                 let runs: Vec<_> = (0..(n - part * 100).min(100))
                     .map(|_| {
                         i += 1;
-                        start(&mut learner, i, &names[(i % 100) as usize], &machines, &mut rng)
+                        start(
+                            &mut learner,
+                            i,
+                            &names[(i % 100) as usize],
+                            &machines,
+                            &mut rng,
+                        )
                     })
                     .collect();
                 let began = std::time::Instant::now();
@@ -72,12 +105,22 @@
     c.bench_function("look-up: a distribution on a machine", |b| {
         b.iter(|| {
             i += 1;
-            let work = Work { class: &names[(i % 100) as usize], team: "team", estimate_s: 120.0 };
-            let d = learner.estimate(work, Some(&machines[(i % 200) as usize])).distribution;
+            let work = Work {
+                class: &names[(i % 100) as usize],
+                team: "team",
+                estimate_s: 120.0,
+            };
+            let d = learner
+                .estimate(work, Some(&machines[(i % 200) as usize]))
+                .distribution;
             black_box(d.quantile(0.9))
         });
     });
-    let work = Work { class: &names[0], team: "team", estimate_s: 120.0 };
+    let work = Work {
+        class: &names[0],
+        team: "team",
+        estimate_s: 120.0,
+    };
     let d = learner.estimate(work, None).distribution;
     c.bench_function("look-up: what is left of a run", |b| {
         b.iter(|| black_box(d.remaining(black_box(60.0), 0.5)))
--- a/crates/hopyoke-run-times/src/capacity.rs
+++ b/crates/hopyoke-run-times/src/capacity.rs
@@ -25,7 +25,10 @@
     if free >= need - 1e-9 {
         return Some((0.0, 0.0));
     }
-    let mut order: Vec<(f64, &Freeing)> = tasks.iter().map(|t| (t.run.remaining(t.ran_s, 0.5), t)).collect();
+    let mut order: Vec<(f64, &Freeing)> = tasks
+        .iter()
+        .map(|t| (t.run.remaining(t.ran_s, 0.5), t))
+        .collect();
     order.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut enough = 0.0;
     let within = order.iter().take_while(|(_, t)| {
--- a/crates/hopyoke-run-times/src/distribution.rs
+++ b/crates/hopyoke-run-times/src/distribution.rs
@@ -1,7 +1,9 @@
 //! Distributions of run times.
 
 /// The probabilities at which quantiles are kept.
-pub(crate) const GRID: [f32; 13] = [0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.99];
+pub(crate) const GRID: [f32; 13] = [
+    0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.99,
+];
 pub(crate) const MEDIAN: usize = 6;
 pub(crate) const P10: usize = 2;
 pub(crate) const P90: usize = 10;
@@ -19,7 +21,11 @@
     pub(crate) fn of(mut q: [f32; 13]) -> Distribution {
         let mut least = LEAST;
         for x in &mut q {
-            *x = if x.is_finite() { x.clamp(least, MOST) } else { least };
+            *x = if x.is_finite() {
+                x.clamp(least, MOST)
+            } else {
+                least
+            };
             least = *x;
         }
         Distribution(q)
--- a/crates/hopyoke-run-times/src/learner.rs
+++ b/crates/hopyoke-run-times/src/learner.rs
@@ -37,7 +37,10 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { classes: 600, memory: 40.0 }
+        Limits {
+            classes: 600,
+            memory: 40.0,
+        }
     }
 }
 
@@ -84,7 +87,12 @@
 
 impl Entry {
     pub fn new(model: Model, used: u64, page: Option<u16>) -> Entry {
-        Entry { model, used, page, drift: 0.0 }
+        Entry {
+            model,
+            used,
+            page,
+            drift: 0.0,
+        }
     }
 
     /// Takes up a run that completed after `whole`, of which `x` is not its machine's doing.
@@ -187,7 +195,11 @@
     pub fn estimate(&self, work: Work<'_>, machine: Option<&MachineId>) -> Estimate {
         let estimate = sane(work.estimate_s);
         let (class, team) = (self.classes.get(work.class), self.teams.get(work.team));
-        let models = [class.map(|e| &e.model), team.map(|e| &e.model), Some(&self.all.model)];
+        let models = [
+            class.map(|e| &e.model),
+            team.map(|e| &e.model),
+            Some(&self.all.model),
+        ];
         let mut distribution = Model::predict(&models, estimate);
         if let Some(m) = machine {
             let factor = self.machines.factor(m);
@@ -200,15 +212,22 @@
             class_runs: runs(class),
             team_runs: runs(team),
             all_runs: self.all.model.runs,
-            ratio_share: class.or(team).map_or(0.0, |e| e.model.ratio_share(estimate)),
+            ratio_share: class
+                .or(team)
+                .map_or(0.0, |e| e.model.ratio_share(estimate)),
             changes: class.map_or(0, |e| e.model.level.changes + e.model.ratio.changes),
         };
-        Estimate { distribution, basis }
+        Estimate {
+            distribution,
+            basis,
+        }
     }
 
     /// What a class's start commands take until the task runs, in seconds.
     pub fn lead_s(&self, class: &str) -> f64 {
-        self.classes.get(class).map_or(0.0, |e| f64::from(e.model.lead_s))
+        self.classes
+            .get(class)
+            .map_or(0.0, |e| f64::from(e.model.lead_s))
     }
 
     /// A task ran this long after its start command.
@@ -250,7 +269,10 @@
             return;
         }
         self.no_longer_commanded(&key);
-        let factor = machines.iter().map(|m| self.machines.factor(m)).fold(f32::MIN, f32::max);
+        let factor = machines
+            .iter()
+            .map(|m| self.machines.factor(m))
+            .fold(f32::MIN, f32::max);
         let factor = if machines.is_empty() { 0.0 } else { factor };
         let found = self.estimate(work, None);
         let (p10, p50, p90) = band(&found.distribution);
@@ -271,7 +293,9 @@
     }
 
     fn name_of(&self, names: &BTreeMap<Rc<str>, Entry>, name: &str) -> Rc<str> {
-        names.get_key_value(name).map_or_else(|| Rc::from(name), |(k, _)| k.clone())
+        names
+            .get_key_value(name)
+            .map_or_else(|| Rc::from(name), |(k, _)| k.clone())
     }
 
     /// The run is looked at again when it will have outlived 95 of 100.
@@ -299,8 +323,20 @@
     /// Runs that will most likely (nine in ten) end within this span, the soonest first.
     pub fn ending_within(&self, now: Micros, span: Micros) -> impl Iterator<Item = &RunKey> {
         // Those past that time may take any time.
-        let from = (now, (TaskId { job: JobId::new(""), index: 0 }, Attempt(0)));
-        self.ends.range(from..).take_while(move |(at, _)| *at <= now + span).map(|(_, key)| key)
+        let from = (
+            now,
+            (
+                TaskId {
+                    job: JobId::new(""),
+                    index: 0,
+                },
+                Attempt(0),
+            ),
+        );
+        self.ends
+            .range(from..)
+            .take_while(move |(at, _)| *at <= now + span)
+            .map(|(_, key)| key)
     }
 
     /// Runs whose start nobody saw began when their attempts were commanded, and a class's lead
@@ -308,15 +344,27 @@
     /// after that token's grant it was commanded. Runs of tokens that nobody remembers stay as
     /// they are.
     pub fn date_runs(&mut self, day: Micros, split: &dyn Fn(Attempt) -> (u64, Micros)) {
-        let undated: Vec<RunKey> =
-            self.running.iter().filter(|(_, r)| r.before.is_none()).map(|(k, _)| k.clone()).collect();
+        let undated: Vec<RunKey> = self
+            .running
+            .iter()
+            .filter(|(_, r)| r.before.is_none())
+            .map(|(k, _)| k.clone())
+            .collect();
         for key in undated {
             let (token, after) = split(key.1);
-            let Some(granted) = self.granted_at(token) else { continue };
-            let Some(mut run) = self.running.remove(&key) else { continue };
+            let Some(granted) = self.granted_at(token) else {
+                continue;
+            };
+            let Some(mut run) = self.running.remove(&key) else {
+                continue;
+            };
             let lead = Micros::from_secs_f64(self.lead_s(&run.class));
             run.before = Some((day + run.since) - (granted + after + lead));
-            let work = Work { class: &run.class.clone(), team: &run.team.clone(), estimate_s: 0.0 };
+            let work = Work {
+                class: &run.class.clone(),
+                team: &run.team.clone(),
+                estimate_s: 0.0,
+            };
             let d = Model::predict(&self.models(work), run.estimate);
             self.watch(&key, &mut run, &d, true);
             self.running.insert(key, run);
@@ -337,7 +385,11 @@
     /// what is left of all its runs is more than was thought. Returns classes found changed.
     pub fn tick(&mut self, now: Micros) -> Vec<Rc<str>> {
         // What was commanded and never came to run is forgotten in time.
-        while let Some((at, key)) = self.ends.first().filter(|(at, _)| now > *at + Micros::from_secs(60)).cloned()
+        while let Some((at, key)) = self
+            .ends
+            .first()
+            .filter(|(at, _)| now > *at + Micros::from_secs(60))
+            .cloned()
         {
             self.ends.remove(&(at, key.clone()));
             self.commanded.remove(&key);
@@ -347,10 +399,16 @@
             if *at > now {
                 break;
             }
-            let Some(Reverse((_, key))) = self.due.pop() else { break };
-            let Some(run) = self.running.get_mut(&key) else { continue };
+            let Some(Reverse((_, key))) = self.due.pop() else {
+                break;
+            };
+            let Some(run) = self.running.get_mut(&key) else {
+                continue;
+            };
             run.overdue = true;
-            let Some(entry) = self.classes.get_mut(&run.class) else { continue };
+            let Some(entry) = self.classes.get_mut(&run.class) else {
+                continue;
+            };
             entry.model.overdue += 1.0;
             // The first ends after a change are those of its short runs: they and the long runs that
             // outlive their bands speak together.
@@ -361,10 +419,16 @@
             entry.model.overdue = 0.0;
             // The median of those that are overdue now lies at least where they are.
             let class = run.class.clone();
-            let late = self.running.values().filter(|r| r.class == class && r.overdue);
-            let late: Vec<(f32, Option<f32>)> =
-                late.filter_map(|r| Some((sane(r.ran(now)?)? - r.factor, r.estimate))).collect();
-            let Some(entry) = self.classes.get_mut(&class) else { continue };
+            let late = self
+                .running
+                .values()
+                .filter(|r| r.class == class && r.overdue);
+            let late: Vec<(f32, Option<f32>)> = late
+                .filter_map(|r| Some((sane(r.ran(now)?)? - r.factor, r.estimate)))
+                .collect();
+            let Some(entry) = self.classes.get_mut(&class) else {
+                continue;
+            };
             if !entry.model.outlived(&late) {
                 continue;
             }
@@ -378,8 +442,14 @@
                 .map(|(k, _)| k.clone())
                 .collect();
             for key in again {
-                let Some(mut run) = self.running.remove(&key) else { continue };
-                let work = Work { class: &run.class.clone(), team: &run.team.clone(), estimate_s: 0.0 };
+                let Some(mut run) = self.running.remove(&key) else {
+                    continue;
+                };
+                let work = Work {
+                    class: &run.class.clone(),
+                    team: &run.team.clone(),
+                    estimate_s: 0.0,
+                };
                 let models = self.models(work);
                 let d = Model::predict(&models, run.estimate);
                 run.overdue = false;
@@ -393,7 +463,11 @@
 
     fn models(&self, work: Work<'_>) -> [Option<&Model>; 3] {
         let class = self.classes.get(work.class).map(|e| &e.model);
-        [class, self.teams.get(work.team).map(|e| &e.model), Some(&self.all.model)]
+        [
+            class,
+            self.teams.get(work.team).map(|e| &e.model),
+            Some(&self.all.model),
+        ]
     }
 
     /// A run is over. Returns its length in seconds if that is known and it completed.
@@ -425,7 +499,9 @@
         split: &dyn Fn(Attempt) -> (u64, Micros),
     ) -> bool {
         let (token, after) = split(key.1);
-        let Some(granted) = self.granted_at(token) else { return false };
+        let Some(granted) = self.granted_at(token) else {
+            return false;
+        };
         let lead = Micros::from_secs_f64(self.lead_s(work.class));
         let ran = ((day + about) - (granted + after + lead)).as_secs_f64();
         if let Some(whole) = sane(ran.max(0.5)) {
@@ -473,7 +549,11 @@
             // is the machine's doing. A gang runs at its slowest: of several machines it can't be
             // told which that was.
             if class.model.level.weight() >= 5.0 {
-                let models = [Some(&class.model), team.as_ref().map(|e| &e.model), Some(&self.all.model)];
+                let models = [
+                    Some(&class.model),
+                    team.as_ref().map(|e| &e.model),
+                    Some(&self.all.model),
+                ];
                 let off = whole - Model::predict_median(&models, run.estimate) - class.drift;
                 class.drift += 0.15 * off.clamp(-1.0, 1.0);
                 if let [machine] = run.machines.as_slice() {
@@ -546,13 +626,22 @@
         let run = self.running.get(key)?;
         // A run whose start nobody saw is taken to have started when it was first seen.
         let ran = run.ran(now).unwrap_or((now - run.since).as_secs_f64());
-        let work = Work { class: &run.class, team: &run.team, estimate_s: 0.0 };
+        let work = Work {
+            class: &run.class,
+            team: &run.team,
+            estimate_s: 0.0,
+        };
         let d = Model::predict(&self.models(work), run.estimate);
         Some((d.times(f64::from(run.factor.exp())), ran))
     }
 
     /// Runs under way, classes remembered, machines known, classes forgotten so far.
     pub fn counts(&self) -> (usize, usize, usize, u64) {
-        (self.running.len(), self.classes.len(), self.machines.len(), self.forgotten)
+        (
+            self.running.len(),
+            self.classes.len(),
+            self.machines.len(),
+            self.forgotten,
+        )
     }
 }
--- a/crates/hopyoke-run-times/src/machines.rs
+++ b/crates/hopyoke-run-times/src/machines.rs
@@ -56,7 +56,9 @@
 
     /// The logarithm of how many times as long runs take there.
     pub fn factor(&self, id: &MachineId) -> f32 {
-        self.0.get(id).map_or(0.0, |s| s.mean * s.weight / (s.weight + LEAN))
+        self.0
+            .get(id)
+            .map_or(0.0, |s| s.mean * s.weight / (s.weight + LEAN))
     }
 
     /// Whether a machine is credibly at least `bound` times as slow as its peers.
@@ -65,15 +67,26 @@
         if s.weight < 3.0 {
             return None;
         }
-        let spread = (s.square - s.mean * s.mean).max(0.0).sqrt().max(LEAST_SPREAD);
+        let spread = (s.square - s.mean * s.mean)
+            .max(0.0)
+            .sqrt()
+            .max(LEAST_SPREAD);
         let sure = s.mean - CREDIBLE * spread / s.weight.sqrt();
-        let slow = f64::from(sure) >= bound.max(1.0).ln() * 0.75 && f64::from(s.mean) >= bound.max(1.0).ln();
-        slow.then(|| Slow { machine: id.clone(), factor: f64::from(s.mean).exp(), runs: f64::from(s.weight) })
+        let slow = f64::from(sure) >= bound.max(1.0).ln() * 0.75
+            && f64::from(s.mean) >= bound.max(1.0).ln();
+        slow.then(|| Slow {
+            machine: id.clone(),
+            factor: f64::from(s.mean).exp(),
+            runs: f64::from(s.weight),
+        })
     }
 
     /// All machines that are credibly slow.
     pub fn all_slow(&self, bound: f64) -> Vec<Slow> {
-        self.0.keys().filter_map(|id| self.slow(id, bound)).collect()
+        self.0
+            .keys()
+            .filter_map(|id| self.slow(id, bound))
+            .collect()
     }
 
     pub fn len(&self) -> usize {
--- a/crates/hopyoke-run-times/src/model.rs
+++ b/crates/hopyoke-run-times/src/model.rs
@@ -64,7 +64,9 @@
 /// is likely, and without an estimate anything from seconds to hours.
 fn ignorance(estimate: Option<f32>) -> [f32; 13] {
     // Quantiles of a normal distribution at the grid's probabilities.
-    const NORMAL: [f32; 13] = [-2.33, -1.64, -1.28, -0.84, -0.52, -0.25, 0.0, 0.25, 0.52, 0.84, 1.28, 1.64, 2.33];
+    const NORMAL: [f32; 13] = [
+        -2.33, -1.64, -1.28, -0.84, -0.52, -0.25, 0.0, 0.25, 0.52, 0.84, 1.28, 1.64, 2.33,
+    ];
     match estimate {
         Some(e) => NORMAL.map(|z| e + 0.6 * z),
         None => NORMAL.map(|z| 5.0 + 1.6 * z),
@@ -98,7 +100,9 @@
         let mut moved = false;
         for (view, mut at) in [(&mut self.level, level), (&mut self.ratio, ratio)] {
             at.sort_by(f32::total_cmp);
-            let (Some(at), Some(grid)) = (at.get(at.len() / 2), view.grid()) else { continue };
+            let (Some(at), Some(grid)) = (at.get(at.len() / 2), view.grid()) else {
+                continue;
+            };
             if *at > grid[P90] {
                 let by = at - grid[MEDIAN];
                 view.move_by(by);
@@ -124,7 +128,10 @@
         if self.level.grid().is_none() {
             return 1.0;
         }
-        let (a, b) = (self.level.loss().max(0.01).powi(3), self.ratio.loss().max(0.01).powi(3));
+        let (a, b) = (
+            self.level.loss().max(0.01).powi(3),
+            self.ratio.loss().max(0.01).powi(3),
+        );
         a / (a + b)
     }
 
@@ -132,16 +139,24 @@
     /// together (a team's, or all) only the ratio to estimates means something, where there is one.
     fn own(&self, estimate: Option<f32>, of_class: bool) -> Option<([f32; 13], f32)> {
         let known = estimate.is_some() && self.ratio.grid().is_some();
-        let share = if known && !of_class { 1.0 } else { self.ratio_share(estimate) };
+        let share = if known && !of_class {
+            1.0
+        } else {
+            self.ratio_share(estimate)
+        };
         let mut out = [0.0; 13];
         if share < 1.0 {
             let level = self.level.grid()?;
-            out.iter_mut().zip(level).for_each(|(o, q)| *o += (1.0 - share) * q);
+            out.iter_mut()
+                .zip(level)
+                .for_each(|(o, q)| *o += (1.0 - share) * q);
         }
         if share > 0.0
             && let (Some(e), Some(ratio)) = (estimate, self.ratio.grid())
         {
-            out.iter_mut().zip(ratio).for_each(|(o, q)| *o += share * (e + q));
+            out.iter_mut()
+                .zip(ratio)
+                .for_each(|(o, q)| *o += share * (e + q));
         }
         let weight = (1.0 - share) * self.level.weight() + share * self.ratio.weight();
         Some((out, weight))
@@ -158,7 +173,8 @@
                 (None, None) => continue,
                 (Some(ratio), Some(level)) if i == 0 => {
                     let share = model.ratio_share(estimate);
-                    let weight = (1.0 - share) * model.level.weight() + share * model.ratio.weight();
+                    let weight =
+                        (1.0 - share) * model.level.weight() + share * model.ratio.weight();
                     (share * ratio + (1.0 - share) * level, weight)
                 }
                 (Some(ratio), _) => (ratio, model.ratio.weight()),
@@ -175,7 +191,9 @@
         let mut of_class = 0.0;
         for (i, model) in models.iter().enumerate().rev() {
             let Some(model) = model else { continue };
-            let Some((own, weight)) = model.own(estimate, i == 0) else { continue };
+            let Some((own, weight)) = model.own(estimate, i == 0) else {
+                continue;
+            };
             of_class = if i == 0 { weight } else { 0.0 };
             let median = (weight * own[MEDIAN] + LEAN * out[MEDIAN]) / (weight + LEAN);
             let share = weight / (weight + LEAN_WIDTH);
@@ -198,7 +216,12 @@
         SavedModel {
             level: self.level.save(),
             ratio: self.ratio.save(),
-            numbers: (hundredths(self.low), hundredths(self.high), hundredths(self.lead_s), self.runs),
+            numbers: (
+                hundredths(self.low),
+                hundredths(self.high),
+                hundredths(self.lead_s),
+                self.runs,
+            ),
             overdue: hundredths(self.overdue),
         }
     }
@@ -234,7 +257,11 @@
             class.end(4.0 + (i % 7) as f32 * 0.1, Some(4.2), 40.0);
             team.end(3.0 + (i % 5) as f32 * 0.3, (i % 3 > 0).then_some(3.5), 40.0);
         }
-        for models in [[Some(&class), Some(&team), None], [None, Some(&team), None], [None, None, None]] {
+        for models in [
+            [Some(&class), Some(&team), None],
+            [None, Some(&team), None],
+            [None, None, None],
+        ] {
             for estimate in [None, Some(4.0)] {
                 let whole = Model::predict(&models, estimate).0[MEDIAN];
                 let alone = Model::predict_median(&models, estimate);
--- a/crates/hopyoke-run-times/src/pages.rs
+++ b/crates/hopyoke-run-times/src/pages.rs
@@ -136,7 +136,11 @@
 
     /// When a token was granted, as time of day.
     pub fn granted_at(&self, token: u64) -> Option<Micros> {
-        self.shelf.grants.iter().find(|(t, _)| *t == token).map(|(_, at)| Micros(*at))
+        self.shelf
+            .grants
+            .iter()
+            .find(|(t, _)| *t == token)
+            .map(|(_, at)| Micros(*at))
     }
 
     /// Takes up a page that an earlier leader wrote. What is known already is not replaced.
@@ -164,7 +168,11 @@
                     fresh
                 }
                 Kind::Class | Kind::Team => {
-                    let entries = if *kind == Kind::Class { &mut self.classes } else { &mut self.teams };
+                    let entries = if *kind == Kind::Class {
+                        &mut self.classes
+                    } else {
+                        &mut self.teams
+                    };
                     let name: Rc<str> = Rc::from(name.as_str());
                     // A few runs that we have seen since do not outweigh all that was known.
                     let known = entries.get(&name).map_or(0, |e| e.model.runs);
@@ -183,15 +191,26 @@
         for (token, at) in page.g.iter().take(4 * MOST_GRANTS) {
             self.shelf.add_grant(*token, *at);
         }
-        if bad > 0 { Err(format!("{bad} entries are nonsense, {loaded} were taken")) } else { Ok(loaded) }
+        if bad > 0 {
+            Err(format!("{bad} entries are nonsense, {loaded} were taken"))
+        } else {
+            Ok(loaded)
+        }
     }
 
     /// The page that has waited longest among those that have changed, to be written now; none is
     /// written again before `pause` is over.
     pub fn next_page(&mut self, now: Micros, pause: Micros) -> Option<(PageKey, Page)> {
-        let ready = |p: &Place| p.dirty && !p.writing && (p.written == Micros::ZERO || now >= p.written + pause);
-        let (i, place) =
-            self.shelf.pages.iter_mut().enumerate().filter(|(_, p)| ready(p)).min_by_key(|(_, p)| p.written)?;
+        let ready = |p: &Place| {
+            p.dirty && !p.writing && (p.written == Micros::ZERO || now >= p.written + pause)
+        };
+        let (i, place) = self
+            .shelf
+            .pages
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, p)| ready(p))
+            .min_by_key(|(_, p)| p.written)?;
         place.dirty = false;
         place.writing = true;
         place.written = now.max(Micros(1));
@@ -205,7 +224,11 @@
             let here = entries.iter().filter(|(_, entry)| on(entry));
             e.extend(here.map(|(name, entry)| (kind, name.to_string(), entry.model.save())));
         }
-        let g = if key.0 == 0 { self.shelf.grants.clone() } else { Vec::new() };
+        let g = if key.0 == 0 {
+            self.shelf.grants.clone()
+        } else {
+            Vec::new()
+        };
         Some((key, Page { v: VERSION, e, g }))
     }
 
--- a/crates/hopyoke-run-times/src/sketch.rs
+++ b/crates/hopyoke-run-times/src/sketch.rs
@@ -24,7 +24,11 @@
 
 impl Default for Sketch {
     fn default() -> Sketch {
-        Sketch { digest: TDigest::new_with_size(CENTROIDS), pending: Vec::new(), since: 0 }
+        Sketch {
+            digest: TDigest::new_with_size(CENTROIDS),
+            pending: Vec::new(),
+            since: 0,
+        }
     }
 }
 
@@ -32,7 +36,11 @@
     /// Adds a value; every quarter of `memory` values all weights fade so that a value counts a
     /// third after `memory` others.
     pub fn add(&mut self, x: f32, memory: f32) {
-        let x = f64::from(if x.is_finite() { x.clamp(LEAST, MOST) } else { return });
+        let x = f64::from(if x.is_finite() {
+            x.clamp(LEAST, MOST)
+        } else {
+            return;
+        });
         self.pending.push(x);
         self.since += 1;
         if f32::from(self.since) >= memory / 4.0 {
@@ -50,7 +58,9 @@
     /// Takes in what was added; quantiles are of what was taken in.
     pub fn settle(&mut self) {
         if !self.pending.is_empty() {
-            self.digest = self.digest.merge_unsorted(std::mem::take(&mut self.pending));
+            self.digest = self
+                .digest
+                .merge_unsorted(std::mem::take(&mut self.pending));
         }
     }
 
@@ -64,7 +74,11 @@
     fn rebuild(&mut self, by: f64, keep: f64) {
         self.settle();
         let clamp = |x: f64| (x + by).clamp(f64::from(LEAST), f64::from(MOST));
-        let centroids = self.digest.centroids().iter().map(|c| (clamp(c.mean()), c.weight() * keep));
+        let centroids = self
+            .digest
+            .centroids()
+            .iter()
+            .map(|c| (clamp(c.mean()), c.weight() * keep));
         self.digest = of(centroids.filter(|(_, w)| *w > 1e-6).collect());
     }
 
@@ -98,8 +112,12 @@
     pub fn save(&self) -> Saved {
         let mut whole = self.clone();
         whole.settle();
-        let pair =
-            |c: &Centroid| ((c.mean() * 1000.0).round() as i32, (c.weight() * 100.0).round().max(1.0) as u32);
+        let pair = |c: &Centroid| {
+            (
+                (c.mean() * 1000.0).round() as i32,
+                (c.weight() * 100.0).round().max(1.0) as u32,
+            )
+        };
         Saved(whole.digest.centroids().iter().map(pair).collect())
     }
 
@@ -112,8 +130,15 @@
         if saved.0.len() > 4 * CENTROIDS || !saved.0.iter().all(fits) {
             return None;
         }
-        let centroids = saved.0.iter().map(|(x, w)| (f64::from(*x) / 1000.0, f64::from(*w) / 100.0)).collect();
-        Some(Sketch { digest: of(centroids), ..Sketch::default() })
+        let centroids = saved
+            .0
+            .iter()
+            .map(|(x, w)| (f64::from(*x) / 1000.0, f64::from(*w) / 100.0))
+            .collect();
+        Some(Sketch {
+            digest: of(centroids),
+            ..Sketch::default()
+        })
     }
 }
 
@@ -129,7 +154,10 @@
     if count <= 0.0 {
         return TDigest::new_with_size(CENTROIDS);
     }
-    let centroids = centroids.into_iter().map(|(x, w)| Centroid::new(x, w)).collect();
+    let centroids = centroids
+        .into_iter()
+        .map(|(x, w)| Centroid::new(x, w))
+        .collect();
     TDigest::new(centroids, sum, count, Some(most), Some(least), CENTROIDS)
 }
 
@@ -139,16 +167,29 @@
 
     #[test]
     fn merging_parts_gives_the_quantiles_of_the_whole() {
-        let (mut whole, mut even, mut odd) = (Sketch::default(), Sketch::default(), Sketch::default());
+        let (mut whole, mut even, mut odd) =
+            (Sketch::default(), Sketch::default(), Sketch::default());
         for i in 0..2000 {
             let x = ((i * 7919) % 2000) as f32 / 400.0;
             whole.add(x, 1e9);
-            if i % 2 == 0 { even.add(x, 1e9) } else { odd.add(x, 1e9) }
+            if i % 2 == 0 {
+                even.add(x, 1e9)
+            } else {
+                odd.add(x, 1e9)
+            }
         }
-        [&mut whole, &mut even, &mut odd].into_iter().for_each(Sketch::settle);
-        let (a, b) = (whole.grid().expect("values"), even.merged(&odd).grid().expect("values"));
+        [&mut whole, &mut even, &mut odd]
+            .into_iter()
+            .for_each(Sketch::settle);
+        let (a, b) = (
+            whole.grid().expect("values"),
+            even.merged(&odd).grid().expect("values"),
+        );
         for (k, (a, b)) in a.iter().zip(b).enumerate() {
-            assert!((a - b).abs() < 0.15 && (a - GRID[k] * 5.0).abs() < 0.15, "{k}: {a} {b}");
+            assert!(
+                (a - b).abs() < 0.15 && (a - GRID[k] * 5.0).abs() < 0.15,
+                "{k}: {a} {b}"
+            );
         }
     }
 }
--- a/crates/hopyoke-run-times/src/view.rs
+++ b/crates/hopyoke-run-times/src/view.rs
@@ -106,7 +106,10 @@
             self.loss += rate * (deviation.abs() - self.loss);
             if self.weight() >= 4.0 {
                 let spreads = (deviation / View::spread(grid)).clamp(-MOST_STEP, MOST_STEP);
-                change = self.up.add(spreads, deviation).or(self.down.add(-spreads, deviation));
+                change = self
+                    .up
+                    .add(spreads, deviation)
+                    .or(self.down.add(-spreads, deviation));
             }
         }
         self.sketch.add(x, memory);
@@ -130,7 +133,11 @@
         self.turn = (self.turn + 0.618_034).fract();
         let p = below + self.turn * (1.0 - below);
         let spread = (grid[P90] - grid[MEDIAN]).max(0.1);
-        let end = if below >= 0.99 { x + spread * self.turn } else { at(grid, p).max(x) };
+        let end = if below >= 0.99 {
+            x + spread * self.turn
+        } else {
+            at(grid, p).max(x)
+        };
         self.sketch.add(end, memory);
         self.refresh_some();
     }
@@ -181,7 +188,13 @@
             sum: (sum as f32 / 100.0).clamp(-100.0, 100.0),
             count,
         });
-        let mut view = View { loss: (saved.l as f32 / 1000.0).min(10.0), sketch, up, down, ..View::default() };
+        let mut view = View {
+            loss: (saved.l as f32 / 1000.0).min(10.0),
+            sketch,
+            up,
+            down,
+            ..View::default()
+        };
         view.refresh();
         Some(view)
     }
--- a/crates/hopyoke-run-times/tests/frozen_forms.rs
+++ b/crates/hopyoke-run-times/tests/frozen_forms.rs
@@ -7,7 +7,11 @@
 use hopyoke_run_times::{Learner, Page, PageKey, Work};
 use hopyoke_types::{MachineId, Micros};
 
-const WORK: Work<'static> = Work { class: "train", team: "vision", estimate_s: 100.0 };
+const WORK: Work<'static> = Work {
+    class: "train",
+    team: "vision",
+    estimate_s: 100.0,
+};
 
 #[test]
 fn learned_pages() {
@@ -22,9 +26,14 @@
     let mut learner = Learner::default();
     assert_eq!(learner.load(PageKey(0), &read("learned-page")), Ok(3));
     assert_eq!(learner.granted_at(900), Some(Micros(1_700_000_000_000_000)));
-    let known = learner.estimate(WORK, Some(&MachineId::new("m-17"))).distribution;
+    let known = learner
+        .estimate(WORK, Some(&MachineId::new("m-17")))
+        .distribution;
     let got = [0.1, 0.5, 0.9].map(|p| known.quantile(p));
     let want = [42.742_784, 58.082_027, 73.726_029];
-    let near = got.iter().zip(&want).all(|(g, w)| (g / w - 1.0).abs() < 1e-3);
+    let near = got
+        .iter()
+        .zip(&want)
+        .all(|(g, w)| (g / w - 1.0).abs() < 1e-3);
     assert!(near, "{got:?}, and it was {want:?}");
 }
--- a/crates/hopyoke-run-times/tests/memory.rs
+++ b/crates/hopyoke-run-times/tests/memory.rs
@@ -29,11 +29,24 @@
     // The most that the operators' file allows, and the default.
     for classes in [1200, 600] {
         let before = HELD.load(Ordering::Relaxed);
-        let mut learner = Learner::new(Limits { classes, memory: 40.0 });
+        let mut learner = Learner::new(Limits {
+            classes,
+            memory: 40.0,
+        });
         for i in 0..100_000u64 {
             let class = format!("class-{:05}", i % 10_000);
-            let key = (TaskId { job: JobId::new("req-1"), index: i as u32 }, Attempt(i));
-            let work = Work { class: &class, team: "team", estimate_s: 50.0 };
+            let key = (
+                TaskId {
+                    job: JobId::new("req-1"),
+                    index: i as u32,
+                },
+                Attempt(i),
+            );
+            let work = Work {
+                class: &class,
+                team: "team",
+                estimate_s: 50.0,
+            };
             let machine = MachineId::new(&format!("m-{:06}", i % 1000));
             let began = Micros::from_secs(10 * i + 1);
             learner.started(key.clone(), work, vec![machine], began, Some(Micros::ZERO));
--- a/crates/hopyoke-run-times/tests/properties.rs
+++ b/crates/hopyoke-run-times/tests/properties.rs
@@ -6,19 +6,35 @@
 
 fn config(cases: u32) -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(11);
-    ProptestConfig { cases, failure_persistence: None, rng_seed, ..ProptestConfig::default() }
+    ProptestConfig {
+        cases,
+        failure_persistence: None,
+        rng_seed,
+        ..ProptestConfig::default()
+    }
 }
 
 fn sound(learner: &Learner, estimate_s: f64) -> Result<(), TestCaseError> {
     for class in ["a", "never seen"] {
-        let work = Work { class, team: "t", estimate_s };
-        let d = learner.estimate(work, Some(&MachineId::new("m-1"))).distribution;
+        let work = Work {
+            class,
+            team: "t",
+            estimate_s,
+        };
+        let d = learner
+            .estimate(work, Some(&MachineId::new("m-1")))
+            .distribution;
         let q: Vec<f64> = [0.0, 0.1, 0.5, 0.9, 1.0].map(|p| d.quantile(p)).to_vec();
         prop_assert!(q.iter().all(|x| x.is_finite() && *x > 0.0), "{q:?}");
         prop_assert!(q.windows(2).all(|w| w[0] <= w[1]), "{q:?}");
         for ran in [0.0, 1.0, 1e3, 1e9] {
             let left = (d.remaining(ran, 0.1), d.remaining(ran, 0.9));
-            prop_assert!(left.0.is_finite() && left.1.is_finite() && 0.0 <= left.0 && left.0 <= left.1 + 1e-3);
+            prop_assert!(
+                left.0.is_finite()
+                    && left.1.is_finite()
+                    && 0.0 <= left.0
+                    && left.0 <= left.1 + 1e-3
+            );
         }
     }
     Ok(())
@@ -71,11 +87,21 @@
 
 #[test]
 fn pages_of_other_versions_and_torn_ones_are_left_aside() {
-    let newer: Page = serde_json::from_str(r#"{"v":2,"x":[1,2]}"#).expect("unknown fields are ignored");
+    let newer: Page =
+        serde_json::from_str(r#"{"v":2,"x":[1,2]}"#).expect("unknown fields are ignored");
     let mut learner = Learner::default();
-    assert!(learner.load(PageKey(0), &newer).expect_err("a newer version").contains("version 2"));
+    assert!(
+        learner
+            .load(PageKey(0), &newer)
+            .expect_err("a newer version")
+            .contains("version 2")
+    );
     assert!(serde_json::from_str::<Page>(r#"{"v":1,"e":[["c","a""#).is_err());
-    assert!(PageKey::parse("x").is_none() && PageKey::parse("24").is_none() && PageKey::parse("23").is_some());
+    assert!(
+        PageKey::parse("x").is_none()
+            && PageKey::parse("24").is_none()
+            && PageKey::parse("23").is_some()
+    );
 }
 
 /// Leader after leader, the latest grants are handed on. (They were lost after 48: the oldest stayed.)
@@ -89,7 +115,11 @@
             learner.load(*key, page).expect("a good page");
         }
         for before in token.saturating_sub(20).max(1)..=token {
-            assert_eq!(learner.granted_at(before), Some(Micros::from_secs(before)), "{before} at {token}");
+            assert_eq!(
+                learner.granted_at(before),
+                Some(Micros::from_secs(before)),
+                "{before} at {token}"
+            );
         }
         pages.clear();
         while let Some((key, page)) = learner.next_page(Micros::from_secs(1), Micros::ZERO) {
