--- a/crates/hopyoke-run-times/tests/scenarios.rs
+++ b/crates/hopyoke-run-times/tests/scenarios.rs
@@ -67,7 +67,12 @@
                 self.learner.ended(&key, end, at);
                 if let Some(i) = past {
                     let (told, guess, took): &((f64, f64, f64), f64, f64) = &told[i];
-                    self.past.push(Past { class: name.into(), told: *told, guess: *guess, took: *took });
+                    self.past.push(Past {
+                        class: name.into(),
+                        told: *told,
+                        guess: *guess,
+                        took: *took,
+                    });
                 }
             }
             if last {
@@ -75,23 +80,51 @@
             }
             self.now = start;
             self.learner.tick(start);
-            let wide = if self.rng.random_range(0.0..1.0) < class.tail { 3.0 } else { 1.0 };
+            let wide = if self.rng.random_range(0.0..1.0) < class.tail {
+                3.0
+            } else {
+                1.0
+            };
             let z = normal(&mut self.rng);
             let machine = (!self.machines.is_empty()).then(|| {
                 let i = self.rng.random_range(0..self.machines.len());
-                self.machines.iter().nth(i).map(|(m, f)| (m.clone(), *f)).expect("a machine")
+                self.machines
+                    .iter()
+                    .nth(i)
+                    .map(|(m, f)| (m.clone(), *f))
+                    .expect("a machine")
             });
             let own = class.run * (class.spread * wide * z).exp();
             let took = own * machine.as_ref().map_or(1.0, |m| m.1);
             let z = normal(&mut self.rng);
             let guess = own * class.owner * (class.owner_spread * z).exp();
             self.next += 1;
-            let key = (TaskId { job: JobId::new("req-1"), index: self.next }, Attempt(1));
-            let work = Work { class: name, team: &class.team, estimate_s: guess };
+            let key = (
+                TaskId {
+                    job: JobId::new("req-1"),
+                    index: self.next,
+                },
+                Attempt(1),
+            );
+            let work = Work {
+                class: name,
+                team: &class.team,
+                estimate_s: guess,
+            };
             let on = machine.as_ref().map(|m| &m.0);
             let d = self.learner.estimate(work, on).distribution;
-            told.push(((d.quantile(0.1), d.quantile(0.5), d.quantile(0.9)), guess, took));
-            self.learner.started(key.clone(), work, on.cloned().into_iter().collect(), start, Some(Micros::ZERO));
+            told.push((
+                (d.quantile(0.1), d.quantile(0.5), d.quantile(0.9)),
+                guess,
+                took,
+            ));
+            self.learner.started(
+                key.clone(),
+                work,
+                on.cloned().into_iter().collect(),
+                start,
+                Some(Micros::ZERO),
+            );
             // Stops come at any time, whatever the run: long runs are hit the most.
             let stop = -class.run / class.cut.max(1e-9) * f64::ln(self.rng.random_range(1e-9..1.0));
             let (stopped, lasts) = (stop < took, took.min(stop));
@@ -106,7 +139,8 @@
             let text = serde_json::to_string(&page).expect("a page");
             assert!(text.len() <= 8192, "a page of {} bytes", text.len());
             self.learner.page_ended(key, true);
-            self.pages.insert(key, serde_json::from_str(&text).expect("a page"));
+            self.pages
+                .insert(key, serde_json::from_str(&text).expect("a page"));
         }
         let mut next = Learner::default();
         for (key, page) in &self.pages {
@@ -145,16 +179,28 @@
 }
 
 fn statement(b: &mut Bench, words: &[&str]) -> Result<(), String> {
-    let num = |i: usize| words.get(i).and_then(|w| w.parse::<f64>().ok()).ok_or(format!("a number as word {i}"));
+    let num = |i: usize| {
+        words
+            .get(i)
+            .and_then(|w| w.parse::<f64>().ok())
+            .ok_or(format!("a number as word {i}"))
+    };
     let pair = |key: &str, default: f64| {
         let i = words.iter().position(|w| *w == key);
         i.map_or(Ok(default), |i| num(i + 1))
     };
     match words[0] {
         "seed" => b.rng = StdRng::seed_from_u64(num(1)? as u64),
-        "limits" => b.learner.set_limits(Limits { classes: num(1)? as usize, memory: num(2)? as f32 }),
+        "limits" => b.learner.set_limits(Limits {
+            classes: num(1)? as usize,
+            memory: num(2)? as f32,
+        }),
         "class" => {
-            let team = words.iter().position(|w| *w == "team").map_or("crew", |i| words[i + 1]).to_owned();
+            let team = words
+                .iter()
+                .position(|w| *w == "team")
+                .map_or("crew", |i| words[i + 1])
+                .to_owned();
             let class = Class {
                 team,
                 run: pair("run", 100.0)?,
@@ -205,49 +251,83 @@
 }
 
 fn expect(b: &mut Bench, words: &[&str]) -> Result<(), String> {
-    let num = |i: usize| words.get(i).and_then(|w| w.parse::<f64>().ok()).ok_or(format!("a number as word {i}"));
+    let num = |i: usize| {
+        words
+            .get(i)
+            .and_then(|w| w.parse::<f64>().ok())
+            .ok_or(format!("a number as word {i}"))
+    };
     let past: Vec<&Past> = b.past.iter().filter(|p| p.class == words[1]).collect();
     let error = |p: &&Past| (p.told.1 / p.took).ln().abs();
     let check = |ok: bool, got: String| if ok { Ok(()) } else { Err(got) };
     match words[2] {
         // Share of runs inside the band that was told, in hundredths.
         "inside" => {
-            let inside = past.iter().filter(|p| p.told.0 <= p.took && p.took <= p.told.2).count();
+            let inside = past
+                .iter()
+                .filter(|p| p.told.0 <= p.took && p.took <= p.told.2)
+                .count();
             let share = 100.0 * inside as f64 / past.len() as f64;
-            check((num(3)?..=num(4)?).contains(&share), format!("{share:.1} of 100 inside of {} runs", past.len()))
+            check(
+                (num(3)?..=num(4)?).contains(&share),
+                format!("{share:.1} of 100 inside of {} runs", past.len()),
+            )
         }
         // The median error against that of the owner's guess.
         "error_over_owner" => {
             let ours = median(past.iter().map(error).collect());
             let theirs = median(past.iter().map(|p| (p.guess / p.took).ln().abs()).collect());
-            check(ours / theirs <= num(3)?, format!("{ours:.3} against {theirs:.3}"))
+            check(
+                ours / theirs <= num(3)?,
+                format!("{ours:.3} against {theirs:.3}"),
+            )
         }
         // The p50 that is told now, without the owner's help, against the true median.
         "p50_off" => {
             let class = &b.classes[words[1]];
             let estimate_s = class.run * class.owner;
-            let work = Work { class: words[1], team: &class.team, estimate_s };
+            let work = Work {
+                class: words[1],
+                team: &class.team,
+                estimate_s,
+            };
             let p50 = b.learner.estimate(work, None).distribution.quantile(0.5);
-            check((p50 / class.run).ln().abs() <= num(3)?, format!("p50 is {p50:.1}, the median {}", class.run))
+            check(
+                (p50 / class.run).ln().abs() <= num(3)?,
+                format!("p50 is {p50:.1}, the median {}", class.run),
+            )
         }
         // After how many completions since the change the error of what was told is ordinary again.
         "recovered_within" => {
             let (most, ordinary) = (num(3)? as usize, num(4)?);
             let late: Vec<f64> = past.iter().skip(most).take(15).map(error).collect();
             let got = median(late);
-            check(got <= ordinary, format!("median error {got:.3} after {most} completions"))
+            check(
+                got <= ordinary,
+                format!("median error {got:.3} after {most} completions"),
+            )
         }
         // How wide the band is: p90 / p10.
         "width" => {
             let class = &b.classes[words[1]];
-            let work = Work { class: words[1], team: &class.team, estimate_s: class.run * class.owner };
+            let work = Work {
+                class: words[1],
+                team: &class.team,
+                estimate_s: class.run * class.owner,
+            };
             let d = b.learner.estimate(work, None).distribution;
             let width = d.quantile(0.9) / d.quantile(0.1);
-            check((num(3)?..=num(4)?).contains(&width), format!("p90 / p10 is {width:.2}"))
+            check(
+                (num(3)?..=num(4)?).contains(&width),
+                format!("p90 / p10 is {width:.2}"),
+            )
         }
         "is_slow" => {
             let slow = b.learner.slow(&MachineId::new(words[1]), 1.5);
-            check(slow.is_some() == (words.get(3) != Some(&"no")), format!("{slow:?}"))
+            check(
+                slow.is_some() == (words.get(3) != Some(&"no")),
+                format!("{slow:?}"),
+            )
         }
         "remembered" => {
             let (_, classes, _, forgotten) = b.learner.counts();
@@ -259,10 +339,17 @@
         // What is left of a run that has run this long, at p50, against the rest of the median.
         "left_of" => {
             let class = &b.classes[words[1]];
-            let work = Work { class: words[1], team: &class.team, estimate_s: class.run * class.owner };
+            let work = Work {
+                class: words[1],
+                team: &class.team,
+                estimate_s: class.run * class.owner,
+            };
             let d = b.learner.estimate(work, None).distribution;
             let left = d.remaining(num(3)?, 0.5);
-            check((num(4)?..=num(5)?).contains(&left), format!("{left:.1} s left"))
+            check(
+                (num(4)?..=num(5)?).contains(&left),
+                format!("{left:.1} s left"),
+            )
         }
         other => Err(format!("unknown expectation {other}")),
     }
@@ -272,12 +359,17 @@
 fn scenarios() {
     let dir = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     let only = std::env::var("SCENARIO").ok();
-    let mut files: Vec<_> =
-        std::fs::read_dir(dir).expect("tests/scenarios").filter_map(|e| Some(e.ok()?.path())).collect();
+    let mut files: Vec<_> = std::fs::read_dir(dir)
+        .expect("tests/scenarios")
+        .filter_map(|e| Some(e.ok()?.path()))
+        .collect();
     files.sort();
     let (mut passed, mut failed) = (0, 0);
     for file in files {
-        let name = file.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
+        let name = file
+            .file_stem()
+            .map(|s| s.to_string_lossy().into_owned())
+            .unwrap_or_default();
         if only.as_ref().is_some_and(|o| *o != name) {
             continue;
         }
--- a/crates/hopyoke-scheduler/src/batch.rs
+++ b/crates/hopyoke-scheduler/src/batch.rs
@@ -10,11 +10,23 @@
 #[derive(Debug, Clone)]
 pub enum Write {
     /// Replace the record, which must still have this mark.
-    Update { job: JobId, mod_revision: ModRevision, record: JobRecord },
+    Update {
+        job: JobId,
+        mod_revision: ModRevision,
+        record: JobRecord,
+    },
     /// Move the record, which must still have this mark, to its final place.
-    End { job: JobId, mod_revision: ModRevision, end: EndRecord },
+    End {
+        job: JobId,
+        mod_revision: ModRevision,
+        end: EndRecord,
+    },
     /// Replace a page of the register, which must still have this mark, or drop it.
-    Page { key: String, mod_revision: ModRevision, page: Option<RegistryPage> },
+    Page {
+        key: String,
+        mod_revision: ModRevision,
+        page: Option<RegistryPage>,
+    },
     /// Drop a page of the register whatever it holds.
     DropPage { key: String },
     /// Replace a page of learned run times.
@@ -29,7 +41,10 @@
 impl Batch {
     /// Changes (puts and deletes) that it makes.
     pub fn changes(&self) -> usize {
-        self.writes.iter().map(|w| if matches!(w, Write::End { .. }) { 2 } else { 1 }).sum()
+        self.writes
+            .iter()
+            .map(|w| if matches!(w, Write::End { .. }) { 2 } else { 1 })
+            .sum()
     }
 }
 
@@ -37,7 +52,10 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BatchError {
     /// The records of these jobs have changed meanwhile.
-    Conflict { jobs: Vec<JobId>, pages: Vec<String> },
+    Conflict {
+        jobs: Vec<JobId>,
+        pages: Vec<String>,
+    },
     /// Our grant is gone: somebody else leads.
     Deposed,
     /// Certainly not executed.
@@ -62,7 +80,11 @@
 impl RegistryPage {
     /// Bytes that it takes as a value, at the most.
     pub fn bytes(&self) -> usize {
-        let names: usize = self.machines.keys().map(|m| m.as_str().len() + ADDRESS_BYTES).sum();
+        let names: usize = self
+            .machines
+            .keys()
+            .map(|m| m.as_str().len() + ADDRESS_BYTES)
+            .sum();
         names + self.machine_type.len() + self.zone.len() + 80
     }
 }
--- a/crates/hopyoke-scheduler/src/fleet.rs
+++ b/crates/hopyoke-scheduler/src/fleet.rs
@@ -108,7 +108,9 @@
     }
 
     pub fn amounts(&self) -> Resources {
-        self.spec.as_ref().map_or(Resources::default(), |s| Resources::of_task(s))
+        self.spec
+            .as_ref()
+            .map_or(Resources::default(), |s| Resources::of_task(s))
     }
 }
 
@@ -169,7 +171,13 @@
 }
 
 impl Machine {
-    pub fn new(id: MachineId, machine_type: String, zone: String, spot: bool, now: Micros) -> Machine {
+    pub fn new(
+        id: MachineId,
+        machine_type: String,
+        zone: String,
+        spot: bool,
+        now: Micros,
+    ) -> Machine {
         Machine {
             id,
             address: None,
@@ -226,7 +234,9 @@
     }
 
     /// Notes how far orders have come. Only for what does not show in the sums.
-    pub(super) fn slots_in_flight(&mut self) -> impl Iterator<Item = (&(TaskId, Attempt), &mut Allocation)> {
+    pub(super) fn slots_in_flight(
+        &mut self,
+    ) -> impl Iterator<Item = (&(TaskId, Attempt), &mut Allocation)> {
         self.allocations.iter_mut()
     }
 
@@ -240,7 +250,10 @@
 
     /// The sums, counted anew; `None` from [`Machine::kept_load`] means that they will be.
     pub fn count(&self, teams: &[super::Team]) -> Load {
-        let mut load = Load { images: self.images.iter().map(|(i, _)| *i).collect(), ..Load::default() };
+        let mut load = Load {
+            images: self.images.iter().map(|(i, _)| *i).collect(),
+            ..Load::default()
+        };
         for allocation in self.allocations.values() {
             let Some(spec) = &allocation.spec else {
                 load.orphaned |= allocation.is_live();
@@ -260,7 +273,10 @@
             if allocation.stop.is_some_and(|s| s.grace_s == 0.0) {
                 load.freeing = load.freeing + amounts;
             }
-            if allocation.stop.is_none() && spec.kind == JobKind::Array && spec.priority > Priority::Production {
+            if allocation.stop.is_none()
+                && spec.kind == JobKind::Array
+                && spec.priority > Priority::Production
+            {
                 load.preemptible = load.preemptible + amounts;
             }
             // A team that the settings do not name has no limit to be charged against.
--- a/crates/hopyoke-scheduler/src/fragmentation.rs
+++ b/crates/hopyoke-scheduler/src/fragmentation.rs
@@ -14,7 +14,9 @@
 impl Fragmentation {
     /// None, of so many kinds.
     pub fn none(kinds: usize) -> Fragmentation {
-        Fragmentation { wanted: vec![false; kinds] }
+        Fragmentation {
+            wanted: vec![false; kinds],
+        }
     }
 
     /// Some work that waits can run on these kinds.
--- a/crates/hopyoke-scheduler/src/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/heartbeats.rs
@@ -35,9 +35,17 @@
             if self.changed && self.plan_due(now) {
                 self.settle(now);
             }
-            commands = self.orders_for(&heartbeat.machine, Some((heartbeat.epoch, heartbeat.sequence)), now);
+            commands = self.orders_for(
+                &heartbeat.machine,
+                Some((heartbeat.epoch, heartbeat.sequence)),
+                now,
+            );
+        }
+        HeartbeatReply {
+            token: self.token,
+            fresh,
+            commands,
         }
-        HeartbeatReply { token: self.token, fresh, commands }
     }
 
     /// A worker answered direct orders (or refused them) with its report.
@@ -57,7 +65,9 @@
                 match answered {
                     // Its report can't be read: what was started is unknown until another shows it.
                     None => allocation.outcome_unknown |= executed,
-                    Some(_) if executed && allocation.offered < answered => allocation.offered = answered,
+                    Some(_) if executed && allocation.offered < answered => {
+                        allocation.offered = answered
+                    }
                     Some(_) => {}
                 }
             }
@@ -72,7 +82,12 @@
             self.merge(r, false, now);
         }
         // The session was another than we believed; now we know it.
-        if self.is_reconciling && self.machines.get(machine).is_some_and(|m| !m.is_reconciled(self.token)) {
+        if self.is_reconciling
+            && self
+                .machines
+                .get(machine)
+                .is_some_and(|m| !m.is_reconciled(self.token))
+        {
             self.probes.push_back(machine.clone());
         }
         // What changed meanwhile, or was refused, is still to be sent.
@@ -120,7 +135,9 @@
             self.machines.insert(id.clone(), m);
         }
         let old_sessions_are_over = self.old_sessions_are_over(now);
-        let Some(m) = self.machines.get_mut(id) else { return false };
+        let Some(m) = self.machines.get_mut(id) else {
+            return false;
+        };
         // Reports can arrive late: only the newest counts.
         if (heartbeat.epoch, heartbeat.sequence) <= (m.epoch, m.sequence) {
             return false;
@@ -149,7 +166,9 @@
             // new session as well as a report does. (Scenario session_learned_by_order.)
             m.lease_end = m.lease_end.max(now + self.cfg.lease_bound());
         }
-        let notice = heartbeat.preemption_notice_s.map(|s| now + Micros::from_secs_f64(s));
+        let notice = heartbeat
+            .preemption_notice_s
+            .map(|s| now + Micros::from_secs_f64(s));
         if notice.is_some() && m.notice.is_none() {
             self.changed = true;
             info!(machine = %id, zone = %m.zone, in_s = heartbeat.preemption_notice_s, "notice: machine will be taken");
@@ -162,7 +181,11 @@
         let nominal = self.boot_time(&heartbeat.machine_type);
         if let Some(took) = booted.filter(|_| nominal > Micros::ZERO) {
             let in_boots = |t: Micros| t.as_secs_f64() / nominal.as_secs_f64();
-            self.provisioning_estimator.came_up(&heartbeat.machine_type, in_boots(took), in_boots(now));
+            self.provisioning_estimator.came_up(
+                &heartbeat.machine_type,
+                in_boots(took),
+                in_boots(now),
+            );
         }
         if new_session {
             // Everything of earlier sessions is gone, and so are their late direct orders.
@@ -186,7 +209,10 @@
 
     fn merge_task(&mut self, id: &MachineId, task: TaskId, t: &TaskStatus, now: Micros) {
         let key = (task, t.attempt);
-        let known = self.machines.get(id).is_some_and(|m| m.allocations().contains_key(&key));
+        let known = self
+            .machines
+            .get(id)
+            .is_some_and(|m| m.allocations().contains_key(&key));
         if !known {
             // Reconnect: an attempt of an earlier holder, or one that we believed gone.
             let spec = self.jobs.get(&key.0.job).map(|j| j.spec.clone());
@@ -202,12 +228,18 @@
             (TaskState::Ended, why) => AllocationState::Ended(why.unwrap_or(ExitReason::Other)),
             (s, _) => AllocationState::Live(s),
         };
-        let Some(m) = self.machines.get_mut(id) else { return };
-        let Some(was) = m.allocations().get(&key).map(|s| s.state) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        let Some(was) = m.allocations().get(&key).map(|s| s.state) else {
+            return;
+        };
         if matches!(was, AllocationState::Ended(_)) || (known && was == state) {
             return;
         }
-        let Some(allocation) = m.slots_mut().get_mut(&key) else { return };
+        let Some(allocation) = m.slots_mut().get_mut(&key) else {
+            return;
+        };
         allocation.state = state;
         // Only an end makes room.
         self.changed |= matches!(state, AllocationState::Ended(_));
@@ -249,7 +281,10 @@
         // A later attempt was only started once all earlier ones were proven to be gone: if one is found beside it, an old
         // report tells of that, and the later goes on. (Scenario old_report_stops_nothing.)
         let places = job.places.get(&task.index).into_iter().flatten();
-        let others: Vec<_> = places.filter(|(m, a)| m != id || *a != attempt).cloned().collect();
+        let others: Vec<_> = places
+            .filter(|(m, a)| m != id || *a != attempt)
+            .cloned()
+            .collect();
         let surplus = others.iter().any(|(_, a)| *a >= attempt);
         if job.done.contains(task.index) || task.index >= job.spec.tasks || surplus {
             return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
@@ -279,17 +314,30 @@
     }
 
     fn note_image(&mut self, id: &MachineId, image: super::fleet::ImageKey, gb: f64) {
-        let Some(m) = self.machines.get(id) else { return };
-        let cache = self.machine_type(&m.machine_type).map_or(f64::MAX, |t| t.cache_gb);
+        let Some(m) = self.machines.get(id) else {
+            return;
+        };
+        let cache = self
+            .machine_type(&m.machine_type)
+            .map_or(f64::MAX, |t| t.cache_gb);
         if let Some(m) = self.machines.get_mut(id) {
             m.touch_image(image, gb, cache);
         }
     }
 
     /// An attempt has ended by the worker's own word: its place is free.
-    fn task_ended(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt, why: ExitReason, now: Micros) {
+    fn task_ended(
+        &mut self,
+        id: &MachineId,
+        task: &TaskId,
+        attempt: Attempt,
+        why: ExitReason,
+        now: Micros,
+    ) {
         self.place_remove(id, task, attempt);
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         match why {
             ExitReason::Done if job.spec.kind != JobKind::Service => {
                 if job.is_gang() {
@@ -334,7 +382,9 @@
     /// Errors on several machines speak against the job, errors of several jobs against the
     /// machine.
     fn task_failed(&mut self, id: &MachineId, task: &TaskId, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         job.failed_on.insert(id.clone());
         let bad_job = job.is_crash_looping(self.tuning.suspect_after);
         if bad_job {
@@ -383,7 +433,9 @@
         heartbeat: &Heartbeat,
         now: Micros,
     ) {
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         let now_id = (heartbeat.epoch, heartbeat.sequence);
         let absent: Vec<(TaskId, Attempt)> = m
             .allocations()
@@ -393,16 +445,24 @@
                 // One report is in flight at a time, so a newer report shows whether the orders
                 // that answered an older one were executed. A direct answer may overtake them.
                 AllocationState::Sent => {
-                    hello && !s.direct && !s.outcome_unknown && s.offered.is_some_and(|o| o < now_id)
+                    hello
+                        && !s.direct
+                        && !s.outcome_unknown
+                        && s.offered.is_some_and(|o| o < now_id)
                 }
                 _ => true,
             })
             .map(|(k, _)| k.clone())
             .collect();
         for (task, attempt) in absent {
-            let Some(m) = self.machines.get_mut(id) else { return };
+            let Some(m) = self.machines.get_mut(id) else {
+                return;
+            };
             let was = m.slots_mut().remove(&(task.clone(), attempt));
-            if was.as_ref().is_some_and(|s| s.is_live() && s.running_since.is_some()) {
+            if was
+                .as_ref()
+                .is_some_and(|s| s.is_live() && s.running_since.is_some())
+            {
                 self.run_ended(id, &task, attempt, End::Cut, now);
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -414,7 +474,9 @@
 
     /// Forgets all that was on a machine; returns how many attempts held a place.
     pub(super) fn clear_allocations(&mut self, id: &MachineId) -> usize {
-        let Some(m) = self.machines.get_mut(id) else { return 0 };
+        let Some(m) = self.machines.get_mut(id) else {
+            return 0;
+        };
         let allocations = std::mem::take(m.slots_mut());
         // For all that we know they ran until it was last heard of.
         let seen = m.last_seen;
@@ -440,7 +502,11 @@
     /// A job appeared in the ledger of which workers have reported tasks already.
     pub(super) fn adopt_allocations(&mut self, id: &JobId, spec: &Rc<JobSpec>) {
         let mut found = Vec::new();
-        let orphaned = |m: &Machine| m.allocations().iter().any(|((t, _), s)| t.job == *id && s.spec.is_none());
+        let orphaned = |m: &Machine| {
+            m.allocations()
+                .iter()
+                .any(|((t, _), s)| t.job == *id && s.spec.is_none())
+        };
         for m in self.machines.values_mut().filter(|m| orphaned(m)) {
             let machine = m.id.clone();
             for ((task, attempt), allocation) in m.slots_mut() {
@@ -459,7 +525,10 @@
 
     pub(super) fn place_add(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.places.entry(task.index).or_default().push((id.clone(), attempt));
+            job.places
+                .entry(task.index)
+                .or_default()
+                .push((id.clone(), attempt));
         }
     }
 
@@ -478,9 +547,19 @@
         attempt: Attempt,
         grace_s: f64,
     ) {
-        let key = (TaskId { job: job.clone(), index }, attempt);
-        let Some(m) = self.machines.get_mut(id) else { return };
-        let Some(allocation) = m.allocations().get(&key) else { return };
+        let key = (
+            TaskId {
+                job: job.clone(),
+                index,
+            },
+            attempt,
+        );
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        let Some(allocation) = m.allocations().get(&key) else {
+            return;
+        };
         if allocation.state == AllocationState::Sent
             && allocation.offered.is_none()
             && !allocation.direct
@@ -502,8 +581,15 @@
     }
 
     /// The orders that bring a machine in line; all of them can be repeated.
-    fn orders_for(&mut self, id: &MachineId, answers: Option<(u64, u64)>, now: Micros) -> Vec<Command> {
-        let Some(m) = self.machines.get_mut(id) else { return Vec::new() };
+    fn orders_for(
+        &mut self,
+        id: &MachineId,
+        answers: Option<(u64, u64)>,
+        now: Micros,
+    ) -> Vec<Command> {
+        let Some(m) = self.machines.get_mut(id) else {
+            return Vec::new();
+        };
         self.commands_due.remove(id);
         let may_start = m.is_registered && m.is_reconciled(self.token);
         // Stops of work that is over come first and are never left for the next answer: this one renews the
@@ -527,7 +613,10 @@
                     // A result is reaped only once it is recorded, and an attempt whose start may
                     // yet be executed late never: after a reap it would run again.
                     if room && recorded && !allocation.outcome_unknown && !allocation.direct {
-                        commands.push(Command::Acknowledge { task: name, attempt });
+                        commands.push(Command::Acknowledge {
+                            task: name,
+                            attempt,
+                        });
                     }
                 }
                 AllocationState::Sent => {
@@ -538,16 +627,31 @@
                                 Some(a) => allocation.offered = Some(a),
                                 None => allocation.direct = true,
                             }
-                            commands.push(Command::Start { task: name, attempt });
+                            commands.push(Command::Start {
+                                task: name,
+                                attempt,
+                            });
                         }
                         // It may be executed late unless the worker knows it as stopped already.
                         Some(_)
-                            if allocation.outcome_unknown && now >= allocation.since + Micros::from_secs(5) =>
+                            if allocation.outcome_unknown
+                                && now >= allocation.since + Micros::from_secs(5) =>
                         {
-                            stops.push(Command::Start { task: name.clone(), attempt });
-                            stops.push(Command::Stop { task: name, attempt, grace_s: 0.0 });
+                            stops.push(Command::Start {
+                                task: name.clone(),
+                                attempt,
+                            });
+                            stops.push(Command::Stop {
+                                task: name,
+                                attempt,
+                                grace_s: 0.0,
+                            });
                         }
-                        Some(_) => stops.push(Command::Stop { task: name, attempt, grace_s: 0.0 }),
+                        Some(_) => stops.push(Command::Stop {
+                            task: name,
+                            attempt,
+                            grace_s: 0.0,
+                        }),
                         None => {}
                     }
                 }
@@ -555,7 +659,11 @@
                     if let Some(stop) = allocation.stop
                         && (state != TaskState::Saving || stop.grace_s == 0.0)
                     {
-                        stops.push(Command::Stop { task: name, attempt, grace_s: stop.grace_s });
+                        stops.push(Command::Stop {
+                            task: name,
+                            attempt,
+                            grace_s: stop.grace_s,
+                        });
                     }
                 }
             }
@@ -573,12 +681,18 @@
             if !self.may_probe() {
                 return;
             }
-            let Some(id) = self.probes.pop_front() else { return };
-            let Some(m) = self.machines.get_mut(&id) else { continue };
+            let Some(id) = self.probes.pop_front() else {
+                return;
+            };
+            let Some(m) = self.machines.get_mut(&id) else {
+                continue;
+            };
             let wanted = m.phase != MachinePhase::Lost
                 && !m.deleting
                 && (m.is_crash_looping || !m.is_reconciled(self.token));
-            let Some(address) = m.address.filter(|_| wanted) else { continue };
+            let Some(address) = m.address.filter(|_| wanted) else {
+                continue;
+            };
             if m.direct_open || now < m.direct_retry_at {
                 self.probes.push_back(id);
                 continue;
@@ -589,7 +703,12 @@
             self.open_probes += 1;
             // Most machines are in their first session; another is told by the refusal.
             let epoch = m.epoch.max(1);
-            self.actions.push_back(Action::Direct { machine: id, address, epoch, commands: Vec::new() });
+            self.actions.push_back(Action::Direct {
+                machine: id,
+                address,
+                epoch,
+                commands: Vec::new(),
+            });
         }
     }
 
@@ -610,7 +729,9 @@
     pub(super) fn pushed_commands(&mut self, now: Micros) {
         let mut later = Vec::new();
         while let Some(id) = self.commands_due.pop_first() {
-            let Some(m) = self.machines.get(&id) else { continue };
+            let Some(m) = self.machines.get(&id) else {
+                continue;
+            };
             // Whatever is not up yet gets its orders with the answer to its first report.
             if m.phase != MachinePhase::Up || !m.is_reconciled(self.token) || m.address.is_none() {
                 continue;
@@ -624,12 +745,21 @@
                 continue;
             }
             let commands: Vec<Command> = self.orders_for(&id, None, now);
-            let Some(m) = self.machines.get_mut(&id) else { continue };
+            let Some(m) = self.machines.get_mut(&id) else {
+                continue;
+            };
             if let Some(address) = m.address
-                && commands.iter().any(|o| !matches!(o, Command::Acknowledge { .. }))
+                && commands
+                    .iter()
+                    .any(|o| !matches!(o, Command::Acknowledge { .. }))
             {
                 m.direct_open = true;
-                self.actions.push_back(Action::Direct { machine: id, address, epoch: m.epoch, commands });
+                self.actions.push_back(Action::Direct {
+                    machine: id,
+                    address,
+                    epoch: m.epoch,
+                    commands,
+                });
             }
         }
         self.commands_due.extend(later);
--- a/crates/hopyoke-scheduler/src/hours.rs
+++ b/crates/hopyoke-scheduler/src/hours.rs
@@ -56,17 +56,18 @@
         let s = &mut self.staffing;
         let Some(hours) = &s.hours else { return };
         let time_of_day = s.clock.1 + (now - s.clock.0);
-        let valid = s
-            .window
-            .as_ref()
-            .is_some_and(|(since, w)| time_of_day >= *since && w.until.is_none_or(|until| time_of_day < until));
+        let valid = s.window.as_ref().is_some_and(|(since, w)| {
+            time_of_day >= *since && w.until.is_none_or(|until| time_of_day < until)
+        });
         if valid {
             return;
         }
         let window = hours.at(time_of_day);
         let was = s.window.replace((time_of_day, window));
         if was.is_none_or(|(_, w)| w.staffed != window.staffed) {
-            let until = window.until.map_or_else(|| "further notice".to_owned(), |u| hours.local(u));
+            let until = window
+                .until
+                .map_or_else(|| "further notice".to_owned(), |u| hours.local(u));
             info!(staffed = window.staffed, until, "hours");
             self.changed = true;
             if !window.staffed {
@@ -89,7 +90,11 @@
     pub fn held_until(&self) -> Option<String> {
         let (_, window) = self.staffing.window.filter(|_| self.unstaffed())?;
         let hours = self.staffing.hours.as_ref()?;
-        Some(window.until.map_or_else(|| "further notice".to_owned(), |u| hours.local(u)))
+        Some(
+            window
+                .until
+                .map_or_else(|| "further notice".to_owned(), |u| hours.local(u)),
+        )
     }
 
     /// Staffed hours have ended. (Guards against held work that begins after them.)
@@ -100,21 +105,40 @@
         for (id, job) in held {
             for (&index, places) in &job.places {
                 for (m, attempt) in places {
-                    let key = (hopyoke_types::TaskId { job: id.clone(), index }, *attempt);
-                    let state = self.machines.get(m).and_then(|m| m.allocations().get(&key)).map(|s| s.state);
+                    let key = (
+                        hopyoke_types::TaskId {
+                            job: id.clone(),
+                            index,
+                        },
+                        *attempt,
+                    );
+                    let state = self
+                        .machines
+                        .get(m)
+                        .and_then(|m| m.allocations().get(&key))
+                        .map(|s| s.state);
                     // A gang that has begun goes on as a whole.
                     let begun = job.gang_started || matches!(state, Some(s) if has_begun(s));
                     if !begun {
                         stops.push((m.clone(), id.clone(), index, *attempt, 0.0));
                     } else if drain {
                         // All tasks of a gang are told at once and may save.
-                        stops.push((m.clone(), id.clone(), index, *attempt, job.spec.save_s + 1.0));
+                        stops.push((
+                            m.clone(),
+                            id.clone(),
+                            index,
+                            *attempt,
+                            job.spec.save_s + 1.0,
+                        ));
                     }
                 }
             }
         }
         if !stops.is_empty() {
-            info!(tasks = stops.len(), drain, "staffed hours end: held tasks are stopped");
+            info!(
+                tasks = stops.len(),
+                drain, "staffed hours end: held tasks are stopped"
+            );
         }
         for (machine, job, index, attempt, grace) in stops {
             self.stop_allocation(&machine, &job, index, attempt, grace);
@@ -143,5 +167,8 @@
 }
 
 fn has_begun(state: AllocationState) -> bool {
-    matches!(state, AllocationState::Live(TaskState::Running | TaskState::Saving) | AllocationState::Ended(_))
+    matches!(
+        state,
+        AllocationState::Live(TaskState::Running | TaskState::Saving) | AllocationState::Ended(_)
+    )
 }
--- a/crates/hopyoke-scheduler/src/job.rs
+++ b/crates/hopyoke-scheduler/src/job.rs
@@ -49,7 +49,10 @@
 
     /// The record of a step's job.
     pub fn of_flow(spec: JobSpec, accepted_us: u64) -> JobRecord {
-        JobRecord { flow: true, ..JobRecord::accepted(spec, accepted_us) }
+        JobRecord {
+            flow: true,
+            ..JobRecord::accepted(spec, accepted_us)
+        }
     }
 
     /// Some holder may have told a worker to start one of its tasks.
@@ -74,7 +77,12 @@
 impl EndRecord {
     /// How a job ended, with so many tasks done.
     pub fn new(state: JobState, done: u32) -> EndRecord {
-        EndRecord { state, done, flow: false, given_up: false }
+        EndRecord {
+            state,
+            done,
+            flow: false,
+            given_up: false,
+        }
     }
 }
 
@@ -170,13 +178,21 @@
     pub fn unplaced_tasks(&self) -> u32 {
         let tasks = self.spec.tasks;
         // Of a task that is done, or that the job never had, a worker may still report an attempt.
-        let beyond = self.places.last_key_value().is_some_and(|(i, _)| *i >= tasks);
+        let beyond = self
+            .places
+            .last_key_value()
+            .is_some_and(|(i, _)| *i >= tasks);
         let placed = if self.done.parts() == 0 && !beyond {
             self.places.len()
         } else {
-            self.places.range(..tasks).filter(|(i, _)| !self.done.contains(**i)).count()
+            self.places
+                .range(..tasks)
+                .filter(|(i, _)| !self.done.contains(**i))
+                .count()
         };
-        tasks.saturating_sub(self.done.count()).saturating_sub(placed as u32)
+        tasks
+            .saturating_sub(self.done.count())
+            .saturating_sub(placed as u32)
     }
 
     pub fn is_done(&self) -> bool {
@@ -190,20 +206,33 @@
 
     /// Something about it is not recorded yet.
     pub fn needs_write(&self) -> bool {
-        !self.writing && (self.done != self.recorded || self.term != self.recorded_term || self.given_up)
+        !self.writing
+            && (self.done != self.recorded || self.term != self.recorded_term || self.given_up)
     }
 
     /// How it ended.
     pub fn end(&self) -> EndRecord {
-        let state = if self.is_done() { JobState::Done } else { JobState::Cancelled };
+        let state = if self.is_done() {
+            JobState::Done
+        } else {
+            JobState::Cancelled
+        };
         let given_up = self.given_up && !self.is_done();
-        EndRecord { flow: self.flow, given_up, ..EndRecord::new(state, self.done.count().min(self.spec.tasks)) }
+        EndRecord {
+            flow: self.flow,
+            given_up,
+            ..EndRecord::new(state, self.done.count().min(self.spec.tasks))
+        }
     }
 
     /// The record says that this attempt may be started. (A new leader takes a job without a
     /// recorded start for one that nobody has started. Guards `ran_twice`.)
     pub fn may_start(&self, attempt: Attempt) -> bool {
-        if self.is_gang() { self.recorded_term >= attempt } else { self.recorded_term.0 != 0 }
+        if self.is_gang() {
+            self.recorded_term >= attempt
+        } else {
+            self.recorded_term.0 != 0
+        }
     }
 
     /// Failed on several machines: the fault is its own most likely.
--- a/crates/hopyoke-scheduler/src/learn.rs
+++ b/crates/hopyoke-scheduler/src/learn.rs
@@ -74,7 +74,11 @@
 }
 
 fn work_of(spec: &JobSpec) -> Work<'_> {
-    Work { class: &spec.class, team: &spec.team, estimate_s: spec.estimate_s }
+    Work {
+        class: &spec.class,
+        team: &spec.team,
+        estimate_s: spec.estimate_s,
+    }
 }
 
 impl Scheduler {
@@ -92,21 +96,28 @@
         let day = time_of_day.0.saturating_sub(now.0);
         self.learned.day = Some(day);
         if self.tuning.learn {
-            self.learned.learner.note_grant(self.token.0, Micros(day + self.started.0));
+            self.learned
+                .learner
+                .note_grant(self.token.0, Micros(day + self.started.0));
         }
     }
 
     /// Takes up what an earlier leader has learned. `None`: it can't be read.
     pub fn learned(&mut self, key: &str, page: Option<&Page>) {
         let Some(key) = PageKey::parse(key) else {
-            return warn!(page = key, "learned run times: a page of another version is left aside");
+            return warn!(
+                page = key,
+                "learned run times: a page of another version is left aside"
+            );
         };
         let Some(page) = page else {
             return warn!(page = %key, "learned run times: unreadable page, learning again");
         };
         match self.learned.learner.load(key, page) {
             Ok(n) => info!(page = %key, entries = n, "learned run times taken up"),
-            Err(e) => warn!(page = %key, error = e, "learned run times: left aside, learning again"),
+            Err(e) => {
+                warn!(page = %key, error = e, "learned run times: left aside, learning again")
+            }
         }
         self.date_runs();
     }
@@ -114,11 +125,18 @@
     /// Runs that we found under way began when their attempts say, once we know of the grant.
     fn date_runs(&mut self) {
         let Some(day) = self.learned.day else { return };
-        let split = |a: Attempt| (a.0 >> COUNTER_BITS, TICK.times(a.0 & ((1 << COUNTER_BITS) - 1)));
+        let split = |a: Attempt| {
+            (
+                a.0 >> COUNTER_BITS,
+                TICK.times(a.0 & ((1 << COUNTER_BITS) - 1)),
+            )
+        };
         self.learned.learner.date_runs(Micros(day), &split);
         let Learned { learner, found, .. } = &mut self.learned;
         found.retain(|(task, attempt, about)| {
-            let Some(job) = self.jobs.get(&task.job) else { return false };
+            let Some(job) = self.jobs.get(&task.job) else {
+                return false;
+            };
             let key = (task.clone(), *attempt);
             !learner.found_ended(&key, work_of(&job.spec), *about, Micros(day), &split)
         });
@@ -126,25 +144,45 @@
 
     /// The tuning has changed.
     pub fn set_tuning(&mut self, tuning: Tuning) {
-        let limits = Limits { classes: tuning.learn_classes, memory: tuning.learn_memory as f32 };
+        let limits = Limits {
+            classes: tuning.learn_classes,
+            memory: tuning.learn_memory as f32,
+        };
         self.learned.learner.set_limits(limits);
         self.tuning = tuning;
     }
 
     /// A task has been told to start.
     pub(super) fn run_commanded(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
-        let Some(job) = self.jobs.get(&task.job).filter(|j| j.spec.kind == JobKind::Array) else { return };
+        let Some(job) = self
+            .jobs
+            .get(&task.job)
+            .filter(|j| j.spec.kind == JobKind::Array)
+        else {
+            return;
+        };
         let spec = job.spec.clone();
-        self.learned.learner.commanded((task.clone(), attempt), work_of(&spec), now);
+        self.learned
+            .learner
+            .commanded((task.clone(), attempt), work_of(&spec), now);
     }
 
     /// A task that we had not seen before was reported as completed: it ended between two leaders,
     /// most likely; that is when nobody led, or just before, or since.
     pub(super) fn run_found_ended(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
-        let Some(job) = self.jobs.get(&task.job).filter(|_| self.tuning.learn) else { return };
+        let Some(job) = self.jobs.get(&task.job).filter(|_| self.tuning.learn) else {
+            return;
+        };
         // What ran long ago, or resumed, says nothing; of a gang one report is enough.
-        let key = TaskId { job: task.job.clone(), index: if job.is_gang() { 0 } else { task.index } };
-        let seen = self.learned.found.iter().any(|(t, a, _)| *t == key && *a == attempt);
+        let key = TaskId {
+            job: task.job.clone(),
+            index: if job.is_gang() { 0 } else { task.index },
+        };
+        let seen = self
+            .learned
+            .found
+            .iter()
+            .any(|(t, a, _)| *t == key && *a == attempt);
         if job.resumed
             || job.spec.kind == JobKind::Service
             || (job.is_gang() && job.is_done())
@@ -161,8 +199,17 @@
     }
 
     /// A task was seen running for the first time; `seen`: we saw it before it ran.
-    pub(super) fn run_began(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt, seen: bool, now: Micros) {
-        let Some(job) = self.jobs.get(&task.job).filter(|_| self.tuning.learn) else { return };
+    pub(super) fn run_began(
+        &mut self,
+        id: &MachineId,
+        task: &TaskId,
+        attempt: Attempt,
+        seen: bool,
+        now: Micros,
+    ) {
+        let Some(job) = self.jobs.get(&task.job).filter(|_| self.tuning.learn) else {
+            return;
+        };
         let spec = job.spec.clone();
         let (key, machines) = match spec.kind {
             JobKind::Service => return,
@@ -171,38 +218,84 @@
             JobKind::Array => ((task.clone(), attempt), vec![id.clone()]),
             JobKind::Gang if attempt != job.term => return,
             JobKind::Gang => {
-                let mut machines: Vec<MachineId> = job.places.values().flatten().map(|(m, _)| m.clone()).collect();
+                let mut machines: Vec<MachineId> = job
+                    .places
+                    .values()
+                    .flatten()
+                    .map(|(m, _)| m.clone())
+                    .collect();
                 machines.sort_unstable();
                 machines.dedup();
-                ((TaskId { job: task.job.clone(), index: 0 }, attempt), machines)
+                (
+                    (
+                        TaskId {
+                            job: task.job.clone(),
+                            index: 0,
+                        },
+                        attempt,
+                    ),
+                    machines,
+                )
             }
         };
-        let allocation = self.machines.get(id).and_then(|m| m.allocations().get(&(task.clone(), attempt)));
+        let allocation = self
+            .machines
+            .get(id)
+            .and_then(|m| m.allocations().get(&(task.clone(), attempt)));
         if let Some(since) = allocation.filter(|_| seen).map(|s| s.since) {
-            self.learned.learner.note_lead(&spec.class, (now - since).as_secs_f64());
+            self.learned
+                .learner
+                .note_lead(&spec.class, (now - since).as_secs_f64());
         }
         let before = seen.then_some(Micros::ZERO);
-        self.learned.learner.started(key, work_of(&spec), machines, now, before);
+        self.learned
+            .learner
+            .started(key, work_of(&spec), machines, now, before);
         if !seen {
             self.date_runs();
         }
     }
 
     /// An attempt has ended, or is gone, at this time.
-    pub(super) fn run_ended(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt, end: End, now: Micros) {
+    pub(super) fn run_ended(
+        &mut self,
+        id: &MachineId,
+        task: &TaskId,
+        attempt: Attempt,
+        end: End,
+        now: Micros,
+    ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             // Cancelled or over: of a gang, its first task's run stands for all.
             for index in [task.index, 0] {
-                self.learned.learner.ended(&(TaskId { job: task.job.clone(), index }, attempt), End::Cut, now);
+                self.learned.learner.ended(
+                    &(
+                        TaskId {
+                            job: task.job.clone(),
+                            index,
+                        },
+                        attempt,
+                    ),
+                    End::Cut,
+                    now,
+                );
             }
             return;
         };
         let gang = job.is_gang();
-        let key = (TaskId { job: task.job.clone(), index: if gang { 0 } else { task.index } }, attempt);
+        let key = (
+            TaskId {
+                job: task.job.clone(),
+                index: if gang { 0 } else { task.index },
+            },
+            attempt,
+        );
         if end != End::Done && job.spec.checkpoint_s > 0.0 && self.learned.learner.runs(&key) {
             job.resumed = true;
         }
-        let Some(ran_s) = self.learned.learner.ended(&key, end, now) else { return };
+        let Some(ran_s) = self.learned.learner.ended(&key, end, now) else {
+            return;
+        };
         self.learned.count += 1;
         let past = Past {
             number: self.learned.count,
@@ -222,7 +315,12 @@
 
     /// Runs that ended, after the one with this number, oldest first.
     pub fn history(&self, since: u64, most: usize) -> Vec<&Past> {
-        self.learned.past.iter().filter(|p| p.number > since).take(most).collect()
+        self.learned
+            .past
+            .iter()
+            .filter(|p| p.number > since)
+            .take(most)
+            .collect()
     }
 
     /// Looks after runs that have outlived their bands, and machines that are far slower than
@@ -243,8 +341,16 @@
             return;
         }
         self.add_visited(self.machines.len());
-        let up = self.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
-        let mut draining = self.machines.values().filter(|m| m.slow && !m.deleting).count();
+        let up = self
+            .machines
+            .values()
+            .filter(|m| m.phase == MachinePhase::Up)
+            .count();
+        let mut draining = self
+            .machines
+            .values()
+            .filter(|m| m.slow && !m.deleting)
+            .count();
         for slow in self.learned.learner.all_slow(self.tuning.slow_factor) {
             // One in twenty at a time: were most slow, the fault would be elsewhere.
             if (draining + 1) * 20 > up.max(20) {
@@ -300,7 +406,16 @@
     pub fn remaining_s(&self, task: &TaskId, attempt: Attempt, p: f64, now: Micros) -> Option<f64> {
         let job = self.jobs.get(&task.job)?;
         let index = if job.is_gang() { 0 } else { task.index };
-        let (d, ran) = self.learned.learner.remaining(&(TaskId { job: task.job.clone(), index }, attempt), now)?;
+        let (d, ran) = self.learned.learner.remaining(
+            &(
+                TaskId {
+                    job: task.job.clone(),
+                    index,
+                },
+                attempt,
+            ),
+            now,
+        )?;
         Some(d.remaining(ran, p))
     }
 
@@ -309,7 +424,10 @@
     /// # Errors
     /// Why that can't be told.
     pub fn when_job(&self, id: &JobId, now: Micros) -> Result<When, String> {
-        let job = self.jobs.get(id).ok_or_else(|| format!("no unfinished job is named {id}"))?;
+        let job = self
+            .jobs
+            .get(id)
+            .ok_or_else(|| format!("no unfinished job is named {id}"))?;
         let spec = &job.spec;
         if spec.kind == JobKind::Service {
             return Err(format!("{id} is a service: it runs until it is cancelled"));
@@ -320,10 +438,17 @@
         let root = |p: f64, n: u32| p.powf(1.0 / f64::from(n.max(1)));
         let (mut running, mut placed) = (0u32, 0u32);
         let mut left = (0.0f64, 0.0f64);
-        let n = if job.is_gang() { 1 } else { job.places.len() as u32 };
+        let n = if job.is_gang() {
+            1
+        } else {
+            job.places.len() as u32
+        };
         for (index, places) in &job.places {
             for (_, attempt) in places {
-                let task = TaskId { job: id.clone(), index: *index };
+                let task = TaskId {
+                    job: id.clone(),
+                    index: *index,
+                };
                 let of = |p: f64| match self.remaining_s(&task, *attempt, root(p, n), now) {
                     Some(s) => (s, 1),
                     None => (lead + anew.distribution.quantile(root(p, n)), 0),
@@ -337,7 +462,11 @@
         let waiting = job.unplaced_tasks();
         if waiting > 0 {
             // What has no place yet follows in as many turns as it takes beside what runs now.
-            let turns = if job.is_gang() { 1.0 } else { f64::from(waiting.div_ceil(placed.max(1))) };
+            let turns = if job.is_gang() {
+                1.0
+            } else {
+                f64::from(waiting.div_ceil(placed.max(1)))
+            };
             let one = |p: f64| lead + anew.distribution.quantile(root(p, waiting));
             left = (left.0 + turns * one(0.5), left.1 + turns * one(0.9));
         }
@@ -357,10 +486,18 @@
         if waiting > 0 {
             rests_on += &format!(
                 "; the wait for a place is not counted (it waits for {})",
-                if job.waits_for.is_empty() { "its first placement" } else { job.waits_for }
+                if job.waits_for.is_empty() {
+                    "its first placement"
+                } else {
+                    job.waits_for
+                }
             );
         }
-        Ok(When { p50_s: left.0, p90_s: left.1, rests_on })
+        Ok(When {
+            p50_s: left.0,
+            p90_s: left.1,
+            rests_on,
+        })
     }
 
     /// When this many GPUs will be free for a team, behind what waits already.
@@ -368,7 +505,9 @@
     /// # Errors
     /// Why that can't be told, or never.
     pub fn when_capacity(&self, ask: &Ask, now: Micros) -> Result<When, String> {
-        let Some(team) = self.team(&ask.team) else { return Err(format!("no team is named '{}'", ask.team)) };
+        let Some(team) = self.team(&ask.team) else {
+            return Err(format!("no team is named '{}'", ask.team));
+        };
         if !(ask.gpus.is_finite() && ask.gpus > 0.0) {
             return Err(format!("gpus: {} is not above 0", ask.gpus));
         }
@@ -376,31 +515,64 @@
             return Err(format!("no zone is named '{z}'"));
         }
         if team.gpus_max > 0.0 && ask.gpus > team.gpus_max {
-            return Err(format!("{} GPUs exceed the limit of team '{}', {}", ask.gpus, ask.team, team.gpus_max));
+            return Err(format!(
+                "{} GPUs exceed the limit of team '{}', {}",
+                ask.gpus, ask.team, team.gpus_max
+            ));
         }
         let (mut free, mut machines, mut used) = (0.0, 0, 0.0);
         let (mut here, mut own) = (Vec::new(), Vec::new());
         for m in self.machines.values() {
             let zone = ask.zone.as_ref().is_none_or(|z| *z == m.zone);
-            let usable = zone && m.phase == MachinePhase::Up && !m.deleting && !m.faulty && m.notice.is_none();
+            let usable = zone
+                && m.phase == MachinePhase::Up
+                && !m.deleting
+                && !m.faulty
+                && m.notice.is_none();
             let mut room = self.machine_type(&m.machine_type).map_or(0.0, |t| t.gpus);
-            for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live()) {
-                let Some(spec) = &allocation.spec else { continue };
+            for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live())
+            {
+                let Some(spec) = &allocation.spec else {
+                    continue;
+                };
                 room -= spec.gpus;
-                used += if spec.team == ask.team { spec.gpus } else { 0.0 };
+                used += if spec.team == ask.team {
+                    spec.gpus
+                } else {
+                    0.0
+                };
                 if spec.kind == JobKind::Service || spec.gpus <= 0.0 {
                     continue;
                 }
-                let index = if spec.kind == JobKind::Gang { 0 } else { task.index };
-                let key = (TaskId { job: task.job.clone(), index }, *attempt);
-                let waits =
-                    matches!(allocation.state, AllocationState::Sent | AllocationState::Live(TaskState::Fetching));
+                let index = if spec.kind == JobKind::Gang {
+                    0
+                } else {
+                    task.index
+                };
+                let key = (
+                    TaskId {
+                        job: task.job.clone(),
+                        index,
+                    },
+                    *attempt,
+                );
+                let waits = matches!(
+                    allocation.state,
+                    AllocationState::Sent | AllocationState::Live(TaskState::Fetching)
+                );
                 let (run, ran_s) = match self.learned.learner.remaining(&key, now) {
                     Some(found) => found,
                     None if waits => (self.expected(spec).distribution, 0.0),
-                    None => (self.expected(spec).distribution, (now - allocation.since).as_secs_f64()),
+                    None => (
+                        self.expected(spec).distribution,
+                        (now - allocation.since).as_secs_f64(),
+                    ),
+                };
+                let freeing = Freeing {
+                    run,
+                    ran_s,
+                    amount: spec.gpus,
                 };
-                let freeing = Freeing { run, ran_s, amount: spec.gpus };
                 if usable {
                     here.push(freeing);
                 }
@@ -419,7 +591,10 @@
             .filter(|j| ask.zone.is_none() || j.spec.zone.is_none() || j.spec.zone == ask.zone)
             .map(|j| f64::from(j.unplaced_tasks()) * j.spec.gpus)
             .sum();
-        let place = ask.zone.as_ref().map_or(String::new(), |z| format!(" in zone {z}"));
+        let place = ask
+            .zone
+            .as_ref()
+            .map_or(String::new(), |z| format!(" in zone {z}"));
         let Some(mut found) = when_free(&here, free, ask.gpus + ahead) else {
             return Err(format!(
                 "running work on {machines} machines{place} will not free {} GPUs behind {ahead} that wait already ({free} are free): more must be rented",
@@ -440,6 +615,10 @@
             found = (found.0.max(limit.0), found.1.max(limit.1));
             rests_on += &format!("; the team uses {used} of {} GPUs", team.gpus_max);
         }
-        Ok(When { p50_s: found.0, p90_s: found.1, rests_on })
+        Ok(When {
+            p50_s: found.0,
+            p90_s: found.1,
+            rests_on,
+        })
     }
 }
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -100,7 +100,10 @@
 
     /// A zone's place in the settings' list; unknown ones share the place after the last.
     fn zone_index(&self, name: &str) -> usize {
-        self.zones.iter().position(|z| z == name).unwrap_or(self.zones.len())
+        self.zones
+            .iter()
+            .position(|z| z == name)
+            .unwrap_or(self.zones.len())
     }
 
     /// A worker's lease is over this long after we last answered it.
@@ -280,7 +283,13 @@
         for (key, mod_revision, page) in registry {
             for id in scheduler.registry.read(key, mod_revision, page.as_ref()) {
                 let Some(p) = &page else { continue };
-                let mut m = Machine::new(id.clone(), p.machine_type.clone(), p.zone.clone(), p.spot, now);
+                let mut m = Machine::new(
+                    id.clone(),
+                    p.machine_type.clone(),
+                    p.zone.clone(),
+                    p.spot,
+                    now,
+                );
                 (m.is_registered, m.inherited) = (true, true);
                 m.address = p.machines.get(&id).and_then(|a| a.parse().ok());
                 scheduler.probes.push_back(id.clone());
@@ -300,7 +309,10 @@
     /// heirloomlane-fleet's size.)
     pub fn set_receive_overloaded(&mut self, now: Micros) {
         if now >= self.receive_overloaded_until {
-            info!(machines = self.machines.len(), "not all machines can be heard");
+            info!(
+                machines = self.machines.len(),
+                "not all machines can be heard"
+            );
         }
         self.receive_overloaded_until = now + self.cfg.heartbeat_interval.times(2);
     }
@@ -317,7 +329,13 @@
     }
 
     /// A job's record as the state service has it.
-    pub fn job_seen(&mut self, id: JobId, record: JobRecord, mod_revision: ModRevision, now: Micros) {
+    pub fn job_seen(
+        &mut self,
+        id: JobId,
+        record: JobRecord,
+        mod_revision: ModRevision,
+        now: Micros,
+    ) {
         match self.jobs.get_mut(&id) {
             None if self.tombstones.outdates(&id, mod_revision) => return,
             None => {
@@ -346,7 +364,9 @@
     /// The job's record is gone: it was cancelled, or we recorded its end ourselves.
     pub fn job_dropped(&mut self, id: &JobId, now: Micros) {
         self.tombstones.add(id, now);
-        let Some(job) = self.jobs.remove(id) else { return };
+        let Some(job) = self.jobs.remove(id) else {
+            return;
+        };
         for (index, places) in job.places {
             for (machine, attempt) in places {
                 self.stop_allocation(&machine, id, index, attempt, 0.0);
@@ -421,7 +441,11 @@
     /// When a tick has something to do again, if no event comes before.
     pub fn next_due(&self, now: Micros) -> Micros {
         let tick = now + Micros::from_millis(250);
-        if self.changed { tick.min(self.next_plan) } else { tick }
+        if self.changed {
+            tick.min(self.next_plan)
+        } else {
+            tick
+        }
     }
 
     /// What has been looked at so far: machines, jobs, bins, slots.
@@ -430,7 +454,8 @@
     }
 
     fn add_visited(&self, n: usize) {
-        self.entities_visited.set(self.entities_visited.get() + n as u64);
+        self.entities_visited
+            .set(self.entities_visited.get() + n as u64);
     }
 
     /// Plans made so far.
@@ -443,7 +468,13 @@
         let gap = Micros::from_secs_f64(cost.as_secs_f64() / share.max(0.001));
         // A plan that nobody hears the answers to serves nobody: a node that is behind plans less often.
         let most =
-            self.tuning.plan_gap_most.times(if self.is_receive_overloaded(self.last_settled) { 4 } else { 1 });
+            self.tuning
+                .plan_gap_most
+                .times(if self.is_receive_overloaded(self.last_settled) {
+                    4
+                } else {
+                    1
+                });
         self.plan_gap = gap.clamp(self.tuning.plan_gap_least, most);
     }
 
@@ -466,9 +497,16 @@
                 faults.push(format!("{id} has something to write that nobody noted"));
             }
             let tasks = job.spec.tasks;
-            let open = job.done.missing(tasks).filter(|i| !job.places.contains_key(i)).count();
+            let open = job
+                .done
+                .missing(tasks)
+                .filter(|i| !job.places.contains_key(i))
+                .count();
             if open as u32 != job.unplaced_tasks() {
-                faults.push(format!("{id} has {open} tasks without a place, not {}", job.unplaced_tasks()));
+                faults.push(format!(
+                    "{id} has {open} tasks without a place, not {}",
+                    job.unplaced_tasks()
+                ));
             }
         }
         faults
@@ -492,12 +530,20 @@
             return;
         }
         let blind = self.registry.blind();
-        let open = self.machines.values().filter(|m| self.is_unreconciled(m)).count();
+        let open = self
+            .machines
+            .values()
+            .filter(|m| self.is_unreconciled(m))
+            .count();
         if open == 0 && (!blind || now >= self.started + self.cfg.lease_bound()) {
             self.is_reconciling = false;
             self.changed = true;
             self.registry.recovered();
-            info!(token = self.token.0, after_ms = (now - self.started).as_millis(), "recovered");
+            info!(
+                token = self.token.0,
+                after_ms = (now - self.started).as_millis(),
+                "recovered"
+            );
         }
     }
 
@@ -523,7 +569,8 @@
     }
 
     fn boot_time(&self, name: &str) -> Micros {
-        self.machine_type(name).map_or(Micros::ZERO, |t| Micros::from_secs_f64(t.boot_s))
+        self.machine_type(name)
+            .map_or(Micros::ZERO, |t| Micros::from_secs_f64(t.boot_s))
     }
 
     fn machine_type(&self, name: &str) -> Option<&MachineType> {
@@ -536,15 +583,24 @@
         let zones = self.cfg.zones.len() + 1;
         let quiet = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(1);
         let mut seen = vec![(0usize, 0usize); zones];
-        for m in self.machines.values().filter(|m| m.is_registered && !m.deleting) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.is_registered && !m.deleting)
+        {
             let since = m.last_seen.max(self.resumed);
             let (all, silent) = &mut seen[self.cfg.zone_index(&m.zone)];
             *all += 1;
             *silent += usize::from(m.phase == MachinePhase::Lost || now >= since + quiet);
         }
         // Were all zones silent, the fault would be ours.
-        let heard = seen.iter().any(|(all, silent)| *all > 0 && silent * 2 < *all);
-        let cut: Vec<bool> = seen.iter().map(|(all, silent)| heard && *all >= 3 && silent * 2 >= *all).collect();
+        let heard = seen
+            .iter()
+            .any(|(all, silent)| *all > 0 && silent * 2 < *all);
+        let cut: Vec<bool> = seen
+            .iter()
+            .map(|(all, silent)| heard && *all >= 3 && silent * 2 >= *all)
+            .collect();
         for (z, name) in self.cfg.zones.iter().enumerate() {
             if cut[z] != self.cut_zones.get(z).copied().unwrap_or(false) {
                 info!(zone = %name, cut = cut[z], machines = seen[z].0, silent = seen[z].1, "zone silent");
@@ -555,7 +611,10 @@
     }
 
     fn zone_cut(&self, zone: &str) -> bool {
-        self.cut_zones.get(self.cfg.zone_index(zone)).copied().unwrap_or(false)
+        self.cut_zones
+            .get(self.cfg.zone_index(zone))
+            .copied()
+            .unwrap_or(false)
     }
 
     /// A machine that has fallen silent while most others report is given up: its deletion proves
@@ -586,10 +645,17 @@
         // leader would wait for it until all leases had run out. (Scenario returned_in_outage.)
         // A new leader gives up the last few that did not answer it: work of the whole fleet waits for
         // them. Were they many, they might be cut off or hang, and be back.
-        let open = watched.iter().filter(|m| self.is_reconciling && self.is_unreconciled(m)).count();
+        let open = watched
+            .iter()
+            .filter(|m| self.is_reconciling && self.is_unreconciled(m))
+            .count();
         let is_mute = |m: &Machine| m.unreachable || (m.probing && now >= m.probed_at + MUTE_AFTER);
-        let mute = watched.iter().filter(|m| self.is_reconciling && self.is_unreconciled(m) && is_mute(m)).count();
-        let last_few = !set_receive_overloaded && open > 0 && open == mute && open * 50 <= watched.len();
+        let mute = watched
+            .iter()
+            .filter(|m| self.is_reconciling && self.is_unreconciled(m) && is_mute(m))
+            .count();
+        let last_few =
+            !set_receive_overloaded && open > 0 && open == mute && open * 50 <= watched.len();
         let overdue_after = Micros(self.cfg.heartbeat_interval.0 * 5 / 4) + Micros::from_secs(1);
         let unlisted_after = self.cfg.heartbeat_interval.times(2);
         let unlisted = |m: &Machine| self.listed.as_ref().is_some_and(|l| !l.contains(&m.id));
@@ -598,15 +664,24 @@
             .filter(|m| {
                 let quiet = now.saturating_sub(since(m));
                 (most_report && last_few && self.is_unreconciled(m))
-                    || (most_report && quiet >= silent_after && !self.zone_cut(&m.zone) && !set_receive_overloaded)
+                    || (most_report
+                        && quiet >= silent_after
+                        && !self.zone_cut(&m.zone)
+                        && !set_receive_overloaded)
                     || unlisted(m)
                         && ((m.unreachable && (most_report || !set_receive_overloaded))
                             || (most_report && quiet >= unlisted_after))
             })
             .map(|m| m.id.clone())
             .collect();
-        let overdue = |m: &&&Machine| !m.is_crash_looping && unlisted(m) && now >= m.last_seen + overdue_after;
-        let suspects: Vec<MachineId> = watched.iter().filter(overdue).map(|m| m.id.clone()).collect();
+        let overdue = |m: &&&Machine| {
+            !m.is_crash_looping && unlisted(m) && now >= m.last_seen + overdue_after
+        };
+        let suspects: Vec<MachineId> = watched
+            .iter()
+            .filter(overdue)
+            .map(|m| m.id.clone())
+            .collect();
         for id in suspects {
             if let Some(m) = self.machines.get_mut(&id) {
                 m.is_crash_looping = true;
@@ -629,7 +704,9 @@
         let lapsed: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.phase != MachinePhase::Lost && m.lease_end > Micros::ZERO && now >= m.lease_end)
+            .filter(|m| {
+                m.phase != MachinePhase::Lost && m.lease_end > Micros::ZERO && now >= m.lease_end
+            })
             .map(|m| m.id.clone())
             .collect();
         // Machines of a zone that is cut off are kept for as long as new ones would take to boot.
@@ -648,7 +725,10 @@
         }
         for id in lapsed {
             let held = self.clear_allocations(&id);
-            let cut = self.machines.get(&id).is_some_and(|m| self.zone_cut(&m.zone));
+            let cut = self
+                .machines
+                .get(&id)
+                .is_some_and(|m| self.zone_cut(&m.zone));
             if let Some(m) = self.machines.get_mut(&id) {
                 m.phase = MachinePhase::Lost;
                 m.deleting |= !cut && !set_receive_overloaded;
--- a/crates/hopyoke-scheduler/src/plan/defragment.rs
+++ b/crates/hopyoke-scheduler/src/plan/defragment.rs
@@ -17,8 +17,9 @@
         let replicas: u32 = plan.bins.iter().map(|b| b.replicas).sum();
         let move_s = self.tuning.move_cost.as_secs_f64();
         // A small deployment earns a move a minute.
-        let earned =
-            f64::from(replicas.max(16)) * self.tuning.move_share * (now - self.moves_earned).as_secs_f64();
+        let earned = f64::from(replicas.max(16))
+            * self.tuning.move_share
+            * (now - self.moves_earned).as_secs_f64();
         self.moves_earned = now;
         // At most what 20 s earn is kept, but enough for one move.
         let most = (f64::from(replicas) * self.tuning.move_share * 20.0).max(move_s + 30.0);
@@ -27,9 +28,11 @@
             return;
         }
         self.next_move = now + Micros::from_secs(2);
-        let usage =
-            |b: &Bin| 1.0 - (b.free.gpus + b.free.cpus) / (plan.kinds[b.kind].gpus + plan.kinds[b.kind].cpus);
-        let room = |b: &Bin| b.free.gpus > 0.0 || plan.kinds[b.kind].gpus == 0.0 && b.free.cpus > 0.0;
+        let usage = |b: &Bin| {
+            1.0 - (b.free.gpus + b.free.cpus) / (plan.kinds[b.kind].gpus + plan.kinds[b.kind].cpus)
+        };
+        let room =
+            |b: &Bin| b.free.gpus > 0.0 || plan.kinds[b.kind].gpus == 0.0 && b.free.cpus > 0.0;
         let mut hosts: Vec<(f64, usize)> = plan
             .bins
             .iter()
@@ -43,7 +46,9 @@
         // Each look searches all hosts; what is not reached now is reached when others have gone.
         for from in 0..hosts.len().min(self.tuning.drain_looks) {
             let bin = &plan.bins[hosts[from].1];
-            let Some(m) = bin.machine.as_ref().and_then(|id| self.machines.get(id)) else { continue };
+            let Some(m) = bin.machine.as_ref().and_then(|id| self.machines.get(id)) else {
+                continue;
+            };
             self.add_visited(hosts.len());
             let Some(drain) = self.drain_of(m, now) else {
                 continue;
@@ -51,23 +56,39 @@
             let mut targets = Vec::new();
             let mut cost = 0.0;
             for (task, attempt) in drain {
-                let Some(mut needs) = self.needs(&task.job) else { break };
+                let Some(mut needs) = self.needs(&task.job) else {
+                    break;
+                };
                 needs.zones[bin.zone] = needs.zones[bin.zone].saturating_sub(1);
                 let fits = |i: usize| {
                     let b = &plan.bins[hosts[i].1];
-                    needs.task.fits_in(&free[i]) && self.allowed(&needs, b) && needs.zone_allows(b.zone)
+                    needs.task.fits_in(&free[i])
+                        && self.allowed(&needs, b)
+                        && needs.zone_allows(b.zone)
                 };
                 let image = |i: &usize| plan.has_image(&plan.bins[hosts[*i].1], needs.image);
                 // The fullest first. Each drained machine is one machine less, so this comes to an end.
                 let fuller = || (from + 1..hosts.len()).rev();
-                let Some(to) = fuller().filter(image).find(|&i| fits(i)).or_else(|| fuller().find(|&i| fits(i)))
+                let Some(to) = fuller()
+                    .filter(image)
+                    .find(|&i| fits(i))
+                    .or_else(|| fuller().find(|&i| fits(i)))
                 else {
                     break;
                 };
                 let fetch = self.types[plan.bins[hosts[to].1].kind].fetch_gb_per_s;
-                cost += move_s + if image(&to) { 0.0 } else { needs.spec.image_gb / fetch.max(0.05) };
+                cost += move_s
+                    + if image(&to) {
+                        0.0
+                    } else {
+                        needs.spec.image_gb / fetch.max(0.05)
+                    };
                 free[to] = free[to] - needs.task;
-                targets.push((to, needs.task, (m.id.clone(), task, attempt, needs.spec.save_s)));
+                targets.push((
+                    to,
+                    needs.task,
+                    (m.id.clone(), task, attempt, needs.spec.save_s),
+                ));
             }
             if targets.len() as u32 == bin.replicas && cost <= self.move_budget {
                 self.move_budget -= cost;
@@ -94,8 +115,12 @@
         if load.live == 0 || load.live != load.replicas {
             return None;
         }
-        let ran = |s: &Allocation| s.stop.is_none() && s.running_since.is_some_and(|t| now >= t + is_reconciled);
+        let ran = |s: &Allocation| {
+            s.stop.is_none() && s.running_since.is_some_and(|t| now >= t + is_reconciled)
+        };
         let live = || m.allocations().iter().filter(|(_, s)| s.is_live());
-        live().all(|(_, s)| ran(s)).then(|| live().map(|(k, _)| k.clone()).collect())
+        live()
+            .all(|(_, s)| ran(s))
+            .then(|| live().map(|(k, _)| k.clone()).collect())
     }
 }
--- a/crates/hopyoke-scheduler/src/plan/each.rs
+++ b/crates/hopyoke-scheduler/src/plan/each.rs
@@ -14,7 +14,9 @@
 impl Scheduler {
     /// Arrays and services: each task for itself.
     pub(super) fn place_each(&mut self, id: &JobId, plan: &mut Plan, now: Micros) -> &'static str {
-        let (Some(mut needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else { return "" };
+        let (Some(mut needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else {
+            return "";
+        };
         let begun = plan.begun.get(id).copied();
         if let Some((_, zone)) = begun {
             needs.zones[zone] += 1;
@@ -41,7 +43,10 @@
             // It failed on several machines: one task at a time shows whether it still does, on room that
             // is there. Nothing is rented or stopped for it. (Guards against arrays with a mistake that
             // fill the fleet again after each backoff; scenario mistaken_array.)
-            ahead = startable.drain(..).take(usize::from(job.places.is_empty())).collect();
+            ahead = startable
+                .drain(..)
+                .take(usize::from(job.places.is_empty()))
+                .collect();
         }
         let mut left = startable.len() as u32;
         // A zone rule must not be broken by tasks that nobody has reported yet.
@@ -50,7 +55,9 @@
         }
         needs.spare_ordinary = plan.keeps_room
             && needs.spec.spot
-            && plan.best_offer(&needs, None, 1).is_some_and(|o| plan.offers[o].spot);
+            && plan
+                .best_offer(&needs, None, 1)
+                .is_some_and(|o| plan.offers[o].spot);
         let mut candidates = self.candidates(&needs, plan, None);
         let production = needs.spec.priority == Priority::Production;
         for index in startable {
@@ -103,8 +110,12 @@
             }
         }
         for index in ahead {
-            let bin = candidates.best(&needs, plan, |b| plan.score(&needs, b)).filter(|b| plan.bins[*b].ready);
-            let Some(bin) = bin.filter(|_| plan.charge(&needs, 1, &self.cfg.teams)) else { break };
+            let bin = candidates
+                .best(&needs, plan, |b| plan.score(&needs, b))
+                .filter(|b| plan.bins[*b].ready);
+            let Some(bin) = bin.filter(|_| plan.charge(&needs, 1, &self.cfg.teams)) else {
+                break;
+            };
             let image = plan.has_image(&plan.bins[bin], needs.image);
             plan.take(bin, &mut needs);
             self.start_on(bin, id, index, image, plan, now);
@@ -119,7 +130,9 @@
 
     /// Lets an array that is overdue begin, with one task on room that is there: nothing is rented or stopped for it.
     pub(super) fn place_first(&mut self, id: &JobId, plan: &mut Plan, now: Micros) {
-        let (Some(mut needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else { return };
+        let (Some(mut needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else {
+            return;
+        };
         let index = job.done.first_missing();
         if needs.is_crash_looping || self.check(job, index) != RestartDecision::Restart {
             return;
@@ -129,8 +142,12 @@
             return;
         }
         let mut candidates = self.candidates(&needs, plan, None);
-        let bin = candidates.best(&needs, plan, |b| plan.score(&needs, b)).filter(|b| plan.bins[*b].ready);
-        let Some(bin) = bin else { return plan.refund(&needs, 1) };
+        let bin = candidates
+            .best(&needs, plan, |b| plan.score(&needs, b))
+            .filter(|b| plan.bins[*b].ready);
+        let Some(bin) = bin else {
+            return plan.refund(&needs, 1);
+        };
         let image = plan.has_image(&plan.bins[bin], needs.image);
         plan.take(bin, &mut needs);
         plan.begun.insert(id.clone(), (index, plan.bins[bin].zone));
@@ -138,10 +155,24 @@
     }
 
     /// Has the plan start a task in a bin for which room was taken.
-    fn start_on(&mut self, bin: usize, job: &JobId, index: u32, image: bool, plan: &mut Plan, now: Micros) {
+    fn start_on(
+        &mut self,
+        bin: usize,
+        job: &JobId,
+        index: u32,
+        image: bool,
+        plan: &mut Plan,
+        now: Micros,
+    ) {
         if let Some(machine) = plan.bins[bin].machine.clone() {
             let attempt = self.new_attempt(now);
-            plan.starts.push(Start { job: job.clone(), index, machine, attempt, image });
+            plan.starts.push(Start {
+                job: job.clone(),
+                index,
+                machine,
+                attempt,
+                image,
+            });
         }
     }
 }
--- a/crates/hopyoke-scheduler/src/plan/estimates.rs
+++ b/crates/hopyoke-scheduler/src/plan/estimates.rs
@@ -17,14 +17,21 @@
         let mut from = 0;
         while from < keyed.len() {
             let importance = (keyed[from].0.0, keyed[from].0.1);
-            let len = keyed[from..].iter().take_while(|k| (k.0.0, k.0.1) == importance).count();
+            let len = keyed[from..]
+                .iter()
+                .take_while(|k| (k.0.0, k.0.1) == importance)
+                .count();
             let group = &mut keyed[from..from + len];
             from += len;
             let mut places = Vec::new();
             let mut due: Vec<(i64, Keyed)> = Vec::new();
             for (i, key) in group.iter().enumerate() {
-                let Some(job) = self.jobs.get(&key.1) else { continue };
-                let Some(deadline) = job.spec.deadline_s else { continue };
+                let Some(job) = self.jobs.get(&key.1) else {
+                    continue;
+                };
+                let Some(deadline) = job.spec.deadline_s else {
+                    continue;
+                };
                 let run = self.expected(&job.spec).distribution.quantile(0.9);
                 let slack = (deadline - run).clamp(-1e9, 1e9);
                 places.push(i);
@@ -39,7 +46,9 @@
 
     /// What stopping a task costs, in seconds: what it has run; more, the nearer it is to its end.
     pub(super) fn work_lost(&self, key: &TaskKey, allocation: &Allocation, now: Micros) -> f64 {
-        let ran = allocation.running_since.map_or(0.0, |t| (now - t).as_secs_f64());
+        let ran = allocation
+            .running_since
+            .map_or(0.0, |t| (now - t).as_secs_f64());
         if !self.tuning.use_for_victims {
             return ran;
         }
@@ -51,14 +60,25 @@
     pub(super) fn lend(&self, taken: &[usize], plan: &mut Plan, now: Micros) {
         let mut complete = 0.0f64;
         for &i in taken {
-            let Some(m) = plan.bins[i].machine.as_ref().and_then(|id| self.machines.get(id)) else { continue };
+            let Some(m) = plan.bins[i]
+                .machine
+                .as_ref()
+                .and_then(|id| self.machines.get(id))
+            else {
+                continue;
+            };
             if m.phase == MachinePhase::Booting {
-                complete = complete.max((m.rented_at + self.boot_time(&m.machine_type) - now).as_secs_f64());
+                complete = complete
+                    .max((m.rented_at + self.boot_time(&m.machine_type) - now).as_secs_f64());
             }
-            for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live()) {
+            for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live())
+            {
                 let left = match self.remaining_s(task, *attempt, 0.5, now) {
                     Some(s) => s,
-                    None => allocation.spec.as_ref().map_or(0.0, |s| self.expected(s).distribution.quantile(0.5)),
+                    None => allocation
+                        .spec
+                        .as_ref()
+                        .map_or(0.0, |s| self.expected(s).distribution.quantile(0.5)),
                 };
                 complete = complete.max(left);
             }
@@ -84,8 +104,14 @@
             let (room, until) = bin.lent?;
             let image = plan.has_image(bin, needs.image);
             let fetch = self.types[bin.kind].fetch_gb_per_s.max(0.05);
-            let takes = run + if image { 0.0 } else { needs.spec.image_gb / fetch };
-            (needs.task.fits_in(&room) && takes <= until && self.allowed(needs, bin)).then_some((i, image))
+            let takes = run
+                + if image {
+                    0.0
+                } else {
+                    needs.spec.image_gb / fetch
+                };
+            (needs.task.fits_in(&room) && takes <= until && self.allowed(needs, bin))
+                .then_some((i, image))
         })?;
         let bin = &mut plan.bins[found.0];
         if let Some((room, _)) = &mut bin.lent {
@@ -102,18 +128,26 @@
             return false;
         }
         if plan.soon.is_none() {
-            let boot = self.types.iter().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
+            let boot = self
+                .types
+                .iter()
+                .map(|t| t.boot_s)
+                .fold(f64::INFINITY, f64::min);
             let span = Micros::from_secs_f64(if boot.is_finite() { boot } else { 0.0 });
             plan.soon = Some(self.soon_free(plan, now, span));
         }
-        let Some(soon) = &mut plan.soon else { return false };
+        let Some(soon) = &mut plan.soon else {
+            return false;
+        };
         let fits = |s: &&mut Soon| {
             needs.task.fits_in(&s.room)
                 && needs.kinds[s.kind]
                 && needs.zone.is_none_or(|z| z == s.zone)
                 && (needs.spec.spot || !s.spot)
         };
-        let Some(found) = soon.iter_mut().find(fits) else { return false };
+        let Some(found) = soon.iter_mut().find(fits) else {
+            return false;
+        };
         found.room = found.room - needs.task;
         true
     }
@@ -122,26 +156,59 @@
         let mut soon = Vec::new();
         // What this plan starts itself may end in time, too.
         for start in &plan.starts {
-            let Some(job) = self.jobs.get(&start.job).filter(|j| j.spec.kind == JobKind::Array) else { continue };
+            let Some(job) = self
+                .jobs
+                .get(&start.job)
+                .filter(|j| j.spec.kind == JobKind::Array)
+            else {
+                continue;
+            };
             let lead = self.learned.learner.lead_s(&job.spec.class);
-            let Some(m) = self.machines.get(&start.machine) else { continue };
-            let Some(kind) = self.types.iter().position(|t| t.name == m.machine_type) else { continue };
+            let Some(m) = self.machines.get(&start.machine) else {
+                continue;
+            };
+            let Some(kind) = self.types.iter().position(|t| t.name == m.machine_type) else {
+                continue;
+            };
             if lead + self.expected(&job.spec).distribution.quantile(0.9) <= span.as_secs_f64() {
-                soon.push(Soon { kind, zone: self.cfg.zone_index(&m.zone), spot: m.spot, room: job.task });
+                soon.push(Soon {
+                    kind,
+                    zone: self.cfg.zone_index(&m.zone),
+                    spot: m.spot,
+                    room: job.task,
+                });
             }
         }
         for (task, _) in self.learned.learner.ending_within(now, span) {
             self.add_visited(1);
-            let Some(job) = self.jobs.get(&task.job) else { continue };
+            let Some(job) = self.jobs.get(&task.job) else {
+                continue;
+            };
             let only = (!job.is_gang()).then_some(task.index);
-            for (_, places) in job.places.iter().filter(|(i, _)| only.is_none_or(|o| **i == o)) {
+            for (_, places) in job
+                .places
+                .iter()
+                .filter(|(i, _)| only.is_none_or(|o| **i == o))
+            {
                 for (id, _) in places {
-                    let Some(m) = self.machines.get(id).filter(|m| !m.faulty && !m.slow && !m.deleting) else {
+                    let Some(m) = self
+                        .machines
+                        .get(id)
+                        .filter(|m| !m.faulty && !m.slow && !m.deleting)
+                    else {
+                        continue;
+                    };
+                    let Some(kind) = self.types.iter().position(|t| t.name == m.machine_type)
+                    else {
                         continue;
                     };
-                    let Some(kind) = self.types.iter().position(|t| t.name == m.machine_type) else { continue };
                     let room: Resources = job.task;
-                    soon.push(Soon { kind, zone: self.cfg.zone_index(&m.zone), spot: m.spot, room });
+                    soon.push(Soon {
+                        kind,
+                        zone: self.cfg.zone_index(&m.zone),
+                        spot: m.spot,
+                        room,
+                    });
                 }
             }
         }
--- a/crates/hopyoke-scheduler/src/plan/gang.rs
+++ b/crates/hopyoke-scheduler/src/plan/gang.rs
@@ -14,7 +14,9 @@
 impl Scheduler {
     /// Gangs: all tasks at once, or the replacements that a waiting gang lacks.
     pub(super) fn place_gang(&mut self, id: &JobId, plan: &mut Plan, now: Micros) -> &'static str {
-        let (Some(needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else { return "" };
+        let (Some(needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else {
+            return "";
+        };
         let n = job.spec.tasks;
         let missing: Vec<u32> = (0..n).filter(|i| !job.places.contains_key(i)).collect();
         if missing.is_empty() || job.is_done() {
@@ -24,7 +26,10 @@
         if job.gang_failing || (job.gang_started && missing.len() < n as usize) {
             return "its old attempt to end";
         }
-        if missing.iter().any(|&i| self.check(job, i) != RestartDecision::Restart) {
+        if missing
+            .iter()
+            .any(|&i| self.check(job, i) != RestartDecision::Restart)
+        {
             return "recovery";
         }
         let anew = missing.len() == n as usize;
@@ -37,7 +42,9 @@
             return "its team's limit";
         }
         // For a gang that failed on several machines nothing is rented and no room is kept.
-        let offers = needs.is_crash_looping.then(|| std::mem::take(&mut plan.offers));
+        let offers = needs
+            .is_crash_looping
+            .then(|| std::mem::take(&mut plan.offers));
         let chosen = self.choose_all(&needs, plan, count);
         if let Some(offers) = offers {
             plan.offers = offers;
@@ -62,14 +69,23 @@
             job.gang_started = false;
             let waited_ms = (now - job.seen_at).as_millis();
             let (class, tasks, waited_for) = (&job.spec.class, job.spec.tasks, job.waited_for);
-            let warm = bins.iter().filter(|b| plan.had_image(&plan.bins[**b], needs.image)).count();
+            let warm = bins
+                .iter()
+                .filter(|b| plan.had_image(&plan.bins[**b], needs.image))
+                .count();
             debug!(job = %id, class, tasks, waited_ms, waited_for, warm, first = term.0 == 0, "gang start");
             self.writes.note(id);
         }
         for (index, bin) in missing.into_iter().zip(bins) {
             if let Some(machine) = plan.bins[bin].machine.clone() {
                 let image = plan.had_image(&plan.bins[bin], needs.image);
-                plan.starts.push(Start { job: id.clone(), index, machine, attempt, image });
+                plan.starts.push(Start {
+                    job: id.clone(),
+                    index,
+                    machine,
+                    attempt,
+                    image,
+                });
             }
         }
         ""
@@ -77,23 +93,40 @@
 
     /// Finds room for `count` tasks at once, in one zone if the job asks for it. Room on machines
     /// that are not ready yet is taken in the plan, so that it is kept for this gang.
-    pub(super) fn choose_all(&self, needs: &Needs, plan: &mut Plan, count: u32) -> Option<Vec<usize>> {
+    pub(super) fn choose_all(
+        &self,
+        needs: &Needs,
+        plan: &mut Plan,
+        count: u32,
+    ) -> Option<Vec<usize>> {
         let zones: Vec<Option<usize>> = if needs.spec.one_zone {
             let mut room = vec![(0u32, 0u32, 0u32); self.cfg.zones.len()];
             for &i in &plan.open {
                 let b = &plan.bins[i];
-                let Some(room) = room.get_mut(b.zone) else { continue };
+                let Some(room) = room.get_mut(b.zone) else {
+                    continue;
+                };
                 let holds = b.free.holds(&needs.task);
                 if holds > 0 && self.allowed(needs, b) {
                     room.0 += if b.ready { holds } else { 0 };
                     room.1 += holds;
-                    room.2 += if b.ready && plan.has_image(b, needs.image) { holds } else { 0 };
+                    room.2 += if b.ready && plan.has_image(b, needs.image) {
+                        holds
+                    } else {
+                        0
+                    };
                 }
             }
             let mut zones: Vec<usize> = (0..room.len()).collect();
             // Where all can start now; among those where most have the image: the last to fetch it is
             // the one that all wait for.
-            zones.sort_by_key(|&z| Reverse((room[z].0.min(count), room[z].1.min(count), room[z].2.min(count))));
+            zones.sort_by_key(|&z| {
+                Reverse((
+                    room[z].0.min(count),
+                    room[z].1.min(count),
+                    room[z].2.min(count),
+                ))
+            });
             zones.into_iter().map(Some).collect()
         } else {
             vec![None]
@@ -105,11 +138,13 @@
             let (bins, open, demand) = (plan.bins.len(), plan.open.len(), plan.demand.clone());
             let mut undo = Vec::new();
             for left in (1..=count).rev() {
-                let found = candidates.best(&taking, plan, |b| plan.score(&taking, b)).or_else(|| {
-                    let new = plan.open_new(&taking, zone, left)?;
-                    candidates.put_first(new, plan.bins[new].zone);
-                    Some(new)
-                });
+                let found = candidates
+                    .best(&taking, plan, |b| plan.score(&taking, b))
+                    .or_else(|| {
+                        let new = plan.open_new(&taking, zone, left)?;
+                        candidates.put_first(new, plan.bins[new].zone);
+                        Some(new)
+                    });
                 let Some(bin) = found else { break };
                 if bin < bins {
                     undo.push((bin, plan.bins[bin].before()));
@@ -137,9 +172,12 @@
     fn reserve_quota(&self, needs: &Needs, plan: &mut Plan, count: u32) {
         let Some(team) = needs.team else { return };
         self.add_visited(self.jobs.len());
-        let of_team = |spec: &JobSpec| spec.kind == JobKind::Service && spec.team == needs.spec.team;
+        let of_team =
+            |spec: &JobSpec| spec.kind == JobKind::Service && spec.team == needs.spec.team;
         let lasting = self.jobs.values().filter(|j| of_team(&j.spec));
-        let lasting = lasting.fold(Resources::default(), |sum, j| sum + j.task.times(j.places.len() as f64));
+        let lasting = lasting.fold(Resources::default(), |sum, j| {
+            sum + j.task.times(j.places.len() as f64)
+        });
         let gang = needs.task.times(f64::from(count));
         if self.cfg.teams[team].allows(&(lasting + gang)) {
             plan.used[team] = plan.used[team] + gang;
@@ -156,7 +194,11 @@
         plan.reservations += 1;
         self.add_visited(plan.bins.len());
         let holds: Vec<u32> = plan.kinds.iter().map(|k| k.holds(&needs.task)).collect();
-        let zones = if needs.spec.one_zone { self.cfg.zones.len() + 1 } else { 1 };
+        let zones = if needs.spec.one_zone {
+            self.cfg.zones.len() + 1
+        } else {
+            1
+        };
         let mut fits: Vec<Vec<(u32, u32, usize)>> = vec![Vec::new(); zones];
         for (i, b) in plan.bins.iter().enumerate() {
             if b.replicas == 0 && holds[b.kind] > 0 && self.allowed(needs, b) {
@@ -175,7 +217,10 @@
                 now += free;
                 taken.push(i);
             }
-            if best.as_ref().is_none_or(|b| (room.min(count), now) > (b.0, b.1)) {
+            if best
+                .as_ref()
+                .is_none_or(|b| (room.min(count), now) > (b.0, b.1))
+            {
                 best = Some((room.min(count), now, taken));
             }
         }
--- a/crates/hopyoke-scheduler/src/plan/mod.rs
+++ b/crates/hopyoke-scheduler/src/plan/mod.rs
@@ -74,7 +74,9 @@
         let orphaned = plan.orphaned;
         let unbounded = !self.charge_unknown(&mut plan);
         for Turn { id, first } in order {
-            let Some(job) = self.jobs.get(&id) else { continue };
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
             let why = if job.given_up {
                 "its end to be recorded"
             } else if self.is_held(&job.spec) {
@@ -110,10 +112,19 @@
             self.stop_allocation(&machine, &task.job, task.index, attempt, 0.0);
         }
         self.defragment(&plan, now);
-        let offers = plan.offers.into_iter().zip(plan.demand).filter(|(_, n)| *n > 0);
+        let offers = plan
+            .offers
+            .into_iter()
+            .zip(plan.demand)
+            .filter(|(_, n)| *n > 0);
         Demand {
             offers: offers.map(|(o, n)| (o.offer, n)).collect(),
-            wanted: plan.bins.into_iter().filter(|b| b.wanted).filter_map(|b| b.machine).collect(),
+            wanted: plan
+                .bins
+                .into_iter()
+                .filter(|b| b.wanted)
+                .filter_map(|b| b.machine)
+                .collect(),
         }
     }
 
@@ -140,19 +151,26 @@
         plan.demand = vec![0; plan.offers.len()];
         self.fill_bins(&mut plan, now);
         // Bins without room even for the smallest waiting task need no second look.
-        let least = order.iter().filter_map(|t| self.jobs.get(&t.id)).map(|j| j.task).reduce(|a, b| Resources {
-            cpus: a.cpus.min(b.cpus),
-            gpus: a.gpus.min(b.gpus),
-            memory_gb: a.memory_gb.min(b.memory_gb),
-        });
+        let least = order
+            .iter()
+            .filter_map(|t| self.jobs.get(&t.id))
+            .map(|j| j.task)
+            .reduce(|a, b| Resources {
+                cpus: a.cpus.min(b.cpus),
+                gpus: a.gpus.min(b.gpus),
+                memory_gb: a.memory_gb.min(b.memory_gb),
+            });
         if let Some(least) = least {
-            plan.open = (0..plan.bins.len()).filter(|&i| least.fits_in(&plan.bins[i].free)).collect();
+            plan.open = (0..plan.bins.len())
+                .filter(|&i| least.fits_in(&plan.bins[i].free))
+                .collect();
         }
         plan
     }
 
     fn limited(&self, team: &str) -> bool {
-        self.team(team).is_none_or(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0)
+        self.team(team)
+            .is_none_or(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0)
     }
 
     pub(super) fn team(&self, name: &str) -> Option<&Team> {
@@ -174,7 +192,9 @@
         }
         let mut most = Resources::default();
         for m in self.machines.values().filter(|m| self.is_unreconciled(m)) {
-            let Some(t) = self.machine_type(&m.machine_type) else { return false };
+            let Some(t) = self.machine_type(&m.machine_type) else {
+                return false;
+            };
             most = most + Resources::of_type(t);
         }
         for used in &mut plan.used {
@@ -185,7 +205,11 @@
 
     /// Jobs with work that has no place, in the order in which they get room.
     fn order(&mut self, now: Micros) -> Vec<Turn> {
-        let mut jobs: Vec<(u64, &JobId)> = self.jobs.iter().map(|(id, j)| (j.accepted_us, id)).collect();
+        let mut jobs: Vec<(u64, &JobId)> = self
+            .jobs
+            .iter()
+            .map(|(id, j)| (j.accepted_us, id))
+            .collect();
         jobs.sort_unstable();
         let mut claimed = vec![Resources::default(); self.cfg.teams.len()];
         let mut keyed = Vec::new();
@@ -215,7 +239,10 @@
                 keyed.push(((class, spec.priority, OVERDUE), id.clone()));
             }
             let due = job.is_gang() && self.is_due(job, now);
-            keyed.push(((class, spec.priority, if due { DUE } else { accepted_us }), id.clone()));
+            keyed.push((
+                (class, spec.priority, if due { DUE } else { accepted_us }),
+                id.clone(),
+            ));
         }
         keyed.sort_unstable();
         self.take_turns(&mut keyed, now);
@@ -227,12 +254,20 @@
                 job.waits_for = "";
             }
         }
-        keyed.into_iter().map(|((.., since), id)| Turn { id, first: since == OVERDUE }).collect()
+        keyed
+            .into_iter()
+            .map(|((.., since), id)| Turn {
+                id,
+                first: since == OVERDUE,
+            })
+            .collect()
     }
 
     /// A gang that its turn does not serve, for it needs much of its team's limit at once.
     fn is_due(&self, job: &Job, now: Micros) -> bool {
-        let Some(team) = self.team(&job.spec.team) else { return false };
+        let Some(team) = self.team(&job.spec.team) else {
+            return false;
+        };
         let need = job.task.times(f64::from(job.unplaced_tasks()));
         let part = |need: f64, most: f64| if most > 0.0 { need / most } else { 0.0 };
         let part = part(need.cpus, team.cpus_max).max(part(need.gpus, team.gpus_max));
@@ -248,7 +283,9 @@
 
     /// Puts an attempt on a machine; its start order goes out with the next orders.
     fn start(&mut self, s: Start, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&s.job) else { return };
+        let Some(job) = self.jobs.get_mut(&s.job) else {
+            return;
+        };
         if job.term.0 == 0 {
             // Its first start is recorded before it is commanded.
             job.term = s.attempt;
@@ -258,8 +295,13 @@
             self.writes.note(&s.job);
         }
         let spec = job.spec.clone();
-        let Some(m) = self.machines.get_mut(&s.machine) else { return };
-        let task = TaskId { job: s.job, index: s.index };
+        let Some(m) = self.machines.get_mut(&s.machine) else {
+            return;
+        };
+        let task = TaskId {
+            job: s.job,
+            index: s.index,
+        };
         let allocation = Allocation::new(AllocationState::Sent, Some(spec), now);
         m.slots_mut().insert((task.clone(), s.attempt), allocation);
         m.idle_since = None;
@@ -272,14 +314,32 @@
 
     /// How many of a job's tasks run, as far as we know.
     pub fn running(&self, id: &JobId) -> u32 {
-        let Some(job) = self.jobs.get(id) else { return 0 };
+        let Some(job) = self.jobs.get(id) else {
+            return 0;
+        };
         let runs = |index: u32, machine: &MachineId, attempt: Attempt| {
-            let key = (TaskId { job: id.clone(), index }, attempt);
-            let allocation = self.machines.get(machine).and_then(|m| m.allocations().get(&key));
-            allocation
-                .is_some_and(|s| matches!(s.state, AllocationState::Live(TaskState::Running | TaskState::Saving)))
+            let key = (
+                TaskId {
+                    job: id.clone(),
+                    index,
+                },
+                attempt,
+            );
+            let allocation = self
+                .machines
+                .get(machine)
+                .and_then(|m| m.allocations().get(&key));
+            allocation.is_some_and(|s| {
+                matches!(
+                    s.state,
+                    AllocationState::Live(TaskState::Running | TaskState::Saving)
+                )
+            })
         };
-        let places = job.places.iter().flat_map(|(i, p)| p.iter().map(move |(m, a)| (*i, m, *a)));
+        let places = job
+            .places
+            .iter()
+            .flat_map(|(i, p)| p.iter().map(move |(m, a)| (*i, m, *a)));
         places.filter(|(i, m, a)| runs(*i, m, *a)).count() as u32
     }
 }
--- a/crates/hopyoke-scheduler/src/plan/needs.rs
+++ b/crates/hopyoke-scheduler/src/plan/needs.rs
@@ -36,7 +36,13 @@
     /// The job's zone rules allow one more task in this zone, given where its others are.
     /// (Guards `wrong_place`.)
     pub(super) fn zone_allows(&self, zone: usize) -> bool {
-        if self.spec.one_zone && self.zones.iter().enumerate().any(|(z, &n)| n > 0 && z != zone) {
+        if self.spec.one_zone
+            && self
+                .zones
+                .iter()
+                .enumerate()
+                .any(|(z, &n)| n > 0 && z != zone)
+        {
             return false;
         }
         !self.spec.spread || self.zones[zone] < self.spec.tasks.div_ceil(2)
@@ -55,10 +61,18 @@
 
 impl Candidates {
     /// The best bin that still has room, in a zone that the job's rules allow.
-    pub(super) fn best(&mut self, needs: &Needs, plan: &Plan, score: impl Fn(&Bin) -> f64) -> Option<usize> {
+    pub(super) fn best(
+        &mut self,
+        needs: &Needs,
+        plan: &Plan,
+        score: impl Fn(&Bin) -> f64,
+    ) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
         for (list, next) in self.lists.iter().zip(&mut self.next) {
-            while list.get(*next).is_some_and(|&b| !needs.task.fits_in(&plan.bins[b].free)) {
+            while list
+                .get(*next)
+                .is_some_and(|&b| !needs.task.fits_in(&plan.bins[b].free))
+            {
                 *next += 1;
             }
             let Some(&b) = list.get(*next) else { continue };
@@ -113,7 +127,10 @@
     fn kinds_of(&self, spec: &JobSpec) -> impl Iterator<Item = bool> {
         let task = Resources::of_task(spec);
         self.types.iter().map(move |t| {
-            spec.types.as_ref().is_none_or(|names| names.contains(&t.name)) && task.fits_in(&Resources::of_type(t))
+            spec.types
+                .as_ref()
+                .is_none_or(|names| names.contains(&t.name))
+                && task.fits_in(&Resources::of_type(t))
         })
     }
 
@@ -121,8 +138,12 @@
     pub(super) fn fragmentation(&self, waiting: &[Turn]) -> Fragmentation {
         let mut fragmentation = Fragmentation::none(self.types.len());
         for job in waiting.iter().filter_map(|t| self.jobs.get(&t.id)) {
-            fragmentation
-                .add(self.kinds_of(&job.spec).enumerate().filter(|(_, fits)| *fits).map(|(kind, _)| kind));
+            fragmentation.add(
+                self.kinds_of(&job.spec)
+                    .enumerate()
+                    .filter(|(_, fits)| *fits)
+                    .map(|(kind, _)| kind),
+            );
         }
         fragmentation
     }
@@ -145,11 +166,18 @@
     /// All bins that have room for a task of the job, best first.
     pub(super) fn candidates(&self, needs: &Needs, plan: &Plan, zone: Option<usize>) -> Candidates {
         self.add_visited(plan.open.len());
-        let zones = if needs.cares_for_zones() { self.cfg.zones.len() + 1 } else { 1 };
+        let zones = if needs.cares_for_zones() {
+            self.cfg.zones.len() + 1
+        } else {
+            1
+        };
         let mut scored: Vec<Vec<(f64, usize)>> = vec![Vec::new(); zones];
         for &i in &plan.open {
             let b = &plan.bins[i];
-            if needs.task.fits_in(&b.free) && zone.is_none_or(|z| z == b.zone) && self.allowed(needs, b) {
+            if needs.task.fits_in(&b.free)
+                && zone.is_none_or(|z| z == b.zone)
+                && self.allowed(needs, b)
+            {
                 scored[b.zone.min(zones - 1)].push((plan.score(needs, b), i));
             }
         }
@@ -160,6 +188,9 @@
                 list.into_iter().map(|(_, i)| i).collect()
             })
             .collect();
-        Candidates { next: vec![0; lists.len()], lists }
+        Candidates {
+            next: vec![0; lists.len()],
+            lists,
+        }
     }
 }
--- a/crates/hopyoke-scheduler/src/plan/offers.rs
+++ b/crates/hopyoke-scheduler/src/plan/offers.rs
@@ -11,7 +11,12 @@
 
 impl Plan {
     /// The cheapest offer per task that the job can place on it.
-    pub(super) fn best_offer(&self, needs: &Needs, zone: Option<usize>, left: u32) -> Option<usize> {
+    pub(super) fn best_offer(
+        &self,
+        needs: &Needs,
+        zone: Option<usize>,
+        left: u32,
+    ) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
         for (i, o) in self.offers.iter().enumerate() {
             if !needs.kinds[o.kind]
@@ -33,11 +38,17 @@
     }
 
     /// Counts on one more machine for a task of the job; its bin.
-    pub(super) fn open_new(&mut self, needs: &Needs, zone: Option<usize>, left: u32) -> Option<usize> {
+    pub(super) fn open_new(
+        &mut self,
+        needs: &Needs,
+        zone: Option<usize>,
+        left: u32,
+    ) -> Option<usize> {
         let offer = self.best_offer(needs, zone, left)?;
         self.demand[offer] += 1;
         let o = &self.offers[offer];
-        self.bins.push(Bin::rented(o.kind, o.zone, o.spot, self.kinds[o.kind]));
+        self.bins
+            .push(Bin::rented(o.kind, o.zone, o.spot, self.kinds[o.kind]));
         self.open.push(self.bins.len() - 1);
         Some(self.bins.len() - 1)
     }
@@ -53,18 +64,36 @@
         let all = f64::from(here.iter().sum::<u32>().max(1));
         let mut offers = Vec::new();
         for (kind, t) in self.types.iter().enumerate() {
-            let zones = if t.zones.is_empty() { &self.cfg.zones } else { &t.zones };
+            let zones = if t.zones.is_empty() {
+                &self.cfg.zones
+            } else {
+                &t.zones
+            };
             for z in zones {
                 let zone = self.cfg.zone_index(z);
                 // Zones that hold less of the fleet are preferred, slightly.
-                let burden = 1.0 + self.tuning.zone_burden * f64::from(here[zone]) / all + 0.001 * t.boot_s;
+                let burden =
+                    1.0 + self.tuning.zone_burden * f64::from(here[zone]) / all + 0.001 * t.boot_s;
                 for spot in [true, false] {
                     let price = if spot { t.spot_price } else { t.price };
-                    let offer = Offer { machine_type: t.name.clone(), zone: z.clone(), spot };
-                    if (spot && price <= 0.0) || self.pending_scale_outs.refused(&offer, now) || self.zone_cut(z) {
+                    let offer = Offer {
+                        machine_type: t.name.clone(),
+                        zone: z.clone(),
+                        spot,
+                    };
+                    if (spot && price <= 0.0)
+                        || self.pending_scale_outs.refused(&offer, now)
+                        || self.zone_cut(z)
+                    {
                         continue;
                     }
-                    offers.push(OfferView { offer, kind, zone, spot, cost: price * burden });
+                    offers.push(OfferView {
+                        offer,
+                        kind,
+                        zone,
+                        spot,
+                        cost: price * burden,
+                    });
                 }
             }
         }
--- a/crates/hopyoke-scheduler/src/plan/preempt.rs
+++ b/crates/hopyoke-scheduler/src/plan/preempt.rs
@@ -25,26 +25,38 @@
         let mut best: Option<Room> = None;
         for (i, bin) in plan.bins.iter().enumerate() {
             if !bin.ready
-                || !needs.task.fits_in(&(bin.free + bin.freeing + bin.preemptible))
+                || !needs
+                    .task
+                    .fits_in(&(bin.free + bin.freeing + bin.preemptible))
                 || !self.allowed(needs, bin)
                 || !needs.zone_allows(bin.zone)
             {
                 continue;
             }
-            let image = if plan.has_image(bin, needs.image) { 0.0 } else { 1000.0 };
+            let image = if plan.has_image(bin, needs.image) {
+                0.0
+            } else {
+                1000.0
+            };
             if best.as_ref().is_some_and(|b| image >= b.0) {
                 continue;
             }
             let mut room = bin.free + bin.freeing;
             let mut victims = Vec::new();
             let mut lost = 0.0;
-            let Some(m) = bin.machine.as_ref().and_then(|m| self.machines.get(m)) else { continue };
+            let Some(m) = bin.machine.as_ref().and_then(|m| self.machines.get(m)) else {
+                continue;
+            };
             let mut candidates: Vec<(f64, &TaskKey, &Allocation)> = m
                 .allocations()
                 .iter()
-                .filter(|(k, s)| s.is_live() && s.stop.is_none() && !plan.victims.iter().any(|v| v.1 == **k))
+                .filter(|(k, s)| {
+                    s.is_live() && s.stop.is_none() && !plan.victims.iter().any(|v| v.1 == **k)
+                })
                 .filter(|(_, s)| {
-                    s.spec.as_ref().is_some_and(|v| v.kind == JobKind::Array && v.priority > needs.spec.priority)
+                    s.spec.as_ref().is_some_and(|v| {
+                        v.kind == JobKind::Array && v.priority > needs.spec.priority
+                    })
                 })
                 .map(|(k, s)| (self.work_lost(k, s, now), k, s))
                 .collect();
@@ -78,7 +90,8 @@
         bin.preemptible = bin.preemptible - freed;
         bin.free = Resources::default();
         bin.wanted = true;
-        plan.victims.extend(victims.into_iter().map(|k| (machine.clone(), k)));
+        plan.victims
+            .extend(victims.into_iter().map(|k| (machine.clone(), k)));
         Some(plan.bins[i].zone)
     }
 }
--- a/crates/hopyoke-scheduler/src/plan/stop_finished.rs
+++ b/crates/hopyoke-scheduler/src/plan/stop_finished.rs
@@ -11,12 +11,24 @@
     pub(crate) fn stop_finished(&mut self) {
         let mut stops: Vec<(MachineId, JobId, u32, Attempt, f64)> = Vec::new();
         let mut moving: BTreeSet<JobId> = BTreeSet::new();
-        for m in self.machines.values().filter(|m| m.notice.is_some() || m.faulty) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.notice.is_some() || m.faulty)
+        {
             for ((task, attempt), _) in m.allocations().iter().filter(|(_, s)| s.is_live()) {
-                let Some(job) = self.jobs.get(&task.job) else { continue };
+                let Some(job) = self.jobs.get(&task.job) else {
+                    continue;
+                };
                 match job.spec.kind {
                     JobKind::Service => {
-                        stops.push((m.id.clone(), task.job.clone(), task.index, *attempt, job.spec.save_s));
+                        stops.push((
+                            m.id.clone(),
+                            task.job.clone(),
+                            task.index,
+                            *attempt,
+                            job.spec.save_s,
+                        ));
                     }
                     JobKind::Gang => {
                         moving.insert(task.job.clone());
@@ -42,7 +54,13 @@
                         stops.push((m.clone(), id.clone(), index, *attempt, 0.0));
                     } else if moved {
                         // Orderly stop: all are told at once and may save.
-                        stops.push((m.clone(), id.clone(), index, *attempt, job.spec.save_s + 1.0));
+                        stops.push((
+                            m.clone(),
+                            id.clone(),
+                            index,
+                            *attempt,
+                            job.spec.save_s + 1.0,
+                        ));
                     }
                 }
             }
--- a/crates/hopyoke-scheduler/src/plan/turns.rs
+++ b/crates/hopyoke-scheduler/src/plan/turns.rs
@@ -17,10 +17,14 @@
         let (mut places, mut waiting) = (Vec::new(), Vec::new());
         for (place, ((class, priority, accepted_us), id)) in keyed.iter().enumerate() {
             let turns = |j: &&Job| j.spec.kind != JobKind::Service && *accepted_us > OVERDUE;
-            let Some(job) = self.jobs.get(id).filter(turns) else { continue };
+            let Some(job) = self.jobs.get(id).filter(turns) else {
+                continue;
+            };
             let spec = &job.spec;
             let next = tenants.len();
-            let tenant = *tenants.entry((*class, *priority, &spec.team, &spec.class)).or_insert(next);
+            let tenant = *tenants
+                .entry((*class, *priority, &spec.team, &spec.class))
+                .or_insert(next);
             places.push(place);
             waiting.push(Waiting {
                 tenant,
@@ -29,7 +33,10 @@
             });
         }
         let order = crate::queue_order::take_turns(&waiting);
-        let jobs: Vec<Keyed> = order.into_iter().map(|i| keyed[places[i]].clone()).collect();
+        let jobs: Vec<Keyed> = order
+            .into_iter()
+            .map(|i| keyed[places[i]].clone())
+            .collect();
         for (place, job) in places.into_iter().zip(jobs) {
             keyed[place] = job;
         }
--- a/crates/hopyoke-scheduler/src/plan/view.rs
+++ b/crates/hopyoke-scheduler/src/plan/view.rs
@@ -131,11 +131,25 @@
     }
 
     pub(super) fn before(&self) -> Before {
-        (self.free, self.empty, self.reportable, self.replicas, self.latest, self.wanted)
+        (
+            self.free,
+            self.empty,
+            self.reportable,
+            self.replicas,
+            self.latest,
+            self.wanted,
+        )
     }
 
     pub(super) fn restore(&mut self, before: Before) {
-        (self.free, self.empty, self.reportable, self.replicas, self.latest, self.wanted) = before;
+        (
+            self.free,
+            self.empty,
+            self.reportable,
+            self.replicas,
+            self.latest,
+            self.wanted,
+        ) = before;
     }
 }
 
@@ -185,7 +199,9 @@
     pub(super) fn tell(&self) {
         let sum = |f: &dyn Fn(&&Bin) -> bool| {
             let bins = self.bins.iter().filter(f);
-            bins.fold((0u32, 0.0, 0.0), |s, b| (s.0 + 1, s.1 + self.kinds[b.kind].gpus, s.2 + b.free.gpus))
+            bins.fold((0u32, 0.0, 0.0), |s, b| {
+                (s.0 + 1, s.1 + self.kinds[b.kind].gpus, s.2 + b.free.gpus)
+            })
         };
         let (ready, idle) = (sum(&|b| b.ready), sum(&|b| b.ready && b.empty));
         let coming = sum(&|b| !b.ready && b.machine.is_some());
@@ -252,7 +268,13 @@
 impl Scheduler {
     pub(super) fn fill_bins(&mut self, plan: &mut Plan, now: Micros) {
         let quiet = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(2);
-        let Scheduler { machines, cfg, types, token, .. } = self;
+        let Scheduler {
+            machines,
+            cfg,
+            types,
+            token,
+            ..
+        } = self;
         for m in machines.values_mut() {
             let load = m.load(&cfg.teams);
             plan.orphaned |= load.orphaned;
@@ -271,7 +293,9 @@
             {
                 continue;
             }
-            let Some(kind) = types.iter().position(|t| t.name == m.machine_type) else { continue };
+            let Some(kind) = types.iter().position(|t| t.name == m.machine_type) else {
+                continue;
+            };
             let Some(load) = m.kept_load() else { continue };
             let reportable = MOST_REPORTED.saturating_sub(m.allocations().len());
             let first = plan.images.len() as u32;
@@ -282,7 +306,11 @@
                 kind,
                 zone: cfg.zone_index(&m.zone),
                 spot: m.spot,
-                free: if reportable > 0 { plan.kinds[kind] - load.used } else { Resources::default() },
+                free: if reportable > 0 {
+                    plan.kinds[kind] - load.used
+                } else {
+                    Resources::default()
+                },
                 empty: load.live == 0,
                 reportable,
                 replicas: load.replicas,
@@ -302,7 +330,8 @@
             if let Some(kind) = self.types.iter().position(|t| t.name == offer.machine_type) {
                 let zone = self.cfg.zone_index(&offer.zone);
                 for _ in 0..n {
-                    plan.bins.push(Bin::rented(kind, zone, offer.spot, plan.kinds[kind]));
+                    plan.bins
+                        .push(Bin::rented(kind, zone, offer.spot, plan.kinds[kind]));
                 }
             }
         }
--- a/crates/hopyoke-scheduler/src/provisioning.rs
+++ b/crates/hopyoke-scheduler/src/provisioning.rs
@@ -53,10 +53,16 @@
 impl Curve {
     fn believed() -> Curve {
         let part = |from: f64, to: f64| -> f64 {
-            let up = BELIEVED.iter().map(|(p, a, b)| p * (to.min(*b) - from.max(*a)).max(0.0) / (b - a));
+            let up = BELIEVED
+                .iter()
+                .map(|(p, a, b)| p * (to.min(*b) - from.max(*a)).max(0.0) / (b - a));
             up.sum()
         };
-        let mut curve = Curve { reached: [0.0; STEPS], came: [0.0; STEPS], at: 0.0 };
+        let mut curve = Curve {
+            reached: [0.0; STEPS],
+            came: [0.0; STEPS],
+            at: 0.0,
+        };
         for k in 0..STEPS {
             let from = k as f64 * STEP;
             curve.reached[k] = PRIOR * (1.0 - part(0.0, from));
@@ -67,7 +73,11 @@
 
     /// What was seen counts for less, what was believed first as much as ever.
     fn fade(&mut self, now: f64) {
-        let keep = if now > self.at { (-(now - self.at) / MEMORY).exp() } else { 1.0 };
+        let keep = if now > self.at {
+            (-(now - self.at) / MEMORY).exp()
+        } else {
+            1.0
+        };
         self.at = self.at.max(now);
         let first = Curve::believed();
         for (k, (reached, came)) in first.reached.into_iter().zip(first.came).enumerate() {
@@ -97,7 +107,11 @@
             if to <= from {
                 break;
             }
-            let hazard = if self.reached[k] > 0.0 { (self.came[k] / self.reached[k]).min(1.0) } else { 0.0 };
+            let hazard = if self.reached[k] > 0.0 {
+                (self.came[k] / self.reached[k]).min(1.0)
+            } else {
+                0.0
+            };
             stays *= (1.0 - hazard).powf((to - from) / STEP);
         }
         1.0 - stays
@@ -107,12 +121,20 @@
         if age < 1.0 || self.chance(age, AHEAD) + GAIN >= self.chance(0.0, AHEAD) {
             return ProvisioningState::Awaited;
         }
-        if self.chance(age, 1.0) < HOPE { ProvisioningState::Hopeless } else { ProvisioningState::Late }
+        if self.chance(age, 1.0) < HOPE {
+            ProvisioningState::Hopeless
+        } else {
+            ProvisioningState::Late
+        }
     }
 }
 
 fn step_of(age: f64) -> usize {
-    if age.is_finite() { ((age / STEP).max(0.0) as usize).min(STEPS - 1) } else { STEPS - 1 }
+    if age.is_finite() {
+        ((age / STEP).max(0.0) as usize).min(STEPS - 1)
+    } else {
+        STEPS - 1
+    }
 }
 
 /// What is known of how long machines take to come up, by type. As many types are kept as are named.
@@ -123,7 +145,9 @@
 
 impl ProvisioningEstimator {
     fn curve(&mut self, kind: &str) -> &mut Curve {
-        self.curves.entry(kind.to_owned()).or_insert_with(Curve::believed)
+        self.curves
+            .entry(kind.to_owned())
+            .or_insert_with(Curve::believed)
     }
 
     /// A machine came up at this age, in nominal boots of its type; so is `now`, from any fixed point.
--- a/crates/hopyoke-scheduler/src/queue_order.rs
+++ b/crates/hopyoke-scheduler/src/queue_order.rs
@@ -39,7 +39,13 @@
     }
     let mut order = vec![0; jobs.len()];
     for own in places.into_values() {
-        let work = |i: &usize| if jobs[*i].work_s.is_finite() { jobs[*i].work_s.max(0.0) } else { 0.0 };
+        let work = |i: &usize| {
+            if jobs[*i].work_s.is_finite() {
+                jobs[*i].work_s.max(0.0)
+            } else {
+                0.0
+            }
+        };
         let largest = own.iter().map(work).fold(0.0, f64::max);
         let least = (largest / SPAN).max(f64::MIN_POSITIVE);
         let ratio = |i: &usize| {
--- a/crates/hopyoke-scheduler/src/ranges.rs
+++ b/crates/hopyoke-scheduler/src/ranges.rs
@@ -37,9 +37,8 @@
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Ranges, D::Error> {
         match Form::deserialize(d)? {
             Form::List(parts) => Ok(Ranges(parts)),
-            Form::Text(text) => {
-                Ranges::of_text(&text).ok_or_else(|| serde::de::Error::custom("malformed set of task numbers"))
-            }
+            Form::Text(text) => Ranges::of_text(&text)
+                .ok_or_else(|| serde::de::Error::custom("malformed set of task numbers")),
         }
     }
 }
@@ -76,7 +75,10 @@
     fn of_text(text: &str) -> Option<Ranges> {
         let (first, bits) = text.split_once(':')?;
         let first: u32 = first.parse().ok().filter(|f| *f <= MOST)?;
-        let bytes = STANDARD_NO_PAD.decode(bits).ok().filter(|b| b.len() <= MOST as usize / 8 + 1)?;
+        let bytes = STANDARD_NO_PAD
+            .decode(bits)
+            .ok()
+            .filter(|b| b.len() <= MOST as usize / 8 + 1)?;
         let mut out = Ranges::all(first);
         let set = |x: &u32| bytes[(x / 8) as usize] >> (x % 8) & 1 == 1;
         for x in (0..bytes.len() as u32 * 8).filter(set) {
@@ -88,12 +90,20 @@
 
 impl Ranges {
     pub fn all(n: u32) -> Ranges {
-        if n == 0 { Ranges::default() } else { Ranges(vec![(0, n - 1)]) }
+        if n == 0 {
+            Ranges::default()
+        } else {
+            Ranges(vec![(0, n - 1)])
+        }
     }
 
     /// Sorts and merges what was read from outside; drops what lies beyond `n`.
     pub fn tidy(self, n: u32) -> Ranges {
-        let mut parts: Vec<_> = self.0.into_iter().filter(|&(a, b)| a <= b && b < n).collect();
+        let mut parts: Vec<_> = self
+            .0
+            .into_iter()
+            .filter(|&(a, b)| a <= b && b < n)
+            .collect();
         parts.sort_unstable();
         let mut out: Vec<(u32, u32)> = Vec::new();
         for (a, b) in parts {
--- a/crates/hopyoke-scheduler/src/records.rs
+++ b/crates/hopyoke-scheduler/src/records.rs
@@ -100,8 +100,16 @@
             return None;
         }
         let most = (w.budget as usize).min(self.cfg.txn_ops);
-        let (ample, fair) = (w.budget >= most_budget * 0.75, w.budget >= most_budget * 0.5);
-        let mut draft = Draft { writes: Vec::new(), ops: 0, bytes: 0, most };
+        let (ample, fair) = (
+            w.budget >= most_budget * 0.75,
+            w.budget >= most_budget * 0.5,
+        );
+        let mut draft = Draft {
+            writes: Vec::new(),
+            ops: 0,
+            bytes: 0,
+            most,
+        };
         // Gangs' terms first: their tasks wait for it. Then machines, which wait for their first
         // task, then whatever completes, then what can be gathered.
         let mut ranked: Vec<(u8, JobId)> = Vec::new();
@@ -109,7 +117,9 @@
         let up = |m: &MachineId| machines.get(m).is_some_and(|m| m.phase == MachinePhase::Up);
         let (pressed, mut patient) = (w.pressed, w.patient);
         w.due.retain(|id, since| {
-            let Some(job) = jobs.get(id) else { return false };
+            let Some(job) = jobs.get(id) else {
+                return false;
+            };
             if job.writing {
                 return true;
             }
@@ -160,12 +170,16 @@
             return None;
         }
         self.writes.budget -= draft.ops as f64;
-        Some(Batch { writes: draft.writes })
+        Some(Batch {
+            writes: draft.writes,
+        })
     }
 
     fn draft_jobs(&mut self, draft: &mut Draft, jobs: Vec<(u8, JobId)>) {
         for (_, id) in jobs {
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
+            let Some(job) = self.jobs.get_mut(&id) else {
+                continue;
+            };
             let end = job.is_over();
             let cost = if end { 2 } else { 1 };
             let size = 1500 + job.done.chars();
@@ -175,9 +189,17 @@
             job.writing = true;
             self.writes.due.insert(id.clone(), None);
             let write = if end {
-                Write::End { job: id, mod_revision: job.mod_revision, end: job.end() }
+                Write::End {
+                    job: id,
+                    mod_revision: job.mod_revision,
+                    end: job.end(),
+                }
             } else {
-                Write::Update { job: id, mod_revision: job.mod_revision, record: job.record() }
+                Write::Update {
+                    job: id,
+                    mod_revision: job.mod_revision,
+                    record: job.record(),
+                }
             };
             draft.push(write, cost, size);
         }
@@ -187,19 +209,30 @@
     /// next leader waits for no machine that still boots.
     fn draft_pages(&mut self, draft: &mut Draft, removals: bool) {
         for id in self.registry.take_wanted() {
-            let Some(m) = self.machines.get(&id) else { continue };
+            let Some(m) = self.machines.get(&id) else {
+                continue;
+            };
             if m.phase != super::MachinePhase::Up || m.deleting {
                 continue;
             }
             let (counter, token) = (&mut self.counter, self.token);
             let kind = (m.machine_type.as_str(), m.zone.as_str(), m.spot);
             let address = m.address.map(|a| a.to_string()).unwrap_or_default();
-            self.registry.add(id, address, kind, self.cfg.value_bytes, || page_key(counter, token));
+            self.registry
+                .add(id, address, kind, self.cfg.value_bytes, || {
+                    page_key(counter, token)
+                });
         }
-        while draft.has_room(1, self.cfg.value_bytes) || (draft.writes.is_empty() && draft.most >= 1) {
-            let Some(write) = self.registry.next(removals) else { return };
+        while draft.has_room(1, self.cfg.value_bytes)
+            || (draft.writes.is_empty() && draft.most >= 1)
+        {
+            let Some(write) = self.registry.next(removals) else {
+                return;
+            };
             let bytes = match &write {
-                Write::Page { page: Some(page), .. } => page.bytes(),
+                Write::Page {
+                    page: Some(page), ..
+                } => page.bytes(),
                 _ => 0,
             };
             draft.push(write, 1, bytes);
@@ -207,14 +240,23 @@
     }
 
     /// A batch went through at this revision, or did not.
-    pub fn batch_ended(&mut self, batch: Batch, result: Result<ModRevision, BatchError>, now: Micros) {
+    pub fn batch_ended(
+        &mut self,
+        batch: Batch,
+        result: Result<ModRevision, BatchError>,
+        now: Micros,
+    ) {
         if result.is_err() {
             self.writes.not_before = now + Micros::from_millis(200);
         }
         for write in batch.writes {
             match write {
-                Write::Update { job: id, record, .. } => {
-                    let Some(job) = self.jobs.get_mut(&id) else { continue };
+                Write::Update {
+                    job: id, record, ..
+                } => {
+                    let Some(job) = self.jobs.get_mut(&id) else {
+                        continue;
+                    };
                     job.writing = false;
                     match &result {
                         Ok(mod_revision) => {
@@ -256,7 +298,12 @@
         }
     }
 
-    fn page_ended(&mut self, key: &str, page: Option<&RegistryPage>, result: &Result<ModRevision, BatchError>) {
+    fn page_ended(
+        &mut self,
+        key: &str,
+        page: Option<&RegistryPage>,
+        result: &Result<ModRevision, BatchError>,
+    ) {
         let changed_by_others = |pages: &[String]| pages.iter().any(|p| p == key);
         match result {
             Ok(mod_revision) => {
@@ -269,11 +316,14 @@
                     }
                 }
             }
-            Err(BatchError::Conflict { pages, .. }) if !changed_by_others(pages) => self.registry.refused(key),
+            Err(BatchError::Conflict { pages, .. }) if !changed_by_others(pages) => {
+                self.registry.refused(key)
+            }
             Err(BatchError::Refused) => self.registry.refused(key),
             Err(_) => {
                 let (counter, token) = (&mut self.counter, self.token);
-                self.registry.outcome_unknown(key, || page_key(counter, token));
+                self.registry
+                    .outcome_unknown(key, || page_key(counter, token));
             }
         }
     }
@@ -291,12 +341,18 @@
         {
             // No further write of it before its record has been read.
             job.writing = true;
-            self.actions.push_back(Action::ReloadRecord { job: id.clone() });
+            self.actions
+                .push_back(Action::ReloadRecord { job: id.clone() });
         }
     }
 
     /// The answer to [`Action::ReloadRecord`]; `None`: the record is gone.
-    pub fn record_reloaded(&mut self, id: JobId, record: Option<(JobRecord, ModRevision)>, now: Micros) {
+    pub fn record_reloaded(
+        &mut self,
+        id: JobId,
+        record: Option<(JobRecord, ModRevision)>,
+        now: Micros,
+    ) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.writing = false;
         }
--- a/crates/hopyoke-scheduler/src/registry.rs
+++ b/crates/hopyoke-scheduler/src/registry.rs
@@ -33,14 +33,29 @@
 
 impl MachineRegistry {
     /// Takes over a page; returns the machines on it.
-    pub fn read(&mut self, key: String, mod_revision: ModRevision, page: Option<&RegistryPage>) -> Vec<MachineId> {
+    pub fn read(
+        &mut self,
+        key: String,
+        mod_revision: ModRevision,
+        page: Option<&RegistryPage>,
+    ) -> Vec<MachineId> {
         let Some(content) = page.cloned() else {
             self.unreadable.push(key);
             return Vec::new();
         };
         let machines: Vec<MachineId> = content.machines.keys().cloned().collect();
-        self.at.extend(machines.iter().map(|m| (m.clone(), key.clone())));
-        self.pages.insert(key, Page { content, mod_revision, writing: false, added: false, removed: false });
+        self.at
+            .extend(machines.iter().map(|m| (m.clone(), key.clone())));
+        self.pages.insert(
+            key,
+            Page {
+                content,
+                mod_revision,
+                writing: false,
+                added: false,
+                removed: false,
+            },
+        );
         machines
     }
 
@@ -84,7 +99,8 @@
     ) {
         let of_kind = |c: &RegistryPage| (c.machine_type.as_str(), c.zone.as_str(), c.spot) == kind;
         let room = |p: &&mut Page| {
-            of_kind(&p.content) && p.content.bytes() + id.as_str().len() + ADDRESS_BYTES < value_bytes
+            of_kind(&p.content)
+                && p.content.bytes() + id.as_str().len() + ADDRESS_BYTES < value_bytes
         };
         let found = self.pages.iter_mut().find(|(_, p)| room(p));
         let key = match found {
@@ -101,8 +117,13 @@
                     spot: kind.2,
                     machines: BTreeMap::from([(id.clone(), address)]),
                 };
-                let page =
-                    Page { content, mod_revision: ModRevision(0), writing: false, added: true, removed: false };
+                let page = Page {
+                    content,
+                    mod_revision: ModRevision(0),
+                    writing: false,
+                    added: true,
+                    removed: false,
+                };
                 self.pages.insert(key.clone(), page);
                 key
             }
@@ -142,7 +163,11 @@
         page.writing = true;
         (page.added, page.removed) = (false, false);
         let content = (!page.content.machines.is_empty()).then(|| page.content.clone());
-        Some(Write::Page { key: key.clone(), mod_revision: page.mod_revision, page: content })
+        Some(Write::Page {
+            key: key.clone(),
+            mod_revision: page.mod_revision,
+            page: content,
+        })
     }
 
     /// A write of a page went through; returns the machines that are now registered.
@@ -152,14 +177,26 @@
         mod_revision: ModRevision,
         content: Option<&RegistryPage>,
     ) -> Vec<MachineId> {
-        let Some(page) = self.pages.get_mut(key) else { return Vec::new() };
+        let Some(page) = self.pages.get_mut(key) else {
+            return Vec::new();
+        };
         page.writing = false;
-        page.mod_revision = if content.is_some() { mod_revision } else { ModRevision(0) };
+        page.mod_revision = if content.is_some() {
+            mod_revision
+        } else {
+            ModRevision(0)
+        };
         if page.content.machines.is_empty() && content.is_none() {
             self.pages.remove(key);
         }
         content
-            .map(|c| c.machines.keys().filter(|m| self.at.contains_key(*m)).cloned().collect())
+            .map(|c| {
+                c.machines
+                    .keys()
+                    .filter(|m| self.at.contains_key(*m))
+                    .cloned()
+                    .collect()
+            })
             .unwrap_or_default()
     }
 
@@ -176,7 +213,9 @@
     /// A write may have happened or may yet happen: its machines move to a new page, and the old
     /// one goes only once that stands.
     pub fn outcome_unknown(&mut self, key: &str, new_key: impl FnOnce() -> String) {
-        let Some(old) = self.pages.get_mut(key) else { return self.drops.push(key.to_owned()) };
+        let Some(old) = self.pages.get_mut(key) else {
+            return self.drops.push(key.to_owned());
+        };
         old.writing = false;
         let content = old.content.clone();
         let new = new_key();
@@ -185,7 +224,13 @@
         }
         self.pages.remove(key);
         if !content.machines.is_empty() {
-            let page = Page { content, mod_revision: ModRevision(0), writing: false, added: true, removed: false };
+            let page = Page {
+                content,
+                mod_revision: ModRevision(0),
+                writing: false,
+                added: true,
+                removed: false,
+            };
             self.pages.insert(new, page);
         }
         // Dropped with the removals, after all additions.
--- a/crates/hopyoke-scheduler/src/rent.rs
+++ b/crates/hopyoke-scheduler/src/rent.rs
@@ -55,7 +55,10 @@
 impl PendingScaleOuts {
     /// What is being rented right now.
     pub fn open(&self) -> Vec<(Offer, u32)> {
-        self.open.values().map(|r| (r.offer.clone(), r.count)).collect()
+        self.open
+            .values()
+            .map(|r| (r.offer.clone(), r.count))
+            .collect()
     }
 
     pub fn refused(&self, offer: &Offer, now: Micros) -> bool {
@@ -101,12 +104,21 @@
             return;
         }
         for (offer, count) in demand.offers {
-            let busy = self.pending_scale_outs.open.values().any(|r| r.offer == offer);
+            let busy = self
+                .pending_scale_outs
+                .open
+                .values()
+                .any(|r| r.offer == offer);
             if busy || self.pending_scale_outs.open.len() >= self.tuning.rent_requests {
                 continue;
             }
             let request = self.new_request();
-            let open = OpenRent { offer, count: count.min(MOST_PER_REQUEST), tries: 0, retry_at: None };
+            let open = OpenRent {
+                offer,
+                count: count.min(MOST_PER_REQUEST),
+                tries: 0,
+                retry_at: None,
+            };
             self.actions.push_back(rent_action(&request, &open));
             self.pending_scale_outs.open.insert(request, open);
         }
@@ -114,15 +126,20 @@
 
     /// A rental request ended.
     pub fn rented(&mut self, request: &str, outcome: ScaleOutOutcome, now: Micros) {
-        let Some(open) = self.pending_scale_outs.open.get_mut(request) else { return };
+        let Some(open) = self.pending_scale_outs.open.get_mut(request) else {
+            return;
+        };
         self.changed = true;
         match outcome {
             ScaleOutOutcome::Rented(ids) => {
-                let Some(open) = self.pending_scale_outs.open.remove(request) else { return };
+                let Some(open) = self.pending_scale_outs.open.remove(request) else {
+                    return;
+                };
                 let o = open.offer;
                 info!(machine_type = %o.machine_type, zone = %o.zone, spot = o.spot, wanted = open.count, got = ids.len(), "rented");
                 if (ids.len() as u32) < open.count {
-                    self.pending_scale_outs.refuse(&o, self.tuning.refusal_pause, now);
+                    self.pending_scale_outs
+                        .refuse(&o, self.tuning.refusal_pause, now);
                 } else {
                     self.pending_scale_outs.refusals.remove(&o);
                 }
@@ -131,10 +148,9 @@
                         continue;
                     }
                     // A machine that we have rented ourselves was never commanded by anyone else.
-                    let m = self
-                        .machines
-                        .entry(id.clone())
-                        .or_insert_with(|| Machine::new(id, o.machine_type.clone(), o.zone.clone(), o.spot, now));
+                    let m = self.machines.entry(id.clone()).or_insert_with(|| {
+                        Machine::new(id, o.machine_type.clone(), o.zone.clone(), o.spot, now)
+                    });
                     m.ours = true;
                     m.dated = true;
                 }
@@ -142,7 +158,8 @@
             ScaleOutOutcome::NoCapacity => {
                 if let Some(open) = self.pending_scale_outs.open.remove(request) {
                     info!(machine_type = %open.offer.machine_type, zone = %open.offer.zone, spot = open.offer.spot, "no capacity");
-                    self.pending_scale_outs.refuse(&open.offer, self.tuning.refusal_pause, now);
+                    self.pending_scale_outs
+                        .refuse(&open.offer, self.tuning.refusal_pause, now);
                 }
             }
             ScaleOutOutcome::Unsure => {
@@ -191,7 +208,13 @@
             let age = Micros::from_secs_f64(l.age_s);
             let known = self.machines.contains_key(&l.id);
             let m = self.machines.entry(l.id.clone()).or_insert_with(|| {
-                Machine::new(l.id.clone(), l.machine_type.clone(), l.zone.clone(), l.spot, now)
+                Machine::new(
+                    l.id.clone(),
+                    l.machine_type.clone(),
+                    l.zone.clone(),
+                    l.spot,
+                    now,
+                )
             });
             if !known {
                 m.rented_at = now - age;
@@ -215,7 +238,9 @@
     /// A production job was first seen of late.
     pub fn production_arriving(&self, now: Micros) -> bool {
         let lately = self.tuning.keep_ready_for;
-        self.jobs.values().any(|j| j.spec.priority == Priority::Production && now < j.seen_at + lately)
+        self.jobs
+            .values()
+            .any(|j| j.spec.priority == Priority::Production && now < j.seen_at + lately)
     }
 
     /// Judges the machines that boot. One that is late is no longer counted on, so that what waits for it has
@@ -224,26 +249,51 @@
         if self.is_receive_overloaded(now) {
             return;
         }
-        let cut: Vec<String> = self.cfg.zones.iter().filter(|z| self.zone_cut(z)).cloned().collect();
-        let Scheduler { machines, types, provisioning_estimator, .. } = self;
+        let cut: Vec<String> = self
+            .cfg
+            .zones
+            .iter()
+            .filter(|z| self.zone_cut(z))
+            .cloned()
+            .collect();
+        let Scheduler {
+            machines,
+            types,
+            provisioning_estimator,
+            ..
+        } = self;
         let mut booting: BTreeMap<&str, (f64, Vec<f64>, Vec<&mut Machine>)> = BTreeMap::new();
-        for m in machines.values_mut().filter(|m| m.phase == MachinePhase::Booting && m.dated && !m.deleting) {
-            let Some(t) = types.iter().find(|t| t.name == m.machine_type && t.boot_s > 0.0) else { continue };
+        for m in machines
+            .values_mut()
+            .filter(|m| m.phase == MachinePhase::Booting && m.dated && !m.deleting)
+        {
+            let Some(t) = types
+                .iter()
+                .find(|t| t.name == m.machine_type && t.boot_s > 0.0)
+            else {
+                continue;
+            };
             let (nominal, ages, of_type) = booting.entry(&t.name).or_default();
             *nominal = t.boot_s;
             ages.push((now - m.rented_at).as_secs_f64() / t.boot_s);
             of_type.push(m);
         }
         for (kind, (nominal, ages, of_type)) in booting {
-            for (m, verdict) in
-                of_type.into_iter().zip(provisioning_estimator.judge(kind, &ages, now.as_secs_f64() / nominal))
-            {
+            for (m, verdict) in of_type.into_iter().zip(provisioning_estimator.judge(
+                kind,
+                &ages,
+                now.as_secs_f64() / nominal,
+            )) {
                 if m.boot == ProvisioningState::Awaited && verdict != ProvisioningState::Awaited {
                     info!(machine = %m.id, zone = %m.zone, spot = m.spot, "machine late: no longer counted on");
                 }
                 // In a zone that is cut off it may be up without our hearing of it.
                 let unheard = verdict == ProvisioningState::Hopeless && cut.contains(&m.zone);
-                m.boot = if unheard { ProvisioningState::Late } else { verdict };
+                m.boot = if unheard {
+                    ProvisioningState::Late
+                } else {
+                    verdict
+                };
             }
         }
     }
@@ -258,20 +308,29 @@
             .machines
             .values()
             .filter(|m| {
-                !m.spot && m.phase == MachinePhase::Up && m.allocations().is_empty() && !m.deleting && !m.faulty
+                !m.spot
+                    && m.phase == MachinePhase::Up
+                    && m.allocations().is_empty()
+                    && !m.deleting
+                    && !m.faulty
             })
             .count();
         let patience = |boot: Micros| Micros((boot.0 as f64 * self.tuning.boot_patience) as u64);
-        let provisioning_estimator: BTreeMap<&str, Micros> =
-            self.types.iter().map(|t| (t.name.as_str(), Micros::from_secs_f64(t.boot_s))).collect();
+        let provisioning_estimator: BTreeMap<&str, Micros> = self
+            .types
+            .iter()
+            .map(|t| (t.name.as_str(), Micros::from_secs_f64(t.boot_s)))
+            .collect();
         for m in self.machines.values_mut() {
             if !m.allocations().is_empty() {
                 m.idle_since = None;
             } else if m.idle_since.is_none() && m.phase == MachinePhase::Up {
                 m.idle_since = Some(now);
             }
-            let boot =
-                provisioning_estimator.get(m.machine_type.as_str()).copied().unwrap_or(Micros::from_secs(60));
+            let boot = provisioning_estimator
+                .get(m.machine_type.as_str())
+                .copied()
+                .unwrap_or(Micros::from_secs(60));
             let never_up = m.phase == MachinePhase::Booting
                 && (m.boot == ProvisioningState::Hopeless
                     || now >= m.rented_at + patience(boot) + Micros::from_secs(30));
--- a/crates/hopyoke-scheduler/tests/frozen_forms.rs
+++ b/crates/hopyoke-scheduler/tests/frozen_forms.rs
@@ -39,7 +39,10 @@
 }
 
 fn array(tasks: u32) -> JobSpec {
-    JobSpec { tasks, ..JobSpec::plain(JobId::new("req-7"), "lint", "tools", "registry/lint:1") }
+    JobSpec {
+        tasks,
+        ..JobSpec::plain(JobId::new("req-7"), "lint", "tools", "registry/lint:1")
+    }
 }
 
 fn ranges(numbers: impl IntoIterator<Item = u32>) -> Ranges {
@@ -62,11 +65,24 @@
         ("bits", ranges((0..7).chain((10..100).step_by(3)))),
     ];
     for (name, done) in cases {
-        let running = JobRecord { done, term, ..JobRecord::accepted(array(100), ACCEPTED_US) };
+        let running = JobRecord {
+            done,
+            term,
+            ..JobRecord::accepted(array(100), ACCEPTED_US)
+        };
         assert_stored(&format!("job-record-{name}"), &running);
     }
-    assert_stored("job-record-gang", &JobRecord { term, ..JobRecord::accepted(gang(), ACCEPTED_US) });
-    let step = JobSpec { id: JobId::new("req-90410000000070000300"), ..array(4) };
+    assert_stored(
+        "job-record-gang",
+        &JobRecord {
+            term,
+            ..JobRecord::accepted(gang(), ACCEPTED_US)
+        },
+    );
+    let step = JobSpec {
+        id: JobId::new("req-90410000000070000300"),
+        ..array(4)
+    };
     assert_stored("job-record-flow", &JobRecord::of_flow(step, ACCEPTED_US));
 }
 
@@ -84,7 +100,14 @@
     assert!(older.may_have_started());
     assert_read_as("job-record-older", &older);
     let done = ranges((0..40).chain(45..50));
-    assert_read_as("job-record-older-list", &JobRecord { spec: Rc::new(array(100)), done, ..older });
+    assert_read_as(
+        "job-record-older-list",
+        &JobRecord {
+            spec: Rc::new(array(100)),
+            done,
+            ..older
+        },
+    );
 }
 
 #[test]
@@ -98,8 +121,18 @@
     for (name, state, done) in cases {
         assert_stored(&format!("end-record-{name}"), &EndRecord::new(state, done));
     }
-    assert_stored("end-record-flow", &EndRecord { flow: true, ..EndRecord::new(JobState::Done, 4) });
-    let given_up = EndRecord { flow: true, given_up: true, ..EndRecord::new(JobState::Cancelled, 3) };
+    assert_stored(
+        "end-record-flow",
+        &EndRecord {
+            flow: true,
+            ..EndRecord::new(JobState::Done, 4)
+        },
+    );
+    let given_up = EndRecord {
+        flow: true,
+        given_up: true,
+        ..EndRecord::new(JobState::Cancelled, 3)
+    };
     assert_stored("end-record-given-up", &given_up);
     assert_read_as("end-record-older", &EndRecord::new(JobState::Done, 0));
 }
@@ -110,7 +143,19 @@
         (MachineId::new("m-17"), "10.0.0.17:7000".to_owned()),
         (MachineId::new("m-18"), "10.0.0.18:7000".to_owned()),
     ]);
-    let page = RegistryPage { machine_type: "g4".into(), zone: "east".into(), spot: true, machines };
+    let page = RegistryPage {
+        machine_type: "g4".into(),
+        zone: "east".into(),
+        spot: true,
+        machines,
+    };
     assert_stored("register-page", &page);
-    assert_stored("register-page-empty", &RegistryPage { spot: false, machines: BTreeMap::new(), ..page });
+    assert_stored(
+        "register-page-empty",
+        &RegistryPage {
+            spot: false,
+            machines: BTreeMap::new(),
+            ..page
+        },
+    );
 }
--- a/crates/hopyoke-scheduler/tests/provisioning.rs
+++ b/crates/hopyoke-scheduler/tests/provisioning.rs
@@ -14,13 +14,22 @@
 #[test]
 fn one_that_is_late_among_prompt_ones_is_replaced_and_then_given_up() {
     let mut boots = after(60, 0.6, 1.5);
-    assert_eq!(boots.judge("box", &[0.5, 1.2], 1.0), [ProvisioningState::Awaited, ProvisioningState::Awaited]);
-    assert_ne!(boots.judge("box", &[1.6], 1.0)[0], ProvisioningState::Awaited);
+    assert_eq!(
+        boots.judge("box", &[0.5, 1.2], 1.0),
+        [ProvisioningState::Awaited, ProvisioningState::Awaited]
+    );
+    assert_ne!(
+        boots.judge("box", &[1.6], 1.0)[0],
+        ProvisioningState::Awaited
+    );
     // Some never came of late.
     for _ in 0..4 {
         boots.given_up("box", 3.0, 1.0);
     }
-    assert_eq!(boots.judge("box", &[2.0], 1.0)[0], ProvisioningState::Hopeless);
+    assert_eq!(
+        boots.judge("box", &[2.0], 1.0)[0],
+        ProvisioningState::Hopeless
+    );
 }
 
 #[test]
@@ -30,20 +39,32 @@
     for age in [1.2, 1.5, 1.6, 1.8, 2.2] {
         let ages = vec![age; 12];
         let now = 6.0 + age;
-        assert!(boots.judge("box", &ages, now).iter().all(|v| *v == ProvisioningState::Awaited), "at {age}");
+        assert!(
+            boots
+                .judge("box", &ages, now)
+                .iter()
+                .all(|v| *v == ProvisioningState::Awaited),
+            "at {age}"
+        );
     }
 }
 
 #[test]
 fn slow_ones_are_waited_for_once_slow_ones_have_come() {
     let mut boots = after(80, 1.8, 4.5);
-    assert_eq!(boots.judge("box", &[1.6, 2.5, 3.5], 1.0), [ProvisioningState::Awaited; 3]);
+    assert_eq!(
+        boots.judge("box", &[1.6, 2.5, 3.5], 1.0),
+        [ProvisioningState::Awaited; 3]
+    );
 }
 
 #[test]
 fn a_type_never_seen_is_judged_by_what_is_believed() {
     let mut boots = ProvisioningEstimator::default();
-    assert_eq!(boots.judge("new", &[0.9, 1.1], 1.0), [ProvisioningState::Awaited; 2]);
+    assert_eq!(
+        boots.judge("new", &[0.9, 1.1], 1.0),
+        [ProvisioningState::Awaited; 2]
+    );
     assert_eq!(boots.judge("new", &[1.7], 1.0)[0], ProvisioningState::Late);
 }
 
--- a/crates/hopyoke-scheduler/tests/pushed_commands.rs
+++ b/crates/hopyoke-scheduler/tests/pushed_commands.rs
@@ -10,7 +10,10 @@
 fn config() -> SchedulerConfig {
     SchedulerConfig {
         zones: vec!["a".into()],
-        teams: vec![Team { name: "crew".into(), ..Team::default() }],
+        teams: vec![Team {
+            name: "crew".into(),
+            ..Team::default()
+        }],
         heartbeat_interval: Micros::from_secs(2),
         lease: Micros::from_secs(14),
         gang_wait: Micros::from_secs(50),
@@ -61,7 +64,10 @@
         machines: BTreeMap::from([(machine.clone(), "10.1.0.1:9000".into())]),
     };
     // Its first start is recorded, and by this leader.
-    let record = JobRecord { term: Attempt(1), ..JobRecord::accepted(spec(), 0) };
+    let record = JobRecord {
+        term: Attempt(1),
+        ..JobRecord::accepted(spec(), 0)
+    };
     let mut scheduler = Scheduler::new(
         config(),
         FencingToken(5),
@@ -87,11 +93,19 @@
     scheduler.direct_answer(&machine, true, Some(&heartbeat), at);
     scheduler.tick(at + Micros::from_secs(1));
     let starts = |a: Action| match a {
-        Action::Direct { commands, .. } => commands.iter().any(|o| matches!(o, Command::Start { .. })),
+        Action::Direct { commands, .. } => {
+            commands.iter().any(|o| matches!(o, Command::Start { .. }))
+        }
         _ => false,
     };
-    assert!(std::iter::from_fn(|| scheduler.next_action()).any(starts), "the task is started");
+    assert!(
+        std::iter::from_fn(|| scheduler.next_action()).any(starts),
+        "the task is started"
+    );
     scheduler.direct_answer(&machine, true, None, at + Micros::from_secs(1));
     scheduler.job_dropped(&job, at + Micros::from_secs(2));
-    assert!(scheduler.machines[&machine].has_live(), "its place is free though it may run");
+    assert!(
+        scheduler.machines[&machine].has_live(),
+        "its place is free though it may run"
+    );
 }
--- a/crates/hopyoke-scheduler/tests/queue_order.rs
+++ b/crates/hopyoke-scheduler/tests/queue_order.rs
@@ -5,7 +5,11 @@
 use proptest::prelude::*;
 
 fn job(tenant: u8, work_s: f64, waited_s: u64) -> Waiting<u8> {
-    Waiting { tenant, work_s, waited: Micros::from_secs(waited_s) }
+    Waiting {
+        tenant,
+        work_s,
+        waited: Micros::from_secs(waited_s),
+    }
 }
 
 #[test]
@@ -15,7 +19,10 @@
 
 #[test]
 fn equals_keep_their_order() {
-    assert_eq!(take_turns(&[job(0, 30.0, 5), job(0, 30.0, 5), job(0, 30.0, 5)]), [0, 1, 2]);
+    assert_eq!(
+        take_turns(&[job(0, 30.0, 5), job(0, 30.0, 5), job(0, 30.0, 5)]),
+        [0, 1, 2]
+    );
     assert_eq!(take_turns(&[job(0, 0.0, 0), job(0, 0.0, 0)]), [0, 1]);
 }
 
@@ -31,7 +38,8 @@
             came += 1;
             let mut room = 500.0;
             while room > 0.0 && !left.is_empty() {
-                let waiting: Vec<Waiting<u8>> = left.iter().map(|(at, w)| job(0, *w, now - at)).collect();
+                let waiting: Vec<Waiting<u8>> =
+                    left.iter().map(|(at, w)| job(0, *w, now - at)).collect();
                 let first = if in_turn { take_turns(&waiting)[0] } else { 0 };
                 let took = left[first].1.min(room);
                 room -= took;
--- a/crates/hopyoke-scheduler/tests/ranges.rs
+++ b/crates/hopyoke-scheduler/tests/ranges.rs
@@ -22,7 +22,15 @@
 
 #[test]
 fn nonsense_is_an_error() {
-    for text in ["", "1", "x:AAAA", "-1:AAAA", "100001:", "0:****", "4294967295:/w"] {
+    for text in [
+        "",
+        "1",
+        "x:AAAA",
+        "-1:AAAA",
+        "100001:",
+        "0:****",
+        "4294967295:/w",
+    ] {
         assert!(decode::<Ranges>(&encode(&text)).is_err(), "{text}");
     }
     let long = format!("0:{}", "A".repeat(40_000));
@@ -31,7 +39,10 @@
 
 #[test]
 fn records_of_earlier_versions_are_read() {
-    assert_eq!(decode::<Ranges>(&encode(&vec![(0u32, 4u32), (7, 7)])).ok(), Some(of([0, 1, 2, 3, 4, 7])));
+    assert_eq!(
+        decode::<Ranges>(&encode(&vec![(0u32, 4u32), (7, 7)])).ok(),
+        Some(of([0, 1, 2, 3, 4, 7]))
+    );
 }
 
 proptest! {
--- a/crates/hopyoke-settings/src/lib.rs
+++ b/crates/hopyoke-settings/src/lib.rs
@@ -134,7 +134,10 @@
     #[error("{path}: cannot be read: {error}")]
     Read { path: String, error: std::io::Error },
     #[error("{path}: {error}")]
-    Form { path: String, error: Box<toml::de::Error> },
+    Form {
+        path: String,
+        error: Box<toml::de::Error>,
+    },
     #[error("{}", .0.join("\n"))]
     Faults(Vec<String>),
 }
@@ -142,19 +145,25 @@
 impl Settings {
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let name = path.display().to_string();
-        let text =
-            std::fs::read_to_string(path).map_err(|error| SettingsError::Read { path: name.clone(), error })?;
+        let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Read {
+            path: name.clone(),
+            error,
+        })?;
         Settings::parse(&name, &text)
     }
 
     pub fn parse(name: &str, text: &str) -> Result<Settings, SettingsError> {
-        let settings: Settings = toml::from_str(text)
-            .map_err(|error| SettingsError::Form { path: name.to_owned(), error: Box::new(error) })?;
+        let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::Form {
+            path: name.to_owned(),
+            error: Box::new(error),
+        })?;
         let faults = settings.faults();
         if faults.is_empty() {
             Ok(settings)
         } else {
-            Err(SettingsError::Faults(faults.into_iter().map(|f| format!("{name}: {f}")).collect()))
+            Err(SettingsError::Faults(
+                faults.into_iter().map(|f| format!("{name}: {f}")).collect(),
+            ))
         }
     }
 
@@ -187,9 +196,17 @@
         let f = &self.facts;
         need(!self.node.is_empty(), "node", "must not be empty");
         need(!self.zone.is_empty(), "zone", "must not be empty");
-        need(self.peers.iter().all(|p| p.node != self.node), "others", "must not name this node");
+        need(
+            self.peers.iter().all(|p| p.node != self.node),
+            "others",
+            "must not name this node",
+        );
         need(f.nodes >= 1, "facts.nodes", "must be at least 1");
-        need(!f.zones.is_empty(), "facts.zones", "must name at least one zone");
+        need(
+            !f.zones.is_empty(),
+            "facts.zones",
+            "must name at least one zone",
+        );
         for (field, value) in [
             ("facts.workers.report_s", f.workers.report_s),
             ("facts.workers.lease_s", f.workers.lease_s),
@@ -202,13 +219,37 @@
             ("facts.machine_limits.cores", f.limits.cpu_share),
             ("facts.machine_limits.mem_mb", f.limits.memory_mb),
         ] {
-            need(value.is_finite() && value > 0.0 && value < 1e9, field, "must be above 0");
+            need(
+                value.is_finite() && value > 0.0 && value < 1e9,
+                field,
+                "must be above 0",
+            );
         }
-        need(f.cloud.list_lag_s >= 0.0, "facts.cloud.list_lag_s", "must be at least 0");
-        need(f.clock_skew_ms >= 0.0, "facts.skew_ms", "must be at least 0");
-        need(f.state.value_kb >= 4.0, "facts.state.value_kb", "must be at least 4: a job's record needs it");
-        need(f.state.txn_ops >= 4, "facts.state.txn_ops", "must be at least 4");
-        need(f.limits.max_connections >= 32, "facts.machine_limits.max_connections", "must be at least 32");
+        need(
+            f.cloud.list_lag_s >= 0.0,
+            "facts.cloud.list_lag_s",
+            "must be at least 0",
+        );
+        need(
+            f.clock_skew_ms >= 0.0,
+            "facts.skew_ms",
+            "must be at least 0",
+        );
+        need(
+            f.state.value_kb >= 4.0,
+            "facts.state.value_kb",
+            "must be at least 4: a job's record needs it",
+        );
+        need(
+            f.state.txn_ops >= 4,
+            "facts.state.txn_ops",
+            "must be at least 4",
+        );
+        need(
+            f.limits.max_connections >= 32,
+            "facts.machine_limits.max_connections",
+            "must be at least 32",
+        );
         // With this `cancellation_bound` holds: the leader's lease takes a third of what is left.
         need(
             f.workers.cancel_s > f.workers.lease_s * 1.002 + 5.0,
@@ -216,11 +257,22 @@
             "must exceed lease_s by over 5 s: a cancelled task may live until its worker's lease lapses",
         );
         for (i, t) in f.teams.iter().enumerate() {
-            need(!t.name.is_empty(), &format!("facts.teams[{i}].name"), "must not be empty");
-            for (field, v) in
-                [("cpus", t.cpus), ("cpus_max", t.cpus_max), ("gpus", t.gpus), ("gpus_max", t.gpus_max)]
-            {
-                need(v.is_finite() && v >= 0.0, &format!("facts.teams[{i}].{field}"), "must be at least 0");
+            need(
+                !t.name.is_empty(),
+                &format!("facts.teams[{i}].name"),
+                "must not be empty",
+            );
+            for (field, v) in [
+                ("cpus", t.cpus),
+                ("cpus_max", t.cpus_max),
+                ("gpus", t.gpus),
+                ("gpus_max", t.gpus_max),
+            ] {
+                need(
+                    v.is_finite() && v >= 0.0,
+                    &format!("facts.teams[{i}].{field}"),
+                    "must be at least 0",
+                );
             }
         }
         faults
--- a/crates/hopyoke-settings/tests/bound.rs
+++ b/crates/hopyoke-settings/tests/bound.rs
@@ -13,10 +13,15 @@
             let cancel = lease + f64::from(more_ds) / 10.0;
             let text = GOOD.replace("lease_s = 14.0", &format!("lease_s = {lease:?}"));
             let text = text.replace("cancel_s = 34.0", &format!("cancel_s = {cancel:?}"));
-            let Ok(settings) = Settings::parse("bound", &text) else { continue };
+            let Ok(settings) = Settings::parse("bound", &text) else {
+                continue;
+            };
             accepted += 1;
             let total = settings.cancellation_bound().total().as_secs_f64();
-            assert!(total <= cancel, "lease {lease}, cancel {cancel}: a task may live for {total}");
+            assert!(
+                total <= cancel,
+                "lease {lease}, cancel {cancel}: a task may live for {total}"
+            );
         }
     }
     assert!(accepted > 1000, "{accepted} settings were accepted");
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -62,23 +62,36 @@
 impl World {
     /// A user's request at a node. Where no answer can be had nothing is replied.
     pub(crate) fn take_request(&mut self, i: usize, id: JobId, what: Request, reply: Reply) {
-        let leader = self.nodes[i].leader_seen.filter(|l| *l != i && self.nodes[i].lead.is_none());
+        let leader = self.nodes[i]
+            .leader_seen
+            .filter(|l| *l != i && self.nodes[i].lead.is_none());
         if let (Request::Poll, Some(leader)) = (what, leader) {
             // The leader answers best; without its answer the node's own.
-            return self.pass_on(i, leader, id, what, ASK_LEADER, reply, |w, i, id, what, reply| {
-                w.own_or_peers_answer(i, id, what, reply);
-            });
+            return self.pass_on(
+                i,
+                leader,
+                id,
+                what,
+                ASK_LEADER,
+                reply,
+                |w, i, id, what, reply| {
+                    w.own_or_peers_answer(i, id, what, reply);
+                },
+            );
         }
         self.own_or_peers_answer(i, id, what, reply);
     }
 
     /// A node that the state service does not answer passes the request to a peer that it answers.
     fn own_or_peers_answer(&mut self, i: usize, id: JobId, what: Request, reply: Reply) {
-        let reaches = |w: &World, j: usize| !w.state_refuses(j) && w.cut(Host::Node(j), Host::State).is_none();
+        let reaches = |w: &World, j: usize| {
+            !w.state_refuses(j) && w.cut(Host::Node(j), Host::State).is_none()
+        };
         if reaches(self, i) {
             return self.own_answer(i, id, what, reply);
         }
-        let peer = (0..self.nodes.len()).find(|j| *j != i && self.nodes[*j].up && reaches(self, *j));
+        let peer =
+            (0..self.nodes.len()).find(|j| *j != i && self.nodes[*j].up && reaches(self, *j));
         match peer {
             Some(j) => self.pass_on(i, j, id, what, ASK_PEER, reply, |w, _, _, _, reply| {
                 reply(w, Answer::Later(RETRY));
@@ -155,7 +168,9 @@
         // afterwards is answered; one serves all that wait.
         let gather = Micros(self.random(0, GATHER.0));
         self.timer(i, gather, move |w| {
-            let Some(applied) = w.lead(i, process).map(|l| l.scheduler.applied()) else { return };
+            let Some(applied) = w.lead(i, process).map(|l| l.scheduler.applied()) else {
+                return;
+            };
             let sent = w.now;
             w.send(Host::Node(i), Host::State, move |w| {
                 if w.state_refuses(i) {
@@ -167,7 +182,9 @@
                         return;
                     }
                     w.take_news(i, process, news, sent);
-                    if w.lead(i, process).is_some_and(|l| l.scheduler.jobs.contains_key(&id)) {
+                    if w.lead(i, process)
+                        .is_some_and(|l| l.scheduler.jobs.contains_key(&id))
+                    {
                         return reply(w, Answer::Unfinished);
                     }
                     w.lookup_ended(i, process, id, reply);
@@ -181,31 +198,60 @@
         if let Some(end) = self.nodes[i].finals.get(&id).copied() {
             return reply(self, Answer::Finished(end));
         }
-        self.read(i, process, format!("end/{id}"), move |w, found| match found {
-            Some(Entry { value: Value::End(end), mod_revision, .. }) => {
-                w.found_ended(i, &id, end.state, ModRevision(mod_revision));
-                reply(w, Answer::Finished(end.state));
-            }
-            _ => w.lookup(i, process, id, move |w, found| reply(w, found.answer())),
-        });
+        self.read(
+            i,
+            process,
+            format!("end/{id}"),
+            move |w, found| match found {
+                Some(Entry {
+                    value: Value::End(end),
+                    mod_revision,
+                    ..
+                }) => {
+                    w.found_ended(i, &id, end.state, ModRevision(mod_revision));
+                    reply(w, Answer::Finished(end.state));
+                }
+                _ => w.lookup(i, process, id, move |w, found| reply(w, found.answer())),
+            },
+        );
     }
 
     /// A record only ever moves from `job/` to `end/`: read in this order it can't be missed.
-    fn lookup(&mut self, i: usize, process: u64, id: JobId, then: impl FnOnce(&mut World, Lookup) + 'static) {
+    fn lookup(
+        &mut self,
+        i: usize,
+        process: u64,
+        id: JobId,
+        then: impl FnOnce(&mut World, Lookup) + 'static,
+    ) {
         if let Some(end) = self.nodes[i].finals.get(&id).copied() {
             return then(self, Lookup::Finished(end));
         }
         self.read(i, process, format!("job/{id}"), move |w, found| {
-            if let Some(Entry { value: Value::Job(record), mod_revision, .. }) = found {
+            if let Some(Entry {
+                value: Value::Job(record),
+                mod_revision,
+                ..
+            }) = found
+            {
                 return then(w, Lookup::Unfinished(record, ModRevision(mod_revision)));
             }
-            w.read(i, process, format!("end/{id}"), move |w, found| match found {
-                Some(Entry { value: Value::End(end), mod_revision, .. }) => {
-                    w.found_ended(i, &id, end.state, ModRevision(mod_revision));
-                    then(w, Lookup::Finished(end.state));
-                }
-                _ => then(w, Lookup::Missing),
-            });
+            w.read(
+                i,
+                process,
+                format!("end/{id}"),
+                move |w, found| match found {
+                    Some(Entry {
+                        value: Value::End(end),
+                        mod_revision,
+                        ..
+                    }) => {
+                        w.found_ended(i, &id, end.state, ModRevision(mod_revision));
+                        then(w, Lookup::Finished(end.state));
+                    }
+                    _ => then(w, Lookup::Missing),
+                },
+            );
         });
     }
 
@@ -230,7 +276,9 @@
     }
 
     fn submit_at(&mut self, i: usize, process: u64, id: JobId, reply: Reply) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         let (flow, body) = (job.flow, job.body.as_deref().map(JobSpec::parse));
         let spec = match body {
             None => (*job.spec).clone(),
@@ -248,18 +296,30 @@
             return reply(self, Answer::Finished(end));
         }
         if let Err(after) = self.let_in(i, &id) {
-            let known = self.lead(i, process).is_some_and(|l| l.scheduler.jobs.contains_key(&id));
-            return if known { self.poll_at(i, process, id, reply) } else { reply(self, Answer::Later(after)) };
+            let known = self
+                .lead(i, process)
+                .is_some_and(|l| l.scheduler.jobs.contains_key(&id));
+            return if known {
+                self.poll_at(i, process, id, reply)
+            } else {
+                reply(self, Answer::Later(after))
+            };
         }
         self.send(Host::Node(i), Host::State, move |w| {
             if w.state_refuses(i) || !w.state_takes(1) {
                 return;
             }
             let at = w.time_of_day(i).0;
-            let record = if flow { JobRecord::of_flow(spec, at) } else { JobRecord::accepted(spec, at) };
+            let record = if flow {
+                JobRecord::of_flow(spec, at)
+            } else {
+                JobRecord::accepted(spec, at)
+            };
             let when = [(format!("job/{id}"), 0), (format!("end/{id}"), 0)];
             let put = Mutation::Put(format!("job/{id}"), Value::Job(record), None);
-            let Some(result) = w.transact(&when, vec![put]) else { return };
+            let Some(result) = w.transact(&when, vec![put]) else {
+                return;
+            };
             w.send(Host::State, Host::Node(i), move |w| match result {
                 _ if !w.alive(i, process) => {}
                 Ok(_) => reply(w, Answer::Unfinished),
@@ -276,16 +336,25 @@
     fn cancel_at(&mut self, i: usize, process: u64, id: JobId, until: Micros, reply: Reply) {
         let job = id.clone();
         self.lookup(i, process, job, move |w, found| {
-            let Lookup::Unfinished(record, mod_revision) = found else { return reply(w, found.answer()) };
-            let end = EndRecord { flow: record.flow, ..EndRecord::new(JobState::Cancelled, record.done.count()) };
+            let Lookup::Unfinished(record, mod_revision) = found else {
+                return reply(w, found.answer());
+            };
+            let end = EndRecord {
+                flow: record.flow,
+                ..EndRecord::new(JobState::Cancelled, record.done.count())
+            };
             w.send(Host::Node(i), Host::State, move |w| {
                 if w.state_refuses(i) || !w.state_takes(2) {
                     return;
                 }
                 let (job, over) = (format!("job/{id}"), format!("end/{id}"));
-                let apply =
-                    vec![Mutation::Delete(job.clone()), Mutation::Put(over.clone(), Value::End(end), None)];
-                let Some(result) = w.transact(&[(job, mod_revision.0), (over, 0)], apply) else { return };
+                let apply = vec![
+                    Mutation::Delete(job.clone()),
+                    Mutation::Put(over.clone(), Value::End(end), None),
+                ];
+                let Some(result) = w.transact(&[(job, mod_revision.0), (over, 0)], apply) else {
+                    return;
+                };
                 w.send(Host::State, Host::Node(i), move |w| match result {
                     _ if !w.alive(i, process) => {}
                     Ok(mod_revision) => {
@@ -307,7 +376,11 @@
         let n = &mut self.nodes[i];
         if end == JobState::Cancelled {
             n.confirmed.note(job, mod_revision);
-            if let Some(lead) = n.lead.as_mut().filter(|l| l.scheduler.applied() < mod_revision) {
+            if let Some(lead) = n
+                .lead
+                .as_mut()
+                .filter(|l| l.scheduler.applied() < mod_revision)
+            {
                 lead.scheduler.job_dropped(job, now);
             }
         }
--- a/crates/hopyoke-simulator/src/cloud.rs
+++ b/crates/hopyoke-simulator/src/cloud.rs
@@ -37,7 +37,11 @@
             machine_type: m.kind.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            state: if m.up { ListedMachineState::Running } else { ListedMachineState::Booting },
+            state: if m.up {
+                ListedMachineState::Running
+            } else {
+                ListedMachineState::Booting
+            },
             age_s: (now - m.rented_at).as_secs_f64(),
         });
         let there: Vec<ListedMachine> = there.collect();
@@ -48,9 +52,14 @@
         }
         if now >= self.cloud.old_lists {
             // As it is, but for machines that are younger than the lag.
-            return there.into_iter().filter(|l| l.age_s >= lag.as_secs_f64()).collect();
+            return there
+                .into_iter()
+                .filter(|l| l.age_s >= lag.as_secs_f64())
+                .collect();
         }
-        let old: Vec<usize> = (0..self.cloud.seen.len()).filter(|i| now >= self.cloud.seen[*i].0 + lag).collect();
+        let old: Vec<usize> = (0..self.cloud.seen.len())
+            .filter(|i| now >= self.cloud.seen[*i].0 + lag)
+            .collect();
         if old.is_empty() {
             return Vec::new();
         }
