--- a/crates/hopyoke-simulator/src/controller.rs
+++ b/crates/hopyoke-simulator/src/controller.rs
@@ -10,7 +10,9 @@
 use hopyoke_protocol::cloud::ScaleOutRequest;
 use hopyoke_protocol::user::JobState;
 use hopyoke_protocol::worker::Heartbeat;
-use hopyoke_scheduler::{Action, Batch, BatchError, JobRecord, RegistryPage, ScaleOutOutcome, Scheduler, Write};
+use hopyoke_scheduler::{
+    Action, Batch, BatchError, JobRecord, RegistryPage, ScaleOutOutcome, Scheduler, Write,
+};
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
 use std::cell::Cell;
@@ -88,9 +90,15 @@
             for (key, e) in &store.keys {
                 match (&e.value, key.split_once('/')) {
                     (Value::Page(p), Some((_, k))) => {
-                        self.register.push((k.to_owned(), ModRevision(e.mod_revision), Some(p.clone())));
+                        self.register.push((
+                            k.to_owned(),
+                            ModRevision(e.mod_revision),
+                            Some(p.clone()),
+                        ));
+                    }
+                    (Value::Learned(p), Some((_, k))) => {
+                        self.learned.push((k.to_owned(), p.clone()))
                     }
-                    (Value::Learned(p), Some((_, k))) => self.learned.push((k.to_owned(), p.clone())),
                     _ => {}
                 }
             }
@@ -102,7 +110,11 @@
         let mut found = store.keys.range(after);
         for (key, e) in found.by_ref().take(most) {
             if let Value::Job(r) = &e.value {
-                self.jobs.push((JobId::new(&key[4..]), r.clone(), ModRevision(e.mod_revision)));
+                self.jobs.push((
+                    JobId::new(&key[4..]),
+                    r.clone(),
+                    ModRevision(e.mod_revision),
+                ));
             }
             self.last = Some(key.clone());
         }
@@ -130,7 +142,10 @@
 impl World {
     pub fn start_node(&mut self, i: usize) {
         let (now, nodes) = (self.now, self.nodes.len());
-        let part = self.limits.as_ref().map(|l| l.part(nodes, &self.cfg.teams, now));
+        let part = self
+            .limits
+            .as_ref()
+            .map(|l| l.part(nodes, &self.cfg.teams, now));
         let n = &mut self.nodes[i];
         n.part = part;
         n.up = true;
@@ -167,7 +182,9 @@
         }
         self.send(Host::Node(i), Host::State, move |w| {
             if w.state_refuses(i) {
-                return w.after(Micros::from_millis(500), move |w| w.learn_beginning(i, process));
+                return w.after(Micros::from_millis(500), move |w| {
+                    w.learn_beginning(i, process)
+                });
             }
             let revision = ModRevision(w.store.revision);
             w.send(Host::State, Host::Node(i), move |w| {
@@ -187,7 +204,10 @@
     }
 
     fn lease_is_valid(&self, i: usize) -> bool {
-        self.nodes[i].lead.as_ref().is_some_and(|l| l.leader_lease.is_valid(self.now))
+        self.nodes[i]
+            .lead
+            .as_ref()
+            .is_some_and(|l| l.leader_lease.is_valid(self.now))
     }
 
     /// Looks who leads; tries to lead if nobody does.
@@ -214,7 +234,11 @@
             };
             // It reads who leads, asks for a lease, and writes the grant with a block for each zone.
             let blocks = 1 + w.cfg.zones.len();
-            if w.state_refuses(i) || !w.state_takes(0) || !w.state_takes(0) || !w.state_takes(blocks) {
+            if w.state_refuses(i)
+                || !w.state_takes(0)
+                || !w.state_takes(0)
+                || !w.state_takes(blocks)
+            {
                 return w.send(Host::State, Host::Node(i), answered);
             }
             let holder = match w.store.keys.get("leader") {
@@ -241,12 +265,14 @@
             let put = Mutation::Put("leader".into(), Value::Holder(i), Some(lease));
             match w.transact(&[("leader".into(), mod_revision)], vec![put]) {
                 // Who leads counts as trying for as long as its process lives: it never promises.
-                Some(Ok(token)) => {
-                    w.send(Host::State, Host::Node(i), move |w| w.granted(i, process, lease, token, sent))
-                }
+                Some(Ok(token)) => w.send(Host::State, Host::Node(i), move |w| {
+                    w.granted(i, process, lease, token, sent)
+                }),
                 Some(Err(_)) => w.send(Host::State, Host::Node(i), answered),
                 // The lease is given back before anything is promised or tried again.
-                None => w.timer(i, Micros::from_millis(2_500), move |w| w.give_back(i, process, lease)),
+                None => w.timer(i, Micros::from_millis(2_500), move |w| {
+                    w.give_back(i, process, lease)
+                }),
             }
         });
         let pause = Micros(self.random(200_000, 500_000));
@@ -260,7 +286,9 @@
         }
         self.send(Host::Node(i), Host::State, move |w| {
             if w.state_refuses(i) {
-                return w.after(Micros::from_millis(500), move |w| w.give_back(i, process, lease));
+                return w.after(Micros::from_millis(500), move |w| {
+                    w.give_back(i, process, lease)
+                });
             }
             w.store.end_lease(lease);
             w.send(Host::State, Host::Node(i), move |w| {
@@ -280,7 +308,13 @@
         if granted_at >= until {
             return;
         }
-        let reading = Reading { lease, token, until, at: granted_at, ..Reading::default() };
+        let reading = Reading {
+            lease,
+            token,
+            until,
+            at: granted_at,
+            ..Reading::default()
+        };
         self.read_records(i, process, reading);
     }
 
@@ -296,13 +330,20 @@
                     }
                 });
             }
-            let page = w.limits.as_ref().map_or(SMALL_PAGE, |l| if l.unpaced { 200 } else { 400 });
+            let page = w
+                .limits
+                .as_ref()
+                .map_or(SMALL_PAGE, |l| if l.unpaced { 200 } else { 400 });
             let more = r.take_page(&w.store, page);
             w.send(Host::State, Host::Node(i), move |w| {
                 if !w.alive(i, process) || w.nodes[i].lead.is_some() || w.now >= r.until {
                     return;
                 }
-                if more { w.read_records(i, process, r) } else { w.take_over(i, process, r) }
+                if more {
+                    w.read_records(i, process, r)
+                } else {
+                    w.take_over(i, process, r)
+                }
             });
         });
     }
@@ -312,7 +353,13 @@
         let (token, at, revision) = (r.token, r.at, r.revision.unwrap_or_default());
         self.log(|| format!("node {i} leads with token {token}"));
         self.leaders += 1;
-        let mut scheduler = Scheduler::new(self.cfg.clone(), FencingToken(token), r.jobs, r.register, at);
+        let mut scheduler = Scheduler::new(
+            self.cfg.clone(),
+            FencingToken(token),
+            r.jobs,
+            r.register,
+            at,
+        );
         scheduler.set_tuning(self.tuning.clone());
         scheduler.set_time_of_day(self.now, self.now);
         scheduler.set_hours(self.hours.clone());
@@ -356,7 +403,9 @@
     }
 
     fn renew(&mut self, i: usize, process: u64) {
-        let Some(lease) = self.lead(i, process).map(|l| l.lease) else { return };
+        let Some(lease) = self.lead(i, process).map(|l| l.lease) else {
+            return;
+        };
         let pause = Micros(self.ttl.0 / 4);
         self.timer(i, pause, move |w| w.renew(i, process));
         let sent = self.now;
@@ -377,7 +426,9 @@
             }
             if !w.state_takes(0) {
                 // Refused: tried again.
-                return w.after(Micros::from_millis(250), move |w| w.renew_once(i, process, lease, sent));
+                return w.after(Micros::from_millis(250), move |w| {
+                    w.renew_once(i, process, lease, sent)
+                });
             }
             let until = w.now + w.ttl;
             let alive = match w.store.leases.get_mut(&lease) {
@@ -391,7 +442,9 @@
                 return;
             }
             w.send(Host::State, Host::Node(i), move |w| {
-                let Some(lead) = w.lead(i, process) else { return };
+                let Some(lead) = w.lead(i, process) else {
+                    return;
+                };
                 if alive {
                     lead.leader_lease.renewed(sent);
                 } else if lead.lease == lease {
@@ -417,7 +470,9 @@
 
     /// Asks the peers for promises.
     fn greet(&mut self, i: usize, process: u64) {
-        let Some(lead) = self.lead(i, process) else { return };
+        let Some(lead) = self.lead(i, process) else {
+            return;
+        };
         let (applied, delivered) = (lead.scheduler.applied(), lead.delivered.clone());
         // Who is not entitled gets no promises; its own place among the peers needs none.
         let lease_is_valid = self.lease_is_valid(i);
@@ -428,7 +483,10 @@
                 if !w.nodes[j].up {
                     return;
                 }
-                let (now, refused) = (w.now, w.state_refuses(j) || w.cut(Host::Node(j), Host::State).is_some());
+                let (now, refused) = (
+                    w.now,
+                    w.state_refuses(j) || w.cut(Host::Node(j), Host::State).is_some(),
+                );
                 let n = &mut w.nodes[j];
                 let delta = n.confirmed.since(applied, cursor.in_process(n.process));
                 let may = lease_is_valid && delta.complete && n.lead.is_none() && n.tries == 0;
@@ -444,7 +502,9 @@
                 }
                 w.send(Host::Node(j), Host::Node(i), move |w| {
                     let now = w.now;
-                    let Some(lead) = w.lead(i, process) else { return };
+                    let Some(lead) = w.lead(i, process) else {
+                        return;
+                    };
                     for id in &delta.jobs {
                         lead.scheduler.job_dropped(id, now);
                     }
@@ -454,7 +514,10 @@
             });
         }
         // Our own place among the peers: nothing is asked of it, but what it confirmed itself counts as well.
-        let span = self.nodes[i].confirmed.covers(applied).then_some(SUPPORT_DURATION);
+        let span = self.nodes[i]
+            .confirmed
+            .covers(applied)
+            .then_some(SUPPORT_DURATION);
         if let Some(lead) = self.lead(i, process) {
             lead.leader_lease.answered(i, sent, span, sent);
         }
@@ -463,7 +526,9 @@
 
     fn watch(&mut self, i: usize, process: u64) {
         let sent = self.now;
-        let Some(lead) = self.lead(i, process) else { return };
+        let Some(lead) = self.lead(i, process) else {
+            return;
+        };
         lead.watch += 1;
         let (since, number) = (lead.scheduler.applied(), lead.watch);
         self.send(Host::Node(i), Host::State, move |w| {
@@ -488,7 +553,14 @@
         });
     }
 
-    fn watch_at_store(&mut self, i: usize, process: u64, since: ModRevision, number: u64, sent: Micros) {
+    fn watch_at_store(
+        &mut self,
+        i: usize,
+        process: u64,
+        since: ModRevision,
+        number: u64,
+        sent: Micros,
+    ) {
         if self.lead(i, process).is_none_or(|l| l.watch != number) {
             return;
         }
@@ -496,7 +568,9 @@
         let over = self.now >= sent + WATCH;
         if (news.events.is_empty() && !over) || self.state_refuses(i) {
             let wait = Micros::from_millis(20);
-            return self.after(wait, move |w| w.watch_at_store(i, process, since, number, sent));
+            return self.after(wait, move |w| {
+                w.watch_at_store(i, process, since, number, sent)
+            });
         }
         self.send(Host::State, Host::Node(i), move |w| {
             if w.lead(i, process).is_none_or(|l| l.watch != number) {
@@ -511,23 +585,38 @@
     /// What has changed among the jobs' records after a revision.
     pub(crate) fn news_since(&self, since: ModRevision) -> News {
         let mut events = Vec::new();
-        for (mod_revision, key, dropped) in
-            self.store.since(since.0).iter().filter(|(_, k, _)| k.starts_with("job/"))
+        for (mod_revision, key, dropped) in self
+            .store
+            .since(since.0)
+            .iter()
+            .filter(|(_, k, _)| k.starts_with("job/"))
         {
             let record = match self.store.keys.get(key) {
-                Some(super::store::Entry { value: Value::Job(r), mod_revision: m, .. }) if m == mod_revision => {
-                    Some(r.clone())
-                }
+                Some(super::store::Entry {
+                    value: Value::Job(r),
+                    mod_revision: m,
+                    ..
+                }) if m == mod_revision => Some(r.clone()),
                 _ => None,
             };
-            events.push((JobId::new(&key[4..]), record, ModRevision(*mod_revision), *dropped));
+            events.push((
+                JobId::new(&key[4..]),
+                record,
+                ModRevision(*mod_revision),
+                *dropped,
+            ));
+        }
+        News {
+            events,
+            revision: ModRevision(self.store.revision),
         }
-        News { events, revision: ModRevision(self.store.revision) }
     }
 
     pub(crate) fn take_news(&mut self, i: usize, process: u64, news: News, sent: Micros) {
         let now = self.now;
-        let Some(lead) = self.lead(i, process) else { return };
+        let Some(lead) = self.lead(i, process) else {
+            return;
+        };
         lead.leader_lease.heard(sent);
         for (id, record, mod_revision, dropped) in news.events {
             match record {
@@ -556,8 +645,13 @@
         let behind = self.lag(Host::Node(i)) >= Micros::from_millis(400);
         let thorough = self.looks_closely();
         let time_of_day = self.time_of_day(i);
-        let pressed = self.nodes[i].part.as_mut().is_some_and(|p| p.door.is_pressed(now));
-        let Some(lead) = self.lead(i, process) else { return };
+        let pressed = self.nodes[i]
+            .part
+            .as_mut()
+            .is_some_and(|p| p.door.is_pressed(now));
+        let Some(lead) = self.lead(i, process) else {
+            return;
+        };
         let looks = lead.scheduler.entities_visited();
         if behind {
             lead.scheduler.set_receive_overloaded(now);
@@ -565,9 +659,17 @@
         lead.scheduler.note_time(now, time_of_day);
         lead.scheduler.tick(now);
         let looks = lead.scheduler.entities_visited() - looks;
-        let recovered = if lead.scheduler.is_reconciling() { None } else { lead.recovers_since.take() };
+        let recovered = if lead.scheduler.is_reconciling() {
+            None
+        } else {
+            lead.recovers_since.take()
+        };
         // Auditing a whole fleet at every event would take minutes.
-        let faults = if !thorough && now < lead.next_audit { Vec::new() } else { lead.scheduler.audit() };
+        let faults = if !thorough && now < lead.next_audit {
+            Vec::new()
+        } else {
+            lead.scheduler.audit()
+        };
         if now >= lead.next_audit {
             lead.next_audit = now + Micros::from_secs(1);
         }
@@ -576,7 +678,11 @@
             actions.push(a);
         }
         lead.scheduler.set_pressed(pressed);
-        let batch = if lead.writing { None } else { lead.scheduler.next_batch(now) };
+        let batch = if lead.writing {
+            None
+        } else {
+            lead.scheduler.next_batch(now)
+        };
         let short = batch.is_none() && lead.scheduler.short_of_writes();
         lead.writing |= batch.is_some();
         let token = lead.scheduler.token;
@@ -600,7 +706,13 @@
 
     fn perform(&mut self, i: usize, process: u64, token: FencingToken, action: Action) {
         match action {
-            Action::ScaleOut { request, machine_type, zone, spot, count } => {
+            Action::ScaleOut {
+                request,
+                machine_type,
+                zone,
+                spot,
+                count,
+            } => {
                 self.send(Host::Node(i), Host::Cloud, move |w| {
                     let rent = ScaleOutRequest {
                         request: &request,
@@ -639,7 +751,12 @@
                 });
             }
             Action::ReloadRecord { job } => self.record_reloaded(i, process, job),
-            Action::Direct { machine, epoch, commands, .. } => {
+            Action::Direct {
+                machine,
+                epoch,
+                commands,
+                ..
+            } => {
                 self.log(|| format!("node {i} to {machine} session {epoch} {commands:?}"));
                 let m = machine.clone();
                 let sent = self.now;
@@ -655,7 +772,10 @@
                 self.timer(i, Micros::from_secs(3), move |w| {
                     let now = w.now;
                     if let Some(l) = w.lead(i, process)
-                        && l.scheduler.machines.get(&m).is_some_and(|x| x.direct_open && x.epoch.max(1) == epoch)
+                        && l.scheduler
+                            .machines
+                            .get(&m)
+                            .is_some_and(|x| x.direct_open && x.epoch.max(1) == epoch)
                     {
                         l.scheduler.direct_failed(&m, true, now);
                     }
@@ -677,15 +797,19 @@
         });
         self.send(Host::Node(i), Host::State, move |w| {
             let found = match w.store.keys.get(&format!("job/{job}")) {
-                Some(super::store::Entry { value: Value::Job(r), mod_revision, .. }) => {
-                    Some((r.clone(), ModRevision(*mod_revision)))
-                }
+                Some(super::store::Entry {
+                    value: Value::Job(r),
+                    mod_revision,
+                    ..
+                }) => Some((r.clone(), ModRevision(*mod_revision))),
                 _ => None,
             };
             let refused = w.state_refuses(i);
             w.send(Host::State, Host::Node(i), move |w| {
                 let now = w.now;
-                let Some(l) = w.lead(i, process).filter(|_| open.replace(false)) else { return };
+                let Some(l) = w.lead(i, process).filter(|_| open.replace(false)) else {
+                    return;
+                };
                 if refused {
                     l.scheduler.record_reload_failed(job)
                 } else {
@@ -706,9 +830,15 @@
         commands: Vec<hopyoke_protocol::worker::Command>,
         sent: Micros,
     ) {
-        let held = self.machines.get(&machine).map(|m| m.orders_held_until).filter(|t| *t > self.now);
+        let held = self
+            .machines
+            .get(&machine)
+            .map(|m| m.orders_held_until)
+            .filter(|t| *t > self.now);
         if let Some(t) = self.hung(&machine).or(held) {
-            return self.at(t, move |w| w.direct_arrives(i, process, machine, token, epoch, commands, sent));
+            return self.at(t, move |w| {
+                w.direct_arrives(i, process, machine, token, epoch, commands, sent)
+            });
         }
         if self.hits(self.late_commands) {
             let late = Micros(self.random(2_000_000, 16_000_000));
@@ -718,8 +848,13 @@
                 w.direct(&machine, token, epoch, commands);
             });
         }
-        let Some((executed, heartbeat)) = self.direct(&machine, token, epoch, commands) else { return };
-        let leaves = self.machines.get(&machine).map_or(self.now, |m| m.answers_held_until);
+        let Some((executed, heartbeat)) = self.direct(&machine, token, epoch, commands) else {
+            return;
+        };
+        let leaves = self
+            .machines
+            .get(&machine)
+            .map_or(self.now, |m| m.answers_held_until);
         if self.now.max(leaves) >= sent + Micros::from_secs(3) {
             return;
         }
@@ -729,7 +864,8 @@
                 if now < sent + Micros::from_secs(3)
                     && let Some(l) = w.lead(i, process)
                 {
-                    l.scheduler.direct_answer(&machine, executed, Some(&heartbeat), now);
+                    l.scheduler
+                        .direct_answer(&machine, executed, Some(&heartbeat), now);
                     w.act(i, process);
                 }
             });
@@ -741,24 +877,46 @@
         let mut apply = Vec::new();
         for wr in &batch.writes {
             match wr {
-                Write::Update { job, mod_revision, record } => {
+                Write::Update {
+                    job,
+                    mod_revision,
+                    record,
+                } => {
                     when.push((format!("job/{job}"), mod_revision.0));
-                    apply.push(Mutation::Put(format!("job/{job}"), Value::Job(record.clone()), None));
+                    apply.push(Mutation::Put(
+                        format!("job/{job}"),
+                        Value::Job(record.clone()),
+                        None,
+                    ));
                 }
-                Write::End { job, mod_revision, end } => {
+                Write::End {
+                    job,
+                    mod_revision,
+                    end,
+                } => {
                     when.push((format!("job/{job}"), mod_revision.0));
                     apply.push(Mutation::Delete(format!("job/{job}")));
                     apply.push(Mutation::Put(format!("end/{job}"), Value::End(*end), None));
                 }
-                Write::Page { key, mod_revision, page } => {
+                Write::Page {
+                    key,
+                    mod_revision,
+                    page,
+                } => {
                     when.push((format!("fleet/{key}"), mod_revision.0));
                     apply.push(match page {
-                        Some(p) => Mutation::Put(format!("fleet/{key}"), Value::Page(p.clone()), None),
+                        Some(p) => {
+                            Mutation::Put(format!("fleet/{key}"), Value::Page(p.clone()), None)
+                        }
                         None => Mutation::Delete(format!("fleet/{key}")),
                     });
                 }
                 Write::Learned { key, page } => {
-                    apply.push(Mutation::Put(format!("learn/{key}"), Value::Learned(page.clone()), None));
+                    apply.push(Mutation::Put(
+                        format!("learn/{key}"),
+                        Value::Learned(page.clone()),
+                        None,
+                    ));
                 }
                 Write::DropPage { key } => apply.push(Mutation::Delete(format!("fleet/{key}"))),
             }
@@ -775,13 +933,23 @@
             let result = if refused {
                 Err(BatchError::Refused)
             } else {
-                let Some(result) = w.transact(&when, apply) else { return };
+                let Some(result) = w.transact(&when, apply) else {
+                    return;
+                };
                 result.map(ModRevision).map_err(|keys| {
                     if keys.iter().any(|k| k == "leader") {
                         return BatchError::Deposed;
                     }
-                    let jobs = keys.iter().filter_map(|k| k.strip_prefix("job/")).map(JobId::new).collect();
-                    let pages = keys.iter().filter_map(|k| k.strip_prefix("fleet/")).map(str::to_owned).collect();
+                    let jobs = keys
+                        .iter()
+                        .filter_map(|k| k.strip_prefix("job/"))
+                        .map(JobId::new)
+                        .collect();
+                    let pages = keys
+                        .iter()
+                        .filter_map(|k| k.strip_prefix("fleet/"))
+                        .map(str::to_owned)
+                        .collect();
                     BatchError::Conflict { jobs, pages }
                 })
             };
@@ -799,18 +967,30 @@
         });
     }
 
-    fn batch_over(&mut self, i: usize, process: u64, batch: Batch, result: Result<ModRevision, BatchError>) {
+    fn batch_over(
+        &mut self,
+        i: usize,
+        process: u64,
+        batch: Batch,
+        result: Result<ModRevision, BatchError>,
+    ) {
         let now = self.now;
-        let Some(l) = self.lead(i, process) else { return };
+        let Some(l) = self.lead(i, process) else {
+            return;
+        };
         if result == Err(BatchError::Deposed) {
             self.nodes[i].lead = None;
             return self.seek(i, process, false);
         }
         l.writing = false;
-        let ends = batch.writes.iter().filter(|_| result.is_ok()).filter_map(|w| match w {
-            Write::End { job, end, .. } => Some((job.clone(), end.state)),
-            _ => None,
-        });
+        let ends = batch
+            .writes
+            .iter()
+            .filter(|_| result.is_ok())
+            .filter_map(|w| match w {
+                Write::End { job, end, .. } => Some((job.clone(), end.state)),
+                _ => None,
+            });
         let ends: Vec<(JobId, JobState)> = ends.collect();
         l.scheduler.batch_ended(batch, result, now);
         self.nodes[i].finals.extend(ends);
@@ -840,7 +1020,9 @@
                 let (looks, plans) = (l.scheduler.entities_visited(), l.scheduler.plans());
                 let a = l.scheduler.heartbeat(&heartbeat, now);
                 if l.scheduler.plans() == plans {
-                    self.report_looks = self.report_looks.max(l.scheduler.entities_visited() - looks);
+                    self.report_looks = self
+                        .report_looks
+                        .max(l.scheduler.entities_visited() - looks);
                 }
                 Ok((a.token, a.commands))
             }
@@ -855,7 +1037,9 @@
         let (m, s) = (heartbeat.machine.clone(), heartbeat.epoch);
         let sent = self.machines.get(&m).map_or(now, |m| m.last_report);
         let to = self.worker(&m);
-        self.send(Host::Node(i), to, move |w| w.heartbeat_answered(&m, s, number, sent, Some(answer)));
+        self.send(Host::Node(i), to, move |w| {
+            w.heartbeat_answered(&m, s, number, sent, Some(answer))
+        });
         self.act(i, p);
     }
 
@@ -871,7 +1055,14 @@
         self.timer(i, Micros::from_secs(5), move |w| w.list(i, process));
     }
 
-    fn cloud_rent(&mut self, request: &str, kind: &str, zone: &str, spot: bool, count: u32) -> Vec<MachineId> {
+    fn cloud_rent(
+        &mut self,
+        request: &str,
+        kind: &str,
+        zone: &str,
+        spot: bool,
+        count: u32,
+    ) -> Vec<MachineId> {
         if let Some(ids) = self.charters.get(request) {
             return ids.clone();
         }
--- a/crates/hopyoke-simulator/src/digest.rs
+++ b/crates/hopyoke-simulator/src/digest.rs
@@ -78,20 +78,35 @@
 
     /// Adds the answer to a heartbeat.
     pub(crate) fn digest_heartbeat_response(&mut self, token: FencingToken, commands: &[Command]) {
-        let answer = HeartbeatResponse { token, commands: commands.to_vec() };
+        let answer = HeartbeatResponse {
+            token,
+            commands: commands.to_vec(),
+        };
         self.digest_message(Channel::HeartbeatResponse, &answer);
     }
 
     /// Adds commands that reach a worker directly.
-    pub(crate) fn digest_pushed_commands(&mut self, token: FencingToken, epoch: u64, commands: &[Command]) {
-        let direct = PushedCommands { token, epoch, commands: commands.to_vec() };
+    pub(crate) fn digest_pushed_commands(
+        &mut self,
+        token: FencingToken,
+        epoch: u64,
+        commands: &[Command],
+    ) {
+        let direct = PushedCommands {
+            token,
+            epoch,
+            commands: commands.to_vec(),
+        };
         self.digest_message(Channel::PushedCommands, &direct);
     }
 
     /// Adds a transaction as the store receives it.
     pub(crate) fn digest_transaction(&mut self, when: &[(String, u64)], apply: &[Mutation]) {
         for (key, mod_revision) in when {
-            let condition = Compare { key: key.clone(), mod_revision: hopyoke_types::ModRevision(*mod_revision) };
+            let condition = Compare {
+                key: key.clone(),
+                mod_revision: hopyoke_types::ModRevision(*mod_revision),
+            };
             self.digest_message(Channel::Transaction, &condition);
         }
         for change in apply {
--- a/crates/hopyoke-simulator/src/lib.rs
+++ b/crates/hopyoke-simulator/src/lib.rs
@@ -293,7 +293,8 @@
 
     pub fn at(&mut self, t: Micros, step: impl FnOnce(&mut World) + 'static) {
         self.next += 1;
-        self.queue.push(Reverse(Timed(t.max(self.now), self.next, Box::new(step))));
+        self.queue
+            .push(Reverse(Timed(t.max(self.now), self.next, Box::new(step))));
     }
 
     pub fn after(&mut self, span: Micros, step: impl FnOnce(&mut World) + 'static) {
@@ -305,7 +306,9 @@
             if t.0 > end {
                 break;
             }
-            let Some(Reverse(t)) = self.queue.pop() else { break };
+            let Some(Reverse(t)) = self.queue.pop() else {
+                break;
+            };
             self.now = t.0;
             self.digest_bytes(digest::Channel::Step, &[]);
             (t.2)(self);
@@ -334,7 +337,10 @@
 
     /// Where a machine's worker is, as an end of a path.
     fn worker(&self, id: &MachineId) -> Host {
-        let zone = self.machines.get(id).and_then(|m| self.cfg.zones.iter().position(|z| *z == m.zone));
+        let zone = self
+            .machines
+            .get(id)
+            .and_then(|m| self.cfg.zones.iter().position(|z| *z == m.zone));
         zone.map_or(Host::Workers, Host::WorkersOf)
     }
 
@@ -342,16 +348,27 @@
     /// so on in turn.
     pub fn cut_zone(&mut self, zone: usize, until: Micros, hold: bool) {
         let (nodes, zones) = (self.nodes.len(), self.cfg.zones.len());
-        let (inside, outside): (Vec<usize>, Vec<usize>) = (0..nodes).partition(|i| i % zones == zone);
+        let (inside, outside): (Vec<usize>, Vec<usize>) =
+            (0..nodes).partition(|i| i % zones == zone);
         let others = (0..zones).filter(|z| *z != zone).map(Host::WorkersOf);
         let region: Vec<Host> = [Host::State, Host::Cloud]
             .into_iter()
             .chain(outside.iter().copied().map(Host::Node))
             .chain(others)
             .collect();
-        self.cuts.extend(inside.into_iter().map(|node| Cut { node, from: region.clone(), until, hold }));
+        self.cuts.extend(inside.into_iter().map(|node| Cut {
+            node,
+            from: region.clone(),
+            until,
+            hold,
+        }));
         let from = vec![Host::WorkersOf(zone)];
-        self.cuts.extend(outside.into_iter().map(|node| Cut { node, from: from.clone(), until, hold }));
+        self.cuts.extend(outside.into_iter().map(|node| Cut {
+            node,
+            from: from.clone(),
+            until,
+            hold,
+        }));
     }
 
     fn cut(&self, a: Host, b: Host) -> Option<Cut> {
@@ -387,7 +404,9 @@
 
     /// A controller's process stands still while its clocks run on.
     pub fn stands_still(&self, i: usize) -> bool {
-        self.standstills.get(&i).is_some_and(|until| self.now < *until)
+        self.standstills
+            .get(&i)
+            .is_some_and(|until| self.now < *until)
     }
 
     /// A timer of a controller.
@@ -400,20 +419,38 @@
         if to == Host::State && now < self.store.slow.1 {
             return self.store.slow.0;
         }
-        let behind = self.lags.iter().filter(|l| Host::Node(l.node) == to && now < l.until);
+        let behind = self
+            .lags
+            .iter()
+            .filter(|l| Host::Node(l.node) == to && now < l.until);
         behind.map(|l| l.by).max().unwrap_or(Micros::ZERO)
     }
 
     pub fn machine_type(&self, name: &str) -> MachineType {
-        self.types.iter().find(|t| t.name == name).cloned().expect("a known machine type")
+        self.types
+            .iter()
+            .find(|t| t.name == name)
+            .cloned()
+            .expect("a known machine type")
     }
 
     pub fn team(&self, name: &str) -> Team {
-        self.cfg.teams.iter().find(|t| t.name == name).cloned().expect("a known team")
+        self.cfg
+            .teams
+            .iter()
+            .find(|t| t.name == name)
+            .cloned()
+            .expect("a known team")
     }
 
     /// Adds a machine that boots for `boot`, or never.
-    pub fn add_machine(&mut self, kind: &str, zone: &str, spot: bool, boot: Option<Micros>) -> MachineId {
+    pub fn add_machine(
+        &mut self,
+        kind: &str,
+        zone: &str,
+        spot: bool,
+        boot: Option<Micros>,
+    ) -> MachineId {
         let id = MachineId::new(&format!("m-{:06}", self.next_machine));
         self.next_machine += 1;
         let drift = self.random(0, 1000) as f64 / 1e6 - 0.0005;
@@ -427,8 +464,13 @@
     }
 
     pub fn remove_machine(&mut self, id: &MachineId) {
-        let Some(m) = self.machines.get(id) else { return };
-        *self.capacity.entry((m.kind.clone(), m.zone.clone(), m.spot)).or_default() += 1;
+        let Some(m) = self.machines.get(id) else {
+            return;
+        };
+        *self
+            .capacity
+            .entry((m.kind.clone(), m.zone.clone(), m.spot))
+            .or_default() += 1;
         let tasks: Vec<_> = m.tasks.keys().cloned().collect();
         self.machines.remove(id);
         for (task, attempt) in tasks {
--- a/crates/hopyoke-simulator/src/limits.rs
+++ b/crates/hopyoke-simulator/src/limits.rs
@@ -29,7 +29,15 @@
 impl Limits {
     pub fn new(requests: f64, changes: f64, unpaced: bool) -> Limits {
         let left = (requests, changes);
-        Limits { requests, changes, left, at: Micros::ZERO, unpaced, taken: 0, refused: 0 }
+        Limits {
+            requests,
+            changes,
+            left,
+            at: Micros::ZERO,
+            unpaced,
+            taken: 0,
+            refused: 0,
+        }
     }
 
     fn takes(&mut self, changes: usize, now: Micros) -> bool {
@@ -48,7 +56,10 @@
     }
 
     pub fn part(&self, nodes: usize, teams: &[Team], now: Micros) -> Part {
-        let bounds = |per_second| Bounds { per_second, nodes: nodes as u32 };
+        let bounds = |per_second| Bounds {
+            per_second,
+            nodes: nodes as u32,
+        };
         let guaranteed: Vec<bool> = teams.iter().map(|t| t.cpus > 0.0 || t.gpus > 0.0).collect();
         Part {
             pace: RateLimiter::new(bounds(self.requests), now),
@@ -70,7 +81,10 @@
             return Ok(());
         }
         let now = self.now;
-        self.nodes[i].part.as_mut().map_or(Ok(()), |p| p.pace.take(importance, 1, now))
+        self.nodes[i]
+            .part
+            .as_mut()
+            .map_or(Ok(()), |p| p.pace.take(importance, 1, now))
     }
 
     /// Tells the other nodes of the line at this one's door, again and again.
@@ -82,7 +96,9 @@
         // A node's place among the peers of another.
         let place = |of: usize, at: usize| if of < at { of } else { of - 1 };
         for j in (0..self.nodes.len()).filter(|j| *j != i) {
-            let Some(part) = self.nodes[i].part.as_mut() else { return };
+            let Some(part) = self.nodes[i].part.as_mut() else {
+                return;
+            };
             let words = part.door.words(place(j, i), now);
             self.send(Host::Node(i), Host::Node(j), move |w| {
                 let now = w.now;
@@ -101,8 +117,15 @@
         }
         let (now, leads) = (self.now, self.nodes[i].lead.is_some());
         let team = self.jobs.get(job).map_or("", |j| j.spec.team.as_str());
-        let team = self.cfg.teams.iter().position(|t| t.name == team).unwrap_or(self.cfg.teams.len());
-        let Some(p) = self.nodes[i].part.as_mut() else { return Ok(()) };
+        let team = self
+            .cfg
+            .teams
+            .iter()
+            .position(|t| t.name == team)
+            .unwrap_or(self.cfg.teams.len());
+        let Some(p) = self.nodes[i].part.as_mut() else {
+            return Ok(());
+        };
         let room = p.door.enter(job, team, leads, now).and_then(|()| {
             let room = p.pace.take(RequestPriority::Accepts, 1, now);
             room.map_err(|_| p.door.refuse(job, team, leads, now))
--- a/crates/hopyoke-simulator/src/rules.rs
+++ b/crates/hopyoke-simulator/src/rules.rs
@@ -35,7 +35,8 @@
 
 impl World {
     pub fn broke(&mut self, rule: &str, what: String) {
-        self.broken.push(format!("{:.3} s: {rule}: {what}", self.now.as_secs_f64()));
+        self.broken
+            .push(format!("{:.3} s: {rule}: {what}", self.now.as_secs_f64()));
     }
 
     /// Tasks that are on a machine: from when they have their image until they exit.
@@ -58,7 +59,10 @@
         let spec = self.jobs[&task.job].spec.clone();
         let present = self.present();
         if let Some((other, _, _)) = present.iter().find(|(o, t, _)| t == task && o != id) {
-            self.broke("ran_twice", format!("{task} starts on {id} while on {other}"));
+            self.broke(
+                "ran_twice",
+                format!("{task} starts on {id} while on {other}"),
+            );
         }
         let here = |z: &String| {
             present
@@ -66,19 +70,32 @@
                 .filter(|(o, t, _)| t.job == task.job && t != task && self.machines[o].zone == *z)
                 .count()
         };
-        let others = present.iter().filter(|(_, t, _)| t.job == task.job && t != task).count();
+        let others = present
+            .iter()
+            .filter(|(_, t, _)| t.job == task.job && t != task)
+            .count();
         let types_ok = spec.types.as_ref().is_none_or(|t| t.contains(&kind));
         let zone_ok = spec.zone.as_ref().is_none_or(|z| *z == zone);
         let together = !spec.one_zone || here(&zone) == others;
         let apart = !spec.spread || here(&zone) < spec.tasks.div_ceil(2) as usize;
         if !types_ok || !zone_ok || !together || !apart || (spot && !spec.spot) {
-            self.broke("wrong_place", format!("{task} starts on {id} ({kind}, {zone}, spot {spot})"));
+            self.broke(
+                "wrong_place",
+                format!("{task} starts on {id} ({kind}, {zone}, spot {spot})"),
+            );
         }
         if let Some(h) = &self.hours {
             // By true time, and without any margin.
-            let truth = Hours { skew: Micros::ZERO, margin: Micros::ZERO, ..h.clone() };
+            let truth = Hours {
+                skew: Micros::ZERO,
+                margin: Micros::ZERO,
+                ..h.clone()
+            };
             if truth.holds(&spec) && !truth.at(DAWN + self.now).staffed {
-                self.broke("unstaffed", format!("{task} starts on {id} while nobody is there"));
+                self.broke(
+                    "unstaffed",
+                    format!("{task} starts on {id} while nobody is there"),
+                );
             }
         }
         if let Some(t) = self.jobs[&task.job].cancelled {
@@ -98,7 +115,10 @@
             if (team.cpus_max > 0.0 && cpus > team.cpus_max + 1e-6)
                 || (team.gpus_max > 0.0 && gpus > team.gpus_max + 1e-6)
             {
-                self.broke("quota", format!("team {name} uses {cpus} cpus and {gpus} gpus"));
+                self.broke(
+                    "quota",
+                    format!("team {name} uses {cpus} cpus and {gpus} gpus"),
+                );
             }
         }
     }
@@ -109,7 +129,11 @@
             .present()
             .into_iter()
             .map(|p| p.1)
-            .filter(|t| self.jobs[&t.job].cancelled.is_some_and(|c| self.now > c + self.cancel_s))
+            .filter(|t| {
+                self.jobs[&t.job]
+                    .cancelled
+                    .is_some_and(|c| self.now > c + self.cancel_s)
+            })
             .collect();
         for t in late {
             self.broke("ran_cancelled", format!("{t} is still there"));
@@ -122,8 +146,15 @@
         // Once the troubles are over a job whose questions all fail for so long counts as forgotten.
         let calm = self.trouble_until + UNANSWERED;
         if self.limits.is_none() && self.now > calm {
-            let silent = |j: &Truth| j.accepted.is_some_and(|t| self.now > t.max(j.answered) + UNANSWERED);
-            let lost = self.jobs.iter().find(|(_, j)| silent(j)).map(|(id, _)| id.to_string());
+            let silent = |j: &Truth| {
+                j.accepted
+                    .is_some_and(|t| self.now > t.max(j.answered) + UNANSWERED)
+            };
+            let lost = self
+                .jobs
+                .iter()
+                .find(|(_, j)| silent(j))
+                .map(|(id, _)| id.to_string());
             wrong.extend(lost.map(|id| ("forgotten", format!("{id} has had no answer"))));
         }
         // What is over and well is looked at again only now and then.
@@ -132,7 +163,11 @@
             self.settled.clear();
         }
         let mut over = Vec::new();
-        for (id, job) in self.jobs.iter().filter(|(id, _)| !self.settled.contains(*id)) {
+        for (id, job) in self
+            .jobs
+            .iter()
+            .filter(|(id, _)| !self.settled.contains(*id))
+        {
             let unfinished = self.store.keys.contains_key(&format!("job/{id}"));
             let end = self.end_of(id);
             if job.body.is_some() && (unfinished || end.is_some()) {
@@ -142,8 +177,12 @@
                 wrong.push(("forgotten", id.to_string()));
             }
             match end {
-                Some(JobState::Done) if !job.done.iter().all(|d| *d) => wrong.push(("not_done", id.to_string())),
-                Some(JobState::Done) if job.cancelled.is_some() => wrong.push(("went_back", id.to_string())),
+                Some(JobState::Done) if !job.done.iter().all(|d| *d) => {
+                    wrong.push(("not_done", id.to_string()))
+                }
+                Some(JobState::Done) if job.cancelled.is_some() => {
+                    wrong.push(("went_back", id.to_string()))
+                }
                 _ => {}
             }
             if job.cancelled.is_some() && end != Some(JobState::Cancelled) {
@@ -183,36 +222,68 @@
                 held.tasks.insert(task.index);
                 *held.zones.entry(m.zone.clone()).or_default() += 1;
             }
-            let sound = m.up && m.hung_until <= now && m.deaf_until <= now && !m.sick && m.slowness == 1.0;
+            let sound =
+                m.up && m.hung_until <= now && m.deaf_until <= now && !m.sick && m.slowness == 1.0;
             if sound && m.notice.is_none() && m.tasks.len() < REPORTABLE && free.cpus > 0.0 {
-                rooms.push(Room { kind: m.kind.clone(), zone: m.zone.clone(), spot: m.spot, free });
+                rooms.push(Room {
+                    kind: m.kind.clone(),
+                    zone: m.zone.clone(),
+                    spot: m.spot,
+                    free,
+                });
             }
         }
         let none = Held::default();
         let mut waiting = BTreeMap::new();
-        for (id, job) in self.jobs.iter().filter(|(id, _)| !self.settled.contains(*id)) {
-            let open = job.accepted.is_some() && job.told.is_none() && !job.asked_cancel && !job.fails;
+        for (id, job) in self
+            .jobs
+            .iter()
+            .filter(|(id, _)| !self.settled.contains(*id))
+        {
+            let open =
+                job.accepted.is_some() && job.told.is_none() && !job.asked_cancel && !job.fails;
             if !open || job.done_at.is_some() {
                 continue;
             }
             let held = held.get(id).unwrap_or(&none);
             let service = job.spec.kind == JobKind::Service;
-            let lacks = if service { held.tasks.len() < job.spec.tasks as usize } else { held.tasks.is_empty() };
+            let lacks = if service {
+                held.tasks.len() < job.spec.tasks as usize
+            } else {
+                held.tasks.is_empty()
+            };
             if lacks && self.could_run(&job.spec, held, &rooms, &used) {
                 waiting.insert(id.clone(), self.waiting.get(id).copied().unwrap_or(now));
             }
         }
-        let late = waiting.iter().find(|(_, since)| now > **since + WAITED).map(|(id, _)| id.clone());
+        let late = waiting
+            .iter()
+            .find(|(_, since)| now > **since + WAITED)
+            .map(|(id, _)| id.clone());
         self.waiting = waiting;
         if let Some(id) = late {
-            let scheduler = self.leader().and_then(|i| self.nodes[i].lead.as_ref()).map(|l| &l.scheduler);
-            let why = scheduler.map_or("no leader", |c| c.jobs.get(&id).map_or("unknown", |j| j.waits_for));
-            self.broke("waits", format!("{id} could have begun for {WAITED:?} ({why})"));
+            let scheduler = self
+                .leader()
+                .and_then(|i| self.nodes[i].lead.as_ref())
+                .map(|l| &l.scheduler);
+            let why = scheduler.map_or("no leader", |c| {
+                c.jobs.get(&id).map_or("unknown", |j| j.waits_for)
+            });
+            self.broke(
+                "waits",
+                format!("{id} could have begun for {WAITED:?} ({why})"),
+            );
         }
     }
 
     /// One more task of a job, or all of a gang's, could begin.
-    fn could_run(&self, spec: &JobSpec, held: &Held, rooms: &[Room], used: &BTreeMap<String, Resources>) -> bool {
+    fn could_run(
+        &self,
+        spec: &JobSpec,
+        held: &Held,
+        rooms: &[Room],
+        used: &BTreeMap<String, Resources>,
+    ) -> bool {
         if let Some(h) = &self.hours
             && h.holds(spec)
         {
@@ -222,7 +293,10 @@
         let task = Resources::of_task(spec);
         let wanted = if gang { spec.tasks } else { 1 };
         let taken = used.get(&spec.team).copied().unwrap_or_default();
-        if !self.team(&spec.team).allows(&(taken + task.times(f64::from(wanted)))) {
+        if !self
+            .team(&spec.team)
+            .allows(&(taken + task.times(f64::from(wanted))))
+        {
             return false;
         }
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
@@ -245,8 +319,11 @@
                 *room = (*room).min(half.saturating_sub(here));
             }
         }
-        let most =
-            if spec.one_zone { by_zone.values().max().copied().unwrap_or(0) } else { by_zone.values().sum() };
+        let most = if spec.one_zone {
+            by_zone.values().max().copied().unwrap_or(0)
+        } else {
+            by_zone.values().sum()
+        };
         most >= wanted
     }
 
@@ -266,7 +343,9 @@
     /// Tasks of a job that run now.
     pub fn running(&self, id: &JobId) -> usize {
         let states = self.machines.values().flat_map(|m| m.tasks.iter());
-        states.filter(|((t, _), x)| t.job == *id && x.state == TaskState::Running).count()
+        states
+            .filter(|((t, _), x)| t.job == *id && x.state == TaskState::Running)
+            .count()
     }
 
     pub fn done_after(&self, id: &JobId) -> Option<Micros> {
--- a/crates/hopyoke-simulator/src/script.rs
+++ b/crates/hopyoke-simulator/src/script.rs
@@ -15,7 +15,10 @@
 type Words<'a> = std::slice::Iter<'a, &'a str>;
 
 fn secs(s: &str) -> Micros {
-    Micros::from_secs_f64(s.parse().unwrap_or_else(|_| panic!("not a number of seconds: {s}")))
+    Micros::from_secs_f64(
+        s.parse()
+            .unwrap_or_else(|_| panic!("not a number of seconds: {s}")),
+    )
 }
 
 fn num(s: &str) -> f64 {
@@ -42,9 +45,14 @@
 /// replaced by it.
 fn sweep_of(line: &str) -> Option<(&str, Vec<f64>)> {
     let words: Vec<&str> = line.split_whitespace().collect();
-    let ["sweep", name, from, to, step] = words[..] else { return None };
+    let ["sweep", name, from, to, step] = words[..] else {
+        return None;
+    };
     let (from, to, step) = (num(from), num(to), num(step));
-    let values = (0..).map(|n| from + step * f64::from(n)).take_while(|v| *v <= to + step / 1e6).collect();
+    let values = (0..)
+        .map(|n| from + step * f64::from(n))
+        .take_while(|v| *v <= to + step / 1e6)
+        .collect();
     Some((name, values))
 }
 
@@ -67,7 +75,8 @@
         let rest = text.replacen(line, "", 1);
         let mut digest = 0u64;
         for v in values {
-            let run = run(&filled(&rest, name, v), extra).map_err(|e| format!("{name} {v}: {e}"))?;
+            let run =
+                run(&filled(&rest, name, v), extra).map_err(|e| format!("{name} {v}: {e}"))?;
             digest = digest.rotate_left(1) ^ run;
         }
         return Ok(digest);
@@ -83,7 +92,10 @@
         match words[0] {
             "seed" => {
                 // `seed N [nodes K]`
-                let mut w = World::new(num(words[1]) as u64, words.get(3).map_or(3, |n| num(n) as usize));
+                let mut w = World::new(
+                    num(words[1]) as u64,
+                    words.get(3).map_or(3, |n| num(n) as usize),
+                );
                 world_defaults(&mut w);
                 world = Some(w);
             }
@@ -92,7 +104,9 @@
                     result.map_err(fail)?;
                     continue;
                 }
-                let w = world.as_mut().ok_or_else(|| fail("a scenario starts with `seed N`".into()))?;
+                let w = world
+                    .as_mut()
+                    .ok_or_else(|| fail("a scenario starts with `seed N`".into()))?;
                 statement(w, &words).map_err(fail)?;
                 if let Some(b) = w.broken.first() {
                     return Err(fail(b.clone()));
@@ -120,8 +134,18 @@
         w.capacity.insert(("std".into(), z.clone(), false), 4);
         w.capacity.insert(("std".into(), z, true), 2);
     }
-    w.cfg.teams.push(Team { name: "crew".into(), gpus: 8.0, gpus_max: 16.0, ..Team::default() });
-    w.cfg.teams.push(Team { name: "other".into(), gpus: 4.0, gpus_max: 8.0, ..Team::default() });
+    w.cfg.teams.push(Team {
+        name: "crew".into(),
+        gpus: 8.0,
+        gpus_max: 16.0,
+        ..Team::default()
+    });
+    w.cfg.teams.push(Team {
+        name: "other".into(),
+        gpus: 4.0,
+        gpus_max: 8.0,
+        ..Team::default()
+    });
     w.expire_leases();
     for i in 0..w.nodes.len() {
         w.start_node(i);
@@ -167,7 +191,10 @@
             };
             let spans: Vec<String> = it
                 .by_ref()
-                .map(|s| s.split_once('-').map_or(String::new(), |(a, b)| format!("{}-{}", clock(a), clock(b))))
+                .map(|s| {
+                    s.split_once('-')
+                        .map_or(String::new(), |(a, b)| format!("{}-{}", clock(a), clock(b)))
+                })
                 .collect();
             let calendar = Calendar::parse(&format!("Thu {}", spans.join(" ")), "UTC", "");
             w.hours = Some(Hours {
@@ -182,7 +209,11 @@
         "limits" => {
             // Before the nodes have done anything: they start anew with their parts.
             let (requests, changes) = (num(word(&mut it)), num(word(&mut it)));
-            w.limits = Some(Limits::new(requests, changes, it.next() == Some(&"unpaced")));
+            w.limits = Some(Limits::new(
+                requests,
+                changes,
+                it.next() == Some(&"unpaced"),
+            ));
             // With so many users whole-world checks at every step would take minutes.
             w.thorough = false;
             for i in 0..w.nodes.len() {
@@ -196,7 +227,8 @@
         "cancel_s" => w.cancel_s = secs(word(&mut it)),
         "capacity" => {
             let (zone, kind, n) = (word(&mut it), word(&mut it), num(word(&mut it)) as u32);
-            w.capacity.insert(("std".into(), zone.into(), kind == "spot"), n);
+            w.capacity
+                .insert(("std".into(), zone.into(), kind == "spot"), n);
         }
         "machines" => {
             let (zone, kind, n) = (word(&mut it), word(&mut it), num(word(&mut it)) as u32);
@@ -239,7 +271,11 @@
             }
         }
         "stream" => {
-            let (n, rate, cancelled) = (num(word(&mut it)) as u64, num(word(&mut it)), num(word(&mut it)) as u64);
+            let (n, rate, cancelled) = (
+                num(word(&mut it)) as u64,
+                num(word(&mut it)),
+                num(word(&mut it)) as u64,
+            );
             for (k, id) in (0..).zip(new_jobs(w, n, &mut it)) {
                 let begins = Micros::from_secs_f64(k as f64 / rate);
                 if k * cancelled % 100 < cancelled {
@@ -252,7 +288,10 @@
         "wave" => {
             let (what, n) = (word(&mut it), num(word(&mut it)) as usize);
             let until = w.now + secs(pairs(&mut it).get("for").copied().unwrap_or("0"));
-            let up = w.machines.values().filter(|m| m.up && (what != "spot" || m.spot));
+            let up = w
+                .machines
+                .values()
+                .filter(|m| m.up && (what != "spot" || m.spot));
             // Every third, so that a wave goes through the whole fleet.
             let hit: Vec<MachineId> = up.map(|m| m.id.clone()).step_by(3).take(n).collect();
             for id in hit {
@@ -268,7 +307,10 @@
         "close_looks" => w.habits.close_looks = until(w, &mut it),
         "cancel_at_end" => {
             let percent = num(word(&mut it)) as u64;
-            w.habits.cancel_at_end = Spell { percent, until: until(w, &mut it) };
+            w.habits.cancel_at_end = Spell {
+                percent,
+                until: until(w, &mut it),
+            };
         }
         "cancel_now" => {
             let most = num(word(&mut it)) as usize;
@@ -281,7 +323,11 @@
         }
         "staffed" => {
             let (on, until) = (word(&mut it) == "on", secs(word(&mut it)));
-            let switch = Some(Switch { staffed: on, until_us: (DAWN + until).0, by: "operator".into() });
+            let switch = Some(Switch {
+                staffed: on,
+                until_us: (DAWN + until).0,
+                by: "operator".into(),
+            });
             if let Some(h) = &mut w.hours {
                 h.switch.clone_from(&switch);
             }
@@ -310,20 +356,37 @@
                 "workers" => vec![Host::Workers],
                 "cloud" => vec![Host::Cloud],
                 "peers" => peers().collect(),
-                _ => [Host::State, Host::Workers, Host::Cloud].into_iter().chain(peers()).collect(),
+                _ => [Host::State, Host::Workers, Host::Cloud]
+                    .into_iter()
+                    .chain(peers())
+                    .collect(),
             };
             let from: Vec<Host> = p["from"].split('+').flat_map(hosts).collect();
             let until = w.now + secs(p["for"]);
             let hold = p.get("packets") == Some(&"held");
             for node in nodes(w, who) {
-                w.cuts.push(Cut { node, from: from.clone(), until, hold });
+                w.cuts.push(Cut {
+                    node,
+                    from: from.clone(),
+                    until,
+                    hold,
+                });
             }
         }
         "cut_zone" => {
             let name = word(&mut it);
             let p = pairs(&mut it);
-            let zone = w.cfg.zones.iter().position(|z| z == name).expect("a known zone");
-            w.cut_zone(zone, w.now + secs(p["for"]), p.get("packets") == Some(&"held"));
+            let zone = w
+                .cfg
+                .zones
+                .iter()
+                .position(|z| z == name)
+                .expect("a known zone");
+            w.cut_zone(
+                zone,
+                w.now + secs(p["for"]),
+                p.get("packets") == Some(&"held"),
+            );
         }
         "lag" => {
             let (who, by) = (word(&mut it), secs(word(&mut it)));
@@ -356,11 +419,14 @@
                 w.store.refused.insert(node, until);
             }
         }
-        spell @ ("lost_answers" | "lost_renewals" | "late_writes" | "late_reports" | "held_reports"
-        | "late_commands") => {
+        spell @ ("lost_answers" | "lost_renewals" | "late_writes" | "late_reports"
+        | "held_reports" | "late_commands") => {
             let percent = num(word(&mut it)) as u64;
             let p = pairs(&mut it);
-            let spell_ends = Spell { percent, until: w.now + secs(p["for"]) };
+            let spell_ends = Spell {
+                percent,
+                until: w.now + secs(p["for"]),
+            };
             let next = p.get("next").map(|s| secs(s));
             let place = match spell {
                 "lost_answers" => &mut w.store.lost_answers,
@@ -455,12 +521,20 @@
 
 /// How long an event's trouble lasts; zero if it is none.
 fn span_of(words: &[&str]) -> Micros {
-    let after = |key: &str| words.iter().position(|w| *w == key).and_then(|at| words.get(at + 1));
+    let after = |key: &str| {
+        words
+            .iter()
+            .position(|w| *w == key)
+            .and_then(|at| words.get(at + 1))
+    };
     match words[0] {
         "submit" | "many" | "stream" | "cancel" => Micros::ZERO,
         "outage" => secs(words[1]),
         "hang" => secs(words[2]),
-        _ => after("for").or(after("back")).or(after("hang")).map_or(Micros::ZERO, |s| secs(s)),
+        _ => after("for")
+            .or(after("back"))
+            .or(after("hang"))
+            .map_or(Micros::ZERO, |s| secs(s)),
     }
 }
 
@@ -469,8 +543,13 @@
     match who {
         "all" => (0..w.nodes.len()).collect(),
         "leader" => w.leader().into_iter().collect(),
-        "followers" => (0..w.nodes.len()).filter(|i| w.leader() != Some(*i)).collect(),
-        "follower" => (0..w.nodes.len()).find(|i| w.leader() != Some(*i)).into_iter().collect(),
+        "followers" => (0..w.nodes.len())
+            .filter(|i| w.leader() != Some(*i))
+            .collect(),
+        "follower" => (0..w.nodes.len())
+            .find(|i| w.leader() != Some(*i))
+            .into_iter()
+            .collect(),
         // A world may have fewer.
         n => vec![num(n) as usize % w.nodes.len()],
     }
@@ -480,7 +559,11 @@
 fn machine(w: &World, who: &str) -> Option<MachineId> {
     if let Some(id) = who.strip_prefix("of:") {
         let id = JobId::new(id);
-        return w.machines.values().find(|m| m.tasks.keys().any(|(t, _)| t.job == id)).map(|m| m.id.clone());
+        return w
+            .machines
+            .values()
+            .find(|m| m.tasks.keys().any(|(t, _)| t.job == id))
+            .map(|m| m.id.clone());
     }
     if who == "any" {
         return w.machines.keys().next().cloned();
@@ -520,7 +603,11 @@
         one_zone: yes("together"),
         spread: yes("apart"),
         spot: yes("spot"),
-        estimate_s: if kind == "service" { 0.0 } else { run * get("owner", 1.0) },
+        estimate_s: if kind == "service" {
+            0.0
+        } else {
+            run * get("owner", 1.0)
+        },
         checkpoint_s: get("checkpoint", 0.0),
         save_s: get("save", 0.0),
         deadline_s: p.get("deadline").map(|v| num(v)),
@@ -549,8 +636,14 @@
     }
     if id.as_str() == "machines" {
         let n = num(word(it)) as usize;
-        let ok = if what == "most" { w.machines.len() <= n } else { w.machines.len() == n };
-        return ok.then_some(()).ok_or(format!("{} machines", w.machines.len()));
+        let ok = if what == "most" {
+            w.machines.len() <= n
+        } else {
+            w.machines.len() == n
+        };
+        return ok
+            .then_some(())
+            .ok_or(format!("{} machines", w.machines.len()));
     }
     if id.as_str() == "class" {
         return expect_class(w, what, it);
@@ -560,12 +653,20 @@
     }
     if id.as_str() == "machine" {
         let there = w.machines.contains_key(&MachineId::new(what));
-        return (there == (word(it) == "there")).then_some(()).ok_or(format!("{what} is there: {there}"));
+        return (there == (word(it) == "there"))
+            .then_some(())
+            .ok_or(format!("{what} is there: {there}"));
     }
     if id.as_str() == "looks" {
-        let looks = if what == "report" { w.report_looks } else { w.tick_looks };
+        let looks = if what == "report" {
+            w.report_looks
+        } else {
+            w.tick_looks
+        };
         let most = num(word(it)) as u64;
-        return (looks <= most).then_some(()).ok_or(format!("{looks} looks"));
+        return (looks <= most)
+            .then_some(())
+            .ok_or(format!("{looks} looks"));
     }
     if id.as_str() == "rented" {
         let n = w.charters.values().map(Vec::len).sum::<usize>();
@@ -574,33 +675,62 @@
     }
     if id.as_str() == "refused" {
         // Of the state service's requests, in percent.
-        let l = w.limits.as_ref().ok_or("the state service has no limits here")?;
+        let l = w
+            .limits
+            .as_ref()
+            .ok_or("the state service has no limits here")?;
         let part = l.refused as f64 * 100.0 / (l.refused + l.taken).max(1) as f64;
         let ok = what == "most" && part <= num(word(it));
-        return ok.then_some(()).ok_or(format!("{part:.1}% of the requests were refused"));
+        return ok
+            .then_some(())
+            .ok_or(format!("{part:.1}% of the requests were refused"));
     }
     if id.as_str() == "began" {
         // Every accepted job whose user has not cancelled it has begun, the largest ones too.
-        let open = |j: &Truth| j.accepted.is_some() && j.cancelled.is_none() && j.told.is_none() && j.starts == 0;
-        let scheduler = w.leader().and_then(|i| w.nodes[i].lead.as_ref()).map(|l| &l.scheduler);
-        let why =
-            |id: &JobId| scheduler.map_or("no leader", |c| c.jobs.get(id).map_or("unknown", |j| j.waits_for));
-        let waits: Vec<String> =
-            w.jobs.iter().filter(|(_, j)| open(j)).map(|(id, _)| format!("{id} ({})", why(id))).collect();
-        return waits.is_empty().then_some(()).ok_or(format!("never begun: {}", waits.join(" ")));
+        let open = |j: &Truth| {
+            j.accepted.is_some() && j.cancelled.is_none() && j.told.is_none() && j.starts == 0
+        };
+        let scheduler = w
+            .leader()
+            .and_then(|i| w.nodes[i].lead.as_ref())
+            .map(|l| &l.scheduler);
+        let why = |id: &JobId| {
+            scheduler.map_or("no leader", |c| {
+                c.jobs.get(id).map_or("unknown", |j| j.waits_for)
+            })
+        };
+        let waits: Vec<String> = w
+            .jobs
+            .iter()
+            .filter(|(_, j)| open(j))
+            .map(|(id, _)| format!("{id} ({})", why(id)))
+            .collect();
+        return waits
+            .is_empty()
+            .then_some(())
+            .ok_or(format!("never begun: {}", waits.join(" ")));
     }
     if id.as_str() == "accepted" {
         if what == "from" {
             // Nobody who came to the door then stands there still, or has given up.
             let (first, last) = (secs(word(it)), secs(it.nth(1).copied().expect("`to T`")));
             let came = |j: &&Truth| j.first_try.is_some_and(|t| (first..=last).contains(&t));
-            let waits = w.jobs.values().filter(came).filter(|j| j.accepted.is_none()).count();
+            let waits = w
+                .jobs
+                .values()
+                .filter(came)
+                .filter(|j| j.accepted.is_none())
+                .count();
             let all = w.jobs.values().filter(came).count();
-            return (waits == 0).then_some(()).ok_or(format!("{waits} of {all} jobs are not accepted"));
+            return (waits == 0)
+                .then_some(())
+                .ok_or(format!("{waits} of {all} jobs are not accepted"));
         }
         let n = w.jobs.values().filter(|j| j.accepted.is_some()).count();
         let ok = what == "least" && n >= num(word(it)) as usize;
-        return ok.then_some(()).ok_or(format!("{n} of {} jobs are accepted", w.jobs.len()));
+        return ok
+            .then_some(())
+            .ok_or(format!("{n} of {} jobs are accepted", w.jobs.len()));
     }
     if id.as_str() == "served" || id.as_str() == "ended" {
         return expect_served(w, id.as_str() == "ended", what, it);
@@ -611,31 +741,53 @@
     if id.as_str() == "started" {
         let n = w.jobs.values().filter(|j| j.starts > 0).count();
         let bound = num(word(it)) as usize;
-        let ok = if what == "most" { n <= bound } else { n >= bound };
-        return ok.then_some(()).ok_or(format!("{n} of {} jobs have started", w.jobs.len()));
+        let ok = if what == "most" {
+            n <= bound
+        } else {
+            n >= bound
+        };
+        return ok
+            .then_some(())
+            .ok_or(format!("{n} of {} jobs have started", w.jobs.len()));
     }
     if id.as_str() == "cancelled_starts" {
         let most = num(word(it)) as usize;
         let after = pairs(it).get("after").map_or(Micros::ZERO, |s| secs(s));
         let late = w.cancelled_starts.iter().filter(|t| **t > after).count();
-        let last = w.cancelled_starts.iter().max().copied().unwrap_or_default().as_secs_f64();
+        let last = w
+            .cancelled_starts
+            .iter()
+            .max()
+            .copied()
+            .unwrap_or_default()
+            .as_secs_f64();
         let ok = what == "most" && late <= most;
-        return ok.then_some(()).ok_or(format!("{late} starts of cancelled tasks, the last after {last:.3} s"));
+        return ok.then_some(()).ok_or(format!(
+            "{late} starts of cancelled tasks, the last after {last:.3} s"
+        ));
     }
     if id.as_str() == "lapses" {
         let ok = what == "most" && w.lapses <= num(word(it)) as u32;
-        return ok.then_some(()).ok_or(format!("{} sessions lapsed", w.lapses));
+        return ok
+            .then_some(())
+            .ok_or(format!("{} sessions lapsed", w.lapses));
     }
     if id.as_str() == "recovery" {
         let ok = what == "most" && w.longest_recovery <= secs(word(it));
-        return ok.then_some(()).ok_or(format!("a recovery took {:.1} s", w.longest_recovery.as_secs_f64()));
+        return ok.then_some(()).ok_or(format!(
+            "a recovery took {:.1} s",
+            w.longest_recovery.as_secs_f64()
+        ));
     }
     let job = w.jobs.get(&id).ok_or("no such job")?;
     match what {
         "done" => {
             if w.end_of(&id) != Some(JobState::Done) {
                 let n = job.done.iter().filter(|d| **d).count();
-                return Err(format!("not recorded as done; {n} of {} tasks are", job.spec.tasks));
+                return Err(format!(
+                    "not recorded as done; {n} of {} tasks are",
+                    job.spec.tasks
+                ));
             }
             if let (Some(&"by"), Some(t)) = (it.next(), it.next()) {
                 let at = w.done_after(&id).unwrap_or_default();
@@ -646,14 +798,22 @@
         }
         "told" => {
             let what = word(it);
-            let told = job.told.map_or("unfinished", |t| if t == JobState::Done { "done" } else { "cancelled" });
+            let told = job.told.map_or("unfinished", |t| {
+                if t == JobState::Done {
+                    "done"
+                } else {
+                    "cancelled"
+                }
+            });
             if told != what {
                 return Err(format!("its user was told: {told}"));
             }
         }
         "unfinished" if w.end_of(&id).is_some() => return Err("it is over".into()),
         "unfinished" => {}
-        "cancelled" if w.end_of(&id) != Some(JobState::Cancelled) => return Err("not cancelled".into()),
+        "cancelled" if w.end_of(&id) != Some(JobState::Cancelled) => {
+            return Err("not cancelled".into());
+        }
         "cancelled" => {}
         "running" => {
             let n = num(word(it)) as usize;
@@ -664,7 +824,11 @@
         "starts" => {
             let how = word(it);
             let n = num(word(it)) as u32;
-            let ok = if how == "most" { job.starts <= n } else { job.starts >= n };
+            let ok = if how == "most" {
+                job.starts <= n
+            } else {
+                job.starts >= n
+            };
             if !ok {
                 return Err(format!("{} starts", job.starts));
             }
@@ -679,7 +843,11 @@
 /// jobs of each team and of each class so many are done, services aside.
 fn expect_served(w: &World, ended: bool, what: &str, it: &mut Words) -> Result<(), String> {
     let mut tenants: BTreeMap<(String, String), (u32, u32)> = BTreeMap::new();
-    for job in w.jobs.values().filter(|j| j.cancelled.is_none() && j.body.is_none()) {
+    for job in w
+        .jobs
+        .values()
+        .filter(|j| j.cancelled.is_none() && j.body.is_none())
+    {
         let served = match job.spec.kind {
             JobKind::Service if ended => continue,
             _ if ended => job.done_at.is_some(),
@@ -687,17 +855,26 @@
         };
         // The users count classes and teams, each for itself.
         let (team, class) = (job.spec.team.clone(), job.spec.class.clone());
-        let counted = if ended { vec![(team, "any".into()), ("any".into(), class)] } else { vec![(team, class)] };
+        let counted = if ended {
+            vec![(team, "any".into()), ("any".into(), class)]
+        } else {
+            vec![(team, class)]
+        };
         for tenant in counted {
             let count = tenants.entry(tenant).or_default();
             *count = (count.0 + u32::from(served), count.1 + 1);
         }
     }
     let share = |(started, all): &(u32, u32)| f64::from(*started) / f64::from((*all).max(1));
-    let least = tenants.iter().min_by(|a, b| share(a.1).total_cmp(&share(b.1)));
+    let least = tenants
+        .iter()
+        .min_by(|a, b| share(a.1).total_cmp(&share(b.1)));
     let ((team, class), count) = least.ok_or("no jobs")?;
     let ok = what == "least" && share(count) >= num(word(it));
-    ok.then_some(()).ok_or(format!("of team {team}, class {class} {} of {} are served", count.0, count.1))
+    ok.then_some(()).ok_or(format!(
+        "of team {team}, class {class} {} of {} are served",
+        count.0, count.1
+    ))
 }
 
 /// `expect largest least SHARE within S`: of each class's largest jobs, a quarter of those that were not cancelled, that
@@ -705,16 +882,27 @@
 fn expect_largest(w: &World, what: &str, it: &mut Words) -> Result<(), String> {
     let (share, within) = (num(word(it)), secs(pairs(it)["within"]));
     let mut classes: BTreeMap<&str, Vec<&Truth>> = BTreeMap::new();
-    for job in w.jobs.values().filter(|j| j.cancelled.is_none() && j.body.is_none()) {
+    for job in w
+        .jobs
+        .values()
+        .filter(|j| j.cancelled.is_none() && j.body.is_none())
+    {
         classes.entry(&job.spec.class).or_default().push(job);
     }
     for (class, mut jobs) in classes {
         jobs.sort_by_key(|j| std::cmp::Reverse(j.spec.tasks));
         jobs.truncate(jobs.len().div_ceil(4));
-        let soon = |j: &&&Truth| j.began.zip(j.first_try).is_some_and(|(began, tried)| began <= tried + within);
+        let soon = |j: &&&Truth| {
+            j.began
+                .zip(j.first_try)
+                .is_some_and(|(began, tried)| began <= tried + within)
+        };
         let served = jobs.iter().filter(soon).count();
         if what != "least" || (served as f64) < share * jobs.len() as f64 {
-            return Err(format!("of class {class} {served} of its {} largest jobs began in time", jobs.len()));
+            return Err(format!(
+                "of class {class} {served} of its {} largest jobs began in time",
+                jobs.len()
+            ));
         }
     }
     Ok(())
@@ -723,13 +911,23 @@
 /// `expect when JOB LEAST MOST`, `expect when TEAM GPUS ZONE|any LEAST MOST`: the p50 that the
 /// leader answers, in seconds; `... error WORD`: why it can't be told.
 fn expect_when(w: &World, what: &str, it: &mut Words) -> Result<(), String> {
-    let leader = w.leader().and_then(|i| w.nodes[i].lead.as_ref()).ok_or("nobody leads")?;
+    let leader = w
+        .leader()
+        .and_then(|i| w.nodes[i].lead.as_ref())
+        .ok_or("nobody leads")?;
     let found = if what.starts_with("req-") {
         leader.scheduler.when_job(&JobId::new(what), w.now)
     } else {
         let (gpus, zone) = (num(word(it)), word(it));
         let zone = (zone != "any").then(|| zone.to_owned());
-        leader.scheduler.when_capacity(&Ask { team: what.to_owned(), gpus, zone }, w.now)
+        leader.scheduler.when_capacity(
+            &Ask {
+                team: what.to_owned(),
+                gpus,
+                zone,
+            },
+            w.now,
+        )
     };
     let (first, second) = (word(it), word(it));
     match found {
@@ -737,7 +935,10 @@
         Err(e) => Err(e),
         Ok(a) => {
             let fits = (num(first)..=num(second)).contains(&a.p50_s) && a.p90_s >= a.p50_s;
-            fits.then_some(()).ok_or(format!("p50 {:.1} s, p90 {:.1} s, {}", a.p50_s, a.p90_s, a.rests_on))
+            fits.then_some(()).ok_or(format!(
+                "p50 {:.1} s, p90 {:.1} s, {}",
+                a.p50_s, a.p90_s, a.rests_on
+            ))
         }
     }
 }
@@ -745,7 +946,10 @@
 /// `expect class NAME p50 LEAST MOST`: what the leader expects a run of the class to take, in
 /// seconds, without the owner's help; `expect class NAME runs LEAST`: ends that it has learned from.
 fn expect_class(w: &World, class: &str, it: &mut Words) -> Result<(), String> {
-    let leader = w.leader().and_then(|i| w.nodes[i].lead.as_ref()).ok_or("nobody leads")?;
+    let leader = w
+        .leader()
+        .and_then(|i| w.nodes[i].lead.as_ref())
+        .ok_or("nobody leads")?;
     let p = BTreeMap::from([("class", class)]);
     let mut spec = (*job(&JobId::new("req-0"), "array", &p).spec).clone();
     spec.estimate_s = 0.0;
@@ -754,7 +958,10 @@
         "p50" => {
             let (least, most) = (num(word(it)), num(word(it)));
             let p50 = found.distribution.quantile(0.5);
-            (least..=most).contains(&p50).then_some(()).ok_or(format!("p50 is {p50:.2} s"))
+            (least..=most)
+                .contains(&p50)
+                .then_some(())
+                .ok_or(format!("p50 is {p50:.2} s"))
         }
         _ => {
             let least = num(word(it)) as u32;
@@ -841,12 +1048,18 @@
         8 => format!("take of:req-{job:06}"),
         9 => format!("notice of:req-{job:06} 10"),
         10 => format!("lag {who} {}.{} for {span}", w.random(0, 3), w.random(1, 9)),
-        11 => format!("no_room {} for {span}", ["any", "m-000001", "m-000002"][w.random(0, 2) as usize]),
+        11 => format!(
+            "no_room {} for {span}",
+            ["any", "m-000001", "m-000002"][w.random(0, 2) as usize]
+        ),
         12 => format!("no_sockets {who} for {span}"),
         13 => format!("freeze {who} for {span}"),
         14 => format!("crash {who} back {back}"),
         15 => format!("crash all back {back}"),
-        16 => format!("boots {} for {span}", ["0.02", "3"][w.random(0, 1) as usize]),
+        16 => format!(
+            "boots {} for {span}",
+            ["0.02", "3"][w.random(0, 1) as usize]
+        ),
         17 => format!("duds {}", w.random(1, 3)),
         18 => format!("old_lists for {span}"),
         19 | 20 => format!("refuse {who} for {span}"),
@@ -866,10 +1079,17 @@
         43 => format!("hold_answers of:req-{job:06} for {}", w.random(1, 8)),
         44 => format!("lost_renewals {share} for {span}"),
         45..=47 => format!("late_commands {share} for {}", span * 2),
-        29 => format!("slow_state {}.{} for {span}", w.random(0, 2), w.random(1, 9)),
+        29 => format!(
+            "slow_state {}.{} for {span}",
+            w.random(0, 2),
+            w.random(1, 9)
+        ),
         25 => format!("lost_answers {share} for {span}"),
         26 => format!("late_reports {share} for {}", span * 3),
-        27 => format!("deaf {} for {span}", ["any", "m-000001", "m-000002"][w.random(0, 2) as usize]),
+        27 => format!(
+            "deaf {} for {span}",
+            ["any", "m-000001", "m-000002"][w.random(0, 2) as usize]
+        ),
         _ => format!("deaf of:req-{job:06} for {span}"),
     }
 }
--- a/crates/hopyoke-simulator/src/store.rs
+++ b/crates/hopyoke-simulator/src/store.rs
@@ -49,10 +49,17 @@
 
 impl Store {
     /// Applies the changes if every condition holds; else says which did not.
-    pub fn txn(&mut self, when: &[(String, u64)], apply: Vec<Mutation>) -> Result<u64, Vec<String>> {
+    pub fn txn(
+        &mut self,
+        when: &[(String, u64)],
+        apply: Vec<Mutation>,
+    ) -> Result<u64, Vec<String>> {
         let mod_revision = |key: &String| self.keys.get(key).map_or(0, |e| e.mod_revision);
-        let failed: Vec<String> =
-            when.iter().filter(|(k, m)| mod_revision(k) != *m).map(|(k, _)| k.clone()).collect();
+        let failed: Vec<String> = when
+            .iter()
+            .filter(|(k, m)| mod_revision(k) != *m)
+            .map(|(k, _)| k.clone())
+            .collect();
         if !failed.is_empty() {
             return Err(failed);
         }
@@ -77,10 +84,20 @@
                     }
                     if let Value::Learned(page) = &value {
                         let size = serde_json::to_vec(page).map_or(0, |v| v.len());
-                        assert!(size <= 8192, "a page of learned run times of {size} bytes was written");
+                        assert!(
+                            size <= 8192,
+                            "a page of learned run times of {size} bytes was written"
+                        );
                     }
                     self.log.push((mod_revision, key.clone(), false));
-                    self.keys.insert(key, Entry { value, mod_revision, lease });
+                    self.keys.insert(
+                        key,
+                        Entry {
+                            value,
+                            mod_revision,
+                            lease,
+                        },
+                    );
                 }
                 Mutation::Delete(key) => {
                     if self.keys.remove(&key).is_some() {
@@ -105,8 +122,12 @@
 
     pub fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
-        let keys: Vec<String> =
-            self.keys.iter().filter(|(_, e)| e.lease == Some(lease)).map(|(k, _)| k.clone()).collect();
+        let keys: Vec<String> = self
+            .keys
+            .iter()
+            .filter(|(_, e)| e.lease == Some(lease))
+            .map(|(k, _)| k.clone())
+            .collect();
         if !keys.is_empty() {
             let _ = self.txn(&[], keys.into_iter().map(Mutation::Delete).collect());
         }
@@ -160,7 +181,11 @@
     }
 
     /// A transaction that the service does not refuse; `None`: it has no answer.
-    pub fn transact(&mut self, when: &[(String, u64)], apply: Vec<Mutation>) -> Option<Result<u64, Vec<String>>> {
+    pub fn transact(
+        &mut self,
+        when: &[(String, u64)],
+        apply: Vec<Mutation>,
+    ) -> Option<Result<u64, Vec<String>>> {
         self.digest_transaction(when, &apply);
         match self.fate() {
             Fate::Usual => {
@@ -182,7 +207,12 @@
 
     /// The service refuses this node now, or everybody.
     pub fn state_refuses(&self, node: usize) -> bool {
-        self.state_down() || self.store.refused.get(&node).is_some_and(|until| self.now < *until)
+        self.state_down()
+            || self
+                .store
+                .refused
+                .get(&node)
+                .is_some_and(|until| self.now < *until)
     }
 
     pub fn state_down(&self) -> bool {
@@ -193,7 +223,13 @@
     pub fn expire_leases(&mut self) {
         if !self.state_down() {
             let now = self.now;
-            let over: Vec<u64> = self.store.leases.iter().filter(|(_, t)| **t <= now).map(|(id, _)| *id).collect();
+            let over: Vec<u64> = self
+                .store
+                .leases
+                .iter()
+                .filter(|(_, t)| **t <= now)
+                .map(|(id, _)| *id)
+                .collect();
             for id in over {
                 self.store.end_lease(id);
             }
--- a/crates/hopyoke-simulator/src/told.rs
+++ b/crates/hopyoke-simulator/src/told.rs
@@ -17,7 +17,10 @@
 impl World {
     pub(crate) fn known(&self, id: &JobId) -> Known {
         let job = self.jobs.get(id);
-        Known { accepted: job.is_some_and(|j| j.accepted.is_some()), over: job.and_then(|j| j.told) }
+        Known {
+            accepted: job.is_some_and(|j| j.accepted.is_some()),
+            over: job.and_then(|j| j.told),
+        }
     }
 
     /// A user receives an answer to a request that began when so much was known.
@@ -41,7 +44,9 @@
         if let Some((rule, why)) = self.fault_in(id, what, known, answer) {
             self.broke(rule, format!("{id}: {why}"));
         }
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         let end = match answer {
             Answer::Finished(end) => Some(end),
             Answer::Unfinished => None,
@@ -66,29 +71,46 @@
     }
 
     /// The rule that an answer breaks, and why.
-    fn fault_in(&self, id: &JobId, what: Request, known: Known, answer: Answer) -> Option<(&'static str, String)> {
+    fn fault_in(
+        &self,
+        id: &JobId,
+        what: Request,
+        known: Known,
+        answer: Answer,
+    ) -> Option<(&'static str, String)> {
         let Some(job) = self.jobs.get(id) else {
             let ok = matches!(answer, Answer::Unfinished | Answer::Finished(_));
-            return ok.then(|| ("invented", format!("nobody submitted it, and a {what:?} gets {answer:?}")));
+            return ok.then(|| {
+                (
+                    "invented",
+                    format!("nobody submitted it, and a {what:?} gets {answer:?}"),
+                )
+            });
         };
         match answer {
-            Answer::Missing | Answer::Malformed | Answer::NeverRuns if known.accepted => {
-                Some(("forgotten", format!("accepted, and a {what:?} gets {answer:?}")))
-            }
+            Answer::Missing | Answer::Malformed | Answer::NeverRuns if known.accepted => Some((
+                "forgotten",
+                format!("accepted, and a {what:?} gets {answer:?}"),
+            )),
             Answer::Unfinished | Answer::Finished(_) if job.body.is_some() => {
                 Some(("accepted_odd", format!("a {what:?} gets {answer:?}")))
             }
             Answer::Unfinished => {
                 let over = known.over?;
-                Some(("went_back", format!("was called {over:?}, and a {what:?} gets {answer:?}")))
+                Some((
+                    "went_back",
+                    format!("was called {over:?}, and a {what:?} gets {answer:?}"),
+                ))
             }
             // Final states exclude each other in whatever order their answers come.
-            Answer::Finished(end) if job.told.is_some_and(|t| t != end) => {
-                Some(("went_back", format!("was called {:?}, and a {what:?} gets {end:?}", job.told)))
-            }
-            Answer::Finished(JobState::Cancelled) if !job.asked_cancel && !job.flow => {
-                Some(("went_back", "its user did not cancel it, and it is called cancelled".to_owned()))
-            }
+            Answer::Finished(end) if job.told.is_some_and(|t| t != end) => Some((
+                "went_back",
+                format!("was called {:?}, and a {what:?} gets {end:?}", job.told),
+            )),
+            Answer::Finished(JobState::Cancelled) if !job.asked_cancel && !job.flow => Some((
+                "went_back",
+                "its user did not cancel it, and it is called cancelled".to_owned(),
+            )),
             Answer::Finished(JobState::Done) if !job.done.iter().all(|d| *d) => {
                 Some(("not_done", format!("a {what:?} gets {answer:?}")))
             }
--- a/crates/hopyoke-simulator/src/users.rs
+++ b/crates/hopyoke-simulator/src/users.rs
@@ -37,9 +37,19 @@
 
 impl World {
     /// A user sends a request to a node; `then` sees the answer, if one comes in time.
-    pub fn ask(&mut self, i: usize, id: &JobId, what: Request, then: impl FnOnce(&mut World, Answer) + 'static) {
+    pub fn ask(
+        &mut self,
+        i: usize,
+        id: &JobId,
+        what: Request,
+        then: impl FnOnce(&mut World, Answer) + 'static,
+    ) {
         let (known, sent, id) = (self.known(id), self.now, id.clone());
-        let limit = if what == Request::Poll { POLL_LIMIT } else { LIMIT };
+        let limit = if what == Request::Poll {
+            POLL_LIMIT
+        } else {
+            LIMIT
+        };
         let way = Micros(self.random(200, 2_000)) + self.lag(super::Host::Node(i));
         self.timer(i, way, move |w| {
             if !w.nodes[i].up {
@@ -78,7 +88,13 @@
     /// A user submits a job and repeats that until it is accepted or refused.
     pub fn submit(&mut self, id: JobId) {
         let now = self.now;
-        let Some(job) = self.jobs.get_mut(&id).filter(|j| j.accepted.is_none() && !j.refused) else { return };
+        let Some(job) = self
+            .jobs
+            .get_mut(&id)
+            .filter(|j| j.accepted.is_none() && !j.refused)
+        else {
+            return;
+        };
         let first = *job.first_try.get_or_insert(now);
         if self.patience.is_some_and(|p| now >= first + p) {
             return;
@@ -86,7 +102,11 @@
         let i = self.some_node();
         let job = id.clone();
         // Users come back after a second or so, or when they are told to.
-        let pause = if self.limits.is_some() { self.random(1_000_000, 2_000_000) } else { 1_500_000 };
+        let pause = if self.limits.is_some() {
+            self.random(1_000_000, 2_000_000)
+        } else {
+            1_500_000
+        };
         let soon = self.now + Micros(pause);
         self.ask(i, &id, Request::Submit, move |w, answer| {
             if matches!(answer, Answer::Malformed | Answer::NeverRuns)
@@ -100,7 +120,9 @@
 
     /// A user cancels a job and repeats that until it is told what the job finally is.
     pub fn cancel(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get_mut(&id).filter(|j| j.told.is_none()) else { return };
+        let Some(job) = self.jobs.get_mut(&id).filter(|j| j.told.is_none()) else {
+            return;
+        };
         job.asked_cancel = true;
         let i = self.some_node();
         self.ask(i, &id, Request::Cancel, |_, _| {});
@@ -109,8 +131,14 @@
 
     /// A user asks about a job, every few seconds until it is over, and now and then later on.
     pub fn poll(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        let pause = if job.told.is_some() { self.random(15_000_000, 40_000_000) } else { 5_000_000 };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
+        let pause = if job.told.is_some() {
+            self.random(15_000_000, 40_000_000)
+        } else {
+            5_000_000
+        };
         let i = self.some_node();
         self.ask(i, &id, Request::Poll, |_, _| {});
         self.after(Micros(pause), move |w| w.poll(id));
@@ -138,8 +166,14 @@
     pub(crate) fn ends_in(&mut self, task: &TaskId, left: Micros) {
         let task = task.clone();
         self.after(left.max(BEFORE_END) - BEFORE_END, move |w| {
-            let open = w.jobs.get(&task.job).map_or(0, |j| j.done.iter().filter(|d| !**d).count());
-            let gang = w.jobs.get(&task.job).is_some_and(|j| j.spec.kind == JobKind::Gang);
+            let open = w
+                .jobs
+                .get(&task.job)
+                .map_or(0, |j| j.done.iter().filter(|d| !**d).count());
+            let gang = w
+                .jobs
+                .get(&task.job)
+                .is_some_and(|j| j.spec.kind == JobKind::Gang);
             if gang || open == 1 {
                 w.at_end(&task.job);
             }
@@ -150,9 +184,17 @@
     /// when its end is being recorded.
     pub(crate) fn at_end(&mut self, id: &JobId) {
         let Spell { percent, until } = self.habits.cancel_at_end;
-        let drawn =
-            self.now < until && self.jobs.get(id).is_some_and(|j| j.accepted.is_some() && j.told.is_none());
-        if !drawn || self.jobs.get_mut(id).is_none_or(|j| std::mem::replace(&mut j.end_drawn, true)) {
+        let drawn = self.now < until
+            && self
+                .jobs
+                .get(id)
+                .is_some_and(|j| j.accepted.is_some() && j.told.is_none());
+        if !drawn
+            || self
+                .jobs
+                .get_mut(id)
+                .is_none_or(|j| std::mem::replace(&mut j.end_drawn, true))
+        {
             return;
         }
         if self.random(0, 99) >= percent {
@@ -174,20 +216,35 @@
         let now = self.now;
         let mut running: BTreeMap<JobId, Vec<MachineId>> = BTreeMap::new();
         for m in self.machines.values() {
-            for ((task, _), t) in m.tasks.iter().filter(|(_, t)| t.state == TaskState::Running) {
-                let Some(job) = self.jobs.get(&task.job) else { continue };
-                let long = job.spec.kind == JobKind::Service || job.run > job.saved + (now - t.started) + LONG;
+            for ((task, _), t) in m
+                .tasks
+                .iter()
+                .filter(|(_, t)| t.state == TaskState::Running)
+            {
+                let Some(job) = self.jobs.get(&task.job) else {
+                    continue;
+                };
+                let long = job.spec.kind == JobKind::Service
+                    || job.run > job.saved + (now - t.started) + LONG;
                 if long && job.told.is_none() && !job.asked_cancel {
-                    running.entry(task.job.clone()).or_default().push(m.id.clone());
+                    running
+                        .entry(task.job.clone())
+                        .or_default()
+                        .push(m.id.clone());
                 }
             }
         }
         let mut hung = 0;
         for _ in 0..most.min(running.len()) {
             let at = self.random(0, running.len() as u64 - 1) as usize;
-            let Some(id) = running.keys().nth(at).cloned() else { return };
+            let Some(id) = running.keys().nth(at).cloned() else {
+                return;
+            };
             for m in running.remove(&id).unwrap_or_default() {
-                if let Some(m) = self.machines.get_mut(&m).filter(|m| hang.0 > 0 && m.hung_until < now + hang)
+                if let Some(m) = self
+                    .machines
+                    .get_mut(&m)
+                    .filter(|m| hang.0 > 0 && m.hung_until < now + hang)
                     && hung < MOST_HANGS
                 {
                     m.hung_until = now + hang;
@@ -229,7 +286,12 @@
     }
 
     fn some_job(&mut self, which: impl Fn(&Truth) -> bool) -> Option<JobId> {
-        let found: Vec<JobId> = self.jobs.iter().filter(|(_, j)| which(j)).map(|(id, _)| id.clone()).collect();
+        let found: Vec<JobId> = self
+            .jobs
+            .iter()
+            .filter(|(_, j)| which(j))
+            .map(|(id, _)| id.clone())
+            .collect();
         let at = self.random(0, found.len().max(1) as u64 - 1) as usize;
         found.get(at).cloned()
     }
@@ -238,7 +300,13 @@
     fn submit_odd(&mut self) {
         self.habits.odd += 1;
         let id = JobId::new(&format!("req-{}", 900_000 + self.habits.odd));
-        let team = self.cfg.teams.iter().find(|t| t.gpus_max > 0.0).cloned().unwrap_or_default();
+        let team = self
+            .cfg
+            .teams
+            .iter()
+            .find(|t| t.gpus_max > 0.0)
+            .cloned()
+            .unwrap_or_default();
         let mut spec = JobSpec::plain(id.clone(), "c", &team.name, "img-1");
         let mut lacks = None;
         match self.random(0, 9) {
@@ -246,21 +314,34 @@
             1 => spec.types = Some(vec!["none".to_owned()]),
             2 => spec.zone = Some("nowhere".to_owned()),
             3 => spec.team = "nobody".to_owned(),
-            4 => (spec.kind, spec.tasks, spec.gpus) = (JobKind::Gang, team.gpus_max as u32 + 1, 1.0),
-            5 => (spec.kind, spec.tasks, spec.spread, spec.one_zone) = (JobKind::Gang, 2, true, true),
+            4 => {
+                (spec.kind, spec.tasks, spec.gpus) = (JobKind::Gang, team.gpus_max as u32 + 1, 1.0)
+            }
+            5 => {
+                (spec.kind, spec.tasks, spec.spread, spec.one_zone) = (JobKind::Gang, 2, true, true)
+            }
             6 => {
-                (spec.kind, spec.tasks, spec.spread, spec.zone) = (JobKind::Service, 2, true, Some("a".to_owned()))
+                (spec.kind, spec.tasks, spec.spread, spec.zone) =
+                    (JobKind::Service, 2, true, Some("a".to_owned()))
             }
             7 => spec.tasks = 0,
             8 => spec.memory_gb = f64::NAN,
-            _ => lacks = Some(["crew", "oars", "cpus", "cargo", "apart"][self.random(0, 4) as usize]),
+            _ => {
+                lacks = Some(["crew", "oars", "cpus", "cargo", "apart"][self.random(0, 4) as usize])
+            }
         }
         let mut body = encode(&spec);
-        if let (Some(field), Ok(mut map)) = (lacks, decode::<BTreeMap<String, serde_json::Value>>(&body)) {
+        if let (Some(field), Ok(mut map)) =
+            (lacks, decode::<BTreeMap<String, serde_json::Value>>(&body))
+        {
             map.remove(field);
             body = encode(&map);
         }
-        let truth = Truth { spec: Rc::new(spec), body: Some(body), ..Truth::new(id.clone()) };
+        let truth = Truth {
+            spec: Rc::new(spec),
+            body: Some(body),
+            ..Truth::new(id.clone())
+        };
         self.jobs.insert(id.clone(), truth);
         self.submit(id);
     }
--- a/crates/hopyoke-simulator/src/worker.rs
+++ b/crates/hopyoke-simulator/src/worker.rs
@@ -54,7 +54,14 @@
 }
 
 impl Worker {
-    pub fn new(id: MachineId, kind: &str, zone: &str, spot: bool, drift: f64, now: Micros) -> Worker {
+    pub fn new(
+        id: MachineId,
+        kind: &str,
+        zone: &str,
+        spot: bool,
+        drift: f64,
+        now: Micros,
+    ) -> Worker {
         Worker {
             id,
             kind: kind.to_owned(),
@@ -99,7 +106,10 @@
             .collect();
         Heartbeat {
             machine: self.id.clone(),
-            address: format!("10.1.0.1:{}", 1000 + self.id.as_str()[2..].parse::<u32>().unwrap_or(0)),
+            address: format!(
+                "10.1.0.1:{}",
+                1000 + self.id.as_str()[2..].parse::<u32>().unwrap_or(0)
+            ),
             machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
@@ -127,7 +137,9 @@
         let nodes = self.nodes.len() as u64;
         let node = self.random(0, nodes - 1) as usize;
         let now = self.now;
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         m.up = true;
         m.lease_from = now;
         m.node = node;
@@ -155,7 +167,9 @@
     fn lease_check(&mut self, id: &MachineId) {
         let lease = self.cfg.lease;
         let now = self.now;
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         let limit = Micros((lease.0 as f64 * (1.0 + m.drift)) as u64);
         if now > m.lease_from + limit {
             m.epoch += 1;
@@ -175,11 +189,19 @@
     }
 
     pub fn hung(&self, id: &MachineId) -> Option<Micros> {
-        self.machines.get(id).map(|m| m.hung_until).filter(|t| *t > self.now)
+        self.machines
+            .get(id)
+            .map(|m| m.hung_until)
+            .filter(|t| *t > self.now)
     }
 
     /// Something happens on a machine after `span`; on one that hangs by then, when it goes on.
-    pub(crate) fn on_machine(&mut self, id: &MachineId, span: Micros, step: impl FnOnce(&mut World) + 'static) {
+    pub(crate) fn on_machine(
+        &mut self,
+        id: &MachineId,
+        span: Micros,
+        step: impl FnOnce(&mut World) + 'static,
+    ) {
         let id = id.clone();
         self.after(span, move |w| match w.hung(&id) {
             Some(t) => w.on_machine(&id, t - w.now, step),
@@ -190,7 +212,9 @@
     /// Reports soon, because something has changed.
     pub fn heartbeat_soon(&mut self, id: &MachineId) {
         let now = self.now;
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         if std::mem::replace(&mut m.wanted, true) {
             return;
         }
@@ -210,7 +234,9 @@
             return self.at(t, move |w| w.worker_turn(&m));
         }
         let now = self.now;
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         if !m.up || m.in_flight.is_some() {
             return;
         }
@@ -230,7 +256,9 @@
         let epoch = m_session(self, id);
         if self.machines.get(id).is_some_and(|m| now < m.mute_until) {
             // It opens no connection.
-            return self.after(Micros::from_secs(4), move |w| w.heartbeat_answered(&me, epoch, number, now, None));
+            return self.after(Micros::from_secs(4), move |w| {
+                w.heartbeat_answered(&me, epoch, number, now, None)
+            });
         }
         if self.hits(self.late_reports) {
             // A copy arrives again, up to well over a lease later.
@@ -238,7 +266,9 @@
             let span = Micros(self.random(2_000_000, self.cfg.lease.0 * 8 / 5));
             self.after(span, move |w| {
                 let from = w.worker(&copy.machine);
-                w.send(from, Host::Node(node), move |w| w.node_heartbeat(node, copy, number, true));
+                w.send(from, Host::Node(node), move |w| {
+                    w.node_heartbeat(node, copy, number, true)
+                });
             });
         }
         if self.hits(self.reports_for_next.copied) {
@@ -263,7 +293,9 @@
                 let (heartbeat, sequence) = (heartbeat.clone(), heartbeat.sequence);
                 self.after(self.reports_for_next.after, move |w| {
                     let from = w.worker(&heartbeat.machine);
-                    w.send(from, Host::Node(node), move |w| w.node_heartbeat(node, heartbeat, sequence, true));
+                    w.send(from, Host::Node(node), move |w| {
+                        w.node_heartbeat(node, heartbeat, sequence, true)
+                    });
                 });
             }
         }
@@ -280,17 +312,23 @@
     ) {
         if let Some(t) = self.hung(id) {
             let id = id.clone();
-            return self.at(t, move |w| w.heartbeat_answered(&id, epoch, number, sent, answer));
+            return self.at(t, move |w| {
+                w.heartbeat_answered(&id, epoch, number, sent, answer)
+            });
         }
         let nodes = self.nodes.len();
         let now = self.now;
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         if now < m.deaf_until && answer.is_some() {
             return;
         }
         if now < m.answers_held_until && answer.is_some() {
             let (id, until) = (id.clone(), m.answers_held_until);
-            return self.at(until, move |w| w.heartbeat_answered(&id, epoch, number, sent, answer));
+            return self.at(until, move |w| {
+                w.heartbeat_answered(&id, epoch, number, sent, answer)
+            });
         }
         if m.in_flight != Some(number) || m.epoch != epoch {
             return;
@@ -302,7 +340,9 @@
         match answer {
             Some(Ok((token, commands))) => {
                 self.digest_heartbeat_response(token, &commands);
-                let Some(m) = self.machines.get_mut(id) else { return };
+                let Some(m) = self.machines.get_mut(id) else {
+                    return;
+                };
                 if token >= m.token {
                     let higher = token > m.token;
                     m.token = token;
@@ -351,10 +391,16 @@
             self.log(|| format!("{id} {command:?}"));
             match command {
                 Command::Start { task, attempt } => self.start(id, &task, attempt),
-                Command::Stop { task, attempt, grace_s } => self.stop(id, &task, attempt, grace_s),
+                Command::Stop {
+                    task,
+                    attempt,
+                    grace_s,
+                } => self.stop(id, &task, attempt, grace_s),
                 Command::Acknowledge { task, attempt } => {
                     if let (Some(t), Some(m)) = (TaskId::parse(&task), self.machines.get_mut(id))
-                        && m.tasks.get(&(t.clone(), attempt)).is_some_and(|x| x.state == TaskState::Ended)
+                        && m.tasks
+                            .get(&(t.clone(), attempt))
+                            .is_some_and(|x| x.state == TaskState::Ended)
                     {
                         m.tasks.remove(&(t, attempt));
                     }
@@ -365,14 +411,24 @@
 
     fn start(&mut self, id: &MachineId, task: &str, attempt: Attempt) {
         let now = self.now;
-        let Some(task) = TaskId::parse(task) else { return };
+        let Some(task) = TaskId::parse(task) else {
+            return;
+        };
         let spec = self.jobs.get(&task.job).map(|j| j.spec.clone());
         let types = self.types.clone();
-        let Some(m) = self.machines.get(id) else { return };
-        let here = m.tasks.keys().filter_map(|(t, _)| Some((t.job.clone(), &self.jobs.get(&t.job)?.spec)));
-        let jobs: BTreeMap<JobId, (f64, f64, f64)> =
-            here.map(|(k, s)| (k, (s.cpus, s.gpus, s.memory_gb))).collect();
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.get(id) else {
+            return;
+        };
+        let here = m
+            .tasks
+            .keys()
+            .filter_map(|(t, _)| Some((t.job.clone(), &self.jobs.get(&t.job)?.spec)));
+        let jobs: BTreeMap<JobId, (f64, f64, f64)> = here
+            .map(|(k, s)| (k, (s.cpus, s.gpus, s.memory_gb)))
+            .collect();
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
         let key = (task.clone(), attempt);
         if m.tasks.contains_key(&key) {
             return;
@@ -398,12 +454,30 @@
             }
             _ => None,
         };
-        let state = if why.is_some() { TaskState::Ended } else { TaskState::Fetching };
-        m.tasks.insert(key, Task { state, why, saved: false, started: now });
-        let (Some(spec), None) = (spec, why) else { return self.heartbeat_soon(id) };
+        let state = if why.is_some() {
+            TaskState::Ended
+        } else {
+            TaskState::Fetching
+        };
+        m.tasks.insert(
+            key,
+            Task {
+                state,
+                why,
+                saved: false,
+                started: now,
+            },
+        );
+        let (Some(spec), None) = (spec, why) else {
+            return self.heartbeat_soon(id);
+        };
         let cached = m.images.contains(&spec.image);
         let rate = kind.map_or(1.0, |k| k.fetch_gb_per_s);
-        let fetch = if cached { Micros::from_millis(1) } else { Micros::from_secs_f64(spec.image_gb / rate) };
+        let fetch = if cached {
+            Micros::from_millis(1)
+        } else {
+            Micros::from_secs_f64(spec.image_gb / rate)
+        };
         let epoch = m.epoch;
         let me = id.clone();
         self.heartbeat_soon(id);
@@ -420,10 +494,15 @@
 
     fn fetched(&mut self, id: &MachineId, epoch: u64, task: TaskId, attempt: Attempt) {
         let key = (task.clone(), attempt);
-        if self.live(id, epoch, &key).is_none_or(|t| t.state != TaskState::Fetching) {
+        if self
+            .live(id, epoch, &key)
+            .is_none_or(|t| t.state != TaskState::Fetching)
+        {
             return;
         }
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         job.starts += 1;
         job.began.get_or_insert(self.now);
         let (spec, done, fails) = (job.spec.clone(), job.done[task.index as usize], job.fails);
@@ -447,7 +526,9 @@
             let wait = self.cfg.gang_wait;
             let (me, k) = (id.clone(), key.clone());
             self.on_machine(id, wait, move |w| {
-                if w.live(&me, epoch, &k).is_some_and(|t| t.state == TaskState::Waiting) {
+                if w.live(&me, epoch, &k)
+                    .is_some_and(|t| t.state == TaskState::Waiting)
+                {
                     w.exit(&me, &k, ExitReason::Incomplete, false);
                 }
             });
@@ -464,16 +545,29 @@
             t.started = now;
         }
         self.heartbeat_soon(id);
-        let Some(job) = self.jobs.get(&key.0.job) else { return };
+        let Some(job) = self.jobs.get(&key.0.job) else {
+            return;
+        };
         if job.spec.kind == JobKind::Service {
             return;
         }
         let left = job.run - job.saved;
         let gang = job.spec.kind == JobKind::Gang;
         // A gang runs at its slowest.
-        let on = if gang { self.members(&key.0.job, key.1) } else { vec![(id.clone(), key.0.clone())] };
-        let slowest = on.iter().filter_map(|(m, _)| Some(self.machines.get(m)?.slowness)).fold(1.0, f64::max);
-        let slowest = if gang { slowest } else { self.machines.get(id).map_or(1.0, |m| m.slowness) };
+        let on = if gang {
+            self.members(&key.0.job, key.1)
+        } else {
+            vec![(id.clone(), key.0.clone())]
+        };
+        let slowest = on
+            .iter()
+            .filter_map(|(m, _)| Some(self.machines.get(m)?.slowness))
+            .fold(1.0, f64::max);
+        let slowest = if gang {
+            slowest
+        } else {
+            self.machines.get(id).map_or(1.0, |m| m.slowness)
+        };
         let left = Micros((left.0 as f64 * slowest) as u64);
         let (me, k) = (id.clone(), key.clone());
         self.ends_in(&key.0, left);
@@ -481,13 +575,26 @@
     }
 
     fn complete(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
-        if self.live(id, epoch, key).is_none_or(|t| t.state != TaskState::Running) {
+        if self
+            .live(id, epoch, key)
+            .is_none_or(|t| t.state != TaskState::Running)
+        {
             return;
         }
-        let gang = self.jobs.get(&key.0.job).is_some_and(|j| j.spec.kind == JobKind::Gang);
-        let members = if gang { self.members(&key.0.job, key.1) } else { vec![(id.clone(), key.0.clone())] };
+        let gang = self
+            .jobs
+            .get(&key.0.job)
+            .is_some_and(|j| j.spec.kind == JobKind::Gang);
+        let members = if gang {
+            self.members(&key.0.job, key.1)
+        } else {
+            vec![(id.clone(), key.0.clone())]
+        };
         // A gang that lost a task, or of which a machine hangs, makes no progress.
-        let whole = self.jobs.get(&key.0.job).is_some_and(|j| members.len() == j.spec.tasks as usize);
+        let whole = self
+            .jobs
+            .get(&key.0.job)
+            .is_some_and(|j| members.len() == j.spec.tasks as usize);
         if gang && (!whole || members.iter().any(|(m, _)| self.hung(m).is_some())) {
             return;
         }
@@ -500,7 +607,11 @@
             }
             self.exit(&m, &(task, key.1), ExitReason::Done, false);
         }
-        if self.jobs.get(&key.0.job).is_some_and(|j| j.done_at.is_some()) {
+        if self
+            .jobs
+            .get(&key.0.job)
+            .is_some_and(|j| j.done_at.is_some())
+        {
             self.at_end(&key.0.job);
         }
     }
@@ -519,11 +630,15 @@
 
     fn gang_ready(&mut self, job: &JobId, attempt: Attempt) {
         let members = self.members(job, attempt);
-        let Some(truth) = self.jobs.get(job) else { return };
+        let Some(truth) = self.jobs.get(job) else {
+            return;
+        };
         let waiting = |w: &World, m: &MachineId, t: &TaskId| {
             w.machines[m].tasks[&(t.clone(), attempt)].state == TaskState::Waiting
         };
-        if members.len() == truth.spec.tasks as usize && members.iter().all(|(m, t)| waiting(self, m, t)) {
+        if members.len() == truth.spec.tasks as usize
+            && members.iter().all(|(m, t)| waiting(self, m, t))
+        {
             for (m, t) in members {
                 let s = m_session(self, &m);
                 self.begin(&m, s, &(t, attempt));
@@ -534,7 +649,11 @@
     /// The other tasks of a running gang notice that one is gone.
     pub fn gang_lost(&mut self, job: &JobId, attempt: Attempt) {
         let peer = self.cfg.gang_peer;
-        if self.jobs.get(job).is_none_or(|j| j.spec.kind != JobKind::Gang) {
+        if self
+            .jobs
+            .get(job)
+            .is_none_or(|j| j.spec.kind != JobKind::Gang)
+        {
             return;
         }
         for (m, t) in self.members(job, attempt) {
@@ -553,13 +672,20 @@
     }
 
     fn stop(&mut self, id: &MachineId, task: &str, attempt: Attempt, grace_s: f64) {
-        let Some(task) = TaskId::parse(task) else { return };
+        let Some(task) = TaskId::parse(task) else {
+            return;
+        };
         let key = (task, attempt);
         let epoch = m_session(self, id);
-        let Some(job) = self.jobs.get(&key.0.job) else { return };
+        let Some(job) = self.jobs.get(&key.0.job) else {
+            return;
+        };
         let spec = job.spec.clone();
-        let Some(t) = self.live(id, epoch, &key) else { return };
-        let saves = t.state == TaskState::Running && spec.checkpoint_s > 0.0 && grace_s >= spec.save_s;
+        let Some(t) = self.live(id, epoch, &key) else {
+            return;
+        };
+        let saves =
+            t.state == TaskState::Running && spec.checkpoint_s > 0.0 && grace_s >= spec.save_s;
         if t.state == TaskState::Saving && grace_s > 0.0 {
             return;
         }
@@ -571,7 +697,9 @@
         let me = id.clone();
         self.heartbeat_soon(id);
         self.on_machine(id, Micros::from_secs_f64(spec.save_s), move |w| {
-            if w.live(&me, epoch, &key).is_none_or(|t| t.state != TaskState::Saving) {
+            if w.live(&me, epoch, &key)
+                .is_none_or(|t| t.state != TaskState::Saving)
+            {
                 return;
             }
             let whole = w.members(&key.0.job, key.1).len() as u32 == spec.tasks;
--- a/crates/hopyoke-types/src/ids.rs
+++ b/crates/hopyoke-types/src/ids.rs
@@ -54,7 +54,8 @@
     /// Checks the form that every job id has: `req-` and up to 20 digits.
     pub fn parse(s: &str) -> Option<JobId> {
         let digits = s.strip_prefix("req-")?;
-        let ok = !digits.is_empty() && digits.len() <= 20 && digits.bytes().all(|b| b.is_ascii_digit());
+        let ok =
+            !digits.is_empty() && digits.len() <= 20 && digits.bytes().all(|b| b.is_ascii_digit());
         ok.then(|| JobId::new(s))
     }
 }
@@ -69,7 +70,10 @@
 impl TaskId {
     pub fn parse(s: &str) -> Option<TaskId> {
         let (job, index) = s.rsplit_once('/')?;
-        Some(TaskId { job: JobId::parse(job)?, index: index.parse().ok()? })
+        Some(TaskId {
+            job: JobId::parse(job)?,
+            index: index.parse().ok()?,
+        })
     }
 }
 
--- a/crates/hopyoke-types/src/time.rs
+++ b/crates/hopyoke-types/src/time.rs
@@ -22,7 +22,11 @@
 
     /// Rounds up; negative, NaN and absurdly large amounts are clamped.
     pub fn from_secs_f64(s: f64) -> Micros {
-        if s > 0.0 { Micros((s.min(1e9) * 1e6).ceil() as u64) } else { Micros(0) }
+        if s > 0.0 {
+            Micros((s.min(1e9) * 1e6).ceil() as u64)
+        } else {
+            Micros(0)
+        }
     }
 
     pub fn as_secs_f64(self) -> f64 {
--- a/crates/hopyoke-wes/src/access.rs
+++ b/crates/hopyoke-wes/src/access.rs
@@ -39,7 +39,10 @@
 
     /// A token's digest as the file has it.
     pub fn digest_text(token: &str) -> String {
-        Sha256::digest(token.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
+        Sha256::digest(token.as_bytes())
+            .iter()
+            .map(|b| format!("{b:02x}"))
+            .collect()
     }
 
     /// The client of an `Authorization` header.
@@ -47,7 +50,9 @@
     /// # Errors
     /// That there is no token, or that nobody has it.
     pub fn client(&self, authorization: Option<&str>) -> Result<&Client, Denied> {
-        let (scheme, token) = authorization.and_then(|a| a.split_once(' ')).ok_or(Denied::NoToken)?;
+        let (scheme, token) = authorization
+            .and_then(|a| a.split_once(' '))
+            .ok_or(Denied::NoToken)?;
         if !scheme.eq_ignore_ascii_case("bearer") || token.trim().is_empty() {
             return Err(Denied::NoToken);
         }
@@ -68,10 +73,31 @@
             teams: vec!["crew".into()],
         };
         let access = Access::new(&[client]);
-        assert_eq!(access.client(Some("Bearer secret")).map(|c| c.name.as_str()), Ok("ledger"));
-        assert_eq!(access.client(Some("bearer secret ")).map(|c| c.name.as_str()), Ok("ledger"));
-        assert_eq!(access.client(None).map(|c| c.name.as_str()), Err(Denied::NoToken));
-        assert_eq!(access.client(Some("Basic secret")).map(|c| c.name.as_str()), Err(Denied::NoToken));
-        assert_eq!(access.client(Some("Bearer Secret")).map(|c| c.name.as_str()), Err(Denied::Unknown));
+        assert_eq!(
+            access
+                .client(Some("Bearer secret"))
+                .map(|c| c.name.as_str()),
+            Ok("ledger")
+        );
+        assert_eq!(
+            access
+                .client(Some("bearer secret "))
+                .map(|c| c.name.as_str()),
+            Ok("ledger")
+        );
+        assert_eq!(
+            access.client(None).map(|c| c.name.as_str()),
+            Err(Denied::NoToken)
+        );
+        assert_eq!(
+            access.client(Some("Basic secret")).map(|c| c.name.as_str()),
+            Err(Denied::NoToken)
+        );
+        assert_eq!(
+            access
+                .client(Some("Bearer Secret"))
+                .map(|c| c.name.as_str()),
+            Err(Denied::Unknown)
+        );
     }
 }
--- a/crates/hopyoke-wes/src/calls.rs
+++ b/crates/hopyoke-wes/src/calls.rs
@@ -28,13 +28,20 @@
 
 impl Refused {
     pub fn new(status: u16, error: impl Into<String>) -> Refused {
-        Refused { status, error: error.into(), retry_after_s: (status == 503).then_some(1) }
+        Refused {
+            status,
+            error: error.into(),
+            retry_after_s: (status == 503).then_some(1),
+        }
     }
 }
 
 impl Controllers {
     pub fn new(addrs: Vec<SocketAddr>) -> Controllers {
-        Controllers { addrs, first: Cell::new(0) }
+        Controllers {
+            addrs,
+            first: Cell::new(0),
+        }
     }
 
     /// Asks one after the other until one decides, until `patience` has passed.
@@ -49,7 +56,14 @@
             for i in 0..self.addrs.len() {
                 let at = (self.first.get() + i) % self.addrs.len();
                 let addr = self.addrs[at];
-                match ask_flow(addr, FlowRequest { ask: Some(ask.clone()) }).await {
+                match ask_flow(
+                    addr,
+                    FlowRequest {
+                        ask: Some(ask.clone()),
+                    },
+                )
+                .await
+                {
                     Ok(a) if a.status < 400 => {
                         self.first.set(at);
                         return Ok(a);
@@ -57,7 +71,11 @@
                     Ok(a) => {
                         let status = u16::try_from(a.status).unwrap_or(500);
                         let retry_after_s = (a.retry_after_s > 0).then_some(a.retry_after_s);
-                        last = Refused { status, error: a.error, retry_after_s };
+                        last = Refused {
+                            status,
+                            error: a.error,
+                            retry_after_s,
+                        };
                         // Another may take runs, or reach the state service.
                         if !matches!(status, 501 | 503) {
                             return Err(last);
--- a/crates/hopyoke-wes/src/client.rs
+++ b/crates/hopyoke-wes/src/client.rs
@@ -25,9 +25,15 @@
     /// # Errors
     /// What is wrong with it.
     pub fn new(url: &str, token: &str, patience: Micros) -> Result<Client, String> {
-        let rest = url.strip_prefix("http://").ok_or_else(|| format!("{url}: must begin with http://"))?;
+        let rest = url
+            .strip_prefix("http://")
+            .ok_or_else(|| format!("{url}: must begin with http://"))?;
         let (host, path) = rest.split_once('/').unwrap_or((rest, ""));
-        let with_port = if host.contains(':') { host.to_owned() } else { format!("{host}:80") };
+        let with_port = if host.contains(':') {
+            host.to_owned()
+        } else {
+            format!("{host}:80")
+        };
         let addr: SocketAddr = with_port
             .to_socket_addrs()
             .map_err(|e| format!("{host}: {e}"))?
@@ -37,8 +43,17 @@
             return Err("the token holds control characters".into());
         }
         let path = format!("/{}", path.trim_matches('/'));
-        let base = if path.ends_with(BASE) { path } else { format!("{}{BASE}", path.trim_end_matches('/')) };
-        Ok(Client { http: Http::new(addr), base, headers: format!("Authorization: Bearer {token}\r\n"), patience })
+        let base = if path.ends_with(BASE) {
+            path
+        } else {
+            format!("{}{BASE}", path.trim_end_matches('/'))
+        };
+        Ok(Client {
+            http: Http::new(addr),
+            base,
+            headers: format!("Authorization: Bearer {token}\r\n"),
+            patience,
+        })
     }
 
     /// Sends a request; what can be asked again is.
@@ -52,12 +67,20 @@
         let mut pause = Micros::from_millis(300);
         loop {
             let path = format!("{}{path}", self.base);
-            let (why, wait) = match self.http.send_as(method, &path, body, &self.headers, LIMIT).await {
+            let (why, wait) = match self
+                .http
+                .send_as(method, &path, body, &self.headers, LIMIT)
+                .await
+            {
                 Ok(r) if r.status < 300 => {
-                    return serde_json::from_slice(&r.body).map_err(|e| format!("unreadable answer: {e}"));
+                    return serde_json::from_slice(&r.body)
+                        .map_err(|e| format!("unreadable answer: {e}"));
                 }
                 Ok(r) if !matches!(r.status, 429 | 503) => return Err(said(&r)),
-                Ok(r) => (said(&r), Micros::from_secs(u64::from(r.retry_after_s.unwrap_or(0).min(30)))),
+                Ok(r) => (
+                    said(&r),
+                    Micros::from_secs(u64::from(r.retry_after_s.unwrap_or(0).min(30))),
+                ),
                 Err(e) => (e.to_string(), Micros::ZERO),
             };
             let wait = wait.max(Micros(pause.0 / 2 + rand::random_range(0..=pause.0 / 2)));
@@ -70,7 +93,8 @@
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, String> {
-        self.call(Method::Get, path, ("application/json", &[])).await
+        self.call(Method::Get, path, ("application/json", &[]))
+            .await
     }
 
     /// Submits a run. The form should hold a `key`, so that asking again starts no second one.
@@ -79,7 +103,9 @@
     /// What the service said.
     pub async fn submit(&self, form: &Form) -> Result<String, String> {
         let (content_type, body) = upload::write(form);
-        let answer: RunIdAnswer = self.call(Method::Post, "/runs", (&content_type, &body)).await?;
+        let answer: RunIdAnswer = self
+            .call(Method::Post, "/runs", (&content_type, &body))
+            .await?;
         Ok(answer.run_id)
     }
 
@@ -107,7 +133,9 @@
     /// What the service said.
     pub async fn change(&self, run: &str, verb: &str) -> Result<String, String> {
         let path = format!("/runs/{run}/{verb}");
-        let answer: RunIdAnswer = self.call(Method::Post, &path, ("application/json", b"{}")).await?;
+        let answer: RunIdAnswer = self
+            .call(Method::Post, &path, ("application/json", b"{}"))
+            .await?;
         Ok(answer.run_id)
     }
 }
--- a/crates/hopyoke-wes/src/compile.rs
+++ b/crates/hopyoke-wes/src/compile.rs
@@ -42,7 +42,11 @@
 
 impl From<Compiled> for Ready {
     fn from(c: Compiled) -> Ready {
-        Ready { plan: serde_json::to_vec(&c.plan).unwrap_or_default(), team: c.team, tasks: c.tasks }
+        Ready {
+            plan: serde_json::to_vec(&c.plan).unwrap_or_default(),
+            team: c.team,
+            tasks: c.tasks,
+        }
     }
 }
 
@@ -52,7 +56,9 @@
 /// Every fault.
 pub fn compile(source: &dyn Source, work: &Work) -> Result<Compiled, Faults> {
     let (process, mut faults) = open(source, &work.document)?;
-    let Some(inputs) = yaml::parse_as("inputs", &work.inputs, &mut faults) else { return Err(faults) };
+    let Some(inputs) = yaml::parse_as("inputs", &work.inputs, &mut faults) else {
+        return Err(faults);
+    };
     let options = Options {
         team: work.team.clone(),
         fallback_team: work.fallback_team.clone(),
@@ -62,7 +68,12 @@
         ..Options::new(work.run)
     };
     match expand(&process, &inputs, &options, &mut faults) {
-        Some(x) => Ok(Compiled { plan: x.plan, team: x.team, tasks: x.tasks, warnings: faults }),
+        Some(x) => Ok(Compiled {
+            plan: x.plan,
+            team: x.team,
+            tasks: x.tasks,
+            warnings: faults,
+        }),
         None => Err(faults),
     }
 }
@@ -89,14 +100,21 @@
 
 impl Readers {
     pub fn new(most: usize) -> Readers {
-        Readers { most, busy: Default::default() }
+        Readers {
+            most,
+            busy: Default::default(),
+        }
     }
 
     /// Compiles on a thread of its own; the event loop goes on meanwhile.
     ///
     /// # Errors
     /// Faults, or that it can't be done now.
-    pub async fn compile(&self, files: BTreeMap<String, String>, work: Work) -> Result<Ready, NotCompiled> {
+    pub async fn compile(
+        &self,
+        files: BTreeMap<String, String>,
+        work: Work,
+    ) -> Result<Ready, NotCompiled> {
         use std::sync::atomic::Ordering;
         // A thread that was given up on still counts: so there are never more than that.
         if self.busy.fetch_add(1, Ordering::SeqCst) >= self.most {
@@ -105,10 +123,13 @@
         }
         let (done, answer) = mpsc::channel();
         let busy = self.busy.clone();
-        let thread = std::thread::Builder::new().name("reader".into()).stack_size(8 << 20).spawn(move || {
-            let _ = done.send(compile(&files, &work).map(Ready::from));
-            busy.fetch_sub(1, Ordering::SeqCst);
-        });
+        let thread = std::thread::Builder::new()
+            .name("reader".into())
+            .stack_size(8 << 20)
+            .spawn(move || {
+                let _ = done.send(compile(&files, &work).map(Ready::from));
+                busy.fetch_sub(1, Ordering::SeqCst);
+            });
         if thread.is_err() {
             self.busy.fetch_sub(1, Ordering::SeqCst);
             return Err(NotCompiled::Busy);
@@ -119,7 +140,9 @@
             match answer.try_recv() {
                 Ok(result) => return result.map_err(NotCompiled::Faults),
                 Err(mpsc::TryRecvError::Disconnected) => return Err(NotCompiled::TooLong),
-                Err(mpsc::TryRecvError::Empty) if runtime::now() >= until => return Err(NotCompiled::TooLong),
+                Err(mpsc::TryRecvError::Empty) if runtime::now() >= until => {
+                    return Err(NotCompiled::TooLong);
+                }
                 Err(mpsc::TryRecvError::Empty) => {}
             }
             runtime::sleep(pause).await;
--- a/crates/hopyoke-wes/src/config.rs
+++ b/crates/hopyoke-wes/src/config.rs
@@ -58,7 +58,8 @@
     /// The place and what is wrong; all faults of values at once.
     pub fn load(path: &Path) -> Result<Config, String> {
         let name = path.display();
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: cannot be read: {e}"))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| format!("{name}: cannot be read: {e}"))?;
         Config::parse(&text).map_err(|e| format!("{name}: {e}"))
     }
 
@@ -70,7 +71,10 @@
         if config.controllers.is_empty() {
             faults.push("controllers: at least one mesh address is needed".to_owned());
         }
-        for (field, n, most) in [("readers", config.readers, 64), ("connections", config.connections, 10_000)] {
+        for (field, n, most) in [
+            ("readers", config.readers, 64),
+            ("connections", config.connections, 10_000),
+        ] {
             if n == 0 || n > most {
                 faults.push(format!("{field}: must be 1 to {most}"));
             }
@@ -80,17 +84,27 @@
                 faults.push(format!("client {}: teams: at least one is needed", c.name));
             }
             if Access::digest_of(&c.token_sha256).is_none() {
-                faults.push(format!("client {}: token_sha256: must have 64 hexadecimal digits", c.name));
+                faults.push(format!(
+                    "client {}: token_sha256: must have 64 hexadecimal digits",
+                    c.name
+                ));
             }
             if c.name.is_empty() || c.name.len() > 100 {
                 faults.push(format!("client {}: name: must have 1 to 100 bytes", c.name));
             }
         }
         for (i, c) in config.clients.iter().enumerate() {
-            if config.clients[..i].iter().any(|d| d.name == c.name || d.token_sha256 == c.token_sha256) {
+            if config.clients[..i]
+                .iter()
+                .any(|d| d.name == c.name || d.token_sha256 == c.token_sha256)
+            {
                 faults.push(format!("client {}: name or token stands twice", c.name));
             }
         }
-        if faults.is_empty() { Ok(config) } else { Err(faults.join("\n")) }
+        if faults.is_empty() {
+            Ok(config)
+        } else {
+            Err(faults.join("\n"))
+        }
     }
 }
--- a/crates/hopyoke-wes/src/main.rs
+++ b/crates/hopyoke-wes/src/main.rs
@@ -185,7 +185,11 @@
         Command::List { to } => wait(move || list(to)),
         Command::Status { run, to } => wait(move || status(run, to)),
         Command::CancellationToken { run, to } => wait(move || change(run, "cancel", to, None)),
-        Command::Resume { run, to, descriptions } => wait(move || change(run, "resume", to, descriptions)),
+        Command::Resume {
+            run,
+            to,
+            descriptions,
+        } => wait(move || change(run, "resume", to, descriptions)),
         Command::Serve { config, check } => serve(&config, check),
         Command::Digest => digest(),
     };
@@ -203,7 +207,11 @@
 }
 
 fn of_faults(faults: &Faults) -> End {
-    if faults.has_unsupported() { End::Unsupported(faults.to_string()) } else { End::Failed(faults.to_string()) }
+    if faults.has_unsupported() {
+        End::Unsupported(faults.to_string())
+    } else {
+        End::Failed(faults.to_string())
+    }
 }
 
 fn check(files: &[PathBuf]) -> Done {
@@ -213,7 +221,9 @@
             Ok((process, faults)) if faults.is_empty() => {
                 println!("{}: a sound {}", file.display(), process.class())
             }
-            Ok((process, faults)) => println!("{faults}\n{}: a sound {}", file.display(), process.class()),
+            Ok((process, faults)) => {
+                println!("{faults}\n{}: a sound {}", file.display(), process.class())
+            }
             Err(faults) => {
                 if let Err(End::Failed(e) | End::Unsupported(e)) = &end {
                     eprintln!("{e}");
@@ -236,7 +246,8 @@
         *out.borrow_mut() = Some(result);
     })
     .map_err(|e| End::Failed(e.to_string()))?;
-    slot.take().unwrap_or_else(|| Err(End::Failed("no answer".into())))
+    slot.take()
+        .unwrap_or_else(|| Err(End::Failed("no answer".into())))
 }
 
 /// Files, and which of them were read.
@@ -253,7 +264,14 @@
 fn run_document(run: &Run) -> Done {
     if run.print_graph {
         let (process, _) = open(&Files, &run.document).map_err(|f| of_faults(&f))?;
-        print!("{}", if run.format == GraphFormat::Dot { graph::dot(&process) } else { graph::svg(&process) });
+        print!(
+            "{}",
+            if run.format == GraphFormat::Dot {
+                graph::dot(&process)
+            } else {
+                graph::svg(&process)
+            }
+        );
         return Ok(());
     }
     let inputs = match &run.inputs {
@@ -261,7 +279,10 @@
         Some(p) => std::fs::read_to_string(p).map_err(|e| format!("{}: {e}", p.display()))?,
     };
     let inputs = located(&inputs, run.inputs.as_deref())?;
-    let key = run.key.clone().unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
+    let key = run
+        .key
+        .clone()
+        .unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
     let id = RunId::folded(xxhash_rust::xxh3::xxh3_64(key.as_bytes()));
     let source = Recorded(RefCell::default());
     let work = Work {
@@ -279,16 +300,26 @@
         eprintln!("{}", compiled.warnings);
     }
     if run.validate {
-        println!("{}: sound, {} steps", run.document, compiled.plan.steps.len());
+        println!(
+            "{}: sound, {} steps",
+            run.document,
+            compiled.plan.steps.len()
+        );
         return Ok(());
     }
     if run.print_plan {
         let tasks: BTreeMap<u32, _> = compiled.tasks.iter().map(|(s, t)| (s.0, t)).collect();
         let all = serde_json::json!({ "plan": compiled.plan, "tasks": tasks });
-        println!("{}", serde_json::to_string_pretty(&all).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&all).map_err(|e| e.to_string())?
+        );
         return Ok(());
     }
-    let how = How { quiet: run.quiet, detach: run.detach };
+    let how = How {
+        quiet: run.quiet,
+        detach: run.detach,
+    };
     if run.to.mesh.is_empty() {
         let form = form(run, &source, &inputs, &key)?;
         let to = run.to.clone();
@@ -299,7 +330,8 @@
         });
     }
     if let Some(dir) = &run.descriptions {
-        publish::publish(dir, id, &compiled.tasks).map_err(|e| format!("{}: {e}", dir.display()))?;
+        publish::publish(dir, id, &compiled.tasks)
+            .map_err(|e| format!("{}: {e}", dir.display()))?;
     }
     let submit = SubmitRun {
         run: id.number(),
@@ -312,7 +344,10 @@
     let (mesh, patience) = (run.to.mesh.clone(), run.to.patience());
     wait(move || async move {
         let controllers = Controllers::new(mesh);
-        controllers.ask(Ask::Submit(submit), patience).await.map_err(|e| e.to_string())?;
+        controllers
+            .ask(Ask::Submit(submit), patience)
+            .await
+            .map_err(|e| e.to_string())?;
         follow(Whom::Mesh(controllers, patience), id.to_string(), how).await
     })
 }
@@ -323,7 +358,10 @@
         match v {
             Value::Array(list) => list.iter_mut().for_each(|v| walk(v, dir)),
             Value::Object(o) => {
-                let is_file = matches!(o.get("class").and_then(Value::as_str), Some("File" | "Directory"));
+                let is_file = matches!(
+                    o.get("class").and_then(Value::as_str),
+                    Some("File" | "Directory")
+                );
                 for key in ["location", "path"] {
                     if let Some(Value::String(s)) = o.get_mut(key).filter(|_| is_file)
                         && !s.contains(':')
@@ -339,10 +377,16 @@
     }
     let mut faults = Faults::default();
     let name = file.map_or_else(|| "inputs".to_owned(), name_of);
-    let Some(node) = yaml::parse_as(&name, text, &mut faults) else { return Err(of_faults(&faults)) };
+    let Some(node) = yaml::parse_as(&name, text, &mut faults) else {
+        return Err(of_faults(&faults));
+    };
     let dir = file.and_then(Path::parent).unwrap_or(Path::new(""));
-    let dir = std::path::absolute(if dir.as_os_str().is_empty() { Path::new(".") } else { dir })
-        .map_err(|e| End::Failed(e.to_string()))?;
+    let dir = std::path::absolute(if dir.as_os_str().is_empty() {
+        Path::new(".")
+    } else {
+        dir
+    })
+    .map_err(|e| End::Failed(e.to_string()))?;
     let mut value = node.to_value();
     walk(&mut value, &dir);
     // Indented, so that a fault's line is that of one value.
@@ -355,34 +399,66 @@
     let dir = path.rfind('/').map_or("", |i| &path[..=i]);
     let mut files = BTreeMap::new();
     for (name, text) in source.0.borrow().iter() {
-        match name.strip_prefix(dir).filter(|n| !n.starts_with('/') && !n.starts_with("..")) {
+        match name
+            .strip_prefix(dir)
+            .filter(|n| !n.starts_with('/') && !n.starts_with(".."))
+        {
             Some(n) => {
                 files.insert(n.to_owned(), text.clone());
             }
-            None => return Err(End::Failed(format!("{name}: lies outside of the document's directory; pack it"))),
+            None => {
+                return Err(End::Failed(format!(
+                    "{name}: lies outside of the document's directory; pack it"
+                )));
+            }
         }
     }
     let main = &path[dir.len()..];
-    let url = if fragment.is_empty() { main.to_owned() } else { format!("{main}#{fragment}") };
+    let url = if fragment.is_empty() {
+        main.to_owned()
+    } else {
+        format!("{main}#{fragment}")
+    };
     let mut params = serde_json::Map::new();
     params.insert("key".into(), Value::from(key));
-    params.insert("on_error".into(), Value::from(if run.on_error == OnError::Stop { "stop" } else { "continue" }));
+    params.insert(
+        "on_error".into(),
+        Value::from(if run.on_error == OnError::Stop {
+            "stop"
+        } else {
+            "continue"
+        }),
+    );
     for (name, value) in [("team", &run.team), ("class", &run.class)] {
-        params.extend(value.iter().map(|v| (name.to_owned(), Value::from(v.as_str()))));
+        params.extend(
+            value
+                .iter()
+                .map(|v| (name.to_owned(), Value::from(v.as_str()))),
+        );
     }
     let fields = [
         ("workflow_type", "CWL".to_owned()),
         ("workflow_type_version", "v1.2".to_owned()),
         ("workflow_url", url),
         ("workflow_params", inputs.to_owned()),
-        ("workflow_engine_parameters", Value::Object(params).to_string()),
+        (
+            "workflow_engine_parameters",
+            Value::Object(params).to_string(),
+        ),
     ];
-    Ok(Form { fields: fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect(), files })
+    Ok(Form {
+        fields: fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect(),
+        files,
+    })
 }
 
 fn client(to: &To) -> Result<Client, End> {
-    let url = to.to.as_deref().ok_or_else(|| End::Failed("--to URL or --mesh ADDR is needed".into()))?;
-    let token = std::env::var("HOPYOKE_TOKEN").map_err(|_| End::Failed("HOPYOKE_TOKEN is not set".into()))?;
+    let url = to
+        .to
+        .as_deref()
+        .ok_or_else(|| End::Failed("--to URL or --mesh ADDR is needed".into()))?;
+    let token = std::env::var("HOPYOKE_TOKEN")
+        .map_err(|_| End::Failed("HOPYOKE_TOKEN is not set".into()))?;
     Ok(Client::new(url, &token, to.patience())?)
 }
 
@@ -427,7 +503,12 @@
                 let (state, progress) = self.state(run).await?;
                 let log = c.log(run).await?;
                 let reason = log.run_log.system_logs.join("; ");
-                Ok(Told { state, progress, reason, outputs: log.outputs })
+                Ok(Told {
+                    state,
+                    progress,
+                    reason,
+                    outputs: log.outputs,
+                })
             }
             Whom::Mesh(c, patience) => {
                 let (info, outputs) = asked(c, run, 1, *patience).await?;
@@ -443,11 +524,27 @@
     }
 }
 
-async fn asked(c: &Controllers, run: &str, most: u32, patience: Micros) -> Result<(RunInfo, String), End> {
-    let id = RunId::parse(run).ok_or_else(|| End::Failed(format!("{run} is no run's id: twelve digits")))?;
-    let question = RunQuestion { run: id.number(), from: 0, most };
-    let mut answer = c.ask(Ask::Get(question), patience).await.map_err(|e| e.to_string())?;
-    let info = answer.runs.pop().ok_or_else(|| End::Failed("an empty answer".into()))?;
+async fn asked(
+    c: &Controllers,
+    run: &str,
+    most: u32,
+    patience: Micros,
+) -> Result<(RunInfo, String), End> {
+    let id = RunId::parse(run)
+        .ok_or_else(|| End::Failed(format!("{run} is no run's id: twelve digits")))?;
+    let question = RunQuestion {
+        run: id.number(),
+        from: 0,
+        most,
+    };
+    let mut answer = c
+        .ask(Ask::Get(question), patience)
+        .await
+        .map_err(|e| e.to_string())?;
+    let info = answer
+        .runs
+        .pop()
+        .ok_or_else(|| End::Failed("an empty answer".into()))?;
     Ok((info, answer.outputs))
 }
 
@@ -467,9 +564,14 @@
     }
     let bar = ProgressBar::with_draw_target(
         None,
-        if how.quiet { ProgressDrawTarget::hidden() } else { ProgressDrawTarget::stderr() },
+        if how.quiet {
+            ProgressDrawTarget::hidden()
+        } else {
+            ProgressDrawTarget::stderr()
+        },
     );
-    if let Ok(style) = ProgressStyle::with_template("{wide_bar} {pos}/{len} steps {msg} {elapsed}") {
+    if let Ok(style) = ProgressStyle::with_template("{wide_bar} {pos}/{len} steps {msg} {elapsed}")
+    {
         bar.set_style(style);
     }
     let terminal = std::io::IsTerminal::is_terminal(&std::io::stderr());
@@ -493,22 +595,38 @@
     bar.finish_and_clear();
     let told = whom.whole(&run).await?;
     if told.state == State::Complete {
-        println!("{}", serde_json::to_string_pretty(&told.outputs).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&told.outputs).map_err(|e| e.to_string())?
+        );
         return Ok(());
     }
-    let reason = if told.reason.is_empty() { String::new() } else { format!(": {}", told.reason) };
-    Err(End::Failed(format!("run {run} ended as {:?}{reason}", told.state)))
+    let reason = if told.reason.is_empty() {
+        String::new()
+    } else {
+        format!(": {}", told.reason)
+    };
+    Err(End::Failed(format!(
+        "run {run} ended as {:?}{reason}",
+        told.state
+    )))
 }
 
 async fn status(run: String, to: To) -> Done {
     let told = Whom::of(&to)?.whole(&run).await?;
     let p = told.progress;
-    println!("{run} {:?}: {} of {} steps done, {} in flight", told.state, p.done, p.steps, p.in_flight);
+    println!(
+        "{run} {:?}: {} of {} steps done, {} in flight",
+        told.state, p.done, p.steps, p.in_flight
+    );
     if !told.reason.is_empty() {
         println!("{}", told.reason);
     }
     if told.state == State::Complete {
-        println!("{}", serde_json::to_string_pretty(&told.outputs).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&told.outputs).map_err(|e| e.to_string())?
+        );
     }
     Ok(())
 }
@@ -520,7 +638,12 @@
             loop {
                 let page = c.list(&token).await?;
                 for r in page.runs {
-                    println!("{} {:?} {}", r.run_id, r.state, r.start_time.unwrap_or_default());
+                    println!(
+                        "{} {:?} {}",
+                        r.run_id,
+                        r.state,
+                        r.start_time.unwrap_or_default()
+                    );
                 }
                 if page.next_page_token.is_empty() {
                     return Ok(());
@@ -531,11 +654,18 @@
         Whom::Mesh(c, patience) => {
             let mut after = 0;
             loop {
-                let ask = Ask::List(RunList { after, most: 200, owner: String::new() });
+                let ask = Ask::List(RunList {
+                    after,
+                    most: 200,
+                    owner: String::new(),
+                });
                 let page = c.ask(ask, patience).await.map_err(|e| e.to_string())?;
                 for r in &page.runs {
                     let id = RunId::folded(r.run);
-                    println!("{id} {} team {} {} of {} steps {}", r.state, r.team, r.done, r.steps, r.name);
+                    println!(
+                        "{id} {} team {} {} of {} steps {}",
+                        r.state, r.team, r.done, r.steps, r.name
+                    );
                 }
                 match page.runs.last().filter(|_| page.more) {
                     Some(last) => after = last.run,
@@ -550,17 +680,32 @@
     let id = match Whom::of(&to)? {
         Whom::Service(c) => c.change(&run, verb).await?,
         Whom::Mesh(c, patience) => {
-            let old = RunId::parse(&run).ok_or_else(|| format!("{run} is no run's id: twelve digits"))?;
-            let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(format!("resume/{old}").as_bytes()));
+            let old =
+                RunId::parse(&run).ok_or_else(|| format!("{run} is no run's id: twelve digits"))?;
+            let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(
+                format!("resume/{old}").as_bytes(),
+            ));
             let ask = match verb {
-                "cancel" => Ask::Cancel(RunQuestion { run: old.number(), ..RunQuestion::default() }),
-                _ => Ask::Resume(ResumeRun { run: old.number(), new_run: new.number(), owner: String::new() }),
+                "cancel" => Ask::Cancel(RunQuestion {
+                    run: old.number(),
+                    ..RunQuestion::default()
+                }),
+                _ => Ask::Resume(ResumeRun {
+                    run: old.number(),
+                    new_run: new.number(),
+                    owner: String::new(),
+                }),
             };
             if let Some(dir) = descriptions {
-                publish::take_over(&dir, old, new).map_err(|e| format!("{}: {e}", dir.display()))?;
+                publish::take_over(&dir, old, new)
+                    .map_err(|e| format!("{}: {e}", dir.display()))?;
             }
             c.ask(ask, patience).await.map_err(|e| e.to_string())?;
-            if verb == "cancel" { run } else { new.to_string() }
+            if verb == "cancel" {
+                run
+            } else {
+                new.to_string()
+            }
         }
     };
     println!("{id}");
@@ -586,10 +731,14 @@
 
 fn digest() -> Done {
     let mut token = String::new();
-    std::io::stdin().read_to_string(&mut token).map_err(|e| e.to_string())?;
+    std::io::stdin()
+        .read_to_string(&mut token)
+        .map_err(|e| e.to_string())?;
     let token = token.trim();
     if token.len() < 16 {
-        return Err(End::Failed("a token must have at least 16 characters".into()));
+        return Err(End::Failed(
+            "a token must have at least 16 characters".into(),
+        ));
     }
     println!("{}", Access::digest_text(token));
     Ok(())
--- a/crates/hopyoke-wes/src/publish.rs
+++ b/crates/hopyoke-wes/src/publish.rs
@@ -12,7 +12,11 @@
 ///
 /// # Errors
 /// Why a file could not be written.
-pub fn publish(dir: &Path, run: RunId, tasks: &BTreeMap<StepNo, Vec<Description>>) -> io::Result<()> {
+pub fn publish(
+    dir: &Path,
+    run: RunId,
+    tasks: &BTreeMap<StepNo, Vec<Description>>,
+) -> io::Result<()> {
     std::fs::create_dir_all(dir)?;
     for (step, list) in tasks {
         let text = serde_json::to_vec(list).map_err(io::Error::other)?;
@@ -36,7 +40,10 @@
     let prefix = job_prefix(old);
     for entry in std::fs::read_dir(dir)? {
         let name = entry?.file_name().to_string_lossy().into_owned();
-        let job = name.strip_suffix(".json").filter(|n| n.starts_with(&prefix)).and_then(JobId::parse);
+        let job = name
+            .strip_suffix(".json")
+            .filter(|n| n.starts_with(&prefix))
+            .and_then(JobId::parse);
         if let Some((_, step, _)) = job.as_ref().and_then(parts_of) {
             put(dir, &job_id(new, step, 0), &std::fs::read(dir.join(&name))?)?;
         }
--- a/crates/hopyoke-wes/src/server.rs
+++ b/crates/hopyoke-wes/src/server.rs
@@ -7,8 +7,8 @@
 use crate::publish;
 use crate::upload::{self, Form};
 use crate::wire::{
-    BASE, Log, Organization, Problem, Progress, RunIdAnswer, RunList, RunLog, RunRequest, RunStatus, RunSummary,
-    ServiceInfo, ServiceType, State, TaskList, TaskLog, TypeVersions, time,
+    BASE, Log, Organization, Problem, Progress, RunIdAnswer, RunList, RunLog, RunRequest,
+    RunStatus, RunSummary, ServiceInfo, ServiceType, State, TaskList, TaskLog, TypeVersions, time,
 };
 use hopyoke::peers::client::proto::flow_request::Ask;
 use hopyoke::peers::client::proto::{self, RunInfo, RunQuestion, StepInfo, SubmitRun};
@@ -40,11 +40,21 @@
 type Answer = Result<Response, Refused>;
 
 fn json<T: Serialize>(status: u16, body: &T) -> Response {
-    Response::with_body(status, "application/json", serde_json::to_vec(body).unwrap_or_default())
+    Response::with_body(
+        status,
+        "application/json",
+        serde_json::to_vec(body).unwrap_or_default(),
+    )
 }
 
 fn refused(r: &Refused) -> Response {
-    let response = json(r.status, &Problem { msg: r.error.clone(), status_code: r.status });
+    let response = json(
+        r.status,
+        &Problem {
+            msg: r.error.clone(),
+            status_code: r.status,
+        },
+    );
     match r.retry_after_s {
         Some(s) => response.retry_after(s),
         None => response,
@@ -58,9 +68,17 @@
 /// A path's part after the base, and its query.
 fn target(path: &str) -> Option<(Vec<String>, BTreeMap<String, String>)> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
-    let text = |s: &str| percent_encoding::percent_decode_str(s).decode_utf8_lossy().into_owned();
+    let text = |s: &str| {
+        percent_encoding::percent_decode_str(s)
+            .decode_utf8_lossy()
+            .into_owned()
+    };
     let rest = path.strip_prefix(BASE)?;
-    let parts = rest.split('/').filter(|p| !p.is_empty()).map(text).collect();
+    let parts = rest
+        .split('/')
+        .filter(|p| !p.is_empty())
+        .map(text)
+        .collect();
     let pairs = query.split('&').filter_map(|p| p.split_once('='));
     Some((parts, pairs.map(|(k, v)| (text(k), text(v))).collect()))
 }
@@ -79,7 +97,11 @@
     ///
     /// # Errors
     /// If it cannot listen.
-    pub async fn serve(self, cancel: CancellationToken, ready: impl FnOnce(SocketAddr)) -> std::io::Result<()> {
+    pub async fn serve(
+        self,
+        cancel: CancellationToken,
+        ready: impl FnOnce(SocketAddr),
+    ) -> std::io::Result<()> {
         let listener = TcpListener::bind(self.config.listen)?;
         ready(listener.local_addr()?);
         let limits = Limits {
@@ -105,12 +127,19 @@
             Ok(r) => r,
             Err(r) => refused(&r),
         };
-        info!(method = method.as_str(), path, status = response.status, "answered");
+        info!(
+            method = method.as_str(),
+            path,
+            status = response.status,
+            "answered"
+        );
         response
     }
 
     async fn route(&self, request: Request) -> Answer {
-        let Some((parts, query)) = target(&request.path) else { return refuse(404, "no such path") };
+        let Some((parts, query)) = target(&request.path) else {
+            return refuse(404, "no such path");
+        };
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         if let (Method::Get, ["service-info"]) = (request.method, parts.as_slice()) {
             return Ok(json(200, &self.service_info()));
@@ -140,13 +169,24 @@
         ServiceInfo {
             id: "hopyoke.wes".into(),
             name: "hopyoke".into(),
-            kind: ServiceType { group: "org.ga4gh".into(), artifact: "wes".into(), version: "1.1.0".into() },
-            description: "Workflows under the same priorities, quotas and hours as all other work".into(),
-            organization: Organization { name: "hopyoke".into(), url: "urn:hopyoke".into() },
+            kind: ServiceType {
+                group: "org.ga4gh".into(),
+                artifact: "wes".into(),
+                version: "1.1.0".into(),
+            },
+            description: "Workflows under the same priorities, quotas and hours as all other work"
+                .into(),
+            organization: Organization {
+                name: "hopyoke".into(),
+                url: "urn:hopyoke".into(),
+            },
             version: env!("CARGO_PKG_VERSION").into(),
             workflow_type_versions: [(
                 "CWL".to_owned(),
-                TypeVersions { workflow_type_version: versions(&["v1.2"]), workflow_engine_version: Vec::new() },
+                TypeVersions {
+                    workflow_type_version: versions(&["v1.2"]),
+                    workflow_engine_version: Vec::new(),
+                },
             )]
             .into(),
             supported_wes_versions: versions(&["1.1.0"]),
@@ -175,33 +215,58 @@
         let field = |name: &str| fields.get(name).map(String::as_str);
         match (field("workflow_type"), field("workflow_type_version")) {
             (Some("CWL"), Some("v1.2")) => {}
-            (Some("CWL"), Some(v)) => return refuse(400, format!("workflow_type_version: '{v}' is not v1.2")),
-            (Some(t), _) if t != "CWL" => return refuse(400, format!("workflow_type: '{t}' is not CWL")),
-            _ => return refuse(400, "workflow_type and workflow_type_version are needed: CWL and v1.2"),
+            (Some("CWL"), Some(v)) => {
+                return refuse(400, format!("workflow_type_version: '{v}' is not v1.2"));
+            }
+            (Some(t), _) if t != "CWL" => {
+                return refuse(400, format!("workflow_type: '{t}' is not CWL"));
+            }
+            _ => {
+                return refuse(
+                    400,
+                    "workflow_type and workflow_type_version are needed: CWL and v1.2",
+                );
+            }
         }
         let Some(url) = field("workflow_url").filter(|u| !u.is_empty()) else {
             return refuse(400, "workflow_url is needed: the name of an attachment");
         };
-        let tags: BTreeMap<String, String> = match serde_json::from_str(field("tags").unwrap_or("{}")) {
-            Ok(t) => t,
-            Err(e) => return refuse(400, format!("tags: a map of texts is needed: {e}")),
-        };
+        let tags: BTreeMap<String, String> =
+            match serde_json::from_str(field("tags").unwrap_or("{}")) {
+                Ok(t) => t,
+                Err(e) => return refuse(400, format!("tags: a map of texts is needed: {e}")),
+            };
         let params: BTreeMap<String, Value> =
             match serde_json::from_str(field("workflow_engine_parameters").unwrap_or("{}")) {
                 Ok(p) => p,
-                Err(e) => return refuse(400, format!("workflow_engine_parameters: a map is needed: {e}")),
+                Err(e) => {
+                    return refuse(
+                        400,
+                        format!("workflow_engine_parameters: a map is needed: {e}"),
+                    );
+                }
             };
         let param = |name: &str| params.get(name).and_then(Value::as_str).map(str::to_owned);
-        if let Some(k) = params.keys().find(|k| !matches!(k.as_str(), "team" | "class" | "on_error" | "key")) {
+        if let Some(k) = params
+            .keys()
+            .find(|k| !matches!(k.as_str(), "team" | "class" | "on_error" | "key"))
+        {
             return refuse(
                 400,
-                format!("workflow_engine_parameters: unknown '{k}'; team, class, on_error and key are known"),
+                format!(
+                    "workflow_engine_parameters: unknown '{k}'; team, class, on_error and key are known"
+                ),
             );
         }
         let keep_on = match param("on_error").as_deref() {
             None | Some("stop") => false,
             Some("continue") => true,
-            Some(other) => return refuse(400, format!("on_error: '{other}' is neither stop nor continue")),
+            Some(other) => {
+                return refuse(
+                    400,
+                    format!("on_error: '{other}' is neither stop nor continue"),
+                );
+            }
         };
         // A client that asks again with the same key gets the same run.
         let run = match param("key") {
@@ -222,11 +287,19 @@
         };
         let compiled = match self.readers.compile(files, work).await {
             Ok(c) => c,
-            Err(e @ (NotCompiled::Busy | NotCompiled::TooLong)) => return refuse(503, e.to_string()),
+            Err(e @ (NotCompiled::Busy | NotCompiled::TooLong)) => {
+                return refuse(503, e.to_string());
+            }
             Err(NotCompiled::Faults(f)) => return refuse(400, f.to_string()),
         };
         if !client.teams.contains(&compiled.team) {
-            return refuse(403, format!("client {} may not submit for team {}", client.name, compiled.team));
+            return refuse(
+                403,
+                format!(
+                    "client {} may not submit for team {}",
+                    client.name, compiled.team
+                ),
+            );
         }
         if let Some(dir) = &self.config.descriptions
             && let Err(e) = publish::publish(dir, run, &compiled.tasks)
@@ -244,7 +317,12 @@
             plan: compiled.plan,
         });
         self.controllers.ask(ask, PATIENCE).await?;
-        Ok(json(200, &RunIdAnswer { run_id: run.to_string() }))
+        Ok(json(
+            200,
+            &RunIdAnswer {
+                run_id: run.to_string(),
+            },
+        ))
     }
 
     /// A run of this client's; of others it is not told whether they exist.
@@ -255,8 +333,14 @@
         from: u32,
         most: u32,
     ) -> Result<(RunId, RunInfo, proto::FlowAnswer), Refused> {
-        let Some(id) = RunId::parse(run).filter(|r| r.number() > 0) else { return refuse(404, "no such run") };
-        let question = RunQuestion { run: id.number(), from, most };
+        let Some(id) = RunId::parse(run).filter(|r| r.number() > 0) else {
+            return refuse(404, "no such run");
+        };
+        let question = RunQuestion {
+            run: id.number(),
+            from,
+            most,
+        };
         let mut answer = self.controllers.ask(Ask::Get(question), PATIENCE).await?;
         match answer.runs.pop() {
             Some(info) if info.owner == client.name => Ok((id, info, answer)),
@@ -267,13 +351,25 @@
     async fn status(&self, client: &Client, run: &str) -> Answer {
         let (id, info, _) = self.run(client, run, 0, 0).await?;
         let progress = Some(Progress::of_run(&info));
-        Ok(json(200, &RunStatus { run_id: id.to_string(), state: State::of_run(&info), progress }))
+        Ok(json(
+            200,
+            &RunStatus {
+                run_id: id.to_string(),
+                state: State::of_run(&info),
+                progress,
+            },
+        ))
     }
 
     async fn log(&self, client: &Client, run: &str) -> Answer {
         let (id, info, answer) = self.run(client, run, 0, 1).await?;
-        let outputs = serde_json::from_str(&answer.outputs).unwrap_or_else(|_| Value::Object(Default::default()));
-        let system_logs = if info.reason.is_empty() { Vec::new() } else { vec![info.reason.clone()] };
+        let outputs = serde_json::from_str(&answer.outputs)
+            .unwrap_or_else(|_| Value::Object(Default::default()));
+        let system_logs = if info.reason.is_empty() {
+            Vec::new()
+        } else {
+            vec![info.reason.clone()]
+        };
         Ok(json(
             200,
             &RunLog {
@@ -301,30 +397,55 @@
 
     async fn cancel(&self, client: &Client, run: &str) -> Answer {
         let (id, _, _) = self.run(client, run, 0, 0).await?;
-        let question = RunQuestion { run: id.number(), ..RunQuestion::default() };
-        self.controllers.ask(Ask::Cancel(question), PATIENCE).await?;
-        Ok(json(200, &RunIdAnswer { run_id: id.to_string() }))
+        let question = RunQuestion {
+            run: id.number(),
+            ..RunQuestion::default()
+        };
+        self.controllers
+            .ask(Ask::Cancel(question), PATIENCE)
+            .await?;
+        Ok(json(
+            200,
+            &RunIdAnswer {
+                run_id: id.to_string(),
+            },
+        ))
     }
 
     /// Beyond the published paths: a new run goes on from what a failed one had done.
     async fn resume(&self, client: &Client, run: &str) -> Answer {
         let (old, _, _) = self.run(client, run, 0, 0).await?;
         // The same run however often it is asked.
-        let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(format!("{}/resume/{old}", client.name).as_bytes()));
+        let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(
+            format!("{}/resume/{old}", client.name).as_bytes(),
+        ));
         if let Some(dir) = &self.config.descriptions
             && let Err(e) = publish::take_over(dir, old, new)
         {
             warn!(error = %e, "descriptions not taken over");
             return refuse(503, "the tasks' descriptions can't be written now");
         }
-        let ask = proto::ResumeRun { run: old.number(), new_run: new.number(), owner: client.name.clone() };
+        let ask = proto::ResumeRun {
+            run: old.number(),
+            new_run: new.number(),
+            owner: client.name.clone(),
+        };
         self.controllers.ask(Ask::Resume(ask), PATIENCE).await?;
-        Ok(json(200, &RunIdAnswer { run_id: new.to_string() }))
+        Ok(json(
+            200,
+            &RunIdAnswer {
+                run_id: new.to_string(),
+            },
+        ))
     }
 
     async fn list(&self, client: &Client, query: &BTreeMap<String, String>) -> Answer {
         let (most, after) = page(query)?;
-        let ask = Ask::List(proto::RunList { after, most, owner: client.name.clone() });
+        let ask = Ask::List(proto::RunList {
+            after,
+            most,
+            owner: client.name.clone(),
+        });
         let answer = self.controllers.ask(ask, PATIENCE).await?;
         let last = answer.runs.last().map_or(after, |r| r.run);
         let runs = answer
@@ -338,8 +459,18 @@
                 tags: info.tags.clone().into_iter().collect(),
             })
             .collect();
-        let next_page_token = if answer.more { last.to_string() } else { String::new() };
-        Ok(json(200, &RunList { runs, next_page_token }))
+        let next_page_token = if answer.more {
+            last.to_string()
+        } else {
+            String::new()
+        };
+        Ok(json(
+            200,
+            &RunList {
+                runs,
+                next_page_token,
+            },
+        ))
     }
 
     async fn tasks(&self, client: &Client, run: &str, query: &BTreeMap<String, String>) -> Answer {
@@ -348,12 +479,25 @@
         let (_, _, answer) = self.run(client, run, from, most).await?;
         let next = from.saturating_add(answer.steps.len() as u32);
         let task_logs = answer.steps.iter().map(task_log).collect();
-        let next_page_token = if answer.more { next.to_string() } else { String::new() };
-        Ok(json(200, &TaskList { task_logs, next_page_token }))
+        let next_page_token = if answer.more {
+            next.to_string()
+        } else {
+            String::new()
+        };
+        Ok(json(
+            200,
+            &TaskList {
+                task_logs,
+                next_page_token,
+            },
+        ))
     }
 
     async fn task(&self, client: &Client, run: &str, task: &str) -> Answer {
-        let parts = JobId::parse(task).filter(is_reserved).as_ref().and_then(parts_of);
+        let parts = JobId::parse(task)
+            .filter(is_reserved)
+            .as_ref()
+            .and_then(parts_of);
         let Some((_, step, _)) = parts.filter(|(r, ..)| r.to_string() == run) else {
             return refuse(404, "no such task");
         };
@@ -367,7 +511,11 @@
 
 fn task_log(s: &StepInfo) -> TaskLog {
     TaskLog {
-        id: if s.job.is_empty() { format!("step-{}", s.number) } else { s.job.clone() },
+        id: if s.job.is_empty() {
+            format!("step-{}", s.number)
+        } else {
+            s.job.clone()
+        },
         name: s.path.clone(),
         cmd: Vec::new(),
         start_time: None,
@@ -380,11 +528,16 @@
 fn page(query: &BTreeMap<String, String>) -> Result<(u32, u64), Refused> {
     let number = |name: &str, default: u64| match query.get(name).filter(|t| !t.is_empty()) {
         None => Ok(default),
-        Some(t) => t.parse().map_err(|_| Refused::new(400, format!("{name}: a number is needed"))),
+        Some(t) => t
+            .parse()
+            .map_err(|_| Refused::new(400, format!("{name}: a number is needed"))),
     };
     let most = number("page_size", u64::from(PAGE))?;
     if most == 0 {
         return refuse(400, "page_size: must be at least 1");
     }
-    Ok((u32::try_from(most).unwrap_or(MOST_PAGE).min(MOST_PAGE), number("page_token", 0)?))
+    Ok((
+        u32::try_from(most).unwrap_or(MOST_PAGE).min(MOST_PAGE),
+        number("page_token", 0)?,
+    ))
 }
--- a/crates/hopyoke-wes/src/upload.rs
+++ b/crates/hopyoke-wes/src/upload.rs
@@ -32,16 +32,25 @@
         }
         let name = part.name().unwrap_or_default().to_owned();
         let file = part.file_name().map(str::to_owned);
-        let text = part.text().await.map_err(|e| format!("part '{name}': {e}"))?;
+        let text = part
+            .text()
+            .await
+            .map_err(|e| format!("part '{name}': {e}"))?;
         match (name.as_str(), file) {
             ("workflow_attachment", Some(file)) => {
-                let plain = !file.is_empty() && !file.starts_with('/') && !file.split('/').any(|p| p == "..");
+                let plain = !file.is_empty()
+                    && !file.starts_with('/')
+                    && !file.split('/').any(|p| p == "..");
                 if !plain {
-                    return Err(format!("workflow_attachment '{file}': its name must be a path without '..'"));
+                    return Err(format!(
+                        "workflow_attachment '{file}': its name must be a path without '..'"
+                    ));
                 }
                 form.files.insert(file, text);
             }
-            ("workflow_attachment", None) => return Err("a workflow_attachment needs a filename".into()),
+            ("workflow_attachment", None) => {
+                return Err("a workflow_attachment needs a filename".into());
+            }
             _ => {
                 form.fields.insert(name, text);
             }
@@ -55,11 +64,17 @@
     // A boundary that no part can hold but by a chance of one in 2¹²⁸.
     let boundary = format!("hopyoke-{:032x}", rand::random::<u128>());
     let mut out = Vec::new();
-    let quoted = |s: &str| s.replace('\\', "%5C").replace('"', "%22").replace(['\r', '\n'], "%0A");
+    let quoted = |s: &str| {
+        s.replace('\\', "%5C")
+            .replace('"', "%22")
+            .replace(['\r', '\n'], "%0A")
+    };
     let mut part = |name: &str, file: Option<&str>, text: &str| {
         let file = file.map_or(String::new(), |f| format!("; filename=\"{}\"", quoted(f)));
-        let head =
-            format!("--{boundary}\r\nContent-Disposition: form-data; name=\"{}\"{file}\r\n\r\n", quoted(name));
+        let head = format!(
+            "--{boundary}\r\nContent-Disposition: form-data; name=\"{}\"{file}\r\n\r\n",
+            quoted(name)
+        );
         out.extend_from_slice(head.as_bytes());
         out.extend_from_slice(text.as_bytes());
         out.extend_from_slice(b"\r\n");
--- a/crates/hopyoke-wes/src/wire.rs
+++ b/crates/hopyoke-wes/src/wire.rs
@@ -27,7 +27,10 @@
 impl State {
     /// It will not change any more.
     pub fn is_final(self) -> bool {
-        matches!(self, State::Complete | State::ExecutorError | State::SystemError | State::Canceled)
+        matches!(
+            self,
+            State::Complete | State::ExecutorError | State::SystemError | State::Canceled
+        )
     }
 
     /// Of a run as the controllers tell of it.
@@ -75,7 +78,11 @@
 
 impl Progress {
     pub fn of_run(info: &RunInfo) -> Progress {
-        Progress { steps: info.steps, done: info.done, in_flight: info.in_flight }
+        Progress {
+            steps: info.steps,
+            done: info.done,
+            in_flight: info.in_flight,
+        }
     }
 }
 
--- a/crates/hopyoke-wes/tests/loopback.rs
+++ b/crates/hopyoke-wes/tests/loopback.rs
@@ -21,9 +21,16 @@
 /// The programs are beside the test's own directory.
 fn program(name: &str) -> PathBuf {
     let test = std::env::current_exe().expect("a path");
-    let dir = test.parent().and_then(Path::parent).expect("target/PROFILE/deps");
+    let dir = test
+        .parent()
+        .and_then(Path::parent)
+        .expect("target/PROFILE/deps");
     let path = dir.join(name);
-    assert!(path.is_file(), "{} is missing: `cargo build --release --workspace` makes it", path.display());
+    assert!(
+        path.is_file(),
+        "{} is missing: `cargo build --release --workspace` makes it",
+        path.display()
+    );
     path
 }
 
@@ -86,12 +93,21 @@
         .stderr(log)
         .spawn()
         .expect("the service");
-    Service { child, url: format!("http://{addr}"), addr }
+    Service {
+        child,
+        url: format!("http://{addr}"),
+        addr,
+    }
 }
 
 fn spec(id: &str, class: &str, tasks: u32, estimate_s: f64) -> JobSpec {
     let plain = JobSpec::plain(JobId::new(id), class, "crew", "ledger");
-    JobSpec { tasks, cpus: 4.0, estimate_s, ..plain }
+    JobSpec {
+        tasks,
+        cpus: 4.0,
+        estimate_s,
+        ..plain
+    }
 }
 
 fn tool(name: &str, estimate_s: f64) -> String {
@@ -122,11 +138,24 @@
 /// What started, in its order, without job ids.
 fn started(site: &Site) -> Vec<(String, u32, String, String)> {
     let starts = site.works.starts.borrow();
-    starts.iter().map(|s| (s.class.clone(), s.task.index, s.machine.to_string(), s.zone.clone())).collect()
+    starts
+        .iter()
+        .map(|s| {
+            (
+                s.class.clone(),
+                s.task.index,
+                s.machine.to_string(),
+                s.zone.clone(),
+            )
+        })
+        .collect()
 }
 
 async fn post(client: &Http, path: &str, body: &[u8]) -> Option<Response> {
-    client.send(Method::Post, path, body, Micros::from_secs(5)).await.ok()
+    client
+        .send(Method::Post, path, body, Micros::from_secs(5))
+        .await
+        .ok()
 }
 
 /// Submits a job natively and waits for its end.
@@ -134,14 +163,19 @@
     let client = Http::new(site.users[0]);
     let body = hopyoke_protocol::encode(spec);
     loop {
-        if post(&client, "/api/jobs", &body).await.is_some_and(|r| r.status == 201 || r.status == 200) {
+        if post(&client, "/api/jobs", &body)
+            .await
+            .is_some_and(|r| r.status == 201 || r.status == 200)
+        {
             break;
         }
         runtime::sleep(Micros::from_millis(300)).await;
     }
     loop {
         let path = format!("/api/jobs/{}", spec.id);
-        let answer = client.send(Method::Get, &path, &[], Micros::from_secs(2)).await;
+        let answer = client
+            .send(Method::Get, &path, &[], Micros::from_secs(2))
+            .await;
         if let Ok(r) = answer
             && let Ok(v) = hopyoke_protocol::decode::<Value>(&r.body)
             && v["bearing"] == "done"
@@ -168,7 +202,11 @@
         if let Ok(Some(status)) = child.try_wait() {
             let out = child.wait_with_output().expect("its output");
             let text = |b: Vec<u8>| String::from_utf8_lossy(&b).into_owned();
-            return (status.code().unwrap_or(-1), text(out.stdout), text(out.stderr));
+            return (
+                status.code().unwrap_or(-1),
+                text(out.stdout),
+                text(out.stderr),
+            );
         }
         if runtime::now() > end {
             let _ = child.kill();
@@ -198,10 +236,20 @@
     let out = natively.clone();
     on_runtime(async move {
         let site = Site::start(a).expect("a site");
-        for (i, (class, tasks, s)) in
-            [("split", 1, 0.3), ("check", 1, 0.3), ("convert", 12, 0.4), ("merge", 1, 0.3)].iter().enumerate()
+        for (i, (class, tasks, s)) in [
+            ("split", 1, 0.3),
+            ("check", 1, 0.3),
+            ("convert", 12, 0.4),
+            ("merge", 1, 0.3),
+        ]
+        .iter()
+        .enumerate()
         {
-            native(&site, &spec(&format!("req-{}", 1000 + i), class, *tasks, *s)).await;
+            native(
+                &site,
+                &spec(&format!("req-{}", 1000 + i), class, *tasks, *s),
+            )
+            .await;
         }
         assert!(site.works.broken.borrow().is_empty());
         *out.borrow_mut() = started(&site);
@@ -213,7 +261,8 @@
         let service = service(&site);
         let main = write(&site.plan.dir, "ledger.cwl", &ledger());
         let pages: Vec<u32> = (0..12).collect();
-        let inputs = json!({ "book": { "class": "File", "location": "book.csv" }, "pages": pages }).to_string();
+        let inputs = json!({ "book": { "class": "File", "location": "book.csv" }, "pages": pages })
+            .to_string();
         let inputs = write(&site.plan.dir, "inputs.json", &inputs);
         let args = ["run", &main, &inputs, "--to", &service.url].map(str::to_owned);
         let (code, stdout, stderr) = command(args.to_vec(), TOKEN).await;
@@ -224,9 +273,18 @@
         let ends = site.state.keys("end/req-9");
         assert_eq!(ends.len(), 4);
         for key in &ends {
-            assert_eq!(site.state.get(key).expect("a record")["state"], "done", "{key}");
-            let file = site.plan.dir.join("descriptions").join(format!("{}.json", &key[4..]));
-            let list: Value = serde_json::from_slice(&std::fs::read(file).expect("a description")).expect("JSON");
+            assert_eq!(
+                site.state.get(key).expect("a record")["state"],
+                "done",
+                "{key}"
+            );
+            let file = site
+                .plan
+                .dir
+                .join("descriptions")
+                .join(format!("{}.json", &key[4..]));
+            let list: Value =
+                serde_json::from_slice(&std::fs::read(file).expect("a description")).expect("JSON");
             assert!(list.as_array().is_some_and(|l| !l.is_empty()));
         }
         assert!(site.works.broken.borrow().is_empty());
@@ -256,7 +314,10 @@
                 ("workflow_type_version", "v1.2".to_owned()),
                 ("workflow_url", "main.cwl".to_owned()),
                 ("workflow_params", inputs.to_string()),
-                ("workflow_engine_parameters", json!({ "key": key }).to_string()),
+                (
+                    "workflow_engine_parameters",
+                    json!({ "key": key }).to_string(),
+                ),
                 ("tags", json!({ "purpose": "test" }).to_string()),
             ]
             .into_iter()
@@ -269,11 +330,17 @@
         let mut runs = Vec::new();
         for k in 0..4 {
             runs.push(
-                client.submit(&form(&ledger(), inputs.clone(), &format!("run {k}"))).await.expect("accepted"),
+                client
+                    .submit(&form(&ledger(), inputs.clone(), &format!("run {k}")))
+                    .await
+                    .expect("accepted"),
             );
         }
         // Asked again, it is the same run.
-        let again = client.submit(&form(&ledger(), inputs.clone(), "run 0")).await.expect("accepted");
+        let again = client
+            .submit(&form(&ledger(), inputs.clone(), "run 0"))
+            .await
+            .expect("accepted");
         assert_eq!(again, runs[0]);
         runtime::sleep(Micros::from_secs(2)).await;
         for i in 0..3 {
@@ -285,51 +352,104 @@
         }
         for run in &runs {
             let end = runtime::now() + Micros::from_secs(60);
-            while client.status(run).await.is_ok_and(|s| !s.state.is_final()) && runtime::now() < end {
+            while client.status(run).await.is_ok_and(|s| !s.state.is_final())
+                && runtime::now() < end
+            {
                 runtime::sleep(Micros::from_millis(200)).await;
             }
-            assert_eq!(client.log(run).await.expect("a log").state, State::Complete, "run {run}");
+            assert_eq!(
+                client.log(run).await.expect("a log").state,
+                State::Complete,
+                "run {run}"
+            );
         }
         assert_eq!(site.state.keys("end/req-9").len(), 16);
         assert_eq!(*site.works.broken.borrow(), Vec::<String>::new());
-        assert!(site.state.keys("flow/").is_empty(), "{:?}", site.state.keys("flow/"));
+        assert!(
+            site.state.keys("flow/").is_empty(),
+            "{:?}",
+            site.state.keys("flow/")
+        );
 
         // Cancelled halfway: from the answer on nothing of it is submitted, and all is withdrawn.
         let slow = ledger().replace("estimate: 0.4", "estimate: 60");
-        let run = client.submit(&form(&slow, inputs.clone(), "slow")).await.expect("accepted");
-        let converting =
-            |s: &Site| s.works.starts.borrow().iter().filter(|x| x.task.job.as_str().contains(&run)).count() > 5;
-        assert!(site.until(Micros::from_secs(30), converting).await, "it does not get on");
+        let run = client
+            .submit(&form(&slow, inputs.clone(), "slow"))
+            .await
+            .expect("accepted");
+        let converting = |s: &Site| {
+            s.works
+                .starts
+                .borrow()
+                .iter()
+                .filter(|x| x.task.job.as_str().contains(&run))
+                .count()
+                > 5
+        };
+        assert!(
+            site.until(Micros::from_secs(30), converting).await,
+            "it does not get on"
+        );
         client.change(&run, "cancel").await.expect("cancelled");
-        let submitted =
-            |s: &Site| s.state.keys("job/req-9").len() + s.state.keys(&format!("end/req-9{run}")).len();
+        let submitted = |s: &Site| {
+            s.state.keys("job/req-9").len() + s.state.keys(&format!("end/req-9{run}")).len()
+        };
         let at_cancel = submitted(&site);
         let over = |s: &Site| s.state.get(&format!("flowend/{run}")).is_some();
-        assert!(site.until(Micros::from_secs(20), over).await, "it is not over");
-        assert_eq!(client.status(&run).await.expect("a state").state, State::Canceled);
+        assert!(
+            site.until(Micros::from_secs(20), over).await,
+            "it is not over"
+        );
+        assert_eq!(
+            client.status(&run).await.expect("a state").state,
+            State::Canceled
+        );
         assert_eq!(submitted(&site), at_cancel);
         assert!(site.state.keys("job/req-9").is_empty());
-        let merged =
-            site.works.starts.borrow().iter().any(|x| x.class == "merge" && x.task.job.as_str().contains(&run));
+        let merged = site
+            .works
+            .starts
+            .borrow()
+            .iter()
+            .any(|x| x.class == "merge" && x.task.job.as_str().contains(&run));
         assert!(!merged);
 
         // A step that fails everywhere fails the run; resumed, it goes on from what is done.
         *site.works.failing.borrow_mut() = "convert".into();
-        let run = client.submit(&form(&ledger(), inputs.clone(), "fails")).await.expect("accepted");
+        let run = client
+            .submit(&form(&ledger(), inputs.clone(), "fails"))
+            .await
+            .expect("accepted");
         let over = |s: &Site| s.state.get(&format!("flowend/{run}")).is_some();
-        assert!(site.until(Micros::from_secs(40), over).await, "it is not given up");
+        assert!(
+            site.until(Micros::from_secs(40), over).await,
+            "it is not given up"
+        );
         let log = client.log(&run).await.expect("a log");
         assert_eq!(log.state, State::ExecutorError);
-        assert!(log.run_log.system_logs[0].contains("convert"), "{:?}", log.run_log.system_logs);
+        assert!(
+            log.run_log.system_logs[0].contains("convert"),
+            "{:?}",
+            log.run_log.system_logs
+        );
         site.works.failing.borrow_mut().clear();
         let resumed = client.change(&run, "resume").await.expect("resumed");
         assert_ne!(resumed, run);
         let over = |s: &Site| s.state.get(&format!("flowend/{resumed}")).is_some();
-        assert!(site.until(Micros::from_secs(40), over).await, "it does not get on");
-        assert_eq!(client.status(&resumed).await.expect("a state").state, State::Complete);
+        assert!(
+            site.until(Micros::from_secs(40), over).await,
+            "it does not get on"
+        );
+        assert_eq!(
+            client.status(&resumed).await.expect("a state").state,
+            State::Complete
+        );
         // split and check were done before.
         assert_eq!(site.state.keys(&format!("end/req-9{resumed}")).len(), 2);
-        assert_eq!(client.status(&run).await.expect("a state").state, State::ExecutorError);
+        assert_eq!(
+            client.status(&run).await.expect("a state").state,
+            State::ExecutorError
+        );
         assert_eq!(*site.works.broken.borrow(), Vec::<String>::new());
         listed(&service, &client, &runs).await;
     });
@@ -341,19 +461,33 @@
     let get = async |path: &str, token: Option<&str>| {
         let headers = token.map_or(String::new(), |t| format!("Authorization: Bearer {t}\r\n"));
         let path = format!("{BASE}{path}");
-        http.send_as(Method::Get, &path, ("application/json", &[]), &headers, Micros::from_secs(20))
-            .await
-            .expect("an answer")
+        http.send_as(
+            Method::Get,
+            &path,
+            ("application/json", &[]),
+            &headers,
+            Micros::from_secs(20),
+        )
+        .await
+        .expect("an answer")
     };
     let mut seen = BTreeSet::new();
     let mut token = String::new();
     loop {
-        let r = get(&format!("/runs?page_size=2&page_token={token}"), Some(TOKEN)).await;
+        let r = get(
+            &format!("/runs?page_size=2&page_token={token}"),
+            Some(TOKEN),
+        )
+        .await;
         assert_eq!(r.status, 200);
         let page: RunList = serde_json::from_slice(&r.body).expect("a list");
         assert!(page.runs.len() <= 2);
         seen.extend(page.runs.iter().map(|r| r.run_id.clone()));
-        assert!(page.runs.iter().all(|r| r.tags.get("purpose").is_some_and(|p| p == "test")));
+        assert!(
+            page.runs
+                .iter()
+                .all(|r| r.tags.get("purpose").is_some_and(|p| p == "test"))
+        );
         token = page.next_page_token;
         if token.is_empty() {
             break;
@@ -364,7 +498,10 @@
     assert_eq!(client.list("").await.expect("a list").runs.len(), 7);
     assert_eq!(get("/runs", None).await.status, 401);
     assert_eq!(get("/runs", Some("nobody's")).await.status, 401);
-    assert_eq!(get(&format!("/runs/{}", runs[0]), Some(OTHER)).await.status, 404);
+    assert_eq!(
+        get(&format!("/runs/{}", runs[0]), Some(OTHER)).await.status,
+        404
+    );
     assert_eq!(get("/runs/000000000000", Some(TOKEN)).await.status, 404);
     assert_eq!(get("/runs?page_size=x", Some(TOKEN)).await.status, 400);
     assert_eq!(get("/service-info", None).await.status, 200);
@@ -373,7 +510,12 @@
     assert_eq!(tasks["task_logs"].as_array().map(Vec::len), Some(2));
     assert_eq!(tasks["next_page_token"], "2");
     let task = tasks["task_logs"][0]["id"].as_str().expect("an id");
-    assert_eq!(get(&format!("/runs/{}/tasks/{task}", runs[0]), Some(TOKEN)).await.status, 200);
+    assert_eq!(
+        get(&format!("/runs/{}/tasks/{task}", runs[0]), Some(TOKEN))
+            .await
+            .status,
+        200
+    );
     // Another team's work, and nonsense.
     let other = Client::new(&service.url, OTHER, Micros::from_secs(60)).expect("an address");
     let form = |text: &str, more: Value| Form {
@@ -386,15 +528,36 @@
         files: [("main.cwl".to_owned(), text.to_owned())].into(),
     };
     let one = "cwlVersion: v1.2\nclass: CommandLineTool\nbaseCommand: x\ninputs: {}\noutputs: {}\n";
-    let denied = other.submit(&form(one, json!({ "team": "crew" }))).await.expect_err("another's team");
+    let denied = other
+        .submit(&form(one, json!({ "team": "crew" })))
+        .await
+        .expect_err("another's team");
     assert!(denied.contains("403"), "{denied}");
-    let wrong = other.submit(&form("cwlVersion: v1.2\nclass: Flow\n", json!({}))).await.expect_err("no process");
-    assert!(wrong.contains("unknown class Flow") && wrong.contains("400"), "{wrong}");
-    let unknown = other.submit(&form(one, json!({ "colour": "red" }))).await.expect_err("an unknown word");
+    let wrong = other
+        .submit(&form("cwlVersion: v1.2\nclass: Flow\n", json!({})))
+        .await
+        .expect_err("no process");
+    assert!(
+        wrong.contains("unknown class Flow") && wrong.contains("400"),
+        "{wrong}"
+    );
+    let unknown = other
+        .submit(&form(one, json!({ "colour": "red" })))
+        .await
+        .expect_err("an unknown word");
     assert!(unknown.contains("unknown 'colour'"), "{unknown}");
-    let never = one.replace("inputs", "requirements: {ResourceRequirement: {coresMin: 4000}}\ninputs");
-    let never = other.submit(&form(&never, json!({}))).await.expect_err("too large");
-    assert!(never.contains("422") && never.contains("fits no allowed machine type"), "{never}");
+    let never = one.replace(
+        "inputs",
+        "requirements: {ResourceRequirement: {coresMin: 4000}}\ninputs",
+    );
+    let never = other
+        .submit(&form(&never, json!({})))
+        .await
+        .expect_err("too large");
+    assert!(
+        never.contains("422") && never.contains("fits no allowed machine type"),
+        "{never}"
+    );
 }
 
 /// The command line by itself: exit codes and what it prints.
@@ -408,26 +571,54 @@
             "bad.cwl",
             "cwlVersion: v1.2\nclass: CommandLineTool\nbaseCommand: x\ninputs: {a: nothing}\n",
         );
-        let unsupported =
-            ledger().replace("requirements: {ScatterF", "requirements: {InplaceUpdateRequirement: {}, ScatterF");
+        let unsupported = ledger().replace(
+            "requirements: {ScatterF",
+            "requirements: {InplaceUpdateRequirement: {}, ScatterF",
+        );
         let unsupported = write(&dir, "unsupported.cwl", &unsupported);
-        let run = async |args: &[&str]| command(args.iter().map(|a| (*a).to_owned()).collect(), "").await;
+        let run =
+            async |args: &[&str]| command(args.iter().map(|a| (*a).to_owned()).collect(), "").await;
         let (code, out, _) = run(&["check", &good]).await;
         assert!(code == 0 && out.contains("a sound Workflow"), "{out}");
         let (code, _, err) = run(&["check", &good, &bad]).await;
-        assert!(code == 1 && err.contains("bad.cwl:4:13") && err.contains("outputs is missing"), "{err}");
+        assert!(
+            code == 1 && err.contains("bad.cwl:4:13") && err.contains("outputs is missing"),
+            "{err}"
+        );
         let (code, _, err) = run(&["check", &unsupported]).await;
-        assert!(code == 33 && err.contains("InplaceUpdateRequirement is not supported"), "{err}");
+        assert!(
+            code == 33 && err.contains("InplaceUpdateRequirement is not supported"),
+            "{err}"
+        );
         let (code, out, _) = run(&["run", &good, "--print-graph"]).await;
-        assert!(code == 0 && out.contains("digraph") && out.contains("\"convert\" -> \"merge\""), "{out}");
+        assert!(
+            code == 0 && out.contains("digraph") && out.contains("\"convert\" -> \"merge\""),
+            "{out}"
+        );
         let (code, out, _) = run(&["run", &good, "--print-graph", "--format", "svg"]).await;
         assert!(code == 0 && out.contains("<svg"), "{out}");
-        let inputs = write(&dir, "in.yml", "book: {class: File, path: b.csv}\npages: [1, 2]\n");
+        let inputs = write(
+            &dir,
+            "in.yml",
+            "book: {class: File, path: b.csv}\npages: [1, 2]\n",
+        );
         let (code, out, err) = run(&["run", &good, &inputs, "--team", "crew", "--validate"]).await;
         assert!(code == 0 && out.contains("sound, 4 steps"), "{out}{err}");
         let (code, _, err) = run(&["run", &good, "--team", "crew", "--validate"]).await;
-        assert!(code == 1 && err.contains("input 'book' is missing"), "{err}");
-        let (code, _, err) = run(&["run", &good, &inputs, "--to", "http://127.0.0.1:1", "--patience", "1"]).await;
+        assert!(
+            code == 1 && err.contains("input 'book' is missing"),
+            "{err}"
+        );
+        let (code, _, err) = run(&[
+            "run",
+            &good,
+            &inputs,
+            "--to",
+            "http://127.0.0.1:1",
+            "--patience",
+            "1",
+        ])
+        .await;
         assert!(code == 1 && err.contains("not sent"), "{err}");
     });
 }
--- a/crates/hopyoke-workflow/benches/engine.rs
+++ b/crates/hopyoke-workflow/benches/engine.rs
@@ -11,14 +11,24 @@
 fn plan(steps: u32) -> Plan {
     let shape = JobSpec::plain(JobId::new("req-0"), "convert", "crew", "img");
     // Chains of ten, beside each other.
-    let after = |i: u32| if i.is_multiple_of(10) { Vec::new() } else { vec![StepNo(i - 1)] };
+    let after = |i: u32| {
+        if i.is_multiple_of(10) {
+            Vec::new()
+        } else {
+            vec![StepNo(i - 1)]
+        }
+    };
     let steps = (0..steps).map(|i| PlanStep {
         path: format!("chain{}/s{}", i / 10, i % 10),
         after: after(i),
         shape: Some(0),
         tasks: 1,
     });
-    Plan { shapes: vec![shape], steps: steps.collect(), outputs: "{}".into() }
+    Plan {
+        shapes: vec![shape],
+        steps: steps.collect(),
+        outputs: "{}".into(),
+    }
 }
 
 /// Carries one run to its end; returns what the engine looked at.
@@ -55,11 +65,19 @@
                     };
                     e.fetched(*run, *epoch, Some(fetched), now);
                 }
-                Action::Submit { run, epoch, step, spec, .. } => {
+                Action::Submit {
+                    run,
+                    epoch,
+                    step,
+                    spec,
+                    ..
+                } => {
                     e.submitted(*run, *epoch, *step, Outcome::Accepted, now);
                     ended.push(spec.id.clone());
                 }
-                Action::Write { run, epoch, pages, .. } => {
+                Action::Write {
+                    run, epoch, pages, ..
+                } => {
                     marks.extend(pages.iter().map(|p| (p.0, now)));
                     let mod_revision = ModRevision(3 + now.0);
                     e.written(*run, *epoch, &action, Written::Applied(mod_revision), now);
@@ -83,7 +101,10 @@
     }
     let plan = plan(1_000);
     let pages = plan.pages(8192).expect("small steps");
-    let bytes: usize = pages.iter().map(|p| serde_json::to_string(p).map_or(0, |t| t.len())).sum();
+    let bytes: usize = pages
+        .iter()
+        .map(|p| serde_json::to_string(p).map_or(0, |t| t.len()))
+        .sum();
     println!("plan: {} pages, {} bytes a step", pages.len(), bytes / 1000);
     c.bench_function("pages of 1000 steps", |b| b.iter(|| plan.pages(8192)));
 }
