--- a/crates/hopyoke-workflow/src/engine.rs
+++ b/crates/hopyoke-workflow/src/engine.rs
@@ -23,9 +23,21 @@
     Fetch { run: RunId, epoch: u64, plan: bool },
     /// Accept this job, on the condition that it is not known, that the run's head has this mark,
     /// and that its grant stands.
-    Submit { run: RunId, epoch: u64, step: StepNo, spec: JobSpec, grant: ModRevision, head: ModRevision },
+    Submit {
+        run: RunId,
+        epoch: u64,
+        step: StepNo,
+        spec: JobSpec,
+        grant: ModRevision,
+        head: ModRevision,
+    },
     /// Cancel this job.
-    Withdraw { run: RunId, epoch: u64, step: StepNo, job: JobId },
+    Withdraw {
+        run: RunId,
+        epoch: u64,
+        step: StepNo,
+        job: JobId,
+    },
     /// Write pages, which must have these marks, and the head, all at once, on the condition that
     /// the grant stands. `release`: drop the grant with it.
     Write {
@@ -143,7 +155,14 @@
 impl Engine {
     /// `nodes`: the names of all nodes; `txn_ops`: most changes of a transaction; `seed`: for the
     /// jitter of retries.
-    pub fn new(limits: Limits, me: &str, nodes: Vec<String>, txn_ops: usize, seed: u64, now: Micros) -> Engine {
+    pub fn new(
+        limits: Limits,
+        me: &str,
+        nodes: Vec<String>,
+        txn_ops: usize,
+        seed: u64,
+        now: Micros,
+    ) -> Engine {
         Engine {
             limits,
             me: me.to_owned(),
@@ -193,14 +212,20 @@
 
     /// At this mark the run's head was no longer where unfinished runs are: it is over.
     pub fn head_gone(&mut self, run: RunId, mod_revision: ModRevision) {
-        if self.runs.get(&run).is_some_and(|r| mod_revision > r.head_revision) {
+        if self
+            .runs
+            .get(&run)
+            .is_some_and(|r| mod_revision > r.head_revision)
+        {
             self.over(run);
         }
     }
 
     /// A run was granted to a node.
     pub fn hold_seen(&mut self, run: RunId, node: &str, mod_revision: ModRevision, now: Micros) {
-        let Some(r) = self.runs.get_mut(&run) else { return };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         if mod_revision > r.held_at {
             r.held_at = mod_revision;
             r.held_by_us = node == self.me;
@@ -218,7 +243,9 @@
 
     /// At this mark nobody held the run.
     pub fn hold_gone(&mut self, run: RunId, mod_revision: ModRevision, now: Micros) {
-        let Some(r) = self.runs.get_mut(&run) else { return };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         r.free_at = r.free_at.max(mod_revision);
         match r.phase {
             Phase::Elsewhere if r.may_claim() => self.claim_later(run, now),
@@ -229,7 +256,10 @@
 
     /// News may have been missed: the records of all runs that this node carries are read again.
     pub fn news_lost(&mut self, now: Micros) {
-        let mine = self.runs.iter().filter(|(_, r)| matches!(r.phase, Phase::Fetching | Phase::Carrying));
+        let mine = self
+            .runs
+            .iter()
+            .filter(|(_, r)| matches!(r.phase, Phase::Fetching | Phase::Carrying));
         for run in mine.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.fetch_again(run, now);
         }
@@ -237,7 +267,12 @@
 
     /// This node's lease ended: none of its grants stands.
     pub fn lease_lost(&mut self, now: Micros) {
-        let mine: Vec<RunId> = self.runs.iter().filter(|(_, r)| r.is_ours()).map(|(id, _)| *id).collect();
+        let mine: Vec<RunId> = self
+            .runs
+            .iter()
+            .filter(|(_, r)| r.is_ours())
+            .map(|(id, _)| *id)
+            .collect();
         for run in mine {
             self.give_up(run, now);
         }
@@ -245,14 +280,20 @@
 
     /// A job under one of the runs' ids is over.
     pub fn job_ended(&mut self, job: &JobId, end: JobEnd, now: Micros) {
-        let Some((run, step, attempt)) = parts_of(job) else { return };
-        let Some(r) = self.runs.get_mut(&run) else { return };
+        let Some((run, step, attempt)) = parts_of(job) else {
+            return;
+        };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         if r.phase == Phase::Fetching {
             // It may have ended after its record was read. (Guards against a run that never ends.)
             r.news.push((job.clone(), end));
             return;
         }
-        let Some(body) = r.body.as_mut().filter(|_| r.phase == Phase::Carrying) else { return };
+        let Some(body) = r.body.as_mut().filter(|_| r.phase == Phase::Carrying) else {
+            return;
+        };
         // Only a step in flight: the record may be somebody else's, or of an earlier try.
         if body.tries(step) == attempt && body.flight.contains_key(&step) {
             body.job_ended(step, end, &r.head);
@@ -264,8 +305,19 @@
 
     /// `Ok`: the grant's mark. `Err` with a mark: somebody has held it since. `Err(None)`: not
     /// decided.
-    pub fn claimed(&mut self, run: RunId, result: Result<ModRevision, Option<ModRevision>>, now: Micros) {
-        let Some(r) = self.runs.get_mut(&run).filter(|r| r.phase == Phase::Claiming) else { return };
+    pub fn claimed(
+        &mut self,
+        run: RunId,
+        result: Result<ModRevision, Option<ModRevision>>,
+        now: Micros,
+    ) {
+        let Some(r) = self
+            .runs
+            .get_mut(&run)
+            .filter(|r| r.phase == Phase::Claiming)
+        else {
+            return;
+        };
         match result {
             Ok(grant) => {
                 r.grant = grant;
@@ -291,7 +343,9 @@
 
     /// `None`: they could not be read.
     pub fn fetched(&mut self, run: RunId, epoch: u64, fetched: Option<Fetched>, now: Micros) {
-        let Some(r) = self.runs.get_mut(&run) else { return };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         if r.phase != Phase::Fetching || r.epoch != epoch {
             return;
         }
@@ -338,8 +392,17 @@
     }
 
     /// How a submission ended.
-    pub fn submitted(&mut self, run: RunId, epoch: u64, step: StepNo, outcome: Outcome, now: Micros) {
-        let Some(r) = self.runs.get_mut(&run) else { return };
+    pub fn submitted(
+        &mut self,
+        run: RunId,
+        epoch: u64,
+        step: StepNo,
+        outcome: Outcome,
+        now: Micros,
+    ) {
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         if r.phase != Phase::Carrying || r.epoch != epoch {
             return;
         }
@@ -381,8 +444,17 @@
     }
 
     /// How a withdrawal ended: `Ended`, `Missing`, `Taken` or anything else for "not decided".
-    pub fn withdrawn(&mut self, run: RunId, epoch: u64, step: StepNo, outcome: Outcome, now: Micros) {
-        let Some(r) = self.runs.get_mut(&run) else { return };
+    pub fn withdrawn(
+        &mut self,
+        run: RunId,
+        epoch: u64,
+        step: StepNo,
+        outcome: Outcome,
+        now: Micros,
+    ) {
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         if r.phase != Phase::Carrying || r.epoch != epoch {
             return;
         }
@@ -404,9 +476,26 @@
     }
 
     /// How a write ended.
-    pub fn written(&mut self, run: RunId, epoch: u64, action: &Action, written: Written, now: Micros) {
-        let Action::Write { pages, head, release, .. } = action else { return };
-        let Some(r) = self.runs.get_mut(&run) else { return };
+    pub fn written(
+        &mut self,
+        run: RunId,
+        epoch: u64,
+        action: &Action,
+        written: Written,
+        now: Micros,
+    ) {
+        let Action::Write {
+            pages,
+            head,
+            release,
+            ..
+        } = action
+        else {
+            return;
+        };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         if r.phase != Phase::Carrying || r.epoch != epoch {
             return;
         }
@@ -473,8 +562,14 @@
 
     /// When a tick has something to do again, if no event comes before.
     pub fn next_due(&self, now: Micros) -> Micros {
-        let due = self.due.first().map_or(now + Micros::from_secs(60), |d| d.0);
-        let turns = self.teams.values().any(|t| self.has_room(t) && !t.turns.is_empty());
+        let due = self
+            .due
+            .first()
+            .map_or(now + Micros::from_secs(60), |d| d.0);
+        let turns = self
+            .teams
+            .values()
+            .any(|t| self.has_room(t) && !t.turns.is_empty());
         if !turns && self.withdrawing.is_empty() {
             return due;
         }
@@ -484,13 +579,18 @@
 
     /// Runs that are not over, and how far those are that this node carries.
     pub fn runs(&self) -> impl Iterator<Item = (RunId, &Head, Option<Progress>)> {
-        self.runs.iter().map(|(id, r)| (*id, &r.head, r.body.as_ref().map(Body::progress)))
+        self.runs
+            .iter()
+            .map(|(id, r)| (*id, &r.head, r.body.as_ref().map(Body::progress)))
     }
 
     /// How far a run is that this node carries.
     pub fn progress(&self, run: RunId) -> Option<Progress> {
         let r = self.runs.get(&run)?;
-        r.body.as_ref().filter(|_| r.phase == Phase::Carrying).map(Body::progress)
+        r.body
+            .as_ref()
+            .filter(|_| r.phase == Phase::Carrying)
+            .map(Body::progress)
     }
 
     /// Runs, steps and pages looked at so far.
@@ -505,23 +605,46 @@
         if ours != self.carried {
             faults.push(format!("{ours} runs are ours, not {}", self.carried));
         }
-        let steps: usize = self.runs.values().filter(|r| r.is_ours()).map(|r| r.head.steps as usize).sum();
+        let steps: usize = self
+            .runs
+            .values()
+            .filter(|r| r.is_ours())
+            .map(|r| r.head.steps as usize)
+            .sum();
         if steps != self.steps_carried {
-            faults.push(format!("{steps} steps are ours, not {}", self.steps_carried));
+            faults.push(format!(
+                "{steps} steps are ours, not {}",
+                self.steps_carried
+            ));
         }
         for (name, team) in &self.teams {
-            let carried = self.runs.values().filter(|r| r.phase == Phase::Carrying && r.head.team == *name);
-            let flying: usize = carried.filter_map(|r| r.body.as_ref()).map(|b| b.flight.len()).sum();
+            let carried = self
+                .runs
+                .values()
+                .filter(|r| r.phase == Phase::Carrying && r.head.team == *name);
+            let flying: usize = carried
+                .filter_map(|r| r.body.as_ref())
+                .map(|b| b.flight.len())
+                .sum();
             if flying != team.in_flight {
-                faults.push(format!("team {name} has {flying} steps in flight, not {}", team.in_flight));
+                faults.push(format!(
+                    "team {name} has {flying} steps in flight, not {}",
+                    team.in_flight
+                ));
             }
         }
         faults
     }
 
     fn team(&mut self, run: RunId) -> &mut Team {
-        let name = self.runs.get(&run).map_or(String::new(), |r| r.head.team.clone());
-        self.teams.entry(name).or_insert_with(|| Team { in_flight: 0, turns: VecDeque::new() })
+        let name = self
+            .runs
+            .get(&run)
+            .map_or(String::new(), |r| r.head.team.clone());
+        self.teams.entry(name).or_insert_with(|| Team {
+            in_flight: 0,
+            turns: VecDeque::new(),
+        })
     }
 
     fn has_room(&self, team: &Team) -> bool {
@@ -530,34 +653,54 @@
 
     /// A pause after so many failures in a row: doubled each time, half of it by chance.
     fn pause(&mut self, failures: u32) -> Micros {
-        let full = self.limits.retry_least.times(1 << failures.min(16)).min(self.limits.retry_most);
+        let full = self
+            .limits
+            .retry_least
+            .times(1 << failures.min(16))
+            .min(self.limits.retry_most);
         Micros(full.0 / 2 + self.rng.random_range(0..=full.0 / 2))
     }
 
     /// This node's place in the order in which nodes claim a run, by rendezvous hashing: so runs
     /// spread over the nodes, and all agree without a word.
     fn rank(&self, run: RunId) -> u64 {
-        let weight = |node: &str| xxhash_rust::xxh3::xxh3_64_with_seed(node.as_bytes(), run.number());
+        let weight =
+            |node: &str| xxhash_rust::xxh3::xxh3_64_with_seed(node.as_bytes(), run.number());
         let mine = (weight(&self.me), self.me.as_str());
-        self.nodes.iter().filter(|n| (weight(n), n.as_str()) > mine).count() as u64
+        self.nodes
+            .iter()
+            .filter(|n| (weight(n), n.as_str()) > mine)
+            .count() as u64
     }
 
     fn claim_later(&mut self, run: RunId, now: Micros) {
         let failures = self.runs.get(&run).map_or(0, |r| r.failures);
         let gap = self.limits.claim_gap.times(self.rank(run));
-        let pause = if failures > 0 { self.pause(failures) } else { Micros(self.rng.random_range(0..50_000)) };
+        let pause = if failures > 0 {
+            self.pause(failures)
+        } else {
+            Micros(self.rng.random_range(0..50_000))
+        };
         self.due.insert((now + gap + pause, run, Due::Claim));
     }
 
     fn claim(&mut self, run: RunId, now: Micros) {
-        let Some(r) = self.runs.get_mut(&run) else { return };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         if r.phase != Phase::Elsewhere || !r.may_claim() {
             return;
         }
         let steps = self.steps_carried + r.head.steps as usize;
-        if self.carried >= self.limits.runs_carried || (self.carried > 0 && steps > self.limits.steps_carried) {
+        if self.carried >= self.limits.runs_carried
+            || (self.carried > 0 && steps > self.limits.steps_carried)
+        {
             // Others may have room; if none has, some run of ours will end.
-            self.due.insert((now + self.limits.claim_gap.max(Micros::from_secs(1)), run, Due::Claim));
+            self.due.insert((
+                now + self.limits.claim_gap.max(Micros::from_secs(1)),
+                run,
+                Due::Claim,
+            ));
             return;
         }
         r.phase = Phase::Claiming;
@@ -578,7 +721,9 @@
     /// Another node has it, or nobody: whatever was asked in its name is stale.
     fn give_up(&mut self, run: RunId, now: Micros) {
         self.leave(run);
-        let Some(r) = self.runs.get_mut(&run) else { return };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         debug!(%run, "no longer carried here");
         r.phase = Phase::Elsewhere;
         r.grant = ModRevision(0);
@@ -590,7 +735,9 @@
 
     /// Takes a run's steps out of all counts.
     fn leave(&mut self, run: RunId) {
-        let Some(r) = self.runs.get_mut(&run) else { return };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         r.epoch += 1;
         let counted = std::mem::take(&mut r.counted);
         self.withdrawing.remove(&run);
@@ -599,7 +746,13 @@
 
     /// Brings the team's count up to date with the run's flight.
     fn recount(&mut self, run: RunId) {
-        let Some(r) = self.runs.get_mut(&run).filter(|r| r.phase == Phase::Carrying) else { return };
+        let Some(r) = self
+            .runs
+            .get_mut(&run)
+            .filter(|r| r.phase == Phase::Carrying)
+        else {
+            return;
+        };
         let flying = r.body.as_ref().map_or(0, |b| b.flight.len());
         let before = std::mem::replace(&mut r.counted, flying);
         let team = self.team(run);
@@ -612,7 +765,11 @@
             self.put(run);
         }
         self.leave(run);
-        let name = self.runs.remove(&run).map(|r| r.head.team).unwrap_or_default();
+        let name = self
+            .runs
+            .remove(&run)
+            .map(|r| r.head.team)
+            .unwrap_or_default();
         if let Some(team) = self.teams.get_mut(&name) {
             team.turns.retain(|r| *r != run);
             if team.turns.is_empty() && team.in_flight == 0 {
@@ -624,7 +781,9 @@
     /// Something about the run is not as we know it: all its records are read again.
     fn fetch_again(&mut self, run: RunId, now: Micros) {
         self.leave(run);
-        let Some(r) = self.runs.get_mut(&run) else { return };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         r.phase = Phase::Fetching;
         r.failures += 1;
         let failures = r.failures;
@@ -633,9 +792,19 @@
     }
 
     fn fetch(&mut self, run: RunId) {
-        let Some(r) = self.runs.get_mut(&run).filter(|r| r.phase == Phase::Fetching) else { return };
+        let Some(r) = self
+            .runs
+            .get_mut(&run)
+            .filter(|r| r.phase == Phase::Fetching)
+        else {
+            return;
+        };
         r.epoch += 1;
-        self.actions.push_back(Action::Fetch { run, epoch: r.epoch, plan: r.body.is_none() });
+        self.actions.push_back(Action::Fetch {
+            run,
+            epoch: r.epoch,
+            plan: r.body.is_none(),
+        });
     }
 
     /// Steps have left the flight or become ready, or the run's state has changed.
@@ -648,8 +817,13 @@
     /// The run's steps take their turn.
     fn enqueue(&mut self, run: RunId) {
         let most = self.limits.steps_in_flight;
-        let Some(r) = self.runs.get_mut(&run) else { return };
-        let some = r.body.as_ref().is_some_and(|b| !b.ready.is_empty() && b.flight.len() < most);
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
+        let some = r
+            .body
+            .as_ref()
+            .is_some_and(|b| !b.ready.is_empty() && b.flight.len() < most);
         if some && r.may_submit() && !r.queued {
             r.queued = true;
             self.team(run).turns.push_back(run);
@@ -668,7 +842,11 @@
         let rate = self.limits.writes_per_s;
         loop {
             let withdraw = self.withdrawing.first().copied();
-            let team = if now < self.paused_until { None } else { self.next_team() };
+            let team = if now < self.paused_until {
+                None
+            } else {
+                self.next_team()
+            };
             match (withdraw, team) {
                 (Some(run), team) if team.is_none() || !self.withdrew => {
                     // A record moves: two changes.
@@ -697,32 +875,49 @@
     /// The team after the last one that has something to submit and may.
     fn next_team(&self) -> Option<String> {
         use std::ops::Bound::{Excluded, Unbounded};
-        let after = self.teams.range::<String, _>((Excluded(&self.last_team), Unbounded));
+        let after = self
+            .teams
+            .range::<String, _>((Excluded(&self.last_team), Unbounded));
         let mut turns = after.chain(self.teams.iter());
-        turns.find(|(_, t)| !t.turns.is_empty() && self.has_room(t)).map(|(name, _)| name.clone())
+        turns
+            .find(|(_, t)| !t.turns.is_empty() && self.has_room(t))
+            .map(|(name, _)| name.clone())
     }
 
     fn submit_one(&mut self, run: RunId) {
         self.looks += 1;
-        let Some(r) = self.runs.get_mut(&run) else { return };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         r.queued = false;
         if !r.may_submit() {
             return;
         }
         let Some(body) = r.body.as_mut() else { return };
-        let Some(step) = body.ready.pop_front() else { return };
+        let Some(step) = body.ready.pop_front() else {
+            return;
+        };
         let spec = body.plan.spec(step, job_id(run, step, body.tries(step)));
         if let Some(spec) = spec.filter(|_| body.is_open(step)) {
             body.flight.insert(step, Flight::Submitting);
             let (epoch, grant, head) = (r.epoch, r.grant, r.head_revision);
-            self.actions.push_back(Action::Submit { run, epoch, step, spec, grant, head });
+            self.actions.push_back(Action::Submit {
+                run,
+                epoch,
+                step,
+                spec,
+                grant,
+                head,
+            });
         }
         self.recount(run);
         self.enqueue(run);
     }
 
     fn step_later(&mut self, run: RunId, step: StepNo, now: Micros) {
-        let Some(body) = self.runs.get_mut(&run).and_then(|r| r.body.as_mut()) else { return };
+        let Some(body) = self.runs.get_mut(&run).and_then(|r| r.body.as_mut()) else {
+            return;
+        };
         let failures = body.failures.entry(step).or_default();
         *failures += 1;
         let failures = *failures;
@@ -732,7 +927,13 @@
 
     /// A step's submission or withdrawal is tried again.
     fn step_again(&mut self, run: RunId, step: StepNo) {
-        let Some(r) = self.runs.get_mut(&run).filter(|r| r.phase == Phase::Carrying) else { return };
+        let Some(r) = self
+            .runs
+            .get_mut(&run)
+            .filter(|r| r.phase == Phase::Carrying)
+        else {
+            return;
+        };
         let Some(body) = r.body.as_mut() else { return };
         match body.flight.get(&step) {
             Some(Flight::Unsure) => {
@@ -749,13 +950,24 @@
     fn withdraw_one(&mut self, run: RunId) {
         self.looks += 1;
         self.withdrawing.remove(&run);
-        let Some(r) = self.runs.get_mut(&run).filter(|r| r.phase == Phase::Carrying) else { return };
+        let Some(r) = self
+            .runs
+            .get_mut(&run)
+            .filter(|r| r.phase == Phase::Carrying)
+        else {
+            return;
+        };
         let Some(body) = r.body.as_mut() else { return };
         while let Some(step) = body.withdrawals.pop_front() {
             if body.flight.get(&step) == Some(&Flight::ToWithdraw) {
                 body.flight.insert(step, Flight::Withdrawing);
                 let job = job_id(run, step, body.tries(step));
-                self.actions.push_back(Action::Withdraw { run, epoch: r.epoch, step, job });
+                self.actions.push_back(Action::Withdraw {
+                    run,
+                    epoch: r.epoch,
+                    step,
+                    job,
+                });
                 break;
             }
         }
@@ -767,11 +979,15 @@
     /// If the run's recorded state says that it winds up: nothing starts, what was submitted is
     /// withdrawn.
     fn wind_up(&mut self, run: RunId, now: Micros) {
-        let Some(r) = self.runs.get_mut(&run) else { return };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
         if r.head.state.starts_steps() || r.phase != Phase::Carrying {
             return;
         }
-        let Some(body) = r.body.as_mut().filter(|b| !b.wound_up) else { return };
+        let Some(body) = r.body.as_mut().filter(|b| !b.wound_up) else {
+            return;
+        };
         self.looks += u64::from(body.progress().steps);
         body.wind_up();
         self.step_left(run, now);
@@ -780,9 +996,19 @@
     /// Writes what must or may be written now.
     fn draft(&mut self, run: RunId, now: Micros) {
         let gather = self.limits.gather;
-        let Some(r) = self.runs.get_mut(&run).filter(|r| r.phase == Phase::Carrying) else { return };
-        let Some(body) = r.body.as_mut().filter(|b| !b.writing) else { return };
-        let fails = body.failed > 0 && r.head.on_error == OnError::Stop && r.head.state == RunState::Running;
+        let Some(r) = self
+            .runs
+            .get_mut(&run)
+            .filter(|r| r.phase == Phase::Carrying)
+        else {
+            return;
+        };
+        let Some(body) = r.body.as_mut().filter(|b| !b.writing) else {
+            return;
+        };
+        let fails = body.failed > 0
+            && r.head.on_error == OnError::Stop
+            && r.head.state == RunState::Running;
         let ends = body.is_settled();
         if !fails && !ends {
             if body.dirty.is_empty() {
@@ -812,12 +1038,31 @@
                 _ if body.failed > 0 => RunState::Failed,
                 _ => RunState::Done,
             };
-            let reason = if state == RunState::Failed { body.reason.clone() } else { String::new() };
+            let reason = if state == RunState::Failed {
+                body.reason.clone()
+            } else {
+                String::new()
+            };
             let done = body.done();
-            head = Some((r.head_revision, Head { state, reason, done, ..r.head.clone() }));
+            head = Some((
+                r.head_revision,
+                Head {
+                    state,
+                    reason,
+                    done,
+                    ..r.head.clone()
+                },
+            ));
         } else if fails {
             let reason = body.reason.clone();
-            head = Some((r.head_revision, Head { state: RunState::Failing, reason, ..r.head.clone() }));
+            head = Some((
+                r.head_revision,
+                Head {
+                    state: RunState::Failing,
+                    reason,
+                    ..r.head.clone()
+                },
+            ));
         }
         self.looks += pages.len() as u64;
         body.writing = true;
@@ -826,10 +1071,21 @@
             .into_iter()
             .map(|p| {
                 body.dirty.remove(&p);
-                (p, body.page_marks.get(&p).copied().unwrap_or(ModRevision(0)), body.page(p))
+                (
+                    p,
+                    body.page_marks.get(&p).copied().unwrap_or(ModRevision(0)),
+                    body.page(p),
+                )
             })
             .collect();
         let release = head.as_ref().is_some_and(|(_, h)| h.state.is_final());
-        self.actions.push_back(Action::Write { run, epoch: r.epoch, grant: r.grant, pages, head, release });
+        self.actions.push_back(Action::Write {
+            run,
+            epoch: r.epoch,
+            grant: r.grant,
+            pages,
+            head,
+            release,
+        });
     }
 }
--- a/crates/hopyoke-workflow/src/ids.rs
+++ b/crates/hopyoke-workflow/src/ids.rs
@@ -26,7 +26,11 @@
     /// Reads the twelve digits that [`fmt::Display`] writes.
     pub fn parse(s: &str) -> Option<RunId> {
         let ok = s.len() == 12 && s.bytes().all(|b| b.is_ascii_digit());
-        if ok { s.parse().ok().and_then(RunId::new) } else { None }
+        if ok {
+            s.parse().ok().and_then(RunId::new)
+        } else {
+            None
+        }
     }
 
     pub fn number(self) -> u64 {
@@ -74,7 +78,11 @@
         return None;
     }
     let run = RunId::parse(&digits[..12])?;
-    Some((run, StepNo(digits[12..17].parse().ok()?), digits[17..].parse().ok()?))
+    Some((
+        run,
+        StepNo(digits[12..17].parse().ok()?),
+        digits[17..].parse().ok()?,
+    ))
 }
 
 #[cfg(test)]
--- a/crates/hopyoke-workflow/src/limits.rs
+++ b/crates/hopyoke-workflow/src/limits.rs
@@ -73,6 +73,10 @@
     /// When `n` will be there.
     pub(crate) fn when(&self, n: f64, per_s: f64, now: Micros) -> Micros {
         let short = n.min(per_s.max(1.0)) - self.left;
-        if short <= 0.0 { now } else { now.max(self.at + Micros::from_secs_f64(short / per_s.max(0.01))) }
+        if short <= 0.0 {
+            now
+        } else {
+            now.max(self.at + Micros::from_secs_f64(short / per_s.max(0.01)))
+        }
     }
 }
--- a/crates/hopyoke-workflow/src/plan.rs
+++ b/crates/hopyoke-workflow/src/plan.rs
@@ -80,7 +80,12 @@
             return Err(PlanError::TooMany(n));
         }
         for (i, step) in self.steps.iter().enumerate() {
-            let fault = |what: String| Err(PlanError::Step { path: step.path.clone(), what });
+            let fault = |what: String| {
+                Err(PlanError::Step {
+                    path: step.path.clone(),
+                    what,
+                })
+            };
             if step.path.is_empty() || step.path.len() > MOST_PATH {
                 return fault(format!("its name must have 1 to {MOST_PATH} bytes"));
             }
@@ -156,7 +161,11 @@
     pub fn spec(&self, step: StepNo, id: JobId) -> Option<JobSpec> {
         let step = self.steps.get(step.0 as usize)?;
         let shape = self.shapes.get(step.shape? as usize)?;
-        Some(JobSpec { id, tasks: step.tasks, ..shape.clone() })
+        Some(JobSpec {
+            id,
+            tasks: step.tasks,
+            ..shape.clone()
+        })
     }
 
     /// The same for the same plan, whatever the version of the program that wrote it.
@@ -171,7 +180,8 @@
     pub fn pages(&self, value_bytes: usize) -> Result<Vec<PlanPage>, PlanError> {
         // The page's own braces, names and commas.
         let most = value_bytes.saturating_sub(64);
-        let size = |json: Result<String, serde_json::Error>| json.map_or(usize::MAX, |t| t.len() + 1);
+        let size =
+            |json: Result<String, serde_json::Error>| json.map_or(usize::MAX, |t| t.len() + 1);
         let mut pages = vec![PlanPage::default()];
         let mut used = 0;
         let mut place = |pages: &mut Vec<PlanPage>, bytes: usize, what: &str| {
@@ -186,12 +196,28 @@
             Ok(())
         };
         for shape in &self.shapes {
-            place(&mut pages, size(serde_json::to_string(shape)), &format!("a job of class {}", shape.class))?;
-            pages.last_mut().expect("at least one page").shapes.push(shape.clone());
+            place(
+                &mut pages,
+                size(serde_json::to_string(shape)),
+                &format!("a job of class {}", shape.class),
+            )?;
+            pages
+                .last_mut()
+                .expect("at least one page")
+                .shapes
+                .push(shape.clone());
         }
         for step in &self.steps {
-            place(&mut pages, size(serde_json::to_string(step)), &format!("step {}", step.path))?;
-            pages.last_mut().expect("at least one page").steps.push(step.clone());
+            place(
+                &mut pages,
+                size(serde_json::to_string(step)),
+                &format!("step {}", step.path),
+            )?;
+            pages
+                .last_mut()
+                .expect("at least one page")
+                .steps
+                .push(step.clone());
         }
         // Text may grow sixfold when it is escaped.
         let mut rest = self.outputs.as_str();
@@ -202,7 +228,11 @@
             }
             let (part, left) = rest.split_at(cut);
             place(&mut pages, size(serde_json::to_string(part)), "the outputs")?;
-            pages.last_mut().expect("at least one page").outputs.push_str(part);
+            pages
+                .last_mut()
+                .expect("at least one page")
+                .outputs
+                .push_str(part);
             rest = left;
         }
         Ok(pages)
--- a/crates/hopyoke-workflow/src/record.rs
+++ b/crates/hopyoke-workflow/src/record.rs
@@ -32,7 +32,10 @@
 
 impl RunState {
     pub fn is_final(self) -> bool {
-        matches!(self, RunState::Done | RunState::Failed | RunState::Cancelled)
+        matches!(
+            self,
+            RunState::Done | RunState::Failed | RunState::Cancelled
+        )
     }
 
     /// Steps may be submitted.
@@ -82,7 +85,14 @@
 
 impl Head {
     /// The head of a run that is submitted now.
-    pub fn new(name: &str, team: &str, owner: &str, plan: &Plan, pages: u32, submitted_us: u64) -> Head {
+    pub fn new(
+        name: &str,
+        team: &str,
+        owner: &str,
+        plan: &Plan,
+        pages: u32,
+        submitted_us: u64,
+    ) -> Head {
         Head {
             name: name.to_owned(),
             team: team.to_owned(),
@@ -173,7 +183,11 @@
 
     pub(crate) fn write(first: u32, steps: &[(StepMark, u8)]) -> StepPage {
         let marks = steps.iter().map(|(m, _)| m.letter() as char).collect();
-        let tries = (first..).zip(steps).filter(|(_, (_, t))| *t > 0).map(|(i, (_, t))| (i, *t)).collect();
+        let tries = (first..)
+            .zip(steps)
+            .filter(|(_, (_, t))| *t > 0)
+            .map(|(i, (_, t))| (i, *t))
+            .collect();
         StepPage { marks, tries }
     }
 
@@ -183,16 +197,25 @@
             StepMark::Done => StepMark::Done,
             _ => StepMark::Open,
         };
-        let marks = self.marks.bytes().map(|b| letter(b).letter() as char).collect();
-        StepPage { marks, tries: BTreeMap::new() }
+        let marks = self
+            .marks
+            .bytes()
+            .map(|b| letter(b).letter() as char)
+            .collect();
+        StepPage {
+            marks,
+            tries: BTreeMap::new(),
+        }
     }
 
     /// The marks and tries that the page records, from its first step on.
     pub fn read(&self, page: u32) -> impl Iterator<Item = (StepNo, StepMark, u8)> + '_ {
         let first = page * STEPS_PER_PAGE;
-        (first..).zip(self.marks.bytes().take(STEPS_PER_PAGE as usize)).map(|(i, b)| {
-            let tries = self.tries.get(&i).copied().unwrap_or(0);
-            (StepNo(i), StepMark::of_letter(b), tries)
-        })
+        (first..)
+            .zip(self.marks.bytes().take(STEPS_PER_PAGE as usize))
+            .map(|(i, b)| {
+                let tries = self.tries.get(&i).copied().unwrap_or(0);
+                (StepNo(i), StepMark::of_letter(b), tries)
+            })
     }
 }
--- a/crates/hopyoke-workflow/src/run.rs
+++ b/crates/hopyoke-workflow/src/run.rs
@@ -97,7 +97,10 @@
 
     /// It is ours, or we try to make it ours.
     pub(crate) fn is_ours(&self) -> bool {
-        matches!(self.phase, Phase::Claiming | Phase::Fetching | Phase::Carrying)
+        matches!(
+            self.phase,
+            Phase::Claiming | Phase::Fetching | Phase::Carrying
+        )
     }
 
     /// Steps of it may be submitted now.
@@ -136,7 +139,12 @@
 impl Body {
     /// The three-way check of all steps at once: what the pages say, what the jobs' records say,
     /// and what follows for the rest.
-    pub(crate) fn of(plan: Rc<Plan>, followers: Rc<Vec<Vec<u32>>>, head: &Head, fetched: &Fetched) -> Body {
+    pub(crate) fn of(
+        plan: Rc<Plan>,
+        followers: Rc<Vec<Vec<u32>>>,
+        head: &Head,
+        fetched: &Fetched,
+    ) -> Body {
         let n = plan.steps.len();
         let mut body = Body {
             waits: plan.steps.iter().map(|s| s.after.len() as u32).collect(),
@@ -175,7 +183,10 @@
                 s.1 = s.1.max(attempt.saturating_add(1).min(MOST_TRIES));
             }
         }
-        let marked: Vec<(StepNo, StepMark)> = (0..).map(StepNo).zip(body.steps.iter().map(|s| s.0)).collect();
+        let marked: Vec<(StepNo, StepMark)> = (0..)
+            .map(StepNo)
+            .zip(body.steps.iter().map(|s| s.0))
+            .collect();
         for (step, mod_revision) in marked.into_iter().filter(|(_, m)| m.is_over()) {
             body.count(step, mod_revision);
         }
@@ -202,15 +213,19 @@
         // What needs a step that failed is skipped, if a crash came before that was recorded.
         if head.on_error == OnError::Continue {
             for i in 0..n as u32 {
-                if matches!(body.steps[i as usize].0, StepMark::Failed | StepMark::Skipped) {
+                if matches!(
+                    body.steps[i as usize].0,
+                    StepMark::Failed | StepMark::Skipped
+                ) {
                     body.skip_after(StepNo(i));
                 }
             }
         }
         // What is left may be started anew.
         body.ready.clear();
-        let startable =
-            |s: &StepNo| body.is_open(*s) && body.waits[s.0 as usize] == 0 && !body.flight.contains_key(s);
+        let startable = |s: &StepNo| {
+            body.is_open(*s) && body.waits[s.0 as usize] == 0 && !body.flight.contains_key(s)
+        };
         let ready: Vec<StepNo> = (0..n as u32).map(StepNo).filter(startable).collect();
         for step in ready {
             body.now_ready(step);
@@ -219,7 +234,9 @@
     }
 
     pub(crate) fn is_open(&self, step: StepNo) -> bool {
-        self.steps.get(step.0 as usize).is_some_and(|s| s.0 == StepMark::Open)
+        self.steps
+            .get(step.0 as usize)
+            .is_some_and(|s| s.0 == StepMark::Open)
     }
 
     pub(crate) fn tries(&self, step: StepNo) -> u8 {
@@ -227,7 +244,10 @@
     }
 
     pub(crate) fn path(&self, step: StepNo) -> &str {
-        self.plan.steps.get(step.0 as usize).map_or("", |s| s.path.as_str())
+        self.plan
+            .steps
+            .get(step.0 as usize)
+            .map_or("", |s| s.path.as_str())
     }
 
     /// Nothing is open.
@@ -317,7 +337,11 @@
                 }
             }
             JobEnd::Cancelled | JobEnd::GivenUp if head.state == RunState::Running => {
-                let why = if end == JobEnd::GivenUp { "its tasks keep failing" } else { "its job was cancelled" };
+                let why = if end == JobEnd::GivenUp {
+                    "its tasks keep failing"
+                } else {
+                    "its job was cancelled"
+                };
                 self.fail(step, why, head);
             }
             JobEnd::Cancelled | JobEnd::GivenUp => self.settle(step, StepMark::Withdrawn),
@@ -378,7 +402,9 @@
 
     /// Somebody else has a job under the step's id: the next one is taken. False: there is none.
     pub(crate) fn next_try(&mut self, step: StepNo) -> bool {
-        let Some(s) = self.steps.get_mut(step.0 as usize) else { return false };
+        let Some(s) = self.steps.get_mut(step.0 as usize) else {
+            return false;
+        };
         s.1 = (s.1 + 1).min(MOST_TRIES);
         let left = s.1 < MOST_TRIES;
         self.dirty.insert(StepPage::of(step));
--- a/crates/hopyoke-workflow/tests/frozen_forms.rs
+++ b/crates/hopyoke-workflow/tests/frozen_forms.rs
@@ -24,7 +24,12 @@
         tasks,
     };
     Plan {
-        shapes: vec![JobSpec::plain(JobId::new("req-0"), "convert", "vision", "registry/convert:3")],
+        shapes: vec![JobSpec::plain(
+            JobId::new("req-0"),
+            "convert",
+            "vision",
+            "registry/convert:3",
+        )],
         steps: vec![
             step("split", &[], Some(0), 1),
             step("convert", &[0], Some(0), 8),
@@ -35,7 +40,14 @@
 }
 
 fn fresh() -> Head {
-    Head::new("nightly", "vision", "ana", &plan(), 1, 1_700_000_000_000_000)
+    Head::new(
+        "nightly",
+        "vision",
+        "ana",
+        &plan(),
+        1,
+        1_700_000_000_000_000,
+    )
 }
 
 #[test]
@@ -49,7 +61,10 @@
         done: 2,
         resumes: run(41_000_000_007),
         plan_of: run(41_000_000_005),
-        tags: BTreeMap::from([("color".into(), "red".into()), ("shift".into(), "night".into())]),
+        tags: BTreeMap::from([
+            ("color".into(), "red".into()),
+            ("shift".into(), "night".into()),
+        ]),
         ..fresh()
     };
     assert_stored("head-full", &full);
@@ -70,18 +85,31 @@
 /// Without the fields that have a default.
 #[test]
 fn heads_of_earlier_versions() {
-    let older = Head { owner: String::new(), digest: 12_345_678_901_234_567_890, ..fresh() };
+    let older = Head {
+        owner: String::new(),
+        digest: 12_345_678_901_234_567_890,
+        ..fresh()
+    };
     assert_read_as("head-older", &older);
 }
 
 #[test]
 fn holds() {
-    assert_stored("hold", &Hold { node: "node-2".into(), lease: 31 });
+    assert_stored(
+        "hold",
+        &Hold {
+            node: "node-2".into(),
+            lease: 31,
+        },
+    );
 }
 
 #[test]
 fn step_pages() {
-    let page = StepPage { marks: "dfws.?d".into(), tries: BTreeMap::from([(1, 3), (4, 1)]) };
+    let page = StepPage {
+        marks: "dfws.?d".into(),
+        tries: BTreeMap::from([(1, 3), (4, 1)]),
+    };
     assert_stored("step-page", &page);
     let marks: Vec<_> = read::<StepPage>("step-page").read(0).collect();
     let want = [
@@ -94,13 +122,21 @@
         (StepNo(6), StepMark::Done, 0),
     ];
     assert_eq!(marks, want);
-    assert_stored("step-page-no-tries", &StepPage { marks: "d.".into(), tries: BTreeMap::new() });
+    assert_stored(
+        "step-page-no-tries",
+        &StepPage {
+            marks: "d.".into(),
+            tries: BTreeMap::new(),
+        },
+    );
 }
 
 #[test]
 fn plan_pages() {
     let pages = plan().pages(4096).expect("fits");
-    let [page] = &pages[..] else { panic!("one page: {pages:?}") };
+    let [page] = &pages[..] else {
+        panic!("one page: {pages:?}")
+    };
     assert_stored("plan-page", page);
     assert_stored("plan-page-empty", &PlanPage::default());
 }
--- a/crates/hopyoke-workflow/tests/model/mod.rs
+++ b/crates/hopyoke-workflow/tests/model/mod.rs
@@ -4,8 +4,8 @@
 
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
-    Action, Engine, Fetched, Head, JobEnd, Limits, Outcome, Plan, RunId, RunState, StepNo, StepPage, Written,
-    parts_of,
+    Action, Engine, Fetched, Head, JobEnd, Limits, Outcome, Plan, RunId, RunState, StepNo,
+    StepPage, Written, parts_of,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -27,7 +27,13 @@
     Stall,
 }
 
-pub const FAULTS: [Fault; 5] = [Fault::CrashBefore, Fault::CrashAfter, Fault::Late, Fault::NoAnswer, Fault::Stall];
+pub const FAULTS: [Fault; 5] = [
+    Fault::CrashBefore,
+    Fault::CrashAfter,
+    Fault::Late,
+    Fault::NoAnswer,
+    Fault::Stall,
+];
 
 /// How a step's job fares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -68,12 +74,33 @@
 }
 
 enum Event {
-    Execute { node: usize, process: u64, action: Action, answer: bool, lease: u64, tried: bool },
-    Answer { node: usize, process: u64, reply: Reply },
-    News { node: usize, process: u64, news: News },
+    Execute {
+        node: usize,
+        process: u64,
+        action: Action,
+        answer: bool,
+        lease: u64,
+        tried: bool,
+    },
+    Answer {
+        node: usize,
+        process: u64,
+        reply: Reply,
+    },
+    News {
+        node: usize,
+        process: u64,
+        news: News,
+    },
     JobOver(JobId),
-    Wake { node: usize, process: u64 },
-    Renew { node: usize, process: u64 },
+    Wake {
+        node: usize,
+        process: u64,
+    },
+    Renew {
+        node: usize,
+        process: u64,
+    },
     Expire,
     Start(usize),
     Crash(usize),
@@ -130,7 +157,11 @@
     pub fn new(seed: u64, nodes: usize) -> Model {
         let mut m = Model {
             now: Micros::ZERO,
-            limits: Limits { writes_per_s: 50.0, reads_per_s: 100.0, ..Limits::default() },
+            limits: Limits {
+                writes_per_s: 50.0,
+                reads_per_s: 100.0,
+                ..Limits::default()
+            },
             txn_ops: 16,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
@@ -154,7 +185,12 @@
             trace: std::env::var_os("SIM_TRACE").is_some(),
         };
         for i in 0..nodes {
-            m.nodes.push(Node { process: 0, engine: None, lease: None, stalled: Micros::ZERO });
+            m.nodes.push(Node {
+                process: 0,
+                engine: None,
+                lease: None,
+                stalled: Micros::ZERO,
+            });
             m.at(Micros::ZERO, Event::Start(i));
         }
         m.at(Micros::ZERO, Event::Expire);
@@ -183,11 +219,19 @@
     }
 
     fn broke(&mut self, what: String) {
-        self.broken.push(format!("{:.3} s: {what}", self.now.as_secs_f64()));
+        self.broken
+            .push(format!("{:.3} s: {what}", self.now.as_secs_f64()));
     }
 
     /// A client submits a run.
-    pub fn submit(&mut self, run: RunId, team: &str, plan: Plan, fates: BTreeMap<StepNo, Fate>, keep_on: bool) {
+    pub fn submit(
+        &mut self,
+        run: RunId,
+        team: &str,
+        plan: Plan,
+        fates: BTreeMap<StepNo, Fate>,
+        keep_on: bool,
+    ) {
         let mut head = Head::new(&format!("run {run}"), team, "client", &plan, 1, self.now.0);
         if keep_on {
             head.on_error = hopyoke_workflow::OnError::Continue;
@@ -204,7 +248,11 @@
             done: BTreeSet::new(),
         };
         self.runs.insert(run, truth);
-        self.apply(vec![(format!("flow/head/{run}"), Some(Value::Head(head)), None)]);
+        self.apply(vec![(
+            format!("flow/head/{run}"),
+            Some(Value::Head(head)),
+            None,
+        )]);
     }
 
     pub fn cancel_at(&mut self, run: RunId, t: Micros) {
@@ -240,7 +288,11 @@
     }
 
     pub fn looks(&self) -> u64 {
-        self.nodes.iter().filter_map(|n| n.engine.as_ref()).map(Engine::looks).sum()
+        self.nodes
+            .iter()
+            .filter_map(|n| n.engine.as_ref())
+            .map(Engine::looks)
+            .sum()
     }
 
     fn down(&self) -> bool {
@@ -283,7 +335,11 @@
                 if before.is_some_and(|b| b.state.is_final()) {
                     self.broke(format!("went_back: {key} is final and changes"));
                 }
-                let run = key.rsplit('/').next().and_then(RunId::parse).expect("a run's key");
+                let run = key
+                    .rsplit('/')
+                    .next()
+                    .and_then(RunId::parse)
+                    .expect("a run's key");
                 let now = self.now;
                 let mut open = Vec::new();
                 if let Some(r) = self.runs.get_mut(&run)
@@ -317,13 +373,22 @@
                 let early = early(&r.plan, &r.done, step);
                 let twice = r.started.insert(step, self.now).is_some();
                 if twice {
-                    self.broke(format!("ran_twice: step {} of run {run} has a second job", step.0));
+                    self.broke(format!(
+                        "ran_twice: step {} of run {run} has a second job",
+                        step.0
+                    ));
                 }
                 if let Some(s) = early {
-                    self.broke(format!("step {} of run {run} starts before step {} is done", step.0, s.0));
+                    self.broke(format!(
+                        "step {} of run {run} starts before step {} is done",
+                        step.0, s.0
+                    ));
                 }
                 if head != RunState::Running {
-                    self.broke(format!("ran_cancelled: step {} of run {run} starts in state {head:?}", step.0));
+                    self.broke(format!(
+                        "ran_cancelled: step {} of run {run} starts in state {head:?}",
+                        step.0
+                    ));
                 }
             }
             _ => {}
@@ -332,7 +397,12 @@
 
     fn tell(&mut self, key: &str, mod_revision: ModRevision) {
         let value = self.store.get(key).map(|v| v.0.clone());
-        let run = || key.rsplit('/').next().and_then(RunId::parse).expect("a run's key");
+        let run = || {
+            key.rsplit('/')
+                .next()
+                .and_then(RunId::parse)
+                .expect("a run's key")
+        };
         let news = match value {
             Some(Value::Head(h)) => News::Head(run(), h, mod_revision),
             Some(Value::Hold(node, _)) => News::Hold(run(), node_name(node), mod_revision),
@@ -344,7 +414,14 @@
             // In order: one connection.
             let span = Micros(4_000);
             let process = self.nodes[node].process;
-            self.after(span, Event::News { node, process, news: news.clone() });
+            self.after(
+                span,
+                Event::News {
+                    node,
+                    process,
+                    news: news.clone(),
+                },
+            );
         }
     }
 
@@ -373,10 +450,14 @@
             Action::Claim { run } => {
                 let key = format!("flow/hold/{run}");
                 let result = match self.store.get(&key) {
-                    Some((Value::Hold(n, l), mod_revision, _)) if (*n, *l) == (node, lease) => Ok(*mod_revision),
+                    Some((Value::Hold(n, l), mod_revision, _)) if (*n, *l) == (node, lease) => {
+                        Ok(*mod_revision)
+                    }
                     Some((_, mod_revision, _)) => Err(Some(*mod_revision)),
                     None if !self.leases.contains_key(&lease) => Err(None),
-                    None => Ok(self.apply(vec![(key, Some(Value::Hold(node, lease)), Some(lease))])),
+                    None => {
+                        Ok(self.apply(vec![(key, Some(Value::Hold(node, lease)), Some(lease))]))
+                    }
                 };
                 Reply::Claimed(*run, result)
             }
@@ -400,9 +481,10 @@
                     jobs: self
                         .under(&format!("job/{}", hopyoke_workflow::job_prefix(*run)))
                         .filter_map(|(k, v, _)| match v {
-                            Value::Job(ours) => {
-                                Some((JobId::new(&format!("{}{k}", hopyoke_workflow::job_prefix(*run))), *ours))
-                            }
+                            Value::Job(ours) => Some((
+                                JobId::new(&format!("{}{k}", hopyoke_workflow::job_prefix(*run))),
+                                *ours,
+                            )),
                             _ => None,
                         })
                         .collect(),
@@ -420,10 +502,19 @@
                 });
                 Reply::Fetched(*run, *epoch, Box::new(fetched))
             }
-            Action::Submit { run, epoch, step, spec, grant, head } => {
+            Action::Submit {
+                run,
+                epoch,
+                step,
+                spec,
+                grant,
+                head,
+            } => {
                 let job = &spec.id;
-                let outcome = match (self.store.get(&format!("job/{job}")), self.store.get(&format!("end/{job}")))
-                {
+                let outcome = match (
+                    self.store.get(&format!("job/{job}")),
+                    self.store.get(&format!("end/{job}")),
+                ) {
                     (Some((Value::Job(true), ..)), _) => Outcome::Known,
                     (_, Some((Value::End(end, true), ..))) => Outcome::Ended(*end),
                     (Some(_), _) | (_, Some(_)) => Outcome::Taken,
@@ -436,8 +527,15 @@
                         let most = self.most_in_flight.entry(spec.team.clone()).or_default();
                         *most = (*most).max(*n);
                         self.apply(vec![(format!("job/{job}"), Some(Value::Job(true)), None)]);
-                        match self.runs[run].fates.get(step).copied().unwrap_or(Fate::Endless) {
-                            Fate::Done(t) | Fate::GivenUp(t) => self.after(t, Event::JobOver(job.clone())),
+                        match self.runs[run]
+                            .fates
+                            .get(step)
+                            .copied()
+                            .unwrap_or(Fate::Endless)
+                        {
+                            Fate::Done(t) | Fate::GivenUp(t) => {
+                                self.after(t, Event::JobOver(job.clone()))
+                            }
                             Fate::Endless => {}
                         }
                         Outcome::Accepted
@@ -445,9 +543,16 @@
                 };
                 Reply::Submitted(*run, *epoch, *step, outcome)
             }
-            Action::Withdraw { run, epoch, step, job } => {
-                let outcome = match (self.store.get(&format!("job/{job}")), self.store.get(&format!("end/{job}")))
-                {
+            Action::Withdraw {
+                run,
+                epoch,
+                step,
+                job,
+            } => {
+                let outcome = match (
+                    self.store.get(&format!("job/{job}")),
+                    self.store.get(&format!("end/{job}")),
+                ) {
                     (Some((Value::Job(true), ..)), _) => {
                         self.end_job(job, JobEnd::Cancelled);
                         Outcome::Ended(JobEnd::Cancelled)
@@ -458,10 +563,19 @@
                 };
                 Reply::Withdrawn(*run, *epoch, *step, outcome)
             }
-            Action::Write { run, grant, pages, head, release, .. } => {
+            Action::Write {
+                run,
+                grant,
+                pages,
+                head,
+                release,
+                ..
+            } => {
                 let page_key = |p: &u32| format!("flowpage/{run}/{p}");
                 let fits = held(self, *run) == *grant
-                    && pages.iter().all(|(p, mod_revision, _)| self.mod_revision(&page_key(p)) == *mod_revision)
+                    && pages.iter().all(|(p, mod_revision, _)| {
+                        self.mod_revision(&page_key(p)) == *mod_revision
+                    })
                     && head.as_ref().is_none_or(|(mod_revision, _)| {
                         self.mod_revision(&format!("flow/head/{run}")) == *mod_revision
                     });
@@ -475,7 +589,11 @@
                     changes.push((page_key(p), Some(Value::Page(page.clone())), None));
                 }
                 if let Some((_, head)) = head {
-                    changes.push((format!("flow/head/{run}"), Some(Value::Head(head.clone())), None));
+                    changes.push((
+                        format!("flow/head/{run}"),
+                        Some(Value::Head(head.clone())),
+                        None,
+                    ));
                 }
                 if *release {
                     changes.push((format!("flow/hold/{run}"), None, None));
@@ -486,10 +604,15 @@
         }
     }
 
-    fn under<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Value, ModRevision)> + use<'a> {
+    fn under<'a>(
+        &'a self,
+        prefix: &str,
+    ) -> impl Iterator<Item = (&'a str, &'a Value, ModRevision)> + use<'a> {
         let prefix = prefix.to_owned();
         let range = self.store.range(prefix.clone()..);
-        range.map_while(move |(k, (v, mod_revision, _))| Some((k.strip_prefix(&prefix)?, v, *mod_revision)))
+        range.map_while(move |(k, (v, mod_revision, _))| {
+            Some((k.strip_prefix(&prefix)?, v, *mod_revision))
+        })
     }
 
     // ---- nodes ----------------------------------------------------------------------------
@@ -500,8 +623,12 @@
             Event::Crash(i) => self.crash(i),
             Event::Expire => {
                 if !self.down() {
-                    let over: Vec<u64> =
-                        self.leases.iter().filter(|(_, t)| **t <= self.now).map(|(l, _)| *l).collect();
+                    let over: Vec<u64> = self
+                        .leases
+                        .iter()
+                        .filter(|(_, t)| **t <= self.now)
+                        .map(|(l, _)| *l)
+                        .collect();
                     for lease in over {
                         self.leases.remove(&lease);
                         let keys: Vec<String> = self
@@ -522,7 +649,9 @@
                     let t = self.nodes[node].stalled;
                     return self.at(t, Event::Renew { node, process });
                 }
-                let lease = self.nodes[node].lease.filter(|l| self.leases.contains_key(l));
+                let lease = self.nodes[node]
+                    .lease
+                    .filter(|l| self.leases.contains_key(l));
                 if self.down() {
                 } else if let Some(l) = lease {
                     let until = self.now + TTL;
@@ -547,35 +676,76 @@
                 }
                 self.act(node);
                 let now = self.now;
-                let next = self.nodes[node].engine.as_ref().map_or(now, |e| e.next_due(now));
+                let next = self.nodes[node]
+                    .engine
+                    .as_ref()
+                    .map_or(now, |e| e.next_due(now));
                 let next = next.clamp(now + Micros(2_000), now + Micros::from_millis(500));
                 self.at(next, Event::Wake { node, process });
             }
-            Event::Execute { node, process, action, answer, lease, tried } => {
+            Event::Execute {
+                node,
+                process,
+                action,
+                answer,
+                lease,
+                tried,
+            } => {
                 // What a dead process sent is still on its way.
                 if self.down() {
                     if answer && !tried {
                         let t = self.now + Micros::from_millis(5);
                         let reply = unanswered(&action, false);
-                        self.at(t, Event::Answer { node, process, reply });
+                        self.at(
+                            t,
+                            Event::Answer {
+                                node,
+                                process,
+                                reply,
+                            },
+                        );
                     }
                     return;
                 }
                 self.log(|| format!("{} {action:?}", node_name(node)));
                 let reply = self.execute(node, lease, &action);
                 if answer {
-                    let reading = if matches!(reply, Reply::Fetched(..)) { self.fetch } else { Micros::ZERO };
+                    let reading = if matches!(reply, Reply::Fetched(..)) {
+                        self.fetch
+                    } else {
+                        Micros::ZERO
+                    };
                     let span = self.latency() + reading;
-                    self.after(span, Event::Answer { node, process, reply });
+                    self.after(
+                        span,
+                        Event::Answer {
+                            node,
+                            process,
+                            reply,
+                        },
+                    );
                 }
             }
-            Event::Answer { node, process, reply } if self.alive(node, process) => {
+            Event::Answer {
+                node,
+                process,
+                reply,
+            } if self.alive(node, process) => {
                 if self.now < self.nodes[node].stalled {
                     let t = self.nodes[node].stalled;
-                    return self.at(t, Event::Answer { node, process, reply });
+                    return self.at(
+                        t,
+                        Event::Answer {
+                            node,
+                            process,
+                            reply,
+                        },
+                    );
                 }
                 let now = self.now;
-                let Some(e) = &mut self.nodes[node].engine else { return };
+                let Some(e) = &mut self.nodes[node].engine else {
+                    return;
+                };
                 match reply {
                     Reply::Claimed(run, r) => e.claimed(run, r, now),
                     Reply::Fetched(run, epoch, f) => e.fetched(run, epoch, *f, now),
@@ -589,16 +759,33 @@
                 }
                 self.act(node);
             }
-            Event::News { node, process, news } if self.alive(node, process) => {
+            Event::News {
+                node,
+                process,
+                news,
+            } if self.alive(node, process) => {
                 if self.now < self.nodes[node].stalled {
                     let t = self.nodes[node].stalled;
-                    return self.at(t, Event::News { node, process, news });
+                    return self.at(
+                        t,
+                        Event::News {
+                            node,
+                            process,
+                            news,
+                        },
+                    );
                 }
                 let now = self.now;
-                let Some(e) = &mut self.nodes[node].engine else { return };
+                let Some(e) = &mut self.nodes[node].engine else {
+                    return;
+                };
                 match news {
-                    News::Head(run, head, mod_revision) => e.head_seen(run, head, mod_revision, now),
-                    News::Hold(run, node, mod_revision) => e.hold_seen(run, &node, mod_revision, now),
+                    News::Head(run, head, mod_revision) => {
+                        e.head_seen(run, head, mod_revision, now)
+                    }
+                    News::Hold(run, node, mod_revision) => {
+                        e.hold_seen(run, &node, mod_revision, now)
+                    }
                     News::HoldGone(run, mod_revision) => e.hold_gone(run, mod_revision, now),
                     News::End(job, end) => e.job_ended(&job, end, now),
                 }
@@ -608,7 +795,10 @@
                 if self.down() {
                     return self.after(Micros::from_millis(200), Event::JobOver(job));
                 }
-                if matches!(self.store.get(&format!("job/{job}")), Some((Value::Job(true), ..))) {
+                if matches!(
+                    self.store.get(&format!("job/{job}")),
+                    Some((Value::Job(true), ..))
+                ) {
                     let (run, step, _) = parts_of(&job).expect("a step's job");
                     let end = match self.runs[&run].fates.get(&step) {
                         Some(Fate::GivenUp(_)) => JobEnd::GivenUp,
@@ -625,13 +815,19 @@
                 if let Some((Value::Head(head), ..)) = self.store.get(&key)
                     && !head.state.is_final()
                 {
-                    let head = Head { state: RunState::Cancelling, ..head.clone() };
+                    let head = Head {
+                        state: RunState::Cancelling,
+                        ..head.clone()
+                    };
                     self.apply(vec![(key, Some(Value::Head(head)), None)]);
                     let now = self.now;
                     self.runs.get_mut(&run).expect("a run").cancelled = Some(now);
                 }
             }
-            Event::Renew { .. } | Event::Wake { .. } | Event::Answer { .. } | Event::News { .. } => {}
+            Event::Renew { .. }
+            | Event::Wake { .. }
+            | Event::Answer { .. }
+            | Event::News { .. } => {}
         }
     }
 
@@ -646,7 +842,14 @@
         let names = (0..self.nodes.len()).map(node_name).collect();
         let seed = self.rng.random();
         let now = self.now;
-        let mut e = Engine::new(self.limits.clone(), &node_name(node), names, self.txn_ops, seed, now);
+        let mut e = Engine::new(
+            self.limits.clone(),
+            &node_name(node),
+            names,
+            self.txn_ops,
+            seed,
+            now,
+        );
         let heads: Vec<_> = self
             .under("flow/head/")
             .filter_map(|(k, v, mod_revision)| match v {
@@ -691,7 +894,9 @@
         }
         let process = self.nodes[node].process;
         let lease = self.nodes[node].lease.unwrap_or(0);
-        let Some(e) = &mut self.nodes[node].engine else { return };
+        let Some(e) = &mut self.nodes[node].engine else {
+            return;
+        };
         e.tick(now);
         let faults = e.audit();
         let actions: Vec<Action> = std::iter::from_fn(|| e.next_action()).collect();
@@ -703,8 +908,14 @@
             self.actions += 1;
             let span = self.latency();
             let execute = |m: &mut Model, span: Micros, answer: bool| {
-                let event =
-                    Event::Execute { node, process, action: action.clone(), answer, lease, tried: !answer };
+                let event = Event::Execute {
+                    node,
+                    process,
+                    action: action.clone(),
+                    answer,
+                    lease,
+                    tried: !answer,
+                };
                 m.after(span, event);
             };
             match self.faults.iter().find(|f| f.0 == n).map(|f| f.1) {
@@ -715,10 +926,21 @@
                     return self.crash(node);
                 }
                 Some(f @ (Fault::Late | Fault::NoAnswer)) => {
-                    let late = if f == Fault::Late { Micros::from_secs(12) } else { span };
+                    let late = if f == Fault::Late {
+                        Micros::from_secs(12)
+                    } else {
+                        span
+                    };
                     execute(self, late, false);
                     let reply = unanswered(&action, true);
-                    self.after(Micros::from_millis(2_500), Event::Answer { node, process, reply });
+                    self.after(
+                        Micros::from_millis(2_500),
+                        Event::Answer {
+                            node,
+                            process,
+                            reply,
+                        },
+                    );
                 }
                 Some(Fault::Stall) => {
                     execute(self, span, true);
@@ -746,15 +968,30 @@
 
 /// What a node makes of no answer, or of a refusal.
 fn unanswered(action: &Action, unknown: bool) -> Reply {
-    let outcome = || if unknown { Outcome::Unknown } else { Outcome::Later(Micros::from_secs(1)) };
+    let outcome = || {
+        if unknown {
+            Outcome::Unknown
+        } else {
+            Outcome::Later(Micros::from_secs(1))
+        }
+    };
     match action {
         Action::Claim { run } => Reply::Claimed(*run, Err(None)),
         Action::Fetch { run, epoch, .. } => Reply::Fetched(*run, *epoch, Box::new(None)),
-        Action::Submit { run, epoch, step, .. } => Reply::Submitted(*run, *epoch, *step, outcome()),
-        Action::Withdraw { run, epoch, step, .. } => Reply::Withdrawn(*run, *epoch, *step, outcome()),
-        Action::Write { .. } => {
-            Reply::Written(Box::new(action.clone()), if unknown { Written::Unknown } else { Written::Refused })
-        }
+        Action::Submit {
+            run, epoch, step, ..
+        } => Reply::Submitted(*run, *epoch, *step, outcome()),
+        Action::Withdraw {
+            run, epoch, step, ..
+        } => Reply::Withdrawn(*run, *epoch, *step, outcome()),
+        Action::Write { .. } => Reply::Written(
+            Box::new(action.clone()),
+            if unknown {
+                Written::Unknown
+            } else {
+                Written::Refused
+            },
+        ),
     }
 }
 
--- a/crates/hopyoke-workflow/tests/properties.rs
+++ b/crates/hopyoke-workflow/tests/properties.rs
@@ -21,23 +21,39 @@
 }
 
 fn graphs() -> impl Strategy<Value = Graph> {
-    let step = (prop::collection::vec(any::<prop::sample::Index>(), 0..4), 0u8..10, 0u8..20);
+    let step = (
+        prop::collection::vec(any::<prop::sample::Index>(), 0..4),
+        0u8..10,
+        0u8..20,
+    );
     let steps = prop::collection::vec(step, 1..24);
     let faults = prop::collection::vec((0u64..90, 0..FAULTS.len()), 0..5);
-    (steps, any::<bool>(), prop::option::weighted(0.25, 1u8..15), faults).prop_map(
-        |(steps, keep_on, cancel, faults)| {
+    (
+        steps,
+        any::<bool>(),
+        prop::option::weighted(0.25, 1u8..15),
+        faults,
+    )
+        .prop_map(|(steps, keep_on, cancel, faults)| {
             let steps = (0..)
                 .zip(steps)
                 .map(|(i, (after, work, fails))| {
-                    let mut after: Vec<usize> =
-                        if i == 0 { Vec::new() } else { after.iter().map(|x| x.index(i)).collect() };
+                    let mut after: Vec<usize> = if i == 0 {
+                        Vec::new()
+                    } else {
+                        after.iter().map(|x| x.index(i)).collect()
+                    };
                     after.sort_unstable();
                     (after, work > 1, fails == 0)
                 })
                 .collect();
-            Graph { steps, keep_on, cancel, faults }
-        },
-    )
+            Graph {
+                steps,
+                keep_on,
+                cancel,
+                faults,
+            }
+        })
 }
 
 /// The plain reference: which steps can be done at all.
@@ -56,13 +72,21 @@
 }
 
 fn plan_of(g: &Graph) -> Plan {
-    let steps = g.steps.iter().enumerate().map(|(i, (after, work, _))| PlanStep {
-        path: format!("s{i}"),
-        after: after.iter().map(|d| StepNo(*d as u32)).collect(),
-        shape: work.then_some(0),
-        tasks: 1,
-    });
-    Plan { shapes: vec![shape()], steps: steps.collect(), outputs: "{}".into() }
+    let steps = g
+        .steps
+        .iter()
+        .enumerate()
+        .map(|(i, (after, work, _))| PlanStep {
+            path: format!("s{i}"),
+            after: after.iter().map(|d| StepNo(*d as u32)).collect(),
+            shape: work.then_some(0),
+            tasks: 1,
+        });
+    Plan {
+        shapes: vec![shape()],
+        steps: steps.collect(),
+        outputs: "{}".into(),
+    }
 }
 
 proptest! {
@@ -128,7 +152,11 @@
 
 #[test]
 fn faults_of_plans_are_named() {
-    let plan = |steps: Vec<PlanStep>| Plan { shapes: vec![shape()], steps, outputs: String::new() };
+    let plan = |steps: Vec<PlanStep>| Plan {
+        shapes: vec![shape()],
+        steps,
+        outputs: String::new(),
+    };
     let step = |path: &str, after: Vec<u32>, shape: Option<u32>| PlanStep {
         path: path.into(),
         after: after.into_iter().map(StepNo).collect(),
@@ -136,7 +164,10 @@
         tasks: 1,
     };
     let said = |p: Plan, team: &str| p.check(team).expect_err("a fault").to_string();
-    let circle = plan(vec![step("a", vec![1], Some(0)), step("b", vec![0], Some(0))]);
+    let circle = plan(vec![
+        step("a", vec![1], Some(0)),
+        step("b", vec![0], Some(0)),
+    ]);
     assert!(said(circle, "crew").contains("circle: a"));
     assert!(said(plan(vec![step("a", vec![5], Some(0))]), "crew").contains("waits for step 5"));
     assert!(said(plan(vec![step("a", vec![], Some(3))]), "crew").contains("shape 3"));
--- a/crates/hopyoke-workflow/tests/scenarios.rs
+++ b/crates/hopyoke-workflow/tests/scenarios.rs
@@ -51,15 +51,25 @@
     known: &mut BTreeMap<String, Vec<StepNo>>,
 ) {
     let chain = text.contains('~');
-    let (text, count) = text.split_once(['*', '~']).map_or((text, 1), |(t, n)| (t, num(n) as usize));
+    let (text, count) = text
+        .split_once(['*', '~'])
+        .map_or((text, 1), |(t, n)| (t, num(n) as usize));
     let (text, fate) = text.split_once('=').map_or((text, "2"), |(t, f)| (t, f));
     let (name, after) = text.split_once('<').unwrap_or((text, ""));
-    let mut after: Vec<StepNo> =
-        after.split(',').filter(|d| !d.is_empty()).flat_map(|d| known[d].clone()).collect();
+    let mut after: Vec<StepNo> = after
+        .split(',')
+        .filter(|d| !d.is_empty())
+        .flat_map(|d| known[d].clone())
+        .collect();
     for k in 0..count {
         let no = StepNo(plan.steps.len() as u32);
         let shape = if fate == "join" { None } else { Some(0) };
-        plan.steps.push(PlanStep { path: format!("{name}{k}"), after: after.clone(), shape, tasks: 1 });
+        plan.steps.push(PlanStep {
+            path: format!("{name}{k}"),
+            after: after.clone(),
+            shape,
+            tasks: 1,
+        });
         match fate {
             "join" => None,
             "never" => fates.insert(no, Fate::Endless),
@@ -87,7 +97,9 @@
             world = Some(m);
             continue;
         }
-        let m = world.as_mut().ok_or_else(|| fail("a scenario starts with `seed N`".into()))?;
+        let m = world
+            .as_mut()
+            .ok_or_else(|| fail("a scenario starts with `seed N`".into()))?;
         if !started && words[0] != "limit" {
             started = true;
         }
@@ -98,7 +110,10 @@
             ["limit", "writes_per_s", v] => m.limits.writes_per_s = num(v),
             ["run", id, team, rest @ ..] => {
                 let keep_on = rest.first() == Some(&"keep-on");
-                let mut plan = Plan { shapes: vec![shape(team)], ..Plan::default() };
+                let mut plan = Plan {
+                    shapes: vec![shape(team)],
+                    ..Plan::default()
+                };
                 let (mut fates, mut known) = (BTreeMap::new(), BTreeMap::new());
                 for text in &rest[usize::from(keep_on)..] {
                     step(text, &mut plan, &mut fates, &mut known);
@@ -166,11 +181,20 @@
     let mut each: Vec<Fault> = Vec::new();
     let mut pairs = 0;
     for (n, line) in (1..).zip(text.lines()) {
-        let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
+        let words: Vec<&str> = line
+            .split('#')
+            .next()
+            .unwrap_or("")
+            .split_whitespace()
+            .collect();
         match words.as_slice() {
             [] => {}
             ["each", which] => {
-                each.extend(FAULTS.iter().filter(|f| *which == "all" || format!("{f:?}") == *which));
+                each.extend(
+                    FAULTS
+                        .iter()
+                        .filter(|f| *which == "all" || format!("{f:?}") == *which),
+                );
                 if each.is_empty() {
                     return Err(format!("line {n}: unknown fault {which}"));
                 }
@@ -189,7 +213,12 @@
     }
     let mut rng = StdRng::seed_from_u64(pairs);
     for _ in 0..pairs {
-        let mut draw = || (rng.random_range(0..actions + 4), FAULTS[rng.random_range(0..FAULTS.len())]);
+        let mut draw = || {
+            (
+                rng.random_range(0..actions + 4),
+                FAULTS[rng.random_range(0..FAULTS.len())],
+            )
+        };
         let two = [draw(), draw()];
         play(&lines, &two).map_err(|e| format!("{two:?}: {e}"))?;
         played += 1;
@@ -205,13 +234,19 @@
         .expect("tests/scenarios")
         .filter_map(|e| e.ok().map(|e| e.path()))
         .filter(|p| p.extension().is_some_and(|e| e == "scn"))
-        .filter(|p| only.as_ref().is_none_or(|o| p.file_stem().is_some_and(|s| s == o.as_str())))
+        .filter(|p| {
+            only.as_ref()
+                .is_none_or(|o| p.file_stem().is_some_and(|s| s == o.as_str()))
+        })
         .collect();
     files.sort();
     assert!(!files.is_empty(), "no scenarios found");
     let mut failed = 0;
     for file in &files {
-        let name = file.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
+        let name = file
+            .file_stem()
+            .map(|s| s.to_string_lossy().into_owned())
+            .unwrap_or_default();
         let text = std::fs::read_to_string(file).expect("a readable scenario");
         let began = std::time::Instant::now();
         match scenario(&text) {
--- a/crates/hopyoke-workload-trace/src/lib.rs
+++ b/crates/hopyoke-workload-trace/src/lib.rs
@@ -74,11 +74,20 @@
         return Err(fault(1, "file", &format!("longer than {MOST_BYTES} bytes")));
     }
     let first = text.lines().next().unwrap_or("");
-    let mut history =
-        if first.starts_with("submitted_us,") { own::read(text, strict)? } else { swf::read(text, strict)? };
+    let mut history = if first.starts_with("submitted_us,") {
+        own::read(text, strict)?
+    } else {
+        swf::read(text, strict)?
+    };
     if history.runs.is_empty() {
         let (line, why) = match history.faults.first() {
-            Some(f) => (f.line, format!("no run can be used; the first fault: field {}: {}", f.field, f.reason)),
+            Some(f) => (
+                f.line,
+                format!(
+                    "no run can be used; the first fault: field {}: {}",
+                    f.field, f.reason
+                ),
+            ),
             None => (1, "there are no runs".to_owned()),
         };
         return Err(fault(line, "file", &why));
@@ -88,22 +97,36 @@
 }
 
 fn fault(line: u64, field: &str, reason: &str) -> Fault {
-    Fault { line, field: field.to_owned(), reason: reason.to_owned() }
+    Fault {
+        line,
+        field: field.to_owned(),
+        reason: reason.to_owned(),
+    }
 }
 
 /// Checks what both forms have in common.
 fn check(run: &Run) -> Result<(), (&'static str, String)> {
     let time = |x: f64| x.is_finite() && x > 0.0 && x <= MOST_S;
     if !time(run.ran_s) {
-        return Err(("ran_s", format!("{} is not a run time above 0 and up to 30 days", run.ran_s)));
+        return Err((
+            "ran_s",
+            format!("{} is not a run time above 0 and up to 30 days", run.ran_s),
+        ));
     }
     if run.estimate_s != 0.0 && !time(run.estimate_s) {
-        return Err(("estimate_s", format!("{} is neither 0 nor a time up to 30 days", run.estimate_s)));
+        return Err((
+            "estimate_s",
+            format!("{} is neither 0 nor a time up to 30 days", run.estimate_s),
+        ));
     }
     if run.tasks == 0 || run.tasks > 100_000 {
         return Err(("tasks", format!("{} is not in 1 to 100000", run.tasks)));
     }
-    for (field, x) in [("cpus", run.cpus), ("gpus", run.gpus), ("mem_gb", run.mem_gb)] {
+    for (field, x) in [
+        ("cpus", run.cpus),
+        ("gpus", run.gpus),
+        ("mem_gb", run.mem_gb),
+    ] {
         if !(x.is_finite() && (0.0..=1e6).contains(&x)) {
             return Err((field, format!("{x} is not an amount")));
         }
--- a/crates/hopyoke-workload-trace/src/swf.rs
+++ b/crates/hopyoke-workload-trace/src/swf.rs
@@ -42,7 +42,10 @@
     for (i, line) in text.lines().enumerate() {
         let (n, line) = (i as u64 + 1, line.trim());
         if let Some(note) = line.strip_prefix(';') {
-            if let Some((class, at)) = note.trim().strip_prefix("Change:").and_then(|c| c.trim().split_once(' '))
+            if let Some((class, at)) = note
+                .trim()
+                .strip_prefix("Change:")
+                .and_then(|c| c.trim().split_once(' '))
                 && let Ok(at) = at.trim().parse::<f64>()
             {
                 out.changes.push((class.to_owned(), at));
@@ -66,23 +69,45 @@
 fn job(line: u64, text: &str) -> Result<Option<Run>, Fault> {
     let words: Vec<&str> = text.split_whitespace().collect();
     if words.len() != NAMES.len() {
-        return Err(fault(line, "all", &format!("{} fields, not {}", words.len(), NAMES.len())));
+        return Err(fault(
+            line,
+            "all",
+            &format!("{} fields, not {}", words.len(), NAMES.len()),
+        ));
     }
     let mut x = [0.0f64; 18];
     for (k, word) in words.iter().enumerate() {
-        x[k] = word.parse().ok().filter(|v: &f64| v.is_finite()).ok_or_else(|| {
-            fault(line, NAMES[k], &format!("`{}` is not a number", word.chars().take(20).collect::<String>()))
-        })?;
+        x[k] = word
+            .parse()
+            .ok()
+            .filter(|v: &f64| v.is_finite())
+            .ok_or_else(|| {
+                fault(
+                    line,
+                    NAMES[k],
+                    &format!(
+                        "`{}` is not a number",
+                        word.chars().take(20).collect::<String>()
+                    ),
+                )
+            })?;
     }
     if !(0.0..=1e12).contains(&x[SUBMIT]) {
-        return Err(fault(line, NAMES[SUBMIT], &format!("{} is not a time", x[SUBMIT])));
+        return Err(fault(
+            line,
+            NAMES[SUBMIT],
+            &format!("{} is not a time", x[SUBMIT]),
+        ));
     }
     // 0 failed, 5 cancelled; 2 to 4 are parts of a job that is summed up in a line of its own.
     if !matches!(x[STATUS] as i64, 1 | -1) {
         return Ok(None);
     }
     let known = |k: usize| (x[k] >= 0.0).then_some(x[k]);
-    let processors = known(ALLOCATED).or(known(REQUESTED)).unwrap_or(1.0).clamp(0.0, 1e6) as u32;
+    let processors = known(ALLOCATED)
+        .or(known(REQUESTED))
+        .unwrap_or(1.0)
+        .clamp(0.0, 1e6) as u32;
     let class = match (known(APPLICATION), known(USER)) {
         (Some(a), _) => format!("app-{a}"),
         (None, Some(u)) => format!("user-{u}"),
--- a/crates/hopyoke-workload-trace/tests/forms.rs
+++ b/crates/hopyoke-workload-trace/tests/forms.rs
@@ -37,29 +37,75 @@
     let good = "1 10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1";
     let head = "; Version: 2\n; Change: app-7 500\n\n";
     let ok = read(&format!("{head}{good}\n"), true).expect("a history");
-    assert_eq!((ok.runs[0].class.as_str(), ok.runs[0].team.as_str(), ok.runs[0].tasks), ("app-7", "group-2", 4));
-    assert_eq!((ok.runs[0].ran_s, ok.runs[0].estimate_s, ok.runs[0].ended_us), (100.0, 120.0, 115_000_000));
+    assert_eq!(
+        (
+            ok.runs[0].class.as_str(),
+            ok.runs[0].team.as_str(),
+            ok.runs[0].tasks
+        ),
+        ("app-7", "group-2", 4)
+    );
+    assert_eq!(
+        (ok.runs[0].ran_s, ok.runs[0].estimate_s, ok.runs[0].ended_us),
+        (100.0, 120.0, 115_000_000)
+    );
     assert_eq!(ok.changes, [("app-7".to_owned(), 500.0)]);
     let cases = [
-        ("1 10 5 NaN 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1", "run time", "not a number"),
-        ("1 10 5 -3 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1", "run time", "above 0"),
-        ("1 10 5 9e9 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1", "run time", "30 days"),
-        ("1 10 5 100 0 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1", "allocated processors", "1 to 100000"),
-        ("1 -10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1", "submit time", "not a time"),
-        ("1 10 5 100 4 -1 -1 4 1e300 -1 1 3 2 7 -1 -1 -1 -1", "requested time", "30 days"),
+        (
+            "1 10 5 NaN 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+            "run time",
+            "not a number",
+        ),
+        (
+            "1 10 5 -3 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+            "run time",
+            "above 0",
+        ),
+        (
+            "1 10 5 9e9 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+            "run time",
+            "30 days",
+        ),
+        (
+            "1 10 5 100 0 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+            "allocated processors",
+            "1 to 100000",
+        ),
+        (
+            "1 -10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+            "submit time",
+            "not a time",
+        ),
+        (
+            "1 10 5 100 4 -1 -1 4 1e300 -1 1 3 2 7 -1 -1 -1 -1",
+            "requested time",
+            "30 days",
+        ),
         ("1 10 5 100", "all", "4 fields"),
-        ("one 10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1", "job number", "`one`"),
+        (
+            "one 10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+            "job number",
+            "`one`",
+        ),
     ];
     for (bad, field, word) in cases {
         let text = format!("{head}{good}\n{bad}\n");
         let fault = read(&text, true).expect_err(bad);
-        assert!(fault.line == 5 && fault.field == field && fault.reason.contains(word), "{bad}: {fault}");
+        assert!(
+            fault.line == 5 && fault.field == field && fault.reason.contains(word),
+            "{bad}: {fault}"
+        );
         let skipped = read(&text, false).expect(bad);
         assert_eq!((skipped.runs.len(), &skipped.faults[..]), (1, &[fault][..]));
     }
     // Cancelled and failed jobs say nothing; a file of nothing else is an error.
     let cancelled = good.replace(" 1 3 2 7", " 5 3 2 7");
-    assert!(read(&cancelled, false).expect_err("no runs").reason.contains("no runs"));
+    assert!(
+        read(&cancelled, false)
+            .expect_err("no runs")
+            .reason
+            .contains("no runs")
+    );
     assert!(read("", false).is_err() && read("rubbish", false).is_err());
 }
 
@@ -80,5 +126,10 @@
         let fault = read(&text.replacen(from, to, 1), true).expect_err(to);
         assert!(fault.line == 2 && fault.field == field, "{to}: {fault}");
     }
-    assert!(read(&text.replacen("61.25", "61.25,7", 1), true).expect_err("fields").reason.contains("fields"));
+    assert!(
+        read(&text.replacen("61.25", "61.25,7", 1), true)
+            .expect_err("fields")
+            .reason
+            .contains("fields")
+    );
 }
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -4,7 +4,9 @@
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, ClientError, Method, Request, Response};
 use hopyoke_heartbeat::Route;
-use hopyoke_protocol::worker::{Command, Heartbeat, HeartbeatRedirect, HeartbeatResponse, PushedCommands};
+use hopyoke_protocol::worker::{
+    Command, Heartbeat, HeartbeatRedirect, HeartbeatResponse, PushedCommands,
+};
 use hopyoke_protocol::{decode, encode};
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, MachineId};
@@ -21,20 +23,34 @@
     }
     let now = runtime::now();
     if let Some(leadership) = node.leadership() {
-        let route =
-            node.routes.borrow_mut().at_leader(node.is_behind(), node.open.count(), node.most_connections(), now);
+        let route = node.routes.borrow_mut().at_leader(
+            node.is_behind(),
+            node.open.count(),
+            node.most_connections(),
+            now,
+        );
         if let Route::To(peer) = route
             && leadership.lease_is_valid()
         {
             let other = &node.peers.0[peer].peer.node;
-            return Response::of(421, &HeartbeatRedirect { report_to: Some(other) }).closing();
+            return Response::of(
+                421,
+                &HeartbeatRedirect {
+                    report_to: Some(other),
+                },
+            )
+            .closing();
         }
         return match heartbeat(node, &leadership, &request.body) {
             Ok(commands) => Response::of(200, &commands),
             Err(status) => Response::empty(status),
         };
     }
-    let leader = node.leader.borrow().as_deref().and_then(|l| node.peers.place_of(l));
+    let leader = node
+        .leader
+        .borrow()
+        .as_deref()
+        .and_then(|l| node.peers.place_of(l));
     if node.routes.borrow().elsewhere(leader, now) == Route::Carry {
         return match node.heartbeat_relay.carry(request.body).await {
             Some(body) => {
@@ -50,7 +66,9 @@
 
 /// A report that another node carried here; an empty answer: it is not answered.
 pub fn carried(node: &Node, body: &[u8]) -> Vec<u8> {
-    let Some(leadership) = node.leadership() else { return Vec::new() };
+    let Some(leadership) = node.leadership() else {
+        return Vec::new();
+    };
     heartbeat(node, &leadership, body).map_or_else(|_| Vec::new(), |commands| encode(&commands))
 }
 
@@ -78,11 +96,16 @@
         warn!(machine = %heartbeat.machine, token = heartbeat.token.0, "worker has seen a higher token");
         return Err(503);
     }
-    let answer = leadership.planning(node, &mut scheduler, |scheduler| scheduler.heartbeat(&heartbeat, now));
+    let answer = leadership.planning(node, &mut scheduler, |scheduler| {
+        scheduler.heartbeat(&heartbeat, now)
+    });
     // A copy that arrives late does not show that its worker reaches us now. (Guards against a leader that no
     // worker reaches any more, and that goes on for as long as old reports arrive.)
     if answer.fresh {
-        leadership.heartbeat_monitor.borrow_mut().heard(&heartbeat.machine, heartbeat.token == answer.token);
+        leadership
+            .heartbeat_monitor
+            .borrow_mut()
+            .heard(&heartbeat.machine, heartbeat.token == answer.token);
     }
     // A report without news leaves nothing to do.
     if scheduler.next_due(now) <= now || scheduler.has_actions() {
@@ -99,7 +122,10 @@
         &answer.commands,
         "starts with an answer",
     );
-    Ok(HeartbeatResponse { token: answer.token, commands: answer.commands })
+    Ok(HeartbeatResponse {
+        token: answer.token,
+        commands: answer.commands,
+    })
 }
 
 fn redirect(node: &Node) -> Response {
@@ -146,7 +172,11 @@
     /// Of `max_connections` sockets, workers' and users' own connections may take three quarters;
     /// half of what is left may be kept open to workers.
     pub fn new(max_connections: usize) -> Direct {
-        Direct { clients: RefCell::default(), uses: Cell::new(0), most: (max_connections / 8).max(8) }
+        Direct {
+            clients: RefCell::default(),
+            uses: Cell::new(0),
+            most: (max_connections / 8).max(8),
+        }
     }
 
     fn client(&self, addr: SocketAddr) -> Rc<Client> {
@@ -158,7 +188,9 @@
             let old = used.saturating_sub(self.most as u64 * 7 / 8);
             clients.retain(|_, (last, _)| *last > old);
         }
-        let entry = clients.entry(addr).or_insert_with(|| (used, Rc::new(Client::new(addr))));
+        let entry = clients
+            .entry(addr)
+            .or_insert_with(|| (used, Rc::new(Client::new(addr))));
         entry.0 = used;
         entry.1.clone()
     }
@@ -174,16 +206,32 @@
         commands: Vec<Command>,
     ) {
         if !leadership.lease_is_valid() {
-            leadership.scheduler.borrow_mut().direct_failed(&machine, false, runtime::now());
+            leadership
+                .scheduler
+                .borrow_mut()
+                .direct_failed(&machine, false, runtime::now());
             return;
         }
-        tell_starts(&machine, token, epoch, 0, &commands, "starts by direct orders");
-        let body = encode(&PushedCommands { token, epoch, commands });
+        tell_starts(
+            &machine,
+            token,
+            epoch,
+            0,
+            &commands,
+            "starts by direct orders",
+        );
+        let body = encode(&PushedCommands {
+            token,
+            epoch,
+            commands,
+        });
         // Asked again once the connection stands: a process that is behind may get there long after
         // the next holder was granted its token.
         let may = || leadership.lease_is_valid();
         let client = self.client(address);
-        let result = client.send_while(may, Method::Post, "/commands", &body, DIRECT_LIMIT).await;
+        let result = client
+            .send_while(may, Method::Post, "/commands", &body, DIRECT_LIMIT)
+            .await;
         let now = runtime::now();
         let mut scheduler = leadership.scheduler.borrow_mut();
         match result {
--- a/crates/hopyoke/src/api/admission.rs
+++ b/crates/hopyoke/src/api/admission.rs
@@ -25,7 +25,10 @@
     }
 
     fn team(&self, name: &str) -> usize {
-        self.teams.iter().position(|t| t == name).unwrap_or(self.teams.len())
+        self.teams
+            .iter()
+            .position(|t| t == name)
+            .unwrap_or(self.teams.len())
     }
 
     /// One asks to be let in with a job.
@@ -34,13 +37,17 @@
     /// There is no room: when to come back.
     pub fn enter(&self, node: &Node, spec: &JobSpec) -> Result<(), RetryAfter> {
         let (team, leads) = (self.team(&spec.team), node.leadership().is_some());
-        self.decisions.borrow_mut().enter(&spec.id, team, leads, runtime::now())
+        self.decisions
+            .borrow_mut()
+            .enter(&spec.id, team, leads, runtime::now())
     }
 
     /// One was let in, and found no room further on.
     pub fn refuse(&self, node: &Node, id: &JobId, team: &str) -> RetryAfter {
         let (team, leads) = (self.team(team), node.leadership().is_some());
-        self.decisions.borrow_mut().refuse(id, team, leads, runtime::now())
+        self.decisions
+            .borrow_mut()
+            .refuse(id, team, leads, runtime::now())
     }
 
     /// The leader told what its records need, in answer to what was sent at `sent`.
@@ -55,7 +62,9 @@
 
     /// A peer asks; what it gets.
     pub fn lend(&self, peer: usize, wants: f64) -> f64 {
-        self.decisions.borrow_mut().lend(peer, wants, runtime::now())
+        self.decisions
+            .borrow_mut()
+            .lend(peer, wants, runtime::now())
     }
 
     /// A peer lent us changes, in answer to what was asked at `sent`.
@@ -78,10 +87,16 @@
     pub fn heard_words(&self, peer: usize, places: &[Place]) {
         let word = |p: &Place| {
             let due_in = (p.due_us > 0).then_some(Micros(p.due_us));
-            Some(QueueGossip { job: JobId::parse(&p.job)?, tenant: p.team as usize, due_in })
+            Some(QueueGossip {
+                job: JobId::parse(&p.job)?,
+                tenant: p.team as usize,
+                due_in,
+            })
         };
         let words: Vec<QueueGossip> = places.iter().filter_map(word).collect();
-        self.decisions.borrow_mut().heard_words(peer, &words, runtime::now());
+        self.decisions
+            .borrow_mut()
+            .heard_words(peer, &words, runtime::now());
     }
 
     pub fn is_pressed(&self) -> bool {
@@ -112,6 +127,9 @@
     pub fn team_counts(&self) -> Vec<(String, u64, u64)> {
         let names = self.teams.iter().cloned().chain(["others".to_owned()]);
         let decisions = self.decisions.borrow();
-        names.zip(decisions.team_counts()).map(|(name, (let_in, refused))| (name, let_in, refused)).collect()
+        names
+            .zip(decisions.team_counts())
+            .map(|(name, (let_in, refused))| (name, let_in, refused))
+            .collect()
     }
 }
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -113,18 +113,26 @@
             _ => Response::empty(405),
         };
     }
-    let Some(rest) = rest.strip_prefix('/') else { return Response::empty(404) };
+    let Some(rest) = rest.strip_prefix('/') else {
+        return Response::empty(404);
+    };
     let (id, verb) = match rest.split_once('/') {
         Some((id, "withdraw")) => (id, Method::Post),
         Some(_) => return Response::empty(404),
         None => (rest, Method::Get),
     };
     // No job can have another form of id.
-    let Some(id) = JobId::parse(id) else { return Response::empty(404) };
+    let Some(id) = JobId::parse(id) else {
+        return Response::empty(404);
+    };
     if request.method != verb {
         return Response::empty(405);
     }
-    let answer = if verb == Method::Get { poll(node, &id).await } else { cancel(node, &id).await };
+    let answer = if verb == Method::Get {
+        poll(node, &id).await
+    } else {
+        cancel(node, &id).await
+    };
     answer.unwrap_or_else(|e| {
         debug!(job = %id, error = %e, "not decidable now");
         later("the state service did not answer")
@@ -133,13 +141,26 @@
 
 fn finished(id: &JobId, end: EndRecord) -> Response {
     let done = (end.state == JobState::Done).then_some(end.done);
-    Response::of(200, &JobAnswer { id: id.as_str(), state: end.state, done, running: done.map(|_| 0) })
+    Response::of(
+        200,
+        &JobAnswer {
+            id: id.as_str(),
+            state: end.state,
+            done,
+            running: done.map(|_| 0),
+        },
+    )
 }
 
 /// `leadership`: the leadership whose core may know how much of it runs.
 fn unfinished(leadership: Option<&Leadership>, id: &JobId, record: Option<JobRecord>) -> Response {
     let done = record.map_or(0, |r| r.done.tidy(r.spec.tasks).count());
-    let mut answer = JobAnswer { id: id.as_str(), state: JobState::Queued, done: Some(done), running: Some(0) };
+    let mut answer = JobAnswer {
+        id: id.as_str(),
+        state: JobState::Queued,
+        done: Some(done),
+        running: Some(0),
+    };
     if let Some(scheduler) = leadership.map(|l| l.scheduler.borrow())
         && let Some(job) = scheduler.jobs.get(id)
     {
@@ -190,7 +211,11 @@
         }
         // We lead no more: answered as by any other node.
     }
-    Ok(answer(node, id, lookup(node, node.state.polling(), id).await?))
+    Ok(answer(
+        node,
+        id,
+        lookup(node, node.state.polling(), id).await?,
+    ))
 }
 
 async fn submit(node: &Rc<Node>, body: &[u8]) -> Response {
@@ -232,8 +257,14 @@
         debug!(job = %id, after_s = after.0, "refused at the door");
         // A repeated submission of what is accepted gets its answer all the same, where that costs
         // nothing of its own.
-        let known = node.leadership().is_some_and(|l| l.scheduler.borrow().jobs.contains_key(&id));
-        return if known { poll(node, &id).await } else { Ok(no_room(after)) };
+        let known = node
+            .leadership()
+            .is_some_and(|l| l.scheduler.borrow().jobs.contains_key(&id));
+        return if known {
+            poll(node, &id).await
+        } else {
+            Ok(no_room(after))
+        };
     }
     let team = spec.team.clone();
     let record = JobRecord::accepted(spec, runtime::time_of_day().0);
@@ -246,7 +277,12 @@
     match end {
         TransactionOutcome::Applied(_) => {
             debug!(job = %id, "accepted");
-            let answer = JobAnswer { id: id.as_str(), state: JobState::Queued, done: None, running: None };
+            let answer = JobAnswer {
+                id: id.as_str(),
+                state: JobState::Queued,
+                done: None,
+                running: None,
+            };
             Ok(Response::of(201, &answer))
         }
         TransactionOutcome::Failed(_) => match lookup(node, node.state.accepting(), &id).await? {
--- a/crates/hopyoke/src/cloud.rs
+++ b/crates/hopyoke/src/cloud.rs
@@ -2,7 +2,9 @@
 
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, Method};
-use hopyoke_protocol::cloud::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
+use hopyoke_protocol::cloud::{
+    Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest,
+};
 use hopyoke_protocol::{decode, encode};
 use hopyoke_scheduler::ScaleOutOutcome;
 use hopyoke_types::MachineId;
@@ -22,7 +24,11 @@
 
 impl Cloud {
     pub fn new(addr: SocketAddr, rps: f64) -> Cloud {
-        Cloud { client: Client::new(addr), rps: rps * 0.85, next: Cell::new(Micros::ZERO) }
+        Cloud {
+            client: Client::new(addr),
+            rps: rps * 0.85,
+            next: Cell::new(Micros::ZERO),
+        }
     }
 
     /// Spaces requests out; every caller gets the next free moment. A burst of one second's
@@ -30,7 +36,10 @@
     async fn pace(&self) {
         let step = Micros::from_secs_f64(1.0 / self.rps);
         let now = runtime::now();
-        let at = self.next.get().max(now.saturating_sub(Micros::from_secs(1)));
+        let at = self
+            .next
+            .get()
+            .max(now.saturating_sub(Micros::from_secs(1)));
         self.next.set(at + step);
         if at > now {
             runtime::sleep_until(at).await;
@@ -39,17 +48,32 @@
 
     pub async fn catalog(&self) -> Option<Vec<MachineType>> {
         self.pace().await;
-        let r = self.client.send(Method::Get, "/catalog", &[], LIMIT).await.ok()?;
-        (r.status == 200).then(|| decode::<Catalog>(&r.body).ok()).flatten().map(|c| c.types)
+        let r = self
+            .client
+            .send(Method::Get, "/catalog", &[], LIMIT)
+            .await
+            .ok()?;
+        (r.status == 200)
+            .then(|| decode::<Catalog>(&r.body).ok())
+            .flatten()
+            .map(|c| c.types)
     }
 
     pub async fn rent(&self, rent: &ScaleOutRequest<'_>) -> ScaleOutOutcome {
         self.pace().await;
-        match self.client.send(Method::Post, "/machines", &encode(rent), LIMIT).await {
+        match self
+            .client
+            .send(Method::Post, "/machines", &encode(rent), LIMIT)
+            .await
+        {
             Ok(r) if r.status == 200 => decode::<MachineNames>(&r.body)
-                .map_or(ScaleOutOutcome::Unsure, |m| ScaleOutOutcome::Rented(m.machines)),
+                .map_or(ScaleOutOutcome::Unsure, |m| {
+                    ScaleOutOutcome::Rented(m.machines)
+                }),
             // Both "no capacity" and "trouble" come as 503.
-            Ok(r) if r.status == 503 && !has_word(&r.body, b"trouble") => ScaleOutOutcome::NoCapacity,
+            Ok(r) if r.status == 503 && !has_word(&r.body, b"trouble") => {
+                ScaleOutOutcome::NoCapacity
+            }
             Ok(r) if r.status == 400 => ScaleOutOutcome::NoCapacity,
             _ => ScaleOutOutcome::Unsure,
         }
@@ -66,9 +90,15 @@
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
             self.pace().await;
-            let since = all.last().map_or(String::new(), |l| format!("since={}&", l.id));
+            let since = all
+                .last()
+                .map_or(String::new(), |l| format!("since={}&", l.id));
             let path = format!("/machines?{since}most={LIST_PAGE}");
-            let r = self.client.send(Method::Get, &path, &[], LIMIT).await.ok()?;
+            let r = self
+                .client
+                .send(Method::Get, &path, &[], LIMIT)
+                .await
+                .ok()?;
             if r.status != 200 {
                 return None;
             }
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -6,8 +6,8 @@
 use crate::operations::settings;
 use crate::operations::staffed_hours;
 use crate::store::client::{
-    FLEET, JOBS, LEADER, LEARNED, StateError, TransactionOutcome, block_key, end_key, fleet_key, job_key,
-    learned_key,
+    FLEET, JOBS, LEADER, LEARNED, StateError, TransactionOutcome, block_key, end_key, fleet_key,
+    job_key, learned_key,
 };
 use crate::store::read_index::Replica;
 use crate::store::watch::{self, WATCH, job_id_of, job_of};
@@ -38,7 +38,9 @@
 
 /// Follows the leader key, and leads when nobody does.
 pub async fn run(node: Rc<Node>) {
-    let me = LeaseHolder { node: node.settings.node.clone() };
+    let me = LeaseHolder {
+        node: node.settings.node.clone(),
+    };
     // A node that found itself cut off from the workers lets others lead first.
     let mut campaign_not_before = Micros::ZERO;
     let mut fresh_start = true;
@@ -93,10 +95,21 @@
         }
         fresh_start = false;
         // Wait until the key changes.
-        let wait = if mod_revision == ModRevision(0) { Micros::from_secs(1) } else { Micros::from_secs(10) };
-        match node.state.critical().watch::<LeaseHolder>(LEADER, mod_revision.0.max(1), wait).await {
+        let wait = if mod_revision == ModRevision(0) {
+            Micros::from_secs(1)
+        } else {
+            Micros::from_secs(10)
+        };
+        match node
+            .state
+            .critical()
+            .watch::<LeaseHolder>(LEADER, mod_revision.0.max(1), wait)
+            .await
+        {
             Ok(_) => {}
-            Err(_) => runtime::sleep(Micros::from_millis(200) + jitter(Micros::from_millis(300))).await,
+            Err(_) => {
+                runtime::sleep(Micros::from_millis(200) + jitter(Micros::from_millis(300))).await
+            }
         }
     }
 }
@@ -124,13 +137,24 @@
             return Acquired::No;
         }
     };
-    let mut mutations = vec![Mutation::Put { key: LEADER.to_owned(), value: me.clone(), lease: Some(lease) }];
+    let mut mutations = vec![Mutation::Put {
+        key: LEADER.to_owned(),
+        value: me.clone(),
+        lease: Some(lease),
+    }];
     for zone in &node.config.zones {
-        mutations.push(Mutation::Put { key: block_key(zone), value: me.clone(), lease: Some(lease) });
+        mutations.push(Mutation::Put {
+            key: block_key(zone),
+            value: me.clone(),
+            lease: Some(lease),
+        });
     }
     let until = sent + ttl.less_drift();
     let outcome = loop {
-        let compares = vec![Compare { key: LEADER.to_owned(), mod_revision }];
+        let compares = vec![Compare {
+            key: LEADER.to_owned(),
+            mod_revision,
+        }];
         match node.state.critical().txn(compares, mutations.clone()).await {
             // Certainly not executed: the same lease serves the next try, while enough of it is left.
             Err(e) if e.is_refusal() && runtime::now() < until - Micros(ttl.0 / 2) => {
@@ -167,11 +191,22 @@
     let granted_at = runtime::now();
     let cancel = CancellationToken::new();
     let ttl = node.settings.leader_ttl();
-    let leader_lease = Rc::new(RefCell::new(LeaderLease::new(until, ttl, WATCH, node.peers.0.len())));
+    let leader_lease = Rc::new(RefCell::new(LeaderLease::new(
+        until,
+        ttl,
+        WATCH,
+        node.peers.0.len(),
+    )));
     let lost = Notify::default();
     runtime::spawn_until(
         cancel.clone(),
-        keep_lease_alive(node.clone(), lease, leader_lease.clone(), lost.clone(), cancel.clone()),
+        keep_lease_alive(
+            node.clone(),
+            lease,
+            leader_lease.clone(),
+            lost.clone(),
+            cancel.clone(),
+        ),
     );
     // Nobody is served before the records are read, and a whole fleet knocks once a second.
     node.open.hold_until(granted_at + FAILOVER);
@@ -182,13 +217,26 @@
         return false;
     };
     let now = runtime::now();
-    info!(token = token.0, jobs = scheduler.jobs.len(), machines = scheduler.machines.len(), "records read");
+    info!(
+        token = token.0,
+        jobs = scheduler.jobs.len(),
+        machines = scheduler.machines.len(),
+        "records read"
+    );
     // What users were told here while the records were read may be missing in them.
-    for id in node.lease_support.confirmed.borrow().after(scheduler.applied()) {
+    for id in node
+        .lease_support
+        .confirmed
+        .borrow()
+        .after(scheduler.applied())
+    {
         scheduler.job_dropped(&id, now);
     }
     // A process that has just begun may not have learned a revision yet; this one does as well.
-    node.lease_support.confirmed.borrow_mut().began_before(scheduler.applied());
+    node.lease_support
+        .confirmed
+        .borrow_mut()
+        .began_before(scheduler.applied());
     // All that was cancelled before the records were read is missing in them.
     leader_lease.borrow_mut().heard(granted_at);
     let leadership = Rc::new(Leadership {
@@ -209,22 +257,41 @@
         plans_may: node.settings.facts.limits.cpu_share,
     });
     *node.leadership.borrow_mut() = Some(leadership.clone());
-    runtime::spawn_until(cancel.clone(), watch::watch(node.clone(), leadership.clone()));
+    runtime::spawn_until(
+        cancel.clone(),
+        watch::watch(node.clone(), leadership.clone()),
+    );
     runtime::spawn_until(cancel.clone(), watch::ask(node.clone(), leadership.clone()));
-    runtime::spawn_until(cancel.clone(), write_records(node.clone(), leadership.clone()));
-    runtime::spawn_until(cancel.clone(), list_machines(node.clone(), leadership.clone()));
-    runtime::spawn_until(cancel.clone(), staffed_hours::follow(node.clone(), leadership.clone()));
+    runtime::spawn_until(
+        cancel.clone(),
+        write_records(node.clone(), leadership.clone()),
+    );
+    runtime::spawn_until(
+        cancel.clone(),
+        list_machines(node.clone(), leadership.clone()),
+    );
+    runtime::spawn_until(
+        cancel.clone(),
+        staffed_hours::follow(node.clone(), leadership.clone()),
+    );
     runtime::spawn_until(cancel.clone(), act(node.clone(), leadership.clone()));
-    runtime::spawn_until(cancel.clone(), read_learned(node.clone(), leadership.clone()));
+    runtime::spawn_until(
+        cancel.clone(),
+        read_learned(node.clone(), leadership.clone()),
+    );
     if node.policy.is_live() {
-        runtime::spawn_until(cancel.clone(), follow_figures(node.clone(), leadership.clone()));
+        runtime::spawn_until(
+            cancel.clone(),
+            follow_figures(node.clone(), leadership.clone()),
+        );
     }
     // Until the lease is lost, or no worker reaches us.
     let isolated = loop {
         if cancel.is_cancelled() {
             break false;
         }
-        lost.wait_until(runtime::now() + Micros::from_millis(200)).await;
+        lost.wait_until(runtime::now() + Micros::from_millis(200))
+            .await;
         if is_isolated(&leadership) {
             break true;
         }
@@ -232,7 +299,10 @@
     *node.leadership.borrow_mut() = None;
     cancel.cancel();
     if isolated {
-        info!(token = token.0, "giving up leadership: no worker reaches this node");
+        info!(
+            token = token.0,
+            "giving up leadership: no worker reaches this node"
+        );
         let _ = node.state.critical().release(lease).await;
         *node.leader.borrow_mut() = None;
     } else {
@@ -244,8 +314,16 @@
 /// Machines are up but none reports: this node is cut off from the workers, another may not be.
 fn is_isolated(leadership: &Leadership) -> bool {
     let scheduler = leadership.scheduler.borrow();
-    let expected = scheduler.machines.values().filter(|m| m.is_registered && !m.deleting).count();
-    leadership.heartbeat_monitor.borrow_mut().is_cut_off(expected, leadership.lease_is_valid(), runtime::now())
+    let expected = scheduler
+        .machines
+        .values()
+        .filter(|m| m.is_registered && !m.deleting)
+        .count();
+    leadership.heartbeat_monitor.borrow_mut().is_cut_off(
+        expected,
+        leadership.lease_is_valid(),
+        runtime::now(),
+    )
 }
 
 /// The least wait for the answer to a renewal. One that is lost is soon repeated; where the service is slow, up to half of
@@ -306,7 +384,9 @@
     let jobs = jobs.into_iter().filter_map(job_of).collect();
     let mut scheduler = Scheduler::new(node.config.clone(), token, jobs, register, granted_at);
     scheduler.caught_up(ModRevision(revision), granted_at);
-    scheduler.set_tuning(settings::tuning_of(&node.policy.evaluate(&Figures::default())));
+    scheduler.set_tuning(settings::tuning_of(
+        &node.policy.evaluate(&Figures::default()),
+    ));
     scheduler.set_time_of_day(runtime::now(), runtime::time_of_day());
     scheduler.set_hours(staffed_hours::at_first(node));
     scheduler.set_catalog(node.catalog.borrow().clone());
@@ -334,15 +414,26 @@
         let batch = {
             let mut scheduler = leadership.scheduler.borrow_mut();
             scheduler.set_pressed(node.admission.is_pressed());
-            if leadership.lease_is_valid() { scheduler.next_batch(runtime::now()) } else { None }
+            if leadership.lease_is_valid() {
+                scheduler.next_batch(runtime::now())
+            } else {
+                None
+            }
         };
         let Some(batch) = batch else {
             let more = leadership.scheduler.borrow().has_writes();
             if leadership.scheduler.borrow().short_of_writes() {
                 node.admission.short();
             }
-            let pause = if more { Micros::from_millis(50) } else { Micros::from_secs(1) };
-            leadership.write_wakeup.wait_until(runtime::now() + pause).await;
+            let pause = if more {
+                Micros::from_millis(50)
+            } else {
+                Micros::from_secs(1)
+            };
+            leadership
+                .write_wakeup
+                .wait_until(runtime::now() + pause)
+                .await;
             continue;
         };
         let token = leadership.scheduler.borrow().token;
@@ -362,7 +453,10 @@
                 }
             }
         }
-        leadership.scheduler.borrow_mut().batch_ended(batch, result, runtime::now());
+        leadership
+            .scheduler
+            .borrow_mut()
+            .batch_ended(batch, result, runtime::now());
         leadership.wakeup.notify();
     }
 }
@@ -377,31 +471,79 @@
 }
 
 /// Every write is conditional on our grant, so that late ones of old holders fail.
-async fn commit(node: &Node, token: FencingToken, batch: &Batch) -> Result<ModRevision, BatchError> {
-    let mut compares = vec![Compare { key: LEADER.to_owned(), mod_revision: ModRevision(token.0) }];
+async fn commit(
+    node: &Node,
+    token: FencingToken,
+    batch: &Batch,
+) -> Result<ModRevision, BatchError> {
+    let mut compares = vec![Compare {
+        key: LEADER.to_owned(),
+        mod_revision: ModRevision(token.0),
+    }];
     let mut mutations = Vec::new();
     for w in &batch.writes {
         match w {
-            Write::Update { job, mod_revision, record } => {
-                compares.push(Compare { key: job_key(job), mod_revision: *mod_revision });
-                mutations.push(Mutation::Put { key: job_key(job), value: Value::Job(record), lease: None });
+            Write::Update {
+                job,
+                mod_revision,
+                record,
+            } => {
+                compares.push(Compare {
+                    key: job_key(job),
+                    mod_revision: *mod_revision,
+                });
+                mutations.push(Mutation::Put {
+                    key: job_key(job),
+                    value: Value::Job(record),
+                    lease: None,
+                });
             }
-            Write::End { job, mod_revision, end } => {
-                compares.push(Compare { key: job_key(job), mod_revision: *mod_revision });
+            Write::End {
+                job,
+                mod_revision,
+                end,
+            } => {
+                compares.push(Compare {
+                    key: job_key(job),
+                    mod_revision: *mod_revision,
+                });
                 mutations.push(Mutation::Delete { key: job_key(job) });
-                mutations.push(Mutation::Put { key: end_key(job), value: Value::End(end), lease: None });
+                mutations.push(Mutation::Put {
+                    key: end_key(job),
+                    value: Value::End(end),
+                    lease: None,
+                });
             }
-            Write::Page { key, mod_revision, page } => {
-                compares.push(Compare { key: fleet_key(key), mod_revision: *mod_revision });
+            Write::Page {
+                key,
+                mod_revision,
+                page,
+            } => {
+                compares.push(Compare {
+                    key: fleet_key(key),
+                    mod_revision: *mod_revision,
+                });
                 mutations.push(match page {
-                    Some(p) => Mutation::Put { key: fleet_key(key), value: Value::Page(p), lease: None },
-                    None => Mutation::Delete { key: fleet_key(key) },
+                    Some(p) => Mutation::Put {
+                        key: fleet_key(key),
+                        value: Value::Page(p),
+                        lease: None,
+                    },
+                    None => Mutation::Delete {
+                        key: fleet_key(key),
+                    },
                 });
             }
             Write::Learned { key, page } => {
-                mutations.push(Mutation::Put { key: learned_key(*key), value: Value::Learned(page), lease: None });
+                mutations.push(Mutation::Put {
+                    key: learned_key(*key),
+                    value: Value::Learned(page),
+                    lease: None,
+                });
             }
-            Write::DropPage { key } => mutations.push(Mutation::Delete { key: fleet_key(key) }),
+            Write::DropPage { key } => mutations.push(Mutation::Delete {
+                key: fleet_key(key),
+            }),
         }
     }
     match node.state.records().txn(compares, mutations).await {
@@ -410,8 +552,15 @@
             if keys.iter().any(|k| k == LEADER) {
                 return Err(BatchError::Deposed);
             }
-            let pages = keys.iter().filter_map(|k| k.strip_prefix(FLEET)).map(str::to_owned).collect();
-            Err(BatchError::Conflict { jobs: keys.iter().filter_map(|k| job_id_of(k)).collect(), pages })
+            let pages = keys
+                .iter()
+                .filter_map(|k| k.strip_prefix(FLEET))
+                .map(str::to_owned)
+                .collect();
+            Err(BatchError::Conflict {
+                jobs: keys.iter().filter_map(|k| job_id_of(k)).collect(),
+                pages,
+            })
         }
         Err(e) if e.is_refusal() => {
             debug!(error = %e, "records not written");
@@ -425,7 +574,10 @@
 async fn list_machines(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
         if let Some(list) = node.cloud.list().await {
-            leadership.scheduler.borrow_mut().listed(&list, runtime::now());
+            leadership
+                .scheduler
+                .borrow_mut()
+                .listed(&list, runtime::now());
             leadership.wakeup.notify();
         }
         let pause = node.config.list_lag.max(Micros::from_secs(5));
@@ -438,7 +590,13 @@
     if !leadership.scheduler.borrow().tuning.learn {
         return;
     }
-    let Some((pages, _)) = retry(|| node.state.background().list::<hopyoke_run_times::Page>(LEARNED)).await else {
+    let Some((pages, _)) = retry(|| {
+        node.state
+            .background()
+            .list::<hopyoke_run_times::Page>(LEARNED)
+    })
+    .await
+    else {
         return;
     };
     let mut scheduler = leadership.scheduler.borrow_mut();
@@ -498,11 +656,24 @@
     let (node, l, direct) = (node.clone(), leadership.clone(), direct.clone());
     runtime::spawn_until(leadership.cancel.clone(), async move {
         match action {
-            Action::ScaleOut { request, machine_type, zone, spot, count } => {
-                let rent =
-                    ScaleOutRequest { request: &request, machine_type: &machine_type, zone: &zone, spot, count };
+            Action::ScaleOut {
+                request,
+                machine_type,
+                zone,
+                spot,
+                count,
+            } => {
+                let rent = ScaleOutRequest {
+                    request: &request,
+                    machine_type: &machine_type,
+                    zone: &zone,
+                    spot,
+                    count,
+                };
                 let outcome = node.cloud.rent(&rent).await;
-                l.scheduler.borrow_mut().rented(&request, outcome, runtime::now());
+                l.scheduler
+                    .borrow_mut()
+                    .rented(&request, outcome, runtime::now());
             }
             Action::Delete { machines } => {
                 if node.cloud.delete(machines.clone()).await {
@@ -512,28 +683,41 @@
                     l.scheduler.borrow_mut().delete_failed(&machines);
                 }
             }
-            Action::ReloadRecord { job } => match node.state.records().get::<JobRecord>(&job_key(&job)).await {
-                Ok(found) => {
-                    let found = found.map(|(v, mod_revision)| (v.readable(), mod_revision));
-                    match found {
-                        Some((Some(record), mod_revision)) => {
-                            l.scheduler.borrow_mut().record_reloaded(
-                                job,
-                                Some((record, mod_revision)),
-                                runtime::now(),
-                            );
+            Action::ReloadRecord { job } => {
+                match node.state.records().get::<JobRecord>(&job_key(&job)).await {
+                    Ok(found) => {
+                        let found = found.map(|(v, mod_revision)| (v.readable(), mod_revision));
+                        match found {
+                            Some((Some(record), mod_revision)) => {
+                                l.scheduler.borrow_mut().record_reloaded(
+                                    job,
+                                    Some((record, mod_revision)),
+                                    runtime::now(),
+                                );
+                            }
+                            Some((None, _)) => warn!(job = %job, "unreadable record"),
+                            None => {
+                                l.scheduler
+                                    .borrow_mut()
+                                    .record_reloaded(job, None, runtime::now())
+                            }
                         }
-                        Some((None, _)) => warn!(job = %job, "unreadable record"),
-                        None => l.scheduler.borrow_mut().record_reloaded(job, None, runtime::now()),
+                    }
+                    Err(_) => {
+                        runtime::sleep(Micros::from_millis(300)).await;
+                        l.scheduler.borrow_mut().record_reload_failed(job);
                     }
                 }
-                Err(_) => {
-                    runtime::sleep(Micros::from_millis(300)).await;
-                    l.scheduler.borrow_mut().record_reload_failed(job);
-                }
-            },
-            Action::Direct { machine, address, epoch, commands } => {
-                direct.send(&l, token, machine, address, epoch, commands).await;
+            }
+            Action::Direct {
+                machine,
+                address,
+                epoch,
+                commands,
+            } => {
+                direct
+                    .send(&l, token, machine, address, epoch, commands)
+                    .await;
             }
         }
         l.wakeup.notify();
--- a/crates/hopyoke/src/leadership/lease_support.rs
+++ b/crates/hopyoke/src/leadership/lease_support.rs
@@ -40,7 +40,11 @@
     /// This node must not try to lead before this. If its former process still holds the lead, that
     /// had no promise open.
     pub fn kept_until(&self, own_former: bool) -> Micros {
-        if own_former { self.until.get() } else { self.until.get().max(self.inherited_until) }
+        if own_former {
+            self.until.get()
+        } else {
+            self.until.get().max(self.inherited_until)
+        }
     }
 
     /// Promises not to lead, if that can be kept; for how long.
@@ -48,7 +52,11 @@
         if self.leads.get() {
             return None;
         }
-        self.until.set(self.until.get().max(runtime::now() + SUPPORT_DURATION.with_drift()));
+        self.until.set(
+            self.until
+                .get()
+                .max(runtime::now() + SUPPORT_DURATION.with_drift()),
+        );
         Some(SUPPORT_DURATION)
     }
 }
--- a/crates/hopyoke/src/log.rs
+++ b/crates/hopyoke/src/log.rs
@@ -13,7 +13,11 @@
         Ok("info") | Ok("") | Err(_) => LevelFilter::INFO,
         Ok("debug") => LevelFilter::DEBUG,
         Ok("trace") => LevelFilter::TRACE,
-        Ok(other) => return Err(format!("LOG_LEVEL: '{other}' is not error, warn, info, debug or trace")),
+        Ok(other) => {
+            return Err(format!(
+                "LOG_LEVEL: '{other}' is not error, warn, info, debug or trace"
+            ));
+        }
     };
     tracing_subscriber::fmt()
         .with_max_level(level)
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -17,7 +17,11 @@
 
 /// A cluster scheduler's controller.
 #[derive(Parser)]
-#[command(version, args_conflicts_with_subcommands = true, arg_required_else_help = true)]
+#[command(
+    version,
+    args_conflicts_with_subcommands = true,
+    arg_required_else_help = true
+)]
 struct Args {
     /// Serve with the platform's settings in this file (TOML)
     #[arg(long, value_name = "FILE")]
@@ -127,8 +131,16 @@
     let args = Args::parse();
     let result = match args.command {
         Some(Command::Check { config, policy }) => check(config.as_deref(), policy.as_deref()),
-        Some(Command::Status { mesh }) => ask(mesh, client::ask_status(mesh)).map(|text| print!("{text}")),
-        Some(Command::When { job, team, gpus, zone, mesh }) => {
+        Some(Command::Status { mesh }) => {
+            ask(mesh, client::ask_status(mesh)).map(|text| print!("{text}"))
+        }
+        Some(Command::When {
+            job,
+            team,
+            gpus,
+            zone,
+            mesh,
+        }) => {
             let request = WhenRequest {
                 node: String::new(),
                 job: job.unwrap_or_default(),
@@ -144,9 +156,9 @@
         Some(Command::History { mesh, follow }) => history(mesh, follow),
         Some(Command::Staffed { word, span, mesh }) => staffed(word, span.as_deref(), mesh),
         Some(Command::Cwl { args }) => cwl(&args),
-        Some(Command::Policy { command: PolicyCommand::Show { policy, format } }) => {
-            load_policy(policy.as_deref()).map(|p| print!("{}", show_policy(&p, format)))
-        }
+        Some(Command::Policy {
+            command: PolicyCommand::Show { policy, format },
+        }) => load_policy(policy.as_deref()).map(|p| print!("{}", show_policy(&p, format))),
         None => serve(args.config.as_deref(), args.policy.as_deref()),
     };
     match result {
@@ -163,15 +175,23 @@
     let span_s = match span {
         None => 0,
         Some(text) => {
-            let cut = text.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(text.len());
+            let cut = text
+                .find(|c: char| c.is_ascii_alphabetic())
+                .unwrap_or(text.len());
             let unit = match &text[cut..] {
                 "s" => 1.0,
                 "min" => 60.0,
                 "h" => 3600.0,
                 "d" => 86_400.0,
-                _ => return Err(format!("--for {text}: must be a number with s, min, h or d")),
+                _ => {
+                    return Err(format!(
+                        "--for {text}: must be a number with s, min, h or d"
+                    ));
+                }
             };
-            let n: f64 = text[..cut].parse().map_err(|_| format!("--for {text}: must begin with a number"))?;
+            let n: f64 = text[..cut]
+                .parse()
+                .map_err(|_| format!("--for {text}: must begin with a number"))?;
             if !(1.0..=31.0 * 86_400.0).contains(&(n * unit)) {
                 return Err(format!("--for {text}: must be 1s to 31d"));
             }
@@ -185,17 +205,28 @@
         Staffed::Show => "show",
     };
     let by = std::env::var("USER").unwrap_or_default();
-    let request = StaffedRequest { word: word.to_owned(), span_s, by };
+    let request = StaffedRequest {
+        word: word.to_owned(),
+        span_s,
+        by,
+    };
     ask(mesh, client::ask_staffed(mesh, request)).map(|a| println!("{}", a.text))
 }
 
 /// Becomes the program beside this one that speaks CWL: what it needs stays out of the controller.
 fn cwl(args: &[std::ffi::OsString]) -> Result<(), String> {
     use std::os::unix::process::CommandExt;
-    let beside = std::env::current_exe().ok().and_then(|p| Some(p.parent()?.join("hopyoke-cwl")));
-    let program = beside.filter(|p| p.is_file()).unwrap_or_else(|| "hopyoke-cwl".into());
+    let beside = std::env::current_exe()
+        .ok()
+        .and_then(|p| Some(p.parent()?.join("hopyoke-cwl")));
+    let program = beside
+        .filter(|p| p.is_file())
+        .unwrap_or_else(|| "hopyoke-cwl".into());
     let e = std::process::Command::new(&program).args(args).exec();
-    Err(format!("{}: {e}; `cargo build --release -p hopyoke-wes` makes it", program.display()))
+    Err(format!(
+        "{}: {e}; `cargo build --release -p hopyoke-wes` makes it",
+        program.display()
+    ))
 }
 
 fn serve(config: Option<&Path>, policy: Option<&Path>) -> Result<(), String> {
@@ -220,17 +251,24 @@
             Err(e) => faults.push(e),
         }
     }
-    if faults.is_empty() { Ok(()) } else { Err(faults.join("\n")) }
+    if faults.is_empty() {
+        Ok(())
+    } else {
+        Err(faults.join("\n"))
+    }
 }
 
 fn load_policy(file: Option<&Path>) -> Result<Policy, String> {
-    let Some(file) = file else { return Ok(Policy::defaults()) };
+    let Some(file) = file else {
+        return Ok(Policy::defaults());
+    };
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: cannot be read: {e}"))?;
     let policy = Policy::load(&name, &text).map_err(|e| e.to_string())?;
     // What the language can't check of a text's own form.
     let values = policy.evaluate(&Figures::default());
-    hopyoke::operations::settings::hours_of(&values, Micros::ZERO).map_err(|e| format!("{name}: {e}"))?;
+    hopyoke::operations::settings::hours_of(&values, Micros::ZERO)
+        .map_err(|e| format!("{name}: {e}"))?;
     Ok(policy)
 }
 
@@ -244,24 +282,49 @@
             s.default.clone(),
             s.range_text(),
             live.to_owned(),
-            if s.overridden { s.expression.clone() } else { String::new() },
+            if s.overridden {
+                s.expression.clone()
+            } else {
+                String::new()
+            },
             s.about.clone(),
             s.safe.clone(),
         ]
     });
-    let heads = ["setting", "value", "unit", "default", "safe range", "live", "set to", "what", "why this range"];
+    let heads = [
+        "setting",
+        "value",
+        "unit",
+        "default",
+        "safe range",
+        "live",
+        "set to",
+        "what",
+        "why this range",
+    ];
     match format {
         Format::Json => {
             let list: Vec<serde_json::Value> = rows
-                .map(|r| heads.iter().zip(r).map(|(h, v)| ((*h).to_owned(), serde_json::Value::from(v))).collect())
+                .map(|r| {
+                    heads
+                        .iter()
+                        .zip(r)
+                        .map(|(h, v)| ((*h).to_owned(), serde_json::Value::from(v)))
+                        .collect()
+                })
                 .collect();
             serde_json::to_string_pretty(&list).unwrap_or_default() + "\n"
         }
         Format::Markdown => {
             let keep = [0, 2, 3, 4, 5, 7, 8];
-            let line =
-                |cells: &[String]| format!("| {} |\n", keep.map(|k| cells[k].replace('|', "\\|")).join(" | "));
-            let mut out = line(&heads.map(str::to_owned)) + &format!("|{}\n", " --- |".repeat(keep.len()));
+            let line = |cells: &[String]| {
+                format!(
+                    "| {} |\n",
+                    keep.map(|k| cells[k].replace('|', "\\|")).join(" | ")
+                )
+            };
+            let mut out =
+                line(&heads.map(str::to_owned)) + &format!("|{}\n", " --- |".repeat(keep.len()));
             for mut r in rows {
                 r[0] = format!("`{}`", r[0]);
                 out += &line(&r);
@@ -276,7 +339,10 @@
             };
             let widths: Vec<usize> = (0..7).map(width).collect();
             let line = |cells: Vec<&str>| {
-                let padded = cells.iter().zip(&widths).map(|(c, w)| format!("{c:<w$}", w = *w));
+                let padded = cells
+                    .iter()
+                    .zip(&widths)
+                    .map(|(c, w)| format!("{c:<w$}", w = *w));
                 format!("{}\n", padded.collect::<Vec<_>>().join("  ").trim_end())
             };
             let mut out = line(heads[..7].to_vec());
@@ -304,7 +370,11 @@
     print!("{header}");
     let (mut token, mut since) = (0, 0);
     loop {
-        let request = HistoryRequest { node: String::new(), token, since };
+        let request = HistoryRequest {
+            node: String::new(),
+            token,
+            since,
+        };
         let answer = ask(mesh, client::ask_history(mesh, request));
         let more = match answer {
             Ok(a) => {
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -115,15 +115,29 @@
 
     /// Does something with the core that may make a plan, and has the time between plans follow
     /// from what that cost: a part (`plan_share`) of the processor's share may go to plans.
-    pub fn planning<T>(&self, node: &Node, scheduler: &mut Scheduler, f: impl FnOnce(&mut Scheduler) -> T) -> T {
+    pub fn planning<T>(
+        &self,
+        node: &Node,
+        scheduler: &mut Scheduler,
+        f: impl FnOnce(&mut Scheduler) -> T,
+    ) -> T {
         let (plans, began) = (scheduler.plans(), runtime::now());
         let out = f(scheduler);
         if scheduler.plans() != plans {
             let cost = runtime::now() - began;
             self.plan_cost.set(self.plan_cost.get() + cost);
-            debug!(cost_us = cost.0, machines = scheduler.machines.len(), jobs = scheduler.jobs.len(), "plan");
+            debug!(
+                cost_us = cost.0,
+                machines = scheduler.machines.len(),
+                jobs = scheduler.jobs.len(),
+                "plan"
+            );
             // A process that is behind hears its machines first.
-            let part = if node.is_behind() { PLANS_WHEN_BEHIND } else { 1.0 };
+            let part = if node.is_behind() {
+                PLANS_WHEN_BEHIND
+            } else {
+                1.0
+            };
             let share = node.settings.facts.limits.cpu_share * scheduler.tuning.plan_share * part;
             scheduler.plan_cost(cost, share);
         }
@@ -138,7 +152,14 @@
             let peers = settings.peers.iter().map(|p| p.node.clone());
             let nodes = peers.chain([settings.node.clone()]).collect();
             let ops = settings.facts.state.txn_ops as usize;
-            let engine = Engine::new(limits, &settings.node, nodes, ops, rand::random(), runtime::now());
+            let engine = Engine::new(
+                limits,
+                &settings.node,
+                nodes,
+                ops,
+                rand::random(),
+                runtime::now(),
+            );
             Flows {
                 engine: RefCell::new(engine),
                 wakeup: Notify::default(),
@@ -147,7 +168,10 @@
                 pages_from: Cell::new(Micros::ZERO),
             }
         });
-        let bounds = |per_second| Bounds { per_second, nodes: settings.facts.nodes };
+        let bounds = |per_second| Bounds {
+            per_second,
+            nodes: settings.facts.nodes,
+        };
         Node {
             flows,
             config: SchedulerConfig::of(&settings),
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -21,7 +21,14 @@
         let now = runtime::now();
         let found = if request.job.is_empty() {
             let zone = (!request.zone.is_empty()).then_some(request.zone);
-            scheduler.when_capacity(&Ask { team: request.team, gpus: request.gpus, zone }, now)
+            scheduler.when_capacity(
+                &Ask {
+                    team: request.team,
+                    gpus: request.gpus,
+                    zone,
+                },
+                now,
+            )
         } else {
             match JobId::parse(&request.job) {
                 Some(id) => scheduler.when_job(&id, now),
@@ -29,17 +36,30 @@
             }
         };
         return match found {
-            Ok(w) => WhenAnswer { error: String::new(), p50_s: w.p50_s, p90_s: w.p90_s, rests_on: w.rests_on },
-            Err(error) => WhenAnswer { error, ..WhenAnswer::default() },
+            Ok(w) => WhenAnswer {
+                error: String::new(),
+                p50_s: w.p50_s,
+                p90_s: w.p90_s,
+                rests_on: w.rests_on,
+            },
+            Err(error) => WhenAnswer {
+                error,
+                ..WhenAnswer::default()
+            },
         };
     }
-    let refused = |error: &str| WhenAnswer { error: error.to_owned(), ..WhenAnswer::default() };
+    let refused = |error: &str| WhenAnswer {
+        error: error.to_owned(),
+        ..WhenAnswer::default()
+    };
     let link = match leader(node, &request.node) {
         Ok(l) => l,
         Err(why) => return refused(why),
     };
     request.node.clone_from(&node.settings.node);
-    let answer = link.call(ANSWER, |mut c| async move { c.when(request).await }).await;
+    let answer = link
+        .call(ANSWER, |mut c| async move { c.when(request).await })
+        .await;
     answer.unwrap_or_else(|| refused("the leader did not answer"))
 }
 
@@ -49,7 +69,10 @@
         return Err("the node that was asked does not lead");
     }
     let leader = node.leader.borrow().clone();
-    leader.as_deref().and_then(|l| node.peers.by_name(l)).ok_or("nobody leads now")
+    leader
+        .as_deref()
+        .and_then(|l| node.peers.by_name(l))
+        .ok_or("nobody leads now")
 }
 
 /// Runs that have ended.
@@ -58,25 +81,47 @@
         let scheduler = leadership.scheduler.borrow();
         let token = scheduler.token.0;
         // Another leader counts its runs anew.
-        let since = if request.token == token { request.since } else { 0 };
+        let since = if request.token == token {
+            request.since
+        } else {
+            0
+        };
         let past = scheduler.history(since, MOST_RUNS + 1);
         let mut writer = Writer::new(false);
         for p in past.iter().take(MOST_RUNS) {
             if let Err(error) = writer.add(&run_of(p)) {
-                return HistoryAnswer { error, ..HistoryAnswer::default() };
+                return HistoryAnswer {
+                    error,
+                    ..HistoryAnswer::default()
+                };
             }
         }
-        let last = past.iter().take(MOST_RUNS).next_back().map_or(since, |p| p.number);
+        let last = past
+            .iter()
+            .take(MOST_RUNS)
+            .next_back()
+            .map_or(since, |p| p.number);
         let more = past.len() > MOST_RUNS;
-        return HistoryAnswer { error: String::new(), csv: writer.text(), token, last, more };
+        return HistoryAnswer {
+            error: String::new(),
+            csv: writer.text(),
+            token,
+            last,
+            more,
+        };
     }
-    let refused = |error: &str| HistoryAnswer { error: error.to_owned(), ..HistoryAnswer::default() };
+    let refused = |error: &str| HistoryAnswer {
+        error: error.to_owned(),
+        ..HistoryAnswer::default()
+    };
     let link = match leader(node, &request.node) {
         Ok(l) => l,
         Err(why) => return refused(why),
     };
     request.node.clone_from(&node.settings.node);
-    let answer = link.call(ANSWER, |mut c| async move { c.history(request).await }).await;
+    let answer = link
+        .call(ANSWER, |mut c| async move { c.history(request).await })
+        .await;
     answer.unwrap_or_else(|| refused("the leader did not answer"))
 }
 
@@ -90,7 +135,11 @@
         class: spec.class.clone(),
         team: spec.team.clone(),
         image: spec.image.clone(),
-        tasks: if spec.kind == JobKind::Gang { spec.tasks } else { 1 },
+        tasks: if spec.kind == JobKind::Gang {
+            spec.tasks
+        } else {
+            1
+        },
         cpus: spec.cpus,
         gpus: spec.gpus,
         mem_gb: spec.memory_gb,
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -84,15 +84,30 @@
 
 /// What is measured now. Looks at all machines and jobs once, so it is not for every plan.
 fn figures(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
-    let up = || scheduler.machines.values().filter(|m| m.phase == MachinePhase::Up);
+    let up = || {
+        scheduler
+            .machines
+            .values()
+            .filter(|m| m.phase == MachinePhase::Up)
+    };
     let day_us = 86_400_000_000;
     let hour = (runtime::time_of_day().0 % day_us) as f64 / 3_600_000_000.0;
     Figures::default()
         .number("machines", up().count() as f64)
-        .number("idle_machines", up().filter(|m| m.allocations().is_empty()).count() as f64)
+        .number(
+            "idle_machines",
+            up().filter(|m| m.allocations().is_empty()).count() as f64,
+        )
         .number("spot_machines", up().filter(|m| m.spot).count() as f64)
         .number("unfinished_jobs", scheduler.jobs.len() as f64)
-        .number("unplaced_jobs", scheduler.jobs.values().filter(|j| j.unplaced_tasks() > 0).count() as f64)
+        .number(
+            "unplaced_jobs",
+            scheduler
+                .jobs
+                .values()
+                .filter(|j| j.unplaced_tasks() > 0)
+                .count() as f64,
+        )
         .boolean("production_arriving", scheduler.production_arriving(now))
         .number("plan_busy", plan_busy)
         .number("hour", hour)
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -33,8 +33,15 @@
 /// What a new leader begins with. Until the operators' word was read, held work is held: it may say
 /// that nobody is there.
 pub fn at_first(node: &Node) -> Option<Hours> {
-    let unread = Switch { staffed: false, until_us: u64::MAX / 4, by: "nobody yet".into() };
-    hours(node).map(|h| Hours { switch: Some(unread), ..h })
+    let unread = Switch {
+        staffed: false,
+        until_us: u64::MAX / 4,
+        by: "nobody yet".into(),
+    };
+    hours(node).map(|h| Hours {
+        switch: Some(unread),
+        ..h
+    })
 }
 
 async fn read(node: &Node) -> Result<(Option<Switch>, ModRevision), StateError> {
@@ -69,8 +76,14 @@
 /// Answers an operator.
 pub async fn answer(node: &Node, request: StaffedRequest) -> StaffedAnswer {
     match change(node, request).await {
-        Ok(text) => StaffedAnswer { text, ..StaffedAnswer::default() },
-        Err(error) => StaffedAnswer { error, ..StaffedAnswer::default() },
+        Ok(text) => StaffedAnswer {
+            text,
+            ..StaffedAnswer::default()
+        },
+        Err(error) => StaffedAnswer {
+            error,
+            ..StaffedAnswer::default()
+        },
     }
 }
 
@@ -88,18 +101,39 @@
         word @ ("on" | "off") => {
             let until = now + Micros::from_secs(request.span_s);
             let by = request.by.chars().take(80).collect();
-            Some(Switch { staffed: word == "on", until_us: until.0, by })
+            Some(Switch {
+                staffed: word == "on",
+                until_us: until.0,
+                by,
+            })
         }
         other => return Err(format!("'{other}' is not on, off, auto or show")),
     };
     if request.word != "show" {
         let change = match &word {
-            Some(w) => Mutation::Put { key: SWITCH.to_owned(), value: w.clone(), lease: None },
-            None => Mutation::Delete { key: SWITCH.to_owned() },
+            Some(w) => Mutation::Put {
+                key: SWITCH.to_owned(),
+                value: w.clone(),
+                lease: None,
+            },
+            None => Mutation::Delete {
+                key: SWITCH.to_owned(),
+            },
+        };
+        let condition = Compare {
+            key: SWITCH.to_owned(),
+            mod_revision,
         };
-        let condition = Compare { key: SWITCH.to_owned(), mod_revision };
-        match node.state.cancelling().txn(vec![condition], vec![change]).await.map_err(not_now)? {
-            TransactionOutcome::Applied(_) => info!(word = request.word, by = request.by, "staffed hours"),
+        match node
+            .state
+            .cancelling()
+            .txn(vec![condition], vec![change])
+            .await
+            .map_err(not_now)?
+        {
+            TransactionOutcome::Applied(_) => {
+                info!(word = request.word, by = request.by, "staffed hours")
+            }
             TransactionOutcome::Failed(_) => {
                 return Err("somebody else said something at the same moment; look again".into());
             }
@@ -107,9 +141,23 @@
     }
     hours.switch = word;
     let window = hours.at(now);
-    let until = window.until.map_or_else(|| "further notice".to_owned(), |u| hours.local(u));
+    let until = window
+        .until
+        .map_or_else(|| "further notice".to_owned(), |u| hours.local(u));
     let by = hours.switch.filter(|s| s.until_us > now.0).map(|s| s.by);
-    let by = by
-        .map_or(String::new(), |by| if by.is_empty() { ", by an operator".into() } else { format!(", by {by}") });
-    Ok(format!("{} until {until}{by}", if window.staffed { "staffed" } else { "not staffed" }))
+    let by = by.map_or(String::new(), |by| {
+        if by.is_empty() {
+            ", by an operator".into()
+        } else {
+            format!(", by {by}")
+        }
+    });
+    Ok(format!(
+        "{} until {until}{by}",
+        if window.staffed {
+            "staffed"
+        } else {
+            "not staffed"
+        }
+    ))
 }
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -10,21 +10,41 @@
 /// The status as text, one fact a line.
 pub fn text(node: &Node) -> String {
     let mut out = String::new();
-    let leader = node.leader.borrow().clone().unwrap_or_else(|| "none".into());
-    let _ = writeln!(out, "node {} zone {}", node.settings.node, node.settings.zone);
-    let _ = writeln!(out, "leader {leader} state_answers {}", node.state.answers());
+    let leader = node
+        .leader
+        .borrow()
+        .clone()
+        .unwrap_or_else(|| "none".into());
+    let _ = writeln!(
+        out,
+        "node {} zone {}",
+        node.settings.node, node.settings.zone
+    );
+    let _ = writeln!(
+        out,
+        "leader {leader} state_answers {}",
+        node.state.answers()
+    );
     let (let_in, refused, line, rate) = node.admission.counts();
     let _ = writeln!(
         out,
         "door let_in {let_in} refused {refused} line_s {:.0} rate {rate:.1} a second",
         line.as_secs_f64()
     );
-    for (team, let_in, refused) in node.admission.team_counts().into_iter().filter(|(_, l, r)| l + r > 0) {
+    for (team, let_in, refused) in node
+        .admission
+        .team_counts()
+        .into_iter()
+        .filter(|(_, l, r)| l + r > 0)
+    {
         let _ = writeln!(out, "door team {team} let_in {let_in} refused {refused}");
     }
     for importance in RequestPriority::ALL {
         let (sent, held_back) = node.state.counts(importance);
-        let _ = writeln!(out, "state requests {importance:?} sent {sent} held_back {held_back}");
+        let _ = writeln!(
+            out,
+            "state requests {importance:?} sent {sent} held_back {held_back}"
+        );
     }
     let (carried, not_carried) = node.heartbeat_relay.counts();
     let open = node.open.count();
@@ -37,14 +57,22 @@
     let _ = writeln!(out, "mesh unknown {} stale {stale}", node.peers.refused());
     let confirmed = node.lease_support.confirmed.borrow();
     let _ = writeln!(out, "cancellations remembered {}", confirmed.len());
-    let Some(leadership) = node.leadership() else { return out };
+    let Some(leadership) = node.leadership() else {
+        return out;
+    };
     let scheduler = leadership.scheduler.borrow();
     let now = runtime::now();
     let (runs, classes, _, forgotten) = scheduler.learned_counts();
-    let _ = writeln!(out, "learned classes {classes} forgotten {forgotten} runs_under_way {runs}");
+    let _ = writeln!(
+        out,
+        "learned classes {classes} forgotten {forgotten} runs_under_way {runs}"
+    );
     for slow in scheduler.slow_machines() {
-        let _ =
-            writeln!(out, "slow machine {} factor {:.2} from {:.0} runs", slow.machine, slow.factor, slow.runs);
+        let _ = writeln!(
+            out,
+            "slow machine {} factor {:.2} from {:.0} runs",
+            slow.machine, slow.factor, slow.runs
+        );
     }
     let (questions, reads) = leadership.replica.counts();
     let _ = writeln!(out, "polls from the replica {reads} questions {questions}");
@@ -56,7 +84,11 @@
         scheduler.is_reconciling()
     );
     for zone in &scheduler.cfg.zones {
-        let n = scheduler.machines.values().filter(|m| m.zone == *zone).count();
+        let n = scheduler
+            .machines
+            .values()
+            .filter(|m| m.zone == *zone)
+            .count();
         let _ = writeln!(out, "block {zone} holder {leader} machines {n}");
     }
     if let Some(until) = scheduler.held_until() {
@@ -84,8 +116,11 @@
     }
     for t in &scheduler.cfg.teams {
         let u = used.get(t.name.as_str()).copied().unwrap_or_default();
-        let _ =
-            writeln!(out, "team {} cpus {} of {} gpus {} of {}", t.name, u.cpus, t.cpus_max, u.gpus, t.gpus_max);
+        let _ = writeln!(
+            out,
+            "team {} cpus {} of {} gpus {} of {}",
+            t.name, u.cpus, t.cpus_max, u.gpus, t.gpus_max
+        );
     }
     for (id, j) in &scheduler.jobs {
         let unknown = j
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -7,8 +7,8 @@
 use hyper::body::Incoming;
 use proto::mesh_client::MeshClient;
 use proto::{
-    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HistoryAnswer, HistoryRequest, JobChange, StaffedAnswer,
-    StaffedRequest, StatusRequest, UserRequest, WhenAnswer, WhenRequest,
+    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HistoryAnswer, HistoryRequest, JobChange,
+    StaffedAnswer, StaffedRequest, StatusRequest, UserRequest, WhenAnswer, WhenRequest,
 };
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -49,7 +49,11 @@
     }
     fn call(&mut self, mut request: http::Request<tonic::body::Body>) -> Self::Future {
         // HTTP/2 wants an absolute URI; the connection is the address.
-        let path = request.uri().path_and_query().map_or("/", |p| p.as_str()).to_owned();
+        let path = request
+            .uri()
+            .path_and_query()
+            .map_or("/", |p| p.as_str())
+            .to_owned();
         if let Ok(uri) = format!("http://mesh{path}").parse() {
             *request.uri_mut() = uri;
         }
@@ -71,8 +75,9 @@
 
 async fn connect(addr: SocketAddr, cancel: &CancellationToken) -> io::Result<Channel> {
     let stream = TcpStream::connect(addr, CONNECT).await?;
-    let (sender, connection) =
-        hyper::client::conn::http2::handshake(LocalExec, stream).await.map_err(io::Error::other)?;
+    let (sender, connection) = hyper::client::conn::http2::handshake(LocalExec, stream)
+        .await
+        .map_err(io::Error::other)?;
     runtime::spawn_until(cancel.clone(), async move {
         let _ = connection.await;
     });
@@ -193,7 +198,10 @@
         G: Future<Output = Result<tonic::Response<T>, Status>>,
     {
         let result = runtime::timeout(limit, async {
-            let client = self.client().await.map_err(|e| Status::unavailable(e.to_string()))?;
+            let client = self
+                .client()
+                .await
+                .map_err(|e| Status::unavailable(e.to_string()))?;
             f(client).await
         })
         .await;
@@ -220,16 +228,26 @@
     /// Tells the peer that a job was accepted or cancelled. Only a hint: its watch tells it too.
     pub async fn notify(&self, from: &str, job: &JobId) {
         if self.fresh() {
-            let news = JobChange { node: from.to_owned(), job: job.to_string() };
-            let _ = self.call(GREET, |mut c| async move { c.notify(news).await }).await;
+            let news = JobChange {
+                node: from.to_owned(),
+                job: job.to_string(),
+            };
+            let _ = self
+                .call(GREET, |mut c| async move { c.notify(news).await })
+                .await;
         }
     }
 
     /// Carries workers' reports to the leader; the answers in the same order.
     pub async fn carry(&self, from: &str, heartbeats: Vec<Vec<u8>>) -> Option<Vec<Vec<u8>>> {
         let n = heartbeats.len();
-        let message = HeartbeatBatch { node: from.to_owned(), heartbeats };
-        let answer = self.call(CARRY, |mut c| async move { c.carry(message).await }).await?;
+        let message = HeartbeatBatch {
+            node: from.to_owned(),
+            heartbeats,
+        };
+        let answer = self
+            .call(CARRY, |mut c| async move { c.carry(message).await })
+            .await?;
         (answer.answers.len() == n).then_some(answer.answers)
     }
 
@@ -246,7 +264,9 @@
             path: request.path.clone(),
             body: request.body.clone(),
         };
-        let answer = self.call(limit, |mut c| async move { c.forward(message).await }).await?;
+        let answer = self
+            .call(limit, |mut c| async move { c.forward(message).await })
+            .await?;
         let mut response = Response::empty(u16::try_from(answer.status).ok()?);
         response.body = answer.body;
         response.retry_after_s = (answer.retry_after_s > 0).then_some(answer.retry_after_s);
@@ -266,7 +286,10 @@
 
 impl PeerClients {
     pub fn new(peers: &[Peer]) -> PeerClients {
-        PeerClients(peers.iter().cloned().map(PeerClient::new).collect(), Cell::new(0))
+        PeerClients(
+            peers.iter().cloned().map(PeerClient::new).collect(),
+            Cell::new(0),
+        )
     }
 
     /// Counts a message of an unknown node.
@@ -309,8 +332,12 @@
 {
     let cancel = CancellationToken::new();
     let client = MeshClient::new(connect(addr, &cancel).await?);
-    let answer = runtime::timeout(limit, f(client)).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
-    answer.map(tonic::Response::into_inner).map_err(io::Error::other)
+    let answer = runtime::timeout(limit, f(client))
+        .await
+        .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
+    answer
+        .map(tonic::Response::into_inner)
+        .map_err(io::Error::other)
 }
 
 /// Asks a controller for its status, for operators.
@@ -318,7 +345,12 @@
 /// # Errors
 /// Why there is no answer.
 pub async fn ask_status(addr: SocketAddr) -> io::Result<String> {
-    Ok(ask(addr, |mut c| async move { c.status(StatusRequest {}).await }).await?.text)
+    Ok(ask(
+        addr,
+        |mut c| async move { c.status(StatusRequest {}).await },
+    )
+    .await?
+    .text)
 }
 
 /// Sets or shows the operators' word on staffed hours.
@@ -327,7 +359,11 @@
 /// Why there is no answer.
 pub async fn ask_staffed(addr: SocketAddr, request: StaffedRequest) -> io::Result<StaffedAnswer> {
     let answer = ask(addr, |mut c| async move { c.staffed(request).await }).await?;
-    if answer.error.is_empty() { Ok(answer) } else { Err(io::Error::other(answer.error)) }
+    if answer.error.is_empty() {
+        Ok(answer)
+    } else {
+        Err(io::Error::other(answer.error))
+    }
 }
 
 /// Asks about a run of a workflow, or for one.
@@ -344,7 +380,11 @@
 /// Why there is no answer.
 pub async fn ask_when(addr: SocketAddr, request: WhenRequest) -> io::Result<WhenAnswer> {
     let answer = ask(addr, |mut c| async move { c.when(request).await }).await?;
-    if answer.error.is_empty() { Ok(answer) } else { Err(io::Error::other(answer.error)) }
+    if answer.error.is_empty() {
+        Ok(answer)
+    } else {
+        Err(io::Error::other(answer.error))
+    }
 }
 
 /// Asks for runs that have ended.
@@ -353,5 +393,9 @@
 /// Why there is no answer.
 pub async fn ask_history(addr: SocketAddr, request: HistoryRequest) -> io::Result<HistoryAnswer> {
     let answer = ask(addr, |mut c| async move { c.history(request).await }).await?;
-    if answer.error.is_empty() { Ok(answer) } else { Err(io::Error::other(answer.error)) }
+    if answer.error.is_empty() {
+        Ok(answer)
+    } else {
+        Err(io::Error::other(answer.error))
+    }
 }
--- a/crates/hopyoke/src/peers/heartbeat_relay.rs
+++ b/crates/hopyoke/src/peers/heartbeat_relay.rs
@@ -23,9 +23,14 @@
 impl HeartbeatRelay {
     /// Carries a report to the leader. `None`: it has not been answered.
     pub async fn carry(&self, heartbeat: Vec<u8>) -> Option<Vec<u8>> {
-        let number = self.carrier.borrow_mut().arrive(heartbeat, runtime::now())?;
+        let number = self
+            .carrier
+            .borrow_mut()
+            .arrive(heartbeat, runtime::now())?;
         let (place, wakeup) = (Place::default(), Notify::default());
-        self.waiting.borrow_mut().insert(number, (place.clone(), wakeup.clone()));
+        self.waiting
+            .borrow_mut()
+            .insert(number, (place.clone(), wakeup.clone()));
         self.wakeup.notify();
         wakeup.wait().await;
         let answer = place.borrow_mut().take();
@@ -52,7 +57,12 @@
         let due = heartbeat_relay.carrier.borrow().due();
         match due {
             Some(due) => runtime::sleep_until(due).await,
-            None => heartbeat_relay.wakeup.wait_until(runtime::now() + Micros::from_secs(5)).await,
+            None => {
+                heartbeat_relay
+                    .wakeup
+                    .wait_until(runtime::now() + Micros::from_secs(5))
+                    .await
+            }
         }
         let (load, late) = heartbeat_relay.carrier.borrow_mut().load(runtime::now());
         for number in late {
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -9,9 +9,9 @@
 use crate::operations::estimates;
 use crate::peers::client::proto::mesh_server::{Mesh, MeshServer};
 use crate::peers::client::proto::{
-    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer, HistoryRequest,
-    JobChange, StaffedAnswer, StaffedRequest, StatusAnswer, StatusRequest, UserAnswer, UserRequest, WhenAnswer,
-    WhenRequest,
+    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer,
+    HistoryRequest, JobChange, StaffedAnswer, StaffedRequest, StatusAnswer, StatusRequest,
+    UserAnswer, UserRequest, WhenAnswer, WhenRequest,
 };
 use crate::peers::client::{GREET, LocalExec};
 use futures_channel::{mpsc, oneshot};
@@ -57,7 +57,9 @@
 
 /// A greeting to a peer that is asked for its own.
 fn question(node: &Node, peer: usize) -> Greeting {
-    let cursor = node.leadership().map_or_else(Default::default, |l| l.delivered.borrow().cursor(peer));
+    let cursor = node
+        .leadership()
+        .map_or_else(Default::default, |l| l.delivered.borrow().cursor(peer));
     Greeting {
         wants: node.admission.wants(),
         line: node.admission.words(peer),
@@ -75,10 +77,18 @@
     if asked.token == 0 {
         return answer;
     }
-    let cursor = Cursor { process: asked.delivered_process, upto: asked.delivered_upto };
+    let cursor = Cursor {
+        process: asked.delivered_process,
+        upto: asked.delivered_upto,
+    };
     let confirmed = node.lease_support.confirmed.borrow();
-    let delta = confirmed.since(ModRevision(asked.applied), cursor.in_process(node.lease_support.process));
-    let promise = (delta.complete && !answer.state_ok).then(|| node.lease_support.promise()).flatten();
+    let delta = confirmed.since(
+        ModRevision(asked.applied),
+        cursor.in_process(node.lease_support.process),
+    );
+    let promise = (delta.complete && !answer.state_ok)
+        .then(|| node.lease_support.promise())
+        .flatten();
     answer.promise_us = promise.map_or(0, |span| span.0);
     answer.cancelled_upto = delta.upto;
     answer.cancelled = delta.jobs.iter().map(ToString::to_string).collect();
@@ -91,7 +101,9 @@
         let mine = question(&node, peer);
         let link = &node.peers.0[peer];
         let sent = runtime::now();
-        let answer = link.call(GREET, |mut c| async move { c.greet(mine).await }).await;
+        let answer = link
+            .call(GREET, |mut c| async move { c.greet(mine).await })
+            .await;
         if let Some(answer) = answer
             && link.note(&answer, true)
         {
@@ -115,7 +127,11 @@
 }
 
 fn note_crowd(node: &Node, peer: usize, greeting: &Greeting) {
-    let crowd = Crowd { open: greeting.open, most: greeting.most, shares: greeting.shares };
+    let crowd = Crowd {
+        open: greeting.open,
+        most: greeting.most,
+        shares: greeting.shares,
+    };
     node.routes.borrow_mut().heard(peer, crowd, runtime::now());
 }
 
@@ -124,7 +140,11 @@
 /// led. (Guards `ran_cancelled`. Scenario gap_fresh_leader.)
 fn heed(node: &Node, leadership: &Leadership, peer: usize, sent: Micros, answer: &Greeting) {
     let now = runtime::now();
-    let own = node.lease_support.confirmed.borrow().covers(leadership.scheduler.borrow().applied());
+    let own = node
+        .lease_support
+        .confirmed
+        .borrow()
+        .covers(leadership.scheduler.borrow().applied());
     let span = (answer.promise_us > 0 && own).then_some(Micros(answer.promise_us));
     if !answer.cancelled.is_empty() {
         let mut scheduler = leadership.scheduler.borrow_mut();
@@ -134,8 +154,14 @@
         }
         leadership.wakeup.notify();
     }
-    leadership.delivered.borrow_mut().took(peer, answer.process, answer.cancelled_upto);
-    leadership.leader_lease.borrow_mut().answered(peer, sent, span, now);
+    leadership
+        .delivered
+        .borrow_mut()
+        .took(peer, answer.process, answer.cancelled_upto);
+    leadership
+        .leader_lease
+        .borrow_mut()
+        .answered(peer, sent, span, now);
 }
 
 /// A request that reached us over the mesh, with where its answer goes.
@@ -158,24 +184,42 @@
 const MOST_WAITING: usize = 64;
 
 impl Handlers {
-    async fn pass<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> Call) -> Result<tonic::Response<T>, Status> {
+    async fn pass<T>(
+        &self,
+        make: impl FnOnce(oneshot::Sender<T>) -> Call,
+    ) -> Result<tonic::Response<T>, Status> {
         let (reply, answer) = oneshot::channel();
         let mut queue = self.0.clone();
-        queue.try_send(make(reply)).map_err(|_| Status::resource_exhausted("too many calls waiting"))?;
-        answer.await.map(tonic::Response::new).map_err(|_| Status::permission_denied("refused"))
+        queue
+            .try_send(make(reply))
+            .map_err(|_| Status::resource_exhausted("too many calls waiting"))?;
+        answer
+            .await
+            .map(tonic::Response::new)
+            .map_err(|_| Status::permission_denied("refused"))
     }
 }
 
 #[tonic::async_trait]
 impl Mesh for Handlers {
-    async fn greet(&self, r: tonic::Request<Greeting>) -> Result<tonic::Response<Greeting>, Status> {
+    async fn greet(
+        &self,
+        r: tonic::Request<Greeting>,
+    ) -> Result<tonic::Response<Greeting>, Status> {
         self.pass(|reply| Call::Greet(r.into_inner(), reply)).await
     }
-    async fn notify(&self, r: tonic::Request<JobChange>) -> Result<tonic::Response<Greeting>, Status> {
+    async fn notify(
+        &self,
+        r: tonic::Request<JobChange>,
+    ) -> Result<tonic::Response<Greeting>, Status> {
         self.pass(|reply| Call::Notify(r.into_inner(), reply)).await
     }
-    async fn forward(&self, r: tonic::Request<UserRequest>) -> Result<tonic::Response<UserAnswer>, Status> {
-        self.pass(|reply| Call::Forward(r.into_inner(), reply)).await
+    async fn forward(
+        &self,
+        r: tonic::Request<UserRequest>,
+    ) -> Result<tonic::Response<UserAnswer>, Status> {
+        self.pass(|reply| Call::Forward(r.into_inner(), reply))
+            .await
     }
     async fn carry(
         &self,
@@ -183,21 +227,38 @@
     ) -> Result<tonic::Response<HeartbeatResponses>, Status> {
         self.pass(|reply| Call::Carry(r.into_inner(), reply)).await
     }
-    async fn status(&self, _: tonic::Request<StatusRequest>) -> Result<tonic::Response<StatusAnswer>, Status> {
+    async fn status(
+        &self,
+        _: tonic::Request<StatusRequest>,
+    ) -> Result<tonic::Response<StatusAnswer>, Status> {
         let text = self.pass(Call::Status).await?.into_inner();
         Ok(tonic::Response::new(StatusAnswer { text }))
     }
-    async fn when(&self, r: tonic::Request<WhenRequest>) -> Result<tonic::Response<WhenAnswer>, Status> {
+    async fn when(
+        &self,
+        r: tonic::Request<WhenRequest>,
+    ) -> Result<tonic::Response<WhenAnswer>, Status> {
         self.pass(|reply| Call::When(r.into_inner(), reply)).await
     }
-    async fn history(&self, r: tonic::Request<HistoryRequest>) -> Result<tonic::Response<HistoryAnswer>, Status> {
-        self.pass(|reply| Call::History(r.into_inner(), reply)).await
+    async fn history(
+        &self,
+        r: tonic::Request<HistoryRequest>,
+    ) -> Result<tonic::Response<HistoryAnswer>, Status> {
+        self.pass(|reply| Call::History(r.into_inner(), reply))
+            .await
     }
-    async fn flow(&self, r: tonic::Request<FlowRequest>) -> Result<tonic::Response<FlowAnswer>, Status> {
+    async fn flow(
+        &self,
+        r: tonic::Request<FlowRequest>,
+    ) -> Result<tonic::Response<FlowAnswer>, Status> {
         self.pass(|reply| Call::Flow(r.into_inner(), reply)).await
     }
-    async fn staffed(&self, r: tonic::Request<StaffedRequest>) -> Result<tonic::Response<StaffedAnswer>, Status> {
-        self.pass(|reply| Call::Staffed(r.into_inner(), reply)).await
+    async fn staffed(
+        &self,
+        r: tonic::Request<StaffedRequest>,
+    ) -> Result<tonic::Response<StaffedAnswer>, Status> {
+        self.pass(|reply| Call::Staffed(r.into_inner(), reply))
+            .await
     }
 }
 
@@ -206,7 +267,8 @@
 impl hyper::service::Service<http::Request<Incoming>> for HyperService {
     type Response = http::Response<tonic::body::Body>;
     type Error = std::convert::Infallible;
-    type Future = std::pin::Pin<Box<dyn Future<Output = Result<Self::Response, Self::Error>> + Send>>;
+    type Future =
+        std::pin::Pin<Box<dyn Future<Output = Result<Self::Response, Self::Error>> + Send>>;
 
     fn call(&self, request: http::Request<Incoming>) -> Self::Future {
         tower_service::Service::call(&mut self.0.clone(), request)
@@ -231,7 +293,10 @@
     runtime::spawn_until(node.cancel.clone(), async move {
         while let Some(call) = calls.next().await {
             let node = local.clone();
-            runtime::spawn_until(node.cancel.clone(), async move { answer(&node, call).await });
+            runtime::spawn_until(
+                node.cancel.clone(),
+                async move { answer(&node, call).await },
+            );
         }
     });
     let open = Rc::new(Cell::new(0usize));
@@ -262,7 +327,10 @@
     let place = node.peers.place_of(name);
     if place.is_none() {
         node.peers.refuse();
-        debug!(node = name, "a message of a node that is not among `others`");
+        debug!(
+            node = name,
+            "a message of a node that is not among `others`"
+        );
     }
     place
 }
@@ -270,7 +338,9 @@
 async fn answer(node: &Rc<Node>, call: Call) {
     match call {
         Call::Greet(greeting, reply) => {
-            let Some(peer) = known(node, &greeting.node) else { return };
+            let Some(peer) = known(node, &greeting.node) else {
+                return;
+            };
             if !node.peers.0[peer].note(&greeting, false) {
                 return;
             }
@@ -300,17 +370,26 @@
                 _ => return,
             };
             let request = Request::new(method, message.path, message.body);
-            let Some(rest) = jobs::below_jobs(&request.path) else { return };
+            let Some(rest) = jobs::below_jobs(&request.path) else {
+                return;
+            };
             let r = jobs::own_answer(node, rest, &request).await;
             let retry_after_s = r.retry_after_s.unwrap_or(0);
-            let _ = reply.send(UserAnswer { status: u32::from(r.status), body: r.body, retry_after_s });
+            let _ = reply.send(UserAnswer {
+                status: u32::from(r.status),
+                body: r.body,
+                retry_after_s,
+            });
         }
         Call::Carry(message, reply) => {
             if known(node, &message.node).is_none() {
                 return;
             }
-            let answers =
-                message.heartbeats.iter().map(|body| crate::agents::heartbeats::carried(node, body)).collect();
+            let answers = message
+                .heartbeats
+                .iter()
+                .map(|body| crate::agents::heartbeats::carried(node, body))
+                .collect();
             let _ = reply.send(HeartbeatResponses { answers });
         }
         Call::Status(reply) => {
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -33,7 +33,9 @@
             }
         };
         let values = policy.evaluate(&Figures::default());
-        let flow_limits = values.boolean("flows").then(|| settings::flow_limits(&values, &settings));
+        let flow_limits = values
+            .boolean("flows")
+            .then(|| settings::flow_limits(&values, &settings));
         let node = Rc::new(Node::new(settings, policy, flow_limits));
         let cancelled_gone_s = node.settings.cancellation_bound().total().as_secs_f64();
         info!(node = %node.settings.node, zone = %node.settings.zone, cancelled_gone_s, "serving");
@@ -64,7 +66,14 @@
                 Box::pin(async move { route(&node, request).await }) as _
             })
         };
-        http::serve(listener, limits, node.open.clone(), node.cancel.clone(), handler).await;
+        http::serve(
+            listener,
+            limits,
+            node.open.clone(),
+            node.cancel.clone(),
+            handler,
+        )
+        .await;
     })?;
     match failed.take() {
         Some(e) => Err(io::Error::new(e.kind(), format!("serve_on {listen}: {e}"))),
@@ -89,7 +98,11 @@
     let every = Micros::from_secs(1);
     loop {
         if runtime::now() > node.state.last_answer() + every {
-            let _ = node.state.background().get::<serde::de::IgnoredAny>(crate::store::client::LEADER).await;
+            let _ = node
+                .state
+                .background()
+                .get::<serde::de::IgnoredAny>(crate::store::client::LEADER)
+                .await;
         }
         runtime::sleep(every).await;
     }
@@ -109,7 +122,10 @@
         if (now > due + BEHIND || node.open.count() >= node.most_connections())
             && let Some(leadership) = node.leadership()
         {
-            leadership.scheduler.borrow_mut().set_receive_overloaded(now);
+            leadership
+                .scheduler
+                .borrow_mut()
+                .set_receive_overloaded(now);
         }
     }
 }
--- a/crates/hopyoke/src/store/client.rs
+++ b/crates/hopyoke/src/store/client.rs
@@ -19,8 +19,8 @@
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, ClientError, Method, Response};
 use hopyoke_protocol::state::{
-    Compare, CompareFailed, KeyValue, KeyValuePage, LeaseGrantRequest, LeaseGrantResponse, Mutation, Stored,
-    Transaction, TransactionResponse, WatchResponse,
+    Compare, CompareFailed, KeyValue, KeyValuePage, LeaseGrantRequest, LeaseGrantResponse,
+    Mutation, Stored, Transaction, TransactionResponse, WatchResponse,
 };
 use hopyoke_protocol::{decode, encode};
 use hopyoke_run_times::PageKey;
@@ -116,7 +116,10 @@
 impl StateError {
     /// The request was certainly not executed, and never will be.
     pub fn is_refusal(&self) -> bool {
-        matches!(self, StateError::Refused(_) | StateError::InsufficientResources)
+        matches!(
+            self,
+            StateError::Refused(_) | StateError::InsufficientResources
+        )
     }
 }
 
@@ -179,32 +182,50 @@
 
     /// Leases, grants, and what a new leader reads.
     pub fn critical(&self) -> PrioritizedClient<'_> {
-        PrioritizedClient { state: self, importance: RequestPriority::Critical }
+        PrioritizedClient {
+            state: self,
+            importance: RequestPriority::Critical,
+        }
     }
 
     /// The leader's records, and its news of them.
     pub fn records(&self) -> PrioritizedClient<'_> {
-        PrioritizedClient { state: self, importance: RequestPriority::Records }
+        PrioritizedClient {
+            state: self,
+            importance: RequestPriority::Records,
+        }
     }
 
     /// Cancellations.
     pub fn cancelling(&self) -> PrioritizedClient<'_> {
-        PrioritizedClient { state: self, importance: RequestPriority::Cancels }
+        PrioritizedClient {
+            state: self,
+            importance: RequestPriority::Cancels,
+        }
     }
 
     /// Polls.
     pub fn polling(&self) -> PrioritizedClient<'_> {
-        PrioritizedClient { state: self, importance: RequestPriority::Polls }
+        PrioritizedClient {
+            state: self,
+            importance: RequestPriority::Polls,
+        }
     }
 
     /// New work. Never waits for room: a user who finds none is told so at once.
     pub fn accepting(&self) -> PrioritizedClient<'_> {
-        PrioritizedClient { state: self, importance: RequestPriority::Accepts }
+        PrioritizedClient {
+            state: self,
+            importance: RequestPriority::Accepts,
+        }
     }
 
     /// What can wait.
     pub fn background(&self) -> PrioritizedClient<'_> {
-        PrioritizedClient { state: self, importance: RequestPriority::Background }
+        PrioritizedClient {
+            state: self,
+            importance: RequestPriority::Background,
+        }
     }
 
     /// Waits for room in this node's part.
@@ -232,7 +253,11 @@
         limit: Micros,
     ) -> Result<Response, StateError> {
         self.room(importance).await?;
-        let client = if importance == RequestPriority::Critical { &self.vital_client } else { &self.client };
+        let client = if importance == RequestPriority::Critical {
+            &self.vital_client
+        } else {
+            &self.client
+        };
         let result = client.send(method, path, body, limit).await;
         if !matches!(&result, Ok(r) if r.status != 503) {
             self.last_failure.set(runtime::now());
@@ -257,12 +282,22 @@
 }
 
 impl PrioritizedClient<'_> {
-    async fn send(self, method: Method, path: &str, body: &[u8], limit: Micros) -> Result<Response, StateError> {
-        self.state.send(self.importance, method, path, body, limit).await
+    async fn send(
+        self,
+        method: Method,
+        path: &str,
+        body: &[u8],
+        limit: Micros,
+    ) -> Result<Response, StateError> {
+        self.state
+            .send(self.importance, method, path, body, limit)
+            .await
     }
 
     pub async fn get<T: DeserializeOwned>(self, key: &str) -> Result<Found<T>, StateError> {
-        let r = self.send(Method::Get, &format!("/kv/{key}"), &[], READ_LIMIT).await?;
+        let r = self
+            .send(Method::Get, &format!("/kv/{key}"), &[], READ_LIMIT)
+            .await?;
         match r.status {
             200 => {
                 let pair: KeyValue<T> = read(&r)?;
@@ -275,13 +310,19 @@
 
     /// All pairs under a prefix, and the revision as of the first page: watching from there on
     /// misses nothing.
-    pub async fn list<T: DeserializeOwned>(self, prefix: &str) -> Result<(Vec<KeyValue<T>>, u64), StateError> {
+    pub async fn list<T: DeserializeOwned>(
+        self,
+        prefix: &str,
+    ) -> Result<(Vec<KeyValue<T>>, u64), StateError> {
         let mut all: Vec<KeyValue<T>> = Vec::new();
         let mut revision = None;
         loop {
             let mut tries = 0;
             let page: KeyValuePage<T> = loop {
-                match self.page(prefix, all.last().map(|p| p.key.as_str()), PAGE).await {
+                match self
+                    .page(prefix, all.last().map(|p| p.key.as_str()), PAGE)
+                    .await
+                {
                     Err(e) if tries < PAGE_TRIES => {
                         debug!(error = %e, under = prefix, "page not read");
                         tries += 1;
@@ -320,17 +361,28 @@
         compares: Vec<Compare>,
         mutations: Vec<Mutation<V>>,
     ) -> Result<TransactionOutcome, StateError> {
-        let body = encode(&Transaction { compares, mutations });
-        let r = self.send(Method::Post, "/multi", &body, WRITE_LIMIT).await?;
+        let body = encode(&Transaction {
+            compares,
+            mutations,
+        });
+        let r = self
+            .send(Method::Post, "/multi", &body, WRITE_LIMIT)
+            .await?;
         match r.status {
-            200 => Ok(TransactionOutcome::Applied(ModRevision(read::<TransactionResponse>(&r)?.revision))),
-            409 => Ok(TransactionOutcome::Failed(read::<CompareFailed>(&r)?.failed)),
+            200 => Ok(TransactionOutcome::Applied(ModRevision(
+                read::<TransactionResponse>(&r)?.revision,
+            ))),
+            409 => Ok(TransactionOutcome::Failed(
+                read::<CompareFailed>(&r)?.failed,
+            )),
             s => Err(StateError::Refused(s)),
         }
     }
 
     pub async fn grant(self, ttl: Micros) -> Result<u64, StateError> {
-        let body = encode(&LeaseGrantRequest { ttl_ms: ttl.as_millis() });
+        let body = encode(&LeaseGrantRequest {
+            ttl_ms: ttl.as_millis(),
+        });
         let r = self.send(Method::Post, "/holds", &body, READ_LIMIT).await?;
         match r.status {
             200 | 201 => Ok(read::<LeaseGrantResponse>(&r)?.lease),
@@ -339,7 +391,9 @@
     }
 
     pub async fn renew(self, lease: u64, limit: Micros) -> Result<(), StateError> {
-        let r = self.send(Method::Post, &format!("/holds/{lease}/renew"), &[], limit).await?;
+        let r = self
+            .send(Method::Post, &format!("/holds/{lease}/renew"), &[], limit)
+            .await?;
         match r.status {
             200..=299 => Ok(()),
             404 => Err(StateError::Gone),
@@ -349,7 +403,9 @@
 
     /// Ends a lease; `Ok` means that it is gone for certain.
     pub async fn release(self, lease: u64) -> Result<(), StateError> {
-        let r = self.send(Method::Delete, &format!("/holds/{lease}"), &[], READ_LIMIT).await?;
+        let r = self
+            .send(Method::Delete, &format!("/holds/{lease}"), &[], READ_LIMIT)
+            .await?;
         match r.status {
             200..=299 | 404 => Ok(()),
             s => Err(StateError::Refused(s)),
@@ -363,8 +419,13 @@
         since: u64,
         wait: Micros,
     ) -> Result<WatchResponse<T>, StateError> {
-        let path = format!("/changes?under={prefix}&since={since}&wait_ms={}", wait.as_millis());
-        let r = self.send(Method::Get, &path, &[], wait + Micros::from_millis(1_500)).await?;
+        let path = format!(
+            "/changes?under={prefix}&since={since}&wait_ms={}",
+            wait.as_millis()
+        );
+        let r = self
+            .send(Method::Get, &path, &[], wait + Micros::from_millis(1_500))
+            .await?;
         match r.status {
             200 => read(&r),
             410 => Err(StateError::Gone),
--- a/crates/hopyoke/src/store/read_index.rs
+++ b/crates/hopyoke/src/store/read_index.rs
@@ -29,7 +29,9 @@
     /// Waits until the core is known to include all that was written before now, for as long as somebody
     /// [asks](crate::store::watch::ask).
     pub(crate) async fn current(&self) -> bool {
-        let Some(ticket) = self.reads.borrow_mut().arrive(runtime::now()) else { return false };
+        let Some(ticket) = self.reads.borrow_mut().arrive(runtime::now()) else {
+            return false;
+        };
         self.wakeup.notify();
         let verdict = std::future::poll_fn(|cx| {
             if let Some(v) = self.reads.borrow().verdict(ticket) {
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -1,7 +1,9 @@
 //! Jobs' records in the state service, as any node reads and changes them.
 
 use crate::node::Node;
-use crate::store::client::{LEADER, PrioritizedClient, StateError, TransactionOutcome, end_key, job_key};
+use crate::store::client::{
+    LEADER, PrioritizedClient, StateError, TransactionOutcome, end_key, job_key,
+};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, Mutation, Stored};
 use hopyoke_protocol::user::JobState;
@@ -36,7 +38,10 @@
 /// gap_answer_lost, gap_leader_reads.)
 fn found_ended(node: &Node, id: &JobId, end: EndRecord, mod_revision: ModRevision) {
     if end.state == JobState::Cancelled {
-        node.lease_support.confirmed.borrow_mut().note(id, mod_revision);
+        node.lease_support
+            .confirmed
+            .borrow_mut()
+            .note(id, mod_revision);
         if let Some(leadership) = node.leadership()
             && let mut scheduler = leadership.scheduler.borrow_mut()
             && scheduler.applied() < mod_revision
@@ -52,8 +57,19 @@
 /// revision that this process has read.
 pub async fn learn_beginning(node: Rc<Node>) {
     loop {
-        match node.state.critical().page::<serde::de::IgnoredAny>(LEADER, None, 1).await {
-            Ok(page) => return node.lease_support.confirmed.borrow_mut().began_before(ModRevision(page.revision)),
+        match node
+            .state
+            .critical()
+            .page::<serde::de::IgnoredAny>(LEADER, None, 1)
+            .await
+        {
+            Ok(page) => {
+                return node
+                    .lease_support
+                    .confirmed
+                    .borrow_mut()
+                    .began_before(ModRevision(page.revision));
+            }
             Err(e) => debug!(error = %e, "the service's revision is not known yet"),
         }
         runtime::sleep(Micros::from_millis(rand::random_range(400..=800))).await;
@@ -62,7 +78,11 @@
 
 /// Reads a job's record. A record only ever moves from `job/` to `end/`, so reading in this order
 /// can't miss it; only then is it truly missing. (Guards `forgotten` and `invented`.)
-pub async fn lookup(node: &Node, client: PrioritizedClient<'_>, id: &JobId) -> Result<Lookup, StateError> {
+pub async fn lookup(
+    node: &Node,
+    client: PrioritizedClient<'_>,
+    id: &JobId,
+) -> Result<Lookup, StateError> {
     if let Some(end) = node.terminal_states.get(id) {
         return Ok(Lookup::Finished(end));
     }
@@ -84,7 +104,9 @@
 
 /// Reads the record of a job that is known not to be among the unfinished ones, so most likely over.
 pub async fn lookup_ended(node: &Node, id: &JobId) -> Result<Lookup, StateError> {
-    if let Some((Stored::Value(end), mod_revision)) = node.state.polling().get::<EndRecord>(&end_key(id)).await? {
+    if let Some((Stored::Value(end), mod_revision)) =
+        node.state.polling().get::<EndRecord>(&end_key(id)).await?
+    {
         found_ended(node, id, end, mod_revision);
         return Ok(Lookup::Finished(end));
     }
@@ -101,11 +123,21 @@
 ) -> Result<TransactionOutcome, StateError> {
     let id = record.spec.id.clone();
     let mut conditions = vec![
-        Compare { key: job_key(&id), mod_revision: ModRevision(0) },
-        Compare { key: end_key(&id), mod_revision: ModRevision(0) },
+        Compare {
+            key: job_key(&id),
+            mod_revision: ModRevision(0),
+        },
+        Compare {
+            key: end_key(&id),
+            mod_revision: ModRevision(0),
+        },
     ];
     conditions.extend(more);
-    let changes = vec![Mutation::Put { key: job_key(&id), value: record, lease: None }];
+    let changes = vec![Mutation::Put {
+        key: job_key(&id),
+        value: record,
+        lease: None,
+    }];
     let end = node.state.accepting().txn(conditions, changes).await?;
     if matches!(end, TransactionOutcome::Applied(_)) {
         notify(node, &id);
@@ -124,14 +156,27 @@
         };
         let done = record.as_ref().map_or(0, |r| r.done.count());
         let flow = record.is_some_and(|r| r.flow);
-        let end = EndRecord { flow, ..EndRecord::new(JobState::Cancelled, done) };
+        let end = EndRecord {
+            flow,
+            ..EndRecord::new(JobState::Cancelled, done)
+        };
         let conditions = vec![
-            Compare { key: job_key(id), mod_revision },
-            Compare { key: end_key(id), mod_revision: ModRevision(0) },
+            Compare {
+                key: job_key(id),
+                mod_revision,
+            },
+            Compare {
+                key: end_key(id),
+                mod_revision: ModRevision(0),
+            },
         ];
         let changes = vec![
             Mutation::Delete { key: job_key(id) },
-            Mutation::Put { key: end_key(id), value: end, lease: None },
+            Mutation::Put {
+                key: end_key(id),
+                value: end,
+                lease: None,
+            },
         ];
         match node.state.cancelling().txn(conditions, changes).await? {
             TransactionOutcome::Applied(mod_revision) => {
--- a/crates/hopyoke/src/store/watch.rs
+++ b/crates/hopyoke/src/store/watch.rs
@@ -23,7 +23,8 @@
     loop {
         let sent = runtime::now();
         let since = leadership.scheduler.borrow().applied().0;
-        let result: Result<WatchResponse<JobRecord>, _> = node.state.records().watch(JOBS, since, WATCH).await;
+        let result: Result<WatchResponse<JobRecord>, _> =
+            node.state.records().watch(JOBS, since, WATCH).await;
         match result {
             Ok(events) => {
                 apply(&leadership, events, sent);
@@ -34,12 +35,21 @@
                 Ok((pairs, revision)) => {
                     let now = runtime::now();
                     let mut scheduler = leadership.scheduler.borrow_mut();
-                    let listed: BTreeSet<JobId> = pairs.iter().filter_map(|p| job_id_of(&p.key)).collect();
+                    let listed: BTreeSet<JobId> =
+                        pairs.iter().filter_map(|p| job_id_of(&p.key)).collect();
                     // A job that is newer than the list has come by a notification or a question meanwhile.
                     // (Guards `forgotten`: it would be taken for over.)
-                    let old = |id: &JobId| scheduler.jobs.get(id).is_some_and(|j| j.mod_revision.0 <= revision);
-                    let gone: Vec<JobId> =
-                        scheduler.job_ids().into_iter().filter(|id| !listed.contains(id) && old(id)).collect();
+                    let old = |id: &JobId| {
+                        scheduler
+                            .jobs
+                            .get(id)
+                            .is_some_and(|j| j.mod_revision.0 <= revision)
+                    };
+                    let gone: Vec<JobId> = scheduler
+                        .job_ids()
+                        .into_iter()
+                        .filter(|id| !listed.contains(id) && old(id))
+                        .collect();
                     for id in gone {
                         scheduler.job_dropped(&id, now);
                     }
@@ -77,17 +87,26 @@
         };
         let sent = runtime::now();
         let since = leadership.scheduler.borrow().applied().0;
-        let result: Result<WatchResponse<JobRecord>, StateError> =
-            node.state.records().watch(JOBS, since.max(1), Micros::ZERO).await;
+        let result: Result<WatchResponse<JobRecord>, StateError> = node
+            .state
+            .records()
+            .watch(JOBS, since.max(1), Micros::ZERO)
+            .await;
         match result {
             Ok(events) => {
                 apply(&leadership, events, sent);
-                replica.reads.borrow_mut().answered(question, runtime::now());
+                replica
+                    .reads
+                    .borrow_mut()
+                    .answered(question, runtime::now());
             }
             // If the revision is too old, the watch reads all records again.
             Err(e) => {
                 debug!(error = %e, "no answer for reads that wait");
-                replica.reads.borrow_mut().failed(question, rand::random(), runtime::now());
+                replica
+                    .reads
+                    .borrow_mut()
+                    .failed(question, rand::random(), runtime::now());
             }
         }
         replica.wake();
@@ -105,7 +124,11 @@
         if let Some(id) = e.deleted.as_deref().and_then(job_id_of) {
             scheduler.job_dropped(&id, now);
         } else if let (Some(key), Some(value)) = (e.put, e.value)
-            && let Some((id, record, mod_revision)) = job_of(KeyValue { key, value, mod_revision: e.mod_revision })
+            && let Some((id, record, mod_revision)) = job_of(KeyValue {
+                key,
+                value,
+                mod_revision: e.mod_revision,
+            })
         {
             scheduler.job_seen(id, record, mod_revision, now);
         }
