--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -7,8 +7,8 @@
     FlowAnswer, FlowRequest, ResumeRun, RunInfo, RunList, RunQuestion, StepInfo, SubmitRun,
 };
 use crate::store::client::{
-    FLOW_ENDS, FLOW_HEADS, StateError, TransactionOutcome, flow_end_key, flow_key, flow_page_key, flow_plan_key,
-    flow_plan_prefix,
+    FLOW_ENDS, FLOW_HEADS, StateError, TransactionOutcome, flow_end_key, flow_key, flow_page_key,
+    flow_plan_key, flow_plan_prefix,
 };
 use crate::store::watch::job_id_of;
 use crate::workflows::runner::{Value, head_of, pages_of, plan_of};
@@ -47,7 +47,10 @@
 
 pub async fn answer(node: &Rc<Node>, request: FlowRequest) -> FlowAnswer {
     let Some(flows) = &node.flows else {
-        return failed(501, "this node takes no runs: `flows` is off in its settings".into());
+        return failed(
+            501,
+            "this node takes no runs: `flows` is off in its settings".into(),
+        );
     };
     let answer = match request.ask {
         Some(Ask::Submit(r)) => submit(node, flows, r).await,
@@ -69,7 +72,12 @@
 
 fn failed(status: u32, error: String) -> FlowAnswer {
     let retry_after_s = if status == 503 { 1 } else { 0 };
-    FlowAnswer { status, error, retry_after_s, ..FlowAnswer::default() }
+    FlowAnswer {
+        status,
+        error,
+        retry_after_s,
+        ..FlowAnswer::default()
+    }
 }
 
 fn run_id(number: u64) -> Answer<RunId> {
@@ -109,7 +117,11 @@
 }
 
 fn one(status: u32, info: RunInfo) -> FlowAnswer {
-    FlowAnswer { status, runs: vec![info], ..FlowAnswer::default() }
+    FlowAnswer {
+        status,
+        runs: vec![info],
+        ..FlowAnswer::default()
+    }
 }
 
 async fn submit(node: &Rc<Node>, flows: &Flows, r: SubmitRun) -> Answer {
@@ -121,7 +133,10 @@
     if let Err(e) = plan.check(&r.team) {
         return refuse(422, e.to_string());
     }
-    if r.name.len() > 400 || r.owner.len() > 200 || r.tags.iter().any(|(k, v)| k.len() + v.len() > 1000) {
+    if r.name.len() > 400
+        || r.owner.len() > 200
+        || r.tags.iter().any(|(k, v)| k.len() + v.len() > 1000)
+    {
         return refuse(400, "name, owner or a tag is too long");
     }
     if let Some((head, _)) = head_of(node, run).await? {
@@ -141,11 +156,22 @@
         Ok(p) => p,
         Err(e) => return refuse(422, e.to_string()),
     };
-    let on_error = if r.keep_on { OnError::Continue } else { OnError::Stop };
+    let on_error = if r.keep_on {
+        OnError::Continue
+    } else {
+        OnError::Stop
+    };
     let head = Head {
         on_error,
         tags: r.tags.into_iter().collect(),
-        ..Head::new(&r.name, &r.team, &r.owner, &plan, pages.len() as u32, runtime::time_of_day().0)
+        ..Head::new(
+            &r.name,
+            &r.team,
+            &r.owner,
+            &plan,
+            pages.len() as u32,
+            runtime::time_of_day().0,
+        )
     };
     if serde_json::to_string(&head).map_or(usize::MAX, |t| t.len()) > node.config.value_bytes {
         return refuse(400, "name, owner and tags are too long together");
@@ -161,7 +187,9 @@
         return refuse(503, "the machine types are not known yet");
     }
     for (i, step) in plan.steps.iter().enumerate() {
-        let Some(spec) = plan.spec(StepNo(i as u32), JobId::new("req-0")) else { continue };
+        let Some(spec) = plan.spec(StepNo(i as u32), JobId::new("req-0")) else {
+            continue;
+        };
         if let Some(why) = never_runs(&spec, &types, &node.config.zones, &node.config.teams) {
             return refuse(422, format!("step {}: {why}", step.path));
         }
@@ -173,16 +201,24 @@
 /// a repeated call goes on from where the last one stopped.
 async fn write_plan(node: &Node, flows: &Flows, run: RunId, pages: &[PlanPage]) -> Answer<()> {
     let until = runtime::now() + WRITING;
-    let (there, _) = node.state.background().list::<PlanPage>(&flow_plan_prefix(run)).await?;
+    let (there, _) = node
+        .state
+        .background()
+        .list::<PlanPage>(&flow_plan_prefix(run))
+        .await?;
     let mut known = BTreeSet::new();
     for p in there {
         let number = p.key.rsplit('/').next().and_then(|n| n.parse::<u32>().ok());
         match (number, p.value) {
-            (Some(n), Stored::Value(page)) if pages.get(n as usize) == Some(&page) => known.insert(n),
+            (Some(n), Stored::Value(page)) if pages.get(n as usize) == Some(&page) => {
+                known.insert(n)
+            }
             _ => return refuse(409, format!("run {run} is another one")),
         };
     }
-    let missing: Vec<u32> = (0..pages.len() as u32).filter(|n| !known.contains(n)).collect();
+    let missing: Vec<u32> = (0..pages.len() as u32)
+        .filter(|n| !known.contains(n))
+        .collect();
     let rate = flows.engine.borrow().limits.writes_per_s.max(0.5);
     let value = node.config.value_bytes.max(1);
     let at_once = (MOST_TXN / value).clamp(1, node.config.txn_ops.max(1));
@@ -190,12 +226,26 @@
         let now = runtime::now();
         let from = flows.pages_from.get().max(now);
         if from > until {
-            return refuse(503, format!("the plan is being written: {} of {} pages", known.len(), pages.len()));
+            return refuse(
+                503,
+                format!(
+                    "the plan is being written: {} of {} pages",
+                    known.len(),
+                    pages.len()
+                ),
+            );
         }
-        flows.pages_from.set(from + Micros::from_secs_f64(chunk.len() as f64 / rate));
+        flows
+            .pages_from
+            .set(from + Micros::from_secs_f64(chunk.len() as f64 / rate));
         runtime::sleep_until(from).await;
-        let conditions =
-            chunk.iter().map(|n| Compare { key: flow_plan_key(run, *n), mod_revision: ModRevision(0) }).collect();
+        let conditions = chunk
+            .iter()
+            .map(|n| Compare {
+                key: flow_plan_key(run, *n),
+                mod_revision: ModRevision(0),
+            })
+            .collect();
         let changes = chunk
             .iter()
             .map(|n| Mutation::Put {
@@ -207,7 +257,9 @@
         match node.state.background().txn(conditions, changes).await? {
             TransactionOutcome::Applied(_) => known.extend(chunk),
             // An earlier try of this call may have been executed late.
-            TransactionOutcome::Failed(_) => return refuse(503, "the plan's pages changed meanwhile"),
+            TransactionOutcome::Failed(_) => {
+                return refuse(503, "the plan's pages changed meanwhile");
+            }
         }
     }
     Ok(())
@@ -218,11 +270,26 @@
     let info = told(&head, run, 0, 0);
     let digest = head.digest;
     let conditions = vec![
-        Compare { key: flow_key(run), mod_revision: ModRevision(0) },
-        Compare { key: flow_end_key(run), mod_revision: ModRevision(0) },
+        Compare {
+            key: flow_key(run),
+            mod_revision: ModRevision(0),
+        },
+        Compare {
+            key: flow_end_key(run),
+            mod_revision: ModRevision(0),
+        },
     ];
-    let change = Mutation::Put { key: flow_key(run), value: Value::Head(Box::new(head)), lease: None };
-    match node.state.background().txn(conditions, vec![change]).await? {
+    let change = Mutation::Put {
+        key: flow_key(run),
+        value: Value::Head(Box::new(head)),
+        lease: None,
+    };
+    match node
+        .state
+        .background()
+        .txn(conditions, vec![change])
+        .await?
+    {
         TransactionOutcome::Applied(_) => {
             info!(%run, name = info.name, team = info.team, steps = info.steps, "run accepted");
             Ok(one(201, info))
@@ -238,14 +305,18 @@
 
 async fn get(node: &Node, flows: &Flows, q: RunQuestion) -> Answer {
     let run = run_id(q.run)?;
-    let Some((head, _)) = head_of(node, run).await? else { return refuse(404, "no such run") };
+    let Some((head, _)) = head_of(node, run).await? else {
+        return refuse(404, "no such run");
+    };
     let carried = flows.engine.borrow().progress(run);
     if q.most == 0 {
         let p = carried.unwrap_or_default();
         return Ok(one(200, told(&head, run, p.in_flight, p.done)));
     }
     let pages = pages_of(node, run).await?;
-    let Some(plan) = plan_of(node, run, &head).await? else { return refuse(503, "the plan can't be read now") };
+    let Some(plan) = plan_of(node, run, &head).await? else {
+        return refuse(503, "the plan can't be read now");
+    };
     let mut marks = vec![(StepMark::Open, 0); plan.steps.len()];
     for (page, _, value) in &pages {
         for (step, mod_revision, tries) in value.read(*page) {
@@ -256,8 +327,14 @@
     }
     let mut submitted = BTreeSet::new();
     if !head.state.is_final() {
-        let (jobs, _) = node.state.background().list::<JobRecord>(&format!("job/{}", job_prefix(run))).await?;
-        let ours = jobs.iter().filter(|p| matches!(&p.value, Stored::Value(r) if r.flow));
+        let (jobs, _) = node
+            .state
+            .background()
+            .list::<JobRecord>(&format!("job/{}", job_prefix(run)))
+            .await?;
+        let ours = jobs
+            .iter()
+            .filter(|p| matches!(&p.value, Stored::Value(r) if r.flow));
         submitted.extend(ours.filter_map(|p| Some(parts_of(&job_id_of(&p.key)?)?.1)));
     }
     let done = marks.iter().filter(|m| m.0 == StepMark::Done).count() as u32;
@@ -270,20 +347,35 @@
         StepMark::Open => "waiting",
     };
     let most = q.most.min(MOST_STEPS_TOLD);
-    let steps = (0..).map(StepNo).zip(plan.steps.iter().zip(&marks)).skip(q.from as usize).take(most as usize);
+    let steps = (0..)
+        .map(StepNo)
+        .zip(plan.steps.iter().zip(&marks))
+        .skip(q.from as usize)
+        .take(most as usize);
     let steps: Vec<StepInfo> = steps
         .map(|(no, (step, (mod_revision, tries)))| StepInfo {
             number: no.0,
             path: step.path.clone(),
             tasks: step.tasks,
             state: word(no, *mod_revision).to_owned(),
-            job: step.shape.map_or(String::new(), |_| job_id(run, no, *tries).to_string()),
+            job: step
+                .shape
+                .map_or(String::new(), |_| job_id(run, no, *tries).to_string()),
         })
         .collect();
     let more = (q.from as usize).saturating_add(steps.len()) < plan.steps.len();
-    let outputs = if head.state == RunState::Done { plan.outputs.clone() } else { String::new() };
+    let outputs = if head.state == RunState::Done {
+        plan.outputs.clone()
+    } else {
+        String::new()
+    };
     let info = told(&head, run, submitted.len() as u32, done);
-    Ok(FlowAnswer { steps, more, outputs, ..one(200, info) })
+    Ok(FlowAnswer {
+        steps,
+        more,
+        outputs,
+        ..one(200, info)
+    })
 }
 
 /// Runs by id: unfinished and ended ones together.
@@ -298,8 +390,15 @@
         let mut more = false;
         for prefix in [FLOW_HEADS, FLOW_ENDS] {
             let since = format!("{prefix}{after}");
-            let page = node.state.background().page::<Head>(prefix, Some(&since), MOST_LISTED).await?;
-            let last = page.pairs.last().and_then(|p| RunId::parse(p.key.strip_prefix(prefix)?));
+            let page = node
+                .state
+                .background()
+                .page::<Head>(prefix, Some(&since), MOST_LISTED)
+                .await?;
+            let last = page
+                .pairs
+                .last()
+                .and_then(|p| RunId::parse(p.key.strip_prefix(prefix)?));
             if page.more {
                 // Beyond this one the other list may have runs that this page does not reach.
                 more = true;
@@ -327,30 +426,63 @@
                 continue;
             }
             if runs.len() == most {
-                return Ok(FlowAnswer { status: 200, runs, more: true, ..FlowAnswer::default() });
+                return Ok(FlowAnswer {
+                    status: 200,
+                    runs,
+                    more: true,
+                    ..FlowAnswer::default()
+                });
             }
             let p = flows.engine.borrow().progress(run).unwrap_or_default();
             runs.push(told(&head, run, p.in_flight, p.done));
         }
         if !more {
-            return Ok(FlowAnswer { status: 200, runs, ..FlowAnswer::default() });
+            return Ok(FlowAnswer {
+                status: 200,
+                runs,
+                ..FlowAnswer::default()
+            });
         }
         after = limit.unwrap_or(after);
     }
-    Ok(FlowAnswer { status: 200, runs, more: true, ..FlowAnswer::default() })
+    Ok(FlowAnswer {
+        status: 200,
+        runs,
+        more: true,
+        ..FlowAnswer::default()
+    })
 }
 
 /// Cancels a run: once that is written, no step of it starts.
 async fn cancel(node: &Node, q: RunQuestion) -> Answer {
     let run = run_id(q.run)?;
     for _ in 0..4 {
-        let Some((head, mod_revision)) = head_of(node, run).await? else { return refuse(404, "no such run") };
+        let Some((head, mod_revision)) = head_of(node, run).await? else {
+            return refuse(404, "no such run");
+        };
         if head.state.is_final() || head.state == RunState::Cancelling {
             return Ok(one(200, told(&head, run, 0, 0)));
         }
-        let head = Head { state: RunState::Cancelling, ..head };
-        let change = Mutation::Put { key: flow_key(run), value: Value::Head(Box::new(head.clone())), lease: None };
-        match node.state.background().txn(vec![Compare { key: flow_key(run), mod_revision }], vec![change]).await?
+        let head = Head {
+            state: RunState::Cancelling,
+            ..head
+        };
+        let change = Mutation::Put {
+            key: flow_key(run),
+            value: Value::Head(Box::new(head.clone())),
+            lease: None,
+        };
+        match node
+            .state
+            .background()
+            .txn(
+                vec![Compare {
+                    key: flow_key(run),
+                    mod_revision,
+                }],
+                vec![change],
+            )
+            .await?
         {
             TransactionOutcome::Applied(_) => {
                 info!(%run, "run cancelled");
@@ -366,14 +498,19 @@
 /// A new run that goes on from what a failed one had done. The old one stays as it ended.
 async fn resume(node: &Node, flows: &Flows, r: ResumeRun) -> Answer {
     let (old, run) = (run_id(r.run)?, run_id(r.new_run)?);
-    let Some((head, _)) = head_of(node, old).await? else { return refuse(404, "no such run") };
+    let Some((head, _)) = head_of(node, old).await? else {
+        return refuse(404, "no such run");
+    };
     if !r.owner.is_empty() && r.owner != head.owner {
         return refuse(404, "no such run");
     }
     if !matches!(head.state, RunState::Failed | RunState::Cancelled) {
         return refuse(
             409,
-            format!("run {old} is {}; only one that failed or was cancelled goes on", state_word(head.state)),
+            format!(
+                "run {old} is {}; only one that failed or was cancelled goes on",
+                state_word(head.state)
+            ),
         );
     }
     let new = Head {
@@ -397,12 +534,27 @@
     let rate = flows.engine.borrow().limits.writes_per_s.max(0.5);
     for (page, _, value) in pages_of(node, old).await? {
         let key = flow_page_key(run, page);
-        let change = Mutation::Put { key: key.clone(), value: Value::Page(value.done_alone()), lease: None };
+        let change = Mutation::Put {
+            key: key.clone(),
+            value: Value::Page(value.done_alone()),
+            lease: None,
+        };
         let conditions = vec![
-            Compare { key: flow_key(run), mod_revision: ModRevision(0) },
-            Compare { key: flow_end_key(run), mod_revision: ModRevision(0) },
+            Compare {
+                key: flow_key(run),
+                mod_revision: ModRevision(0),
+            },
+            Compare {
+                key: flow_end_key(run),
+                mod_revision: ModRevision(0),
+            },
         ];
-        if let TransactionOutcome::Failed(_) = node.state.background().txn(conditions, vec![change]).await? {
+        if let TransactionOutcome::Failed(_) = node
+            .state
+            .background()
+            .txn(conditions, vec![change])
+            .await?
+        {
             return refuse(503, "the run changed meanwhile");
         }
         runtime::sleep(Micros::from_secs_f64(1.0 / rate)).await;
--- a/crates/hopyoke/src/workflows/runner.rs
+++ b/crates/hopyoke/src/workflows/runner.rs
@@ -3,8 +3,8 @@
 
 use crate::node::{Flows, Node};
 use crate::store::client::{
-    FLOW_HEADS, FLOW_HOLDS, FLOWS, StateError, TransactionOutcome, flow_end_key, flow_hold_key, flow_key,
-    flow_page_key, flow_page_prefix, flow_plan_prefix,
+    FLOW_HEADS, FLOW_HOLDS, FLOWS, StateError, TransactionOutcome, flow_end_key, flow_hold_key,
+    flow_key, flow_page_key, flow_page_prefix, flow_plan_prefix,
 };
 use crate::store::records::{self, Lookup, lookup};
 use hopyoke_event_loop as runtime;
@@ -13,7 +13,8 @@
 use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
-    Action, Fetched, Head, Hold, JobEnd, Outcome, Plan, PlanPage, RESERVED, RunId, StepPage, Written, job_prefix,
+    Action, Fetched, Head, Hold, JobEnd, Outcome, Plan, PlanPage, RESERVED, RunId, StepPage,
+    Written, job_prefix,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -59,7 +60,9 @@
         let now = runtime::now();
         flows.engine.borrow_mut().tick(now);
         while flows.busy.get() < MOST_BUSY {
-            let Some(action) = flows.engine.borrow_mut().next_action() else { break };
+            let Some(action) = flows.engine.borrow_mut().next_action() else {
+                break;
+            };
             flows.busy.set(flows.busy.get() + 1);
             let node = node.clone();
             runtime::spawn_until(node.cancel.clone(), async move {
@@ -69,7 +72,11 @@
                 flows.wakeup.notify();
             });
         }
-        let due = flows.engine.borrow().next_due(now).max(now + Micros::from_millis(1));
+        let due = flows
+            .engine
+            .borrow()
+            .next_due(now)
+            .max(now + Micros::from_millis(1));
         flows.wakeup.wait_until(due).await;
     }
 }
@@ -83,7 +90,12 @@
                 Ok(lease) => flows.lease.set(Some(lease)),
                 Err(e) => debug!(error = %e, "no lease for runs"),
             },
-            Some(lease) => match node.state.critical().renew(lease, Micros::from_millis(1500)).await {
+            Some(lease) => match node
+                .state
+                .critical()
+                .renew(lease, Micros::from_millis(1500))
+                .await
+            {
                 Ok(()) => {}
                 Err(StateError::Gone) => {
                     warn!("the lease on which this node carries runs is gone");
@@ -121,7 +133,8 @@
             }
             continue;
         };
-        let result: Result<WatchResponse<Value>, _> = node.state.background().watch(FLOWS, from, WATCH).await;
+        let result: Result<WatchResponse<Value>, _> =
+            node.state.background().watch(FLOWS, from, WATCH).await;
         match result {
             Ok(events) => {
                 since = Some(events.revision.max(from));
@@ -208,7 +221,12 @@
         let from = match since {
             Some(s) => s,
             // What came before is read with each run's records.
-            None => match node.state.background().page::<EndRecord>(&prefix, None, 1).await {
+            None => match node
+                .state
+                .background()
+                .page::<EndRecord>(&prefix, None, 1)
+                .await
+            {
                 Ok(page) => {
                     flows.engine.borrow_mut().news_lost(runtime::now());
                     page.revision
@@ -220,8 +238,11 @@
             },
         };
         since = Some(from);
-        let result: Result<WatchResponse<EndRecord>, _> =
-            node.state.background().watch(&prefix, from.max(1), WATCH).await;
+        let result: Result<WatchResponse<EndRecord>, _> = node
+            .state
+            .background()
+            .watch(&prefix, from.max(1), WATCH)
+            .await;
         match result {
             Ok(events) => {
                 since = Some(events.revision.max(from));
@@ -257,7 +278,10 @@
     match &action {
         Action::Claim { run } => {
             let result = claim(node, *run).await;
-            flows.engine.borrow_mut().claimed(*run, result, runtime::now());
+            flows
+                .engine
+                .borrow_mut()
+                .claimed(*run, result, runtime::now());
         }
         Action::Fetch { run, epoch, plan } => {
             let fetched = match fetch(node, *run, *plan).await {
@@ -267,13 +291,33 @@
                     None
                 }
             };
-            flows.engine.borrow_mut().fetched(*run, *epoch, fetched, runtime::now());
+            flows
+                .engine
+                .borrow_mut()
+                .fetched(*run, *epoch, fetched, runtime::now());
         }
-        Action::Submit { run, epoch, step, spec, grant, head } => {
-            let outcome = submit(node, *run, spec, *grant, *head).await.unwrap_or_else(|e| not_known(&e));
-            flows.engine.borrow_mut().submitted(*run, *epoch, *step, outcome, runtime::now());
+        Action::Submit {
+            run,
+            epoch,
+            step,
+            spec,
+            grant,
+            head,
+        } => {
+            let outcome = submit(node, *run, spec, *grant, *head)
+                .await
+                .unwrap_or_else(|e| not_known(&e));
+            flows
+                .engine
+                .borrow_mut()
+                .submitted(*run, *epoch, *step, outcome, runtime::now());
         }
-        Action::Withdraw { run, epoch, step, job } => {
+        Action::Withdraw {
+            run,
+            epoch,
+            step,
+            job,
+        } => {
             let outcome = match records::cancel(node, job).await {
                 Ok(Some(Lookup::Finished(end))) if end.flow => Outcome::Ended(how(end)),
                 Ok(Some(Lookup::Missing)) => Outcome::Missing,
@@ -281,25 +325,45 @@
                 Ok(_) => Outcome::Unknown,
                 Err(e) => not_known(&e),
             };
-            flows.engine.borrow_mut().withdrawn(*run, *epoch, *step, outcome, runtime::now());
+            flows
+                .engine
+                .borrow_mut()
+                .withdrawn(*run, *epoch, *step, outcome, runtime::now());
         }
-        Action::Write { run, epoch, grant, pages, head, release } => {
+        Action::Write {
+            run,
+            epoch,
+            grant,
+            pages,
+            head,
+            release,
+        } => {
             let written = write(node, *run, *grant, pages, head.as_ref(), *release).await;
-            flows.engine.borrow_mut().written(*run, *epoch, &action, written, runtime::now());
+            flows
+                .engine
+                .borrow_mut()
+                .written(*run, *epoch, &action, written, runtime::now());
         }
     }
 }
 
 fn not_known(e: &StateError) -> Outcome {
     match e {
-        StateError::Refused(_) | StateError::InsufficientResources => Outcome::Later(Micros::from_millis(500)),
+        StateError::Refused(_) | StateError::InsufficientResources => {
+            Outcome::Later(Micros::from_millis(500))
+        }
         _ => Outcome::Unknown,
     }
 }
 
 async fn claim(node: &Node, run: RunId) -> Result<ModRevision, Option<ModRevision>> {
-    let Some(lease) = of(node).lease.get() else { return Err(None) };
-    let hold = Hold { node: node.settings.node.clone(), lease };
+    let Some(lease) = of(node).lease.get() else {
+        return Err(None);
+    };
+    let hold = Hold {
+        node: node.settings.node.clone(),
+        lease,
+    };
     let key = flow_hold_key(run);
     // A run that is over is not claimed: its head must still be there.
     let head = match node.state.background().get::<Value>(&flow_key(run)).await {
@@ -307,24 +371,39 @@
         _ => return Err(None),
     };
     let conditions = vec![
-        Compare { key: key.clone(), mod_revision: ModRevision(0) },
-        Compare { key: flow_key(run), mod_revision: head },
+        Compare {
+            key: key.clone(),
+            mod_revision: ModRevision(0),
+        },
+        Compare {
+            key: flow_key(run),
+            mod_revision: head,
+        },
     ];
-    let changes = vec![Mutation::Put { key: key.clone(), value: hold.clone(), lease: Some(lease) }];
+    let changes = vec![Mutation::Put {
+        key: key.clone(),
+        value: hold.clone(),
+        lease: Some(lease),
+    }];
     match node.state.background().txn(conditions, changes).await {
         Ok(TransactionOutcome::Applied(mod_revision)) => Ok(mod_revision),
-        Ok(TransactionOutcome::Failed(_)) => match node.state.background().get::<Hold>(&key).await {
-            // An earlier try of this very process went through.
-            Ok(Some((Stored::Value(h), mod_revision))) if h == hold => Ok(mod_revision),
-            Ok(Some((_, mod_revision))) => Err(Some(mod_revision)),
-            _ => Err(None),
-        },
+        Ok(TransactionOutcome::Failed(_)) => {
+            match node.state.background().get::<Hold>(&key).await {
+                // An earlier try of this very process went through.
+                Ok(Some((Stored::Value(h), mod_revision))) if h == hold => Ok(mod_revision),
+                Ok(Some((_, mod_revision))) => Err(Some(mod_revision)),
+                _ => Err(None),
+            }
+        }
         Err(_) => Err(None),
     }
 }
 
 /// Reads a run's head, wherever it is: a head only ever moves from `flow/head/` to `flowend/`.
-pub(crate) async fn head_of(node: &Node, run: RunId) -> Result<Option<(Head, ModRevision)>, StateError> {
+pub(crate) async fn head_of(
+    node: &Node,
+    run: RunId,
+) -> Result<Option<(Head, ModRevision)>, StateError> {
     for key in [flow_key(run), flow_end_key(run)] {
         match node.state.background().get::<Head>(&key).await? {
             Some((Stored::Value(head), mod_revision)) => return Ok(Some((head, mod_revision))),
@@ -339,29 +418,51 @@
 }
 
 /// The pages of a run's progress.
-pub(crate) async fn pages_of(node: &Node, run: RunId) -> Result<Vec<(u32, ModRevision, StepPage)>, StateError> {
+pub(crate) async fn pages_of(
+    node: &Node,
+    run: RunId,
+) -> Result<Vec<(u32, ModRevision, StepPage)>, StateError> {
     let prefix = flow_page_prefix(run);
     let (pairs, _) = node.state.background().list::<StepPage>(&prefix).await?;
     let page = |p: KeyValue<StepPage>| {
         let number = p.key.strip_prefix(&prefix)?.parse().ok()?;
         // An unreadable page is no knowledge; the jobs' own records tell.
-        Some((number, p.mod_revision, p.value.readable().unwrap_or_default()))
+        Some((
+            number,
+            p.mod_revision,
+            p.value.readable().unwrap_or_default(),
+        ))
     };
     Ok(pairs.into_iter().filter_map(page).collect())
 }
 
 /// A run's plan, if all its pages can be read.
-pub(crate) async fn plan_of(node: &Node, run: RunId, head: &Head) -> Result<Option<Plan>, StateError> {
-    let (pairs, _) =
-        node.state.background().list::<PlanPage>(&flow_plan_prefix(head.plan_of.unwrap_or(run))).await?;
+pub(crate) async fn plan_of(
+    node: &Node,
+    run: RunId,
+    head: &Head,
+) -> Result<Option<Plan>, StateError> {
+    let (pairs, _) = node
+        .state
+        .background()
+        .list::<PlanPage>(&flow_plan_prefix(head.plan_of.unwrap_or(run)))
+        .await?;
     let pages: Option<Vec<PlanPage>> = pairs.into_iter().map(|p| p.value.readable()).collect();
-    Ok(pages.filter(|p| p.len() == head.plan_pages as usize).map(Plan::of_pages))
+    Ok(pages
+        .filter(|p| p.len() == head.plan_pages as usize)
+        .map(Plan::of_pages))
 }
 
 async fn fetch(node: &Node, run: RunId, plan: bool) -> Result<Option<Fetched>, StateError> {
-    let grant =
-        node.state.background().get::<Hold>(&flow_hold_key(run)).await?.map(|(_, mod_revision)| mod_revision);
-    let Some((head, head_revision)) = head_of(node, run).await? else { return Ok(None) };
+    let grant = node
+        .state
+        .background()
+        .get::<Hold>(&flow_hold_key(run))
+        .await?
+        .map(|(_, mod_revision)| mod_revision);
+    let Some((head, head_revision)) = head_of(node, run).await? else {
+        return Ok(None);
+    };
     let plan = if plan && !head.state.is_final() {
         match plan_of(node, run, &head).await? {
             Some(plan) => Some(plan),
@@ -373,8 +474,16 @@
     let pages = pages_of(node, run).await?;
     // Unfinished jobs first: a record only ever moves to the ended ones.
     let prefix = job_prefix(run);
-    let (jobs, _) = node.state.background().list::<JobRecord>(&format!("job/{prefix}")).await?;
-    let (ends, _) = node.state.background().list::<EndRecord>(&format!("end/{prefix}")).await?;
+    let (jobs, _) = node
+        .state
+        .background()
+        .list::<JobRecord>(&format!("job/{prefix}"))
+        .await?;
+    let (ends, _) = node
+        .state
+        .background()
+        .list::<EndRecord>(&format!("end/{prefix}"))
+        .await?;
     let id = |key: &str| JobId::parse(key.split_once('/')?.1);
     Ok(Some(Fetched {
         head,
@@ -413,23 +522,33 @@
     };
     if let Some(why) = never {
         // An accepted job stays accepted, whatever the catalog says now.
-        return Ok(match lookup(node, node.state.background(), &spec.id).await? {
-            Lookup::Missing => Outcome::Never(why),
-            found => known(&found),
-        });
+        return Ok(
+            match lookup(node, node.state.background(), &spec.id).await? {
+                Lookup::Missing => Outcome::Never(why),
+                found => known(&found),
+            },
+        );
     }
     let record = JobRecord::of_flow(spec.clone(), runtime::time_of_day().0);
     let more = vec![
-        Compare { key: flow_hold_key(run), mod_revision: grant },
-        Compare { key: flow_key(run), mod_revision: head },
+        Compare {
+            key: flow_hold_key(run),
+            mod_revision: grant,
+        },
+        Compare {
+            key: flow_key(run),
+            mod_revision: head,
+        },
     ];
     Ok(match records::accept(node, record, more).await? {
         TransactionOutcome::Applied(_) => Outcome::Accepted,
         // The three-way check: what does the job's own record say?
-        TransactionOutcome::Failed(_) => match lookup(node, node.state.background(), &spec.id).await? {
-            Lookup::Missing => Outcome::Stale,
-            found => known(&found),
-        },
+        TransactionOutcome::Failed(_) => {
+            match lookup(node, node.state.background(), &spec.id).await? {
+                Lookup::Missing => Outcome::Stale,
+                found => known(&found),
+            }
+        }
     })
 }
 
@@ -437,7 +556,9 @@
     match found {
         Lookup::Finished(end) if end.flow => Outcome::Ended(how(*end)),
         Lookup::Unfinished(Stored::Value(r), _) if r.flow => Outcome::Known,
-        Lookup::Missing | Lookup::Unreadable | Lookup::Unfinished(Stored::Unreadable(_), _) => Outcome::Unknown,
+        Lookup::Missing | Lookup::Unreadable | Lookup::Unfinished(Stored::Unreadable(_), _) => {
+            Outcome::Unknown
+        }
         _ => Outcome::Taken,
     }
 }
@@ -450,15 +571,28 @@
     head: Option<&(ModRevision, Head)>,
     release: bool,
 ) -> Written {
-    let mut conditions = vec![Compare { key: flow_hold_key(run), mod_revision: grant }];
+    let mut conditions = vec![Compare {
+        key: flow_hold_key(run),
+        mod_revision: grant,
+    }];
     let mut changes = Vec::new();
     for (page, mod_revision, value) in pages {
         let key = flow_page_key(run, *page);
-        conditions.push(Compare { key: key.clone(), mod_revision: *mod_revision });
-        changes.push(Mutation::Put { key, value: Value::Page(value.clone()), lease: None });
+        conditions.push(Compare {
+            key: key.clone(),
+            mod_revision: *mod_revision,
+        });
+        changes.push(Mutation::Put {
+            key,
+            value: Value::Page(value.clone()),
+            lease: None,
+        });
     }
     if let Some((mod_revision, head)) = head {
-        conditions.push(Compare { key: flow_key(run), mod_revision: *mod_revision });
+        conditions.push(Compare {
+            key: flow_key(run),
+            mod_revision: *mod_revision,
+        });
         let mut head = head.clone();
         let key = if head.state.is_final() {
             head.ended_us = runtime::time_of_day().0;
@@ -467,10 +601,16 @@
         } else {
             flow_key(run)
         };
-        changes.push(Mutation::Put { key, value: Value::Head(Box::new(head)), lease: None });
+        changes.push(Mutation::Put {
+            key,
+            value: Value::Head(Box::new(head)),
+            lease: None,
+        });
     }
     if release {
-        changes.push(Mutation::Delete { key: flow_hold_key(run) });
+        changes.push(Mutation::Delete {
+            key: flow_hold_key(run),
+        });
     }
     match node.state.background().txn(conditions, changes).await {
         Ok(TransactionOutcome::Applied(mod_revision)) => Written::Applied(mod_revision),
--- a/crates/hopyoke/tests/checks/mod.rs
+++ b/crates/hopyoke/tests/checks/mod.rs
@@ -54,7 +54,10 @@
 /// `input PATCH -> ok | 400 FIELD | 422 WORD`: a good submission with these fields changed.
 /// `input hex BYTES -> ...`: a body byte by byte.
 fn input(line: &str) -> Result<(), String> {
-    let (left, right) = line.trim_start_matches("input").split_once("->").ok_or("no ->")?;
+    let (left, right) = line
+        .trim_start_matches("input")
+        .split_once("->")
+        .ok_or("no ->")?;
     let left = left.trim();
     let body = if let Some(hex) = left.strip_prefix("hex ") {
         hex.split_whitespace()
@@ -82,13 +85,29 @@
         boot_s: 10.0,
         zones: vec!["a".into(), "b".into()],
     };
-    let only_b = MachineType { name: "only-b".into(), memory_gb: 128.0, zones: vec!["b".into()], ..std.clone() };
+    let only_b = MachineType {
+        name: "only-b".into(),
+        memory_gb: 128.0,
+        zones: vec!["b".into()],
+        ..std.clone()
+    };
     // The cloud does not say where: in every zone.
-    let anywhere = MachineType { name: "anywhere".into(), zones: Vec::new(), ..std.clone() };
+    let anywhere = MachineType {
+        name: "anywhere".into(),
+        zones: Vec::new(),
+        ..std.clone()
+    };
     let types = [std, only_b, anywhere];
     let teams = [
-        Team { name: "crew".into(), gpus_max: 8.0, ..Team::default() },
-        Team { name: "free".into(), ..Team::default() },
+        Team {
+            name: "crew".into(),
+            gpus_max: 8.0,
+            ..Team::default()
+        },
+        Team {
+            name: "free".into(),
+            ..Team::default()
+        },
     ];
     let got = match JobSpec::parse(&body) {
         Err(e) => format!("400 {e}"),
@@ -99,14 +118,21 @@
     };
     let right = right.trim();
     let (status, part) = right.split_once(' ').unwrap_or((right, ""));
-    if got.starts_with(status) && got.contains(part) { Ok(()) } else { Err(format!("got {got}")) }
+    if got.starts_with(status) && got.contains(part) {
+        Ok(())
+    } else {
+        Err(format!("got {got}"))
+    }
 }
 
 const SETTINGS: &str = include_str!("settings.toml");
 
 /// `settings OLD => NEW -> ok | FIELD`: good settings with one line replaced.
 fn settings(line: &str) -> Result<(), String> {
-    let (edit, want) = line.trim_start_matches("settings").rsplit_once("->").ok_or("no ->")?;
+    let (edit, want) = line
+        .trim_start_matches("settings")
+        .rsplit_once("->")
+        .ok_or("no ->")?;
     let (old, new) = edit.split_once("=>").ok_or("no =>")?;
     let (old, new, want) = (old.trim(), new.trim(), want.trim());
     if !SETTINGS.contains(old) {
@@ -125,12 +151,19 @@
 /// `http [crowded] "RAW" -> STATUS [close]`: raw bytes to the real server on loopback; crowded: more
 /// connections are open than are kept.
 fn http(line: &str) -> Result<(), String> {
-    let (raw, want) = line.trim_start_matches("http").rsplit_once("->").ok_or("no ->")?;
+    let (raw, want) = line
+        .trim_start_matches("http")
+        .rsplit_once("->")
+        .ok_or("no ->")?;
     let (raw, crowded) = match raw.trim().strip_prefix("crowded") {
         Some(r) => (r, 0),
         None => (raw, 8),
     };
-    let raw = raw.trim().trim_matches('"').replace("\\r\\n", "\r\n").replace("<32K>", &"a".repeat(32 * 1024));
+    let raw = raw
+        .trim()
+        .trim_matches('"')
+        .replace("\\r\\n", "\r\n")
+        .replace("<32K>", &"a".repeat(32 * 1024));
     let want = want.trim().to_owned();
     let out = Rc::new(RefCell::new(Err("no answer".to_owned())));
     let result = out.clone();
@@ -153,14 +186,24 @@
         request: Micros::from_secs(2),
         body: 64 * 1024,
     };
-    let handler = Rc::new(|r: Request| -> futures_util::future::LocalBoxFuture<'static, Response> {
-        Box::pin(async move { Response::of(200, &r.body.len()) })
-    });
+    let handler = Rc::new(
+        |r: Request| -> futures_util::future::LocalBoxFuture<'static, Response> {
+            Box::pin(async move { Response::of(200, &r.body.len()) })
+        },
+    );
     runtime::spawn_until(
         cancel.clone(),
-        http::serve(listener, limits, OpenCount::default(), cancel.clone(), handler),
+        http::serve(
+            listener,
+            limits,
+            OpenCount::default(),
+            cancel.clone(),
+            handler,
+        ),
     );
-    let stream = TcpStream::connect(addr, Micros::from_secs(1)).await.map_err(io)?;
+    let stream = TcpStream::connect(addr, Micros::from_secs(1))
+        .await
+        .map_err(io)?;
     let _ = stream.write_all(raw.as_bytes()).await;
     let mut got = Vec::new();
     let mut closed = false;
@@ -179,5 +222,9 @@
     let text = String::from_utf8_lossy(&got);
     let status = text.split_whitespace().nth(1).unwrap_or("none");
     let is = format!("{status}{}", if closed { " close" } else { "" });
-    if is == want { Ok(()) } else { Err(format!("got {is}: {}", text.lines().next().unwrap_or(""))) }
+    if is == want {
+        Ok(())
+    } else {
+        Err(format!("got {is}: {}", text.lines().next().unwrap_or("")))
+    }
 }
--- a/crates/hopyoke/tests/frozen_forms.rs
+++ b/crates/hopyoke/tests/frozen_forms.rs
@@ -7,9 +7,10 @@
 use frozen::{assert_bytes, bytes};
 use hopyoke::peers::client::proto::flow_request::Ask;
 use hopyoke::peers::client::proto::{
-    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer, HistoryRequest,
-    JobChange, Place, ResumeRun, RunInfo, RunList, RunQuestion, StaffedAnswer, StaffedRequest, StatusAnswer,
-    StatusRequest, StepInfo, SubmitRun, UserAnswer, UserRequest, WhenAnswer, WhenRequest,
+    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer,
+    HistoryRequest, JobChange, Place, ResumeRun, RunInfo, RunList, RunQuestion, StaffedAnswer,
+    StaffedRequest, StatusAnswer, StatusRequest, StepInfo, SubmitRun, UserAnswer, UserRequest,
+    WhenAnswer, WhenRequest,
 };
 use prost::Message;
 use std::collections::HashMap;
@@ -45,7 +46,11 @@
         open: 140,
         most: 1_500,
         shares: true,
-        line: vec![Place { job: "req-43".into(), team: 2, due_us: 900_000 }],
+        line: vec![Place {
+            job: "req-43".into(),
+            team: 2,
+            due_us: 900_000,
+        }],
     };
     assert_message("greeting", &full);
     assert_message("greeting-empty", &Greeting::default());
@@ -60,22 +65,48 @@
         body: vec![0x81, 0xa2, 0x69, 0x64],
     };
     assert_message("user-request", &request);
-    assert_message("user-answer", &UserAnswer { status: 429, body: vec![0x80], retry_after_s: 7 });
-    assert_message("news", &JobChange { node: "node-2".into(), job: "req-41".into() });
+    assert_message(
+        "user-answer",
+        &UserAnswer {
+            status: 429,
+            body: vec![0x80],
+            retry_after_s: 7,
+        },
+    );
+    assert_message(
+        "news",
+        &JobChange {
+            node: "node-2".into(),
+            job: "req-41".into(),
+        },
+    );
 }
 
 #[test]
 fn carried_reports() {
-    let heartbeats = HeartbeatBatch { node: "node-2".into(), heartbeats: vec![vec![0x81, 0xc0], vec![0x80]] };
+    let heartbeats = HeartbeatBatch {
+        node: "node-2".into(),
+        heartbeats: vec![vec![0x81, 0xc0], vec![0x80]],
+    };
     assert_message("reports", &heartbeats);
     // An empty answer keeps its place.
-    assert_message("report-answers", &HeartbeatResponses { answers: vec![vec![0x82], Vec::new(), vec![0x83]] });
+    assert_message(
+        "report-answers",
+        &HeartbeatResponses {
+            answers: vec![vec![0x82], Vec::new(), vec![0x83]],
+        },
+    );
 }
 
 #[test]
 fn operators_questions() {
     assert_message("status-request", &StatusRequest {});
-    assert_message("status-answer", &StatusAnswer { text: "leads\n".into() });
+    assert_message(
+        "status-answer",
+        &StatusAnswer {
+            text: "leads\n".into(),
+        },
+    );
     let when = WhenRequest {
         node: "node-2".into(),
         job: "req-41".into(),
@@ -84,14 +115,44 @@
         zone: "east".into(),
     };
     assert_message("when-request", &when);
-    let answer = WhenAnswer { error: "no".into(), p50_s: 60.5, p90_s: 120.25, rests_on: "8 runs".into() };
+    let answer = WhenAnswer {
+        error: "no".into(),
+        p50_s: 60.5,
+        p90_s: 120.25,
+        rests_on: "8 runs".into(),
+    };
     assert_message("when-answer", &answer);
-    assert_message("history-request", &HistoryRequest { node: "node-2".into(), token: 5_000_000_007, since: 80 });
-    let history =
-        HistoryAnswer { error: "no".into(), csv: "1,train\n".into(), token: 5_000_000_007, last: 81, more: true };
+    assert_message(
+        "history-request",
+        &HistoryRequest {
+            node: "node-2".into(),
+            token: 5_000_000_007,
+            since: 80,
+        },
+    );
+    let history = HistoryAnswer {
+        error: "no".into(),
+        csv: "1,train\n".into(),
+        token: 5_000_000_007,
+        last: 81,
+        more: true,
+    };
     assert_message("history-answer", &history);
-    assert_message("staffed-request", &StaffedRequest { word: "on".into(), span_s: 3_600, by: "ana".into() });
-    assert_message("staffed-answer", &StaffedAnswer { error: "no".into(), text: "staffed".into() });
+    assert_message(
+        "staffed-request",
+        &StaffedRequest {
+            word: "on".into(),
+            span_s: 3_600,
+            by: "ana".into(),
+        },
+    );
+    assert_message(
+        "staffed-answer",
+        &StaffedAnswer {
+            error: "no".into(),
+            text: "staffed".into(),
+        },
+    );
 }
 
 #[test]
@@ -105,15 +166,30 @@
         tags: tags(),
         plan: b"{\"steps\":[]}".to_vec(),
     };
-    let question = RunQuestion { run: 41_000_000_007, from: 200, most: 100 };
+    let question = RunQuestion {
+        run: 41_000_000_007,
+        from: 200,
+        most: 100,
+    };
     let asks = [
         ("flow-submit", Ask::Submit(submit)),
         ("flow-get", Ask::Get(question)),
-        ("flow-list", Ask::List(RunList { after: 41_000_000_006, most: 50, owner: "ana".into() })),
+        (
+            "flow-list",
+            Ask::List(RunList {
+                after: 41_000_000_006,
+                most: 50,
+                owner: "ana".into(),
+            }),
+        ),
         ("flow-cancel", Ask::Cancel(question)),
         (
             "flow-resume",
-            Ask::Resume(ResumeRun { run: 41_000_000_007, new_run: 41_000_000_008, owner: "ana".into() }),
+            Ask::Resume(ResumeRun {
+                run: 41_000_000_007,
+                new_run: 41_000_000_008,
+                owner: "ana".into(),
+            }),
         ),
     ];
     for (name, ask) in asks {
@@ -163,11 +239,21 @@
 fn calls() {
     let old = frozen::text("calls.txt");
     let source = include_str!("../proto/mesh.proto");
-    let package =
-        source.lines().find_map(|l| l.strip_prefix("package ")).expect("a package").trim_end_matches(';');
-    let service =
-        source.lines().find_map(|l| l.strip_prefix("service ")).expect("a service").trim_end_matches(" {");
+    let package = source
+        .lines()
+        .find_map(|l| l.strip_prefix("package "))
+        .expect("a package")
+        .trim_end_matches(';');
+    let service = source
+        .lines()
+        .find_map(|l| l.strip_prefix("service "))
+        .expect("a service")
+        .trim_end_matches(" {");
     let call = |l: &str| Some(l.trim().strip_prefix("rpc ")?.split('(').next()?.to_owned());
-    let paths: String = source.lines().filter_map(call).map(|c| format!("/{package}.{service}/{c}\n")).collect();
+    let paths: String = source
+        .lines()
+        .filter_map(call)
+        .map(|c| format!("/{package}.{service}/{c}\n"))
+        .collect();
     assert_eq!(paths, old);
 }
--- a/crates/hopyoke/tests/scenarios.rs
+++ b/crates/hopyoke/tests/scenarios.rs
@@ -11,7 +11,11 @@
 
 fn main() -> ExitCode {
     if std::env::var_os("SIM_TRACE").is_some() {
-        tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).without_time().init();
+        tracing_subscriber::fmt()
+            .with_writer(std::io::stderr)
+            .with_ansi(false)
+            .without_time()
+            .init();
     }
     let dir = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     let mut files: Vec<PathBuf> = fs::read_dir(&dir)
@@ -33,7 +37,10 @@
 }
 
 fn trial(file: PathBuf) -> Trial {
-    let name = file.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
+    let name = file
+        .file_stem()
+        .map(|s| s.to_string_lossy().into_owned())
+        .unwrap_or_default();
     Trial::test(format!("scenario::{name}"), move || {
         let text = fs::read_to_string(&file)?;
         let digest = script::run(&text, &checks::statement)?;
@@ -58,8 +65,14 @@
 /// Many random days, to look for broken rules: `DAYS=500 cargo test --release -- --ignored`; `FIRST` is the
 /// first seed.
 fn many_days() -> Result<(), Failed> {
-    let days: u64 = std::env::var("DAYS").ok().and_then(|d| d.parse().ok()).unwrap_or(100);
-    let first: u64 = std::env::var("FIRST").ok().and_then(|d| d.parse().ok()).unwrap_or(1000);
+    let days: u64 = std::env::var("DAYS")
+        .ok()
+        .and_then(|d| d.parse().ok())
+        .unwrap_or(100);
+    let first: u64 = std::env::var("FIRST")
+        .ok()
+        .and_then(|d| d.parse().ok())
+        .unwrap_or(1000);
     let (next, failed) = (AtomicU64::new(first), AtomicU64::new(0));
     std::thread::scope(|scope| {
         for _ in 0..std::thread::available_parallelism().map_or(1, usize::from) {
@@ -70,7 +83,9 @@
                         return;
                     }
                     match script::run(&day(seed), &checks::statement) {
-                        Ok(digest) if prints_digests() => println!("digest day_{seed} {digest:016x}"),
+                        Ok(digest) if prints_digests() => {
+                            println!("digest day_{seed} {digest:016x}")
+                        }
                         Ok(_) => {}
                         Err(e) => {
                             failed.fetch_add(1, Ordering::Relaxed);
@@ -82,6 +97,14 @@
         }
     });
     let failed = failed.into_inner();
-    println!("{} passed, {failed} failed (seeds {first} to {})", days - failed, first + days - 1);
-    if failed == 0 { Ok(()) } else { Err(format!("{failed} days failed").into()) }
+    println!(
+        "{} passed, {failed} failed (seeds {first} to {})",
+        days - failed,
+        first + days - 1
+    );
+    if failed == 0 {
+        Ok(())
+    } else {
+        Err(format!("{failed} days failed").into())
+    }
 }
