--- a/crates/hopyoke-cwl/src/lib.rs
+++ b/crates/hopyoke-cwl/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`read`]: the tree into processes; every fault with its place.
 //! - [`check`]: what the documents ask of each other: links, types, features.
 //! - [`expr`], [`js`]: parameter references, and JavaScript bounded in time and memory.
-//! - [`expand`]: a checked document and its inputs into a plan.
+//! - [`mod@expand`]: a checked document and its inputs into a plan.
 //! - [`graph`]: a workflow as DOT and SVG.
 //!
 //! Controllers never read documents: whoever speaks CWL runs in a process of its own and hands them
--- a/crates/hopyoke/src/lib.rs
+++ b/crates/hopyoke/src/lib.rs
@@ -5,14 +5,14 @@
 //!
 //! - [`serve`]: starts a node's routines and routes requests.
 //! - [`peers::server`]: answers peers and operators.
-//! - [`jobs::jobs`], [`leadership::election`], [`agents`], [`operations::status`]: users, leadership, agents, status.
+//! - [`api::jobs`], [`leadership::election`], [`agents`], [`operations::status`]: users, leadership, agents, status.
 //! - [`workflows`]: clients' calls about runs of workflows, and their execution.
 //! - [`log`]: what our programs write to standard error.
 //! - [`store::watch`]: keeps the leader's scheduler up to the records.
 //! - [`store::records`]: jobs' records as any node reads and changes them.
 //! - [`operations`]: staffed hours, estimates, and the operators' settings.
 //! - [`node`]: what the routines of one node share.
-//! - [`peers::heartbeat_relay`], [`jobs::admission`], [`store::read_index`], [`store::terminal_states`],
+//! - [`peers::heartbeat_relay`], [`api::admission`], [`store::read_index`], [`store::terminal_states`],
 //!   [`leadership::lease_support`]: state of one concern each, held by the node.
 //! - [`peers::client`], [`store::client`], [`cloud`]: clients of peers, the key-value store and the cloud.
 
