--- a/crates/hopyoke-protocol/src/user.rs
+++ b/crates/hopyoke-protocol/src/user.rs
@@ -1,14 +1,22 @@
-//! What users send and get.
+//! The users' API: job submissions and the status of jobs.
+
+mod submission;
+
+pub use submission::{MAX_TASKS, SubmissionError};
 
 use hopyoke_types::JobId;
 use serde::{Deserialize, Serialize};
 
+/// How a job's tasks belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
+    /// Job array: independent tasks, each runs to completion.
     #[serde(rename = "array")]
     Array,
+    /// Gang: all tasks run at the same time, or none.
     #[serde(rename = "group")]
     Gang,
+    /// Service: replicas that run until the job is cancelled.
     #[serde(rename = "daemon")]
     Service,
 }
@@ -16,66 +24,83 @@
 /// Ordered from the most to the least important.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
+    /// Production work.
     #[serde(rename = "prod")]
     Production,
+    /// Above normal.
     #[serde(rename = "high")]
     High,
+    /// The default.
     #[serde(rename = "standard")]
     Normal,
+    /// Best effort.
     #[serde(rename = "best_effort")]
     Low,
 }
 
-/// A job as its user describes it.
+/// A job as its user describes it. [`JobSpec::parse`] gives the ranges of its fields.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Unique id, chosen by the user; it makes submissions idempotent.
     pub id: JobId,
+    /// Class of similar jobs, by which objectives are set and run times learned; 1 to 200 bytes.
     #[serde(rename = "berth")]
     pub class: String,
+    /// Team whose quota counts; 1 to 200 bytes.
     #[serde(rename = "crew")]
     pub team: String,
+    /// Array, gang or service.
     #[serde(rename = "hull")]
     pub kind: JobKind,
+    /// Priority, for queue order and preemption.
     #[serde(rename = "rank")]
     pub priority: Priority,
+    /// Number of tasks, 1 to [`MAX_TASKS`]; they are numbered from 0.
     #[serde(rename = "oars")]
     pub tasks: u32,
+    /// CPUs of each task.
     pub cpus: f64,
+    /// GPUs of each task.
     #[serde(rename = "cards")]
     pub gpus: f64,
+    /// Memory of each task, in gigabytes.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
+    /// Image that a machine must hold before a task can start; 1 to 200 bytes.
     #[serde(rename = "cargo")]
     pub image: String,
+    /// Size of the image, in gigabytes.
     #[serde(rename = "pull_gb")]
     pub image_gb: f64,
+    /// Instance types allowed, at most 64; `None`: any.
     #[serde(rename = "rigs", default)]
     pub types: Option<Vec<String>>,
+    /// The one zone allowed; `None`: any.
     #[serde(rename = "basin", default)]
     pub zone: Option<String>,
+    /// Affinity: all tasks run in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
+    /// Anti-affinity: no zone holds more than half of the tasks, rounded up.
     #[serde(rename = "apart")]
     pub spread: bool,
+    /// Whether spot machines are allowed.
     #[serde(rename = "driftboats")]
     pub spot: bool,
+    /// Owner's estimate of a task's run time without the image's pull, in seconds; 0 for services.
     #[serde(rename = "voyage_s")]
     pub estimate_s: f64,
+    /// Progress between checkpoints, in seconds; 0: the tasks never save.
     #[serde(rename = "logbook_s")]
     pub checkpoint_s: f64,
+    /// Time that a stopped task needs to save its checkpoint, in seconds.
     #[serde(rename = "stow_s")]
     pub save_s: f64,
+    /// Time from submission until the job should be done, in seconds; `None`: no deadline.
     #[serde(rename = "ashore_s", default)]
     pub deadline_s: Option<f64>,
 }
 
-/// The most tasks that a job may have.
-pub const MAX_TASKS: u32 = 100_000;
-const MAX_NAME: usize = 200;
-const MAX_TYPES: usize = 64;
-/// A spec and what is recorded beside it share one value; this is the spec's part of it.
-const MAX_SPEC_BYTES: usize = 3 * 1024;
-
 impl JobSpec {
     /// An array of one task that takes one CPU and 1 GB, runs anywhere but on spot machines, and has
     /// nothing special about it.
@@ -103,155 +128,37 @@
             deadline_s: None,
         }
     }
-
-    /// Reads a submission. The message names the field at fault.
-    pub fn parse(body: &[u8]) -> Result<JobSpec, String> {
-        if !matches!(body.first(), Some(0x80..=0x8f | 0xde | 0xdf)) {
-            return Err("the body must be a MessagePack map".into());
-        }
-        let spec: JobSpec = super::decode(body).map_err(|e| name_field(&e, body))?;
-        spec.check().map(|()| spec)
-    }
-
-    /// Checks every field's range.
-    ///
-    /// # Errors
-    /// The field at fault, and what it must be.
-    pub fn check(&self) -> Result<(), String> {
-        if JobId::parse(self.id.as_str()).is_none() {
-            return Err("id: must be 'req-' followed by digits".into());
-        }
-        for (field, text) in [
-            ("berth", &self.class),
-            ("crew", &self.team),
-            ("cargo", &self.image),
-        ] {
-            if text.is_empty() || text.len() > MAX_NAME {
-                return Err(format!("{field}: must be 1 to {MAX_NAME} bytes long"));
-            }
-        }
-        if self.zone.as_ref().is_some_and(|z| z.len() > MAX_NAME) {
-            return Err(format!("basin: must be at most {MAX_NAME} bytes long"));
-        }
-        if self.tasks == 0 || self.tasks > MAX_TASKS {
-            return Err(format!("oars: must be 1 to {MAX_TASKS}"));
-        }
-        let amounts = [
-            ("cpus", self.cpus),
-            ("cards", self.gpus),
-            ("mem_gb", self.memory_gb),
-            ("pull_gb", self.image_gb),
-            ("voyage_s", self.estimate_s),
-            ("logbook_s", self.checkpoint_s),
-            ("stow_s", self.save_s),
-            ("ashore_s", self.deadline_s.unwrap_or(0.0)),
-        ];
-        for (field, amount) in amounts {
-            if !(0.0..=1e12).contains(&amount) {
-                return Err(format!("{field}: must be a finite amount of at least 0"));
-            }
-        }
-        if let Some(types) = &self.types
-            && (types.len() > MAX_TYPES || types.iter().any(|t| t.len() > MAX_NAME))
-        {
-            return Err(format!(
-                "rigs: at most {MAX_TYPES} names of at most {MAX_NAME} bytes"
-            ));
-        }
-        if super::encode(self).len() > MAX_SPEC_BYTES {
-            return Err("rigs: the job's description is too long to be kept".into());
-        }
-        Ok(())
-    }
-}
-
-/// The decoder names a missing field but not one of the wrong type: find that one by decoding
-/// the known fields one by one.
-fn name_field(error: &str, body: &[u8]) -> String {
-    use std::collections::BTreeMap;
-    #[derive(Deserialize, Clone, Copy, PartialEq)]
-    #[serde(untagged)]
-    enum Shape {
-        Bool(bool),
-        Number(f64),
-        Text(Discard),
-        Other(serde::de::IgnoredAny),
-    }
-    #[derive(Clone, Copy, PartialEq)]
-    struct Discard;
-    impl<'de> Deserialize<'de> for Discard {
-        fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-            String::deserialize(d).map(|_| Discard)
-        }
-    }
-    let Ok(shapes) = super::decode::<BTreeMap<String, Shape>>(body) else {
-        return error.to_owned();
-    };
-    let want = |field: &str| match field {
-        "id" | "berth" | "crew" | "hull" | "rank" | "cargo" => Some("text"),
-        "oars" | "cpus" | "cards" | "mem_gb" | "pull_gb" | "voyage_s" | "logbook_s" | "stow_s" => {
-            Some("number")
-        }
-        "together" | "apart" | "driftboats" => Some("boolean"),
-        _ => None,
-    };
-    for (field, shape) in &shapes {
-        let is = match shape {
-            Shape::Bool(_) => "boolean",
-            Shape::Number(_) => "number",
-            Shape::Text(_) => "text",
-            Shape::Other(_) => "other",
-        };
-        if let Some(w) = want(field)
-            && w != is
-        {
-            return format!("{field}: must be a {w}");
-        }
-    }
-    if let Some(Shape::Number(n)) = shapes.get("oars")
-        && (n.fract() != 0.0 || *n < 0.0 || *n > f64::from(MAX_TASKS))
-    {
-        return format!("oars: must be a whole number from 1 to {MAX_TASKS}");
-    }
-    for field in ["hull", "rank"] {
-        if shapes.contains_key(field) && error.contains("unknown variant") {
-            let of = if error.contains("group") {
-                "hull"
-            } else {
-                "rank"
-            };
-            if of == field {
-                return format!("{field}: {error}");
-            }
-        }
-    }
-    for field in ["rigs", "basin", "ashore_s"] {
-        if shapes.contains_key(field) && !error.contains("missing field") {
-            return format!("{error} (rigs, basin or ashore_s)");
-        }
-    }
-    error.to_owned()
 }
 
+/// A job's state as users see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
+    /// Accepted; no task runs.
     #[serde(rename = "pending")]
     Queued,
+    /// At least one task runs.
     #[serde(rename = "running")]
     Running,
+    /// All tasks are done. Terminal.
     #[serde(rename = "done")]
     Done,
+    /// Cancelled by its user. Terminal.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
+/// The answer to a submission, a query or a cancellation.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct JobAnswer<'a> {
+pub struct JobStatusResponse<'a> {
+    /// The job.
     pub id: &'a str,
+    /// Its state.
     #[serde(rename = "bearing")]
     pub state: JobState,
+    /// Tasks that are done; for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
+    /// Tasks that run; for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- /dev/null
+++ b/crates/hopyoke-protocol/src/user/submission.rs
@@ -0,0 +1,229 @@
+//! Reading and checking submissions. Errors name fields as users know them, by their names on the wire.
+
+use super::JobSpec;
+use crate::{decode, encode};
+use hopyoke_types::JobId;
+use serde::Deserialize;
+use std::collections::BTreeMap;
+
+/// The most tasks that a job may have.
+pub const MAX_TASKS: u32 = 100_000;
+/// The longest name of a class, team, image, zone or instance type, in bytes.
+const MAX_NAME: usize = 200;
+/// The most instance types that a job may list.
+const MAX_TYPES: usize = 64;
+/// The largest amount or duration.
+const MAX_AMOUNT: f64 = 1e12;
+/// A spec and what is recorded beside it share one value; this is the spec's part of it.
+const MAX_SPEC_BYTES: usize = 3 * 1024;
+
+/// Why a submission is malformed. The text goes to the user.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum SubmissionError {
+    /// The body is no MessagePack map.
+    #[error("the body must be a MessagePack map")]
+    NotAMap,
+    /// The id has not the form of job ids.
+    #[error("id: must be 'req-' followed by digits")]
+    Id,
+    /// A name is empty or too long.
+    #[error("{field}: must be 1 to {} bytes long", MAX_NAME)]
+    NameLength {
+        /// Name of the field on the wire.
+        field: &'static str,
+    },
+    /// The zone's name is too long.
+    #[error("basin: must be at most {} bytes long", MAX_NAME)]
+    ZoneLength,
+    /// No task, or too many.
+    #[error("oars: must be 1 to {}", MAX_TASKS)]
+    TaskCount,
+    /// The number of tasks is negative, too large or not whole.
+    #[error("oars: must be a whole number from 1 to {}", MAX_TASKS)]
+    TaskCountNotWhole,
+    /// An amount or duration is negative, too large or not a number.
+    #[error("{field}: must be a finite amount of at least 0")]
+    Amount {
+        /// Name of the field on the wire.
+        field: &'static str,
+    },
+    /// Too many instance types, or a name that is too long.
+    #[error("rigs: at most {} names of at most {} bytes", MAX_TYPES, MAX_NAME)]
+    MachineTypes,
+    /// The whole spec is too long to be stored.
+    #[error("rigs: the job's description is too long to be kept")]
+    SpecTooLong,
+    /// A field has a value of the wrong type.
+    #[error("{field}: must be a {expected}")]
+    WrongType {
+        /// Name of the field on the wire.
+        field: String,
+        /// The type that it must have.
+        expected: &'static str,
+    },
+    /// A kind or priority that does not exist.
+    #[error("{field}: {error}")]
+    UnknownVariant {
+        /// Name of the field on the wire.
+        field: &'static str,
+        /// The decoder's message, which lists the variants.
+        error: String,
+    },
+    /// One of the optional fields has a value of the wrong type; the decoder does not say which.
+    #[error("{0} (rigs, basin or ashore_s)")]
+    OptionalField(String),
+    /// Any other fault of the body, such as a missing field, in the decoder's words.
+    #[error("{0}")]
+    Undecodable(String),
+}
+
+impl JobSpec {
+    /// Reads a submission and checks every field's range.
+    ///
+    /// # Errors
+    /// The field at fault, and what it must be.
+    pub fn parse(body: &[u8]) -> Result<JobSpec, SubmissionError> {
+        if !matches!(body.first(), Some(0x80..=0x8f | 0xde | 0xdf)) {
+            return Err(SubmissionError::NotAMap);
+        }
+        let spec: JobSpec = decode(body).map_err(|e| name_field(&e.to_string(), body))?;
+        spec.check().map(|()| spec)
+    }
+
+    /// Checks every field's range.
+    ///
+    /// # Errors
+    /// The field at fault, and what it must be.
+    pub fn check(&self) -> Result<(), SubmissionError> {
+        if JobId::parse(self.id.as_str()).is_none() {
+            return Err(SubmissionError::Id);
+        }
+        for (field, text) in [
+            ("berth", &self.class),
+            ("crew", &self.team),
+            ("cargo", &self.image),
+        ] {
+            if text.is_empty() || text.len() > MAX_NAME {
+                return Err(SubmissionError::NameLength { field });
+            }
+        }
+        if self.zone.as_ref().is_some_and(|z| z.len() > MAX_NAME) {
+            return Err(SubmissionError::ZoneLength);
+        }
+        if self.tasks == 0 || self.tasks > MAX_TASKS {
+            return Err(SubmissionError::TaskCount);
+        }
+        let amounts = [
+            ("cpus", self.cpus),
+            ("cards", self.gpus),
+            ("mem_gb", self.memory_gb),
+            ("pull_gb", self.image_gb),
+            ("voyage_s", self.estimate_s),
+            ("logbook_s", self.checkpoint_s),
+            ("stow_s", self.save_s),
+            ("ashore_s", self.deadline_s.unwrap_or(0.0)),
+        ];
+        for (field, amount) in amounts {
+            if !(0.0..=MAX_AMOUNT).contains(&amount) {
+                return Err(SubmissionError::Amount { field });
+            }
+        }
+        if let Some(types) = &self.types
+            && (types.len() > MAX_TYPES || types.iter().any(|t| t.len() > MAX_NAME))
+        {
+            return Err(SubmissionError::MachineTypes);
+        }
+        if encode(self).len() > MAX_SPEC_BYTES {
+            return Err(SubmissionError::SpecTooLong);
+        }
+        Ok(())
+    }
+}
+
+/// The type of a field's value, whatever the field.
+#[derive(Deserialize, Clone, Copy, PartialEq)]
+#[serde(untagged)]
+enum Shape {
+    Bool(bool),
+    Number(f64),
+    Text(DiscardedText),
+    Other(serde::de::IgnoredAny),
+}
+
+impl Shape {
+    fn name(self) -> &'static str {
+        match self {
+            Shape::Bool(_) => "boolean",
+            Shape::Number(_) => "number",
+            Shape::Text(_) => "text",
+            Shape::Other(_) => "other",
+        }
+    }
+}
+
+/// A text of which only the type matters.
+#[derive(Clone, Copy, PartialEq)]
+struct DiscardedText;
+
+impl<'de> Deserialize<'de> for DiscardedText {
+    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
+        String::deserialize(d).map(|_| DiscardedText)
+    }
+}
+
+/// The type that a required field must have.
+fn expected_shape(field: &str) -> Option<&'static str> {
+    match field {
+        "id" | "berth" | "crew" | "hull" | "rank" | "cargo" => Some("text"),
+        "oars" | "cpus" | "cards" | "mem_gb" | "pull_gb" | "voyage_s" | "logbook_s" | "stow_s" => {
+            Some("number")
+        }
+        "together" | "apart" | "driftboats" => Some("boolean"),
+        _ => None,
+    }
+}
+
+/// The decoder names a missing field but not one of the wrong type: find that one by decoding
+/// the known fields one by one.
+fn name_field(error: &str, body: &[u8]) -> SubmissionError {
+    let undecodable = || SubmissionError::Undecodable(error.to_owned());
+    let Ok(shapes) = decode::<BTreeMap<String, Shape>>(body) else {
+        return undecodable();
+    };
+    for (field, shape) in &shapes {
+        if let Some(expected) = expected_shape(field)
+            && expected != shape.name()
+        {
+            return SubmissionError::WrongType {
+                field: field.clone(),
+                expected,
+            };
+        }
+    }
+    if let Some(Shape::Number(n)) = shapes.get("oars")
+        && (n.fract() != 0.0 || *n < 0.0 || *n > f64::from(MAX_TASKS))
+    {
+        return SubmissionError::TaskCountNotWhole;
+    }
+    if error.contains("unknown variant") {
+        // The message lists the variants, and only kinds have this one.
+        let field = if error.contains("group") {
+            "hull"
+        } else {
+            "rank"
+        };
+        if shapes.contains_key(field) {
+            return SubmissionError::UnknownVariant {
+                field,
+                error: error.to_owned(),
+            };
+        }
+    }
+    let has_optional = ["rigs", "basin", "ashore_s"]
+        .iter()
+        .any(|field| shapes.contains_key(*field));
+    if has_optional && !error.contains("missing field") {
+        return SubmissionError::OptionalField(error.to_owned());
+    }
+    undecodable()
+}
--- a/crates/hopyoke-protocol/tests/frozen/mod.rs
+++ b/crates/hopyoke-protocol/tests/frozen/mod.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 
 /// The bytes of `tests/forms/NAME.hex`.
-pub fn bytes(name: &str) -> Vec<u8> {
+pub(crate) fn bytes(name: &str) -> Vec<u8> {
     let digits: Vec<u8> = text(&format!("{name}.hex"))
         .bytes()
         .filter(|b| !b.is_ascii_whitespace())
@@ -26,13 +26,13 @@
 }
 
 /// The text of `tests/forms/FILE`.
-pub fn text(file: &str) -> String {
+pub(crate) fn text(file: &str) -> String {
     let path = format!("{}/tests/forms/{file}", env!("CARGO_MANIFEST_DIR"));
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path}: {e}"))
 }
 
 /// Compares bytes with a fixture; a difference is shown as hex.
-pub fn assert_bytes(name: &str, got: &[u8]) {
+pub(crate) fn assert_bytes(name: &str, got: &[u8]) {
     let hex = |b: &[u8]| b.iter().map(|x| format!("{x:02x}")).collect::<String>();
     assert_eq!(
         hex(got),
@@ -42,23 +42,23 @@
 }
 
 /// Reads a fixture as MessagePack.
-pub fn read<T: DeserializeOwned>(name: &str) -> T {
+pub(crate) fn read<T: DeserializeOwned>(name: &str) -> T {
     decode(&bytes(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
 /// Writing `value` gives the fixture.
-pub fn assert_written<T: Serialize>(name: &str, value: &T) {
+pub(crate) fn assert_written<T: Serialize>(name: &str, value: &T) {
     assert_bytes(name, &encode(value));
 }
 
 /// Writing `value` gives the fixture; reading the fixture gives what is written as the same bytes.
-pub fn assert_round_trip<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
+pub(crate) fn assert_round_trip<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     assert_written(name, value);
     assert_bytes(name, &encode(&read::<T>(name)));
 }
 
 /// The same for a value of the state service, which nodes read as [`Stored`].
-pub fn assert_stored<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
+pub(crate) fn assert_stored<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     assert_round_trip(name, value);
     let stored: T = read::<Stored<T>>(name)
         .readable()
@@ -67,7 +67,7 @@
 }
 
 /// A fixture of an earlier form is read as `value`, which is written otherwise today.
-pub fn assert_read_as<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
+pub(crate) fn assert_read_as<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     let stored: T = read::<Stored<T>>(name)
         .readable()
         .unwrap_or_else(|| panic!("{name}: unreadable"));
--- a/crates/hopyoke-protocol/tests/frozen_forms.rs
+++ b/crates/hopyoke-protocol/tests/frozen_forms.rs
@@ -13,7 +13,7 @@
     Compare, CompareFailed, KeyValue, KeyValuePage, LeaseGrantRequest, LeaseGrantResponse,
     Mutation, Stored, Transaction, TransactionResponse, WatchResponse,
 };
-use hopyoke_protocol::user::{JobAnswer, JobKind, JobSpec, JobState, Priority};
+use hopyoke_protocol::user::{JobKind, JobSpec, JobState, JobStatusResponse, Priority};
 use hopyoke_protocol::worker::{
     Command, ExitReason, Heartbeat, HeartbeatRedirect, HeartbeatResponse, PushedCommands,
     TaskState, TaskStatus,
@@ -127,11 +127,11 @@
 }
 
 #[test]
-fn job_answers() {
+fn job_status_responses() {
     let cases = [
         (
             "job-answer-queued",
-            JobAnswer {
+            JobStatusResponse {
                 id: "req-41",
                 state: JobState::Queued,
                 done: None,
@@ -140,7 +140,7 @@
         ),
         (
             "job-answer-running",
-            JobAnswer {
+            JobStatusResponse {
                 id: "req-41",
                 state: JobState::Running,
                 done: Some(5),
@@ -149,7 +149,7 @@
         ),
         (
             "job-answer-done",
-            JobAnswer {
+            JobStatusResponse {
                 id: "req-41",
                 state: JobState::Done,
                 done: Some(12),
@@ -158,7 +158,7 @@
         ),
         (
             "job-answer-cancelled",
-            JobAnswer {
+            JobStatusResponse {
                 id: "req-41",
                 state: JobState::Cancelled,
                 done: None,
@@ -166,23 +166,23 @@
             },
         ),
     ];
-    for (name, answer) in cases {
-        assert_written(name, &answer);
+    for (name, response) in cases {
+        assert_written(name, &response);
         // It borrows its id from the bytes.
         let old = bytes(name);
-        let again: JobAnswer<'_> =
+        let again: JobStatusResponse<'_> =
             rmp_serde::from_slice(&old).unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_bytes(name, &encode(&again));
     }
 }
 
 #[test]
-fn reports() {
-    let task = |task: &str, attempt, state, why, saved| TaskStatus {
+fn heartbeats() {
+    let task = |task: &str, attempt, state, exit_reason, saved| TaskStatus {
         task: task.into(),
         attempt: Attempt(attempt),
         state,
-        why,
+        exit_reason,
         saved,
     };
     let full = Heartbeat {
@@ -317,7 +317,10 @@
             machines: vec![MachineId::new("m-17"), MachineId::new("m-18")],
         },
     );
+}
 
+#[test]
+fn machine_lists() {
     let list: MachineList = read("machine-list");
     assert!(list.more);
     let [full, least] = &list.machines[..] else {
--- a/crates/hopyoke-scheduler/src/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/heartbeats.rs
@@ -224,7 +224,7 @@
             self.changed = true;
             debug!(machine = %id, task = %key.0, attempt = t.attempt.0, state = ?t.state, "attempt found");
         }
-        let state = match (t.state, t.why) {
+        let state = match (t.state, t.exit_reason) {
             (TaskState::Ended, why) => AllocationState::Ended(why.unwrap_or(ExitReason::Other)),
             (s, _) => AllocationState::Live(s),
         };
--- a/crates/hopyoke-simulator/src/worker.rs
+++ b/crates/hopyoke-simulator/src/worker.rs
@@ -100,7 +100,7 @@
                 task: task.to_string(),
                 attempt: *attempt,
                 state: t.state,
-                why: t.why,
+                exit_reason: t.why,
                 saved: t.saved,
             })
             .collect();
--- a/crates/hopyoke-workflow/src/plan.rs
+++ b/crates/hopyoke-workflow/src/plan.rs
@@ -110,7 +110,7 @@
             }
             let spec = self.spec(StepNo(i as u32), JobId::new("req-0"));
             if let Some(Err(e)) = spec.map(|s| s.check()) {
-                return fault(e);
+                return fault(e.to_string());
             }
         }
         match self.order() {
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -8,7 +8,7 @@
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Method, Request, Response};
 use hopyoke_protocol::state::Stored;
-use hopyoke_protocol::user::{JobAnswer, JobSpec, JobState};
+use hopyoke_protocol::user::{JobSpec, JobState, JobStatusResponse};
 use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
 use hopyoke_types::JobId;
 use hopyoke_types::Micros;
@@ -143,7 +143,7 @@
     let done = (end.state == JobState::Done).then_some(end.done);
     Response::of(
         200,
-        &JobAnswer {
+        &JobStatusResponse {
             id: id.as_str(),
             state: end.state,
             done,
@@ -155,7 +155,7 @@
 /// `leadership`: the leadership whose core may know how much of it runs.
 fn unfinished(leadership: Option<&Leadership>, id: &JobId, record: Option<JobRecord>) -> Response {
     let done = record.map_or(0, |r| r.done.tidy(r.spec.tasks).count());
-    let mut answer = JobAnswer {
+    let mut answer = JobStatusResponse {
         id: id.as_str(),
         state: JobState::Queued,
         done: Some(done),
@@ -221,7 +221,7 @@
 async fn submit(node: &Rc<Node>, body: &[u8]) -> Response {
     let spec = match JobSpec::parse(body) {
         Ok(s) => s,
-        Err(e) => return problem(400, &e),
+        Err(e) => return problem(400, &e.to_string()),
     };
     let never = {
         let types = node.catalog.borrow();
@@ -277,7 +277,7 @@
     match end {
         TransactionOutcome::Applied(_) => {
             debug!(job = %id, "accepted");
-            let answer = JobAnswer {
+            let answer = JobStatusResponse {
                 id: id.as_str(),
                 state: JobState::Queued,
                 done: None,
--- a/crates/hopyoke/src/store/client.rs
+++ b/crates/hopyoke/src/store/client.rs
@@ -437,6 +437,6 @@
 fn read<T: DeserializeOwned>(r: &Response) -> Result<T, StateError> {
     decode(&r.body).map_err(|e| {
         warn!(error = %e, "unreadable answer of the state service");
-        StateError::Malformed(e)
+        StateError::Malformed(e.to_string())
     })
 }
