--- a/crates/hopyoke-settings/src/lib.rs
+++ b/crates/hopyoke-settings/src/lib.rs
@@ -1,148 +1,232 @@
 //! The platform's settings file: read, checked, and every fault reported with field and reason.
+//!
+//! Rust names follow the field's terms; the names in the file stand here as serde renames.
+//! Durations end in `_s` (seconds) or `_ms` (milliseconds).
+
+mod check;
+
+pub use check::SettingFault;
 
 use hopyoke_types::Micros;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
 
+/// All settings of one node.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
+    /// This node's name.
     pub node: String,
+    /// This node's zone.
     pub zone: String,
+    /// Where users, agents and health checks are served.
     #[serde(rename = "serve_on")]
     pub listen: SocketAddr,
+    /// Where peers and operators are served.
     #[serde(rename = "mesh_addr")]
     pub mesh_listen: SocketAddr,
+    /// The other nodes.
     #[serde(rename = "others", default)]
     pub peers: Vec<Peer>,
+    /// Services that this node calls.
     pub endpoints: Endpoints,
+    /// What holds for the whole platform.
     pub facts: Facts,
 }
 
+/// Another node.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
+    /// Its name.
     pub node: String,
+    /// Its zone.
     pub zone: String,
+    /// Where it serves peers.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
 
+/// Services that a node calls.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
+    /// The cloud provider's API.
     pub cloud: SocketAddr,
+    /// The key-value store.
     pub state: SocketAddr,
 }
 
+/// What holds for the whole platform.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Facts {
+    /// Number of nodes, at least 1.
     pub nodes: u32,
+    /// All zones, at least one.
     pub zones: Vec<String>,
+    /// Bound on the error of nodes' wall clocks, in milliseconds.
     #[serde(rename = "skew_ms", default)]
     pub clock_skew_ms: f64,
+    /// Teams and their quotas.
     #[serde(default)]
     pub teams: Vec<Team>,
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    pub workers: Workers,
+    /// Timings of agents.
+    pub workers: AgentTimings,
+    /// Limits of the key-value store.
     pub state: StateLimits,
+    /// Limits of the cloud's API.
     pub cloud: CloudLimits,
+    /// What a node may take of its machine.
     #[serde(rename = "machine_limits")]
-    pub limits: Limits,
+    pub limits: MachineLimits,
 }
 
+/// A team's quota: what it is guaranteed, and the most that it may use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
+    /// Its name.
     pub name: String,
+    /// CPUs guaranteed.
     #[serde(default)]
     pub cpus: f64,
+    /// Most CPUs.
     #[serde(default)]
     pub cpus_max: f64,
+    /// GPUs guaranteed.
     #[serde(default)]
     pub gpus: f64,
+    /// Most GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
+/// A service-level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
+    /// What is measured.
     pub kind: String,
+    /// Class of jobs that it is about; `None`: all.
     #[serde(default)]
     pub class: Option<String>,
+    /// Bound in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// Share of cases that must keep the bound, 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
+/// Timings of agents and their tasks, all above 0.
 #[derive(Debug, Clone, Copy, Deserialize)]
-pub struct Workers {
+pub struct AgentTimings {
+    /// Heartbeat interval, in seconds.
     pub report_s: f64,
+    /// An agent kills its tasks when its last answered heartbeat is older than this, in seconds.
     pub lease_s: f64,
+    /// How long a gang's task waits for the others, in seconds.
     pub gang_wait_s: f64,
+    /// How soon a gang's tasks notice that one of them is lost, in seconds.
     pub gang_peer_s: f64,
+    /// Within this time of a confirmed cancellation all tasks of the job must be gone, in seconds.
     pub cancel_s: f64,
 }
 
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct StateLimits {
+    /// Requests per second, over all nodes.
     pub rps: f64,
+    /// Mutations per second, over all nodes.
     pub write_rps: f64,
+    /// Largest value, in KiB; at least 4.
     pub value_kb: f64,
+    /// Most mutations of one transaction; at least 4.
     pub txn_ops: u32,
 }
 
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct CloudLimits {
+    /// Requests per second, over all nodes.
     pub rps: f64,
+    /// How far the list of machines may lag behind, in seconds.
     pub list_lag_s: f64,
 }
 
+/// What a node may take of its machine.
 #[derive(Debug, Clone, Copy, Deserialize)]
-pub struct Limits {
+pub struct MachineLimits {
+    /// CPU cores.
     #[serde(rename = "cores")]
     pub cpu_share: f64,
+    /// Memory, in MiB.
     #[serde(rename = "mem_mb")]
     pub memory_mb: f64,
+    /// Open connections; at least 32.
     pub max_connections: usize,
 }
 
-/// Longest wait of the leader's watch of jobs' records: its answer covers what was confirmed before it was sent.
-pub const NEWS_WAIT: Micros = Micros::from_secs(2);
+/// Longest wait of the leader's watch of jobs' records: its response covers what was confirmed before it was sent.
+pub const JOB_WATCH_WAIT: Micros = Micros::from_secs(2);
+
+/// Upper bound on how much longer a lease lasts by another machine's clock.
+pub(crate) const LEASE_DRIFT: f64 = 1.002;
 
 /// How long a task of a cancelled job can live, as a sum of terms; docs/DESIGN.md has the argument.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancellationBound {
-    /// The leader's latest news is no older than this when it asks anew.
-    pub news: Micros,
-    /// Without news a leader acts for this long, and a promise (2 s) lasts no longer than both terms.
-    pub leader: Micros,
-    /// What was answered last lives on its worker's lease.
-    pub worker: Micros,
-    /// An answer under way.
+    /// The last response to the leader's watch is no older than this when the next request is sent.
+    pub watch_wait: Micros,
+    /// Without a response a leader acts for this long; lease support (2 s) lasts no longer than both terms.
+    pub leader_lease: Micros,
+    /// Tasks that the leader's last response kept alive run until their agent's lease expires.
+    pub agent_lease: Micros,
+    /// A response in flight.
     pub margin: Micros,
 }
 
 impl CancellationBound {
+    /// The sum of all terms.
     pub fn total(&self) -> Micros {
-        self.news + self.leader + self.worker + self.margin
+        self.watch_wait + self.leader_lease + self.agent_lease + self.margin
     }
 }
 
 /// Why settings can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
+    /// The file cannot be read.
     #[error("{path}: cannot be read: {error}")]
-    Read { path: String, error: std::io::Error },
+    Read {
+        /// The file.
+        path: String,
+        /// What the system says.
+        error: std::io::Error,
+    },
+    /// The file is no TOML, or lacks a field or has one of the wrong type.
     #[error("{path}: {error}")]
     Form {
+        /// The file.
         path: String,
+        /// Where and why.
         error: Box<toml::de::Error>,
     },
-    #[error("{}", .0.join("\n"))]
-    Faults(Vec<String>),
+    /// Fields are out of range; displayed one a line.
+    #[error("{}", faults.iter().map(|f| format!("{path}: {f}")).collect::<Vec<_>>().join("\n"))]
+    Invalid {
+        /// The file.
+        path: String,
+        /// Every field at fault, in the order of checking.
+        faults: Vec<SettingFault>,
+    },
 }
 
 impl Settings {
+    /// Reads and checks a settings file.
+    ///
+    /// # Errors
+    /// The file cannot be read, or [`Settings::parse`] refuses it.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Read {
@@ -152,129 +236,42 @@
         Settings::parse(&name, &text)
     }
 
+    /// Reads and checks settings; `name` stands for the file in errors.
+    ///
+    /// # Errors
+    /// The text is no TOML of this form, or fields are out of range.
     pub fn parse(name: &str, text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::Form {
             path: name.to_owned(),
             error: Box::new(error),
         })?;
-        let faults = settings.faults();
+        let faults = check::faults(&settings);
         if faults.is_empty() {
             Ok(settings)
         } else {
-            Err(SettingsError::Faults(
-                faults.into_iter().map(|f| format!("{name}: {f}")).collect(),
-            ))
+            Err(SettingsError::Invalid {
+                path: name.to_owned(),
+                faults,
+            })
         }
     }
 
     /// From a cancellation's confirmation until the job's last task is gone: the terms of the bound.
     pub fn cancellation_bound(&self) -> CancellationBound {
         CancellationBound {
-            news: NEWS_WAIT,
-            leader: self.leader_ttl(),
-            worker: Micros::from_secs_f64(self.facts.workers.lease_s).with_drift(),
+            watch_wait: JOB_WATCH_WAIT,
+            leader_lease: self.leader_ttl(),
+            agent_lease: Micros::from_secs_f64(self.facts.workers.lease_s).with_drift(),
             margin: Micros::from_millis(500),
         }
     }
 
-    /// How long a leader's lease in the state service lasts. Worst case of its end plus a
-    /// worker's lease must fit in `cancel_s`: a leader that stops hearing of cancellations keeps
-    /// workers alive for at most that long.
+    /// Time to live of a leader's lease in the key-value store. Its latest expiry plus an agent's
+    /// lease must fit in `cancel_s`: a leader that no longer receives cancellations keeps agents
+    /// alive for at most that long.
     pub fn leader_ttl(&self) -> Micros {
         let w = &self.facts.workers;
-        let room = w.cancel_s - w.lease_s * 1.002 - NEWS_WAIT.as_secs_f64();
-        Micros::from_secs_f64((room / 3.0).clamp(1.0, 6.0))
-    }
-
-    fn faults(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        let mut need = |ok: bool, field: &str, reason: &str| {
-            if !ok {
-                faults.push(format!("{field}: {reason}"));
-            }
-        };
-        let f = &self.facts;
-        need(!self.node.is_empty(), "node", "must not be empty");
-        need(!self.zone.is_empty(), "zone", "must not be empty");
-        need(
-            self.peers.iter().all(|p| p.node != self.node),
-            "others",
-            "must not name this node",
-        );
-        need(f.nodes >= 1, "facts.nodes", "must be at least 1");
-        need(
-            !f.zones.is_empty(),
-            "facts.zones",
-            "must name at least one zone",
-        );
-        for (field, value) in [
-            ("facts.workers.report_s", f.workers.report_s),
-            ("facts.workers.lease_s", f.workers.lease_s),
-            ("facts.workers.gang_wait_s", f.workers.gang_wait_s),
-            ("facts.workers.gang_peer_s", f.workers.gang_peer_s),
-            ("facts.workers.cancel_s", f.workers.cancel_s),
-            ("facts.state.rps", f.state.rps),
-            ("facts.state.write_rps", f.state.write_rps),
-            ("facts.cloud.rps", f.cloud.rps),
-            ("facts.machine_limits.cores", f.limits.cpu_share),
-            ("facts.machine_limits.mem_mb", f.limits.memory_mb),
-        ] {
-            need(
-                value.is_finite() && value > 0.0 && value < 1e9,
-                field,
-                "must be above 0",
-            );
-        }
-        need(
-            f.cloud.list_lag_s >= 0.0,
-            "facts.cloud.list_lag_s",
-            "must be at least 0",
-        );
-        need(
-            f.clock_skew_ms >= 0.0,
-            "facts.skew_ms",
-            "must be at least 0",
-        );
-        need(
-            f.state.value_kb >= 4.0,
-            "facts.state.value_kb",
-            "must be at least 4: a job's record needs it",
-        );
-        need(
-            f.state.txn_ops >= 4,
-            "facts.state.txn_ops",
-            "must be at least 4",
-        );
-        need(
-            f.limits.max_connections >= 32,
-            "facts.machine_limits.max_connections",
-            "must be at least 32",
-        );
-        // With this `cancellation_bound` holds: the leader's lease takes a third of what is left.
-        need(
-            f.workers.cancel_s > f.workers.lease_s * 1.002 + 5.0,
-            "facts.workers.cancel_s",
-            "must exceed lease_s by over 5 s: a cancelled task may live until its worker's lease lapses",
-        );
-        for (i, t) in f.teams.iter().enumerate() {
-            need(
-                !t.name.is_empty(),
-                &format!("facts.teams[{i}].name"),
-                "must not be empty",
-            );
-            for (field, v) in [
-                ("cpus", t.cpus),
-                ("cpus_max", t.cpus_max),
-                ("gpus", t.gpus),
-                ("gpus_max", t.gpus_max),
-            ] {
-                need(
-                    v.is_finite() && v >= 0.0,
-                    &format!("facts.teams[{i}].{field}"),
-                    "must be at least 0",
-                );
-            }
-        }
-        faults
+        let slack_s = w.cancel_s - w.lease_s * LEASE_DRIFT - JOB_WATCH_WAIT.as_secs_f64();
+        Micros::from_secs_f64((slack_s / 3.0).clamp(1.0, 6.0))
     }
 }
--- a/crates/hopyoke-settings/tests/frozen_forms.rs
+++ b/crates/hopyoke-settings/tests/frozen_forms.rs
@@ -32,7 +32,11 @@
     );
     assert_eq!(s.endpoints.cloud.to_string(), "127.0.0.1:8443");
     assert_eq!(s.endpoints.state.to_string(), "127.0.0.1:2379");
+}
 
+#[test]
+fn a_full_file_of_facts() {
+    let s = load("full.toml");
     let f = &s.facts;
     assert_eq!((f.nodes, f.clock_skew_ms), (3, 250.5));
     assert_eq!(f.zones, ["east", "west", "north"]);
--- a/crates/hopyoke/src/store/watch.rs
+++ b/crates/hopyoke/src/store/watch.rs
@@ -13,7 +13,7 @@
 
 /// Longest wait of the leader's watch: how long news of a cancellation can take if an answer is
 /// lost.
-pub const WATCH: Micros = hopyoke_settings::NEWS_WAIT;
+pub const WATCH: Micros = hopyoke_settings::JOB_WATCH_WAIT;
 
 /// The least time between two watches.
 const GATHER: Micros = Micros::from_millis(80);
