--- a/crates/hopyoke-experiments/src/main.rs
+++ b/crates/hopyoke-experiments/src/main.rs
@@ -195,13 +195,13 @@
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: cannot be read: {e}"))?;
     let history =
         hopyoke_workload_trace::read(&text, strict).map_err(|f| format!("{name}: {f}"))?;
-    for f in history.faults.iter().take(10) {
+    for f in history.skipped.iter().take(10) {
         eprintln!("{name}: {f}: skipped");
     }
-    if history.faults.len() > 10 {
+    if history.skipped.len() > 10 {
         eprintln!(
             "{name}: {} lines more were skipped",
-            history.faults.len() - 10
+            history.skipped.len() - 10
         );
     }
     let options = Options {
--- a/crates/hopyoke-workload-trace/src/own.rs
+++ b/crates/hopyoke-workload-trace/src/native.rs
@@ -1,6 +1,6 @@
-//! The project's own form: CSV with a header.
+//! The project's own format: CSV with a header.
 
-use crate::{Fault, History, Run, check, fault};
+use crate::{FieldError, History, LineError, Run, check, line_error};
 
 /// The fields of [`Run`], in their order.
 const FIELDS: [&str; 14] = [
@@ -20,11 +20,16 @@
     "ran_s",
 ];
 
-/// Writes runs; the first line is the header.
+/// A run that cannot be written as CSV.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct WriteError(#[from] csv::Error);
+
+/// Writes runs as CSV, in memory.
 pub struct Writer(csv::Writer<Vec<u8>>);
 
 impl Writer {
-    /// `header`: the header is written before the first run.
+    /// A writer of no runs yet; with `header`, the header is written before the first run.
     pub fn new(header: bool) -> Writer {
         Writer(
             csv::WriterBuilder::new()
@@ -33,7 +38,7 @@
         )
     }
 
-    /// The header's line alone.
+    /// The header's line alone, with its line break.
     pub fn header() -> String {
         FIELDS.join(",") + "\n"
     }
@@ -41,12 +46,12 @@
     /// Adds a run.
     ///
     /// # Errors
-    /// Why it can't be written.
-    pub fn add(&mut self, run: &Run) -> Result<(), String> {
-        self.0.serialize(run).map_err(|e| e.to_string())
+    /// The run cannot be written as CSV.
+    pub fn add(&mut self, run: &Run) -> Result<(), WriteError> {
+        Ok(self.0.serialize(run)?)
     }
 
-    /// All that was written.
+    /// All lines that were written.
     pub fn text(self) -> String {
         self.0
             .into_inner()
@@ -54,13 +59,14 @@
     }
 }
 
-pub(crate) fn read(text: &str, strict: bool) -> Result<History, Fault> {
+/// Reads the whole text; with `strict`, the first line that cannot be used is the error.
+pub(crate) fn read(text: &str, strict: bool) -> Result<History, LineError> {
     let mut reader = csv::ReaderBuilder::new()
         .flexible(true)
         .from_reader(text.as_bytes());
     let header = reader
         .headers()
-        .map_err(|e| fault(1, "header", &e.to_string()))?
+        .map_err(|e| line_error(1, "header", &e.to_string()))?
         .clone();
     let mut out = History::default();
     for record in reader.records() {
@@ -69,20 +75,22 @@
                 let line = r.position().map_or(0, csv::Position::line);
                 if r.len() == header.len() {
                     r.deserialize::<Run>(Some(&header))
-                        .map_err(|e| of_field(&e, &header, line))
+                        .map_err(|e| error_of(&e, &header, line))
                         .and_then(|run| {
-                            check(&run).map_err(|(field, reason)| fault(line, field, &reason))?;
+                            check(&run).map_err(|FieldError { field, reason }| {
+                                line_error(line, field, &reason)
+                            })?;
                             Ok(run)
                         })
                 } else {
-                    Err(fault(
+                    Err(line_error(
                         line,
                         "all",
                         &format!("{} fields, not {}", r.len(), header.len()),
                     ))
                 }
             }
-            Err(e) => Err(fault(
+            Err(e) => Err(line_error(
                 e.position().map_or(0, csv::Position::line),
                 "all",
                 &e.to_string(),
@@ -91,19 +99,20 @@
         match found {
             Ok(run) => out.runs.push(run),
             Err(f) if strict => return Err(f),
-            Err(f) => out.faults.push(f),
+            Err(f) => out.skipped.push(f),
         }
     }
     Ok(out)
 }
 
-fn of_field(e: &csv::Error, header: &csv::StringRecord, line: u64) -> Fault {
+/// The field that could not be read.
+fn error_of(e: &csv::Error, header: &csv::StringRecord, line: u64) -> LineError {
     if let csv::ErrorKind::Deserialize { err, .. } = e.kind() {
         let field = err
             .field()
             .and_then(|i| header.get(i as usize))
             .unwrap_or("header");
-        return fault(line, field, &err.kind().to_string());
+        return line_error(line, field, &err.kind().to_string());
     }
-    fault(line, "all", &e.to_string())
+    line_error(line, "all", &e.to_string())
 }
--- a/crates/hopyoke-workload-trace/src/swf.rs
+++ b/crates/hopyoke-workload-trace/src/swf.rs
@@ -1,8 +1,8 @@
-//! The Standard Workload Format: a line a job, 18 numbers, -1 for what is not known.
+//! The Standard Workload Format: one line per job, 18 numbers, -1 for what is not known.
 
-use crate::{Fault, History, Run, check, fault};
+use crate::{FieldError, History, LineError, Run, check, line_error};
 
-/// The fields that are used, by their place from 0.
+/// Indices of the fields that are used.
 const NUMBER: usize = 0;
 const SUBMIT: usize = 1;
 const WAIT: usize = 2;
@@ -16,6 +16,7 @@
 const GROUP: usize = 12;
 const APPLICATION: usize = 13;
 
+/// All fields, in their order.
 const NAMES: [&str; 18] = [
     "job number",
     "submit time",
@@ -37,7 +38,8 @@
     "think time",
 ];
 
-pub(crate) fn read(text: &str, strict: bool) -> Result<History, Fault> {
+/// Reads the whole text; with `strict`, the first line that cannot be used is the error.
+pub(crate) fn read(text: &str, strict: bool) -> Result<History, LineError> {
     let mut out = History::default();
     for (i, line) in text.lines().enumerate() {
         let (n, line) = (i as u64 + 1, line.trim());
@@ -57,43 +59,50 @@
         }
         match job(n, line) {
             Ok(Some(run)) => out.runs.push(run),
-            // It did not complete: its run time says nothing about its work.
+            // The run time of a job that did not complete is no sample of its class's.
             Ok(None) => {}
             Err(f) if strict => return Err(f),
-            Err(f) => out.faults.push(f),
+            Err(f) => out.skipped.push(f),
         }
     }
     Ok(out)
 }
 
-fn job(line: u64, text: &str) -> Result<Option<Run>, Fault> {
-    let words: Vec<&str> = text.split_whitespace().collect();
-    if words.len() != NAMES.len() {
-        return Err(fault(
+/// The numbers of a job's line.
+fn fields(line: u64, text: &str) -> Result<[f64; 18], LineError> {
+    let columns: Vec<&str> = text.split_whitespace().collect();
+    if columns.len() != NAMES.len() {
+        return Err(line_error(
             line,
             "all",
-            &format!("{} fields, not {}", words.len(), NAMES.len()),
+            &format!("{} fields, not {}", columns.len(), NAMES.len()),
         ));
     }
     let mut x = [0.0f64; 18];
-    for (k, word) in words.iter().enumerate() {
-        x[k] = word
+    for (k, column) in columns.iter().enumerate() {
+        x[k] = column
             .parse()
             .ok()
             .filter(|v: &f64| v.is_finite())
             .ok_or_else(|| {
-                fault(
+                line_error(
                     line,
                     NAMES[k],
                     &format!(
                         "`{}` is not a number",
-                        word.chars().take(20).collect::<String>()
+                        column.chars().take(20).collect::<String>()
                     ),
                 )
             })?;
     }
+    Ok(x)
+}
+
+/// A job's line; `None`: the job did not complete.
+fn job(line: u64, text: &str) -> Result<Option<Run>, LineError> {
+    let x = fields(line, text)?;
     if !(0.0..=1e12).contains(&x[SUBMIT]) {
-        return Err(fault(
+        return Err(line_error(
             line,
             NAMES[SUBMIT],
             &format!("{} is not a time", x[SUBMIT]),
@@ -131,14 +140,14 @@
         estimate_s: known(ESTIMATE).unwrap_or(0.0),
         ran_s: x[RUN],
     };
-    check(&run).map_err(|(field, reason)| {
+    check(&run).map_err(|FieldError { field, reason }| {
         let name = match field {
             "ran_s" => NAMES[RUN],
             "estimate_s" => NAMES[ESTIMATE],
             "tasks" => NAMES[ALLOCATED],
             other => other,
         };
-        fault(line, name, &reason)
+        line_error(line, name, &reason)
     })?;
     Ok(Some(run))
 }
--- a/crates/hopyoke-workload-trace/tests/forms.rs
+++ b/crates/hopyoke-workload-trace/tests/forms.rs
@@ -1,4 +1,4 @@
-//! Both forms are read, what is written is read back, and bad lines are named.
+//! Both formats are read, what is written is read back, and bad lines are named.
 
 use hopyoke_workload_trace::{Run, Writer, read};
 
@@ -31,12 +31,52 @@
     assert_eq!(history.runs, (0..20).map(run).collect::<Vec<_>>());
 }
 
-/// (A line to be put in place of a good one, the field that is named, a word of the reason.)
+const GOOD: &str = "1 10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1";
+const HEAD: &str = "; Version: 2\n; Change: app-7 500\n\n";
+
+/// (A line after a good one, the field that is named, a part of the reason.)
+const BAD_LINES: &[(&str, &str, &str)] = &[
+    (
+        "1 10 5 NaN 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+        "run time",
+        "not a number",
+    ),
+    (
+        "1 10 5 -3 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+        "run time",
+        "above 0",
+    ),
+    (
+        "1 10 5 9e9 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+        "run time",
+        "30 days",
+    ),
+    (
+        "1 10 5 100 0 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+        "allocated processors",
+        "1 to 100000",
+    ),
+    (
+        "1 -10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+        "submit time",
+        "not a time",
+    ),
+    (
+        "1 10 5 100 4 -1 -1 4 1e300 -1 1 3 2 7 -1 -1 -1 -1",
+        "requested time",
+        "30 days",
+    ),
+    ("1 10 5 100", "all", "4 fields"),
+    (
+        "one 10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
+        "job number",
+        "`one`",
+    ),
+];
+
 #[test]
-fn bad_lines_are_named_and_skipped_or_refused() {
-    let good = "1 10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1";
-    let head = "; Version: 2\n; Change: app-7 500\n\n";
-    let ok = read(&format!("{head}{good}\n"), true).expect("a history");
+fn a_line_of_the_standard_format_is_read() {
+    let ok = read(&format!("{HEAD}{GOOD}\n"), true).expect("a history");
     assert_eq!(
         (
             ok.runs[0].class.as_str(),
@@ -50,56 +90,25 @@
         (100.0, 120.0, 115_000_000)
     );
     assert_eq!(ok.changes, [("app-7".to_owned(), 500.0)]);
-    let cases = [
-        (
-            "1 10 5 NaN 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
-            "run time",
-            "not a number",
-        ),
-        (
-            "1 10 5 -3 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
-            "run time",
-            "above 0",
-        ),
-        (
-            "1 10 5 9e9 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
-            "run time",
-            "30 days",
-        ),
-        (
-            "1 10 5 100 0 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
-            "allocated processors",
-            "1 to 100000",
-        ),
-        (
-            "1 -10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
-            "submit time",
-            "not a time",
-        ),
-        (
-            "1 10 5 100 4 -1 -1 4 1e300 -1 1 3 2 7 -1 -1 -1 -1",
-            "requested time",
-            "30 days",
-        ),
-        ("1 10 5 100", "all", "4 fields"),
-        (
-            "one 10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
-            "job number",
-            "`one`",
-        ),
-    ];
-    for (bad, field, word) in cases {
-        let text = format!("{head}{good}\n{bad}\n");
+}
+
+#[test]
+fn bad_lines_are_named_and_skipped_or_refused() {
+    for (bad, field, word) in BAD_LINES {
+        let text = format!("{HEAD}{GOOD}\n{bad}\n");
         let fault = read(&text, true).expect_err(bad);
         assert!(
-            fault.line == 5 && fault.field == field && fault.reason.contains(word),
+            fault.line == 5 && fault.field == *field && fault.reason.contains(*word),
             "{bad}: {fault}"
         );
         let skipped = read(&text, false).expect(bad);
-        assert_eq!((skipped.runs.len(), &skipped.faults[..]), (1, &[fault][..]));
+        assert_eq!(
+            (skipped.runs.len(), &skipped.skipped[..]),
+            (1, &[fault][..])
+        );
     }
     // Cancelled and failed jobs say nothing; a file of nothing else is an error.
-    let cancelled = good.replace(" 1 3 2 7", " 5 3 2 7");
+    let cancelled = GOOD.replace(" 1 3 2 7", " 5 3 2 7");
     assert!(
         read(&cancelled, false)
             .expect_err("no runs")
@@ -110,7 +119,7 @@
 }
 
 #[test]
-fn bad_fields_of_the_own_form_are_named() {
+fn bad_fields_of_the_native_format_are_named() {
     let mut w = Writer::new(true);
     w.add(&run(1)).expect("a run");
     let text = w.text();
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -91,7 +91,7 @@
         for p in past.iter().take(MOST_RUNS) {
             if let Err(error) = writer.add(&run_of(p)) {
                 return HistoryAnswer {
-                    error,
+                    error: error.to_string(),
                     ..HistoryAnswer::default()
                 };
             }
