--- a/crates/hopyoke-calendar/src/calendar.rs
+++ b/crates/hopyoke-calendar/src/calendar.rs
@@ -1,41 +1,95 @@
 //! A week of staffed hours in a time zone, without its holidays.
 
-use crate::CalendarFault;
+use crate::CalendarError;
 use hopyoke_types::Micros;
 use jiff::civil::{Date, DateTime, Time, Weekday};
 use jiff::tz::TimeZone;
 use jiff::{Span, Timestamp};
 use std::collections::BTreeSet;
 
-/// Whether somebody is there, and until when that holds; `None`: for more than a year.
+/// Whether staff is on duty, and until when that holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Window {
+    /// Staff is on duty.
     pub staffed: bool,
-    /// A time of day in microseconds.
+    /// Wall clock in microseconds since 1970; `None`: for more than a year.
     pub until: Option<Micros>,
 }
 
-/// Staffed hours of a week. Times are those on the wall: across a change of clocks they keep their
-/// numbers; a time that the change leaves out counts as the one that comes in its place.
+impl Window {
+    /// Nobody is on duty, with no known end.
+    const UNSTAFFED: Window = Window {
+        staffed: false,
+        until: None,
+    };
+}
+
+/// Staffed time between two instants, in microseconds since 1970.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Shift {
+    start: i64,
+    end: i64,
+}
+
+impl Shift {
+    /// What this shift says at `now`; `None` if it is over or empty.
+    fn window_at(self, now: i64) -> Option<Window> {
+        if self.start >= self.end || self.end <= now {
+            None
+        } else if self.start <= now {
+            Some(Window {
+                staffed: true,
+                until: micros(self.end),
+            })
+        } else {
+            Some(Window {
+                staffed: false,
+                until: micros(self.start),
+            })
+        }
+    }
+}
+
+fn micros(instant: i64) -> Option<Micros> {
+    Some(Micros(instant.max(0) as u64))
+}
+
+/// Staffed hours of a week, in local time: across a change to or from daylight saving time they keep
+/// their numbers; a local time that the change skips counts as the one that comes in its place.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Calendar {
     zone: TimeZone,
-    /// From Monday on: seconds of the day; an end at or before its start is on the next day.
-    week: [Vec<(u32, u32)>; 7],
-    holidays: BTreeSet<Date>,
-    /// Month and day, each year.
+    /// From Monday on: start and end in seconds of the day; an end at or before its start is on the next day.
+    week: Week,
+    holidays: Holidays,
+}
+
+#[derive(Debug, Clone, PartialEq, Default)]
+struct Holidays {
+    /// Holidays of one year.
+    dates: BTreeSet<Date>,
+    /// Month and day of those of each year.
     yearly: BTreeSet<(i8, i8)>,
 }
 
+impl Holidays {
+    fn contains(&self, date: Date) -> bool {
+        self.dates.contains(&date) || self.yearly.contains(&(date.month(), date.day()))
+    }
+}
+
+type Week = [Vec<(u32, u32)>; 7];
+
 const DAYS: [&str; 7] = ["Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"];
-/// How far ahead a change is looked for.
+/// How far ahead the end of a window is searched.
 const AHEAD_DAYS: i64 = 400;
+const MICROS_PER_DAY: i64 = 86_400_000_000;
 
-fn fault(setting: &'static str, part: &str, what: &str) -> CalendarFault {
-    CalendarFault {
+fn error(setting: &'static str, part: &str, reason: &'static str) -> CalendarError {
+    CalendarError {
         setting,
         part: part.to_owned(),
-        what: what.to_owned(),
+        reason,
     }
 }
 
@@ -45,48 +99,19 @@
     ///
     /// # Errors
     /// The setting and the part at fault.
-    pub fn parse(hours: &str, zone: &str, holidays: &str) -> Result<Calendar, CalendarFault> {
+    pub fn parse(hours: &str, zone: &str, holidays: &str) -> Result<Calendar, CalendarError> {
         let tz = TimeZone::get(zone)
-            .map_err(|_| fault("hours_zone", zone, "no IANA time zone has this name"))?;
-        let mut week: [Vec<(u32, u32)>; 7] = Default::default();
-        for part in hours.split(';').map(str::trim).filter(|p| !p.is_empty()) {
-            let (days, times) = part
-                .split_once(' ')
-                .ok_or_else(|| fault("hours", part, "must be as in Mon-Fri 08:00-18:00"))?;
-            let spans: Result<Vec<(u32, u32)>, CalendarFault> =
-                times.split_whitespace().map(span).collect();
-            let spans = spans?;
-            for day in days_of(days)? {
-                week[day].extend(spans.iter().copied());
-            }
-        }
-        let (mut once, mut yearly) = (BTreeSet::new(), BTreeSet::new());
-        for word in holidays.split([' ', ',']).filter(|w| !w.is_empty()) {
-            let numbers: Option<Vec<i16>> = word.split('-').map(|n| n.parse().ok()).collect();
-            let date = match numbers.as_deref() {
-                Some(&[y, m, d]) => Date::new(y, m as i8, d as i8).ok().map(|d| once.insert(d)),
-                // 2024 had a 29th of February.
-                Some(&[m, d]) => Date::new(2024, m as i8, d as i8)
-                    .ok()
-                    .map(|d| yearly.insert((d.month(), d.day()))),
-                _ => None,
-            };
-            date.ok_or_else(|| {
-                fault(
-                    "holidays",
-                    word,
-                    "must be a date, YYYY-MM-DD, or MM-DD for each year",
-                )
-            })?;
-        }
+            .map_err(|_| error("hours_zone", zone, "no IANA time zone has this name"))?;
+        let week = parse_week(hours)?;
+        let holidays = parse_holidays(holidays)?;
         Ok(Calendar {
             zone: tz,
             week,
-            holidays: once,
-            yearly,
+            holidays,
         })
     }
 
+    /// A local time of a date as microseconds since 1970; `None` if it is out of range.
     fn instant(&self, date: Date, second: u32) -> Option<i64> {
         let (days, second) = (second / 86_400, second % 86_400);
         let date = date.checked_add(Span::new().days(i64::from(days))).ok()?;
@@ -101,9 +126,9 @@
         )
     }
 
-    /// Spans that begin on a day, by true time in microseconds.
-    fn spans(&self, date: Date) -> Vec<(i64, i64)> {
-        if self.holidays.contains(&date) || self.yearly.contains(&(date.month(), date.day())) {
+    /// Shifts that begin on a day, in order.
+    fn shifts(&self, date: Date) -> Vec<Shift> {
+        if self.holidays.contains(date) {
             return Vec::new();
         }
         let day = match date.weekday() {
@@ -115,101 +140,72 @@
             Weekday::Saturday => 5,
             Weekday::Sunday => 6,
         };
-        let mut out: Vec<(i64, i64)> = self.week[day]
+        let mut out: Vec<Shift> = self.week[day]
             .iter()
             .filter_map(|&(from, to)| {
                 let to = if to <= from { to + 86_400 } else { to };
-                Some((self.instant(date, from)?, self.instant(date, to)?))
+                Some(Shift {
+                    start: self.instant(date, from)?,
+                    end: self.instant(date, to)?,
+                })
             })
-            .filter(|(a, b)| a < b)
+            .filter(|shift| shift.start < shift.end)
             .collect();
         out.sort_unstable();
         out
     }
 
-    /// Whether a time of day lies in staffed hours that begin `late` after their time and end
+    /// Whether a wall clock time lies in staffed hours that begin `late` after their time and end
     /// `early` before it, and until when.
     pub fn at(&self, time_of_day: Micros, late: Micros, early: Micros) -> Window {
         let (late, early) = (late.0 as i64, early.0 as i64);
         let Ok(now) = i64::try_from(time_of_day.0) else {
-            return Window {
-                staffed: false,
-                until: None,
-            };
+            return Window::UNSTAFFED;
         };
-        let Ok(stamp) = Timestamp::from_microsecond(now) else {
-            return Window {
-                staffed: false,
-                until: None,
-            };
+        let Some(first_day) = self.day_before_yesterday(now) else {
+            return Window::UNSTAFFED;
         };
-        let Ok(first) = self
-            .zone
-            .to_datetime(stamp)
-            .date()
-            .checked_sub(Span::new().days(2))
-        else {
-            return Window {
-                staffed: false,
-                until: None,
-            };
-        };
-        let time = |t: i64| Some(Micros(t.max(0) as u64));
-        // Spans that touch are one.
-        let mut open: Option<(i64, i64)> = None;
-        let verdict = |(a, b): (i64, i64)| {
-            let (a, b) = (a + late, b - early);
-            if a >= b || b <= now {
-                None
-            } else if a <= now {
-                Some(Window {
-                    staffed: true,
-                    until: time(b),
-                })
-            } else {
-                Some(Window {
-                    staffed: false,
-                    until: time(a),
-                })
-            }
+        let narrowed = |shift: Shift| Shift {
+            start: shift.start + late,
+            end: shift.end - early,
         };
+        // Shifts that touch are one.
+        let mut merged: Option<Shift> = None;
         for day in 0..AHEAD_DAYS {
-            let Ok(date) = first.checked_add(Span::new().days(day)) else {
+            let Ok(date) = first_day.checked_add(Span::new().days(day)) else {
                 break;
             };
-            for (a, b) in self.spans(date) {
-                match &mut open {
-                    Some((_, end)) if a <= *end => *end = b.max(*end),
+            for shift in self.shifts(date) {
+                match &mut merged {
+                    Some(open) if shift.start <= open.end => open.end = shift.end.max(open.end),
                     _ => {
-                        if let Some(w) = open.and_then(verdict) {
-                            return w;
+                        if let Some(window) = merged.and_then(|m| narrowed(m).window_at(now)) {
+                            return window;
                         }
-                        open = Some((a, b));
+                        merged = Some(shift);
                     }
                 }
             }
         }
-        match open {
-            Some((a, b)) if a + late <= now && now < b - early => {
-                // It may go on beyond what was looked at.
-                let far = b > now + (AHEAD_DAYS - 10) * 86_400_000_000;
-                Window {
-                    staffed: true,
-                    until: if far { None } else { time(b - early) },
-                }
-            }
-            Some(span) => verdict(span).unwrap_or(Window {
-                staffed: false,
-                until: None,
-            }),
-            None => Window {
-                staffed: false,
-                until: None,
-            },
+        let Some(last) = merged else {
+            return Window::UNSTAFFED;
+        };
+        let mut window = narrowed(last).window_at(now).unwrap_or(Window::UNSTAFFED);
+        // It may go on beyond the days that were searched.
+        if window.staffed && last.end > now + (AHEAD_DAYS - 10) * MICROS_PER_DAY {
+            window.until = None;
         }
+        window
+    }
+
+    /// The local date two days before an instant: a shift of that day may still be open.
+    fn day_before_yesterday(&self, now: i64) -> Option<Date> {
+        let stamp = Timestamp::from_microsecond(now).ok()?;
+        let today = self.zone.to_datetime(stamp).date();
+        today.checked_sub(Span::new().days(2)).ok()
     }
 
-    /// A time of day as the clocks of the zone show it.
+    /// A wall clock time as local time, such as `Mon 2026-03-30 08:00`; empty if it is out of range.
     pub fn local(&self, time_of_day: Micros) -> String {
         let stamp = i64::try_from(time_of_day.0)
             .ok()
@@ -223,10 +219,53 @@
     }
 }
 
-/// `Mon`, `Mon-Fri` or `Sat,Sun`, as places in the week.
-fn days_of(text: &str) -> Result<Vec<usize>, CalendarFault> {
+/// Staffed hours by day of the week.
+fn parse_week(hours: &str) -> Result<Week, CalendarError> {
+    let mut week: Week = Default::default();
+    for part in hours.split(';').map(str::trim).filter(|p| !p.is_empty()) {
+        let (days, times) = part
+            .split_once(' ')
+            .ok_or_else(|| error("hours", part, "must be as in Mon-Fri 08:00-18:00"))?;
+        let spans: Result<Vec<(u32, u32)>, CalendarError> =
+            times.split_whitespace().map(span).collect();
+        let spans = spans?;
+        for day in days_of(days)? {
+            week[day].extend(spans.iter().copied());
+        }
+    }
+    Ok(week)
+}
+
+/// Dates, and days of each year.
+fn parse_holidays(text: &str) -> Result<Holidays, CalendarError> {
+    let mut holidays = Holidays::default();
+    for word in text.split([' ', ',']).filter(|w| !w.is_empty()) {
+        let numbers: Option<Vec<i16>> = word.split('-').map(|n| n.parse().ok()).collect();
+        let date = match numbers.as_deref() {
+            Some(&[y, m, d]) => Date::new(y, m as i8, d as i8)
+                .ok()
+                .map(|d| holidays.dates.insert(d)),
+            // 2024 had a 29th of February.
+            Some(&[m, d]) => Date::new(2024, m as i8, d as i8)
+                .ok()
+                .map(|d| holidays.yearly.insert((d.month(), d.day()))),
+            _ => None,
+        };
+        date.ok_or_else(|| {
+            error(
+                "holidays",
+                word,
+                "must be a date, YYYY-MM-DD, or MM-DD for each year",
+            )
+        })?;
+    }
+    Ok(holidays)
+}
+
+/// `Mon`, `Mon-Fri` or `Sat,Sun`, as indices in the week.
+fn days_of(text: &str) -> Result<Vec<usize>, CalendarError> {
     let wrong = |part: &str| {
-        fault(
+        error(
             "hours",
             part,
             "must be a day such as Mon, or Mon-Fri, or Sat,Sun",
@@ -251,8 +290,8 @@
 }
 
 /// `08:00-18:00` as seconds of the day; the end may be 24:00.
-fn span(text: &str) -> Result<(u32, u32), CalendarFault> {
-    let wrong = || fault("hours", text, "must be two times, as in 08:00-18:00");
+fn span(text: &str) -> Result<(u32, u32), CalendarError> {
+    let wrong = || error("hours", text, "must be two times, as in 08:00-18:00");
     let second = |t: &str| -> Option<u32> {
         let numbers: Option<Vec<u32>> = t.split(':').map(|n| n.parse().ok()).collect();
         let (h, m, s) = match numbers?.as_slice() {
--- a/crates/hopyoke-calendar/src/hold.rs
+++ b/crates/hopyoke-calendar/src/hold.rs
@@ -1,11 +1,11 @@
-//! Which work is held.
+//! Which jobs are held outside staffed hours.
 
-use crate::CalendarFault;
+use crate::CalendarError;
 use hopyoke_protocol::user::{JobSpec, Priority};
 
-/// Clauses; a job that meets all conditions of one is held.
+/// Selects the jobs that are held outside staffed hours: those that meet all conditions of one clause.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Held(Vec<Vec<Condition>>);
+pub struct HoldSelector(Vec<Vec<Condition>>);
 
 #[derive(Debug, Clone, PartialEq)]
 enum Condition {
@@ -14,21 +14,22 @@
     Priority(Vec<Priority>),
 }
 
-impl Held {
+impl HoldSelector {
     /// Reads clauses such as `team=fleet priority=standard|best_effort; class=facegroup`.
     ///
     /// # Errors
     /// The part at fault.
-    pub fn parse(text: &str) -> Result<Held, CalendarFault> {
+    pub fn parse(text: &str) -> Result<HoldSelector, CalendarError> {
         let mut clauses = Vec::new();
         for clause in text.split(';').map(str::trim).filter(|c| !c.is_empty()) {
-            let conditions: Result<Vec<Condition>, CalendarFault> =
+            let conditions: Result<Vec<Condition>, CalendarError> =
                 clause.split_whitespace().map(condition).collect();
             clauses.push(conditions?);
         }
-        Ok(Held(clauses))
+        Ok(HoldSelector(clauses))
     }
 
+    /// Whether the job is held.
     pub fn matches(&self, spec: &JobSpec) -> bool {
         self.0.iter().any(|clause| {
             clause.iter().all(|c| match c {
@@ -40,34 +41,34 @@
     }
 }
 
-fn condition(text: &str) -> Result<Condition, CalendarFault> {
-    let fault = |what: &str| CalendarFault {
+fn condition(text: &str) -> Result<Condition, CalendarError> {
+    let error = |reason| CalendarError {
         setting: "held",
         part: text.to_owned(),
-        what: what.to_owned(),
+        reason,
     };
     let (key, values) = text
         .split_once('=')
-        .ok_or_else(|| fault("must be class=, team= or priority="))?;
+        .ok_or_else(|| error("must be class=, team= or priority="))?;
     let names: Vec<String> = values.split('|').map(str::to_owned).collect();
     if names.iter().any(String::is_empty) {
-        return Err(fault("a name is empty"));
+        return Err(error("a name is empty"));
     }
     match key {
         "class" => Ok(Condition::Class(names)),
         "team" => Ok(Condition::Team(names)),
         "priority" => {
-            let word = |n: &String| match n.as_str() {
+            let by_name = |n: &String| match n.as_str() {
                 "prod" => Some(Priority::Production),
                 "high" => Some(Priority::High),
                 "standard" => Some(Priority::Normal),
                 "best_effort" => Some(Priority::Low),
                 _ => None,
             };
-            let list: Option<Vec<Priority>> = names.iter().map(word).collect();
+            let list: Option<Vec<Priority>> = names.iter().map(by_name).collect();
             list.map(Condition::Priority)
-                .ok_or_else(|| fault("a priority is prod, high, standard or best_effort"))
+                .ok_or_else(|| error("a priority is prod, high, standard or best_effort"))
         }
-        _ => Err(fault("must be class=, team= or priority=")),
+        _ => Err(error("must be class=, team= or priority=")),
     }
 }
--- a/crates/hopyoke-calendar/src/lib.rs
+++ b/crates/hopyoke-calendar/src/lib.rs
@@ -1,61 +1,65 @@
-//! Staffed hours, without any I/O: a calendar, the work that is held outside of it, and the switch
-//! by which an operator says otherwise for a while.
+//! Staffed hours, without any I/O: a calendar, the jobs that are held outside of it, and the override
+//! that an operator may set for a while.
 //!
-//! Times of day are microseconds since 1970 and may be off by a known bound (the settings'
-//! `skew_ms`): staffed hours begin that much later and end that much earlier, so that held work is
+//! Wall clock times are microseconds since 1970 and may be off by a known bound (the settings'
+//! `skew_ms`): staffed hours begin that much later and end that much earlier, so that held jobs are
 //! never placed outside of true staffed hours, whichever node's clock decides.
 
 mod calendar;
 mod hold;
 
 pub use calendar::{Calendar, Window};
-pub use hold::Held;
+pub use hold::HoldSelector;
 
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with a setting.
+/// A setting of the calendar that cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{setting}: '{part}': {what}")]
-pub struct CalendarFault {
+#[error("{setting}: '{part}': {reason}")]
+pub struct CalendarError {
     /// The setting, by its name.
     pub setting: &'static str,
     /// The part of its text at fault.
     pub part: String,
-    pub what: String,
+    /// What it must be.
+    pub reason: &'static str,
 }
 
-/// An operator's word, until it lapses.
+/// An operator's override of the calendar, until it expires. Stored in the key-value store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Switch {
+pub struct StaffingOverride {
+    /// Staff is on duty.
     pub staffed: bool,
-    /// Time of day in microseconds.
+    /// Wall clock time of its expiry, in microseconds since 1970.
     pub until_us: u64,
-    /// Who said so.
+    /// The operator who set it.
     pub by: String,
 }
 
-/// All that decides whether work is held.
+/// All that decides whether a job is held.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Hours {
+pub struct StaffedHours {
+    /// The regular staffed hours.
     pub calendar: Calendar,
-    pub held: Held,
-    /// Held work that runs is stopped when staffed hours end, with time to save.
+    /// Jobs that are held outside of them.
+    pub held: HoldSelector,
+    /// Held jobs that run are stopped when staffed hours end, with time to save.
     pub drain: bool,
-    /// How far a clock may be off.
+    /// Bound on the error of nodes' wall clocks.
     pub skew: Micros,
-    /// Nothing held is placed this long before staffed hours end: what is commanded then may still
-    /// be on its way.
+    /// No held job is placed this long before staffed hours end: its start command may still be in flight.
     pub margin: Micros,
-    pub switch: Option<Switch>,
+    /// The operators' override, if there is one.
+    pub staffing_override: Option<StaffingOverride>,
 }
 
-impl Hours {
-    /// Whether somebody is there at a time of day by this node's clock, and until when that holds.
+impl StaffedHours {
+    /// Whether staff is on duty at a time of this node's wall clock, and until when that holds.
     pub fn at(&self, time_of_day: Micros) -> Window {
-        if let Some(s) = &self.switch {
-            // On ends early, off ends late: held work is the safe side.
+        if let Some(s) = &self.staffing_override {
+            // Staffed ends early, unstaffed ends late: holding a job is the safe side.
             let until = if s.staffed {
                 Micros(s.until_us) - self.skew - self.margin
             } else {
@@ -72,12 +76,12 @@
             .at(time_of_day, self.skew, self.skew + self.margin)
     }
 
-    /// This job is held while nobody is there.
+    /// Whether this job is held outside staffed hours.
     pub fn holds(&self, spec: &JobSpec) -> bool {
         self.held.matches(spec)
     }
 
-    /// A time of day as people of the calendar's zone write it.
+    /// A wall clock time as local time of the calendar's zone, such as `Mon 2026-03-30 08:00`.
     pub fn local(&self, time_of_day: Micros) -> String {
         self.calendar.local(time_of_day)
     }
--- a/crates/hopyoke-calendar/tests/cases.rs
+++ b/crates/hopyoke-calendar/tests/cases.rs
@@ -7,7 +7,7 @@
 //! fault ZONE | HOURS | HOLIDAYS | TEXT     it is refused, with this text
 //! ```
 
-use hopyoke_calendar::{Calendar, Held, Hours, Switch, Window};
+use hopyoke_calendar::{Calendar, HoldSelector, StaffedHours, StaffingOverride, Window};
 use hopyoke_types::Micros;
 use jiff::Timestamp;
 use proptest::prelude::*;
@@ -17,20 +17,20 @@
     Micros(t.as_microsecond() as u64)
 }
 
-fn hours(calendar: Calendar, skew: Micros) -> Hours {
-    Hours {
+fn hours(calendar: Calendar, skew: Micros) -> StaffedHours {
+    StaffedHours {
         calendar,
-        held: Held::default(),
+        held: HoldSelector::default(),
         drain: false,
         skew,
         margin: Micros::ZERO,
-        switch: None,
+        staffing_override: None,
     }
 }
 
 #[test]
 fn cases() {
-    let mut current: Option<Hours> = None;
+    let mut current: Option<StaffedHours> = None;
     let mut failed = 0;
     let mut count = 0;
     for (n, line) in (1..).zip(include_str!("cases.txt").lines()) {
@@ -38,62 +38,8 @@
         let Some((verb, rest)) = line.split_once(' ') else {
             continue;
         };
-        let parts: Vec<&str> = rest.split('|').map(str::trim).collect();
         count += 1;
-        let result = match verb {
-            "calendar" => match Calendar::parse(parts[1], parts[0], parts[2]) {
-                Ok(c) => {
-                    current = Some(hours(c, Micros::ZERO));
-                    Ok(())
-                }
-                Err(e) => Err(e.to_string()),
-            },
-            "skew" => {
-                let c = current.as_mut().expect("a calendar");
-                c.skew = Micros::from_secs_f64(rest.parse().expect("seconds"));
-                Ok(())
-            }
-            "switch" => {
-                let words: Vec<&str> = rest.split(' ').collect();
-                let c = current.as_mut().expect("a calendar");
-                c.switch = (words[0] != "none").then(|| Switch {
-                    staffed: words[0] == "on",
-                    until_us: time(words[2]).0,
-                    by: "test".into(),
-                });
-                Ok(())
-            }
-            "at" => {
-                let words: Vec<&str> = rest.split(' ').collect();
-                let until = if words[3] == "ever" {
-                    None
-                } else {
-                    Some(time(words[3]))
-                };
-                let want = Window {
-                    staffed: words[1] == "staffed",
-                    until,
-                };
-                let got = current.as_ref().expect("a calendar").at(time(words[0]));
-                if got == want {
-                    Ok(())
-                } else {
-                    let until = got.until.map(|t| {
-                        Timestamp::from_microsecond(t.0 as i64)
-                            .expect("a time")
-                            .to_string()
-                    });
-                    Err(format!("staffed {} until {until:?}", got.staffed))
-                }
-            }
-            "fault" => match Calendar::parse(parts[1], parts[0], parts[2]) {
-                Ok(_) => Err("it is taken".into()),
-                Err(e) if e.to_string().contains(parts[3]) => Ok(()),
-                Err(e) => Err(e.to_string()),
-            },
-            other => Err(format!("unknown statement {other}")),
-        };
-        if let Err(e) = result {
+        if let Err(e) = statement(&mut current, verb, rest) {
             failed += 1;
             println!("FAIL line {n}: `{line}`: {e}");
         }
@@ -102,6 +48,57 @@
     assert_eq!(failed, 0, "cases failed");
 }
 
+fn statement(current: &mut Option<StaffedHours>, verb: &str, rest: &str) -> Result<(), String> {
+    let parts: Vec<&str> = rest.split('|').map(str::trim).collect();
+    let columns: Vec<&str> = rest.split(' ').collect();
+    match verb {
+        "calendar" => {
+            let calendar = Calendar::parse(parts[1], parts[0], parts[2]);
+            *current = Some(hours(calendar.map_err(|e| e.to_string())?, Micros::ZERO));
+            Ok(())
+        }
+        "skew" => {
+            let c = current.as_mut().expect("a calendar");
+            c.skew = Micros::from_secs_f64(rest.parse().expect("seconds"));
+            Ok(())
+        }
+        "switch" => {
+            let c = current.as_mut().expect("a calendar");
+            c.staffing_override = (columns[0] != "none").then(|| StaffingOverride {
+                staffed: columns[0] == "on",
+                until_us: time(columns[2]).0,
+                by: "test".into(),
+            });
+            Ok(())
+        }
+        "at" => expect_window(current.as_ref().expect("a calendar"), &columns),
+        "fault" => match Calendar::parse(parts[1], parts[0], parts[2]) {
+            Ok(_) => Err("it is taken".into()),
+            Err(e) if e.to_string().contains(parts[3]) => Ok(()),
+            Err(e) => Err(e.to_string()),
+        },
+        other => Err(format!("unknown statement {other}")),
+    }
+}
+
+/// `TIME staffed|unstaffed until TIME|ever`.
+fn expect_window(hours: &StaffedHours, columns: &[&str]) -> Result<(), String> {
+    let expected = Window {
+        staffed: columns[1] == "staffed",
+        until: (columns[3] != "ever").then(|| time(columns[3])),
+    };
+    let got = hours.at(time(columns[0]));
+    if got == expected {
+        return Ok(());
+    }
+    let until = got.until.map(|t| {
+        Timestamp::from_microsecond(t.0 as i64)
+            .expect("a time")
+            .to_string()
+    });
+    Err(format!("staffed {} until {until:?}", got.staffed))
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
--- a/crates/hopyoke-calendar/tests/frozen_forms.rs
+++ b/crates/hopyoke-calendar/tests/frozen_forms.rs
@@ -4,11 +4,11 @@
 mod frozen;
 
 use frozen::assert_stored;
-use hopyoke_calendar::Switch;
+use hopyoke_calendar::StaffingOverride;
 
 #[test]
 fn switches() {
-    let on = Switch {
+    let on = StaffingOverride {
         staffed: true,
         until_us: 1_700_000_000_000_000,
         by: "ana".into(),
@@ -16,7 +16,7 @@
     assert_stored("switch-on", &on);
     assert_stored(
         "switch-off",
-        &Switch {
+        &StaffingOverride {
             staffed: false,
             by: "ben".into(),
             ..on
--- a/crates/hopyoke-scheduler/src/hours.rs
+++ b/crates/hopyoke-scheduler/src/hours.rs
@@ -5,7 +5,7 @@
 
 use super::Scheduler;
 use super::fleet::AllocationState;
-use hopyoke_calendar::{Hours, Switch, Window};
+use hopyoke_calendar::{StaffedHours, StaffingOverride, Window};
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_types::{Attempt, JobId, MachineId, Micros};
@@ -14,7 +14,7 @@
 /// What the core knows of hours.
 #[derive(Default)]
 pub(super) struct Staffing {
-    hours: Option<Hours>,
+    hours: Option<StaffedHours>,
     /// A moment of the steady clock and the time of day then; noted often, for clocks drift apart.
     clock: (Micros, Micros),
     /// When the window was looked up, by time of day, and the window.
@@ -23,18 +23,18 @@
 
 impl Scheduler {
     /// The operators' hours; `None`: nothing is ever held.
-    pub fn set_hours(&mut self, hours: Option<Hours>) {
+    pub fn set_hours(&mut self, hours: Option<StaffedHours>) {
         self.staffing.hours = hours;
         self.staffing.window = None;
         self.changed = true;
     }
 
     /// An operator's word, or that it was taken back.
-    pub fn set_switch(&mut self, switch: Option<Switch>) {
+    pub fn set_switch(&mut self, switch: Option<StaffingOverride>) {
         if let Some(h) = &mut self.staffing.hours
-            && h.switch != switch
+            && h.staffing_override != switch
         {
-            h.switch = switch;
+            h.staffing_override = switch;
             self.staffing.window = None;
             self.changed = true;
         }
--- a/crates/hopyoke-simulator/src/lib.rs
+++ b/crates/hopyoke-simulator/src/lib.rs
@@ -13,7 +13,7 @@
 mod users;
 pub mod worker;
 
-use hopyoke_calendar::Hours;
+use hopyoke_calendar::StaffedHours;
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::{JobSpec, JobState};
 use hopyoke_scheduler::{SchedulerConfig, Team, Tuning};
@@ -157,7 +157,7 @@
     pub cfg: SchedulerConfig,
     pub tuning: Tuning,
     /// Staffed hours; the world begins at [`DAWN`] on Thursday 1970-01-01 in UTC.
-    pub hours: Option<Hours>,
+    pub hours: Option<StaffedHours>,
     pub ttl: Micros,
     pub cancel_s: Micros,
     pub types: Vec<MachineType>,
--- a/crates/hopyoke-simulator/src/rules.rs
+++ b/crates/hopyoke-simulator/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rules, checked against what is true.
 
 use super::{DAWN, Truth, World};
-use hopyoke_calendar::Hours;
+use hopyoke_calendar::StaffedHours;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_scheduler::Resources;
@@ -86,7 +86,7 @@
         }
         if let Some(h) = &self.hours {
             // By true time, and without any margin.
-            let truth = Hours {
+            let truth = StaffedHours {
                 skew: Micros::ZERO,
                 margin: Micros::ZERO,
                 ..h.clone()
--- a/crates/hopyoke-simulator/src/script.rs
+++ b/crates/hopyoke-simulator/src/script.rs
@@ -3,7 +3,7 @@
 use crate::limits::Limits;
 use crate::store::Spell;
 use crate::{Cut, DAWN, Host, Lag, Truth, World};
-use hopyoke_calendar::{Calendar, Held, Hours, Switch};
+use hopyoke_calendar::{Calendar, HoldSelector, StaffedHours, StaffingOverride};
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState, Priority};
 use hopyoke_scheduler::{Ask, Team};
@@ -197,13 +197,13 @@
                 })
                 .collect();
             let calendar = Calendar::parse(&format!("Thu {}", spans.join(" ")), "UTC", "");
-            w.hours = Some(Hours {
+            w.hours = Some(StaffedHours {
                 calendar: calendar.map_err(|e| e.to_string())?,
-                held: Held::parse(&held.replace('+', " ")).map_err(|e| e.to_string())?,
+                held: HoldSelector::parse(&held.replace('+', " ")).map_err(|e| e.to_string())?,
                 drain,
                 skew: Micros::from_millis(250),
                 margin: Micros::from_secs(2),
-                switch: None,
+                staffing_override: None,
             });
         }
         "limits" => {
@@ -323,13 +323,13 @@
         }
         "staffed" => {
             let (on, until) = (word(&mut it) == "on", secs(word(&mut it)));
-            let switch = Some(Switch {
+            let switch = Some(StaffingOverride {
                 staffed: on,
                 until_us: (DAWN + until).0,
                 by: "operator".into(),
             });
             if let Some(h) = &mut w.hours {
-                h.switch.clone_from(&switch);
+                h.staffing_override.clone_from(&switch);
             }
             for lead in w.nodes.iter_mut().filter_map(|n| n.lead.as_mut()) {
                 lead.scheduler.set_switch(switch.clone());
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -1,7 +1,7 @@
 //! From the operators' settings to the tuning of the core, and from the core to live figures.
 
 use crate::node::Leadership;
-use hopyoke_calendar::{Calendar, CalendarFault, Held, Hours};
+use hopyoke_calendar::{Calendar, CalendarError, HoldSelector, StaffedHours};
 use hopyoke_event_loop as runtime;
 use hopyoke_policy::{Figures, Values};
 use hopyoke_scheduler::{MachinePhase, Scheduler, Tuning};
@@ -54,14 +54,14 @@
 ///
 /// # Errors
 /// The setting and the part of it at fault, even if nothing is held.
-pub fn hours_of(v: &Values, skew: Micros) -> Result<Option<Hours>, CalendarFault> {
-    let hours = Hours {
+pub fn hours_of(v: &Values, skew: Micros) -> Result<Option<StaffedHours>, CalendarError> {
+    let hours = StaffedHours {
         calendar: Calendar::parse(v.text("hours"), v.text("hours_zone"), v.text("holidays"))?,
-        held: Held::parse(v.text("held"))?,
+        held: HoldSelector::parse(v.text("held"))?,
         drain: v.boolean("hold_drain"),
         margin: v.duration("hold_margin"),
         skew,
-        switch: None,
+        staffing_override: None,
     };
     Ok(v.boolean("hold").then_some(hours))
 }
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -4,7 +4,7 @@
 use crate::operations::settings;
 use crate::peers::client::proto::{StaffedAnswer, StaffedRequest};
 use crate::store::client::{SWITCH, StateError, TransactionOutcome};
-use hopyoke_calendar::{Hours, Switch};
+use hopyoke_calendar::{StaffedHours, StaffingOverride};
 use hopyoke_event_loop as runtime;
 use hopyoke_policy::Figures;
 use hopyoke_protocol::state::{Compare, Mutation, Stored};
@@ -17,7 +17,7 @@
 const LONGEST_S: u64 = 31 * 86_400;
 
 /// The hours of the node's settings; `None`: nothing is held.
-fn hours(node: &Node) -> Option<Hours> {
+fn hours(node: &Node) -> Option<StaffedHours> {
     let values = node.policy.evaluate(&Figures::default());
     let skew = Micros::from_secs_f64(node.settings.facts.clock_skew_ms / 1e3);
     match settings::hours_of(&values, skew) {
@@ -32,27 +32,34 @@
 
 /// What a new leader begins with. Until the operators' word was read, held work is held: it may say
 /// that nobody is there.
-pub fn at_first(node: &Node) -> Option<Hours> {
-    let unread = Switch {
+pub fn at_first(node: &Node) -> Option<StaffedHours> {
+    let unread = StaffingOverride {
         staffed: false,
         until_us: u64::MAX / 4,
         by: "nobody yet".into(),
     };
-    hours(node).map(|h| Hours {
-        switch: Some(unread),
+    hours(node).map(|h| StaffedHours {
+        staffing_override: Some(unread),
         ..h
     })
 }
 
-async fn read(node: &Node) -> Result<(Option<Switch>, ModRevision), StateError> {
-    Ok(match node.state.background().get::<Switch>(SWITCH).await? {
-        Some((Stored::Value(s), mod_revision)) => (Some(s), mod_revision),
-        Some((Stored::Unreadable(_), mod_revision)) => {
-            warn!("unreadable word on staffed hours: the calendar holds");
-            (None, mod_revision)
-        }
-        None => (None, ModRevision(0)),
-    })
+async fn read(node: &Node) -> Result<(Option<StaffingOverride>, ModRevision), StateError> {
+    Ok(
+        match node
+            .state
+            .background()
+            .get::<StaffingOverride>(SWITCH)
+            .await?
+        {
+            Some((Stored::Value(s), mod_revision)) => (Some(s), mod_revision),
+            Some((Stored::Unreadable(_), mod_revision)) => {
+                warn!("unreadable word on staffed hours: the calendar holds");
+                (None, mod_revision)
+            }
+            None => (None, ModRevision(0)),
+        },
+    )
 }
 
 /// Keeps the operators' word in the leader's mind.
@@ -101,7 +108,7 @@
         word @ ("on" | "off") => {
             let until = now + Micros::from_secs(request.span_s);
             let by = request.by.chars().take(80).collect();
-            Some(Switch {
+            Some(StaffingOverride {
                 staffed: word == "on",
                 until_us: until.0,
                 by,
@@ -139,12 +146,15 @@
             }
         }
     }
-    hours.switch = word;
+    hours.staffing_override = word;
     let window = hours.at(now);
     let until = window
         .until
         .map_or_else(|| "further notice".to_owned(), |u| hours.local(u));
-    let by = hours.switch.filter(|s| s.until_us > now.0).map(|s| s.by);
+    let by = hours
+        .staffing_override
+        .filter(|s| s.until_us > now.0)
+        .map(|s| s.by);
     let by = by.map_or(String::new(), |by| {
         if by.is_empty() {
             ", by an operator".into()
