--- a/crates/hopyoke-emulator/src/lib.rs
+++ b/crates/hopyoke-emulator/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod state;
 pub mod worker;
 
-use hopyoke_event_loop::http::{self, Limits, OpenCount, Request, Response};
+use hopyoke_event_loop::http::{self, OpenConnections, Request, Response, ServerLimits};
 use hopyoke_event_loop::{self as runtime, CancellationToken, TcpListener};
 use hopyoke_types::Micros;
 use std::future::Future;
@@ -26,17 +26,17 @@
 {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
     let addr = listener.local_addr()?;
-    let limits = Limits {
-        connections: 4000,
-        crowded: 4000,
-        idle: Micros::from_secs(600),
-        request: Micros::from_secs(30),
-        body: 1 << 20,
+    let limits = ServerLimits {
+        max_connections: 4000,
+        max_persistent_connections: 4000,
+        idle_timeout: Micros::from_secs(600),
+        request_timeout: Micros::from_secs(30),
+        max_body_bytes: 1 << 20,
     };
     let handler = Rc::new(move |request: Request| Box::pin(handler(request)) as _);
     let end = cancel.clone();
     runtime::spawn_until(cancel.clone(), async move {
-        http::serve(listener, limits, OpenCount::default(), end, handler).await
+        http::serve(listener, limits, OpenConnections::default(), end, handler).await
     });
     Ok(addr)
 }
--- a/crates/hopyoke-event-loop/src/http/server.rs
+++ b/crates/hopyoke-event-loop/src/http/server.rs
@@ -1,7 +1,9 @@
-//! The server: a routine per connection, with caps on connections, bodies and time.
+//! The server: a routine per connection, with limits on connections, bodies and time.
 
-use super::message::{ReadError, Reader};
-use super::{Request, Response};
+use super::error::ReadError;
+use super::head::MessageKind;
+use super::message::{Request, Response};
+use super::reader::Reader;
 use crate::{self as runtime, CancellationToken, TcpListener, TcpStream};
 use futures_util::future::LocalBoxFuture;
 use hopyoke_types::Micros;
@@ -9,80 +11,90 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// What one server allows its peers.
-#[derive(Clone, Copy)]
-pub struct Limits {
-    pub connections: usize,
-    /// With more open than this, each is closed after its answer: a peer that comes now and then
-    /// holds a socket only while it asks. (Guards against peers that find no room because others
-    /// sit idle.)
-    pub crowded: usize,
+/// Bounds on what a server's peers take up.
+#[derive(Debug, Clone, Copy)]
+pub struct ServerLimits {
+    /// Open connections; further ones are closed at once.
+    pub max_connections: usize,
+    /// With more connections open than this, each is closed after its response: a peer that sends requests now and
+    /// then holds a socket only meanwhile. (Guards against peers that find no free connection because others sit
+    /// idle.)
+    pub max_persistent_connections: usize,
     /// An idle connection is closed after this.
-    pub idle: Micros,
-    /// A request must be complete this long after its first byte.
-    pub request: Micros,
-    /// The largest body, in bytes.
-    pub body: usize,
+    pub idle_timeout: Micros,
+    /// A request must be complete this long after its first byte, and a response be taken this long after it is ready.
+    pub request_timeout: Micros,
+    /// The largest body of a request, in bytes.
+    pub max_body_bytes: usize,
 }
 
-/// Connections that are open; clones count the same.
+/// A server's open connections; clones refer to the same server.
 #[derive(Clone, Default)]
-pub struct OpenCount(Rc<Cell<usize>>, Rc<Cell<Micros>>);
+pub struct OpenConnections {
+    count: Rc<Cell<usize>>,
+    accept_paused_until: Rc<Cell<Micros>>,
+}
 
-impl OpenCount {
-    /// No new connection is taken before this: what a node has begun comes first. Those that come
-    /// meanwhile wait, as far as there is room for that, or go elsewhere.
-    pub fn hold_until(&self, time: Micros) {
-        self.1.set(time);
+impl OpenConnections {
+    /// Accepts no new connection before `time` (replaces an earlier one): requests already begun come first. Connections
+    /// that arrive meanwhile wait in the operating system's backlog, as far as it goes.
+    pub fn pause_accept_until(&self, time: Micros) {
+        self.accept_paused_until.set(time);
     }
 
+    /// How many are open.
     pub fn count(&self) -> u64 {
-        self.0.get() as u64
+        self.count.get() as u64
     }
 }
 
+/// How often a paused server checks whether the pause was ended early.
+const PAUSE_CHECK_INTERVAL: Micros = Micros::from_millis(25);
+/// After a failed accept, for which sockets have usually run out.
+const ACCEPT_RETRY_DELAY: Micros = Micros::from_millis(50);
+
 type Handler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, Response>>;
 
-/// Serves `listener` until cancelled.
+/// Serves `listener` by `handler`, one request at a time on each connection. It and its connections end when `cancel`
+/// is cancelled.
 pub async fn serve(
     listener: TcpListener,
-    limits: Limits,
-    open: OpenCount,
+    limits: ServerLimits,
+    open: OpenConnections,
     cancel: CancellationToken,
     handler: Handler,
 ) {
-    let (open, held) = (open.0, open.1);
+    let (count, paused_until) = (open.count, open.accept_paused_until);
     loop {
-        // In short spans: a hold may end early.
-        while runtime::now() < held.get() {
-            runtime::sleep(Micros::from_millis(25)).await;
+        while runtime::now() < paused_until.get() {
+            runtime::sleep(PAUSE_CHECK_INTERVAL).await;
         }
         let stream = match listener.accept().await {
-            Ok(s) => s,
+            Ok(stream) => stream,
             Err(e) => {
-                // Out of sockets: wait for some to be closed.
                 debug!(error = %e, "accept failed");
-                runtime::sleep(Micros::from_millis(50)).await;
+                runtime::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if open.get() >= limits.connections {
+        if count.get() >= limits.max_connections {
             drop(stream);
             continue;
         }
-        open.set(open.get() + 1);
-        let guard = Open(open.clone());
-        let (handler, open) = (handler.clone(), open.clone());
+        count.set(count.get() + 1);
+        let guard = ConnectionGuard(count.clone());
+        let (handler, count) = (handler.clone(), count.clone());
         runtime::spawn_until(cancel.clone(), async move {
             let _guard = guard;
-            connection(stream, limits, &open, handler).await;
+            serve_connection(stream, limits, &count, handler).await;
         });
     }
 }
 
-struct Open(Rc<Cell<usize>>);
+/// Counts a connection as open while it lives.
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Drop for Open {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
@@ -93,55 +105,63 @@
     error: &'a str,
 }
 
-async fn connection(stream: TcpStream, limits: Limits, open: &Cell<usize>, handler: Handler) {
+async fn serve_connection(
+    stream: TcpStream,
+    limits: ServerLimits,
+    open_count: &Cell<usize>,
+    handler: Handler,
+) {
     let mut reader = Reader::default();
     loop {
-        if !reader.has_some() {
-            match runtime::timeout(limits.idle, reader.fill(&stream)).await {
+        if !reader.has_buffered() {
+            match runtime::timeout(limits.idle_timeout, reader.fill(&stream)).await {
                 Ok(Ok(())) => {}
                 _ => return,
             }
         }
-        let request =
-            match runtime::timeout(limits.request, read(&mut reader, &stream, limits.body)).await {
-                Ok(Ok(r)) => r,
-                Ok(Err(e @ (ReadError::Malformed(_) | ReadError::TooLarge))) => {
-                    // 400 even for an oversized body: users retry any other status.
-                    let refusal = Response::of(
-                        400,
-                        &Refusal {
-                            error: &e.to_string(),
-                        },
-                    )
-                    .closing();
-                    let _ =
-                        runtime::timeout(limits.request, stream.write_all(&refusal.encode())).await;
-                    return;
-                }
-                _ => return,
-            };
-        let close = request.close;
+        let read = read_request(&mut reader, &stream, limits.max_body_bytes);
+        let (request, close) = match runtime::timeout(limits.request_timeout, read).await {
+            Ok(Ok(read)) => read,
+            Ok(Err(e @ (ReadError::Malformed(_) | ReadError::TooLarge))) => {
+                let refusal = refusal(&e).encode();
+                let _ = runtime::timeout(limits.request_timeout, stream.write_all(&refusal)).await;
+                return;
+            }
+            _ => return,
+        };
         let mut response = handler(request).await;
-        response.close |= close || open.get() > limits.crowded;
-        match runtime::timeout(limits.request, stream.write_all(&response.encode())).await {
+        response.close |= close || open_count.get() > limits.max_persistent_connections;
+        let encoded = response.encode();
+        match runtime::timeout(limits.request_timeout, stream.write_all(&encoded)).await {
             Ok(Ok(())) if !response.close => {}
             _ => return,
         }
     }
 }
 
-async fn read(reader: &mut Reader, stream: &TcpStream, most: usize) -> Result<Request, ReadError> {
-    let head = reader.head(stream, true).await?;
+/// 400 even for an oversized body: users retry on any other status.
+fn refusal(error: &ReadError) -> Response {
+    let error = &error.to_string();
+    Response::of(400, &Refusal { error }).closing()
+}
+
+/// Reads a request, and whether the connection ends with it.
+async fn read_request(
+    reader: &mut Reader,
+    stream: &TcpStream,
+    max_body_bytes: usize,
+) -> Result<(Request, bool), ReadError> {
+    let head = reader.head(stream, MessageKind::Request).await?;
     if head.expects_continue {
         stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
     }
-    let body = reader.body(stream, &head, most).await?;
-    Ok(Request {
+    let body = reader.body(stream, &head, max_body_bytes).await?;
+    let request = Request {
         method: head.method,
         path: head.path,
         body,
         authorization: head.authorization,
         content_type: head.content_type,
-        close: head.close,
-    })
+    };
+    Ok((request, head.close))
 }
--- a/crates/hopyoke-event-loop/src/net.rs
+++ b/crates/hopyoke-event-loop/src/net.rs
@@ -1,6 +1,7 @@
 //! Non-blocking TCP sockets for routines.
 
-use super::{Inner, IoWaits, inner};
+use crate::executor::{Runtime, SocketWakers, runtime};
+use crate::timer::timeout;
 use hopyoke_types::Micros;
 use mio::Interest;
 use std::future::poll_fn;
@@ -10,68 +11,88 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A socket's place in the event loop; given back on drop.
+/// `EINPROGRESS` of Linux: the connection is being established.
+const EINPROGRESS: i32 = 115;
+
+/// A socket's registration with the poll; its key is freed on drop.
 struct Registration {
-    rt: Rc<Inner>,
+    runtime: Rc<Runtime>,
     key: usize,
 }
 
 impl Registration {
     fn new(source: &mut impl mio::event::Source, interest: Interest) -> io::Result<Registration> {
-        let rt = inner();
-        let key = rt.io.borrow_mut().insert(IoWaits::default());
-        let reg = Registration {
-            rt: rt.clone(),
+        let runtime = runtime();
+        let key = runtime.sockets.borrow_mut().insert(SocketWakers::default());
+        let registration = Registration {
+            runtime: runtime.clone(),
             key,
         };
-        rt.registry.register(source, mio::Token(key), interest)?;
-        Ok(reg)
+        runtime
+            .registry
+            .register(source, mio::Token(key), interest)?;
+        Ok(registration)
     }
 
     fn wait_read(&self, cx: &Context<'_>) {
-        if let Some(w) = self.rt.io.borrow_mut().get_mut(self.key) {
-            w.read = Some(cx.waker().clone());
+        if let Some(wakers) = self.runtime.sockets.borrow_mut().get_mut(self.key) {
+            wakers.read = Some(cx.waker().clone());
         }
     }
 
     fn wait_write(&self, cx: &Context<'_>) {
-        if let Some(w) = self.rt.io.borrow_mut().get_mut(self.key) {
-            w.write = Some(cx.waker().clone());
+        if let Some(wakers) = self.runtime.sockets.borrow_mut().get_mut(self.key) {
+            wakers.write = Some(cx.waker().clone());
         }
     }
 }
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.rt.io.borrow_mut().try_remove(self.key);
+        self.runtime.sockets.borrow_mut().try_remove(self.key);
     }
 }
 
 /// A listening socket.
 pub struct TcpListener {
+    // Field order: the socket is closed before its key is freed.
     socket: mio::net::TcpListener,
-    reg: Registration,
+    registration: Registration,
 }
 
 impl TcpListener {
+    /// Listens on `addr`; port 0 is any free one.
+    ///
+    /// # Errors
+    /// As the operating system reports them: address in use, no permission, no sockets left.
     pub fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
         let mut socket = mio::net::TcpListener::bind(addr)?;
-        let reg = Registration::new(&mut socket, Interest::READABLE)?;
-        Ok(TcpListener { socket, reg })
+        let registration = Registration::new(&mut socket, Interest::READABLE)?;
+        Ok(TcpListener {
+            socket,
+            registration,
+        })
     }
 
+    /// The address that the socket is bound to.
+    ///
+    /// # Errors
+    /// As the operating system reports them.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
     /// Waits for the next connection.
+    ///
+    /// # Errors
+    /// As the operating system reports them, above all that no sockets are left; the listener stays usable.
     pub async fn accept(&self) -> io::Result<TcpStream> {
         poll_fn(|cx| {
             loop {
                 match self.socket.accept() {
-                    Ok((s, _)) => return Poll::Ready(TcpStream::new(s)),
+                    Ok((socket, _)) => return Poll::Ready(TcpStream::new(socket)),
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                        self.reg.wait_read(cx);
+                        self.registration.wait_read(cx);
                         return Poll::Pending;
                     }
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -83,21 +104,27 @@
     }
 }
 
-/// A connected socket.
+/// A connected socket, without Nagle's delay (`TCP_NODELAY`).
 pub struct TcpStream {
-    // Field order: the socket is deregistered (closed) before its place is given back.
+    // Field order: the socket is closed before its key is freed.
     socket: mio::net::TcpStream,
-    reg: Registration,
+    registration: Registration,
 }
 
 impl TcpStream {
     fn new(mut socket: mio::net::TcpStream) -> io::Result<TcpStream> {
         let _ = socket.set_nodelay(true);
-        let reg = Registration::new(&mut socket, Interest::READABLE | Interest::WRITABLE)?;
-        Ok(TcpStream { socket, reg })
+        let registration = Registration::new(&mut socket, Interest::READABLE | Interest::WRITABLE)?;
+        Ok(TcpStream {
+            socket,
+            registration,
+        })
     }
 
     /// Connects within `limit`.
+    ///
+    /// # Errors
+    /// `TimedOut` after `limit`, otherwise as the operating system reports them.
     pub async fn connect(addr: SocketAddr, limit: Micros) -> io::Result<TcpStream> {
         let stream = TcpStream::new(mio::net::TcpStream::connect(addr)?)?;
         let connected = poll_fn(|cx| {
@@ -107,62 +134,79 @@
             match stream.socket.peer_addr() {
                 Ok(_) => Poll::Ready(Ok(())),
                 Err(e)
-                    if e.kind() == io::ErrorKind::NotConnected || e.raw_os_error() == Some(115) =>
+                    if e.kind() == io::ErrorKind::NotConnected
+                        || e.raw_os_error() == Some(EINPROGRESS) =>
                 {
-                    stream.reg.wait_write(cx);
+                    stream.registration.wait_write(cx);
                     Poll::Pending
                 }
                 Err(e) => Poll::Ready(Err(e)),
             }
         });
-        match super::timeout(limit, connected).await {
-            Ok(r) => r.map(|()| stream),
+        match timeout(limit, connected).await {
+            Ok(result) => result.map(|()| stream),
             Err(_) => Err(io::ErrorKind::TimedOut.into()),
         }
     }
 
+    /// Reads into `buf`; 0 bytes are the end of the stream. Registers the waker if nothing has arrived.
+    ///
+    /// # Errors
+    /// As the operating system reports them.
     pub fn poll_read(&self, cx: &Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             match (&self.socket).read(buf) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.reg.wait_read(cx);
+                    self.registration.wait_read(cx);
                     return Poll::Pending;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                r => return Poll::Ready(r),
+                result => return Poll::Ready(result),
             }
         }
     }
 
+    /// Writes a part of `buf` and says how many bytes. Registers the waker if the send buffer is full.
+    ///
+    /// # Errors
+    /// As the operating system reports them.
     pub fn poll_write(&self, cx: &Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             match (&self.socket).write(buf) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.reg.wait_write(cx);
+                    self.registration.wait_write(cx);
                     return Poll::Pending;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                r => return Poll::Ready(r),
+                result => return Poll::Ready(result),
             }
         }
     }
 
+    /// Reads what has arrived, at least one byte; 0 bytes are the end of the stream.
+    ///
+    /// # Errors
+    /// As the operating system reports them.
     pub async fn read(&self, buf: &mut [u8]) -> io::Result<usize> {
         poll_fn(|cx| self.poll_read(cx, buf)).await
     }
 
+    /// Writes all of `buf`; when it fails, a part may have been sent.
+    ///
+    /// # Errors
+    /// `WriteZero` if the socket takes no more, otherwise as the operating system reports them.
     pub async fn write_all(&self, mut buf: &[u8]) -> io::Result<()> {
         while !buf.is_empty() {
-            let n = poll_fn(|cx| self.poll_write(cx, buf)).await?;
-            if n == 0 {
+            let written = poll_fn(|cx| self.poll_write(cx, buf)).await?;
+            if written == 0 {
                 return Err(io::ErrorKind::WriteZero.into());
             }
-            buf = &buf[n..];
+            buf = &buf[written..];
         }
         Ok(())
     }
 
-    /// True if the peer has closed an idle connection (or sent something unasked).
+    /// Whether the peer has closed an idle connection, or sent something unrequested on it.
     pub fn is_stale(&self) -> bool {
         let mut byte = [0u8; 1];
         !matches!(self.socket.peek(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
@@ -176,8 +220,8 @@
         mut buf: hyper::rt::ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let mut chunk = [0u8; 4096];
-        let want = buf.remaining().min(chunk.len());
-        match TcpStream::poll_read(&self, cx, &mut chunk[..want]) {
+        let length = buf.remaining().min(chunk.len());
+        match TcpStream::poll_read(&self, cx, &mut chunk[..length]) {
             Poll::Ready(Ok(n)) => {
                 buf.put_slice(&chunk[..n]);
                 Poll::Ready(Ok(()))
--- a/crates/hopyoke-wes/src/server.rs
+++ b/crates/hopyoke-wes/src/server.rs
@@ -12,7 +12,7 @@
 };
 use hopyoke::peers::client::proto::flow_request::Ask;
 use hopyoke::peers::client::proto::{self, RunInfo, RunQuestion, StepInfo, SubmitRun};
-use hopyoke_event_loop::http::{self, Limits, Method, OpenCount, Request, Response};
+use hopyoke_event_loop::http::{self, Method, OpenConnections, Request, Response, ServerLimits};
 use hopyoke_event_loop::{CancellationToken, TcpListener};
 use hopyoke_types::{JobId, Micros};
 use hopyoke_workflow::{RunId, is_reserved, parts_of};
@@ -104,19 +104,26 @@
     ) -> std::io::Result<()> {
         let listener = TcpListener::bind(self.config.listen)?;
         ready(listener.local_addr()?);
-        let limits = Limits {
-            connections: self.config.connections,
-            crowded: self.config.connections / 2,
-            idle: Micros::from_secs(60),
-            request: Micros::from_secs(20),
-            body: MOST_BODY,
+        let limits = ServerLimits {
+            max_connections: self.config.connections,
+            max_persistent_connections: self.config.connections / 2,
+            idle_timeout: Micros::from_secs(60),
+            request_timeout: Micros::from_secs(20),
+            max_body_bytes: MOST_BODY,
         };
         let server = Rc::new(self);
         let handler = Rc::new(move |request: Request| {
             let server = server.clone();
             Box::pin(async move { server.answer(request).await }) as _
         });
-        http::serve(listener, limits, OpenCount::default(), cancel, handler).await;
+        http::serve(
+            listener,
+            limits,
+            OpenConnections::default(),
+            cancel,
+            handler,
+        )
+        .await;
         Ok(())
     }
 
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -230,7 +230,7 @@
         let may = || leadership.lease_is_valid();
         let client = self.client(address);
         let result = client
-            .send_while(may, Method::Post, "/commands", &body, DIRECT_LIMIT)
+            .send_if(may, Method::Post, "/commands", &body, DIRECT_LIMIT)
             .await;
         let now = runtime::now();
         let mut scheduler = leadership.scheduler.borrow_mut();
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -209,9 +209,9 @@
         ),
     );
     // Nobody is served before the records are read, and a whole fleet knocks once a second.
-    node.open.hold_until(granted_at + FAILOVER);
+    node.open.pause_accept_until(granted_at + FAILOVER);
     let taken = cancel.run(fail_over(node, token, granted_at)).await;
-    node.open.hold_until(Micros::ZERO);
+    node.open.pause_accept_until(Micros::ZERO);
     let Some(Some(mut scheduler)) = taken else {
         cancel.cancel();
         return false;
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -11,7 +11,7 @@
 use hopyoke_admission::Bounds;
 use hopyoke_consistency::DeliveryCursors;
 use hopyoke_consistency::leader_lease::LeaderLease;
-use hopyoke_event_loop::http::OpenCount;
+use hopyoke_event_loop::http::OpenConnections;
 use hopyoke_event_loop::{self as runtime, CancellationToken, Notify};
 use hopyoke_heartbeat::{HeartbeatMonitor, Routes};
 use hopyoke_policy::Policy;
@@ -42,7 +42,7 @@
     pub terminal_states: TerminalStateCache,
     pub peers: PeerClients,
     /// Users' and workers' connections that are open.
-    pub open: OpenCount,
+    pub open: OpenConnections,
     /// Where workers' reports go.
     pub routes: RefCell<Routes>,
     pub heartbeat_relay: HeartbeatRelay,
@@ -187,7 +187,7 @@
             lease_support: LeaseSupport::of_new_process(),
             terminal_states: TerminalStateCache::default(),
             peers: PeerClients::new(&settings.peers),
-            open: OpenCount::default(),
+            open: OpenConnections::default(),
             routes: RefCell::new(Routes::new(settings.peers.len())),
             heartbeat_relay: HeartbeatRelay::default(),
             behind_until: Cell::new(Micros::ZERO),
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -9,7 +9,7 @@
 use crate::peers::server;
 use crate::store::records;
 use crate::workflows::runner;
-use hopyoke_event_loop::http::{self, Limits, Request, Response};
+use hopyoke_event_loop::http::{self, Request, Response, ServerLimits};
 use hopyoke_event_loop::{self as runtime, TcpListener};
 use hopyoke_policy::{Figures, Policy};
 use hopyoke_settings::Settings;
@@ -52,12 +52,12 @@
         runner::start(&node);
         // Leave sockets for the state service, the cloud, workers and the mesh.
         let connections = node.most_connections() as usize;
-        let limits = Limits {
-            connections,
-            crowded: connections * 9 / 10,
-            idle: Micros::from_secs(90),
-            request: Micros::from_secs(10),
-            body: 64 * 1024,
+        let limits = ServerLimits {
+            max_connections: connections,
+            max_persistent_connections: connections * 9 / 10,
+            idle_timeout: Micros::from_secs(90),
+            request_timeout: Micros::from_secs(10),
+            max_body_bytes: 64 * 1024,
         };
         let handler = {
             let node = node.clone();
--- a/crates/hopyoke/tests/checks/mod.rs
+++ b/crates/hopyoke/tests/checks/mod.rs
@@ -1,6 +1,6 @@
 //! Scenario statements that need no world: bodies of requests, settings, and raw HTTP.
 
-use hopyoke_event_loop::http::{self, Limits, OpenCount, Request, Response};
+use hopyoke_event_loop::http::{self, OpenConnections, Request, Response, ServerLimits};
 use hopyoke_event_loop::{self as runtime, CancellationToken, TcpListener, TcpStream};
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::JobSpec;
@@ -179,12 +179,12 @@
     let listener = TcpListener::bind("127.0.0.1:0".parse().expect("an address")).map_err(io)?;
     let addr = listener.local_addr().map_err(io)?;
     let cancel = CancellationToken::new();
-    let limits = Limits {
-        connections: 8,
-        crowded,
-        idle: Micros::from_secs(2),
-        request: Micros::from_secs(2),
-        body: 64 * 1024,
+    let limits = ServerLimits {
+        max_connections: 8,
+        max_persistent_connections: crowded,
+        idle_timeout: Micros::from_secs(2),
+        request_timeout: Micros::from_secs(2),
+        max_body_bytes: 64 * 1024,
     };
     let handler = Rc::new(
         |r: Request| -> futures_util::future::LocalBoxFuture<'static, Response> {
@@ -196,7 +196,7 @@
         http::serve(
             listener,
             limits,
-            OpenCount::default(),
+            OpenConnections::default(),
             cancel.clone(),
             handler,
         ),
