--- a/crates/hopyoke-emulator/src/cloud.rs
+++ b/crates/hopyoke-emulator/src/cloud.rs
@@ -1,7 +1,8 @@
-//! The cloud: machines are routines of this process.
+//! The cloud, whose machines are routines of this process.
 
-use crate::worker::{Worker, Works};
-use crate::{param, serve, target};
+use crate::agent::{Agent, Machine};
+use crate::fleet::Fleet;
+use crate::server::{Query, serve, target};
 use hopyoke_event_loop::http::{Method, Request, Response};
 use hopyoke_event_loop::{self as runtime, CancellationToken};
 use hopyoke_protocol::cloud::MachineType;
@@ -15,60 +16,72 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-struct Machine {
-    kind: String,
+/// A machine that was created and not deleted.
+struct Instance {
+    machine_type: String,
     zone: String,
     spot: bool,
-    since: Micros,
-    worker: Option<Rc<Worker>>,
+    created_at: Micros,
+    /// Once it has booted.
+    agent: Option<Rc<Agent>>,
     cancel: CancellationToken,
 }
 
 /// A cloud on loopback.
 pub struct Cloud {
-    pub types: Vec<MachineType>,
-    /// Most machines at once.
-    capacity: usize,
-    works: Rc<Works>,
-    machines: RefCell<BTreeMap<MachineId, Machine>>,
-    charters: RefCell<BTreeMap<String, Vec<MachineId>>>,
-    next: Cell<u32>,
+    types: Vec<MachineType>,
+    max_machines: usize,
+    fleet: Rc<Fleet>,
+    instances: RefCell<BTreeMap<MachineId, Instance>>,
+    /// What each request to create machines was answered, by its idempotency key.
+    created: RefCell<BTreeMap<String, Vec<MachineId>>>,
+    last_number: Cell<u32>,
     cancel: CancellationToken,
 }
 
 #[derive(Deserialize)]
 struct ScaleOutRequest {
-    charter: String,
-    rig: String,
-    basin: String,
-    #[serde(default)]
-    driftboats: bool,
-    number: u32,
+    #[serde(rename = "charter")]
+    idempotency_key: String,
+    #[serde(rename = "rig")]
+    machine_type: String,
+    #[serde(rename = "basin")]
+    zone: String,
+    #[serde(rename = "driftboats", default)]
+    spot: bool,
+    #[serde(rename = "number")]
+    count: u32,
 }
 
 #[derive(Deserialize)]
-struct Names {
-    vessels: Vec<MachineId>,
+struct ScaleInRequest {
+    #[serde(rename = "vessels")]
+    machines: Vec<MachineId>,
 }
 
+/// The most machines of one request to create some.
+const MAX_SCALE_OUT: usize = 50;
+/// The most machines on one page of the list.
+const MAX_LIST: usize = 500;
+
 impl Cloud {
-    /// Starts it.
+    /// Starts a cloud, which ends with `cancel`, and its address.
     ///
     /// # Errors
     /// If it cannot listen.
-    pub fn start(
+    pub(crate) fn start(
         cancel: &CancellationToken,
         types: Vec<MachineType>,
-        capacity: usize,
-        works: Rc<Works>,
+        max_machines: usize,
+        fleet: Rc<Fleet>,
     ) -> io::Result<(Rc<Cloud>, SocketAddr)> {
         let cloud = Rc::new(Cloud {
             types,
-            capacity,
-            works,
-            machines: RefCell::default(),
-            charters: RefCell::default(),
-            next: Cell::new(0),
+            max_machines,
+            fleet,
+            instances: RefCell::default(),
+            created: RefCell::default(),
+            last_number: Cell::new(0),
             cancel: cancel.clone(),
         });
         let c = cloud.clone();
@@ -79,12 +92,12 @@
         Ok((cloud, addr))
     }
 
-    /// Machines that are up.
-    pub fn up(&self) -> usize {
-        self.machines
+    /// How many machines have booted.
+    pub fn running_machines(&self) -> usize {
+        self.instances
             .borrow()
             .values()
-            .filter(|m| m.worker.is_some())
+            .filter(|m| m.agent.is_some())
             .count()
     }
 
@@ -93,13 +106,13 @@
         match (request.method, path) {
             (Method::Get, "/catalog") => Response::of(200, &json!({ "rigs": self.types })),
             (Method::Post, "/machines") => match decode::<ScaleOutRequest>(&request.body) {
-                Ok(r) => self.rent(&r),
+                Ok(r) => self.scale_out(&r),
                 Err(_) => Response::empty(400),
             },
-            (Method::Post, "/machines/delete") => match decode::<Names>(&request.body) {
-                Ok(n) => {
-                    for id in n.vessels {
-                        if let Some(m) = self.machines.borrow_mut().remove(&id) {
+            (Method::Post, "/machines/delete") => match decode::<ScaleInRequest>(&request.body) {
+                Ok(r) => {
+                    for id in r.machines {
+                        if let Some(m) = self.instances.borrow_mut().remove(&id) {
                             m.cancel.cancel();
                         }
                     }
@@ -112,79 +125,83 @@
         }
     }
 
-    fn rent(self: &Rc<Cloud>, r: &ScaleOutRequest) -> Response {
-        if let Some(known) = self.charters.borrow().get(&r.charter) {
+    fn scale_out(self: &Rc<Cloud>, request: &ScaleOutRequest) -> Response {
+        if let Some(known) = self.created.borrow().get(&request.idempotency_key) {
             return Response::of(200, &json!({ "vessels": known }));
         }
-        let Some(kind) = self.types.iter().find(|t| t.name == r.rig) else {
+        let Some(machine_type) = self.types.iter().find(|t| t.name == request.machine_type) else {
             return Response::empty(400);
         };
-        let room = self.capacity.saturating_sub(self.machines.borrow().len());
-        let n = room.min(r.number as usize).min(50);
-        if n == 0 {
+        let free = self
+            .max_machines
+            .saturating_sub(self.instances.borrow().len());
+        let count = free.min(request.count as usize).min(MAX_SCALE_OUT);
+        if count == 0 {
             return Response::of(503, &json!({ "error": "no capacity" }));
         }
-        let ids: Vec<MachineId> = (0..n)
-            .map(|_| self.add(kind, &r.basin, r.driftboats))
+        let ids: Vec<MachineId> = (0..count)
+            .map(|_| self.create(machine_type, &request.zone, request.spot))
             .collect();
-        self.charters
+        self.created
             .borrow_mut()
-            .insert(r.charter.clone(), ids.clone());
+            .insert(request.idempotency_key.clone(), ids.clone());
         Response::of(200, &json!({ "vessels": ids }))
     }
 
-    fn add(self: &Rc<Cloud>, kind: &MachineType, zone: &str, spot: bool) -> MachineId {
-        self.next.set(self.next.get() + 1);
-        let id = MachineId::new(&format!("m-{:06}", self.next.get()));
+    /// Creates a machine, whose agent starts once it has booted.
+    fn create(self: &Rc<Cloud>, machine_type: &MachineType, zone: &str, spot: bool) -> MachineId {
+        self.last_number.set(self.last_number.get() + 1);
+        let id = MachineId::new(&format!("m-{:06}", self.last_number.get()));
         let cancel = CancellationToken::new();
-        let machine = Machine {
-            kind: kind.name.clone(),
+        let instance = Instance {
+            machine_type: machine_type.name.clone(),
             zone: zone.to_owned(),
             spot,
-            since: runtime::now(),
-            worker: None,
+            created_at: runtime::now(),
+            agent: None,
             cancel: cancel.clone(),
         };
-        self.machines.borrow_mut().insert(id.clone(), machine);
-        let (cloud, boot) = (self.clone(), Micros::from_secs_f64(kind.boot_s));
-        let (name, kind, zone) = (id.clone(), kind.clone(), zone.to_owned());
+        self.instances.borrow_mut().insert(id.clone(), instance);
+        let (cloud, boot) = (self.clone(), Micros::from_secs_f64(machine_type.boot_s));
+        let machine = Machine {
+            id: id.clone(),
+            machine_type: machine_type.clone(),
+            zone: zone.to_owned(),
+            spot,
+        };
+        let key = id.clone();
         runtime::spawn_until(self.cancel.clone(), async move {
             runtime::sleep(boot).await;
-            let worker = Worker::start(
-                name.clone(),
-                &kind,
-                &zone,
-                spot,
-                cloud.works.clone(),
-                &cancel,
-            );
-            if let (Ok(w), Some(m)) = (worker, cloud.machines.borrow_mut().get_mut(&name)) {
-                m.worker = Some(w);
+            let agent = Agent::start(machine, cloud.fleet.clone(), &cancel);
+            if let (Ok(agent), Some(instance)) = (agent, cloud.instances.borrow_mut().get_mut(&key))
+            {
+                instance.agent = Some(agent);
             }
         });
         id
     }
 
-    fn list(&self, query: &[(&str, &str)]) -> Response {
-        let since = MachineId::new(param(query, "since").unwrap_or(""));
-        let most: usize = param(query, "most")
-            .and_then(|n| n.parse().ok())
-            .unwrap_or(500);
-        let machines = self.machines.borrow();
-        let mut after = machines.iter().filter(|(id, _)| **id > since);
-        let list: Vec<_> = after
+    fn list(&self, query: &Query) -> Response {
+        let since = MachineId::new(query.text("since"));
+        let limit = query.number("most").unwrap_or(MAX_LIST).min(MAX_LIST);
+        let instances = self.instances.borrow();
+        let mut after = instances.iter().filter(|(id, _)| **id > since);
+        let page: Vec<_> = after
             .by_ref()
-            .take(most.min(500))
+            .take(limit)
             .map(|(id, m)| {
                 json!({
-                    "id": id, "address": m.worker.as_ref().map(|w| w.address.to_string()), "rig": m.kind,
-                    "basin": m.zone, "driftboats": m.spot,
-                    "bearing": if m.worker.is_some() { "running" } else { "booting" },
-                    "held_s": (runtime::now() - m.since).as_secs_f64(),
+                    "id": id,
+                    "address": m.agent.as_ref().map(|a| a.address.to_string()),
+                    "rig": m.machine_type,
+                    "basin": m.zone,
+                    "driftboats": m.spot,
+                    "bearing": if m.agent.is_some() { "running" } else { "booting" },
+                    "held_s": (runtime::now() - m.created_at).as_secs_f64(),
                 })
             })
             .collect();
         let more = after.next().is_some();
-        Response::of(200, &json!({ "vessels": list, "more": more }))
+        Response::of(200, &json!({ "vessels": page, "more": more }))
     }
 }
--- a/crates/hopyoke-emulator/src/main.rs
+++ b/crates/hopyoke-emulator/src/main.rs
@@ -1,13 +1,17 @@
-//! The program: a site on loopback, to try things out.
+//! The program: an emulated cluster on loopback, to try things out.
 
 use clap::Parser;
-use hopyoke_emulator::site::{Plan, Site};
+use hopyoke_emulator::{Cluster, ClusterConfig};
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
+use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use std::rc::Rc;
 
-/// A site on loopback: stand-ins of the state service, the cloud and workers, and real controllers.
+/// A cluster on loopback: an emulated key-value store, cloud and agents, and real controllers
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -17,6 +21,7 @@
     /// Where settings and logs go
     #[arg(long, value_name = "DIR", default_value = "target/site")]
     dir: PathBuf,
+    /// How many controllers
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=9))]
     controllers: u64,
     /// Most machines that the cloud has
@@ -33,9 +38,21 @@
     seconds: u64,
 }
 
+/// Why the program ends with a failure.
+#[derive(Debug, thiserror::Error)]
+enum Error {
+    #[error("--program is needed")]
+    ProgramNeeded,
+    #[error("{}: no such program; `cargo build --release` makes it", .0.display())]
+    NoProgram(PathBuf),
+    #[error("{}: {}", .0.display(), .1)]
+    Policy(PathBuf, #[source] io::Error),
+    #[error(transparent)]
+    Cluster(#[from] io::Error),
+}
+
 fn main() -> ExitCode {
-    let cli = Cli::parse();
-    match run(cli) {
+    match run(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("hopyoke-emulator: {e}");
@@ -44,60 +61,59 @@
     }
 }
 
-fn run(cli: Cli) -> Result<(), String> {
-    let beside = || Some(std::env::current_exe().ok()?.parent()?.join("hopyoke"));
-    let program = cli.program.or_else(beside).ok_or("--program is needed")?;
+fn run(cli: Cli) -> Result<(), Error> {
+    let config = config(&cli)?;
+    let seconds = Micros::from_secs(cli.seconds);
+    let outcome = Rc::new(RefCell::new(Ok(())));
+    let result = outcome.clone();
+    runtime::run(async move {
+        *result.borrow_mut() = emulate(config, seconds).await;
+    })?;
+    Ok(outcome.replace(Ok(()))?)
+}
+
+fn config(cli: &Cli) -> Result<ClusterConfig, Error> {
+    let sibling = || Some(std::env::current_exe().ok()?.parent()?.join("hopyoke"));
+    let program = cli.program.clone().or_else(sibling);
+    let program = program.ok_or(Error::ProgramNeeded)?;
     if !program.is_file() {
-        return Err(format!(
-            "{}: no such program; `cargo build --release` makes it",
-            program.display()
-        ));
+        return Err(Error::NoProgram(program));
     }
     let policy = match &cli.policy {
-        Some(p) => std::fs::read_to_string(p).map_err(|e| format!("{}: {e}", p.display()))?,
+        Some(path) => std::fs::read_to_string(path).map_err(|e| Error::Policy(path.clone(), e))?,
         None => "flows = true\n".into(),
     };
-    let plan = Plan {
+    Ok(ClusterConfig {
         controllers: cli.controllers as usize,
-        machines: cli.machines as usize,
-        factor: cli.factor,
+        max_machines: cli.machines as usize,
+        run_time_factor: cli.factor,
         policy,
-        ..Plan::new(&program, &cli.dir)
-    };
-    let failed = std::rc::Rc::new(std::cell::RefCell::new(None));
-    let failure = failed.clone();
-    runtime::run(async move {
-        let mut site = match Site::start(plan) {
-            Ok(s) => s,
-            Err(e) => return *failure.borrow_mut() = Some(e.to_string()),
-        };
-        let list = |l: &[std::net::SocketAddr]| {
-            l.iter()
-                .map(ToString::to_string)
-                .collect::<Vec<_>>()
-                .join(" ")
-        };
-        println!("users {}", list(&site.users));
-        println!("mesh {}", list(&site.mesh));
-        println!("logs {}/node-*.log", site.plan.dir.display());
-        let end = runtime::now() + Micros::from_secs(cli.seconds);
-        while runtime::now() < end {
-            runtime::sleep(Micros::from_millis(500)).await;
-            if let Some(i) = site.ended() {
-                println!("node-{i} ended; started again");
-                site.kill_controller(i);
-                if let Err(e) = site.start_controller(i) {
-                    return *failure.borrow_mut() = Some(e.to_string());
-                }
-            }
-            for b in site.works.broken.borrow_mut().drain(..) {
-                println!("broken rule: {b}");
-            }
-        }
+        ..ClusterConfig::new(&program, &cli.dir)
     })
-    .map_err(|e| e.to_string())?;
-    match failed.take() {
-        Some(e) => Err(e),
-        None => Ok(()),
+}
+
+/// Runs the cluster for so long; starts controllers again that exit, and prints violated invariants.
+async fn emulate(config: ClusterConfig, duration: Micros) -> io::Result<()> {
+    let mut cluster = Cluster::start(config)?;
+    println!("users {}", join(&cluster.api_addrs));
+    println!("mesh {}", join(&cluster.mesh_addrs));
+    println!("logs {}/node-*.log", cluster.config.dir.display());
+    let end = runtime::now() + duration;
+    while runtime::now() < end {
+        runtime::sleep(Micros::from_millis(500)).await;
+        if let Some(i) = cluster.exited_controller() {
+            println!("node-{i} ended; started again");
+            cluster.kill_controller(i);
+            cluster.start_controller(i)?;
+        }
+        for violation in cluster.fleet.violations.borrow_mut().drain(..) {
+            println!("broken rule: {violation}");
+        }
     }
+    Ok(())
+}
+
+fn join(addrs: &[SocketAddr]) -> String {
+    let texts: Vec<String> = addrs.iter().map(ToString::to_string).collect();
+    texts.join(" ")
 }
--- a/crates/hopyoke-experiments/src/flows.rs
+++ b/crates/hopyoke-experiments/src/flows.rs
@@ -3,7 +3,7 @@
 
 use hopyoke::peers::client::proto::flow_request::Ask;
 use hopyoke::peers::client::proto::{RunQuestion, SubmitRun};
-use hopyoke_emulator::site::{self, Site};
+use hopyoke_emulator::{Cluster, ClusterConfig};
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, Method};
 use hopyoke_protocol::user::JobSpec;
@@ -52,19 +52,19 @@
     }
 }
 
-fn site_plan(program: &Path, dir: &Path, controllers: usize, machines: usize) -> site::Plan {
-    site::Plan {
+fn site_plan(program: &Path, dir: &Path, controllers: usize, machines: usize) -> ClusterConfig {
+    ClusterConfig {
         controllers,
-        machines,
+        max_machines: machines,
         boot_s: 0.3,
-        write_rps: 4000.0,
-        rps: 20_000.0,
+        max_writes_per_s: 4000.0,
+        max_requests_per_s: 20_000.0,
         policy:
             "flows = true\nflow_write_share = 50%\nflow_read_share = 50%\nflow_steps = 1000\nflow_team_steps = \
                  5000\nlearn = false\nidle_return = 10min\nmove_share = 0%\n"
                 .into(),
         log_level: "info".into(),
-        ..site::Plan::new(program, dir)
+        ..ClusterConfig::new(program, dir)
     }
 }
 
@@ -84,20 +84,20 @@
 }
 
 /// Waits until all these runs are over, by their records; the time that took.
-async fn over(site: &Site, runs: &[RunId], limit_s: u64) -> Option<Micros> {
+async fn over(site: &Cluster, runs: &[RunId], limit_s: u64) -> Option<Micros> {
     let began = runtime::now();
-    let all = |s: &Site| {
+    let all = |s: &Cluster| {
         runs.iter()
-            .all(|r| s.state.get(&format!("flowend/{r}")).is_some())
+            .all(|r| s.store.get(&format!("flowend/{r}")).is_some())
     };
-    site.until(Micros::from_secs(limit_s), all)
+    site.wait_for(Micros::from_secs(limit_s), all)
         .await
         .then(|| runtime::now() - began)
 }
 
-fn processor_ms(site: &Site) -> f64 {
-    (0..site.plan.controllers)
-        .map(|i| site.processor_s(i))
+fn processor_ms(site: &Cluster) -> f64 {
+    (0..site.config.controllers)
+        .map(|i| site.cpu_time_s(i))
         .sum::<f64>()
         * 1e3
 }
@@ -115,11 +115,11 @@
     let total = chains * length;
     // Natively: the same jobs, each submitted when the one before it in its chain is done.
     let site =
-        Site::start(site_plan(program, &dir.join("native"), 1, 8)).map_err(|e| e.to_string())?;
+        Cluster::start(site_plan(program, &dir.join("native"), 1, 8)).map_err(|e| e.to_string())?;
     warm(&site).await?;
     let (before, began) = (processor_ms(&site), runtime::now());
     let mut next: Vec<u32> = vec![0; chains as usize];
-    let client = Client::new(site.users[0]);
+    let client = Client::new(site.api_addrs[0]);
     let mut finished = 0;
     while finished < total {
         for (c, step) in next.iter_mut().enumerate() {
@@ -133,7 +133,7 @@
                     .send(Method::Post, "/api/jobs", &body, Micros::from_secs(5))
                     .await;
                 *step += u32::from(answer.is_ok_and(|r| r.status < 300));
-            } else if site.state.get(&format!("end/{id}")).is_some() {
+            } else if site.store.get(&format!("end/{id}")).is_some() {
                 *step += 1;
                 finished += 1;
             }
@@ -152,9 +152,9 @@
     drop(site);
     // The same as a run.
     let site =
-        Site::start(site_plan(program, &dir.join("run"), 1, 8)).map_err(|e| e.to_string())?;
+        Cluster::start(site_plan(program, &dir.join("run"), 1, 8)).map_err(|e| e.to_string())?;
     warm(&site).await?;
-    let controllers = Controllers::new(site.mesh.clone());
+    let controllers = Controllers::new(site.mesh_addrs.clone());
     let before = processor_ms(&site);
     submit(&controllers, run(1), &plan(chains, length)).await?;
     let took = over(&site, &[run(1)], 300)
@@ -166,8 +166,8 @@
         (r == run(1)).then_some((u64::from(step.0 / length), step.0 % length))
     });
     let bytes = |prefix: &str| {
-        site.state
-            .written
+        site.store
+            .written_bytes
             .borrow()
             .get(prefix)
             .copied()
@@ -202,13 +202,13 @@
         took.as_secs_f64(),
         site.memory_mb(0)
     ));
-    let holds = site.works.broken.borrow().is_empty();
+    let holds = site.fleet.violations.borrow().is_empty();
     Ok(Shown { lines, holds })
 }
 
 /// Machines are up before anything is measured.
-async fn warm(site: &Site) -> Result<(), String> {
-    let client = Client::new(site.users[0]);
+async fn warm(site: &Cluster) -> Result<(), String> {
+    let client = Client::new(site.api_addrs[0]);
     let body = hopyoke_protocol::encode(&JobSpec {
         class: "warm".into(),
         ..spec(JobId::new("req-7"), 100)
@@ -226,8 +226,8 @@
         }
         runtime::sleep(Micros::from_millis(200)).await;
     }
-    let done = |s: &Site| s.state.get("end/req-7").is_some();
-    if site.until(Micros::from_secs(60), done).await {
+    let done = |s: &Cluster| s.store.get("end/req-7").is_some();
+    if site.wait_for(Micros::from_secs(60), done).await {
         Ok(())
     } else {
         Err("machines don't come up".into())
@@ -235,18 +235,18 @@
 }
 
 /// The median time from a step's end to the start of the next one in its chain, in seconds.
-fn gap(site: &Site, place: impl Fn(&JobId) -> Option<(u64, u32)>) -> f64 {
-    let mut starts: BTreeMap<(u64, u32), Micros> = BTreeMap::new();
-    for s in site.works.starts.borrow().iter() {
+fn gap(site: &Cluster, place: impl Fn(&JobId) -> Option<(u64, u32)>) -> f64 {
+    let mut task_starts: BTreeMap<(u64, u32), Micros> = BTreeMap::new();
+    for s in site.fleet.task_starts.borrow().iter() {
         if let Some(p) = place(&s.task.job) {
-            starts.entry(p).or_insert(s.at);
+            task_starts.entry(p).or_insert(s.at);
         }
     }
-    let task = Micros::from_secs_f64(TASK_S * site.plan.factor);
-    let mut gaps: Vec<f64> = starts
+    let task = Micros::from_secs_f64(TASK_S * site.config.run_time_factor);
+    let mut gaps: Vec<f64> = task_starts
         .iter()
         .filter_map(|((c, i), at)| {
-            let next = starts.get(&(*c, i + 1))?;
+            let next = task_starts.get(&(*c, i + 1))?;
             Some((*next - (*at + task)).as_secs_f64())
         })
         .collect();
@@ -258,10 +258,10 @@
 /// once.
 pub async fn recovery(program: &Path, dir: &Path, runs: u64, steps: u32) -> Result<Shown, String> {
     let mut lines = Vec::new();
-    let mut site =
-        Site::start(site_plan(program, &dir.join("recovery"), 3, 60)).map_err(|e| e.to_string())?;
+    let mut site = Cluster::start(site_plan(program, &dir.join("recovery"), 3, 60))
+        .map_err(|e| e.to_string())?;
     warm(&site).await?;
-    let controllers = Controllers::new(site.mesh.clone());
+    let controllers = Controllers::new(site.mesh_addrs.clone());
     let length = 10.min(steps);
     let plan = plan((steps / length).max(1), length);
     let total = runs * plan.steps.len() as u64;
@@ -269,9 +269,9 @@
     for id in &ids {
         submit(&controllers, *id, &plan).await?;
     }
-    let ends = |s: &Site| s.state.keys("end/req-9").len() as u64;
+    let ends = |s: &Cluster| s.store.keys("end/req-9").len() as u64;
     if !site
-        .until(Micros::from_secs(300), |s| ends(s) >= total * 2 / 5)
+        .wait_for(Micros::from_secs(300), |s| ends(s) >= total * 2 / 5)
         .await
     {
         return Err(format!(
@@ -279,14 +279,14 @@
             ends(&site)
         ));
     }
-    let (done_then, open_then) = (ends(&site), site.state.keys("job/req-9").len());
+    let (done_then, open_then) = (ends(&site), site.store.keys("job/req-9").len());
     for i in 0..3 {
         site.kill_controller(i);
     }
     let open: Vec<RunId> = ids
         .iter()
         .copied()
-        .filter(|r| site.state.get(&format!("flowend/{r}")).is_none())
+        .filter(|r| site.store.get(&format!("flowend/{r}")).is_none())
         .collect();
     let killed = runtime::now();
     runtime::sleep(Micros::from_secs(5)).await;
@@ -306,7 +306,7 @@
     while all.is_none() && runtime::now() < limit {
         let on = |r: &&RunId| {
             accepted(&site, **r) > known[&r.to_string()]
-                || site.state.get(&format!("flowend/{r}")).is_some()
+                || site.store.get(&format!("flowend/{r}")).is_some()
         };
         let n = open.iter().filter(on).count();
         if n > 0 && first.is_none() {
@@ -320,18 +320,18 @@
     let ended = over(&site, &ids, 400).await;
     let states: Vec<String> = ids
         .iter()
-        .filter_map(|r| site.state.get(&format!("flowend/{r}")))
+        .filter_map(|r| site.store.get(&format!("flowend/{r}")))
         .filter_map(|v: Value| v["state"].as_str().map(str::to_owned))
         .collect();
     let done = states.iter().filter(|s| *s == "done").count();
-    let jobs = site.state.keys("end/req-9");
+    let jobs = site.store.keys("end/req-9");
     let steps_seen: std::collections::BTreeSet<(RunId, StepNo)> = jobs
         .iter()
         .filter_map(|k| parts_of(&JobId::parse(k.strip_prefix("end/")?)?))
         .map(|(r, s, _)| (r, s))
         .collect();
     let twice = jobs.len() - steps_seen.len();
-    let broken = site.works.broken.borrow().len();
+    let violations = site.fleet.violations.borrow().len();
     let told = controllers.ask(
         Ask::Get(RunQuestion {
             run: ids[0].number(),
@@ -354,7 +354,7 @@
         all.map_or("-".into(), |t| format!("{t:.1} s"))
     ));
     lines.push(format!(
-        "all over {:.1} s after the end of the controllers: {done} runs done, steps lost {}, jobs beside a step's own {twice}, rules broken {broken}",
+        "all over {:.1} s after the end of the controllers: {done} runs done, steps lost {}, jobs beside a step's own {twice}, rules broken {violations}",
         since(killed),
         total as usize - steps_seen.len().min(total as usize),
     ));
@@ -366,15 +366,15 @@
     let holds = ended.is_some()
         && done == ids.len()
         && twice == 0
-        && broken == 0
+        && violations == 0
         && steps_seen.len() as u64 == total;
     Ok(Shown { lines, holds })
 }
 
 /// Jobs of a run that were ever accepted.
-fn accepted(site: &Site, run: RunId) -> u64 {
+fn accepted(site: &Cluster, run: RunId) -> u64 {
     let under = |first: &str| {
-        site.state
+        site.store
             .keys(&format!("{first}/{}", hopyoke_workflow::job_prefix(run)))
             .len() as u64
     };
--- a/crates/hopyoke-wes/tests/loopback.rs
+++ b/crates/hopyoke-wes/tests/loopback.rs
@@ -1,7 +1,7 @@
 //! Real processes on loopback: controllers, the workflow service and the command line, around
 //! stand-ins of the state service, the cloud and the workers.
 
-use hopyoke_emulator::site::{Plan, Site};
+use hopyoke_emulator::{Cluster, ClusterConfig};
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client as Http, Method, Response};
 use hopyoke_protocol::user::JobSpec;
@@ -69,23 +69,23 @@
 const TOKEN: &str = "a token of the ledger";
 const OTHER: &str = "a token of another one";
 
-fn service(site: &Site) -> Service {
+fn service(site: &Cluster) -> Service {
     let held = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = held.local_addr().expect("its address");
     drop(held);
-    let mesh: Vec<String> = site.mesh.iter().map(|m| format!("\"{m}\"")).collect();
+    let mesh: Vec<String> = site.mesh_addrs.iter().map(|m| format!("\"{m}\"")).collect();
     let text = format!(
         "listen = \"{addr}\"\ncontrollers = [{}]\ndescriptions = {:?}\n\
          [[client]]\nname = \"ledger\"\ntoken_sha256 = \"{}\"\nteams = [\"crew\"]\n\
          [[client]]\nname = \"another\"\ntoken_sha256 = \"{}\"\nteams = [\"other\"]\n",
         mesh.join(", "),
-        site.plan.dir.join("descriptions"),
+        site.config.dir.join("descriptions"),
         Access::digest_text(TOKEN),
         Access::digest_text(OTHER),
     );
-    let file = site.plan.dir.join("wes.toml");
+    let file = site.config.dir.join("wes.toml");
     std::fs::write(&file, text).expect("a file");
-    let log = std::fs::File::create(site.plan.dir.join("wes.log")).expect("a log");
+    let log = std::fs::File::create(site.config.dir.join("wes.log")).expect("a log");
     let child = Command::new(program("hopyoke-cwl"))
         .args(["serve", "--config"])
         .arg(&file)
@@ -136,9 +136,9 @@
 }
 
 /// What started, in its order, without job ids.
-fn started(site: &Site) -> Vec<(String, u32, String, String)> {
-    let starts = site.works.starts.borrow();
-    starts
+fn started(site: &Cluster) -> Vec<(String, u32, String, String)> {
+    let task_starts = site.fleet.task_starts.borrow();
+    task_starts
         .iter()
         .map(|s| {
             (
@@ -159,8 +159,8 @@
 }
 
 /// Submits a job natively and waits for its end.
-async fn native(site: &Site, spec: &JobSpec) {
-    let client = Http::new(site.users[0]);
+async fn native(site: &Cluster, spec: &JobSpec) {
+    let client = Http::new(site.api_addrs[0]);
     let body = hopyoke_protocol::encode(spec);
     loop {
         if post(&client, "/api/jobs", &body)
@@ -225,17 +225,17 @@
 /// The same work natively and as CWL: placement, order and final states are the same.
 #[test]
 fn native_and_cwl_are_the_same() {
-    let site = |name: &str| Plan {
+    let site = |name: &str| ClusterConfig {
         controllers: 1,
-        machines: 1,
+        max_machines: 1,
         policy: "flows = true\nkeep_ready = 0\nidle_return = 30s\n".into(),
-        ..Plan::new(&program("hopyoke"), &dir(name))
+        ..ClusterConfig::new(&program("hopyoke"), &dir(name))
     };
     let (a, b) = (site("same-native"), site("same-cwl"));
     let natively = Rc::new(RefCell::new(Vec::new()));
     let out = natively.clone();
     on_runtime(async move {
-        let site = Site::start(a).expect("a site");
+        let site = Cluster::start(a).expect("a site");
         for (i, (class, tasks, s)) in [
             ("split", 1, 0.3),
             ("check", 1, 0.3),
@@ -251,35 +251,35 @@
             )
             .await;
         }
-        assert!(site.works.broken.borrow().is_empty());
+        assert!(site.fleet.violations.borrow().is_empty());
         *out.borrow_mut() = started(&site);
     });
     let as_cwl = Rc::new(RefCell::new(Vec::new()));
     let out = as_cwl.clone();
     on_runtime(async move {
-        let site = Site::start(b).expect("a site");
+        let site = Cluster::start(b).expect("a site");
         let service = service(&site);
-        let main = write(&site.plan.dir, "ledger.cwl", &ledger());
+        let main = write(&site.config.dir, "ledger.cwl", &ledger());
         let pages: Vec<u32> = (0..12).collect();
         let inputs = json!({ "book": { "class": "File", "location": "book.csv" }, "pages": pages })
             .to_string();
-        let inputs = write(&site.plan.dir, "inputs.json", &inputs);
+        let inputs = write(&site.config.dir, "inputs.json", &inputs);
         let args = ["run", &main, &inputs, "--to", &service.url].map(str::to_owned);
         let (code, stdout, stderr) = command(args.to_vec(), TOKEN).await;
         assert_eq!(code, 0, "{stderr}");
         let outputs: Value = serde_json::from_str(&stdout).expect("JSON on standard output");
         assert_eq!(outputs["sum"]["class"], "File", "{stdout}");
         // Every job that it was has ended as done, and has a description for its worker.
-        let ends = site.state.keys("end/req-9");
+        let ends = site.store.keys("end/req-9");
         assert_eq!(ends.len(), 4);
         for key in &ends {
             assert_eq!(
-                site.state.get(key).expect("a record")["state"],
+                site.store.get(key).expect("a record")["state"],
                 "done",
                 "{key}"
             );
             let file = site
-                .plan
+                .config
                 .dir
                 .join("descriptions")
                 .join(format!("{}.json", &key[4..]));
@@ -287,7 +287,7 @@
                 serde_json::from_slice(&std::fs::read(file).expect("a description")).expect("JSON");
             assert!(list.as_array().is_some_and(|l| !l.is_empty()));
         }
-        assert!(site.works.broken.borrow().is_empty());
+        assert!(site.fleet.violations.borrow().is_empty());
         *out.borrow_mut() = started(&site);
     });
     assert_eq!(natively.borrow().len(), 15);
@@ -298,14 +298,14 @@
 /// cancelled halfway, and one fails and is resumed.
 #[test]
 fn runs_outlive_controllers() {
-    let plan = Plan {
-        machines: 6,
+    let plan = ClusterConfig {
+        max_machines: 6,
         policy: "flows = true\njob_backoff = 1s\nstep_patience = 1\nsuspect_after = 2\nmachine_pause = 1s\n"
             .into(),
-        ..Plan::new(&program("hopyoke"), &dir("outlive"))
+        ..ClusterConfig::new(&program("hopyoke"), &dir("outlive"))
     };
     on_runtime(async move {
-        let mut site = Site::start(plan).expect("a site");
+        let mut site = Cluster::start(plan).expect("a site");
         let service = service(&site);
         let client = Client::new(&service.url, TOKEN, Micros::from_secs(60)).expect("an address");
         let form = |text: &str, inputs: Value, key: &str| Form {
@@ -363,12 +363,12 @@
                 "run {run}"
             );
         }
-        assert_eq!(site.state.keys("end/req-9").len(), 16);
-        assert_eq!(*site.works.broken.borrow(), Vec::<String>::new());
+        assert_eq!(site.store.keys("end/req-9").len(), 16);
+        assert_eq!(*site.fleet.violations.borrow(), Vec::<String>::new());
         assert!(
-            site.state.keys("flow/").is_empty(),
+            site.store.keys("flow/").is_empty(),
             "{:?}",
-            site.state.keys("flow/")
+            site.store.keys("flow/")
         );
 
         // Cancelled halfway: from the answer on nothing of it is submitted, and all is withdrawn.
@@ -377,9 +377,9 @@
             .submit(&form(&slow, inputs.clone(), "slow"))
             .await
             .expect("accepted");
-        let converting = |s: &Site| {
-            s.works
-                .starts
+        let converting = |s: &Cluster| {
+            s.fleet
+                .task_starts
                 .borrow()
                 .iter()
                 .filter(|x| x.task.job.as_str().contains(&run))
@@ -387,17 +387,17 @@
                 > 5
         };
         assert!(
-            site.until(Micros::from_secs(30), converting).await,
+            site.wait_for(Micros::from_secs(30), converting).await,
             "it does not get on"
         );
         client.change(&run, "cancel").await.expect("cancelled");
-        let submitted = |s: &Site| {
-            s.state.keys("job/req-9").len() + s.state.keys(&format!("end/req-9{run}")).len()
+        let submitted = |s: &Cluster| {
+            s.store.keys("job/req-9").len() + s.store.keys(&format!("end/req-9{run}")).len()
         };
         let at_cancel = submitted(&site);
-        let over = |s: &Site| s.state.get(&format!("flowend/{run}")).is_some();
+        let over = |s: &Cluster| s.store.get(&format!("flowend/{run}")).is_some();
         assert!(
-            site.until(Micros::from_secs(20), over).await,
+            site.wait_for(Micros::from_secs(20), over).await,
             "it is not over"
         );
         assert_eq!(
@@ -405,24 +405,24 @@
             State::Canceled
         );
         assert_eq!(submitted(&site), at_cancel);
-        assert!(site.state.keys("job/req-9").is_empty());
+        assert!(site.store.keys("job/req-9").is_empty());
         let merged = site
-            .works
-            .starts
+            .fleet
+            .task_starts
             .borrow()
             .iter()
             .any(|x| x.class == "merge" && x.task.job.as_str().contains(&run));
         assert!(!merged);
 
         // A step that fails everywhere fails the run; resumed, it goes on from what is done.
-        *site.works.failing.borrow_mut() = "convert".into();
+        *site.fleet.failing_class.borrow_mut() = "convert".into();
         let run = client
             .submit(&form(&ledger(), inputs.clone(), "fails"))
             .await
             .expect("accepted");
-        let over = |s: &Site| s.state.get(&format!("flowend/{run}")).is_some();
+        let over = |s: &Cluster| s.store.get(&format!("flowend/{run}")).is_some();
         assert!(
-            site.until(Micros::from_secs(40), over).await,
+            site.wait_for(Micros::from_secs(40), over).await,
             "it is not given up"
         );
         let log = client.log(&run).await.expect("a log");
@@ -432,12 +432,12 @@
             "{:?}",
             log.run_log.system_logs
         );
-        site.works.failing.borrow_mut().clear();
+        site.fleet.failing_class.borrow_mut().clear();
         let resumed = client.change(&run, "resume").await.expect("resumed");
         assert_ne!(resumed, run);
-        let over = |s: &Site| s.state.get(&format!("flowend/{resumed}")).is_some();
+        let over = |s: &Cluster| s.store.get(&format!("flowend/{resumed}")).is_some();
         assert!(
-            site.until(Micros::from_secs(40), over).await,
+            site.wait_for(Micros::from_secs(40), over).await,
             "it does not get on"
         );
         assert_eq!(
@@ -445,12 +445,12 @@
             State::Complete
         );
         // split and check were done before.
-        assert_eq!(site.state.keys(&format!("end/req-9{resumed}")).len(), 2);
+        assert_eq!(site.store.keys(&format!("end/req-9{resumed}")).len(), 2);
         assert_eq!(
             client.status(&run).await.expect("a state").state,
             State::ExecutorError
         );
-        assert_eq!(*site.works.broken.borrow(), Vec::<String>::new());
+        assert_eq!(*site.fleet.violations.borrow(), Vec::<String>::new());
         listed(&service, &client, &runs).await;
     });
 }
