--- a/crates/hopyoke-emulator/src/agent.rs
+++ b/crates/hopyoke-emulator/src/agent.rs
@@ -137,7 +137,7 @@
             task: task.to_string(),
             attempt: *attempt,
             state: t.state,
-            why: t.exit_reason,
+            exit_reason: t.exit_reason,
             saved: false,
         });
         Heartbeat {
