--- a/crates/hopyoke-admission/src/gossip.rs
+++ b/crates/hopyoke-admission/src/gossip.rs
@@ -1,33 +1,42 @@
-//! What nodes tell each other of their lines, so that a place is good at whichever node its holder comes back to.
+//! Gossip of queue positions, so that a position counts at whichever node its client retries.
 
 use hopyoke_types::{JobId, Micros};
 use std::collections::VecDeque;
 
-/// Words that wait for one peer; the oldest are dropped, for they are only hints.
-const WAITING: usize = 1024;
-/// Words in one message.
-const AT_ONCE: usize = 256;
-/// A peer that was heard of within this time shares the line.
-const FRESH: Micros = Micros::from_secs(3);
+/// Entries that are queued for one peer; beyond that the oldest are dropped, for they are only hints.
+const MAX_QUEUED: usize = 1024;
+/// Entries in one message.
+const MAX_PER_MESSAGE: usize = 256;
+/// A peer whose last message is no older than this shares the queue.
+const PEER_TIMEOUT: Micros = Micros::from_secs(3);
 
-/// One place, as a node tells it to another.
+/// One queue position, as a node announces it to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueueGossip {
-    /// Whose place it is.
+    /// The job that holds the position.
     pub job: JobId,
-    /// The place of its team in the settings.
+    /// The index of its team in the settings.
     pub tenant: usize,
-    /// In how long it is to come back; `None`: it was let in.
+    /// Time until its retry is due; `None`: it was admitted.
     pub due_in: Option<Micros>,
 }
 
+/// One change of a queue position that is still to be sent.
+#[derive(Debug, Clone)]
+struct Update {
+    job: JobId,
+    tenant: usize,
+    /// When the retry is due; `None`: the job was admitted.
+    due_at: Option<Micros>,
+}
+
 #[derive(Debug, Clone, Default)]
 struct Peer {
-    waiting: VecDeque<(JobId, usize, Option<Micros>)>,
-    heard: Option<Micros>,
+    queued: VecDeque<Update>,
+    last_message_at: Option<Micros>,
 }
 
-/// What is to be told to each peer, and which of them are there.
+/// Announcements that are queued for each peer, and which peers are reachable.
 #[derive(Debug, Clone)]
 pub(crate) struct GossipOutbox {
     peers: Vec<Peer>,
@@ -40,44 +49,49 @@
         }
     }
 
-    /// A job is to come back at `due`; `None`: it was let in.
-    pub(crate) fn note(&mut self, job: &JobId, tenant: usize, due: Option<Micros>) {
+    /// Queues a job's retry time for all peers; `None`: it was admitted.
+    pub(crate) fn push(&mut self, job: &JobId, tenant: usize, due_at: Option<Micros>) {
         for peer in &mut self.peers {
-            if peer.waiting.len() >= WAITING {
-                peer.waiting.pop_front();
+            if peer.queued.len() >= MAX_QUEUED {
+                peer.queued.pop_front();
             }
-            peer.waiting.push_back((job.clone(), tenant, due));
+            peer.queued.push_back(Update {
+                job: job.clone(),
+                tenant,
+                due_at,
+            });
         }
     }
 
-    /// What to tell this peer now. It is told once: a word that is lost costs somebody its place, no more.
+    /// Takes what to send to this peer now. It is sent once: a lost entry costs one client its position, no more.
     pub(crate) fn take(&mut self, peer: usize, now: Micros) -> Vec<QueueGossip> {
         let Some(peer) = self.peers.get_mut(peer) else {
             return Vec::new();
         };
-        let n = peer.waiting.len().min(AT_ONCE);
-        let words = peer.waiting.drain(..n);
-        words
-            .map(|(job, tenant, due)| QueueGossip {
-                job,
-                tenant,
-                due_in: due.map(|due| due - now),
+        let count = peer.queued.len().min(MAX_PER_MESSAGE);
+        let updates = peer.queued.drain(..count);
+        updates
+            .map(|update| QueueGossip {
+                job: update.job,
+                tenant: update.tenant,
+                due_in: update.due_at.map(|due_at| due_at - now),
             })
             .collect()
     }
 
-    pub(crate) fn heard(&mut self, peer: usize, now: Micros) {
+    /// A message of a peer arrived.
+    pub(crate) fn gossip_received(&mut self, peer: usize, now: Micros) {
         if let Some(peer) = self.peers.get_mut(peer) {
-            peer.heard = Some(now);
+            peer.last_message_at = Some(now);
         }
     }
 
-    /// How many nodes share the line, this one included.
-    pub(crate) fn sharing(&self, now: Micros) -> usize {
+    /// How many nodes share the queue, this one included.
+    pub(crate) fn sharing_nodes(&self, now: Micros) -> usize {
         1 + self
             .peers
             .iter()
-            .filter(|p| p.heard.is_some_and(|at| now < at + FRESH))
+            .filter(|p| p.last_message_at.is_some_and(|at| now < at + PEER_TIMEOUT))
             .count()
     }
 }
--- a/crates/hopyoke-admission/src/lib.rs
+++ b/crates/hopyoke-admission/src/lib.rs
@@ -1,17 +1,16 @@
-//! What a node may ask of a service that all nodes share, by importance, without any I/O.
+//! Admission control and rate limits for a service that all nodes share, without any I/O.
 //!
-//! The state service counts requests and changes of all nodes together, and refuses above its
-//! limits whoever comes: leases and takeovers stand in line behind what users ask. So every node
-//! keeps to its own part, which needs no agreement, and inside its part to an order:
+//! The key-value store counts the requests and changes of all nodes together and refuses everything above its
+//! limits, leader leases and failovers included. So every node keeps to its own share of each limit, which needs
+//! no agreement, and spends that share by priority:
 //!
-//! - [`RateLimiter`]: one limit. Each [`RequestPriority`] may take from the node's part only while more than its
-//!   own floor is left, so what matters more always finds room, whatever the others offer.
-//! - [`AdmissionGate`]: who is let in of those that ask for work, by team, and when those refused are to come back to the
-//!   place that they keep.
-//! - [`WriteDemand`]: what the leader's own records need of the changes, which it tells the others.
-//! - [`RateShare`]: the changes that a node may spend on new work: by that word while it is fresh, and by
+//! - [`RateLimiter`]: one limit. Each [`RequestPriority`] may use the node's share only while more than its own
+//!   floor is left, so requests of a higher priority always find room, whatever the load of the others.
+//! - [`AdmissionGate`]: which submissions are admitted, by team, and after how long a rejected one may retry at
+//!   the queue position that it keeps.
+//! - [`WriteDemand`]: the changes that the leader's own records need, which the leader announces to its peers.
+//! - [`RateShare`]: the changes that a node may spend on new work: by that announcement while it is valid, and by
 //!   what the nodes lend each other.
-//!
 //! - [`AdmissionController`]: the last three together.
 //!
 //! Time is a parameter everywhere: events and `now` in, decisions out.
@@ -26,9 +25,10 @@
 mod wait_queue;
 mod write_demand;
 
-pub use controller::AdmissionController;
+pub use controller::{AdmissionController, AdmissionStats};
 pub use gate::{AdmissionGate, RetryAfter};
 pub use gossip::QueueGossip;
-pub use rate_limiter::{Bounds, RateLimiter, RequestPriority};
+pub use rate_limiter::{RateLimiter, RequestPriority, SharedLimit};
 pub use rate_share::RateShare;
+pub use tenants::TenantCounts;
 pub use write_demand::WriteDemand;
--- a/crates/hopyoke-admission/src/rate_limiter.rs
+++ b/crates/hopyoke-admission/src/rate_limiter.rs
@@ -1,27 +1,27 @@
-//! One limit of a shared service, spent by importance.
+//! One limit of a shared service, spent by priority.
 
 use crate::token_bucket::TokenBucket;
 use hopyoke_types::Micros;
 
-/// What depends on a request, most first.
+/// The priority of a request to the key-value store, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestPriority {
-    /// Leases, grants, and what a new leader reads: a rule or all service rests on it.
+    /// Leases, grants, and what a new leader reads: a safety rule or the whole service depends on it.
     Critical,
-    /// The leader's records, and its news of them.
+    /// The leader's records, and its watch of them.
     Records,
-    /// Cancellations: nobody has any use for what goes on until they are recorded.
+    /// Cancellations: tasks go on in vain until they are recorded.
     Cancels,
-    /// New work, and repeated submissions.
+    /// New submissions, and repeated ones.
     Accepts,
-    /// Polls: users come again by themselves.
+    /// Polls: clients repeat them by themselves.
     Polls,
-    /// What can wait: learning, clean-up, probes.
+    /// What can be delayed: learned run times, garbage collection, probes.
     Background,
 }
 
 impl RequestPriority {
-    /// All of them, most first.
+    /// All priorities, highest first.
     pub const ALL: [RequestPriority; 6] = [
         RequestPriority::Critical,
         RequestPriority::Records,
@@ -31,7 +31,7 @@
         RequestPriority::Background,
     ];
 
-    /// The part of the node's bucket that is kept for what matters more.
+    /// The share of the node's bucket that is reserved for higher priorities.
     fn floor(self) -> f64 {
         match self {
             RequestPriority::Critical => 0.0,
@@ -46,22 +46,22 @@
 
 /// A limit that all nodes share.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bounds {
-    /// What the service takes a second, from all nodes together; bursts worth one second too.
+pub struct SharedLimit {
+    /// What the service accepts a second from all nodes together, with bursts worth one second.
     pub per_second: f64,
-    /// Nodes there are, up or not.
+    /// The number of nodes, up or not.
     pub nodes: u32,
 }
 
-/// Of the limit this much is shared out: requests that were spread over time when they were sent
+/// The part of the limit that is divided among the nodes: requests that were spread over time when they were sent
 /// may arrive closer together.
-const SHARED_OUT: f64 = 0.95;
+const ALLOCATED_SHARE: f64 = 0.95;
 
-/// A node's part of a limit, spent by importance.
+/// A node's share of a limit, spent by priority.
 ///
-/// The parts of all nodes add up to less than the limit, bursts included, whatever any node
-/// believes of the others; so while nodes keep to them the service refuses nothing, and no node's
-/// flood takes what another's leases need.
+/// The shares of all nodes add up to less than the limit, bursts included, whatever any node knows of the others;
+/// so while nodes keep to them the service refuses nothing, and no node's overload uses up the room that another's
+/// leases need.
 #[derive(Debug, Clone)]
 pub struct RateLimiter {
     bucket: TokenBucket,
@@ -70,37 +70,44 @@
 }
 
 impl RateLimiter {
-    /// A node's part.
-    pub fn new(bounds: Bounds, now: Micros) -> RateLimiter {
-        let part = bounds.per_second * SHARED_OUT / f64::from(bounds.nodes.max(1));
+    /// For one node's equal share of `limit`.
+    #[must_use]
+    pub fn new(limit: SharedLimit, now: Micros) -> RateLimiter {
+        let share = limit.per_second * ALLOCATED_SHARE / f64::from(limit.nodes.max(1));
         RateLimiter {
-            bucket: TokenBucket::full(part, now),
+            bucket: TokenBucket::full(share, now),
             refused: [0; 6],
             taken: [0; 6],
         }
     }
 
-    /// Takes `n` (requests, or changes).
+    /// Takes `count` requests, or changes.
     ///
     /// # Errors
-    /// There is no room: how long it takes at least until there may be.
-    pub fn take(&mut self, importance: RequestPriority, n: u32, now: Micros) -> Result<(), Micros> {
-        let floor = importance.floor() * self.bucket.most();
-        let taken = self.bucket.take(f64::from(n), floor, now);
-        let count = if taken.is_ok() {
+    /// There is no room: the minimum time until there may be.
+    pub fn take(
+        &mut self,
+        priority: RequestPriority,
+        count: u32,
+        now: Micros,
+    ) -> Result<(), Micros> {
+        let floor = priority.floor() * self.bucket.capacity();
+        let taken = self.bucket.take(f64::from(count), floor, now);
+        let counters = if taken.is_ok() {
             &mut self.taken
         } else {
             &mut self.refused
         };
-        count[importance as usize] += 1;
+        counters[priority as usize] += 1;
         taken
     }
 
-    /// How often room was found and not found, for operators.
-    pub fn counts(&self, importance: RequestPriority) -> (u64, u64) {
+    /// How often there was room and how often not, for operators.
+    #[must_use]
+    pub fn counts(&self, priority: RequestPriority) -> (u64, u64) {
         (
-            self.taken[importance as usize],
-            self.refused[importance as usize],
+            self.taken[priority as usize],
+            self.refused[priority as usize],
         )
     }
 }
--- a/crates/hopyoke-admission/src/rate_share.rs
+++ b/crates/hopyoke-admission/src/rate_share.rs
@@ -1,149 +1,179 @@
-//! The changes that one node may spend on new work: its part, what it lends, and what it borrows.
+//! The changes that one node may spend on new work: its own share, less what it lends, plus what it borrows.
 
-use crate::rate_limiter::Bounds;
-use crate::write_demand::RECORDS;
+use crate::rate_limiter::SharedLimit;
+use crate::write_demand::MAX_RECORDS_SHARE;
 use hopyoke_types::Micros;
 
-/// Of all changes this much is given out.
-const GIVEN_OUT: f64 = 0.9;
-/// Kept for the leader's records however little it needs: its need can rise before others hear.
-const LEAST: f64 = 0.1;
-/// A word of the leader, and a loan, hold for this long from when they were asked for.
-pub const FRESH: Micros = Micros::from_millis(2_500);
-/// Of its part a node keeps this much however little it uses: users may come at any moment.
-const KEPT: f64 = 0.3;
+/// The part of all changes that is allocated to records and new work.
+const ALLOCATED_SHARE: f64 = 0.9;
+/// The part of all changes that is reserved for the leader's records however little they need: their demand can rise
+/// before the peers learn of it.
+const MIN_RECORDS_SHARE: f64 = 0.1;
+/// An announcement of the leader, and a loan, are valid for this long from when they were requested.
+pub(crate) const VALIDITY: Micros = Micros::from_millis(2_500);
+/// The part of its own share that a node never lends, however little it uses: users may come at any moment.
+const RETAINED_SHARE: f64 = 0.3;
 
-/// What was lent to one peer, or borrowed from it.
+/// A rate that was lent to a peer, borrowed from it, or announced by the leader.
 #[derive(Debug, Clone, Copy, Default)]
 struct Loan {
+    /// Changes a second.
     rate: f64,
-    until: Micros,
+    expires_at: Micros,
 }
 
 impl Loan {
-    fn at(&self, now: Micros) -> f64 {
-        if now < self.until { self.rate } else { 0.0 }
+    fn rate_at(&self, now: Micros) -> f64 {
+        if now < self.expires_at {
+            self.rate
+        } else {
+            0.0
+        }
     }
 }
 
+/// The latest loan from one peer.
+#[derive(Debug, Clone, Copy, Default)]
+struct BorrowedLoan {
+    requested_at: Micros,
+    loan: Loan,
+}
+
 /// The changes a second that one node may spend on new work.
 ///
-/// Without any word it is what is safe whatever the others do: the parts of all nodes and all that the
-/// leader's records may need stay within the limit. A word of the leader that it needs less makes each
-/// part larger; a peer that uses little of its part lends to one that asks.
+/// Without any message it is what is safe whatever the others do: the shares of all nodes and all that the leader's
+/// records may need stay within the limit. An announcement of the leader that it needs less makes each share larger;
+/// a peer that uses little of its share lends to one that asks.
 ///
-/// A loan counts from when it was asked for at the borrower, and from the answer at the lender, which
-/// is later: messages that are lost, late, repeated or out of order never let both spend the same.
-/// Only the leader's need can rise sooner than others hear of it: for [`FRESH`] at most, together they
-/// may then spend up to half of the limit too much, which the service refuses.
+/// A loan counts from when it was requested at the borrower, and from the answer at the lender, which is later:
+/// messages that are lost, delayed, repeated or reordered never let both spend the same rate. Only the leader's
+/// demand can rise before its peers learn of it: for [`VALIDITY`] at the most, together they may then exceed the limit
+/// by up to half of it, which the service refuses.
 #[derive(Debug, Clone)]
 pub struct RateShare {
-    bounds: Bounds,
-    /// What the leader said that it needs.
-    word: Option<Loan>,
+    limit: SharedLimit,
+    /// The write demand that the leader announced last.
+    announced_demand: Option<Loan>,
     /// By peer: loans to it that it may still rely on.
     lent: Vec<Vec<Loan>>,
-    /// By peer: its latest loan to us, and when it was asked for.
-    borrowed: Vec<(Micros, Loan)>,
+    /// By peer: its latest loan to this node.
+    borrowed: Vec<BorrowedLoan>,
 }
 
 impl RateShare {
-    /// For a node with `bounds.nodes - 1` peers.
-    pub fn new(bounds: Bounds) -> RateShare {
-        let peers = bounds.nodes.saturating_sub(1) as usize;
-        let none = (Micros::ZERO, Loan::default());
+    /// For a node with `limit.nodes - 1` peers.
+    #[must_use]
+    pub fn new(limit: SharedLimit) -> RateShare {
+        let peers = limit.nodes.saturating_sub(1) as usize;
         RateShare {
-            bounds,
-            word: None,
+            limit,
+            announced_demand: None,
             lent: vec![Vec::new(); peers],
-            borrowed: vec![none; peers],
+            borrowed: vec![BorrowedLoan::default(); peers],
         }
     }
 
-    /// The leader says what its records need; `sent` is when it was asked, so that no word is
-    /// believed for longer than the leader means it.
-    pub fn heard(&mut self, write_demand: f64, sent: Micros) {
-        let until = sent + FRESH;
+    /// The leader announced the changes a second that its records need; `sent_at` is when this node sent its request,
+    /// so that no announcement is used for longer than it is valid. What is not a finite number from 0 on is ignored.
+    pub fn write_demand_received(&mut self, write_demand: f64, sent_at: Micros) {
+        let expires_at = sent_at + VALIDITY;
         if write_demand.is_finite()
             && write_demand >= 0.0
-            && self.word.is_none_or(|w| until >= w.until)
+            && self
+                .announced_demand
+                .is_none_or(|d| expires_at >= d.expires_at)
         {
-            self.word = Some(Loan {
+            self.announced_demand = Some(Loan {
                 rate: write_demand,
-                until,
+                expires_at,
             });
         }
     }
 
-    /// This node's own part.
-    pub fn part(&self, now: Micros) -> f64 {
-        let most = self.bounds.per_second * RECORDS;
-        let write_demand = match self.word {
-            Some(w) if now < w.until => w.rate.clamp(LEAST * self.bounds.per_second, most),
-            _ => most,
+    /// This node's own share, in changes a second, without loans.
+    #[must_use]
+    pub fn own_share(&self, now: Micros) -> f64 {
+        let max_demand = self.limit.per_second * MAX_RECORDS_SHARE;
+        let write_demand = match self.announced_demand {
+            Some(d) if now < d.expires_at => d
+                .rate
+                .clamp(MIN_RECORDS_SHARE * self.limit.per_second, max_demand),
+            _ => max_demand,
         };
-        (self.bounds.per_second * GIVEN_OUT - write_demand) / f64::from(self.bounds.nodes.max(1))
+        (self.limit.per_second * ALLOCATED_SHARE - write_demand)
+            / f64::from(self.limit.nodes.max(1))
     }
 
-    /// Changes a second that may be spent on new work.
+    /// The changes a second that may be spent on new work.
+    #[must_use]
     pub fn rate(&self, now: Micros) -> f64 {
-        let borrowed: f64 = self.borrowed.iter().map(|(_, l)| l.at(now)).sum();
-        (self.part(now) - self.all_lent(now)).max(0.0) + borrowed
+        let borrowed: f64 = self.borrowed.iter().map(|b| b.loan.rate_at(now)).sum();
+        (self.own_share(now) - self.total_lent(now)).max(0.0) + borrowed
     }
 
-    fn all_lent(&self, now: Micros) -> f64 {
+    fn total_lent(&self, now: Micros) -> f64 {
         (0..self.lent.len()).map(|p| self.lent_to(p, now)).sum()
     }
 
-    /// It may not have heard of a later, smaller loan yet: the largest counts.
+    /// The peer may not have received a later, smaller loan yet: the largest counts.
     fn lent_to(&self, peer: usize, now: Micros) -> f64 {
-        self.lent
-            .get(peer)
-            .map_or(0.0, |l| l.iter().map(|l| l.at(now)).fold(0.0, f64::max))
+        self.lent.get(peer).map_or(0.0, |l| {
+            l.iter().map(|l| l.rate_at(now)).fold(0.0, f64::max)
+        })
     }
 
-    /// A peer asks for `wants` changes a second; this node uses `used` itself, or more than it has if
-    /// it is pressed. What is lent from now on, in place of earlier loans to that peer.
-    pub fn lend(&mut self, peer: usize, wants: f64, used: f64, pressed: bool, now: Micros) -> f64 {
-        let part = self.part(now);
-        let others = self.all_lent(now) - self.lent_to(peer, now);
-        let kept = (used * 1.25).max(part * KEPT);
-        let free = if pressed {
+    /// Grants a peer that asks for `requested` changes a second a loan, in place of earlier loans to it, and returns
+    /// its rate. This node uses `used` changes a second itself; while it is `overloaded`, it lends nothing.
+    pub fn grant_loan(
+        &mut self,
+        peer: usize,
+        requested: f64,
+        used: f64,
+        overloaded: bool,
+        now: Micros,
+    ) -> f64 {
+        let own_share = self.own_share(now);
+        let lent_to_others = self.total_lent(now) - self.lent_to(peer, now);
+        let retained = (used * 1.25).max(own_share * RETAINED_SHARE);
+        let free = if overloaded {
             0.0
         } else {
-            (part - kept - others).max(0.0)
+            (own_share - retained - lent_to_others).max(0.0)
         };
-        let rate = if wants.is_finite() {
-            wants.clamp(0.0, free)
+        let rate = if requested.is_finite() {
+            requested.clamp(0.0, free)
         } else {
             0.0
         };
         let Some(lent) = self.lent.get_mut(peer) else {
             return 0.0;
         };
-        lent.retain(|l| now < l.until);
+        lent.retain(|l| now < l.expires_at);
         if rate > 0.0 {
             let loan = Loan {
                 rate,
-                until: now + FRESH.with_drift(),
+                expires_at: now + VALIDITY.with_drift(),
             };
-            // One loan stands for those that end before it and are no larger.
+            // One loan stands for those that expire before it and are no larger.
             lent.retain(|l| l.rate > rate);
             lent.push(loan);
         }
         rate
     }
 
-    /// A peer lends `rate`, in answer to what was asked at `sent`.
-    pub fn borrowed(&mut self, peer: usize, rate: f64, sent: Micros) {
-        if let Some((asked, loan)) = self.borrowed.get_mut(peer)
-            && sent >= *asked
+    /// A peer granted a loan of `rate` changes a second, in answer to a request sent at `sent_at`. An answer to an
+    /// earlier request than that of the latest loan is ignored.
+    pub fn loan_received(&mut self, peer: usize, rate: f64, sent_at: Micros) {
+        if let Some(borrowed) = self.borrowed.get_mut(peer)
+            && sent_at >= borrowed.requested_at
             && rate.is_finite()
         {
-            *asked = sent;
-            *loan = Loan {
-                rate: rate.clamp(0.0, self.bounds.per_second),
-                until: sent + FRESH,
+            *borrowed = BorrowedLoan {
+                requested_at: sent_at,
+                loan: Loan {
+                    rate: rate.clamp(0.0, self.limit.per_second),
+                    expires_at: sent_at + VALIDITY,
+                },
             };
         }
     }
--- a/crates/hopyoke-admission/src/tenants.rs
+++ b/crates/hopyoke-admission/src/tenants.rs
@@ -1,45 +1,52 @@
-//! What each team may take of what is let in: an equal part of it, if others want it too.
+//! Fair share of admissions by team: an equal part for each team that is active.
 
 use hopyoke_types::Micros;
 
-/// Who asked within this time counts as wanting its part.
-const ACTIVE: Micros = Micros::from_secs(8);
-/// A part that was not taken is kept for so many seconds.
-const BURST: f64 = 2.0;
-/// A team without a guarantee counts for so much of one that has one.
-const GUEST: f64 = 0.25;
+/// A tenant whose last request is no older than this counts as active.
+const ACTIVE_WINDOW: Micros = Micros::from_secs(8);
+/// Unused share is accumulated over so many seconds.
+const BURST_S: f64 = 2.0;
+/// The weight of a team without a guarantee; that of one with a guarantee is 1.
+const UNGUARANTEED_WEIGHT: f64 = 0.25;
+
+/// How many jobs were admitted and rejected since the start of the process.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct TenantCounts {
+    /// Jobs admitted.
+    pub admitted: u64,
+    /// Jobs rejected, each retry counted.
+    pub rejected: u64,
+}
 
 #[derive(Debug, Clone)]
 struct Tenant {
     weight: f64,
-    /// What it may still take of its own part.
+    /// Admissions that are left of its own share.
     credit: f64,
-    filled: Micros,
-    asked: Option<Micros>,
-    let_in: u64,
-    refused: u64,
+    refilled_at: Micros,
+    last_request_at: Option<Micros>,
+    counts: TenantCounts,
 }
 
-/// The teams of the settings, and one place for all others.
+/// The teams of the settings, and one entry for all others.
 #[derive(Debug, Clone)]
 pub(crate) struct Tenants {
-    of: Vec<Tenant>,
+    tenants: Vec<Tenant>,
 }
 
 impl Tenants {
     /// `guaranteed[i]`: the i-th team has a guarantee.
     pub(crate) fn new(guaranteed: &[bool], now: Micros) -> Tenants {
         let tenant = |guaranteed: bool| Tenant {
-            weight: if guaranteed { 1.0 } else { GUEST },
-            // More than any part: it is cut to what its part allows when somebody asks.
+            weight: if guaranteed { 1.0 } else { UNGUARANTEED_WEIGHT },
+            // Cut down to the burst of its share at the first request of any tenant.
             credit: f64::MAX,
-            filled: now,
-            asked: None,
-            let_in: 0,
-            refused: 0,
+            refilled_at: now,
+            last_request_at: None,
+            counts: TenantCounts::default(),
         };
         Tenants {
-            of: guaranteed
+            tenants: guaranteed
                 .iter()
                 .copied()
                 .chain([false])
@@ -48,41 +55,46 @@
         }
     }
 
-    /// Any index is one of a tenant: what the settings do not name shares the last.
+    /// Maps any index to that of a tenant: teams that the settings do not name share the last.
     pub(crate) fn index(&self, tenant: usize) -> usize {
-        tenant.min(self.of.len() - 1)
+        tenant.min(self.tenants.len() - 1)
     }
 
-    /// The tenant asks, while `rate` a second is let in.
-    pub(crate) fn asks(&mut self, tenant: usize, rate: f64, now: Micros) {
-        self.of[tenant].asked = Some(now);
-        let wants = |t: &Tenant| t.asked.is_some_and(|at| now < at + ACTIVE);
-        let all: f64 = self.of.iter().filter(|t| wants(t)).map(|t| t.weight).sum();
-        for t in &mut self.of {
-            let own = rate * t.weight / all.max(t.weight);
-            let span = now.saturating_sub(t.filled).as_secs_f64();
-            t.filled = t.filled.max(now);
-            t.credit = (t.credit + own * span).min((own * BURST).max(1.0));
+    /// A tenant requests an admission, while `rate` jobs a second are admitted: refills all shares.
+    pub(crate) fn requested(&mut self, tenant: usize, rate: f64, now: Micros) {
+        self.tenants[tenant].last_request_at = Some(now);
+        let is_active = |t: &Tenant| t.last_request_at.is_some_and(|at| now < at + ACTIVE_WINDOW);
+        let active_weight: f64 = self
+            .tenants
+            .iter()
+            .filter(|t| is_active(t))
+            .map(|t| t.weight)
+            .sum();
+        for t in &mut self.tenants {
+            let share = rate * t.weight / active_weight.max(t.weight);
+            let span = now.saturating_sub(t.refilled_at).as_secs_f64();
+            t.refilled_at = t.refilled_at.max(now);
+            t.credit = (t.credit + share * span).min((share * BURST_S).max(1.0));
         }
     }
 
-    /// It has not used up its own part.
-    pub(crate) fn is_within(&self, tenant: usize) -> bool {
-        self.of[tenant].credit >= 1.0
+    /// The tenant has not used up its own share.
+    pub(crate) fn is_within_share(&self, tenant: usize) -> bool {
+        self.tenants[tenant].credit >= 1.0
     }
 
-    pub(crate) fn let_in(&mut self, tenant: usize) {
-        let t = &mut self.of[tenant];
+    pub(crate) fn admitted(&mut self, tenant: usize) {
+        let t = &mut self.tenants[tenant];
         t.credit = (t.credit - 1.0).max(0.0);
-        t.let_in += 1;
+        t.counts.admitted += 1;
     }
 
-    pub(crate) fn refused(&mut self, tenant: usize) {
-        self.of[tenant].refused += 1;
+    pub(crate) fn rejected(&mut self, tenant: usize) {
+        self.tenants[tenant].counts.rejected += 1;
     }
 
-    /// Let in and refused, by tenant.
-    pub(crate) fn counts(&self) -> impl Iterator<Item = (u64, u64)> {
-        self.of.iter().map(|t| (t.let_in, t.refused))
+    /// Counters by tenant index.
+    pub(crate) fn counts(&self) -> impl Iterator<Item = TenantCounts> {
+        self.tenants.iter().map(|t| t.counts)
     }
 }
--- a/crates/hopyoke-admission/src/token_bucket.rs
+++ b/crates/hopyoke-admission/src/token_bucket.rs
@@ -1,61 +1,61 @@
-//! A token bucket: what a rate allows, with bursts worth one second of it.
+//! A token bucket whose capacity is worth one second of its rate.
 
 use hopyoke_types::Micros;
 
 #[derive(Debug, Clone)]
 pub(crate) struct TokenBucket {
-    /// A second.
+    /// Tokens a second.
     rate: f64,
     level: f64,
-    filled: Micros,
+    refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// Full at `now`. `rate` is a second; at least one is always allowed at once.
+    /// Full at `now`. `rate` is in tokens a second; the capacity is at least one token.
     pub(crate) fn full(rate: f64, now: Micros) -> TokenBucket {
         let mut bucket = TokenBucket {
             rate: rate.max(0.01),
             level: 0.0,
-            filled: now,
+            refilled_at: now,
         };
-        bucket.level = bucket.most();
+        bucket.level = bucket.capacity();
         bucket
     }
 
-    /// The most that it holds.
-    pub(crate) fn most(&self) -> f64 {
+    /// The tokens that a full bucket holds.
+    pub(crate) fn capacity(&self) -> f64 {
         self.rate.max(1.0)
     }
 
-    /// A rate that holds from now on: what has been gathered is kept up to the new bound.
+    /// Sets the rate from now on: the level is kept, up to the new capacity.
     pub(crate) fn set_rate(&mut self, rate: f64, now: Micros) {
-        self.level_at(now);
+        self.refill(now);
         self.rate = rate.max(0.01);
-        self.level = self.level.min(self.most());
+        self.level = self.level.min(self.capacity());
     }
 
     pub(crate) fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// What may be taken now. Time that seems to run backwards adds nothing.
-    pub(crate) fn level_at(&mut self, now: Micros) -> f64 {
-        let span = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
-        self.level = (self.level + self.rate * span).min(self.most());
+    /// Refills the bucket and returns its level. Time that runs backwards adds nothing.
+    fn refill(&mut self, now: Micros) -> f64 {
+        let span = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.level = (self.level + self.rate * span).min(self.capacity());
         self.level
     }
 
-    /// Takes `n` if more than `floor` is left afterwards; else says how long it takes until then.
-    pub(crate) fn take(&mut self, n: f64, floor: f64, now: Micros) -> Result<(), Micros> {
-        let level = self.level_at(now);
-        // What is larger than the bucket can only ever be taken from a full one.
-        let wanted = (n + floor).min(self.most());
-        // The level is a sum of small parts: what is short by a rounding error is there.
-        if level + 1e-9 >= wanted {
-            self.level -= n;
+    /// Takes `count` tokens if more than `floor` is left afterwards; else returns the time until that is so.
+    pub(crate) fn take(&mut self, count: f64, floor: f64, now: Micros) -> Result<(), Micros> {
+        let level = self.refill(now);
+        // More than the capacity can only ever be taken from a full bucket.
+        let required = (count + floor).min(self.capacity());
+        // The level is a sum of small parts: a deficit of a rounding error is none.
+        if level + 1e-9 >= required {
+            self.level -= count;
             return Ok(());
         }
-        Err(Micros::from_secs_f64((wanted - level) / self.rate))
+        Err(Micros::from_secs_f64((required - level) / self.rate))
     }
 }
--- a/crates/hopyoke-admission/src/wait_queue.rs
+++ b/crates/hopyoke-admission/src/wait_queue.rs
@@ -1,107 +1,116 @@
-//! Those who were told to come back: each keeps its place until then.
+//! The queue of rejected jobs: each keeps its position until its retry is due.
 
 use hopyoke_types::{JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many places are kept; who is refused beyond them comes back as a newcomer.
-const PLACES: usize = 1024;
-/// A place is kept for this long after its holder was to come back: users add some of their own to what they are told.
-const KEPT: Micros = Micros::from_secs(6);
+/// Positions that are kept; a job that is rejected beyond them retries as a new one.
+const MAX_ENTRIES: usize = 1024;
+/// A position is kept for this long after its retry was due: clients add a delay of their own.
+const GRACE_PERIOD: Micros = Micros::from_secs(6);
 
 #[derive(Debug, Clone)]
-struct Place {
+struct Entry {
     job: JobId,
     tenant: usize,
-    due: Micros,
-    /// This node told it when to come back, no peer.
+    due_at: Micros,
+    /// Rejected by this node rather than by a peer.
     own: bool,
 }
 
-/// Places in the order in which they were first given out.
+/// Queue positions in the order in which they were first given out.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WaitQueue {
-    places: BTreeMap<u64, Place>,
-    of_job: BTreeMap<JobId, u64>,
-    by_due: BTreeSet<(Micros, u64)>,
-    next: u64,
+    entries: BTreeMap<u64, Entry>,
+    position_by_job: BTreeMap<JobId, u64>,
+    by_due_time: BTreeSet<(Micros, u64)>,
+    next_position: u64,
 }
 
 impl WaitQueue {
-    /// Places whose holders did not come back when they were told to are given up.
+    /// Drops positions whose jobs were not retried within the grace period.
     pub(crate) fn expire(&mut self, now: Micros) {
-        while let Some((due, seq)) = self
-            .by_due
+        while let Some((due_at, position)) = self
+            .by_due_time
             .first()
             .copied()
-            .filter(|(due, _)| now >= *due + KEPT)
+            .filter(|(due_at, _)| now >= *due_at + GRACE_PERIOD)
         {
-            self.by_due.remove(&(due, seq));
-            if let Some(place) = self.places.remove(&seq) {
-                self.of_job.remove(&place.job);
+            self.by_due_time.remove(&(due_at, position));
+            if let Some(entry) = self.entries.remove(&position) {
+                self.position_by_job.remove(&entry.job);
             }
         }
     }
 
-    /// The holder of a place was let in; false if it had none.
-    pub(crate) fn leave(&mut self, job: &JobId) -> bool {
-        let place = self
-            .of_job
+    /// Removes a job that was admitted; false if it had no position.
+    pub(crate) fn remove(&mut self, job: &JobId) -> bool {
+        let removed = self
+            .position_by_job
             .remove(job)
-            .and_then(|seq| Some((seq, self.places.remove(&seq)?)));
-        if let Some((seq, place)) = &place {
-            self.by_due.remove(&(place.due, *seq));
+            .and_then(|position| Some((position, self.entries.remove(&position)?)));
+        if let Some((position, entry)) = &removed {
+            self.by_due_time.remove(&(entry.due_at, *position));
         }
-        place.is_some()
+        removed.is_some()
     }
 
-    /// How many are ahead of the job: all that have a place, if it has none itself. `None`: no place is left for it.
+    /// How many jobs are ahead of this one: all in the queue, if it has no position yet. `None`: the queue is full.
     pub(crate) fn ahead_of(&self, job: &JobId) -> Option<usize> {
-        match self.of_job.get(job) {
-            Some(seq) => Some(self.places.range(..seq).count()),
-            None => (self.places.len() < PLACES).then_some(self.places.len()),
+        match self.position_by_job.get(job) {
+            Some(position) => Some(self.entries.range(..position).count()),
+            None => (self.entries.len() < MAX_ENTRIES).then_some(self.entries.len()),
         }
     }
 
-    /// Those that are due by then, ahead of the job, and of a tenant that counts.
-    pub(crate) fn due(&self, by: Micros, job: &JobId, counts: impl Fn(usize) -> bool) -> usize {
-        let own = self.of_job.get(job).copied().unwrap_or(u64::MAX);
+    /// How many jobs ahead of this one are due until `deadline`, of tenants that the filter accepts.
+    pub(crate) fn due_ahead_of(
+        &self,
+        deadline: Micros,
+        job: &JobId,
+        counts_tenant: impl Fn(usize) -> bool,
+    ) -> usize {
+        let own = self.position_by_job.get(job).copied().unwrap_or(u64::MAX);
         let due = self
-            .by_due
-            .range(..=(by, u64::MAX))
-            .filter(|(_, seq)| *seq < own);
-        due.filter(|(_, seq)| self.places.get(seq).is_some_and(|p| counts(p.tenant)))
-            .count()
+            .by_due_time
+            .range(..=(deadline, u64::MAX))
+            .filter(|(_, position)| *position < own);
+        due.filter(|(_, position)| {
+            self.entries
+                .get(position)
+                .is_some_and(|e| counts_tenant(e.tenant))
+        })
+        .count()
     }
 
-    /// The job keeps the place that it has, or gets the next one, and is to come back then.
-    pub(crate) fn told(&mut self, job: &JobId, tenant: usize, due: Micros, own: bool) {
-        if let Some(seq) = self.of_job.get(job)
-            && let Some(place) = self.places.get_mut(seq)
+    /// Sets a job's retry time; it keeps the position that it has, or gets the next one while the queue has room.
+    pub(crate) fn upsert(&mut self, job: &JobId, tenant: usize, due_at: Micros, own: bool) {
+        if let Some(position) = self.position_by_job.get(job)
+            && let Some(entry) = self.entries.get_mut(position)
         {
-            self.by_due.remove(&(place.due, *seq));
-            self.by_due.insert((due, *seq));
-            (place.due, place.own) = (due, own);
+            self.by_due_time.remove(&(entry.due_at, *position));
+            self.by_due_time.insert((due_at, *position));
+            (entry.due_at, entry.own) = (due_at, own);
             return;
         }
-        if self.places.len() < PLACES {
-            let seq = self.next;
-            self.next += 1;
-            self.places.insert(
-                seq,
-                Place {
+        if self.entries.len() < MAX_ENTRIES {
+            let position = self.next_position;
+            self.next_position += 1;
+            self.entries.insert(
+                position,
+                Entry {
                     job: job.clone(),
                     tenant,
-                    due,
+                    due_at,
                     own,
                 },
             );
-            self.of_job.insert(job.clone(), seq);
-            self.by_due.insert((due, seq));
+            self.position_by_job.insert(job.clone(), position);
+            self.by_due_time.insert((due_at, position));
         }
     }
 
-    /// How many were told by this node.
-    pub(crate) fn own(&self) -> usize {
-        self.places.values().filter(|p| p.own).count()
+    /// How many jobs in the queue were rejected by this node.
+    pub(crate) fn own_entries(&self) -> usize {
+        self.entries.values().filter(|e| e.own).count()
     }
 }
--- a/crates/hopyoke-admission/src/write_demand.rs
+++ b/crates/hopyoke-admission/src/write_demand.rs
@@ -1,62 +1,67 @@
-//! What the leader's own records need of the changes that the state service takes.
+//! The leader's write demand: the changes that its own records need of those that the key-value store accepts.
 
-use crate::rate_limiter::Bounds;
-use crate::rate_share::FRESH;
+use crate::rate_limiter::SharedLimit;
+use crate::rate_share::VALIDITY;
 use hopyoke_types::Micros;
 
-/// The leader's records may take this part of all changes.
-pub const RECORDS: f64 = 0.5;
-/// Changes are counted over this span.
-const SPAN: Micros = Micros::from_secs(1);
+/// The leader's records may use up to this share of all changes.
+pub(crate) const MAX_RECORDS_SHARE: f64 = 0.5;
+/// Changes are counted over this window.
+const WINDOW: Micros = Micros::from_secs(1);
 
-/// What the leader's records need, a second: what it tells the others.
+/// The changes a second that the leader's records need, as it announces them to its peers.
 #[derive(Debug, Clone)]
 pub struct WriteDemand {
-    most: f64,
-    began: Micros,
+    /// Changes a second.
+    max_rate: f64,
+    window_start: Micros,
+    /// Changes in the present window.
     count: f64,
-    last: f64,
-    short_until: Micros,
+    /// Changes a second in the window before.
+    last_rate: f64,
+    deferred_until: Micros,
 }
 
 impl WriteDemand {
-    pub fn new(bounds: Bounds, now: Micros) -> WriteDemand {
+    /// `changes`: the changes a second that the key-value store accepts from all nodes.
+    #[must_use]
+    pub fn new(changes: SharedLimit, now: Micros) -> WriteDemand {
         WriteDemand {
-            most: bounds.per_second * RECORDS,
-            began: now,
+            max_rate: changes.per_second * MAX_RECORDS_SHARE,
+            window_start: now,
             count: 0.0,
-            last: 0.0,
-            short_until: Micros::ZERO,
+            last_rate: 0.0,
+            deferred_until: Micros::ZERO,
         }
     }
 
     /// So many changes were written.
-    pub fn wrote(&mut self, n: usize, now: Micros) {
-        self.turn(now);
-        self.count += n as f64;
+    pub fn changes_written(&mut self, changes: usize, now: Micros) {
+        self.roll_window(now);
+        self.count += changes as f64;
     }
 
-    /// More waits than the rate allows.
-    pub fn short(&mut self, now: Micros) {
-        self.short_until = now + FRESH;
+    /// More is to be written than the rate allows: the demand is at its maximum for a while.
+    pub fn writes_deferred(&mut self, now: Micros) {
+        self.deferred_until = now + VALIDITY;
     }
 
-    fn turn(&mut self, now: Micros) {
-        let span = now - self.began;
-        if span >= SPAN {
-            self.last = self.count / span.as_secs_f64();
+    fn roll_window(&mut self, now: Micros) {
+        let span = now - self.window_start;
+        if span >= WINDOW {
+            self.last_rate = self.count / span.as_secs_f64();
             self.count = 0.0;
-            self.began = now;
+            self.window_start = now;
         }
     }
 
-    /// Changes a second.
+    /// The demand in changes a second: a quarter and one more than what was written of late, up to the maximum.
     pub fn rate(&mut self, now: Micros) -> f64 {
-        self.turn(now);
-        if now < self.short_until {
-            self.most
+        self.roll_window(now);
+        if now < self.deferred_until {
+            self.max_rate
         } else {
-            (self.last * 1.25 + 1.0).min(self.most)
+            (self.last_rate * 1.25 + 1.0).min(self.max_rate)
         }
     }
 }
--- a/crates/hopyoke-heartbeat/src/batcher.rs
+++ b/crates/hopyoke-heartbeat/src/batcher.rs
@@ -1,94 +1,108 @@
-//! Which reports go to the leader together.
+//! Which heartbeats are relayed to the leader in one call.
 
 use hopyoke_types::Micros;
 use std::collections::VecDeque;
 
-/// A report that waits to be carried.
+/// Identifies a heartbeat that is to be relayed, within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Number(u64);
+pub struct HeartbeatId(u64);
 
-/// Reports for one call.
-pub type Load = Vec<(Number, Vec<u8>)>;
+/// The encoded heartbeats of one call.
+pub type Batch = Vec<(HeartbeatId, Vec<u8>)>;
 
-/// Reports wait this long for more, if fewer than [`MOST`] do.
-const GATHER: Micros = Micros::from_millis(20);
-/// Reports in one call.
-const MOST: usize = 64;
-/// Calls under way at once.
-const MOST_CALLS: usize = 4;
-/// Reports that wait; more are refused at once.
-const MOST_WAITING: usize = 512;
-/// A report that has waited for longer is not carried: its answer would come too late.
-const PATIENCE: Micros = Micros::from_millis(2_500);
+/// A heartbeat is delayed for this long to be joined by others, unless [`MAX_BATCH`] are queued.
+const BATCH_DELAY: Micros = Micros::from_millis(20);
+/// Heartbeats in one call.
+const MAX_BATCH: usize = 64;
+/// Calls in flight at once.
+const MAX_CALLS: usize = 4;
+/// Heartbeats in the queue; more are refused at once.
+const MAX_QUEUED: usize = 512;
+/// A heartbeat that has been queued for longer is not relayed: its response would come too late.
+const MAX_QUEUE_TIME: Micros = Micros::from_millis(2_500);
 
-/// Gathers reports for calls to the leader. Bounded: what finds no room is refused at once, and the
-/// worker tries the next node.
+#[derive(Debug)]
+struct QueuedHeartbeat {
+    id: HeartbeatId,
+    arrived_at: Micros,
+    body: Vec<u8>,
+}
+
+/// Gathers heartbeats for calls to the leader. Bounded: what finds no room is refused at once, and the agent tries the
+/// next node.
 #[derive(Debug, Default)]
 pub struct HeartbeatBatcher {
-    waiting: VecDeque<(Number, Micros, Vec<u8>)>,
-    next: u64,
-    calls: usize,
-    carried: u64,
+    queue: VecDeque<QueuedHeartbeat>,
+    last_id: u64,
+    calls_in_flight: usize,
+    relayed: u64,
     refused: u64,
 }
 
 impl HeartbeatBatcher {
-    /// A report arrives. `None`: too many wait.
-    pub fn arrive(&mut self, heartbeat: Vec<u8>, now: Micros) -> Option<Number> {
-        if self.waiting.len() >= MOST_WAITING {
+    /// Queues an encoded heartbeat. `None`: the queue is full.
+    pub fn enqueue(&mut self, heartbeat: Vec<u8>, now: Micros) -> Option<HeartbeatId> {
+        if self.queue.len() >= MAX_QUEUED {
             self.refused += 1;
             return None;
         }
-        self.next += 1;
-        let number = Number(self.next);
-        self.waiting.push_back((number, now, heartbeat));
-        Some(number)
+        self.last_id += 1;
+        let id = HeartbeatId(self.last_id);
+        self.queue.push_back(QueuedHeartbeat {
+            id,
+            arrived_at: now,
+            body: heartbeat,
+        });
+        Some(id)
     }
 
-    /// When the next call is due; `None`: nothing waits, or as many calls as may be are under way.
-    pub fn due(&self) -> Option<Micros> {
-        let (_, arrived, _) = self.waiting.front()?;
-        if self.calls >= MOST_CALLS {
+    /// When the next call is due; `None`: the queue is empty, or as many calls as allowed are in flight.
+    #[must_use]
+    pub fn next_call_at(&self) -> Option<Micros> {
+        let oldest = self.queue.front()?;
+        if self.calls_in_flight >= MAX_CALLS {
             return None;
         }
-        Some(if self.waiting.len() >= MOST {
+        Some(if self.queue.len() >= MAX_BATCH {
             Micros::ZERO
         } else {
-            *arrived + GATHER
+            oldest.arrived_at + BATCH_DELAY
         })
     }
 
-    /// The reports for a call, if one is due, and those that have waited for too long.
-    pub fn load(&mut self, now: Micros) -> (Load, Vec<Number>) {
-        let mut late = Vec::new();
-        while let Some((number, arrived, _)) = self.waiting.front()
-            && now > *arrived + PATIENCE
+    /// Begins a call: the heartbeats for it, none if no call is due, and those that were dropped because they had been
+    /// queued for too long. A call that has heartbeats ends with [`Self::call_ended`].
+    pub fn begin_call(&mut self, now: Micros) -> (Batch, Vec<HeartbeatId>) {
+        let mut dropped = Vec::new();
+        while let Some(oldest) = self.queue.front()
+            && now > oldest.arrived_at + MAX_QUEUE_TIME
         {
-            late.push(*number);
+            dropped.push(oldest.id);
             self.refused += 1;
-            self.waiting.pop_front();
+            self.queue.pop_front();
         }
-        if self.due().is_none_or(|t| now < t) {
-            return (Load::new(), late);
+        if self.next_call_at().is_none_or(|due_at| now < due_at) {
+            return (Batch::new(), dropped);
         }
-        let n = self.waiting.len().min(MOST);
-        let load: Load = self
-            .waiting
-            .drain(..n)
-            .map(|(number, _, heartbeat)| (number, heartbeat))
+        let count = self.queue.len().min(MAX_BATCH);
+        let batch: Batch = self
+            .queue
+            .drain(..count)
+            .map(|heartbeat| (heartbeat.id, heartbeat.body))
             .collect();
-        self.calls += 1;
-        self.carried += load.len() as u64;
-        (load, late)
+        self.calls_in_flight += 1;
+        self.relayed += batch.len() as u64;
+        (batch, dropped)
     }
 
-    /// A call has ended, well or not.
-    pub fn ended(&mut self) {
-        self.calls = self.calls.saturating_sub(1);
+    /// A call has ended, successfully or not.
+    pub fn call_ended(&mut self) {
+        self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
     }
 
-    /// Reports carried and refused, for operators.
+    /// Heartbeats relayed and refused since the start of the process, for operators.
+    #[must_use]
     pub fn counts(&self) -> (u64, u64) {
-        (self.carried, self.refused)
+        (self.relayed, self.refused)
     }
 }
--- a/crates/hopyoke-heartbeat/src/monitor.rs
+++ b/crates/hopyoke-heartbeat/src/monitor.rs
@@ -3,93 +3,97 @@
 use hopyoke_types::{MachineId, Micros};
 use std::collections::BTreeSet;
 
-/// A leader that no worker reaches is no leader worth having; how soon that is certain depends on how many
-/// should have come.
+/// Detects that a leader receives no heartbeats although it should: it is isolated from its agents and has to step
+/// down. How soon that is certain depends on the number of machines.
 ///
-/// Each worker reports every `heartbeat`, give or take a quarter. When many have found us, not one report for one and a
-/// half intervals is no chance; of a few it may be. After a takeover workers have to find us first: each tries one node
-/// after the other, and those that are away cost it the time of an answer that does not come. Whoever answers our
-/// orders meanwhile shows that we are not the one that is cut off. Only
-/// time in which this process ran and was entitled to answer counts: after a standstill the reports of that time
-/// wait in buffers yet, and silence then speaks against nobody. (Guards against leadership that is
-/// given away on waking, against machines whose leases lapse while a deaf leader waits, and against a
-/// new leader that gives up before workers have been past the nodes that are away.)
+/// Each agent sends a heartbeat every `heartbeat_interval`, give or take a quarter. Once many agents have found the
+/// leader, no heartbeat for one and a half intervals is no coincidence; with a few it may be. After a failover agents
+/// have to find the new leader first: each tries one node after the other, and those that are down cost it a response
+/// timeout each. An agent that answers pushed commands meanwhile shows that the leader is not the one that is cut off.
+/// Only time in which this process ran and held a valid lease counts: after a stall the heartbeats of that time are
+/// still in socket buffers, and silence then says nothing about the agents. (Guards against leadership that is given
+/// away on waking, against machines whose leases expire while an overloaded leader waits, and against a new leader that
+/// gives up before agents have tried the nodes that are down.)
 #[derive(Debug, Clone)]
 pub struct HeartbeatMonitor {
     heartbeat_interval: Micros,
-    /// What a worker needs at the most until it has found the one node that answers.
-    search: Micros,
-    /// Some of the machines that have found us, as many as matter.
+    /// The longest time that an agent needs to find the one node that answers.
+    max_discovery_time: Micros,
+    /// Machines that have found this leader, up to [`MANY_MACHINES`].
     found: BTreeSet<MachineId>,
-    /// A worker answered orders of ours.
-    reached: bool,
-    quiet: Micros,
-    looked: Micros,
+    /// An agent answered pushed commands.
+    command_answered: bool,
+    silence: Micros,
+    last_check_at: Micros,
 }
 
-/// So many machines are many.
-const MANY: usize = 8;
-/// A worker waits so long for an answer, and then so long until it tries the next node.
-const TRY: Micros = Micros::from_secs(4 + 1);
-/// Between two looks no more than this counts: a process that runs looks more often.
-const STEP: Micros = Micros::from_millis(500);
+/// From this number of machines on, the absence of all heartbeats is certain soon.
+const MANY_MACHINES: usize = 8;
+/// An agent's response timeout, and its delay until it tries the next node.
+const ATTEMPT_TIME: Micros = Micros::from_secs(4 + 1);
+/// Between two checks no more than this counts as silence: a process that runs checks more often.
+const MAX_CHECK_INTERVAL: Micros = Micros::from_millis(500);
 
 impl HeartbeatMonitor {
-    /// Nothing is heard yet. `heartbeat_interval` is the time between two heartbeats of one worker; `nodes` is how many nodes there
-    /// are, this one included.
+    /// For a leader that has received no heartbeat yet. `heartbeat_interval` is the time between two heartbeats of one
+    /// agent; `nodes` is the number of nodes, this one included.
+    #[must_use]
     pub fn new(heartbeat_interval: Micros, nodes: u32, now: Micros) -> HeartbeatMonitor {
-        let search = TRY.times(u64::from(nodes.saturating_sub(1))) + heartbeat_interval.times(2);
+        let max_discovery_time =
+            ATTEMPT_TIME.times(u64::from(nodes.saturating_sub(1))) + heartbeat_interval.times(2);
         HeartbeatMonitor {
             heartbeat_interval,
-            search,
+            max_discovery_time,
             found: BTreeSet::new(),
-            reached: false,
-            quiet: Micros::ZERO,
-            looked: now,
+            command_answered: false,
+            silence: Micros::ZERO,
+            last_check_at: now,
         }
     }
 
-    /// A worker's report came; `answered`: it shows that the worker has had an answer, or orders, of this leader. One
-    /// that does not may be old, and kept by the network: its worker may be past no other node yet.
-    pub fn heard(&mut self, machine: &MachineId, answered: bool) {
-        if answered && self.found.len() < MANY && !self.found.contains(machine) {
+    /// A heartbeat was received; `acknowledges_leader`: it shows that its agent has received a response, or commands, of
+    /// this leader. One that does not may have been delayed by the network, from before its agent began its search.
+    pub fn heartbeat_received(&mut self, machine: &MachineId, acknowledges_leader: bool) {
+        if acknowledges_leader && self.found.len() < MANY_MACHINES && !self.found.contains(machine)
+        {
             self.found.insert(machine.clone());
         }
-        self.quiet = Micros::ZERO;
+        self.silence = Micros::ZERO;
     }
 
-    /// A worker answered orders of ours.
-    pub fn answered(&mut self) {
-        self.reached = true;
+    /// An agent answered pushed commands.
+    pub fn command_answered(&mut self) {
+        self.command_answered = true;
     }
 
-    /// Looks again, several times a second; true if no worker reaches us although so many `machines` should.
-    pub fn is_cut_off(&mut self, machines: usize, entitled: bool, now: Micros) -> bool {
-        let span = now - self.looked;
-        self.looked = self.looked.max(now);
-        if !entitled {
-            // Workers that are refused look for another node, and need a while to come back.
+    /// Checks again, as is to be done several times a second; true if no heartbeat arrives although this number of
+    /// `machines` should send some.
+    pub fn is_cut_off(&mut self, machines: usize, lease_is_valid: bool, now: Micros) -> bool {
+        let span = now - self.last_check_at;
+        self.last_check_at = self.last_check_at.max(now);
+        if !lease_is_valid {
+            // Agents that are refused try another node, and need a while to come back.
             self.found.clear();
-            (self.reached, self.quiet) = (false, Micros::ZERO);
+            (self.command_answered, self.silence) = (false, Micros::ZERO);
             return false;
         }
-        self.quiet += span.min(STEP);
-        machines >= 2 && self.quiet > self.patience(machines)
+        self.silence += span.min(MAX_CHECK_INTERVAL);
+        machines >= 2 && self.silence > self.max_silence(machines)
     }
 
-    fn patience(&self, machines: usize) -> Micros {
-        let few = self.heartbeat_interval.times(3).max(Micros::from_secs(6));
-        if self.found.len() < machines.min(MANY) {
-            return if self.reached {
-                few.max(self.search)
+    fn max_silence(&self, machines: usize) -> Micros {
+        let of_few = self.heartbeat_interval.times(3).max(Micros::from_secs(6));
+        if self.found.len() < machines.min(MANY_MACHINES) {
+            return if self.command_answered {
+                of_few.max(self.max_discovery_time)
             } else {
-                few
+                of_few
             };
         }
-        if machines >= MANY {
-            Micros(self.heartbeat_interval.0 * 3 / 2) + STEP
+        if machines >= MANY_MACHINES {
+            Micros(self.heartbeat_interval.0 * 3 / 2) + MAX_CHECK_INTERVAL
         } else {
-            few
+            of_few
         }
     }
 }
--- a/crates/hopyoke-heartbeat/src/routes.rs
+++ b/crates/hopyoke-heartbeat/src/routes.rs
@@ -1,132 +1,175 @@
-//! Where a report goes.
+//! Where a heartbeat goes.
 
 use hopyoke_types::Micros;
 
-/// What a node tells the others of its connections.
+/// The use of a node's connections, as it announces it to its peers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Crowd {
-    /// Connections open.
+pub struct ConnectionLoad {
+    /// Connections that are open.
     pub open: u64,
-    /// The most that it takes.
-    pub most: u64,
-    /// It leads, and has others hold workers' connections for it.
-    pub shares: bool,
+    /// Connections that the node accepts at once.
+    pub max_open: u64,
+    /// The node leads, and has its peers hold agents' connections and relay their heartbeats.
+    pub offloads: bool,
 }
 
-/// A peer, as far as it has been heard of lately.
+/// A peer, by its last announcement.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Peer {
-    crowd: Crowd,
-    heard: Option<Micros>,
+struct Peer {
+    load: ConnectionLoad,
+    announced_at: Option<Micros>,
 }
 
-/// What is done with a report that a worker brought.
+/// What is done with a heartbeat that an agent sent to this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
-    /// We lead: it is answered here.
-    Here,
-    /// The worker is sent to this peer (its place in the list).
-    To(usize),
-    /// It is carried to the leader, and the worker stays.
-    Carry,
-    /// The worker is sent to the leader.
-    Leader,
+    /// This node leads: it answers.
+    Local,
+    /// The agent is redirected to the peer with this index.
+    RedirectToPeer(usize),
+    /// The heartbeat is relayed to the leader, and the agent keeps its connection to this node.
+    Relay,
+    /// The agent is redirected to the leader.
+    RedirectToLeader,
 }
 
-/// From this part of its connections on a leader has others hold workers' connections...
-const SHARES_FROM: f64 = 0.88;
-/// ... and no longer below this: workers that were sent away would come back and be sent away again.
-const SHARES_UNTIL: f64 = 0.6;
-/// The same for a leader that is behind on its processor: reading requests and answering them is most of
-/// what a report costs, and others can do it.
-const BEHIND_FROM: f64 = 0.3;
-const BEHIND_UNTIL: f64 = 0.2;
-/// A peer takes workers up to this part of its connections: users come to it as well.
-const HOLDS_UNTIL: f64 = 0.8;
-/// By then all peers have heard that this node shares: they are greeted every second.
-const TOLD: Micros = Micros::from_millis(2_200);
-/// What a peer said holds for this long.
-const FRESH: Micros = Micros::from_millis(3_500);
+/// The shares of its open connections, 0 to 1, between which a leader's offloading changes.
+#[derive(Debug, Clone, Copy)]
+struct OffloadThresholds {
+    /// From this share on it begins.
+    start: f64,
+    /// Below this share it ends. Lower, since agents that were redirected would otherwise come back and be redirected
+    /// again.
+    stop: f64,
+}
+
+const THRESHOLDS: OffloadThresholds = OffloadThresholds {
+    start: 0.88,
+    stop: 0.6,
+};
+/// For a leader whose processor is overloaded: reading requests and answering them is the largest part of the cost of a
+/// heartbeat, and peers can do it.
+const THRESHOLDS_CPU_OVERLOADED: OffloadThresholds = OffloadThresholds {
+    start: 0.3,
+    stop: 0.2,
+};
+/// A peer accepts agents up to this share of its connections: users connect to it as well.
+const PEER_MAX_SHARE: f64 = 0.8;
+/// By then all peers have received the announcement that this node offloads: they are greeted every second.
+const ANNOUNCEMENT_DELAY: Micros = Micros::from_millis(2_200);
+/// A peer's announcement is valid for this long.
+const VALIDITY: Micros = Micros::from_millis(3_500);
 
-/// Where reports go, by how crowded the nodes are.
+/// Routes heartbeats by the connection load of the nodes.
 #[derive(Debug, Clone)]
 pub struct Routes {
     peers: Vec<Peer>,
-    /// Since when this node, which leads, has told the others that it shares.
-    shares: Option<Micros>,
-    next: usize,
+    /// Since when this node, which leads, has announced that it offloads.
+    offloading_since: Option<Micros>,
+    /// The peer that is tried first for the next redirect.
+    next_peer: usize,
 }
 
 impl Routes {
-    /// For a node with so many peers.
+    /// For a node with this number of peers.
+    #[must_use]
     pub fn new(peers: usize) -> Routes {
         Routes {
             peers: vec![Peer::default(); peers],
-            shares: None,
-            next: 0,
+            offloading_since: None,
+            next_peer: 0,
         }
     }
 
-    /// A peer told how crowded it is.
-    pub fn heard(&mut self, peer: usize, crowd: Crowd, now: Micros) {
+    /// A peer announced its connection load.
+    pub fn load_received(&mut self, peer: usize, load: ConnectionLoad, now: Micros) {
         if let Some(p) = self.peers.get_mut(peer) {
             *p = Peer {
-                crowd,
-                heard: Some(now),
+                load,
+                announced_at: Some(now),
             };
         }
     }
 
-    /// What this node tells the others: `open` of `most` connections are in use, and it may be behind on
-    /// its processor.
-    pub fn own(&mut self, leads: bool, behind: bool, open: u64, most: u64, now: Micros) -> Crowd {
-        let part = open as f64 / most.max(1) as f64;
-        let (from, until) = bounds(behind);
-        let shares = leads && (part >= from || (self.shares.is_some() && part >= until));
-        self.shares = shares.then(|| self.shares.unwrap_or(now));
-        Crowd { open, most, shares }
+    /// What this node is to announce: `open` of `max_open` connections are in use, and its processor may be overloaded.
+    pub fn own_load(
+        &mut self,
+        leads: bool,
+        cpu_overloaded: bool,
+        open: u64,
+        max_open: u64,
+        now: Micros,
+    ) -> ConnectionLoad {
+        let share = open as f64 / max_open.max(1) as f64;
+        let thresholds = thresholds(cpu_overloaded);
+        let offloads = leads
+            && (share >= thresholds.start
+                || (self.offloading_since.is_some() && share >= thresholds.stop));
+        self.offloading_since = offloads.then(|| self.offloading_since.unwrap_or(now));
+        ConnectionLoad {
+            open,
+            max_open,
+            offloads,
+        }
     }
 
-    /// A report came to the leader itself. A worker that is sent away costs two requests now and saves a
-    /// handshake with each report; if no peer has room, it is answered here.
-    pub fn at_leader(&mut self, behind: bool, open: u64, most: u64, now: Micros) -> Route {
-        // A peer that has not heard of it yet would send the worker back.
-        let told = self.shares.is_some_and(|t| now >= t + TOLD);
-        if !told || (open as f64) < bounds(behind).0 * most.max(1) as f64 {
-            return Route::Here;
+    /// Routes a heartbeat that was sent to the leader itself. A redirected agent costs two requests now and saves a
+    /// handshake with each heartbeat; if no peer has room, the heartbeat is answered locally.
+    pub fn at_leader(
+        &mut self,
+        cpu_overloaded: bool,
+        open: u64,
+        max_open: u64,
+        now: Micros,
+    ) -> Route {
+        // A peer that has not received the announcement yet would redirect the agent back.
+        let announced = self
+            .offloading_since
+            .is_some_and(|since| now >= since + ANNOUNCEMENT_DELAY);
+        let start = thresholds(cpu_overloaded).start;
+        if !announced || (open as f64) < start * max_open.max(1) as f64 {
+            return Route::Local;
         }
-        let n = self.peers.len();
-        for k in 0..n {
-            let i = (self.next + k) % n;
-            let p = &mut self.peers[i];
-            let room = (p.crowd.open as f64) < HOLDS_UNTIL * p.crowd.most as f64;
-            if room && fresh(p.heard, now) {
-                // Until it is heard again, what it was sent counts.
-                p.crowd.open += 1;
-                self.next = i + 1;
-                return Route::To(i);
+        let count = self.peers.len();
+        for offset in 0..count {
+            let index = (self.next_peer + offset) % count;
+            let peer = &mut self.peers[index];
+            let has_room = (peer.load.open as f64) < PEER_MAX_SHARE * peer.load.max_open as f64;
+            if has_room && peer.is_current(now) {
+                // Until its next announcement, redirected agents count as open connections.
+                peer.load.open += 1;
+                self.next_peer = index + 1;
+                return Route::RedirectToPeer(index);
             }
         }
-        Route::Here
+        Route::Local
     }
 
-    /// A report came to a node that does not lead; the leader is this peer, if it is known.
-    pub fn elsewhere(&self, leader: Option<usize>, now: Micros) -> Route {
-        let shares = leader
+    /// Routes a heartbeat that was sent to a node that does not lead; `leader` is the index of the peer that does, if
+    /// known.
+    #[must_use]
+    pub fn at_follower(&self, leader: Option<usize>, now: Micros) -> Route {
+        let offloads = leader
             .and_then(|l| self.peers.get(l))
-            .is_some_and(|p| p.crowd.shares && fresh(p.heard, now));
-        if shares { Route::Carry } else { Route::Leader }
+            .is_some_and(|p| p.load.offloads && p.is_current(now));
+        if offloads {
+            Route::Relay
+        } else {
+            Route::RedirectToLeader
+        }
     }
 }
 
-fn bounds(behind: bool) -> (f64, f64) {
-    if behind {
-        (BEHIND_FROM, BEHIND_UNTIL)
-    } else {
-        (SHARES_FROM, SHARES_UNTIL)
+impl Peer {
+    fn is_current(&self, now: Micros) -> bool {
+        self.announced_at.is_some_and(|at| now < at + VALIDITY)
     }
 }
 
-fn fresh(heard: Option<Micros>, now: Micros) -> bool {
-    heard.is_some_and(|t| now < t + FRESH)
+fn thresholds(cpu_overloaded: bool) -> OffloadThresholds {
+    if cpu_overloaded {
+        THRESHOLDS_CPU_OVERLOADED
+    } else {
+        THRESHOLDS
+    }
 }
--- a/crates/hopyoke-simulator/src/controller.rs
+++ b/crates/hopyoke-simulator/src/controller.rs
@@ -498,7 +498,7 @@
                 // The peer hears with it what our records need.
                 let need = w.nodes[i].part.as_mut().map(|p| p.door.write_demand(now));
                 if let (Some(need), Some(p)) = (need, w.nodes[j].part.as_mut()) {
-                    p.door.heard(need, sent);
+                    p.door.write_demand_received(need, sent);
                 }
                 w.send(Host::Node(j), Host::Node(i), move |w| {
                     let now = w.now;
@@ -648,7 +648,7 @@
         let pressed = self.nodes[i]
             .part
             .as_mut()
-            .is_some_and(|p| p.door.is_pressed(now));
+            .is_some_and(|p| p.door.is_overloaded(now));
         let Some(lead) = self.lead(i, process) else {
             return;
         };
@@ -687,7 +687,7 @@
         lead.writing |= batch.is_some();
         let token = lead.scheduler.token;
         if let Some(p) = self.nodes[i].part.as_mut().filter(|_| short) {
-            p.door.short(now);
+            p.door.writes_deferred(now);
         }
         self.tick_looks = self.tick_looks.max(looks);
         if let Some(since) = recovered {
@@ -923,7 +923,7 @@
         }
         let (sent, changes) = (self.now, batch.changes());
         if let Some(p) = &mut self.nodes[i].part {
-            p.door.wrote(changes, sent);
+            p.door.changes_written(changes, sent);
         }
         let open = Rc::new(Cell::new(true));
         let (a, b) = (open.clone(), open);
--- a/crates/hopyoke-simulator/src/limits.rs
+++ b/crates/hopyoke-simulator/src/limits.rs
@@ -1,7 +1,7 @@
 //! The state service's limits, and what the nodes make of them.
 
 use super::{Host, World};
-use hopyoke_admission::{AdmissionController, Bounds, RateLimiter, RequestPriority};
+use hopyoke_admission::{AdmissionController, RateLimiter, RequestPriority, SharedLimit};
 use hopyoke_scheduler::Team;
 use hopyoke_types::{JobId, Micros};
 
@@ -56,7 +56,7 @@
     }
 
     pub fn part(&self, nodes: usize, teams: &[Team], now: Micros) -> Part {
-        let bounds = |per_second| Bounds {
+        let bounds = |per_second| SharedLimit {
             per_second,
             nodes: nodes as u32,
         };
@@ -99,11 +99,11 @@
             let Some(part) = self.nodes[i].part.as_mut() else {
                 return;
             };
-            let words = part.door.words(place(j, i), now);
+            let words = part.door.take_gossip(place(j, i), now);
             self.send(Host::Node(i), Host::Node(j), move |w| {
                 let now = w.now;
                 if let Some(part) = w.nodes[j].part.as_mut() {
-                    part.door.heard_words(place(i, j), &words, now);
+                    part.door.gossip_received(place(i, j), &words, now);
                 }
             });
         }
@@ -126,9 +126,9 @@
         let Some(p) = self.nodes[i].part.as_mut() else {
             return Ok(());
         };
-        let room = p.door.enter(job, team, leads, now).and_then(|()| {
+        let room = p.door.admit(job, team, leads, now).and_then(|()| {
             let room = p.pace.take(RequestPriority::Accepts, 1, now);
-            room.map_err(|_| p.door.refuse(job, team, leads, now))
+            room.map_err(|_| p.door.reject(job, team, leads, now))
         });
         room.map_err(|after| Micros::from_secs(u64::from(after.0)))
     }
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -29,7 +29,7 @@
             node.most_connections(),
             now,
         );
-        if let Route::To(peer) = route
+        if let Route::RedirectToPeer(peer) = route
             && leadership.lease_is_valid()
         {
             let other = &node.peers.0[peer].peer.node;
@@ -51,8 +51,8 @@
         .borrow()
         .as_deref()
         .and_then(|l| node.peers.place_of(l));
-    if node.routes.borrow().elsewhere(leader, now) == Route::Carry {
-        return match node.heartbeat_relay.carry(request.body).await {
+    if node.routes.borrow().at_follower(leader, now) == Route::Relay {
+        return match node.heartbeat_relay.relay(request.body).await {
             Some(body) => {
                 let mut response = Response::empty(200);
                 response.body = body;
@@ -105,7 +105,7 @@
         leadership
             .heartbeat_monitor
             .borrow_mut()
-            .heard(&heartbeat.machine, heartbeat.token == answer.token);
+            .heartbeat_received(&heartbeat.machine, heartbeat.token == answer.token);
     }
     // A report without news leaves nothing to do.
     if scheduler.next_due(now) <= now || scheduler.has_actions() {
@@ -237,7 +237,7 @@
         match result {
             Ok(r) if matches!(r.status, 200 | 409) => {
                 let heartbeat: Option<Heartbeat> = decode(&r.body).ok();
-                leadership.heartbeat_monitor.borrow_mut().answered();
+                leadership.heartbeat_monitor.borrow_mut().command_answered();
                 scheduler.direct_answer(&machine, r.status == 200, heartbeat.as_ref(), now);
             }
             Ok(r) => {
--- a/crates/hopyoke/src/api/admission.rs
+++ b/crates/hopyoke/src/api/admission.rs
@@ -1,21 +1,29 @@
-//! Who of those that bring new work is let in: [`hopyoke_admission::AdmissionController`] with this node's clock.
+//! Admission control of this node: [`hopyoke_admission::AdmissionController`] with the node's clock and the names of
+//! its teams.
 
 use crate::node::Node;
-use crate::peers::client::proto::Place;
-use hopyoke_admission::{AdmissionController as Decisions, Bounds, QueueGossip, RetryAfter};
+use crate::peers::client::proto::QueuePosition;
+use hopyoke_admission::{
+    AdmissionController as Decisions, AdmissionStats, QueueGossip, RetryAfter, SharedLimit,
+    TenantCounts,
+};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
 use std::cell::RefCell;
 
+/// Decides which submissions this node admits, and shares its queue and its rate with its peers.
 pub struct AdmissionController {
     decisions: RefCell<Decisions>,
     teams: Vec<String>,
 }
 
 impl AdmissionController {
-    /// `changes`: what the state service takes a second from all nodes, and how many nodes there are.
-    pub fn new(changes: Bounds, teams: &[hopyoke_scheduler::Team]) -> AdmissionController {
+    /// `changes`: the changes a second that the key-value store accepts from all nodes, and the number of nodes.
+    pub(crate) fn new(
+        changes: SharedLimit,
+        teams: &[hopyoke_scheduler::Team],
+    ) -> AdmissionController {
         let guaranteed: Vec<bool> = teams.iter().map(|t| t.cpus > 0.0 || t.gpus > 0.0).collect();
         let decisions = Decisions::new(changes, &guaranteed, runtime::now());
         AdmissionController {
@@ -24,68 +32,76 @@
         }
     }
 
-    fn team(&self, name: &str) -> usize {
+    /// Teams that the settings do not name share the index past the last.
+    fn team_index(&self, name: &str) -> usize {
         self.teams
             .iter()
             .position(|t| t == name)
             .unwrap_or(self.teams.len())
     }
 
-    /// One asks to be let in with a job.
+    /// Admits a job, if there is room.
     ///
     /// # Errors
-    /// There is no room: when to come back.
-    pub fn enter(&self, node: &Node, spec: &JobSpec) -> Result<(), RetryAfter> {
-        let (team, leads) = (self.team(&spec.team), node.leadership().is_some());
+    /// There is no room: after how long the client may retry.
+    pub(crate) fn admit(&self, node: &Node, spec: &JobSpec) -> Result<(), RetryAfter> {
+        let (team, leads) = (self.team_index(&spec.team), node.leadership().is_some());
         self.decisions
             .borrow_mut()
-            .enter(&spec.id, team, leads, runtime::now())
+            .admit(&spec.id, team, leads, runtime::now())
     }
 
-    /// One was let in, and found no room further on.
-    pub fn refuse(&self, node: &Node, id: &JobId, team: &str) -> RetryAfter {
-        let (team, leads) = (self.team(team), node.leadership().is_some());
+    /// Rejects a job that was admitted and then found no room at the key-value store.
+    pub(crate) fn reject(&self, node: &Node, id: &JobId, team: &str) -> RetryAfter {
+        let (team, leads) = (self.team_index(team), node.leadership().is_some());
         self.decisions
             .borrow_mut()
-            .refuse(id, team, leads, runtime::now())
+            .reject(id, team, leads, runtime::now())
     }
 
-    /// The leader told what its records need, in answer to what was sent at `sent`.
-    pub fn heard(&self, need: f64, sent: Micros) {
-        self.decisions.borrow_mut().heard(need, sent);
+    /// The leader announced the changes a second that its records need, in answer to a greeting sent at `sent_at`.
+    pub(crate) fn write_demand_received(&self, write_demand: f64, sent_at: Micros) {
+        self.decisions
+            .borrow_mut()
+            .write_demand_received(write_demand, sent_at);
     }
 
-    /// What we ask our peers for.
-    pub fn wants(&self) -> f64 {
-        self.decisions.borrow_mut().wants(runtime::now())
+    /// The loan to ask a peer for, in changes a second.
+    pub(crate) fn requested_loan(&self) -> f64 {
+        self.decisions.borrow_mut().requested_loan(runtime::now())
     }
 
-    /// A peer asks; what it gets.
-    pub fn lend(&self, peer: usize, wants: f64) -> f64 {
+    /// Grants a peer that asks for `requested` changes a second a loan, and returns its rate.
+    pub(crate) fn grant_loan(&self, peer: usize, requested: f64) -> f64 {
         self.decisions
             .borrow_mut()
-            .lend(peer, wants, runtime::now())
+            .grant_loan(peer, requested, runtime::now())
     }
 
-    /// A peer lent us changes, in answer to what was asked at `sent`.
-    pub fn borrowed(&self, peer: usize, rate: f64, sent: Micros) {
-        self.decisions.borrow_mut().borrowed(peer, rate, sent);
+    /// A peer granted a loan of `rate` changes a second, in answer to a greeting sent at `sent_at`.
+    pub(crate) fn loan_received(&self, peer: usize, rate: f64, sent_at: Micros) {
+        self.decisions
+            .borrow_mut()
+            .loan_received(peer, rate, sent_at);
     }
 
-    /// What to tell a peer of our line.
-    pub fn words(&self, peer: usize) -> Vec<Place> {
-        let words = self.decisions.borrow_mut().words(peer, runtime::now());
-        let place = |w: QueueGossip| Place {
-            job: w.job.to_string(),
-            team: w.tenant as u32,
-            due_us: w.due_in.map_or(0, |span| span.0.max(1)),
+    /// Takes the queue positions to announce to a peer now.
+    pub(crate) fn take_gossip(&self, peer: usize) -> Vec<QueuePosition> {
+        let gossip = self
+            .decisions
+            .borrow_mut()
+            .take_gossip(peer, runtime::now());
+        let position = |g: QueueGossip| QueuePosition {
+            job: g.job.to_string(),
+            team: g.tenant as u32,
+            due_us: g.due_in.map_or(0, |span| span.0.max(1)),
         };
-        words.into_iter().map(place).collect()
+        gossip.into_iter().map(position).collect()
     }
 
-    /// A peer told of its line. What is no job's id is passed over.
-    pub fn heard_words(&self, peer: usize, places: &[Place]) {
-        let word = |p: &Place| {
+    /// A peer announced changes of its queue positions. Those whose job id is malformed are ignored.
+    pub(crate) fn gossip_received(&self, peer: usize, positions: &[QueuePosition]) {
+        let gossip = |p: &QueuePosition| {
             let due_in = (p.due_us > 0).then_some(Micros(p.due_us));
             Some(QueueGossip {
                 job: JobId::parse(&p.job)?,
@@ -93,43 +109,42 @@
                 due_in,
             })
         };
-        let words: Vec<QueueGossip> = places.iter().filter_map(word).collect();
+        let gossip: Vec<QueueGossip> = positions.iter().filter_map(gossip).collect();
         self.decisions
             .borrow_mut()
-            .heard_words(peer, &words, runtime::now());
+            .gossip_received(peer, &gossip, runtime::now());
     }
 
-    pub fn is_pressed(&self) -> bool {
-        self.decisions.borrow_mut().is_pressed(runtime::now())
+    /// Some jobs were rejected here and have not been retried.
+    pub(crate) fn is_overloaded(&self) -> bool {
+        self.decisions.borrow_mut().is_overloaded(runtime::now())
     }
 
-    /// We lead, and wrote so many changes.
-    pub fn wrote(&self, changes: usize) {
-        self.decisions.borrow_mut().wrote(changes, runtime::now());
+    /// This node, the leader, wrote so many changes.
+    pub(crate) fn changes_written(&self, changes: usize) {
+        self.decisions
+            .borrow_mut()
+            .changes_written(changes, runtime::now());
     }
 
-    /// We lead, and have more to write than the rate allows.
-    pub fn short(&self) {
-        self.decisions.borrow_mut().short(runtime::now());
+    /// This node, the leader, has more to write than the rate allows.
+    pub(crate) fn writes_deferred(&self) {
+        self.decisions.borrow_mut().writes_deferred(runtime::now());
     }
 
-    /// What our records need while we lead.
-    pub fn need(&self) -> f64 {
+    /// The changes a second that this node's records need while it leads.
+    pub(crate) fn write_demand(&self) -> f64 {
         self.decisions.borrow_mut().write_demand(runtime::now())
     }
 
-    /// Let in, refused, the line, and the rate, for operators.
-    pub fn counts(&self) -> (u64, u64, Micros, f64) {
-        self.decisions.borrow_mut().counts(runtime::now())
+    /// Counters, queue and rate, for operators.
+    pub(crate) fn stats(&self) -> AdmissionStats {
+        self.decisions.borrow_mut().stats(runtime::now())
     }
 
-    /// By team: its name, let in, refused, for operators.
-    pub fn team_counts(&self) -> Vec<(String, u64, u64)> {
+    /// Counters by team's name, for operators; the last are those of all teams that the settings do not name.
+    pub(crate) fn team_counts(&self) -> Vec<(String, TenantCounts)> {
         let names = self.teams.iter().cloned().chain(["others".to_owned()]);
-        let decisions = self.decisions.borrow();
-        names
-            .zip(decisions.team_counts())
-            .map(|(name, (let_in, refused))| (name, let_in, refused))
-            .collect()
+        names.zip(self.decisions.borrow().team_counts()).collect()
     }
 }
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -253,7 +253,7 @@
     if let Some(end) = node.terminal_states.get(&id).filter(|e| !e.flow) {
         return Ok(finished(&id, end));
     }
-    if let Err(after) = node.admission.enter(node, &spec) {
+    if let Err(after) = node.admission.admit(node, &spec) {
         debug!(job = %id, after_s = after.0, "refused at the door");
         // A repeated submission of what is accepted gets its answer all the same, where that costs
         // nothing of its own.
@@ -270,7 +270,7 @@
     let record = JobRecord::accepted(spec, runtime::time_of_day().0);
     let end = match records::accept(node, record, Vec::new()).await {
         Err(e) if e.is_refusal() && node.state.answers() => {
-            return Ok(no_room(node.admission.refuse(node, &id, &team)));
+            return Ok(no_room(node.admission.reject(node, &id, &team)));
         }
         end => end?,
     };
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -50,7 +50,7 @@
             Ok(Some((value, mod_revision))) => (value.readable(), mod_revision),
             Ok(None) => {
                 // Nobody leads, so nobody's records need anything.
-                node.admission.heard(0.0, asked);
+                node.admission.write_demand_received(0.0, asked);
                 (None, ModRevision(0))
             }
             Err(e) => {
@@ -413,7 +413,7 @@
     loop {
         let batch = {
             let mut scheduler = leadership.scheduler.borrow_mut();
-            scheduler.set_pressed(node.admission.is_pressed());
+            scheduler.set_pressed(node.admission.is_overloaded());
             if leadership.lease_is_valid() {
                 scheduler.next_batch(runtime::now())
             } else {
@@ -423,7 +423,7 @@
         let Some(batch) = batch else {
             let more = leadership.scheduler.borrow().has_writes();
             if leadership.scheduler.borrow().short_of_writes() {
-                node.admission.short();
+                node.admission.writes_deferred();
             }
             let pause = if more {
                 Micros::from_millis(50)
@@ -437,7 +437,7 @@
             continue;
         };
         let token = leadership.scheduler.borrow().token;
-        node.admission.wrote(batch.changes());
+        node.admission.changes_written(batch.changes());
         let result = commit(&node, token, &batch).await;
         if result == Err(BatchError::Deposed) {
             // Only our grant itself can have failed: somebody else leads.
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -8,7 +8,7 @@
 use crate::store::client::KvClient;
 use crate::store::read_index::Replica;
 use crate::store::terminal_states::TerminalStateCache;
-use hopyoke_admission::Bounds;
+use hopyoke_admission::SharedLimit;
 use hopyoke_consistency::DeliveryCursors;
 use hopyoke_consistency::leader_lease::LeaderLease;
 use hopyoke_event_loop::http::OpenCount;
@@ -168,7 +168,7 @@
                 pages_from: Cell::new(Micros::ZERO),
             }
         });
-        let bounds = |per_second| Bounds {
+        let bounds = |per_second| SharedLimit {
             per_second,
             nodes: settings.facts.nodes,
         };
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -25,19 +25,26 @@
         "leader {leader} state_answers {}",
         node.state.answers()
     );
-    let (let_in, refused, line, rate) = node.admission.counts();
+    let admission = node.admission.stats();
     let _ = writeln!(
         out,
-        "door let_in {let_in} refused {refused} line_s {:.0} rate {rate:.1} a second",
-        line.as_secs_f64()
+        "door let_in {} refused {} line_s {:.0} rate {:.1} a second",
+        admission.admitted,
+        admission.rejected,
+        admission.estimated_wait.as_secs_f64(),
+        admission.rate
     );
-    for (team, let_in, refused) in node
+    for (team, counts) in node
         .admission
         .team_counts()
         .into_iter()
-        .filter(|(_, l, r)| l + r > 0)
+        .filter(|(_, c)| c.admitted + c.rejected > 0)
     {
-        let _ = writeln!(out, "door team {team} let_in {let_in} refused {refused}");
+        let _ = writeln!(
+            out,
+            "door team {team} let_in {} refused {}",
+            counts.admitted, counts.rejected
+        );
     }
     for importance in RequestPriority::ALL {
         let (sent, held_back) = node.state.counts(importance);
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -239,7 +239,11 @@
     }
 
     /// Carries workers' reports to the leader; the answers in the same order.
-    pub async fn carry(&self, from: &str, heartbeats: Vec<Vec<u8>>) -> Option<Vec<Vec<u8>>> {
+    pub async fn relay_heartbeats(
+        &self,
+        from: &str,
+        heartbeats: Vec<Vec<u8>>,
+    ) -> Option<Vec<Vec<u8>>> {
         let n = heartbeats.len();
         let message = HeartbeatBatch {
             node: from.to_owned(),
--- a/crates/hopyoke/src/peers/heartbeat_relay.rs
+++ b/crates/hopyoke/src/peers/heartbeat_relay.rs
@@ -1,92 +1,103 @@
-//! Workers' reports that this node carries to the leader: their connections are here because the leader
-//! has no room for them (see [`hopyoke_heartbeat`]).
+//! Agents' heartbeats that this node relays to the leader: their connections are held here because the leader has no
+//! capacity for them (see [`hopyoke_heartbeat`]).
 
 use crate::node::Node;
 use hopyoke_event_loop::{self as runtime, Notify};
-use hopyoke_heartbeat::{HeartbeatBatcher, Load, Number};
+use hopyoke_heartbeat::{Batch, HeartbeatBatcher, HeartbeatId};
 use hopyoke_types::Micros;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Where an answer is left: `None` while there is none, empty if there won't be one.
-type Place = Rc<RefCell<Option<Vec<u8>>>>;
+/// A relayed heartbeat whose agent waits for the response.
+#[derive(Clone, Default)]
+struct PendingHeartbeat {
+    /// `None` until the leader's call ends; empty if the heartbeat was not answered.
+    response: Rc<RefCell<Option<Vec<u8>>>>,
+    wakeup: Notify,
+}
 
+/// Heartbeats on their way to the leader.
 #[derive(Default)]
 pub struct HeartbeatRelay {
-    carrier: RefCell<HeartbeatBatcher>,
-    /// Rung when there may be something to carry.
+    batcher: RefCell<HeartbeatBatcher>,
+    /// Notified when a call may be due.
     wakeup: Notify,
-    waiting: RefCell<BTreeMap<Number, (Place, Notify)>>,
+    pending: RefCell<BTreeMap<HeartbeatId, PendingHeartbeat>>,
 }
 
 impl HeartbeatRelay {
-    /// Carries a report to the leader. `None`: it has not been answered.
-    pub async fn carry(&self, heartbeat: Vec<u8>) -> Option<Vec<u8>> {
-        let number = self
-            .carrier
+    /// Relays an encoded heartbeat to the leader and waits for the response. `None`: it was not answered.
+    pub(crate) async fn relay(&self, heartbeat: Vec<u8>) -> Option<Vec<u8>> {
+        let id = self
+            .batcher
             .borrow_mut()
-            .arrive(heartbeat, runtime::now())?;
-        let (place, wakeup) = (Place::default(), Notify::default());
-        self.waiting
-            .borrow_mut()
-            .insert(number, (place.clone(), wakeup.clone()));
+            .enqueue(heartbeat, runtime::now())?;
+        let pending = PendingHeartbeat::default();
+        self.pending.borrow_mut().insert(id, pending.clone());
         self.wakeup.notify();
-        wakeup.wait().await;
-        let answer = place.borrow_mut().take();
-        answer.filter(|a| !a.is_empty())
+        pending.wakeup.wait().await;
+        let response = pending.response.borrow_mut().take();
+        response.filter(|r| !r.is_empty())
     }
 
-    fn answered(&self, number: Number, answer: Vec<u8>) {
-        if let Some((place, wakeup)) = self.waiting.borrow_mut().remove(&number) {
-            *place.borrow_mut() = Some(answer);
-            wakeup.notify();
+    fn respond(&self, id: HeartbeatId, response: Vec<u8>) {
+        if let Some(pending) = self.pending.borrow_mut().remove(&id) {
+            *pending.response.borrow_mut() = Some(response);
+            pending.wakeup.notify();
         }
     }
 
-    /// Reports carried and refused, for operators.
-    pub fn counts(&self) -> (u64, u64) {
-        self.carrier.borrow().counts()
+    /// Heartbeats relayed and refused since the start of the process, for operators.
+    pub(crate) fn counts(&self) -> (u64, u64) {
+        self.batcher.borrow().counts()
     }
 }
 
-/// Carries what waits, for as long as the node runs.
-pub async fn run(node: Rc<Node>) {
-    let heartbeat_relay = &node.heartbeat_relay;
+/// Relays queued heartbeats, for as long as the node runs.
+pub(crate) async fn run(node: Rc<Node>) {
+    let relay = &node.heartbeat_relay;
     loop {
-        let due = heartbeat_relay.carrier.borrow().due();
-        match due {
-            Some(due) => runtime::sleep_until(due).await,
+        let next_call_at = relay.batcher.borrow().next_call_at();
+        match next_call_at {
+            Some(due_at) => runtime::sleep_until(due_at).await,
             None => {
-                heartbeat_relay
+                relay
                     .wakeup
                     .wait_until(runtime::now() + Micros::from_secs(5))
                     .await
             }
         }
-        let (load, late) = heartbeat_relay.carrier.borrow_mut().load(runtime::now());
-        for number in late {
-            heartbeat_relay.answered(number, Vec::new());
+        let (batch, dropped) = relay.batcher.borrow_mut().begin_call(runtime::now());
+        for id in dropped {
+            relay.respond(id, Vec::new());
         }
-        if !load.is_empty() {
+        if !batch.is_empty() {
             let own = node.clone();
-            runtime::spawn_until(node.cancel.clone(), async move { send(&own, load).await });
+            runtime::spawn_until(
+                node.cancel.clone(),
+                async move { send_batch(&own, batch).await },
+            );
         }
     }
 }
 
-async fn send(node: &Node, load: Load) {
-    let (numbers, heartbeats): (Vec<Number>, Vec<Vec<u8>>) = load.into_iter().unzip();
+async fn send_batch(node: &Node, batch: Batch) {
+    let (ids, heartbeats): (Vec<HeartbeatId>, Vec<Vec<u8>>) = batch.into_iter().unzip();
     let leader = node.leader.borrow().clone();
-    let answers = match leader.as_deref().and_then(|l| node.peers.by_name(l)) {
-        Some(link) => link.carry(&node.settings.node, heartbeats).await,
+    let responses = match leader.as_deref().and_then(|l| node.peers.by_name(l)) {
+        Some(client) => {
+            client
+                .relay_heartbeats(&node.settings.node, heartbeats)
+                .await
+        }
         None => None,
     };
-    let heartbeat_relay = &node.heartbeat_relay;
-    heartbeat_relay.carrier.borrow_mut().ended();
-    let answers = answers.unwrap_or_else(|| vec![Vec::new(); numbers.len()]);
-    for (number, answer) in numbers.into_iter().zip(answers) {
-        heartbeat_relay.answered(number, answer);
+    let relay = &node.heartbeat_relay;
+    relay.batcher.borrow_mut().call_ended();
+    let responses = responses.unwrap_or_else(|| vec![Vec::new(); ids.len()]);
+    for (id, response) in ids.into_iter().zip(responses) {
+        relay.respond(id, response);
     }
-    heartbeat_relay.wakeup.notify();
+    relay.wakeup.notify();
 }
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -19,7 +19,7 @@
 use hopyoke_consistency::Cursor;
 use hopyoke_event_loop::http::{Method, Request};
 use hopyoke_event_loop::{self as runtime, TcpListener};
-use hopyoke_heartbeat::Crowd;
+use hopyoke_heartbeat::ConnectionLoad;
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hyper::body::Incoming;
 use std::cell::Cell;
@@ -29,7 +29,7 @@
 
 /// What this node says of itself to a peer.
 fn greeting(node: &Node) -> Greeting {
-    let crowd = node.routes.borrow_mut().own(
+    let load = node.routes.borrow_mut().own_load(
         node.leadership().is_some(),
         node.is_behind(),
         node.open.count(),
@@ -47,10 +47,12 @@
         state_ok: node.state.answers(),
         token,
         applied,
-        open: crowd.open,
-        most: crowd.most,
-        shares: crowd.shares,
-        need: node.leadership().map_or(0.0, |_| node.admission.need()),
+        open: load.open,
+        max_open: load.max_open,
+        offloads: load.offloads,
+        write_demand: node
+            .leadership()
+            .map_or(0.0, |_| node.admission.write_demand()),
         ..Greeting::default()
     }
 }
@@ -61,8 +63,8 @@
         .leadership()
         .map_or_else(Default::default, |l| l.delivered.borrow().cursor(peer));
     Greeting {
-        wants: node.admission.wants(),
-        line: node.admission.words(peer),
+        requested_loan: node.admission.requested_loan(),
+        queue_positions: node.admission.take_gossip(peer),
         delivered_process: cursor.process,
         delivered_upto: cursor.upto,
         ..greeting(node)
@@ -107,17 +109,19 @@
         if let Some(answer) = answer
             && link.note(&answer, true)
         {
-            note_crowd(&node, peer, &answer);
-            node.admission.borrowed(peer, answer.lent, sent);
+            note_load(&node, peer, &answer);
+            node.admission
+                .loan_received(peer, answer.granted_loan, sent);
             if answer.token > 0 {
-                node.admission.heard(answer.need, sent);
+                node.admission
+                    .write_demand_received(answer.write_demand, sent);
             }
             if let Some(leadership) = node.leadership() {
                 heed(&node, &leadership, peer, sent, &answer);
             }
         }
         // Promises are short: they are asked for again well before they end.
-        let pause = match (node.state.answers(), node.admission.is_pressed()) {
+        let pause = match (node.state.answers(), node.admission.is_overloaded()) {
             (true, false) => 1000,
             (false, false) => 600,
             (_, true) => 400,
@@ -126,13 +130,15 @@
     }
 }
 
-fn note_crowd(node: &Node, peer: usize, greeting: &Greeting) {
-    let crowd = Crowd {
+fn note_load(node: &Node, peer: usize, greeting: &Greeting) {
+    let load = ConnectionLoad {
         open: greeting.open,
-        most: greeting.most,
-        shares: greeting.shares,
+        max_open: greeting.max_open,
+        offloads: greeting.offloads,
     };
-    node.routes.borrow_mut().heard(peer, crowd, runtime::now());
+    node.routes
+        .borrow_mut()
+        .load_received(peer, load, runtime::now());
 }
 
 /// A leader takes what a peer answered into account: first the cancellations, then the promise that rests on
@@ -345,9 +351,10 @@
                 return;
             }
             let mut answer = answer_to(node, &greeting);
-            note_crowd(node, peer, &greeting);
-            node.admission.heard_words(peer, &greeting.line);
-            answer.lent = node.admission.lend(peer, greeting.wants);
+            note_load(node, peer, &greeting);
+            node.admission
+                .gossip_received(peer, &greeting.queue_positions);
+            answer.granted_loan = node.admission.grant_loan(peer, greeting.requested_loan);
             let _ = reply.send(answer);
         }
         Call::Notify(news, reply) => {
--- a/crates/hopyoke/src/store/client.rs
+++ b/crates/hopyoke/src/store/client.rs
@@ -15,7 +15,7 @@
 //! | `flowplan/RUN/N` | a page of its plan, written once |
 //! | `flowpage/RUN/N` | a page of its steps' progress |
 
-use hopyoke_admission::{Bounds, RateLimiter, RequestPriority};
+use hopyoke_admission::{RateLimiter, RequestPriority, SharedLimit};
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, ClientError, Method, Response};
 use hopyoke_protocol::state::{
@@ -155,7 +155,7 @@
 
 impl KvClient {
     /// `requests`: what the service takes a second from all nodes, and how many nodes there are.
-    pub fn new(addr: SocketAddr, requests: Bounds) -> KvClient {
+    pub fn new(addr: SocketAddr, requests: SharedLimit) -> KvClient {
         KvClient {
             client: Client::new(addr),
             vital_client: Client::new(addr),
--- a/crates/hopyoke/tests/frozen_forms.rs
+++ b/crates/hopyoke/tests/frozen_forms.rs
@@ -8,9 +8,9 @@
 use hopyoke::peers::client::proto::flow_request::Ask;
 use hopyoke::peers::client::proto::{
     FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer,
-    HistoryRequest, JobChange, Place, ResumeRun, RunInfo, RunList, RunQuestion, StaffedAnswer,
-    StaffedRequest, StatusAnswer, StatusRequest, StepInfo, SubmitRun, UserAnswer, UserRequest,
-    WhenAnswer, WhenRequest,
+    HistoryRequest, JobChange, QueuePosition, ResumeRun, RunInfo, RunList, RunQuestion,
+    StaffedAnswer, StaffedRequest, StatusAnswer, StatusRequest, StepInfo, SubmitRun, UserAnswer,
+    UserRequest, WhenAnswer, WhenRequest,
 };
 use prost::Message;
 use std::collections::HashMap;
@@ -40,13 +40,13 @@
         applied: 950,
         delivered_process: 7_002,
         delivered_upto: 11,
-        need: 3.5,
-        wants: 20.25,
-        lent: 8.75,
+        write_demand: 3.5,
+        requested_loan: 20.25,
+        granted_loan: 8.75,
         open: 140,
-        most: 1_500,
-        shares: true,
-        line: vec![Place {
+        max_open: 1_500,
+        offloads: true,
+        queue_positions: vec![QueuePosition {
             job: "req-43".into(),
             team: 2,
             due_us: 900_000,
