--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -1,56 +1,74 @@
-//! Workers' reports, and orders sent straight to workers.
+//! Agents' heartbeats: answered by the leader, relayed or redirected by the other nodes.
 
+use crate::agents::pushed_commands::log_starts;
 use crate::node::{Leadership, Node};
 use hopyoke_event_loop as runtime;
-use hopyoke_event_loop::http::{Client, ClientError, Method, Request, Response};
+use hopyoke_event_loop::http::{Method, Request, Response};
 use hopyoke_heartbeat::Route;
-use hopyoke_protocol::worker::{
-    Command, Heartbeat, HeartbeatRedirect, HeartbeatResponse, PushedCommands,
-};
+use hopyoke_protocol::worker::{Heartbeat, HeartbeatRedirect, HeartbeatResponse};
 use hopyoke_protocol::{decode, encode};
-use hopyoke_types::Micros;
-use hopyoke_types::{FencingToken, MachineId};
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::rc::Rc;
-use tracing::{debug, warn};
+use tracing::warn;
 
-/// `POST /hello`
-pub async fn hello(node: &Rc<Node>, request: Request) -> Response {
+/// Why the leader does not answer a heartbeat.
+#[derive(Debug, Clone, Copy, thiserror::Error)]
+enum HeartbeatError {
+    /// The agent tries the next node.
+    #[error("the leader lease is not valid")]
+    LeaseNotValid,
+    #[error("malformed heartbeat")]
+    Malformed,
+    /// Another node was granted a higher fencing token. The agent tries the next node.
+    #[error("the agent has received a higher fencing token")]
+    StaleToken,
+}
+
+impl HeartbeatError {
+    fn status(self) -> u16 {
+        match self {
+            HeartbeatError::LeaseNotValid | HeartbeatError::StaleToken => 503,
+            HeartbeatError::Malformed => 400,
+        }
+    }
+}
+
+/// Serves `POST /hello`, an agent's heartbeat.
+pub(crate) async fn serve(node: &Rc<Node>, request: Request) -> Response {
     if request.method != Method::Post {
         return Response::empty(405);
     }
-    let now = runtime::now();
-    if let Some(leadership) = node.leadership() {
-        let route = node.routes.borrow_mut().at_leader(
-            node.is_behind(),
-            node.open.count(),
-            node.most_connections(),
-            now,
-        );
-        if let Route::RedirectToPeer(peer) = route
-            && leadership.lease_is_valid()
-        {
-            let other = &node.peers.0[peer].peer.node;
-            return Response::of(
-                421,
-                &HeartbeatRedirect {
-                    report_to: Some(other),
-                },
-            )
-            .closing();
-        }
-        return match heartbeat(node, &leadership, &request.body) {
-            Ok(commands) => Response::of(200, &commands),
-            Err(status) => Response::empty(status),
-        };
+    match node.leadership() {
+        Some(leadership) => serve_at_leader(node, &leadership, &request),
+        None => serve_at_follower(node, request).await,
     }
+}
+
+fn serve_at_leader(node: &Node, leadership: &Leadership, request: &Request) -> Response {
+    let route = node.routes.borrow_mut().at_leader(
+        node.is_behind(),
+        node.open.count(),
+        node.most_connections(),
+        runtime::now(),
+    );
+    if let Route::RedirectToPeer(peer) = route
+        && leadership.lease_is_valid()
+    {
+        let target = &node.peers.all()[peer].peer.node;
+        return redirect(Some(target)).closing();
+    }
+    match process(node, leadership, &request.body) {
+        Ok(response) => Response::of(200, &response),
+        Err(e) => Response::empty(e.status()),
+    }
+}
+
+async fn serve_at_follower(node: &Node, request: Request) -> Response {
+    let now = runtime::now();
     let leader = node
         .leader
         .borrow()
         .as_deref()
-        .and_then(|l| node.peers.place_of(l));
+        .and_then(|l| node.peers.index_of(l));
     if node.routes.borrow().at_follower(leader, now) == Route::Relay {
         return match node.heartbeat_relay.relay(request.body).await {
             Some(body) => {
@@ -61,194 +79,71 @@
             None => Response::empty(503),
         };
     }
-    redirect(node)
+    let leader = node.leader.borrow();
+    redirect(leader.as_deref().filter(|l| *l != node.settings.node))
 }
 
-/// A report that another node carried here; an empty answer: it is not answered.
-pub fn carried(node: &Node, body: &[u8]) -> Vec<u8> {
+fn redirect(target: Option<&str>) -> Response {
+    Response::of(421, &HeartbeatRedirect { report_to: target })
+}
+
+/// Serves a heartbeat that another node relayed; an empty response: it is not answered.
+pub(crate) fn serve_relayed(node: &Node, body: &[u8]) -> Vec<u8> {
     let Some(leadership) = node.leadership() else {
         return Vec::new();
     };
-    heartbeat(node, &leadership, body).map_or_else(|_| Vec::new(), |commands| encode(&commands))
+    process(node, &leadership, body).map_or_else(|_| Vec::new(), |response| encode(&response))
 }
 
-/// A worker's report to this leader, by whichever way it came.
-///
-/// # Errors
-/// The status of the refusal.
-fn heartbeat(node: &Node, leadership: &Leadership, body: &[u8]) -> Result<HeartbeatResponse, u16> {
-    // Not entitled to act: the worker tries the next node. (Guards `ran_twice`: an answer now
-    // could renew a lease that the next holder counts as lapsed.)
+/// Processes a heartbeat at the leader, by whichever way it came.
+fn process(
+    node: &Node,
+    leadership: &Leadership,
+    body: &[u8],
+) -> Result<HeartbeatResponse, HeartbeatError> {
+    // The agent tries the next node. (Guards `ran_twice`: a response now could renew an agent's lease that the next
+    // leader counts as expired.)
     if !leadership.lease_is_valid() {
-        return Err(503);
+        return Err(HeartbeatError::LeaseNotValid);
     }
-    let heartbeat: Heartbeat = match decode(body) {
-        Ok(r) => r,
-        Err(e) => {
-            warn!(error = %e, "unreadable report");
-            return Err(400);
-        }
-    };
+    let heartbeat: Heartbeat = decode(body).map_err(|e| {
+        warn!(error = %e, "malformed heartbeat");
+        HeartbeatError::Malformed
+    })?;
     let now = runtime::now();
     let mut scheduler = leadership.scheduler.borrow_mut();
     if heartbeat.token > scheduler.token {
-        // Somebody has been granted more than we know of.
-        warn!(machine = %heartbeat.machine, token = heartbeat.token.0, "worker has seen a higher token");
-        return Err(503);
+        warn!(machine = %heartbeat.machine, token = heartbeat.token.0, "agent has a higher fencing token");
+        return Err(HeartbeatError::StaleToken);
     }
     let answer = leadership.planning(node, &mut scheduler, |scheduler| {
         scheduler.heartbeat(&heartbeat, now)
     });
-    // A copy that arrives late does not show that its worker reaches us now. (Guards against a leader that no
-    // worker reaches any more, and that goes on for as long as old reports arrive.)
+    // A delayed copy does not show that its agent reaches this node now. (Guards against a leader that no agent
+    // reaches any more, and that stays in office for as long as old heartbeats arrive.)
     if answer.fresh {
         leadership
             .heartbeat_monitor
             .borrow_mut()
             .heartbeat_received(&heartbeat.machine, heartbeat.token == answer.token);
     }
-    // A report without news leaves nothing to do.
+    // A heartbeat without changes leaves nothing to do.
     if scheduler.next_due(now) <= now || scheduler.has_actions() {
         leadership.wakeup.notify();
     }
     if scheduler.has_writes() {
         leadership.write_wakeup.notify();
     }
-    tell_starts(
+    log_starts(
         &heartbeat.machine,
         answer.token,
         heartbeat.epoch,
         heartbeat.sequence,
         &answer.commands,
-        "starts with an answer",
+        "heartbeat response",
     );
     Ok(HeartbeatResponse {
         token: answer.token,
         commands: answer.commands,
     })
 }
-
-fn redirect(node: &Node) -> Response {
-    let leader = node.leader.borrow();
-    let other = leader.as_deref().filter(|l| *l != node.settings.node);
-    Response::of(421, &HeartbeatRedirect { report_to: other })
-}
-
-/// A task's whole story can be told from the log at `debug`: which start went where, by which holder.
-fn tell_starts(
-    machine: &MachineId,
-    token: FencingToken,
-    epoch: u64,
-    sequence: u64,
-    commands: &[Command],
-    how: &str,
-) {
-    if !tracing::enabled!(tracing::Level::DEBUG) {
-        return;
-    }
-    let starts: Vec<String> = commands
-        .iter()
-        .filter_map(|o| match o {
-            Command::Start { task, attempt } => Some(format!("{task}@{attempt}")),
-            _ => None,
-        })
-        .collect();
-    if !starts.is_empty() {
-        debug!(machine = %machine, token = token.0, epoch, sequence, starts = ?starts, "{how}");
-    }
-}
-
-/// Connections to workers.
-pub struct Direct {
-    /// By address, with the number of their latest use.
-    clients: RefCell<BTreeMap<SocketAddr, (u64, Rc<Client>)>>,
-    uses: Cell<u64>,
-    most: usize,
-}
-
-const DIRECT_LIMIT: Micros = Micros::from_secs(3);
-
-impl Direct {
-    /// Of `max_connections` sockets, workers' and users' own connections may take three quarters;
-    /// half of what is left may be kept open to workers.
-    pub fn new(max_connections: usize) -> Direct {
-        Direct {
-            clients: RefCell::default(),
-            uses: Cell::new(0),
-            most: (max_connections / 8).max(8),
-        }
-    }
-
-    fn client(&self, addr: SocketAddr) -> Rc<Client> {
-        let mut clients = self.clients.borrow_mut();
-        let used = self.uses.get() + 1;
-        self.uses.set(used);
-        if clients.len() >= self.most && !clients.contains_key(&addr) {
-            // The eighth part that was used longest ago goes, so that this is seldom done.
-            let old = used.saturating_sub(self.most as u64 * 7 / 8);
-            clients.retain(|_, (last, _)| *last > old);
-        }
-        let entry = clients
-            .entry(addr)
-            .or_insert_with(|| (used, Rc::new(Client::new(addr))));
-        entry.0 = used;
-        entry.1.clone()
-    }
-
-    /// Sends orders to a worker and tells the core how that ended.
-    pub async fn send(
-        &self,
-        leadership: &Leadership,
-        token: FencingToken,
-        machine: MachineId,
-        address: SocketAddr,
-        epoch: u64,
-        commands: Vec<Command>,
-    ) {
-        if !leadership.lease_is_valid() {
-            leadership
-                .scheduler
-                .borrow_mut()
-                .direct_failed(&machine, false, runtime::now());
-            return;
-        }
-        tell_starts(
-            &machine,
-            token,
-            epoch,
-            0,
-            &commands,
-            "starts by direct orders",
-        );
-        let body = encode(&PushedCommands {
-            token,
-            epoch,
-            commands,
-        });
-        // Asked again once the connection stands: a process that is behind may get there long after
-        // the next holder was granted its token.
-        let may = || leadership.lease_is_valid();
-        let client = self.client(address);
-        let result = client
-            .send_while(may, Method::Post, "/commands", &body, DIRECT_LIMIT)
-            .await;
-        let now = runtime::now();
-        let mut scheduler = leadership.scheduler.borrow_mut();
-        match result {
-            Ok(r) if matches!(r.status, 200 | 409) => {
-                let heartbeat: Option<Heartbeat> = decode(&r.body).ok();
-                leadership.heartbeat_monitor.borrow_mut().command_answered();
-                scheduler.direct_answer(&machine, r.status == 200, heartbeat.as_ref(), now);
-            }
-            Ok(r) => {
-                warn!(machine = %machine, status = r.status, "direct orders refused");
-                scheduler.direct_failed(&machine, false, now);
-            }
-            Err(e) => {
-                debug!(machine = %machine, error = %e, "direct orders failed");
-                scheduler.direct_failed(&machine, !matches!(e, ClientError::NotSent(_)), now);
-                self.clients.borrow_mut().remove(&address);
-            }
-        }
-    }
-}
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -1,7 +1,7 @@
 //! What users ask: submit, poll, cancel. Any node answers by itself, from the state service.
 
 use crate::node::{Leadership, Node};
-use crate::peers::client::{ASK_LEADER, ASK_PEER};
+use crate::peers::client::{FORWARD_TO_LEADER_TIMEOUT, FORWARD_TO_PEER_TIMEOUT};
 use crate::store::client::{StateError, TransactionOutcome};
 use crate::store::records::{self, Lookup, lookup, lookup_ended};
 use hopyoke_admission::RetryAfter;
@@ -55,7 +55,7 @@
     let quiet = Micros::from_secs(3);
     !node.state.answers()
         && runtime::now() > node.state.last_answer() + quiet
-        && node.peers.any_reaches_state().is_some()
+        && node.peers.any_that_reaches_store().is_some()
 }
 
 /// What of a request's path follows that of all jobs; a query says nothing. Asked directly or by way of a peer, a
@@ -76,14 +76,19 @@
             if link.is_busy() {
                 return later("the leader is busy");
             }
-            if let Some(r) = link.forward(&node.settings.node, request, ASK_LEADER).await {
+            if let Some(r) = link
+                .forward(&node.settings.node, request, FORWARD_TO_LEADER_TIMEOUT)
+                .await
+            {
                 return r;
             }
         }
     }
     if !node.state.answers()
-        && let Some(link) = node.peers.any_reaches_state()
-        && let Some(r) = link.forward(&node.settings.node, request, ASK_PEER).await
+        && let Some(link) = node.peers.any_that_reaches_store()
+        && let Some(r) = link
+            .forward(&node.settings.node, request, FORWARD_TO_PEER_TIMEOUT)
+            .await
     {
         return r;
     }
@@ -97,8 +102,10 @@
     if own.status == 503
         && request.method == Method::Post
         && !node.state.answers()
-        && let Some(link) = node.peers.any_reaches_state()
-        && let Some(r) = link.forward(&node.settings.node, request, ASK_PEER).await
+        && let Some(link) = node.peers.any_that_reaches_store()
+        && let Some(r) = link
+            .forward(&node.settings.node, request, FORWARD_TO_PEER_TIMEOUT)
+            .await
     {
         return r;
     }
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -1,7 +1,7 @@
 //! Leadership: one node leads, named by a key on its lease in the state service. It leases all
 //! blocks to itself, takes over the records, and runs the core.
 
-use crate::agents::heartbeats::Direct;
+use crate::agents::pushed_commands::CommandPusher;
 use crate::node::{Leadership, Node};
 use crate::operations::settings;
 use crate::operations::staffed_hours;
@@ -195,7 +195,7 @@
         until,
         ttl,
         WATCH,
-        node.peers.0.len(),
+        node.peers.all().len(),
     )));
     let lost = Notify::default();
     runtime::spawn_until(
@@ -251,7 +251,7 @@
         write_wakeup: Notify::default(),
         cancel: cancel.clone(),
         replica: Replica::default(),
-        delivered: RefCell::new(DeliveryCursors::new(node.peers.0.len())),
+        delivered: RefCell::new(DeliveryCursors::new(node.peers.all().len())),
         plan_cost: Cell::new(Micros::ZERO),
         plans_from: Cell::new(now),
         plans_may: node.settings.facts.limits.cpu_share,
@@ -617,7 +617,9 @@
 
 /// Lets the core decide, and does what it wants done.
 async fn act(node: Rc<Node>, leadership: Rc<Leadership>) {
-    let direct = Rc::new(Direct::new(node.settings.facts.limits.max_connections));
+    let command_pusher = Rc::new(CommandPusher::new(
+        node.settings.facts.limits.max_connections,
+    ));
     loop {
         let mut next = runtime::now() + Micros::from_millis(250);
         if leadership.lease_is_valid() {
@@ -634,7 +636,7 @@
             let (token, writes) = (scheduler.token, scheduler.has_writes());
             drop(scheduler);
             for action in actions {
-                perform(&node, &leadership, &direct, token, action);
+                perform(&node, &leadership, &command_pusher, token, action);
             }
             if writes {
                 leadership.write_wakeup.notify();
@@ -649,11 +651,11 @@
 fn perform(
     node: &Rc<Node>,
     leadership: &Rc<Leadership>,
-    direct: &Rc<Direct>,
+    command_pusher: &Rc<CommandPusher>,
     token: FencingToken,
     action: Action,
 ) {
-    let (node, l, direct) = (node.clone(), leadership.clone(), direct.clone());
+    let (node, l, command_pusher) = (node.clone(), leadership.clone(), command_pusher.clone());
     runtime::spawn_until(leadership.cancel.clone(), async move {
         match action {
             Action::ScaleOut {
@@ -715,8 +717,8 @@
                 epoch,
                 commands,
             } => {
-                direct
-                    .send(&l, token, machine, address, epoch, commands)
+                command_pusher
+                    .push(&l, token, machine, address, epoch, commands)
                     .await;
             }
         }
--- a/crates/hopyoke/src/log.rs
+++ b/crates/hopyoke/src/log.rs
@@ -1,23 +1,27 @@
-//! Logs of our programs.
+//! Logging of the programs.
 
 use tracing::level_filters::LevelFilter;
 
-/// Logs go to standard error at the level that `LOG_LEVEL` gives; `info` by default.
+/// Why logging could not be started.
+#[derive(Debug, thiserror::Error)]
+pub enum LogError {
+    /// The environment variable `LOG_LEVEL` has another value than a level.
+    #[error("LOG_LEVEL: '{0}' is not error, warn, info, debug or trace")]
+    UnknownLevel(String),
+}
+
+/// Starts logging to standard error, at the level of the environment variable `LOG_LEVEL`; `info` by default.
 ///
 /// # Errors
-/// If that is no level.
-pub fn start() -> Result<(), String> {
+/// [`LogError::UnknownLevel`] if the variable does not name a level.
+pub fn start() -> Result<(), LogError> {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
         Ok("warn") => LevelFilter::WARN,
         Ok("info") | Ok("") | Err(_) => LevelFilter::INFO,
         Ok("debug") => LevelFilter::DEBUG,
         Ok("trace") => LevelFilter::TRACE,
-        Ok(other) => {
-            return Err(format!(
-                "LOG_LEVEL: '{other}' is not error, warn, info, debug or trace"
-            ));
-        }
+        Ok(other) => return Err(LogError::UnknownLevel(other.to_owned())),
     };
     tracing_subscriber::fmt()
         .with_max_level(level)
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -233,7 +233,7 @@
     let config = config.ok_or("--config FILE is needed")?;
     let settings = Settings::load(config).map_err(text)?;
     let policy = load_policy(policy)?;
-    hopyoke::log::start()?;
+    hopyoke::log::start().map_err(text)?;
     hopyoke::serve::serve(settings, policy).map_err(text)
 }
 
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use crate::peers::client::proto::{HistoryAnswer, HistoryRequest, WhenAnswer, WhenRequest};
-use crate::peers::client::{GREET, PeerClient};
+use crate::peers::client::{GREET_TIMEOUT, PeerClient};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::user::JobKind;
 use hopyoke_scheduler::{Ask, Past};
@@ -12,7 +12,7 @@
 /// Runs in one answer.
 const MOST_RUNS: usize = 256;
 /// An answer about capacity looks at all running tasks.
-const ANSWER: Micros = Micros(GREET.0 * 2);
+const ANSWER: Micros = Micros(GREET_TIMEOUT.0 * 2);
 
 /// When a job will be over, or GPUs will be free.
 pub async fn when(node: &Node, mut request: WhenRequest) -> WhenAnswer {
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -1,4 +1,5 @@
-//! From the operators' settings to the tuning of the core, and from the core to live figures.
+//! From the operators' settings to the scheduler's tuning, and from the scheduler to the live figures that settings may
+//! refer to.
 
 use crate::node::Leadership;
 use hopyoke_calendar::{Calendar, CalendarFault, Held, Hours};
@@ -10,7 +11,8 @@
 use hopyoke_workflow::Limits;
 use tracing::info;
 
-/// The tuning that these values ask for. Every declared setting is read here.
+/// The scheduler's tuning by these values of the settings.
+#[must_use]
 pub fn tuning_of(v: &Values) -> Tuning {
     Tuning {
         idle_return: v.duration("idle_return"),
@@ -50,10 +52,11 @@
     }
 }
 
-/// The staffed hours that these values ask for; `None`: nothing is held.
+/// The staffed hours by these values; `None`: no work is held outside of staffed hours. `skew` is the bound of the
+/// nodes' clock skew.
 ///
 /// # Errors
-/// The setting and the part of it at fault, even if nothing is held.
+/// The malformed setting and its part, even if no work is held.
 pub fn hours_of(v: &Values, skew: Micros) -> Result<Option<Hours>, CalendarFault> {
     let hours = Hours {
         calendar: Calendar::parse(v.text("hours"), v.text("hours_zone"), v.text("holidays"))?,
@@ -66,8 +69,8 @@
     Ok(v.boolean("hold").then_some(hours))
 }
 
-/// What runs of workflows may take of this node and of the state service.
-pub fn flow_limits(v: &Values, settings: &Settings) -> Limits {
+/// What the execution of workflows may use of this node and of the key-value store.
+pub(crate) fn flow_limits(v: &Values, settings: &Settings) -> Limits {
     let facts = &settings.facts;
     let nodes = f64::from(facts.nodes.max(1));
     Limits {
@@ -82,8 +85,8 @@
     }
 }
 
-/// What is measured now. Looks at all machines and jobs once, so it is not for every plan.
-fn figures(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
+/// The live figures. Visits all machines and jobs, so it is not for every plan.
+fn live_figures(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
     let up = || {
         scheduler
             .machines
@@ -113,27 +116,14 @@
         .number("hour", hour)
 }
 
-/// Finds the settings' values anew; says so if they have changed.
-pub fn refresh(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
+/// Evaluates the settings with the present live figures, and updates the scheduler's tuning if it has changed.
+pub(crate) fn refresh(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
     let now = runtime::now();
     let mut scheduler = leadership.scheduler.borrow_mut();
-    let values = policy.evaluate(&figures(&scheduler, leadership.plan_busy(), now));
+    let values = policy.evaluate(&live_figures(&scheduler, leadership.plan_busy(), now));
     let tuning = tuning_of(&values);
     if tuning != scheduler.tuning {
-        info!(?tuning, "settings follow the live figures");
+        info!(?tuning, "tuning changed with live figures");
         scheduler.set_tuning(tuning);
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use hopyoke_policy::Policy;
-
-    /// The core's defaults are those of the policy language's built-in file.
-    #[test]
-    fn defaults_agree() {
-        let values = Policy::defaults().evaluate(&Figures::default());
-        assert_eq!(tuning_of(&values), Tuning::default());
-    }
-}
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -1,157 +1,218 @@
-//! What a controller tells its operators: leader, blocks, machines, jobs, teams, and why jobs wait.
+//! A controller's status for its operators: leader, shards, machines, jobs, teams, and why jobs wait.
 
-use crate::node::Node;
+use crate::node::{Leadership, Node};
 use hopyoke_admission::RequestPriority;
 use hopyoke_event_loop as runtime;
-use hopyoke_scheduler::{HELD, MachinePhase, Resources};
+use hopyoke_scheduler::{HELD, MachinePhase, Resources, RestartDecision, Scheduler};
+use hopyoke_types::Micros;
 use std::collections::BTreeMap;
-use std::fmt::Write;
+use std::fmt::{self, Write};
 
 /// The status as text, one fact a line.
-pub fn text(node: &Node) -> String {
+pub(crate) fn render(node: &Node) -> String {
     let mut out = String::new();
+    // Writing to a string does not fail.
+    let _ = write_status(&mut out, node);
+    out
+}
+
+fn write_status(out: &mut String, node: &Node) -> fmt::Result {
     let leader = node
         .leader
         .borrow()
         .clone()
         .unwrap_or_else(|| "none".into());
-    let _ = writeln!(
+    write_node(out, node, &leader)?;
+    let Some(leadership) = node.leadership() else {
+        return Ok(());
+    };
+    let scheduler = leadership.scheduler.borrow();
+    let now = runtime::now();
+    write_leadership(out, &leadership, &scheduler)?;
+    write_shards(out, &scheduler, &leader)?;
+    let used = write_machines(out, &scheduler)?;
+    write_teams(out, &scheduler, &used)?;
+    write_jobs(out, &scheduler, now)
+}
+
+/// What every node knows of itself.
+fn write_node(out: &mut String, node: &Node, leader: &str) -> fmt::Result {
+    writeln!(
         out,
         "node {} zone {}",
         node.settings.node, node.settings.zone
-    );
-    let _ = writeln!(
+    )?;
+    writeln!(
         out,
         "leader {leader} state_answers {}",
         node.state.answers()
-    );
+    )?;
+    write_admission(out, node)?;
+    for priority in RequestPriority::ALL {
+        let (sent, held_back) = node.state.counts(priority);
+        writeln!(
+            out,
+            "state requests {priority:?} sent {sent} held_back {held_back}"
+        )?;
+    }
+    let (relayed, refused) = node.heartbeat_relay.counts();
+    let open = node.open.count();
+    writeln!(
+        out,
+        "connections {open} of {} reports carried {relayed} refused {refused}",
+        node.most_connections()
+    )?;
+    let stale: u64 = node.peers.all().iter().map(|p| p.stale_messages()).sum();
+    writeln!(
+        out,
+        "mesh unknown {} stale {stale}",
+        node.peers.unknown_senders()
+    )?;
+    let confirmed = node.lease_support.confirmed.borrow();
+    writeln!(out, "cancellations remembered {}", confirmed.len())
+}
+
+fn write_admission(out: &mut String, node: &Node) -> fmt::Result {
     let admission = node.admission.stats();
-    let _ = writeln!(
+    writeln!(
         out,
         "door let_in {} refused {} line_s {:.0} rate {:.1} a second",
         admission.admitted,
         admission.rejected,
         admission.estimated_wait.as_secs_f64(),
         admission.rate
-    );
-    for (team, counts) in node
-        .admission
-        .team_counts()
-        .into_iter()
-        .filter(|(_, c)| c.admitted + c.rejected > 0)
-    {
-        let _ = writeln!(
-            out,
-            "door team {team} let_in {} refused {}",
-            counts.admitted, counts.rejected
-        );
-    }
-    for importance in RequestPriority::ALL {
-        let (sent, held_back) = node.state.counts(importance);
-        let _ = writeln!(
-            out,
-            "state requests {importance:?} sent {sent} held_back {held_back}"
-        );
+    )?;
+    for (team, counts) in node.admission.team_counts() {
+        if counts.admitted + counts.rejected > 0 {
+            writeln!(
+                out,
+                "door team {team} let_in {} refused {}",
+                counts.admitted, counts.rejected
+            )?;
+        }
     }
-    let (carried, not_carried) = node.heartbeat_relay.counts();
-    let open = node.open.count();
-    let _ = writeln!(
-        out,
-        "connections {open} of {} reports carried {carried} refused {not_carried}",
-        node.most_connections()
-    );
-    let stale: u64 = node.peers.0.iter().map(|l| l.stale()).sum();
-    let _ = writeln!(out, "mesh unknown {} stale {stale}", node.peers.refused());
-    let confirmed = node.lease_support.confirmed.borrow();
-    let _ = writeln!(out, "cancellations remembered {}", confirmed.len());
-    let Some(leadership) = node.leadership() else {
-        return out;
-    };
-    let scheduler = leadership.scheduler.borrow();
-    let now = runtime::now();
+    Ok(())
+}
+
+fn write_leadership(
+    out: &mut String,
+    leadership: &Leadership,
+    scheduler: &Scheduler,
+) -> fmt::Result {
     let (runs, classes, _, forgotten) = scheduler.learned_counts();
-    let _ = writeln!(
+    writeln!(
         out,
         "learned classes {classes} forgotten {forgotten} runs_under_way {runs}"
-    );
+    )?;
     for slow in scheduler.slow_machines() {
-        let _ = writeln!(
+        writeln!(
             out,
             "slow machine {} factor {:.2} from {:.0} runs",
             slow.machine, slow.factor, slow.runs
-        );
+        )?;
     }
     let (questions, reads) = leadership.replica.counts();
-    let _ = writeln!(out, "polls from the replica {reads} questions {questions}");
-    let _ = writeln!(
+    writeln!(out, "polls from the replica {reads} questions {questions}")?;
+    writeln!(
         out,
         "token {} entitled {} recovering {}",
         scheduler.token,
         leadership.lease_is_valid(),
         scheduler.is_reconciling()
-    );
+    )
+}
+
+fn write_shards(out: &mut String, scheduler: &Scheduler, leader: &str) -> fmt::Result {
     for zone in &scheduler.cfg.zones {
-        let n = scheduler
+        let machines = scheduler
             .machines
             .values()
             .filter(|m| m.zone == *zone)
             .count();
-        let _ = writeln!(out, "block {zone} holder {leader} machines {n}");
+        writeln!(out, "block {zone} holder {leader} machines {machines}")?;
     }
     if let Some(until) = scheduler.held_until() {
-        let _ = writeln!(out, "hours not staffed until {until}");
+        writeln!(out, "hours not staffed until {until}")?;
     }
+    Ok(())
+}
+
+/// Writes the machines; returns the resources in use by team.
+fn write_machines<'a>(
+    out: &mut String,
+    scheduler: &'a Scheduler,
+) -> Result<BTreeMap<&'a str, Resources>, fmt::Error> {
     let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
-    for m in scheduler.machines.values() {
-        let phase = match m.phase {
+    for machine in scheduler.machines.values() {
+        let phase = match machine.phase {
             MachinePhase::Booting => "booting",
             MachinePhase::Up => "up",
             MachinePhase::Lost => "lost",
         };
-        let live = m.allocations().values().filter(|s| s.is_live()).count();
-        let _ = writeln!(
+        let live = || machine.allocations().values().filter(|a| a.is_live());
+        writeln!(
             out,
-            "machine {} type {} zone {} spot {} {phase} tasks {live} faulty {} returning {}",
-            m.id, m.machine_type, m.zone, m.spot, m.faulty, m.deleting
-        );
-        for s in m.allocations().values().filter(|s| s.is_live()) {
-            if let Some(spec) = &s.spec {
-                let sum = used.entry(spec.team.as_str()).or_default();
-                *sum = *sum + Resources::of_task(spec);
-            }
+            "machine {} type {} zone {} spot {} {phase} tasks {} faulty {} returning {}",
+            machine.id,
+            machine.machine_type,
+            machine.zone,
+            machine.spot,
+            live().count(),
+            machine.faulty,
+            machine.deleting
+        )?;
+        for spec in live().filter_map(|a| a.spec.as_ref()) {
+            let sum = used.entry(spec.team.as_str()).or_default();
+            *sum = *sum + Resources::of_task(spec);
         }
     }
-    for t in &scheduler.cfg.teams {
-        let u = used.get(t.name.as_str()).copied().unwrap_or_default();
-        let _ = writeln!(
+    Ok(used)
+}
+
+fn write_teams(
+    out: &mut String,
+    scheduler: &Scheduler,
+    used: &BTreeMap<&str, Resources>,
+) -> fmt::Result {
+    for team in &scheduler.cfg.teams {
+        let used = used.get(team.name.as_str()).copied().unwrap_or_default();
+        writeln!(
             out,
             "team {} cpus {} of {} gpus {} of {}",
-            t.name, u.cpus, t.cpus_max, u.gpus, t.gpus_max
-        );
+            team.name, used.cpus, team.cpus_max, used.gpus, team.gpus_max
+        )?;
     }
-    for (id, j) in &scheduler.jobs {
-        let unknown = j
+    Ok(())
+}
+
+fn write_jobs(out: &mut String, scheduler: &Scheduler, now: Micros) -> fmt::Result {
+    for (id, job) in &scheduler.jobs {
+        let outcome_unknown = job
             .done
-            .missing(j.spec.tasks)
-            .filter(|&i| scheduler.check(j, i) == hopyoke_scheduler::RestartDecision::Unknown);
-        let _ = write!(
+            .missing(job.spec.tasks)
+            .filter(|&task| scheduler.check(job, task) == RestartDecision::Unknown);
+        write!(
             out,
             "job {id} team {} tasks {} done {} placed {} running {} unknown {}",
-            j.spec.team,
-            j.spec.tasks,
-            j.done.count(),
-            j.places.len(),
+            job.spec.team,
+            job.spec.tasks,
+            job.done.count(),
+            job.places.len(),
             scheduler.running(id),
-            unknown.count()
-        );
-        if let Ok(w) = scheduler.when_job(id, now) {
-            let _ = write!(out, " ends_in {:.0} to {:.0} s", w.p50_s, w.p90_s);
+            outcome_unknown.count()
+        )?;
+        if let Ok(estimate) = scheduler.when_job(id, now) {
+            write!(
+                out,
+                " ends_in {:.0} to {:.0} s",
+                estimate.p50_s, estimate.p90_s
+            )?;
+        }
+        match (job.waits_for, scheduler.held_until()) {
+            ("", _) => writeln!(out)?,
+            (HELD, Some(until)) => writeln!(out, " waits for {HELD} until {until}")?,
+            (reason, _) => writeln!(out, " waits for {reason}")?,
         }
-        let _ = match (j.waits_for, scheduler.held_until()) {
-            ("", _) => writeln!(out),
-            (HELD, Some(until)) => writeln!(out, " waits for {HELD} until {until}"),
-            (why, _) => writeln!(out, " waits for {why}"),
-        };
     }
-    out
+    Ok(())
 }
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -1,10 +1,10 @@
-//! Calls to the other controllers: gRPC by `tonic`, over hyper's HTTP/2 on our own event loop.
+//! Calls to other controllers: gRPC by `tonic`.
 
+use super::channel::Channel;
 use hopyoke_event_loop::http::{Request, Response};
-use hopyoke_event_loop::{self as runtime, CancellationToken, TcpStream};
+use hopyoke_event_loop::{self as runtime, CancellationToken};
 use hopyoke_settings::Peer;
 use hopyoke_types::{JobId, Micros};
-use hyper::body::Incoming;
 use proto::mesh_client::MeshClient;
 use proto::{
     FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HistoryAnswer, HistoryRequest, JobChange,
@@ -14,190 +14,164 @@
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
-use std::task::{Context, Poll};
 use tonic::Status;
 use tracing::debug;
 
-/// Generated from `proto/mesh.proto`.
-#[allow(clippy::all, missing_docs)]
+/// The messages of the mesh, generated from `proto/mesh.proto`.
+#[allow(clippy::all, missing_docs, unreachable_pub, reason = "generated code")]
 pub mod proto {
     tonic::include_proto!("hopyoke.mesh");
 }
 
-/// Runs hyper's routines on our executor.
-#[derive(Clone, Copy)]
-pub(crate) struct LocalExec;
-
-impl<F: Future<Output: 'static> + 'static> hyper::rt::Executor<F> for LocalExec {
-    fn execute(&self, future: F) {
-        runtime::spawn(async move {
-            future.await;
-        });
-    }
+/// A greeting that has taken longer has failed.
+pub(crate) const GREET_TIMEOUT: Micros = Micros::from_millis(900);
+/// Agents drop responses after 4 s.
+const RELAY_TIMEOUT: Micros = Micros::from_millis(2_500);
+/// Long, since a plan's pages are written at a limited rate.
+const FLOW_TIMEOUT: Micros = Micros::from_secs(20);
+/// A peer whose last greeting is no older than this is reachable.
+const REACHABLE_WINDOW: Micros = Micros::from_millis(2_500);
+/// For a user's request forwarded to the leader: most of the time in which the user waits is left for this node's own
+/// attempt.
+pub(crate) const FORWARD_TO_LEADER_TIMEOUT: Micros = Micros::from_millis(500);
+/// For a user's request forwarded to a peer that reaches the key-value store.
+pub(crate) const FORWARD_TO_PEER_TIMEOUT: Micros = Micros::from_millis(1_800);
+
+/// The client of one peer, and what the peer has announced.
+pub struct PeerClient {
+    /// The peer's name and address by the settings.
+    pub(crate) peer: Peer,
+    connection: RefCell<Option<Connection>>,
+    last_greeting_at: Cell<Micros>,
+    /// By its last greeting the key-value store answers it.
+    store_reachable: Cell<bool>,
+    /// By its last greeting: its fencing token if it leads, else 0.
+    token: Cell<u64>,
+    process: Cell<u64>,
+    previous_process: Cell<u64>,
+    stale_messages: Cell<u64>,
+    last_answer_at: Cell<Micros>,
+    /// Users' requests that are being forwarded to it.
+    forwarded: Cell<usize>,
 }
 
-/// A client's channel: one HTTP/2 connection.
-pub(crate) struct Channel(hyper::client::conn::http2::SendRequest<tonic::body::Body>);
-
-impl tower_service::Service<http::Request<tonic::body::Body>> for Channel {
-    type Response = http::Response<Incoming>;
-    type Error = hyper::Error;
-    type Future = std::pin::Pin<Box<dyn Future<Output = Result<Self::Response, hyper::Error>>>>;
-
-    fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), hyper::Error>> {
-        self.0.poll_ready(cx)
-    }
-    fn call(&mut self, mut request: http::Request<tonic::body::Body>) -> Self::Future {
-        // HTTP/2 wants an absolute URI; the connection is the address.
-        let path = request
-            .uri()
-            .path_and_query()
-            .map_or("/", |p| p.as_str())
-            .to_owned();
-        if let Ok(uri) = format!("http://mesh{path}").parse() {
-            *request.uri_mut() = uri;
-        }
-        Box::pin(self.0.send_request(request))
-    }
+/// An open connection.
+struct Connection {
+    client: MeshClient<Channel>,
+    /// Closes it.
+    cancel: CancellationToken,
 }
 
-const CONNECT: Micros = Micros::from_millis(700);
-pub(crate) const GREET: Micros = Micros::from_millis(900);
-/// A worker gives an answer up after 4 s.
-const CARRY: Micros = Micros::from_millis(2_500);
-/// Writing a plan's pages takes its time.
-const FLOW: Micros = Micros::from_secs(20);
-/// A greeting or its lack counts for this long.
-const FRESH: Micros = Micros::from_millis(2_500);
-/// Most of the window in which a user waits for an answer to a poll is kept for our own try.
-pub const ASK_LEADER: Micros = Micros::from_millis(500);
-pub const ASK_PEER: Micros = Micros::from_millis(1_800);
-
-async fn connect(addr: SocketAddr, cancel: &CancellationToken) -> io::Result<Channel> {
-    let stream = TcpStream::connect(addr, CONNECT).await?;
-    let (sender, connection) = hyper::client::conn::http2::handshake(LocalExec, stream)
-        .await
-        .map_err(io::Error::other)?;
-    runtime::spawn_until(cancel.clone(), async move {
-        let _ = connection.await;
-    });
-    Ok(Channel(sender))
-}
+/// Counts a request for as long as it is being forwarded.
+struct ForwardGuard<'a>(&'a Cell<usize>);
 
-/// What we know of one peer.
-pub struct PeerClient {
-    pub peer: Peer,
-    channel: RefCell<Option<(MeshClient<Channel>, CancellationToken)>>,
-    seen: Cell<Micros>,
-    state_ok: Cell<bool>,
-    token: Cell<u64>,
-    /// The peer's process, and the one before it.
-    process: Cell<u64>,
-    former: Cell<u64>,
-    /// Its messages that were not heeded: of a former process, or of another node at its address.
-    stale: Cell<u64>,
-    /// When a call was last answered, and how many users' requests are on their way there.
-    answered: Cell<Micros>,
-    carried: Cell<usize>,
+impl<'a> ForwardGuard<'a> {
+    fn new(forwarded: &'a Cell<usize>) -> ForwardGuard<'a> {
+        forwarded.set(forwarded.get() + 1);
+        ForwardGuard(forwarded)
+    }
 }
 
-/// Counts a request that is carried to a peer for as long as it is.
-struct Carried<'a>(&'a Cell<usize>);
-
-impl Drop for Carried<'_> {
+impl Drop for ForwardGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Users' requests carried to one peer at once. Fewer than the streams that it takes: what waits for a
-/// stream until it is given up costs both sides as much as an answer. (Guards against a peer that is
-/// behind being buried under requests that nobody waits for any more.)
-const MOST_CARRIED: usize = 24;
+/// Users' requests forwarded to one peer at once. Fewer than the streams that it accepts: a request that waits for a
+/// stream until its timeout costs both sides as much as an answer. (Guards against overloading a peer that is behind
+/// with requests whose users have given up.)
+const MAX_FORWARDED: usize = 24;
 
 impl PeerClient {
     fn new(peer: Peer) -> PeerClient {
         PeerClient {
             peer,
-            channel: RefCell::default(),
-            seen: Cell::new(Micros::ZERO),
-            state_ok: Cell::new(false),
+            connection: RefCell::default(),
+            last_greeting_at: Cell::new(Micros::ZERO),
+            store_reachable: Cell::new(false),
             token: Cell::new(0),
             process: Cell::new(0),
-            former: Cell::new(0),
-            stale: Cell::new(0),
-            answered: Cell::new(Micros::ZERO),
-            carried: Cell::new(0),
+            previous_process: Cell::new(0),
+            stale_messages: Cell::new(0),
+            last_answer_at: Cell::new(Micros::ZERO),
+            forwarded: Cell::new(0),
         }
     }
 
-    fn fresh(&self) -> bool {
-        self.seen.get() > Micros::ZERO && runtime::now() < self.seen.get() + FRESH
+    fn is_reachable(&self) -> bool {
+        let last = self.last_greeting_at.get();
+        last > Micros::ZERO && runtime::now() < last + REACHABLE_WINDOW
     }
 
-    /// It has said of late that the state service answers it.
-    pub fn reaches_state(&self) -> bool {
-        self.fresh() && self.state_ok.get()
+    /// The peer is reachable, and by its last greeting the key-value store answers it.
+    pub(crate) fn reaches_store(&self) -> bool {
+        self.is_reachable() && self.store_reachable.get()
     }
 
-    /// It has said of late that it leads, its records read.
-    pub fn leads(&self) -> bool {
-        self.fresh() && self.token.get() > 0
+    /// The peer is reachable, and by its last greeting it leads and has read all records.
+    pub(crate) fn leads(&self) -> bool {
+        self.is_reachable() && self.token.get() > 0
     }
 
-    /// No more users' requests can be carried to it now.
-    pub fn is_busy(&self) -> bool {
-        self.carried.get() >= MOST_CARRIED
+    /// No more users' requests may be forwarded to the peer now.
+    pub(crate) fn is_busy(&self) -> bool {
+        self.forwarded.get() >= MAX_FORWARDED
     }
 
-    /// Takes in what it said of itself; false: that is of a process before the one that we know, or of another
-    /// node, and counts for nothing. (A greeting that a cut held back arrives long after its process ended.) What
-    /// `answers` a call of ours is of a process that lives, whatever arrived before: so a late greeting of a process
-    /// that we had not known is set right within a second.
-    pub fn note(&self, greeting: &Greeting, answers: bool) -> bool {
-        let former = !answers && greeting.process == self.former.get();
-        if greeting.node != self.peer.node || former {
-            self.stale.set(self.stale.get() + 1);
-            debug!(peer = %self.peer.node, said = %greeting.node, "a stale greeting");
+    /// Takes over what the peer announces in a greeting; false if it is stale: from a previous process of the peer, or
+    /// from another node at its address. (A greeting that a network partition delayed may arrive long after its process
+    /// ended.) A greeting that `is_answer` to a call of this node is from a live process, whatever arrived before it: so
+    /// a delayed greeting of a process that was not known yet is corrected within a second.
+    pub(crate) fn greeting_received(&self, greeting: &Greeting, is_answer: bool) -> bool {
+        let from_previous = !is_answer && greeting.process == self.previous_process.get();
+        if greeting.node != self.peer.node || from_previous {
+            self.stale_messages.set(self.stale_messages.get() + 1);
+            debug!(peer = %self.peer.node, sender = %greeting.node, "stale greeting ignored");
             return false;
         }
         if greeting.process != self.process.get() {
-            self.former.set(self.process.replace(greeting.process));
+            let previous = self.process.replace(greeting.process);
+            self.previous_process.set(previous);
         }
-        self.seen.set(runtime::now());
-        self.state_ok.set(greeting.state_ok);
+        self.last_greeting_at.set(runtime::now());
+        self.store_reachable.set(greeting.store_reachable);
         self.token.set(greeting.token);
         true
     }
 
-    /// Messages that were not heeded.
-    pub fn stale(&self) -> u64 {
-        self.stale.get()
+    /// Stale greetings since the start of the process.
+    pub(crate) fn stale_messages(&self) -> u64 {
+        self.stale_messages.get()
     }
 
     async fn client(&self) -> io::Result<MeshClient<Channel>> {
-        if let Some((client, _)) = &*self.channel.borrow() {
-            return Ok(client.clone());
+        if let Some(connection) = &*self.connection.borrow() {
+            return Ok(connection.client.clone());
         }
         let cancel = CancellationToken::new();
-        let client = MeshClient::new(connect(self.peer.addr, &cancel).await?);
-        *self.channel.borrow_mut() = Some((client.clone(), cancel));
+        let client = MeshClient::new(Channel::connect(self.peer.addr, &cancel).await?);
+        *self.connection.borrow_mut() = Some(Connection {
+            client: client.clone(),
+            cancel,
+        });
         Ok(client)
     }
 
-    fn reset(&self) {
-        if let Some((_, cancel)) = self.channel.borrow_mut().take() {
-            cancel.cancel();
+    fn close(&self) {
+        if let Some(connection) = self.connection.borrow_mut().take() {
+            connection.cancel.cancel();
         }
     }
 
-    /// Makes one call within `limit`; a failed connection is given up and made anew next time.
-    pub(crate) async fn call<T, F, G>(&self, limit: Micros, f: F) -> Option<T>
+    /// Makes one call; `None`: it failed, or took longer than `timeout`. A failed connection is closed and opened anew by
+    /// the next call.
+    pub(crate) async fn call<T, F, G>(&self, timeout: Micros, f: F) -> Option<T>
     where
         F: FnOnce(MeshClient<Channel>) -> G,
         G: Future<Output = Result<tonic::Response<T>, Status>>,
     {
-        let result = runtime::timeout(limit, async {
+        let result = runtime::timeout(timeout, async {
             let client = self
                 .client()
                 .await
@@ -207,61 +181,66 @@
         .await;
         match result {
             Ok(Ok(answer)) => {
-                self.answered.set(runtime::now());
+                self.last_answer_at.set(runtime::now());
                 Some(answer.into_inner())
             }
             Ok(Err(e)) => {
-                debug!(peer = %self.peer.node, error = %e, "mesh call failed");
-                self.reset();
+                debug!(peer = %self.peer.node, error = %e, "call to a peer failed");
+                self.close();
                 None
             }
             Err(_) => {
                 // One late answer says little: other calls share the connection.
-                if runtime::now() > self.answered.get() + FRESH {
-                    self.reset();
+                if runtime::now() > self.last_answer_at.get() + REACHABLE_WINDOW {
+                    self.close();
                 }
                 None
             }
         }
     }
 
-    /// Tells the peer that a job was accepted or cancelled. Only a hint: its watch tells it too.
-    pub async fn notify(&self, from: &str, job: &JobId) {
-        if self.fresh() {
-            let news = JobChange {
+    /// Notifies the peer that a job was accepted or cancelled. Only a hint: its watch delivers the change too.
+    pub(crate) async fn notify(&self, from: &str, job: &JobId) {
+        if self.is_reachable() {
+            let change = JobChange {
                 node: from.to_owned(),
                 job: job.to_string(),
             };
             let _ = self
-                .call(GREET, |mut c| async move { c.notify(news).await })
+                .call(GREET_TIMEOUT, |mut c| async move { c.notify(change).await })
                 .await;
         }
     }
 
-    /// Carries workers' reports to the leader; the answers in the same order.
-    pub async fn relay_heartbeats(
+    /// Relays agents' heartbeats to the leader; returns the encoded responses in the same order, an empty one for each
+    /// heartbeat that was not answered. `None`: the call failed.
+    pub(crate) async fn relay_heartbeats(
         &self,
         from: &str,
         heartbeats: Vec<Vec<u8>>,
     ) -> Option<Vec<Vec<u8>>> {
-        let n = heartbeats.len();
+        let count = heartbeats.len();
         let message = HeartbeatBatch {
             node: from.to_owned(),
             heartbeats,
         };
         let answer = self
-            .call(CARRY, |mut c| async move { c.carry(message).await })
+            .call(RELAY_TIMEOUT, |mut c| async move { c.carry(message).await })
             .await?;
-        (answer.answers.len() == n).then_some(answer.answers)
+        (answer.responses.len() == count).then_some(answer.responses)
     }
 
-    /// Has the peer answer a user's request.
-    pub async fn forward(&self, from: &str, request: &Request, limit: Micros) -> Option<Response> {
-        if !self.fresh() || self.is_busy() {
+    /// Forwards a user's request to the peer. `None`: the peer is unreachable or busy, or could not decide either.
+    pub(crate) async fn forward(
+        &self,
+        from: &str,
+        request: &Request,
+        timeout: Micros,
+    ) -> Option<Response> {
+        if !self.is_reachable() || self.is_busy() {
             return None;
         }
-        self.carried.set(self.carried.get() + 1);
-        let _carried = Carried(&self.carried);
+        let _guard = ForwardGuard::new(&self.forwarded);
         let message = UserRequest {
             node: from.to_owned(),
             method: request.method.as_str().to_owned(),
@@ -269,58 +248,59 @@
             body: request.body.clone(),
         };
         let answer = self
-            .call(limit, |mut c| async move { c.forward(message).await })
+            .call(timeout, |mut c| async move { c.forward(message).await })
             .await?;
         let mut response = Response::empty(u16::try_from(answer.status).ok()?);
         response.body = answer.body;
         response.retry_after_s = (answer.retry_after_s > 0).then_some(answer.retry_after_s);
-        // The peer could not decide either.
         (response.status != 503).then_some(response)
     }
 }
 
-impl Clone for Channel {
-    fn clone(&self) -> Channel {
-        Channel(self.0.clone())
-    }
+/// The clients of all peers, in the order of the settings: a peer's index is its place in this list.
+pub struct PeerClients {
+    clients: Vec<PeerClient>,
+    unknown_senders: Cell<u64>,
 }
 
-/// All peers, and how many messages came of nodes that are none.
-pub struct PeerClients(pub Vec<PeerClient>, Cell<u64>);
-
 impl PeerClients {
-    pub fn new(peers: &[Peer]) -> PeerClients {
-        PeerClients(
-            peers.iter().cloned().map(PeerClient::new).collect(),
-            Cell::new(0),
-        )
+    pub(crate) fn new(peers: &[Peer]) -> PeerClients {
+        PeerClients {
+            clients: peers.iter().cloned().map(PeerClient::new).collect(),
+            unknown_senders: Cell::new(0),
+        }
     }
 
-    /// Counts a message of an unknown node.
-    pub fn refuse(&self) {
-        self.1.set(self.1.get() + 1);
+    pub(crate) fn all(&self) -> &[PeerClient] {
+        &self.clients
     }
 
-    /// Messages of unknown nodes so far.
-    pub fn refused(&self) -> u64 {
-        self.1.get()
+    /// Counts a message of a node that is not among the peers.
+    pub(crate) fn count_unknown_sender(&self) {
+        self.unknown_senders.set(self.unknown_senders.get() + 1);
     }
 
-    pub fn by_name(&self, name: &str) -> Option<&PeerClient> {
-        self.0.iter().find(|l| l.peer.node == name)
+    /// Messages of nodes that are not among the peers, since the start of the process.
+    pub(crate) fn unknown_senders(&self) -> u64 {
+        self.unknown_senders.get()
     }
 
-    /// A peer's place in the list.
-    pub fn place_of(&self, name: &str) -> Option<usize> {
-        self.0.iter().position(|l| l.peer.node == name)
+    pub(crate) fn by_name(&self, name: &str) -> Option<&PeerClient> {
+        self.clients.iter().find(|c| c.peer.node == name)
     }
 
-    pub fn any_reaches_state(&self) -> Option<&PeerClient> {
-        self.0.iter().find(|l| l.reaches_state())
+    /// The index of the peer of this name.
+    pub(crate) fn index_of(&self, name: &str) -> Option<usize> {
+        self.clients.iter().position(|c| c.peer.node == name)
+    }
+
+    /// A peer that the key-value store answers, if any.
+    pub(crate) fn any_that_reaches_store(&self) -> Option<&PeerClient> {
+        self.clients.iter().find(|c| c.reaches_store())
     }
 }
 
-/// Makes one call for an operator.
+/// Makes one call on a connection of its own, as the command line does.
 async fn ask<T, F, G>(addr: SocketAddr, f: F) -> io::Result<T>
 where
     F: FnOnce(MeshClient<Channel>) -> G,
@@ -329,14 +309,14 @@
     ask_within(addr, Micros::from_secs(3), f).await
 }
 
-async fn ask_within<T, F, G>(addr: SocketAddr, limit: Micros, f: F) -> io::Result<T>
+async fn ask_within<T, F, G>(addr: SocketAddr, timeout: Micros, f: F) -> io::Result<T>
 where
     F: FnOnce(MeshClient<Channel>) -> G,
     G: Future<Output = Result<tonic::Response<T>, Status>>,
 {
     let cancel = CancellationToken::new();
-    let client = MeshClient::new(connect(addr, &cancel).await?);
-    let answer = runtime::timeout(limit, f(client))
+    let client = MeshClient::new(Channel::connect(addr, &cancel).await?);
+    let answer = runtime::timeout(timeout, f(client))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
     answer
@@ -344,10 +324,10 @@
         .map_err(io::Error::other)
 }
 
-/// Asks a controller for its status, for operators.
+/// Gets the status of the controller at `addr`, as text.
 ///
 /// # Errors
-/// Why there is no answer.
+/// The connection or the call failed, or it timed out.
 pub async fn ask_status(addr: SocketAddr) -> io::Result<String> {
     Ok(ask(
         addr,
@@ -357,10 +337,10 @@
     .text)
 }
 
-/// Sets or shows the operators' word on staffed hours.
+/// Sets or shows the operators' override of the staffed hours.
 ///
 /// # Errors
-/// Why there is no answer.
+/// The connection or the call failed, it timed out, or the controller refused the request.
 pub async fn ask_staffed(addr: SocketAddr, request: StaffedRequest) -> io::Result<StaffedAnswer> {
     let answer = ask(addr, |mut c| async move { c.staffed(request).await }).await?;
     if answer.error.is_empty() {
@@ -370,18 +350,23 @@
     }
 }
 
-/// Asks about a run of a workflow, or for one.
+/// Submits, cancels, resumes or queries runs of workflows. A refusal is in the answer's status.
 ///
 /// # Errors
-/// Why there is no answer; it may have been carried out all the same.
+/// The connection or the call failed, or it timed out; the request may have been executed all the same.
 pub async fn ask_flow(addr: SocketAddr, request: FlowRequest) -> io::Result<FlowAnswer> {
-    ask_within(addr, FLOW, |mut c| async move { c.flow(request).await }).await
+    ask_within(
+        addr,
+        FLOW_TIMEOUT,
+        |mut c| async move { c.flow(request).await },
+    )
+    .await
 }
 
-/// Asks when a job will be over, or GPUs will be free.
+/// Gets the estimate of when a job will end, or GPUs will be free.
 ///
 /// # Errors
-/// Why there is no answer.
+/// The connection or the call failed, it timed out, or there is no estimate.
 pub async fn ask_when(addr: SocketAddr, request: WhenRequest) -> io::Result<WhenAnswer> {
     let answer = ask(addr, |mut c| async move { c.when(request).await }).await?;
     if answer.error.is_empty() {
@@ -391,10 +376,10 @@
     }
 }
 
-/// Asks for runs that have ended.
+/// Gets runs of tasks that have ended.
 ///
 /// # Errors
-/// Why there is no answer.
+/// The connection or the call failed, it timed out, or the leader is not known.
 pub async fn ask_history(addr: SocketAddr, request: HistoryRequest) -> io::Result<HistoryAnswer> {
     let answer = ask(addr, |mut c| async move { c.history(request).await }).await?;
     if answer.error.is_empty() {
--- a/crates/hopyoke/src/peers/mod.rs
+++ b/crates/hopyoke/src/peers/mod.rs
@@ -1,5 +1,6 @@
 //! Other controllers: calls to them, calls from them, and heartbeats relayed to the leader.
 
+mod channel;
 pub mod client;
 pub mod heartbeat_relay;
 pub mod server;
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -1,19 +1,21 @@
-//! Answers to the other controllers and to operators: gRPC by `tonic`.
+//! Serves calls of other controllers and of operators, and greets the peers: gRPC by `tonic`.
 //!
-//! The mesh says who reaches the state service, carries users' requests to a node that can answer
-//! them better, and carries promises in an outage (see [`hopyoke_consistency::leader_lease`]). Without it
-//! the rules hold all the same.
+//! Over the mesh nodes learn who reaches the key-value store, forward users' requests to a node that can answer them
+//! better, and grant lease support in an outage (see [`hopyoke_consistency::leader_lease`]). No safety rule depends on
+//! it.
 
+use crate::agents::heartbeats;
 use crate::api::jobs;
 use crate::node::{Leadership, Node};
 use crate::operations::estimates;
+use crate::peers::channel::LocalExec;
+use crate::peers::client::GREET_TIMEOUT;
 use crate::peers::client::proto::mesh_server::{Mesh, MeshServer};
 use crate::peers::client::proto::{
     FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer,
     HistoryRequest, JobChange, StaffedAnswer, StaffedRequest, StatusAnswer, StatusRequest,
     UserAnswer, UserRequest, WhenAnswer, WhenRequest,
 };
-use crate::peers::client::{GREET, LocalExec};
 use futures_channel::{mpsc, oneshot};
 use futures_util::StreamExt;
 use hopyoke_consistency::Cursor;
@@ -27,7 +29,7 @@
 use tonic::Status;
 use tracing::{debug, warn};
 
-/// What this node says of itself to a peer.
+/// What this node announces to a peer.
 fn greeting(node: &Node) -> Greeting {
     let load = node.routes.borrow_mut().own_load(
         node.leadership().is_some(),
@@ -37,16 +39,16 @@
         runtime::now(),
     );
     let leadership = node.leadership().filter(|l| l.lease_is_valid());
-    let (token, applied) = leadership.map_or((0, 0), |l| {
+    let (token, applied_revision) = leadership.map_or((0, 0), |l| {
         let scheduler = l.scheduler.borrow();
         (scheduler.token.0, scheduler.applied().0)
     });
     Greeting {
         node: node.settings.node.clone(),
         process: node.lease_support.process,
-        state_ok: node.state.answers(),
+        store_reachable: node.state.answers(),
         token,
-        applied,
+        applied_revision,
         open: load.open,
         max_open: load.max_open,
         offloads: load.offloads,
@@ -57,8 +59,8 @@
     }
 }
 
-/// A greeting to a peer that is asked for its own.
-fn question(node: &Node, peer: usize) -> Greeting {
+/// A greeting that requests the peer's own.
+fn greeting_request(node: &Node, peer: usize) -> Greeting {
     let cursor = node
         .leadership()
         .map_or_else(Default::default, |l| l.delivered.borrow().cursor(peer));
@@ -71,56 +73,56 @@
     }
 }
 
-/// The answer to a greeting. A leader hears of the cancellations confirmed here that it may not know of, and,
-/// if the state service refuses us too, gets a promise with them: it asked, so it may rely on that from its
-/// asking on. One that we sent unasked could arrive late.
-fn answer_to(node: &Node, asked: &Greeting) -> Greeting {
+/// The answer to a greeting. A leader receives the cancellations confirmed here that it may not have applied, and, if
+/// the key-value store refuses this node too, lease support with them: it sent the request, so it may rely on the support
+/// from the time of sending on. Support that was not requested could arrive late.
+fn greeting_answer(node: &Node, request: &Greeting) -> Greeting {
     let mut answer = greeting(node);
-    if asked.token == 0 {
+    if request.token == 0 {
         return answer;
     }
     let cursor = Cursor {
-        process: asked.delivered_process,
-        upto: asked.delivered_upto,
+        process: request.delivered_process,
+        upto: request.delivered_upto,
     };
     let confirmed = node.lease_support.confirmed.borrow();
     let delta = confirmed.since(
-        ModRevision(asked.applied),
+        ModRevision(request.applied_revision),
         cursor.in_process(node.lease_support.process),
     );
-    let promise = (delta.complete && !answer.state_ok)
+    let support = (delta.complete && !answer.store_reachable)
         .then(|| node.lease_support.promise())
         .flatten();
-    answer.promise_us = promise.map_or(0, |span| span.0);
+    answer.support_us = support.map_or(0, |span| span.0);
     answer.cancelled_upto = delta.upto;
-    answer.cancelled = delta.jobs.iter().map(ToString::to_string).collect();
+    answer.cancelled_jobs = delta.jobs.iter().map(ToString::to_string).collect();
     answer
 }
 
-/// Greets one peer every second or so.
-pub async fn greet(node: Rc<Node>, peer: usize) {
+/// Greets one peer about once a second, for as long as the node runs.
+pub(crate) async fn greet(node: Rc<Node>, peer: usize) {
     loop {
-        let mine = question(&node, peer);
-        let link = &node.peers.0[peer];
-        let sent = runtime::now();
-        let answer = link
-            .call(GREET, |mut c| async move { c.greet(mine).await })
+        let request = greeting_request(&node, peer);
+        let client = &node.peers.all()[peer];
+        let sent_at = runtime::now();
+        let answer = client
+            .call(GREET_TIMEOUT, |mut c| async move { c.greet(request).await })
             .await;
         if let Some(answer) = answer
-            && link.note(&answer, true)
+            && client.greeting_received(&answer, true)
         {
             note_load(&node, peer, &answer);
             node.admission
-                .loan_received(peer, answer.granted_loan, sent);
+                .loan_received(peer, answer.granted_loan, sent_at);
             if answer.token > 0 {
                 node.admission
-                    .write_demand_received(answer.write_demand, sent);
+                    .write_demand_received(answer.write_demand, sent_at);
             }
             if let Some(leadership) = node.leadership() {
-                heed(&node, &leadership, peer, sent, &answer);
+                apply_answer(&node, &leadership, peer, sent_at, &answer);
             }
         }
-        // Promises are short: they are asked for again well before they end.
+        // Lease support is short: it is requested again well before it expires.
         let pause = match (node.state.answers(), node.admission.is_overloaded()) {
             (true, false) => 1000,
             (false, false) => 600,
@@ -141,21 +143,31 @@
         .load_received(peer, load, runtime::now());
 }
 
-/// A leader takes what a peer answered into account: first the cancellations, then the promise that rests on
-/// its knowing them. It rests as well on the leader's knowing of what was confirmed at its own node, before it
-/// led. (Guards `ran_cancelled`. Scenario gap_fresh_leader.)
-fn heed(node: &Node, leadership: &Leadership, peer: usize, sent: Micros, answer: &Greeting) {
+/// Applies a peer's answer at the leader: first the cancellations, then the lease support, which is granted on the
+/// condition that the leader knows them. The support counts only if the leader has also applied what was confirmed at its
+/// own node before its election. (Guards `ran_cancelled`. Scenario gap_fresh_leader.)
+fn apply_answer(
+    node: &Node,
+    leadership: &Leadership,
+    peer: usize,
+    sent_at: Micros,
+    answer: &Greeting,
+) {
     let now = runtime::now();
-    let own = node
+    let own_applied = node
         .lease_support
         .confirmed
         .borrow()
         .covers(leadership.scheduler.borrow().applied());
-    let span = (answer.promise_us > 0 && own).then_some(Micros(answer.promise_us));
-    if !answer.cancelled.is_empty() {
+    let span = (answer.support_us > 0 && own_applied).then_some(Micros(answer.support_us));
+    if !answer.cancelled_jobs.is_empty() {
         let mut scheduler = leadership.scheduler.borrow_mut();
-        for id in answer.cancelled.iter().filter_map(|id| JobId::parse(id)) {
-            // Also of jobs that we have not heard of: news of them may be on its way.
+        for id in answer
+            .cancelled_jobs
+            .iter()
+            .filter_map(|id| JobId::parse(id))
+        {
+            // Also of jobs that are not known yet: their records may still be on their way.
             scheduler.job_dropped(&id, now);
         }
         leadership.wakeup.notify();
@@ -167,10 +179,10 @@
     leadership
         .leader_lease
         .borrow_mut()
-        .answered(peer, sent, span, now);
+        .answered(peer, sent_at, span, now);
 }
 
-/// A request that reached us over the mesh, with where its answer goes.
+/// A call that arrived, with the channel for its answer.
 enum Call {
     Greet(Greeting, oneshot::Sender<Greeting>),
     Notify(JobChange, oneshot::Sender<Greeting>),
@@ -183,11 +195,12 @@
     Staffed(StaffedRequest, oneshot::Sender<StaffedAnswer>),
 }
 
-/// tonic wants handlers that can be sent between threads; ours hand each call to a local routine.
+/// Handlers as tonic requires them, `Send`: they hand each call to a routine on the event loop's thread.
 #[derive(Clone)]
 struct Handlers(mpsc::Sender<Call>);
 
-const MOST_WAITING: usize = 64;
+/// Calls in the queue between the handlers and the event loop; more are refused.
+const MAX_QUEUED_CALLS: usize = 64;
 
 impl Handlers {
     async fn pass<T>(
@@ -281,20 +294,21 @@
     }
 }
 
-const MOST_CONNECTIONS: usize = 32;
+/// Open connections; more are closed at once.
+const MAX_CONNECTIONS: usize = 32;
 
-/// Takes calls from peers and operators.
-pub async fn serve(node: Rc<Node>) {
+/// Accepts calls from peers and operators, for as long as the node runs.
+pub(crate) async fn serve(node: Rc<Node>) {
     let addr = node.settings.mesh_listen;
     let listener = match TcpListener::bind(addr) {
         Ok(l) => l,
         Err(e) => {
-            // The mesh is not needed to keep the rules or to serve.
+            // Safety and the users' interface do not depend on the mesh.
             warn!(error = %e, "mesh_addr {addr}: cannot listen");
             return;
         }
     };
-    let (queue, mut calls) = mpsc::channel(MOST_WAITING);
+    let (queue, mut calls) = mpsc::channel(MAX_QUEUED_CALLS);
     let local = node.clone();
     runtime::spawn_until(node.cancel.clone(), async move {
         while let Some(call) = calls.next().await {
@@ -311,7 +325,7 @@
             runtime::sleep(Micros::from_millis(100)).await;
             continue;
         };
-        if open.get() >= MOST_CONNECTIONS {
+        if open.get() >= MAX_CONNECTIONS {
             continue;
         }
         open.set(open.get() + 1);
@@ -321,86 +335,31 @@
                 .max_concurrent_streams(32)
                 .max_header_list_size(8 * 1024)
                 .serve_connection(stream, HyperService(MeshServer::new(Handlers(queue))));
-            // A connection that a cut left behind must not stay for ever: peers make a new one.
+            // A connection that a network partition left half-open must not stay for ever: peers open a new one.
             let _ = runtime::timeout(Micros::from_secs(600), connection).await;
             open.set(open.get() - 1);
         });
     }
 }
 
-/// The place of a node among our peers. What others send is counted and gets no answer.
-fn known(node: &Node, name: &str) -> Option<usize> {
-    let place = node.peers.place_of(name);
-    if place.is_none() {
-        node.peers.refuse();
-        debug!(
-            node = name,
-            "a message of a node that is not among `others`"
-        );
+/// The index of the peer of this name. Messages of other nodes are counted and not answered.
+fn known_peer(node: &Node, name: &str) -> Option<usize> {
+    let index = node.peers.index_of(name);
+    if index.is_none() {
+        node.peers.count_unknown_sender();
+        debug!(node = name, "message of a node that is not a peer");
     }
-    place
+    index
 }
 
 async fn answer(node: &Rc<Node>, call: Call) {
     match call {
-        Call::Greet(greeting, reply) => {
-            let Some(peer) = known(node, &greeting.node) else {
-                return;
-            };
-            if !node.peers.0[peer].note(&greeting, false) {
-                return;
-            }
-            let mut answer = answer_to(node, &greeting);
-            note_load(node, peer, &greeting);
-            node.admission
-                .gossip_received(peer, &greeting.queue_positions);
-            answer.granted_loan = node.admission.grant_loan(peer, greeting.requested_loan);
-            let _ = reply.send(answer);
-        }
-        Call::Notify(news, reply) => {
-            if known(node, &news.node).is_none() {
-                return;
-            }
-            let _ = reply.send(greeting(node));
-            // One question serves all that is hinted at meanwhile, and the polls that wait.
-            if let Some(leadership) = node.leadership() {
-                leadership.is_current().await;
-            }
-        }
-        Call::Forward(message, reply) => {
-            if known(node, &message.node).is_none() {
-                return;
-            }
-            let method = match message.method.as_str() {
-                "GET" => Method::Get,
-                "POST" => Method::Post,
-                _ => return,
-            };
-            let request = Request::new(method, message.path, message.body);
-            let Some(rest) = jobs::below_jobs(&request.path) else {
-                return;
-            };
-            let r = jobs::own_answer(node, rest, &request).await;
-            let retry_after_s = r.retry_after_s.unwrap_or(0);
-            let _ = reply.send(UserAnswer {
-                status: u32::from(r.status),
-                body: r.body,
-                retry_after_s,
-            });
-        }
-        Call::Carry(message, reply) => {
-            if known(node, &message.node).is_none() {
-                return;
-            }
-            let answers = message
-                .heartbeats
-                .iter()
-                .map(|body| crate::agents::heartbeats::carried(node, body))
-                .collect();
-            let _ = reply.send(HeartbeatResponses { answers });
-        }
+        Call::Greet(greeting, reply) => answer_greeting(node, &greeting, reply),
+        Call::Notify(change, reply) => answer_notification(node, &change, reply).await,
+        Call::Forward(request, reply) => answer_forwarded(node, request, reply).await,
+        Call::Carry(batch, reply) => answer_relayed(node, &batch, reply),
         Call::Status(reply) => {
-            let _ = reply.send(crate::operations::status::text(node));
+            let _ = reply.send(crate::operations::status::render(node));
         }
         Call::When(request, reply) => {
             let _ = reply.send(estimates::when(node, request).await);
@@ -416,3 +375,66 @@
         }
     }
 }
+
+fn answer_greeting(node: &Node, greeting: &Greeting, reply: oneshot::Sender<Greeting>) {
+    let Some(peer) = known_peer(node, &greeting.node) else {
+        return;
+    };
+    if !node.peers.all()[peer].greeting_received(greeting, false) {
+        return;
+    }
+    let mut answer = greeting_answer(node, greeting);
+    note_load(node, peer, greeting);
+    node.admission
+        .gossip_received(peer, &greeting.queue_positions);
+    answer.granted_loan = node.admission.grant_loan(peer, greeting.requested_loan);
+    let _ = reply.send(answer);
+}
+
+async fn answer_notification(node: &Node, change: &JobChange, reply: oneshot::Sender<Greeting>) {
+    if known_peer(node, &change.node).is_none() {
+        return;
+    }
+    let _ = reply.send(greeting(node));
+    // One read serves all notifications that arrive meanwhile, and the polls that wait.
+    if let Some(leadership) = node.leadership() {
+        leadership.is_current().await;
+    }
+}
+
+async fn answer_forwarded(
+    node: &Rc<Node>,
+    message: UserRequest,
+    reply: oneshot::Sender<UserAnswer>,
+) {
+    if known_peer(node, &message.node).is_none() {
+        return;
+    }
+    let method = match message.method.as_str() {
+        "GET" => Method::Get,
+        "POST" => Method::Post,
+        _ => return,
+    };
+    let request = Request::new(method, message.path, message.body);
+    let Some(rest) = jobs::below_jobs(&request.path) else {
+        return;
+    };
+    let response = jobs::own_answer(node, rest, &request).await;
+    let _ = reply.send(UserAnswer {
+        status: u32::from(response.status),
+        retry_after_s: response.retry_after_s.unwrap_or(0),
+        body: response.body,
+    });
+}
+
+fn answer_relayed(node: &Node, batch: &HeartbeatBatch, reply: oneshot::Sender<HeartbeatResponses>) {
+    if known_peer(node, &batch.node).is_none() {
+        return;
+    }
+    let responses = batch
+        .heartbeats
+        .iter()
+        .map(|body| heartbeats::serve_relayed(node, body))
+        .collect();
+    let _ = reply.send(HeartbeatResponses { responses });
+}
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -43,7 +43,7 @@
         runtime::spawn_until(node.cancel.clone(), election::run(node.clone()));
         runtime::spawn_until(node.cancel.clone(), records::learn_beginning(node.clone()));
         runtime::spawn_until(node.cancel.clone(), server::serve(node.clone()));
-        for peer in 0..node.peers.0.len() {
+        for peer in 0..node.peers.all().len() {
             runtime::spawn_until(node.cancel.clone(), server::greet(node.clone(), peer));
         }
         runtime::spawn_until(node.cancel.clone(), probe_state(node.clone()));
@@ -85,7 +85,7 @@
     let path = request.path.split('?').next().unwrap_or("");
     match path {
         "/healthz" => jobs::healthz(node, &request),
-        "/hello" => heartbeats::hello(node, request).await,
+        "/hello" => heartbeats::serve(node, request).await,
         _ => match jobs::below_jobs(&request.path) {
             Some(rest) => jobs::jobs(node, rest, &request).await,
             None => Response::empty(404),
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -148,7 +148,7 @@
     }
     possible(node, &plan)?;
     if flows.engine.borrow().runs().count()
-        >= flows.engine.borrow().limits.runs_carried * node.peers.0.len().max(1) * 2
+        >= flows.engine.borrow().limits.runs_carried * node.peers.all().len().max(1) * 2
     {
         return refuse(503, "too many runs are waiting");
     }
--- a/crates/hopyoke/tests/frozen_forms.rs
+++ b/crates/hopyoke/tests/frozen_forms.rs
@@ -1,4 +1,4 @@
-//! What controllers tell each other keeps its bytes: field numbers and types of `proto/mesh.proto`. Each message
+//! The messages between controllers keep their bytes: field numbers and types of `proto/mesh.proto`. Each message
 //! is written with all of its fields, compared with its fixture, read, and written again.
 
 #[path = "../../hopyoke-protocol/tests/frozen/mod.rs"]
@@ -31,13 +31,13 @@
 fn greetings() {
     let full = Greeting {
         node: "node-2".into(),
-        state_ok: true,
+        store_reachable: true,
         token: 5_000_000_007,
         process: 7_001,
-        promise_us: 2_000_000,
-        cancelled: vec!["req-41".into(), "req-42".into()],
+        support_us: 2_000_000,
+        cancelled_jobs: vec!["req-41".into(), "req-42".into()],
         cancelled_upto: 12,
-        applied: 950,
+        applied_revision: 950,
         delivered_process: 7_002,
         delivered_upto: 11,
         write_demand: 3.5,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn users_and_news() {
+fn forwarded_requests_and_notifications() {
     let request = UserRequest {
         node: "node-2".into(),
         method: "POST".into(),
@@ -83,23 +83,23 @@
 }
 
 #[test]
-fn carried_reports() {
+fn relayed_heartbeats() {
     let heartbeats = HeartbeatBatch {
         node: "node-2".into(),
         heartbeats: vec![vec![0x81, 0xc0], vec![0x80]],
     };
     assert_message("reports", &heartbeats);
-    // An empty answer keeps its place.
+    // An empty response keeps its place.
     assert_message(
         "report-answers",
         &HeartbeatResponses {
-            answers: vec![vec![0x82], Vec::new(), vec![0x83]],
+            responses: vec![vec![0x82], Vec::new(), vec![0x83]],
         },
     );
 }
 
 #[test]
-fn operators_questions() {
+fn operators_calls() {
     assert_message("status-request", &StatusRequest {});
     assert_message(
         "status-answer",
