--- /dev/null
+++ b/crates/hopyoke-scheduler/src/autoscale/inventory.rs
@@ -0,0 +1,46 @@
+//! The cloud's list of instances.
+
+use crate::Scheduler;
+use crate::ledger::Machine;
+use hopyoke_protocol::cloud::{ListedMachine, ListedMachineState};
+use hopyoke_types::Micros;
+use tracing::info;
+
+impl Scheduler {
+    /// The cloud's list. It lags, so it never proves that a machine is not there.
+    pub fn listed(&mut self, list: &[ListedMachine], now: Micros) {
+        self.listed = Some(list.iter().map(|l| l.id.clone()).collect());
+        for l in list {
+            if self.gone.contains_key(&l.id) {
+                continue;
+            }
+            let age = Micros::from_secs_f64(l.age_s);
+            let known = self.machines.contains_key(&l.id);
+            let m = self.machines.entry(l.id.clone()).or_insert_with(|| {
+                Machine::new(
+                    l.id.clone(),
+                    l.machine_type.clone(),
+                    l.zone.clone(),
+                    l.spot,
+                    now,
+                )
+            });
+            if !known {
+                m.rented_at = now - age;
+                m.dated = true;
+                self.changed = true;
+                info!(machine = %l.id, zone = %l.zone, spot = l.spot, "found an unknown machine");
+            }
+            if l.state == ListedMachineState::Failed && !m.deleting {
+                // It stopped by itself; the deletion proves it.
+                m.deleting = true;
+                self.changed = true;
+                info!(machine = %l.id, zone = %l.zone, "machine failed");
+            }
+        }
+        // A list can be twice its lag old, and a held-back report minutes: neither may bring a
+        // deleted machine back as alive.
+        let remember = Micros::from_secs(600).max(self.cfg.list_lag.times(8));
+        self.gone.retain(|_, at| now < *at + remember);
+    }
+}
--- a/crates/hopyoke-scheduler/src/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -1,8 +1,8 @@
 //! A job in the leader's ledger, and its record in the state service.
 
-use super::amounts::Resources;
-use super::fleet::ImageKey;
-use super::ranges::Ranges;
+use crate::amounts::Resources;
+use crate::ledger::ImageKey;
+use crate::ranges::Ranges;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, MachineId, ModRevision};
--- a/crates/hopyoke-scheduler/src/fleet.rs
+++ b/crates/hopyoke-scheduler/src/ledger/machine.rs
@@ -1,15 +1,13 @@
 //! Machines and what is known to be, or may be, on them.
 
-use super::amounts::Resources;
+use super::allocation::Allocation;
+use crate::amounts::Resources;
 use crate::provisioning::ProvisioningState;
-use hopyoke_protocol::user::JobSpec;
 use hopyoke_protocol::user::{JobKind, Priority};
-use hopyoke_protocol::worker::{ExitReason, TaskState};
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
-use std::rc::Rc;
 
 /// A hash of an image's name. Two names with the same hash only cost a worse choice of place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,65 +53,6 @@
     Lost,
 }
 
-/// An attempt on a machine, from its start command until the worker no longer lists it.
-#[derive(Debug, Clone)]
-pub struct Allocation {
-    pub state: AllocationState,
-    /// What it takes and of which job, kept here because it must be charged until it is proven
-    /// gone, even when its job is over. `None`: a job that the ledger doesn't know.
-    pub spec: Option<Rc<JobSpec>>,
-    /// The start command went out with the answer to this report (session, seq).
-    pub offered: Option<(u64, u64)>,
-    /// A direct start command is under way.
-    pub direct: bool,
-    /// A direct start command got no answer: it may be executed at any later time of this session.
-    pub outcome_unknown: bool,
-    pub stop: Option<Stop>,
-    /// When it was commanded, or first seen.
-    pub since: Micros,
-    /// When it was first seen running.
-    pub running_since: Option<Micros>,
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AllocationState {
-    /// Commanded; no report has shown it yet.
-    Sent,
-    Live(TaskState),
-    Ended(ExitReason),
-}
-
-/// An order to stop.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Stop {
-    pub grace_s: f64,
-}
-
-impl Allocation {
-    pub fn new(state: AllocationState, spec: Option<Rc<JobSpec>>, now: Micros) -> Allocation {
-        Allocation {
-            state,
-            spec,
-            offered: None,
-            direct: false,
-            outcome_unknown: false,
-            stop: None,
-            since: now,
-            running_since: None,
-        }
-    }
-
-    pub fn is_live(&self) -> bool {
-        !matches!(self.state, AllocationState::Ended(_))
-    }
-
-    pub fn amounts(&self) -> Resources {
-        self.spec
-            .as_ref()
-            .map_or(Resources::default(), |s| Resources::of_task(s))
-    }
-}
-
 pub struct Machine {
     pub id: MachineId,
     pub address: Option<std::net::SocketAddr>,
@@ -234,14 +173,14 @@
     }
 
     /// Notes how far orders have come. Only for what does not show in the sums.
-    pub(super) fn slots_in_flight(
+    pub(crate) fn slots_in_flight(
         &mut self,
     ) -> impl Iterator<Item = (&(TaskId, Attempt), &mut Allocation)> {
         self.allocations.iter_mut()
     }
 
     /// The sums over its slots.
-    pub fn load(&mut self, teams: &[super::Team]) -> &Load {
+    pub fn load(&mut self, teams: &[crate::Team]) -> &Load {
         if self.load.is_none() {
             self.load = Some(self.count(teams));
         }
@@ -249,7 +188,7 @@
     }
 
     /// The sums, counted anew; `None` from [`Machine::kept_load`] means that they will be.
-    pub fn count(&self, teams: &[super::Team]) -> Load {
+    pub fn count(&self, teams: &[crate::Team]) -> Load {
         let mut load = Load {
             images: self.images.iter().map(|(i, _)| *i).collect(),
             ..Load::default()
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -1,44 +1,40 @@
 //! The leader's decisions, without any I/O: events and the time go in, actions come out.
 //!
-//! - [`job`], [`fleet`]: the ledger of jobs and machines.
-//! - `check`: the three-way check of a task's recorded previous attempt.
-//! - `heartbeats`: workers' reports rebuild and update the ledger; orders answer them.
-//! - `plan`: placement inside the leased blocks, and the demand for machines.
-//! - `rent`: renting and returning machines.
-//! - `registry`: which machines may hold tasks, in pages in the state service.
-//! - `hours`: work that is held while nobody is there.
-//! - `records`: what must be written to the state service, in batches.
+//! - `ledger`: jobs, machines and allocations.
+//! - `reconcile`: heartbeats rebuild and update the ledger; commands answer them; failover.
+//! - `plan`: placement inside the leased shards, and the demand for machines.
+//! - `autoscale`: scale-out and scale-in.
+//! - `persist`: what must be written to the state service, in batches, and the machine registry.
+//! - `staffed_hours`: work that is held outside staffed hours.
+//! - `run_times`: learned run times and what is estimated from them.
 
 mod amounts;
-mod batch;
-mod check;
-mod fleet;
+mod autoscale;
 pub mod fragmentation;
-mod heartbeats;
-mod hours;
-mod job;
-mod learn;
+mod ledger;
+mod persist;
 mod plan;
 pub mod provisioning;
 pub mod queue_order;
 mod ranges;
-mod records;
-mod registry;
-mod rent;
+mod reconcile;
 pub mod reservation;
+mod run_times;
+mod staffed_hours;
 pub mod starvation;
 mod tuning;
 
 pub use amounts::{Resources, Team, never_runs};
-pub use batch::{Batch, BatchError, RegistryPage, Write};
-pub use check::RestartDecision;
-pub use fleet::{Allocation, AllocationState, Load, Machine, MachinePhase};
-pub use heartbeats::HeartbeatReply;
-pub use job::{EndRecord, Job, JobRecord};
-pub use learn::{Ask, Past, When};
+pub use autoscale::scale_out::ScaleOutOutcome;
+pub use ledger::{
+    Allocation, AllocationState, EndRecord, Job, JobRecord, Load, Machine, MachinePhase,
+};
+pub use persist::batch::{Batch, BatchError, RegistryPage, Write};
 pub use plan::HELD;
 pub use ranges::Ranges;
-pub use rent::ScaleOutOutcome;
+pub use reconcile::heartbeats::HeartbeatReply;
+pub use reconcile::restart_check::RestartDecision;
+pub use run_times::{Ask, Past, When};
 pub use tuning::Tuning;
 
 use crate::provisioning::ProvisioningEstimator;
@@ -187,11 +183,11 @@
     tombstones: Tombstones,
     is_reconciling: bool,
     counter: u64,
-    pending_scale_outs: rent::PendingScaleOuts,
+    pending_scale_outs: autoscale::scale_out::PendingScaleOuts,
     provisioning_estimator: ProvisioningEstimator,
-    writes: records::Writes,
-    learned: learn::Learned,
-    staffing: hours::Staffing,
+    writes: persist::records::Writes,
+    learned: run_times::Learned,
+    staffing: staffed_hours::Staffing,
     reservations: Reservations,
     actions: VecDeque<Action>,
     /// Something changed that a plan must see.
@@ -208,7 +204,7 @@
     next_sweep: Micros,
     /// Machines whose orders have changed since they were last sent.
     commands_due: BTreeSet<MachineId>,
-    registry: registry::MachineRegistry,
+    registry: persist::registry::MachineRegistry,
     /// Machines to be asked what is on them, after a takeover.
     probes: VecDeque<MachineId>,
     open_probes: usize,
@@ -237,7 +233,7 @@
         now: Micros,
     ) -> Scheduler {
         let mut scheduler = Scheduler {
-            writes: records::Writes::new(&cfg, now),
+            writes: persist::records::Writes::new(&cfg, now),
             cfg,
             token,
             started: now,
@@ -251,10 +247,10 @@
             tombstones: Tombstones::default(),
             is_reconciling: false,
             counter: 0,
-            learned: learn::Learned::default(),
-            staffing: hours::Staffing::default(),
+            learned: run_times::Learned::default(),
+            staffing: staffed_hours::Staffing::default(),
             reservations: Reservations::default(),
-            pending_scale_outs: rent::PendingScaleOuts::default(),
+            pending_scale_outs: autoscale::scale_out::PendingScaleOuts::default(),
             provisioning_estimator: ProvisioningEstimator::default(),
             actions: VecDeque::new(),
             changed: true,
@@ -265,7 +261,7 @@
             plans: 0,
             next_sweep: Micros::ZERO,
             commands_due: BTreeSet::new(),
-            registry: registry::MachineRegistry::default(),
+            registry: persist::registry::MachineRegistry::default(),
             probes: VecDeque::new(),
             open_probes: 0,
             open_deletes: 0,
--- a/crates/hopyoke-scheduler/src/batch.rs
+++ b/crates/hopyoke-scheduler/src/persist/batch.rs
@@ -1,6 +1,6 @@
 //! What is written to the state service: the vocabulary that records and the register share.
 
-use super::job::{EndRecord, JobRecord};
+use crate::ledger::{EndRecord, JobRecord};
 use hopyoke_run_times::{Page, PageKey};
 use hopyoke_types::{JobId, MachineId, ModRevision};
 use serde::{Deserialize, Serialize};
@@ -75,7 +75,7 @@
 }
 
 /// An address with its port, quotes and separators: `"255.255.255.255:65535":,""`.
-pub(super) const ADDRESS_BYTES: usize = 30;
+pub(crate) const ADDRESS_BYTES: usize = 30;
 
 impl RegistryPage {
     /// Bytes that it takes as a value, at the most.
--- a/crates/hopyoke-scheduler/src/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -1,13 +1,13 @@
 //! What must be written to the state service, in batches within half of its write rate.
 
 use super::batch::{Batch, BatchError, RegistryPage, Write};
-use super::job::JobRecord;
-use super::{Action, MachinePhase, Scheduler, SchedulerConfig};
+use crate::ledger::JobRecord;
+use crate::{Action, MachinePhase, Scheduler, SchedulerConfig};
 use hopyoke_types::Micros;
 use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
 use std::collections::BTreeMap;
 
-pub(super) struct Writes {
+pub(crate) struct Writes {
     /// Jobs that may have something to write, and since when that is known.
     due: BTreeMap<JobId, Option<Micros>>,
     budget: f64,
@@ -212,7 +212,7 @@
             let Some(m) = self.machines.get(&id) else {
                 continue;
             };
-            if m.phase != super::MachinePhase::Up || m.deleting {
+            if m.phase != MachinePhase::Up || m.deleting {
                 continue;
             }
             let (counter, token) = (&mut self.counter, self.token);
--- a/crates/hopyoke-scheduler/src/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -20,7 +20,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct MachineRegistry {
+pub(crate) struct MachineRegistry {
     pages: BTreeMap<String, Page>,
     at: BTreeMap<MachineId, String>,
     /// Machines that wait for a place on a page.
--- a/crates/hopyoke-scheduler/src/plan/defragment.rs
+++ b/crates/hopyoke-scheduler/src/plan/defragment.rs
@@ -4,7 +4,7 @@
 use super::view::{Bin, Plan};
 use crate::Scheduler;
 use crate::amounts::Resources;
-use crate::fleet::{Allocation, Machine};
+use crate::ledger::{Allocation, Machine};
 use hopyoke_types::Micros;
 use tracing::info;
 
--- a/crates/hopyoke-scheduler/src/plan/each.rs
+++ b/crates/hopyoke-scheduler/src/plan/each.rs
@@ -3,7 +3,7 @@
 use super::Start;
 use super::view::Plan;
 use crate::Scheduler;
-use crate::check::RestartDecision;
+use crate::reconcile::restart_check::RestartDecision;
 use hopyoke_protocol::user::Priority;
 use hopyoke_types::{JobId, Micros};
 
--- a/crates/hopyoke-scheduler/src/plan/estimates.rs
+++ b/crates/hopyoke-scheduler/src/plan/estimates.rs
@@ -6,7 +6,7 @@
 use super::{Keyed, TaskKey};
 use crate::Scheduler;
 use crate::amounts::Resources;
-use crate::fleet::{Allocation, MachinePhase};
+use crate::ledger::{Allocation, MachinePhase};
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_types::Micros;
 
--- a/crates/hopyoke-scheduler/src/plan/gang.rs
+++ b/crates/hopyoke-scheduler/src/plan/gang.rs
@@ -5,7 +5,7 @@
 use super::view::Plan;
 use crate::Scheduler;
 use crate::amounts::Resources;
-use crate::check::RestartDecision;
+use crate::reconcile::restart_check::RestartDecision;
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_types::{JobId, Micros};
 use std::cmp::Reverse;
--- a/crates/hopyoke-scheduler/src/plan/mod.rs
+++ b/crates/hopyoke-scheduler/src/plan/mod.rs
@@ -20,9 +20,9 @@
 mod view;
 
 use super::amounts::{Resources, Team};
-use super::fleet::{Allocation, AllocationState};
-use super::rent::Demand;
 use super::{Job, Scheduler};
+use crate::autoscale::scale_out::Demand;
+use crate::ledger::{Allocation, AllocationState};
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
--- a/crates/hopyoke-scheduler/src/plan/offers.rs
+++ b/crates/hopyoke-scheduler/src/plan/offers.rs
@@ -3,7 +3,7 @@
 use super::needs::Needs;
 use super::view::{Bin, OfferView, Plan};
 use crate::Scheduler;
-use crate::rent::Offer;
+use crate::autoscale::scale_out::Offer;
 use hopyoke_types::Micros;
 
 /// A kind of machine that other work has no alternative to counts as so much dearer.
--- a/crates/hopyoke-scheduler/src/plan/preempt.rs
+++ b/crates/hopyoke-scheduler/src/plan/preempt.rs
@@ -5,7 +5,7 @@
 use super::view::Plan;
 use crate::Scheduler;
 use crate::amounts::Resources;
-use crate::fleet::Allocation;
+use crate::ledger::Allocation;
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::Micros;
 
--- a/crates/hopyoke-scheduler/src/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Workers' reports: they rebuild and update the ledger, and are answered with orders.
 
-use super::fleet::{Allocation, AllocationState, Machine, MachinePhase, Stop};
-use super::{Action, Scheduler};
+use crate::ledger::{Allocation, AllocationState, Machine, MachinePhase, Stop};
+use crate::{Action, Scheduler};
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_protocol::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use hopyoke_run_times::End;
@@ -313,7 +313,7 @@
         }
     }
 
-    fn note_image(&mut self, id: &MachineId, image: super::fleet::ImageKey, gb: f64) {
+    fn note_image(&mut self, id: &MachineId, image: crate::ledger::ImageKey, gb: f64) {
         let Some(m) = self.machines.get(id) else {
             return;
         };
@@ -342,7 +342,7 @@
             ExitReason::Done if job.spec.kind != JobKind::Service => {
                 if job.is_gang() {
                     // Gangs complete together.
-                    job.done = super::Ranges::all(job.spec.tasks);
+                    job.done = crate::Ranges::all(job.spec.tasks);
                 } else if task.index < job.spec.tasks {
                     job.done.insert(task.index);
                 }
@@ -473,7 +473,7 @@
     }
 
     /// Forgets all that was on a machine; returns how many attempts held a place.
-    pub(super) fn clear_allocations(&mut self, id: &MachineId) -> usize {
+    pub(crate) fn clear_allocations(&mut self, id: &MachineId) -> usize {
         let Some(m) = self.machines.get_mut(id) else {
             return 0;
         };
@@ -500,7 +500,7 @@
     }
 
     /// A job appeared in the ledger of which workers have reported tasks already.
-    pub(super) fn adopt_allocations(&mut self, id: &JobId, spec: &Rc<JobSpec>) {
+    pub(crate) fn adopt_allocations(&mut self, id: &JobId, spec: &Rc<JobSpec>) {
         let mut found = Vec::new();
         let orphaned = |m: &Machine| {
             m.allocations()
@@ -523,7 +523,7 @@
         }
     }
 
-    pub(super) fn place_add(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
+    pub(crate) fn place_add(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.places
                 .entry(task.index)
@@ -539,7 +539,7 @@
     }
 
     /// Has an attempt stopped. One that was never offered to the worker just goes.
-    pub(super) fn stop_allocation(
+    pub(crate) fn stop_allocation(
         &mut self,
         id: &MachineId,
         job: &JobId,
@@ -676,7 +676,7 @@
     /// until each finds us with a report: an empty direct order shows them our token, and its
     /// answer is their report. (A machine that is known to have seen our token is accounted for.)
     /// Machines that are overdue and no longer listed are asked too, before they are given up.
-    pub(super) fn probe(&mut self, now: Micros) {
+    pub(crate) fn probe(&mut self, now: Micros) {
         for _ in 0..self.probes.len() {
             if !self.may_probe() {
                 return;
@@ -712,11 +712,11 @@
         }
     }
 
-    pub(super) fn may_probe(&self) -> bool {
+    pub(crate) fn may_probe(&self) -> bool {
         !self.probes.is_empty() && self.open_probes < MOST_PROBES
     }
 
-    pub(super) fn probe_over(&mut self, id: &MachineId) {
+    pub(crate) fn probe_over(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id)
             && std::mem::take(&mut m.probing)
         {
@@ -726,7 +726,7 @@
 
     /// Sends new orders at once instead of with the answer to the next report. Results that are
     /// merely to be forgotten can wait for that.
-    pub(super) fn pushed_commands(&mut self, now: Micros) {
+    pub(crate) fn pushed_commands(&mut self, now: Micros) {
         let mut later = Vec::new();
         while let Some(id) = self.commands_due.pop_first() {
             let Some(m) = self.machines.get(&id) else {
@@ -773,7 +773,7 @@
 /// whole time limit, so there must be enough for the others to pass them.
 const MOST_PROBES: usize = 96;
 
-fn remove_place(job: &mut super::Job, task: &TaskId, id: &MachineId, attempt: Attempt) {
+fn remove_place(job: &mut crate::Job, task: &TaskId, id: &MachineId, attempt: Attempt) {
     if let Some(places) = job.places.get_mut(&task.index) {
         places.retain(|(m, a)| !(m == id && *a == attempt));
         if places.is_empty() {
--- a/crates/hopyoke-scheduler/src/check.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/restart_check.rs
@@ -1,7 +1,7 @@
 //! The three-way check before any start: the recorded previous attempt against workers' reports.
 
-use super::Scheduler;
-use super::job::Job;
+use crate::Scheduler;
+use crate::ledger::Job;
 
 /// What is to be done about a task that is not recorded as done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/hopyoke-scheduler/src/learn.rs
+++ b/crates/hopyoke-scheduler/src/run_times.rs
@@ -1,7 +1,7 @@
 //! Learned run times: what the core feeds the learner, and what it asks of it. Nothing here
 //! decides a rule.
 
-use crate::fleet::{AllocationState, MachinePhase};
+use crate::ledger::{AllocationState, MachinePhase};
 use crate::{Scheduler, Tuning};
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_protocol::worker::TaskState;
@@ -85,7 +85,7 @@
     /// A number that no other start of any task has had: the token is unique, and the counter is
     /// ours alone and rises. It never falls behind the time since the grant, so that a later
     /// leader can tell when an attempt was commanded without any record of it.
-    pub(super) fn new_attempt(&mut self, now: Micros) -> Attempt {
+    pub(crate) fn new_attempt(&mut self, now: Micros) -> Attempt {
         let ticks = (now - self.started).0 / TICK.0;
         self.counter = (self.counter + 1).max(ticks);
         Attempt((self.token.0 << COUNTER_BITS) | (self.counter & ((1 << COUNTER_BITS) - 1)))
@@ -153,7 +153,7 @@
     }
 
     /// A task has been told to start.
-    pub(super) fn run_commanded(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
+    pub(crate) fn run_commanded(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
         let Some(job) = self
             .jobs
             .get(&task.job)
@@ -169,7 +169,7 @@
 
     /// A task that we had not seen before was reported as completed: it ended between two leaders,
     /// most likely; that is when nobody led, or just before, or since.
-    pub(super) fn run_found_ended(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
+    pub(crate) fn run_found_ended(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
         let Some(job) = self.jobs.get(&task.job).filter(|_| self.tuning.learn) else {
             return;
         };
@@ -199,7 +199,7 @@
     }
 
     /// A task was seen running for the first time; `seen`: we saw it before it ran.
-    pub(super) fn run_began(
+    pub(crate) fn run_began(
         &mut self,
         id: &MachineId,
         task: &TaskId,
@@ -257,7 +257,7 @@
     }
 
     /// An attempt has ended, or is gone, at this time.
-    pub(super) fn run_ended(
+    pub(crate) fn run_ended(
         &mut self,
         id: &MachineId,
         task: &TaskId,
@@ -325,7 +325,7 @@
 
     /// Looks after runs that have outlived their bands, and machines that are far slower than
     /// their peers.
-    pub(super) fn observe_runs(&mut self, now: Micros) {
+    pub(crate) fn observe_runs(&mut self, now: Micros) {
         if !self.tuning.learn {
             return;
         }
@@ -370,7 +370,7 @@
     }
 
     /// A page of learned run times to be written, if the share of writes that they may take allows.
-    pub(super) fn next_learned(&mut self, now: Micros) -> Option<(PageKey, Page)> {
+    pub(crate) fn next_learned(&mut self, now: Micros) -> Option<(PageKey, Page)> {
         let rate = self.cfg.write_rps * self.tuning.learn_write_share;
         let l = &mut self.learned;
         l.budget = (l.budget + rate * (now - l.earned).as_secs_f64()).min(1.0);
@@ -383,7 +383,7 @@
         Some(page)
     }
 
-    pub(super) fn learned_written(&mut self, key: PageKey, written: bool) {
+    pub(crate) fn learned_written(&mut self, key: PageKey, written: bool) {
         self.learned.learner.page_ended(key, written);
     }
 
--- a/crates/hopyoke-scheduler/src/hours.rs
+++ b/crates/hopyoke-scheduler/src/staffed_hours.rs
@@ -3,8 +3,8 @@
 //! What was commanded shortly before and has not begun when they end is stopped; what runs goes on,
 //! unless the operators' settings say drain.
 
-use super::Scheduler;
-use super::fleet::AllocationState;
+use crate::Scheduler;
+use crate::ledger::AllocationState;
 use hopyoke_calendar::{StaffedHours, StaffingOverride, Window};
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_protocol::worker::TaskState;
@@ -13,7 +13,7 @@
 
 /// What the core knows of hours.
 #[derive(Default)]
-pub(super) struct Staffing {
+pub(crate) struct Staffing {
     hours: Option<StaffedHours>,
     /// A moment of the steady clock and the time of day then; noted often, for clocks drift apart.
     clock: (Micros, Micros),
@@ -46,13 +46,13 @@
     }
 
     /// How long ago a time of day was, in microseconds; as exact as the nodes' clocks.
-    pub(super) fn ago(&self, time_us: u64, now: Micros) -> Micros {
+    pub(crate) fn ago(&self, time_us: u64, now: Micros) -> Micros {
         let (at, time_of_day) = self.staffing.clock;
         time_of_day + (now - at) - Micros(time_us)
     }
 
     /// Looks whether staffed hours have begun or ended; the calendar itself only when a window is over.
-    pub(super) fn apply_staffed_hours(&mut self, now: Micros) {
+    pub(crate) fn apply_staffed_hours(&mut self, now: Micros) {
         let s = &mut self.staffing;
         let Some(hours) = &s.hours else { return };
         let time_of_day = s.clock.1 + (now - s.clock.0);
@@ -147,7 +147,7 @@
 
     /// An attempt was reported that has not begun, while nobody is there: it is stopped as well, as
     /// after a takeover at the boundary.
-    pub(super) fn stop_if_held(
+    pub(crate) fn stop_if_held(
         &mut self,
         id: &MachineId,
         job: &JobId,
