--- a/crates/hopyoke-scheduler/src/ledger/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -1,7 +1,7 @@
 //! A job in the leader's ledger, and its record in the state service.
 
 use crate::amounts::Resources;
-use crate::ledger::ImageKey;
+use crate::ledger::{ImageKey, WaitReason};
 use crate::ranges::Ranges;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
 use hopyoke_types::Micros;
@@ -125,10 +125,10 @@
     pub writing: bool,
     /// First seen by this leader.
     pub seen_at: Micros,
-    /// Why its tasks wait, for operators.
-    pub waits_for: &'static str,
-    /// What they waited for last.
-    pub waited_for: &'static str,
+    /// Why its tasks wait, for operators; `None`: none waits.
+    pub wait_reason: Option<WaitReason>,
+    /// The latest reason for which they waited.
+    pub last_wait_reason: Option<WaitReason>,
 }
 
 impl Job {
@@ -157,8 +157,8 @@
             hold_until: Micros::ZERO,
             writing: false,
             seen_at: now,
-            waits_for: "its first placement",
-            waited_for: "",
+            wait_reason: Some(WaitReason::FirstPlacement),
+            last_wait_reason: None,
             spec: record.spec,
         }
     }
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -27,10 +27,9 @@
 pub use amounts::{Resources, Team, never_runs};
 pub use autoscale::scale_out::ScaleOutOutcome;
 pub use ledger::{
-    Allocation, AllocationState, EndRecord, Job, JobRecord, Load, Machine, MachinePhase,
+    Allocation, AllocationState, EndRecord, Job, JobRecord, Load, Machine, MachinePhase, WaitReason,
 };
 pub use persist::batch::{Batch, BatchError, RegistryPage, Write};
-pub use plan::HELD;
 pub use ranges::Ranges;
 pub use reconcile::heartbeats::HeartbeatReply;
 pub use reconcile::restart_check::RestartDecision;
--- a/crates/hopyoke-scheduler/src/plan/each.rs
+++ b/crates/hopyoke-scheduler/src/plan/each.rs
@@ -3,6 +3,7 @@
 use super::Start;
 use super::view::Plan;
 use crate::Scheduler;
+use crate::ledger::WaitReason;
 use crate::reconcile::restart_check::RestartDecision;
 use hopyoke_protocol::user::Priority;
 use hopyoke_types::{JobId, Micros};
@@ -13,9 +14,14 @@
 
 impl Scheduler {
     /// Arrays and services: each task for itself.
-    pub(super) fn place_each(&mut self, id: &JobId, plan: &mut Plan, now: Micros) -> &'static str {
+    pub(super) fn place_each(
+        &mut self,
+        id: &JobId,
+        plan: &mut Plan,
+        now: Micros,
+    ) -> Option<WaitReason> {
         let (Some(mut needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else {
-            return "";
+            return None;
         };
         let begun = plan.begun.get(id).copied();
         if let Some((_, zone)) = begun {
@@ -51,7 +57,7 @@
         let mut left = startable.len() as u32;
         // A zone rule must not be broken by tasks that nobody has reported yet.
         if unknown && (needs.spec.spread || needs.spec.one_zone) {
-            return "recovery";
+            return Some(WaitReason::Reconciliation);
         }
         needs.spare_ordinary = plan.keeps_room
             && needs.spec.spot
@@ -62,7 +68,7 @@
         let production = needs.spec.priority == Priority::Production;
         for index in startable {
             if !plan.charge(&needs, 1, &self.cfg.teams) {
-                return "its team's limit";
+                return Some(WaitReason::TeamLimit);
             }
             let found = candidates.best(&needs, plan, |b| plan.score(&needs, b));
             let bin = match found {
@@ -96,7 +102,7 @@
                             }
                             None => {
                                 plan.refund(&needs, 1);
-                                return "machines";
+                                return Some(WaitReason::Machines);
                             }
                         },
                     }
@@ -121,10 +127,10 @@
             self.start_on(bin, id, index, image, plan, now);
         }
         match (unknown, soon) {
-            _ if needs.is_crash_looping => "a trial of one task",
-            (true, _) => "recovery",
-            (_, true) => "running tasks that end soon",
-            _ => "",
+            _ if needs.is_crash_looping => Some(WaitReason::SingleTaskTrial),
+            (true, _) => Some(WaitReason::Reconciliation),
+            (_, true) => Some(WaitReason::EndingTasks),
+            _ => None,
         }
     }
 
--- a/crates/hopyoke-scheduler/src/plan/gang.rs
+++ b/crates/hopyoke-scheduler/src/plan/gang.rs
@@ -5,6 +5,7 @@
 use super::view::Plan;
 use crate::Scheduler;
 use crate::amounts::Resources;
+use crate::ledger::WaitReason;
 use crate::reconcile::restart_check::RestartDecision;
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_types::{JobId, Micros};
@@ -13,24 +14,29 @@
 
 impl Scheduler {
     /// Gangs: all tasks at once, or the replacements that a waiting gang lacks.
-    pub(super) fn place_gang(&mut self, id: &JobId, plan: &mut Plan, now: Micros) -> &'static str {
+    pub(super) fn place_gang(
+        &mut self,
+        id: &JobId,
+        plan: &mut Plan,
+        now: Micros,
+    ) -> Option<WaitReason> {
         let (Some(needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else {
-            return "";
+            return None;
         };
         let n = job.spec.tasks;
         let missing: Vec<u32> = (0..n).filter(|i| !job.places.contains_key(i)).collect();
         if missing.is_empty() || job.is_done() {
-            return "";
+            return None;
         }
         // Tasks of the old attempt stay where they are until they exit: nothing new before that.
         if job.gang_failing || (job.gang_started && missing.len() < n as usize) {
-            return "its old attempt to end";
+            return Some(WaitReason::PreviousAttempt);
         }
         if missing
             .iter()
             .any(|&i| self.check(job, i) != RestartDecision::Restart)
         {
-            return "recovery";
+            return Some(WaitReason::Reconciliation);
         }
         let anew = missing.len() == n as usize;
         let term = job.term;
@@ -39,7 +45,7 @@
             if plan.keeps_room && !needs.is_crash_looping {
                 self.reserve_quota(&needs, plan, count);
             }
-            return "its team's limit";
+            return Some(WaitReason::TeamLimit);
         }
         // For a gang that failed on several machines nothing is rented and no room is kept.
         let offers = needs
@@ -54,13 +60,13 @@
             if plan.keeps_room && !needs.is_crash_looping {
                 self.reserve(&needs, plan, count, now);
             }
-            return "machines";
+            return Some(WaitReason::Machines);
         };
         if !bins.iter().all(|&b| plan.bins[b].ready) {
             if !plan.keeps_room {
                 plan.lend_ready(&needs, &bins);
             }
-            return "machines to boot";
+            return Some(WaitReason::Provisioning);
         }
         let attempt = if anew { self.new_attempt(now) } else { term };
         if anew && let Some(job) = self.jobs.get_mut(id) {
@@ -68,7 +74,11 @@
             job.term = attempt;
             job.gang_started = false;
             let waited_ms = (now - job.seen_at).as_millis();
-            let (class, tasks, waited_for) = (&job.spec.class, job.spec.tasks, job.waited_for);
+            let (class, tasks, waited_for) = (
+                &job.spec.class,
+                job.spec.tasks,
+                job.last_wait_reason.map_or("", WaitReason::as_str),
+            );
             let warm = bins
                 .iter()
                 .filter(|b| plan.had_image(&plan.bins[**b], needs.image))
@@ -88,7 +98,7 @@
                 });
             }
         }
-        ""
+        None
     }
 
     /// Finds room for `count` tasks at once, in one zone if the job asks for it. Room on machines
--- a/crates/hopyoke-scheduler/src/plan/mod.rs
+++ b/crates/hopyoke-scheduler/src/plan/mod.rs
@@ -22,7 +22,7 @@
 use super::amounts::{Resources, Team};
 use super::{Job, Scheduler};
 use crate::autoscale::scale_out::Demand;
-use crate::ledger::{Allocation, AllocationState};
+use crate::ledger::{Allocation, AllocationState, WaitReason};
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
@@ -30,9 +30,6 @@
 use tracing::{debug, info};
 use view::Plan;
 
-/// Why held work waits.
-pub const HELD: &str = "staffed hours";
-
 /// A job in the order of placement: class of importance, priority, acceptance.
 type Keyed = ((u8, Priority, u64), JobId);
 
@@ -78,13 +75,13 @@
                 continue;
             };
             let why = if job.given_up {
-                "its end to be recorded"
+                Some(WaitReason::EndRecord)
             } else if self.is_held(&job.spec) {
-                HELD
+                Some(WaitReason::StaffedHours)
             } else if now < job.hold_until {
-                "its backoff"
+                Some(WaitReason::Backoff)
             } else if (orphaned || unbounded) && self.limited(&job.spec.team) {
-                "recovery"
+                Some(WaitReason::Reconciliation)
             } else if first {
                 self.place_first(&id, &mut plan, now);
                 continue;
@@ -94,10 +91,8 @@
                 self.place_each(&id, &mut plan, now)
             };
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.waits_for = why;
-                if !why.is_empty() {
-                    job.waited_for = why;
-                }
+                job.wait_reason = why;
+                job.last_wait_reason = why.or(job.last_wait_reason);
             }
         }
         if now >= self.next_fleet_line {
@@ -223,7 +218,7 @@
                 self.cfg.teams[t].guarantees(&claimed[t])
             });
             if job.unplaced_tasks() == 0 {
-                if !job.waits_for.is_empty() {
+                if job.wait_reason.is_some() {
                     is_reconciled.push(id.clone());
                 }
                 continue;
@@ -251,7 +246,7 @@
         }
         for id in is_reconciled {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.waits_for = "";
+                job.wait_reason = None;
             }
         }
         keyed
@@ -290,7 +285,11 @@
             // Its first start is recorded before it is commanded.
             job.term = s.attempt;
             let waited_ms = (now - job.seen_at).as_millis();
-            let (class, tasks, waited_for) = (&job.spec.class, job.spec.tasks, job.waited_for);
+            let (class, tasks, waited_for) = (
+                &job.spec.class,
+                job.spec.tasks,
+                job.last_wait_reason.map_or("", WaitReason::as_str),
+            );
             debug!(job = %s.job, class, tasks, waited_ms, waited_for, image = s.image, "first start");
             self.writes.note(&s.job);
         }
--- a/crates/hopyoke-scheduler/src/run_times.rs
+++ b/crates/hopyoke-scheduler/src/run_times.rs
@@ -1,7 +1,7 @@
 //! Learned run times: what the core feeds the learner, and what it asks of it. Nothing here
 //! decides a rule.
 
-use crate::ledger::{AllocationState, MachinePhase};
+use crate::ledger::{AllocationState, MachinePhase, WaitReason};
 use crate::{Scheduler, Tuning};
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_protocol::worker::TaskState;
@@ -486,11 +486,7 @@
         if waiting > 0 {
             rests_on += &format!(
                 "; the wait for a place is not counted (it waits for {})",
-                if job.waits_for.is_empty() {
-                    "its first placement"
-                } else {
-                    job.waits_for
-                }
+                job.wait_reason.unwrap_or(WaitReason::FirstPlacement)
             );
         }
         Ok(When {
--- a/crates/hopyoke-simulator/src/rules.rs
+++ b/crates/hopyoke-simulator/src/rules.rs
@@ -4,7 +4,7 @@
 use hopyoke_calendar::StaffedHours;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
 use hopyoke_protocol::worker::TaskState;
-use hopyoke_scheduler::Resources;
+use hopyoke_scheduler::{Resources, WaitReason};
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, JobId, MachineId, ModRevision, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -267,7 +267,9 @@
                 .and_then(|i| self.nodes[i].lead.as_ref())
                 .map(|l| &l.scheduler);
             let why = scheduler.map_or("no leader", |c| {
-                c.jobs.get(&id).map_or("unknown", |j| j.waits_for)
+                c.jobs
+                    .get(&id)
+                    .map_or("unknown", |j| j.wait_reason.map_or("", WaitReason::as_str))
             });
             self.broke(
                 "waits",
--- a/crates/hopyoke-simulator/src/script.rs
+++ b/crates/hopyoke-simulator/src/script.rs
@@ -6,7 +6,7 @@
 use hopyoke_calendar::{Calendar, HoldSelector, StaffedHours, StaffingOverride};
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState, Priority};
-use hopyoke_scheduler::{Ask, Team};
+use hopyoke_scheduler::{Ask, Team, WaitReason};
 use hopyoke_types::Micros;
 use hopyoke_types::{JobId, MachineId};
 use std::collections::BTreeMap;
@@ -696,7 +696,9 @@
             .map(|l| &l.scheduler);
         let why = |id: &JobId| {
             scheduler.map_or("no leader", |c| {
-                c.jobs.get(id).map_or("unknown", |j| j.waits_for)
+                c.jobs
+                    .get(id)
+                    .map_or("unknown", |j| j.wait_reason.map_or("", WaitReason::as_str))
             })
         };
         let waits: Vec<String> = w
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -3,7 +3,7 @@
 use crate::node::{Leadership, Node};
 use hopyoke_admission::RequestPriority;
 use hopyoke_event_loop as runtime;
-use hopyoke_scheduler::{HELD, MachinePhase, Resources, RestartDecision, Scheduler};
+use hopyoke_scheduler::{MachinePhase, Resources, RestartDecision, Scheduler, WaitReason};
 use hopyoke_types::Micros;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -208,10 +208,12 @@
                 estimate.p50_s, estimate.p90_s
             )?;
         }
-        match (job.waits_for, scheduler.held_until()) {
-            ("", _) => writeln!(out)?,
-            (HELD, Some(until)) => writeln!(out, " waits for {HELD} until {until}")?,
-            (reason, _) => writeln!(out, " waits for {reason}")?,
+        match (job.wait_reason, scheduler.held_until()) {
+            (None, _) => writeln!(out)?,
+            (Some(WaitReason::StaffedHours), Some(until)) => {
+                writeln!(out, " waits for {} until {until}", WaitReason::StaffedHours)?;
+            }
+            (Some(reason), _) => writeln!(out, " waits for {reason}")?,
         }
     }
     Ok(())
