--- a/crates/hopyoke-experiments/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -258,10 +258,10 @@
             let Some(job) = scheduler.jobs.get(id) else {
                 continue;
             };
-            let Some((index, places)) = job.places.first_key_value() else {
+            let Some((index, attempts)) = job.attempts.first_key_value() else {
                 continue;
             };
-            let Some((_, attempt)) = places.first() else {
+            let Some((_, attempt)) = attempts.first() else {
                 continue;
             };
             let task = TaskId {
--- a/crates/hopyoke-scheduler/src/autoscale/inventory.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/inventory.rs
@@ -8,8 +8,8 @@
 
 impl Scheduler {
     /// The cloud's list. It lags, so it never proves that a machine is not there.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Micros) {
-        self.listed = Some(list.iter().map(|l| l.id.clone()).collect());
+    pub fn instances_listed(&mut self, list: &[ListedMachine], now: Micros) {
+        self.listed_instances = Some(list.iter().map(|l| l.id.clone()).collect());
         for l in list {
             if self.gone.contains_key(&l.id) {
                 continue;
@@ -26,8 +26,8 @@
                 )
             });
             if !known {
-                m.rented_at = now - age;
-                m.dated = true;
+                m.requested_at = now - age;
+                m.has_known_age = true;
                 self.changed = true;
                 info!(machine = %l.id, zone = %l.zone, spot = l.spot, "found an unknown machine");
             }
--- a/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
@@ -8,18 +8,18 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-const MOST_PER_DELETE: usize = 100;
+const MAX_INSTANCES_PER_DELETION: usize = 100;
 /// Calls to the cloud are scarce: while one deletion is under way the next one gathers machines,
 /// or a shrinking fleet is paid for while single deletions queue. A second may go out beside it,
 /// for a failed one is only tried again after a pause.
-const MOST_OPEN_DELETES: usize = 2;
+const MAX_OPEN_DELETIONS: usize = 2;
 
 impl Scheduler {
     /// The cloud confirmed a deletion: the machines and everything on them are gone.
-    pub fn deleted(&mut self, ids: &[MachineId], now: Micros) {
-        self.open_deletes = self.open_deletes.saturating_sub(1);
+    pub fn deletion_confirmed(&mut self, ids: &[MachineId], now: Micros) {
+        self.open_deletions = self.open_deletions.saturating_sub(1);
         for id in ids {
-            self.probe_over(id);
+            self.end_probe(id);
             self.clear_allocations(id);
             self.machines.remove(id);
             self.registry.remove(id);
@@ -30,29 +30,29 @@
     }
 
     /// A deletion was not confirmed: it is tried again.
-    pub fn delete_failed(&mut self, ids: &[MachineId]) {
-        self.open_deletes = self.open_deletes.saturating_sub(1);
+    pub fn deletion_failed(&mut self, ids: &[MachineId]) {
+        self.open_deletions = self.open_deletions.saturating_sub(1);
         for id in ids {
             if let Some(m) = self.machines.get_mut(id) {
-                m.delete_sent = false;
+                m.deletion_requested = false;
             }
         }
     }
 
     /// A production job was first seen of late.
-    pub fn production_arriving(&self, now: Micros) -> bool {
+    pub fn has_recent_production_work(&self, now: Micros) -> bool {
         let lately = self.tuning.keep_ready_for;
         self.jobs
             .values()
-            .any(|j| j.spec.priority == Priority::Production && now < j.seen_at + lately)
+            .any(|j| j.spec.priority == Priority::Production && now < j.first_seen_at + lately)
     }
 
     /// Returns machines that nobody needs, that are faulty, or that never came up.
-    pub(crate) fn return_idle(&mut self, now: Micros) {
+    pub(crate) fn scale_in(&mut self, now: Micros) {
         let idle_for = self.tuning.idle_return;
         let mut returns = Vec::new();
         // While production work arrives, one ordinary machine stays ready for the next of it.
-        let arriving = self.production_arriving(now);
+        let arriving = self.has_recent_production_work(now);
         let mut idle_ordinary = self
             .machines
             .values()
@@ -80,9 +80,9 @@
                 .get(m.machine_type.as_str())
                 .copied()
                 .unwrap_or(Micros::from_secs(60));
-            let never_up = m.phase == MachinePhase::Booting
-                && (m.boot == ProvisioningState::Hopeless
-                    || now >= m.rented_at + patience(boot) + Micros::from_secs(30));
+            let never_up = m.phase == MachinePhase::Provisioning
+                && (m.provisioning == ProvisioningState::Hopeless
+                    || now >= m.requested_at + patience(boot) + Micros::from_secs(30));
             let idle = m.idle_since.is_some_and(|t| now >= t + idle_for) && !self.is_reconciling;
             let faulty = m.faulty && !m.has_live();
             let mut unneeded = (idle || (m.slow && m.allocations().is_empty())) && !m.has_live();
@@ -94,27 +94,27 @@
             }
             if !m.deleting && (never_up || unneeded || faulty) {
                 m.deleting = true;
-                if never_up && m.dated && boot > Micros::ZERO {
+                if never_up && m.has_known_age && boot > Micros::ZERO {
                     let in_boots = |t: Micros| t.as_secs_f64() / boot.as_secs_f64();
                     self.provisioning_estimator.given_up(
                         &m.machine_type,
-                        in_boots(now - m.rented_at),
+                        in_boots(now - m.requested_at),
                         in_boots(now),
                     );
                 }
                 info!(machine = %m.id, zone = %m.zone, spot = m.spot, never_up, faulty, "returning machine");
             }
             if m.deleting
-                && !m.delete_sent
-                && self.open_deletes < MOST_OPEN_DELETES
-                && returns.len() < MOST_PER_DELETE
+                && !m.deletion_requested
+                && self.open_deletions < MAX_OPEN_DELETIONS
+                && returns.len() < MAX_INSTANCES_PER_DELETION
             {
-                m.delete_sent = true;
+                m.deletion_requested = true;
                 returns.push(m.id.clone());
             }
         }
         if !returns.is_empty() {
-            self.open_deletes += 1;
+            self.open_deletions += 1;
             self.actions.push_back(Action::Delete { machines: returns });
         }
     }
--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -19,19 +19,19 @@
 /// What a plan found to be missing.
 pub struct Demand {
     pub offers: BTreeMap<Offer, u32>,
-    pub wanted: Vec<MachineId>,
+    pub reserved_machines: Vec<MachineId>,
 }
 
 /// How a rental request ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScaleOutOutcome {
-    Rented(Vec<MachineId>),
+    Created(Vec<MachineId>),
     NoCapacity,
     /// Not executed for another reason, or no answer: the same request is to be sent again.
-    Unsure,
+    Unknown,
 }
 
-struct OpenRent {
+struct PendingScaleOut {
     offer: Offer,
     count: u32,
     tries: u32,
@@ -39,15 +39,15 @@
 }
 
 #[derive(Default)]
-struct Refusal {
+struct CapacityBackoff {
     until: Micros,
     times: u32,
 }
 
 #[derive(Default)]
 pub struct PendingScaleOuts {
-    open: BTreeMap<String, OpenRent>,
-    refusals: BTreeMap<Offer, Refusal>,
+    open: BTreeMap<String, PendingScaleOut>,
+    refusals: BTreeMap<Offer, CapacityBackoff>,
 }
 
 impl PendingScaleOuts {
@@ -70,12 +70,12 @@
     }
 }
 
-const MOST_PER_REQUEST: u32 = 50;
-const MOST_TRIES: u32 = 8;
+const MAX_INSTANCES_PER_REQUEST: u32 = 50;
+const MAX_TRIES: u32 = 8;
 
 impl Scheduler {
-    pub(crate) fn rent(&mut self, demand: Demand, now: Micros) {
-        for m in &demand.wanted {
+    pub(crate) fn scale_out(&mut self, demand: Demand, now: Micros) {
+        for m in &demand.reserved_machines {
             if let Some(m) = self.machines.get_mut(m) {
                 m.idle_since = None;
             }
@@ -90,7 +90,7 @@
         for name in again {
             if let Some(r) = self.pending_scale_outs.open.get_mut(&name) {
                 r.retry_at = None;
-                self.actions.push_back(rent_action(&name, r));
+                self.actions.push_back(scale_out_action(&name, r));
             }
         }
         if self.is_receive_overloaded(now) {
@@ -106,25 +106,25 @@
                 continue;
             }
             let request = self.new_request();
-            let open = OpenRent {
+            let open = PendingScaleOut {
                 offer,
-                count: count.min(MOST_PER_REQUEST),
+                count: count.min(MAX_INSTANCES_PER_REQUEST),
                 tries: 0,
                 retry_at: None,
             };
-            self.actions.push_back(rent_action(&request, &open));
+            self.actions.push_back(scale_out_action(&request, &open));
             self.pending_scale_outs.open.insert(request, open);
         }
     }
 
     /// A rental request ended.
-    pub fn rented(&mut self, request: &str, outcome: ScaleOutOutcome, now: Micros) {
+    pub fn scale_out_ended(&mut self, request: &str, outcome: ScaleOutOutcome, now: Micros) {
         let Some(open) = self.pending_scale_outs.open.get_mut(request) else {
             return;
         };
         self.changed = true;
         match outcome {
-            ScaleOutOutcome::Rented(ids) => {
+            ScaleOutOutcome::Created(ids) => {
                 let Some(open) = self.pending_scale_outs.open.remove(request) else {
                     return;
                 };
@@ -144,8 +144,8 @@
                     let m = self.machines.entry(id.clone()).or_insert_with(|| {
                         Machine::new(id, o.machine_type.clone(), o.zone.clone(), o.spot, now)
                     });
-                    m.ours = true;
-                    m.dated = true;
+                    m.created_by_this_leader = true;
+                    m.has_known_age = true;
                 }
             }
             ScaleOutOutcome::NoCapacity => {
@@ -155,9 +155,9 @@
                         .refuse(&open.offer, self.tuning.refusal_pause, now);
                 }
             }
-            ScaleOutOutcome::Unsure => {
+            ScaleOutOutcome::Unknown => {
                 open.tries += 1;
-                if open.tries >= MOST_TRIES {
+                if open.tries >= MAX_TRIES {
                     // Should it have been executed, the machines show up in reports or the list.
                     self.pending_scale_outs.open.remove(request);
                 } else {
@@ -169,7 +169,7 @@
 
     /// Judges the machines that boot. One that is late is no longer counted on, so that what waits for it has
     /// another rented; nothing that keeps a rule looks at this.
-    pub(crate) fn judge_boots(&mut self, now: Micros) {
+    pub(crate) fn update_provisioning_states(&mut self, now: Micros) {
         if self.is_receive_overloaded(now) {
             return;
         }
@@ -177,7 +177,7 @@
             .cfg
             .zones
             .iter()
-            .filter(|z| self.zone_cut(z))
+            .filter(|z| self.is_zone_partitioned(z))
             .cloned()
             .collect();
         let Scheduler {
@@ -189,7 +189,7 @@
         let mut booting: BTreeMap<&str, (f64, Vec<f64>, Vec<&mut Machine>)> = BTreeMap::new();
         for m in machines
             .values_mut()
-            .filter(|m| m.phase == MachinePhase::Booting && m.dated && !m.deleting)
+            .filter(|m| m.phase == MachinePhase::Provisioning && m.has_known_age && !m.deleting)
         {
             let Some(t) = types
                 .iter()
@@ -199,7 +199,7 @@
             };
             let (nominal, ages, of_type) = booting.entry(&t.name).or_default();
             *nominal = t.boot_s;
-            ages.push((now - m.rented_at).as_secs_f64() / t.boot_s);
+            ages.push((now - m.requested_at).as_secs_f64() / t.boot_s);
             of_type.push(m);
         }
         for (kind, (nominal, ages, of_type)) in booting {
@@ -208,12 +208,14 @@
                 &ages,
                 now.as_secs_f64() / nominal,
             )) {
-                if m.boot == ProvisioningState::Awaited && verdict != ProvisioningState::Awaited {
+                if m.provisioning == ProvisioningState::Awaited
+                    && verdict != ProvisioningState::Awaited
+                {
                     info!(machine = %m.id, zone = %m.zone, spot = m.spot, "machine late: no longer counted on");
                 }
                 // In a zone that is cut off it may be up without our hearing of it.
                 let unheard = verdict == ProvisioningState::Hopeless && cut.contains(&m.zone);
-                m.boot = if unheard {
+                m.provisioning = if unheard {
                     ProvisioningState::Late
                 } else {
                     verdict
@@ -223,7 +225,7 @@
     }
 }
 
-fn rent_action(request: &str, r: &OpenRent) -> Action {
+fn scale_out_action(request: &str, r: &PendingScaleOut) -> Action {
     Action::ScaleOut {
         request: request.to_owned(),
         machine_type: r.offer.machine_type.clone(),
--- a/crates/hopyoke-scheduler/src/ledger/allocation.rs
+++ b/crates/hopyoke-scheduler/src/ledger/allocation.rs
@@ -16,7 +16,7 @@
     /// The start command went out with the answer to this report (session, seq).
     pub offered: Option<(u64, u64)>,
     /// A direct start command is under way.
-    pub direct: bool,
+    pub push_in_flight: bool,
     /// A direct start command got no answer: it may be executed at any later time of this session.
     pub outcome_unknown: bool,
     pub stop: Option<Stop>,
@@ -46,7 +46,7 @@
             state,
             spec,
             offered: None,
-            direct: false,
+            push_in_flight: false,
             outcome_unknown: false,
             stop: None,
             since: now,
--- a/crates/hopyoke-scheduler/src/ledger/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -19,12 +19,12 @@
     #[serde(default)]
     pub done: Ranges,
     /// The attempt of the latest gang placement, or of another job's first start; 0: none.
-    #[serde(default)]
-    pub term: Attempt,
-    /// `term` is written before the first start of any job, not of gangs alone. Records of
+    #[serde(default, rename = "term")]
+    pub start_attempt: Attempt,
+    /// `start_attempt` is written before the first start of any job, not of gangs alone. Records of
     /// earlier versions lack this.
-    #[serde(default)]
-    pub marks_start: bool,
+    #[serde(default, rename = "marks_start")]
+    pub has_start_marker: bool,
     /// It is a step of a workflow's run, and no user's. Its id is not for users.
     #[serde(default, skip_serializing_if = "is_false")]
     pub flow: bool,
@@ -41,8 +41,8 @@
             spec: Rc::new(spec),
             accepted_us,
             done: Ranges::default(),
-            term: Attempt::default(),
-            marks_start: true,
+            start_attempt: Attempt::default(),
+            has_start_marker: true,
             flow: false,
         }
     }
@@ -57,7 +57,7 @@
 
     /// Some holder may have told a worker to start one of its tasks.
     pub fn may_have_started(&self) -> bool {
-        self.term.0 != 0 || !self.marks_start
+        self.start_attempt.0 != 0 || !self.has_start_marker
     }
 }
 
@@ -97,7 +97,7 @@
     pub mod_revision: ModRevision,
     /// An earlier holder may have started its tasks.
     pub inherited: bool,
-    pub marks_start: bool,
+    pub has_start_marker: bool,
     pub flow: bool,
     /// It kept failing and its end is to be recorded.
     pub given_up: bool,
@@ -105,8 +105,8 @@
     /// What the record says is done: only this may be reaped from workers.
     pub recorded: Ranges,
     /// Attempt of the current gang placement, or of another job's first start.
-    pub term: Attempt,
-    pub recorded_term: Attempt,
+    pub start_attempt: Attempt,
+    pub recorded_start_attempt: Attempt,
     /// Some task of the current gang placement has been seen running.
     pub gang_started: bool,
     /// The current gang placement is being wound up: all its tasks must be gone before the next.
@@ -114,17 +114,17 @@
     /// A run of it was cut short and may have saved progress.
     pub resumed: bool,
     /// Attempts that hold a place: from their command until their proven exit.
-    pub places: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
+    pub attempts: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
     /// Machines on which a task of this job failed since one last succeeded.
     pub failed_on: BTreeSet<MachineId>,
     /// How often in a row it was held back for failing on several machines.
     pub backoffs: u32,
     /// Not to be started before this.
-    pub hold_until: Micros,
+    pub backoff_until: Micros,
     /// A write of its record is under way.
     pub writing: bool,
     /// First seen by this leader.
-    pub seen_at: Micros,
+    pub first_seen_at: Micros,
     /// Why its tasks wait, for operators; `None`: none waits.
     pub wait_reason: Option<WaitReason>,
     /// The latest reason for which they waited.
@@ -141,22 +141,22 @@
             accepted_us: record.accepted_us,
             mod_revision,
             inherited,
-            marks_start: record.marks_start,
+            has_start_marker: record.has_start_marker,
             flow: record.flow,
             given_up: false,
             recorded: done.clone(),
             done,
-            term: record.term,
-            recorded_term: record.term,
+            start_attempt: record.start_attempt,
+            recorded_start_attempt: record.start_attempt,
             gang_started: false,
             gang_failing: false,
             resumed: false,
-            places: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             failed_on: BTreeSet::new(),
             backoffs: 0,
-            hold_until: Micros::ZERO,
+            backoff_until: Micros::ZERO,
             writing: false,
-            seen_at: now,
+            first_seen_at: now,
             wait_reason: Some(WaitReason::FirstPlacement),
             last_wait_reason: None,
             spec: record.spec,
@@ -168,8 +168,8 @@
             spec: self.spec.clone(),
             accepted_us: self.accepted_us,
             done: self.done.clone(),
-            term: self.term,
-            marks_start: self.marks_start,
+            start_attempt: self.start_attempt,
+            has_start_marker: self.has_start_marker,
             flow: self.flow,
         }
     }
@@ -179,13 +179,13 @@
         let tasks = self.spec.tasks;
         // Of a task that is done, or that the job never had, a worker may still report an attempt.
         let beyond = self
-            .places
+            .attempts
             .last_key_value()
             .is_some_and(|(i, _)| *i >= tasks);
         let placed = if self.done.parts() == 0 && !beyond {
-            self.places.len()
+            self.attempts.len()
         } else {
-            self.places
+            self.attempts
                 .range(..tasks)
                 .filter(|(i, _)| !self.done.contains(**i))
                 .count()
@@ -207,7 +207,9 @@
     /// Something about it is not recorded yet.
     pub fn needs_write(&self) -> bool {
         !self.writing
-            && (self.done != self.recorded || self.term != self.recorded_term || self.given_up)
+            && (self.done != self.recorded
+                || self.start_attempt != self.recorded_start_attempt
+                || self.given_up)
     }
 
     /// How it ended.
@@ -229,9 +231,9 @@
     /// recorded start for one that nobody has started. Guards `ran_twice`.)
     pub fn may_start(&self, attempt: Attempt) -> bool {
         if self.is_gang() {
-            self.recorded_term >= attempt
+            self.recorded_start_attempt >= attempt
         } else {
-            self.recorded_term.0 != 0
+            self.recorded_start_attempt.0 != 0
         }
     }
 
--- a/crates/hopyoke-scheduler/src/ledger/machine.rs
+++ b/crates/hopyoke-scheduler/src/ledger/machine.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachinePhase {
     /// Rented, its worker has not reported yet.
-    Booting,
+    Provisioning,
     /// Its worker reports.
     Up,
     /// Its worker's lease has lapsed: everything on it is gone.
@@ -64,23 +64,23 @@
     pub sequence: u64,
     pub token_seen: FencingToken,
     /// Rented by this leader: no earlier holder can have commanded it.
-    pub ours: bool,
+    pub created_by_this_leader: bool,
     /// Its session began after our grant: no earlier holder can have commanded it either.
-    pub young_session: bool,
+    pub epoch_began_after_grant: bool,
     pub last_seen: Micros,
     /// By now the session has ended, unless we answer another of its reports.
     pub lease_end: Micros,
     /// When the cloud takes it away.
-    pub notice: Option<Micros>,
+    pub preemption_notice_at: Option<Micros>,
     allocations: BTreeMap<(TaskId, Attempt), Allocation>,
     load: Option<Load>,
     /// Most recently used last.
     images: Vec<(ImageKey, f64)>,
-    pub rented_at: Micros,
+    pub requested_at: Micros,
     /// When it was rented is known: from the cloud's answer, or its list.
-    pub dated: bool,
+    pub has_known_age: bool,
     /// What to think of it while it boots.
-    pub boot: ProvisioningState,
+    pub provisioning: ProvisioningState,
     pub idle_since: Option<Micros>,
     /// Jobs whose tasks failed here since one last succeeded here.
     pub failed_jobs: BTreeSet<JobId>,
@@ -90,23 +90,23 @@
     /// Far slower than its peers: nothing more is placed on it, and it is returned once it is empty.
     pub slow: bool,
     /// A refused start: nothing is placed here before this.
-    pub cool_until: Micros,
+    pub no_placement_before: Micros,
     /// It stands in the register of machines that may hold tasks.
     pub is_registered: bool,
     /// It stood there when this leader read it.
     pub inherited: bool,
     /// A deletion is wanted or under way.
     pub deleting: bool,
-    pub delete_sent: bool,
+    pub deletion_requested: bool,
     /// Overdue and no longer listed by the cloud: most likely gone.
-    pub is_crash_looping: bool,
+    pub presumed_deleted: bool,
     /// The latest direct order to it got no answer, and no report has come since.
     pub unreachable: bool,
-    pub direct_open: bool,
+    pub push_open: bool,
     /// The direct order under way is a question after a takeover.
     pub probing: bool,
     pub probed_at: Micros,
-    pub direct_retry_at: Micros,
+    pub push_retry_at: Micros,
 }
 
 impl Machine {
@@ -123,43 +123,43 @@
             machine_type,
             zone,
             spot,
-            phase: MachinePhase::Booting,
+            phase: MachinePhase::Provisioning,
             epoch: 0,
             sequence: 0,
             token_seen: FencingToken(0),
-            ours: false,
-            young_session: false,
+            created_by_this_leader: false,
+            epoch_began_after_grant: false,
             last_seen: now,
             lease_end: Micros::ZERO,
-            notice: None,
+            preemption_notice_at: None,
             allocations: BTreeMap::new(),
             load: None,
             images: Vec::new(),
-            rented_at: now,
-            dated: false,
-            boot: ProvisioningState::Awaited,
+            requested_at: now,
+            has_known_age: false,
+            provisioning: ProvisioningState::Awaited,
             idle_since: None,
             failed_jobs: BTreeSet::new(),
             failures: 0,
             faulty: false,
             slow: false,
-            cool_until: Micros::ZERO,
+            no_placement_before: Micros::ZERO,
             is_registered: false,
             inherited: false,
             deleting: false,
-            delete_sent: false,
-            is_crash_looping: false,
+            deletion_requested: false,
+            presumed_deleted: false,
             unreachable: false,
-            direct_open: false,
+            push_open: false,
             probing: false,
             probed_at: Micros::ZERO,
-            direct_retry_at: Micros::ZERO,
+            push_retry_at: Micros::ZERO,
         }
     }
 
     /// Commands of earlier holders can no longer be executed on it.
     pub fn is_reconciled(&self, token: FencingToken) -> bool {
-        self.ours || self.young_session || self.token_seen >= token
+        self.created_by_this_leader || self.epoch_began_after_grant || self.token_seen >= token
     }
 
     pub fn allocations(&self) -> &BTreeMap<(TaskId, Attempt), Allocation> {
@@ -167,13 +167,13 @@
     }
 
     /// The slots, to be changed: the sums over them are counted anew when next needed.
-    pub fn slots_mut(&mut self) -> &mut BTreeMap<(TaskId, Attempt), Allocation> {
+    pub fn allocations_mut(&mut self) -> &mut BTreeMap<(TaskId, Attempt), Allocation> {
         self.load = None;
         &mut self.allocations
     }
 
     /// Notes how far orders have come. Only for what does not show in the sums.
-    pub(crate) fn slots_in_flight(
+    pub(crate) fn allocations_in_flight(
         &mut self,
     ) -> impl Iterator<Item = (&(TaskId, Attempt), &mut Allocation)> {
         self.allocations.iter_mut()
@@ -187,7 +187,7 @@
         self.load.get_or_insert_default()
     }
 
-    /// The sums, counted anew; `None` from [`Machine::kept_load`] means that they will be.
+    /// The sums, counted anew; `None` from [`Machine::cached_load`] means that they will be.
     pub fn count(&self, teams: &[crate::Team]) -> Load {
         let mut load = Load {
             images: self.images.iter().map(|(i, _)| *i).collect(),
@@ -231,7 +231,7 @@
     }
 
     /// The sums as kept, if no slot has changed since they were counted.
-    pub fn kept_load(&self) -> Option<&Load> {
+    pub fn cached_load(&self) -> Option<&Load> {
         self.load.as_ref()
     }
 
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -33,7 +33,7 @@
 pub use ranges::Ranges;
 pub use reconcile::heartbeats::HeartbeatReply;
 pub use reconcile::restart_check::RestartDecision;
-pub use run_times::{Ask, Past, When};
+pub use run_times::{CapacityQuery, CompletedRun, CompletionEstimate};
 pub use tuning::Tuning;
 
 use crate::provisioning::ProvisioningEstimator;
@@ -143,7 +143,7 @@
         job: JobId,
     },
     /// Send orders straight to a worker.
-    Direct {
+    PushCommands {
         machine: MachineId,
         address: std::net::SocketAddr,
         epoch: u64,
@@ -152,14 +152,14 @@
 }
 
 /// A worker takes an answer no later than this after it sent its report.
-const ANSWER_LIMIT: Micros = Micros::from_millis(4_010);
+const MAX_RESPONSE_DELAY: Micros = Micros::from_millis(4_010);
 
 /// A machine that has not answered a question after a takeover for so long, while nearly all others have, is
 /// taken not to: waiting for the whole time limit would hold up the fleet.
-const MUTE_AFTER: Micros = Micros::from_millis(1_200);
+const PROBE_TIMEOUT: Micros = Micros::from_millis(1_200);
 
 /// How often machines are looked at for what only time brings.
-const SWEEP: Micros = Micros::from_millis(100);
+const SWEEP_INTERVAL: Micros = Micros::from_millis(100);
 
 pub struct Scheduler {
     pub cfg: SchedulerConfig,
@@ -167,17 +167,17 @@
     /// Says that we are entitled to command; the revision at which the blocks were granted to us.
     pub token: FencingToken,
     /// When we learned of the grant.
-    started: Micros,
+    granted_at: Micros,
     /// When we last began, or began again, to act.
     resumed: Micros,
-    last_settled: Micros,
+    last_tick_at: Micros,
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<MachineId, Machine>,
     pub types: Vec<MachineType>,
     /// Machines that are gone for certain: the cloud confirmed their deletion.
     gone: BTreeMap<MachineId, Micros>,
     /// What the cloud listed last.
-    listed: Option<BTreeSet<MachineId>>,
+    listed_instances: Option<BTreeSet<MachineId>>,
     /// Jobs whose record has left `job/`.
     tombstones: Tombstones,
     is_reconciling: bool,
@@ -185,18 +185,18 @@
     pending_scale_outs: autoscale::scale_out::PendingScaleOuts,
     provisioning_estimator: ProvisioningEstimator,
     writes: persist::records::Writes,
-    learned: run_times::Learned,
+    learned: run_times::LearnedRunTimes,
     staffing: staffed_hours::Staffing,
     reservations: Reservations,
     actions: VecDeque<Action>,
     /// Something changed that a plan must see.
     changed: bool,
     /// No plan before this: changes are gathered.
-    next_plan: Micros,
+    next_plan_at: Micros,
     /// A plan at this time even if nothing changed.
-    plan_by: Micros,
+    next_periodic_plan_at: Micros,
     /// The least time between plans; follows from what a plan costs.
-    plan_gap: Micros,
+    plan_interval: Micros,
     /// Plans made so far.
     plans: u64,
     /// When silent machines and lapsed leases are looked for again.
@@ -207,17 +207,17 @@
     /// Machines to be asked what is on them, after a takeover.
     probes: VecDeque<MachineId>,
     open_probes: usize,
-    open_deletes: usize,
+    open_deletions: usize,
     /// Seconds that moves of replicas may still take, and up to when they were earned.
-    move_budget: f64,
-    moves_earned: Micros,
-    next_fleet_line: Micros,
+    defragmentation_budget_s: f64,
+    defragmentation_credited_at: Micros,
+    next_fleet_log_at: Micros,
     /// Machines, jobs, bins and slots looked at so far; scenarios assert that it stays in bounds.
     entities_visited: Cell<u64>,
     /// Zones of which most machines fell silent together, by their place in the settings' list.
-    cut_zones: Vec<bool>,
+    partitioned_zones: Vec<bool>,
     /// No replica is moved before this.
-    next_move: Micros,
+    next_defragmentation_at: Micros,
     /// Until then silence speaks against us, not against machines.
     receive_overloaded_until: Micros,
 }
@@ -235,27 +235,27 @@
             writes: persist::records::Writes::new(&cfg, now),
             cfg,
             token,
-            started: now,
+            granted_at: now,
             resumed: now,
-            last_settled: now,
+            last_tick_at: now,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             types: Vec::new(),
             gone: BTreeMap::new(),
-            listed: None,
+            listed_instances: None,
             tombstones: Tombstones::default(),
             is_reconciling: false,
             counter: 0,
-            learned: run_times::Learned::default(),
+            learned: run_times::LearnedRunTimes::default(),
             staffing: staffed_hours::Staffing::default(),
             reservations: Reservations::default(),
             pending_scale_outs: autoscale::scale_out::PendingScaleOuts::default(),
             provisioning_estimator: ProvisioningEstimator::default(),
             actions: VecDeque::new(),
             changed: true,
-            next_plan: Micros::ZERO,
-            plan_by: Micros::ZERO,
-            plan_gap: Tuning::default().plan_gap_least,
+            next_plan_at: Micros::ZERO,
+            next_periodic_plan_at: Micros::ZERO,
+            plan_interval: Tuning::default().plan_gap_least,
             tuning: Tuning::default(),
             plans: 0,
             next_sweep: Micros::ZERO,
@@ -263,17 +263,17 @@
             registry: persist::registry::MachineRegistry::default(),
             probes: VecDeque::new(),
             open_probes: 0,
-            open_deletes: 0,
-            move_budget: 0.0,
-            moves_earned: now,
-            next_fleet_line: Micros::ZERO,
+            open_deletions: 0,
+            defragmentation_budget_s: 0.0,
+            defragmentation_credited_at: now,
+            next_fleet_log_at: Micros::ZERO,
             entities_visited: Cell::new(0),
-            cut_zones: Vec::new(),
-            next_move: Micros::ZERO,
+            partitioned_zones: Vec::new(),
+            next_defragmentation_at: Micros::ZERO,
             receive_overloaded_until: Micros::ZERO,
         };
         for (id, record, mod_revision) in jobs {
-            scheduler.job_seen(id, record, mod_revision, now);
+            scheduler.job_record_changed(id, record, mod_revision, now);
         }
         for (key, mod_revision, page) in registry {
             for id in scheduler.registry.read(key, mod_revision, page.as_ref()) {
@@ -324,7 +324,7 @@
     }
 
     /// A job's record as the state service has it.
-    pub fn job_seen(
+    pub fn job_record_changed(
         &mut self,
         id: JobId,
         record: JobRecord,
@@ -346,9 +346,9 @@
                 let done = record.done.tidy(job.spec.tasks);
                 job.done.merge(&done);
                 job.recorded = done;
-                job.recorded_term = record.term;
+                job.recorded_start_attempt = record.start_attempt;
                 job.mod_revision = mod_revision;
-                self.writes.note(&id);
+                self.writes.mark_dirty(&id);
                 return;
             }
             Some(_) => return,
@@ -357,13 +357,13 @@
     }
 
     /// The job's record is gone: it was cancelled, or we recorded its end ourselves.
-    pub fn job_dropped(&mut self, id: &JobId, now: Micros) {
+    pub fn job_removed(&mut self, id: &JobId, now: Micros) {
         self.tombstones.add(id, now);
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
-        for (index, places) in job.places {
-            for (machine, attempt) in places {
+        for (index, attempts) in job.attempts {
+            for (machine, attempt) in attempts {
                 self.stop_allocation(&machine, id, index, attempt, 0.0);
             }
         }
@@ -372,12 +372,12 @@
 
     /// All changes of jobs' records up to `revision` have been told to us, by an answer to what was asked at
     /// `sent`.
-    pub fn caught_up(&mut self, revision: ModRevision, sent: Micros) {
+    pub fn records_applied_to(&mut self, revision: ModRevision, sent: Micros) {
         self.tombstones.caught_up(revision, sent);
     }
 
     /// All changes of jobs' records up to this revision are known here.
-    pub fn applied(&self) -> ModRevision {
+    pub fn applied_revision(&self) -> ModRevision {
         self.tombstones.known()
     }
 
@@ -392,25 +392,25 @@
 
     /// Something waits to be done or sent.
     pub fn has_actions(&self) -> bool {
-        !self.actions.is_empty() || !self.commands_due.is_empty() || self.may_probe()
+        !self.actions.is_empty() || !self.commands_due.is_empty() || self.can_probe()
     }
 
     /// Does what is due; to be called after events and at least every half second.
     pub fn tick(&mut self, now: Micros) {
-        self.settle(now);
-        self.probe(now);
-        self.pushed_commands(now);
+        self.run_due_work(now);
+        self.send_probes(now);
+        self.push_commands(now);
     }
 
     /// All of a tick but the sending of direct orders.
-    fn settle(&mut self, now: Micros) {
-        if now > self.last_settled + Micros::from_secs(1) {
+    fn run_due_work(&mut self, now: Micros) {
+        if now > self.last_tick_at + Micros::from_secs(1) {
             self.resumed = now;
         }
-        self.last_settled = now;
+        self.last_tick_at = now;
         self.apply_staffed_hours(now);
         if now >= self.next_sweep {
-            self.next_sweep = now + SWEEP;
+            self.next_sweep = now + SWEEP_INTERVAL;
             self.add_visited(4 * self.machines.len());
             self.detect_partitioned_zones(now);
             self.expire_leases(now);
@@ -420,24 +420,24 @@
         }
         if self.plan_due(now) {
             self.changed = false;
-            self.next_plan = now + self.plan_gap;
-            self.plan_by = now + Micros::from_millis(500).max(self.plan_gap);
+            self.next_plan_at = now + self.plan_interval;
+            self.next_periodic_plan_at = now + Micros::from_millis(500).max(self.plan_interval);
             self.stop_finished();
             let demand = self.plan(now);
-            self.rent(demand, now);
-            self.return_idle(now);
+            self.scale_out(demand, now);
+            self.scale_in(now);
         }
     }
 
     fn plan_due(&self, now: Micros) -> bool {
-        (self.changed && now >= self.next_plan) || now >= self.plan_by
+        (self.changed && now >= self.next_plan_at) || now >= self.next_periodic_plan_at
     }
 
     /// When a tick has something to do again, if no event comes before.
     pub fn next_due(&self, now: Micros) -> Micros {
         let tick = now + Micros::from_millis(250);
         if self.changed {
-            tick.min(self.next_plan)
+            tick.min(self.next_plan_at)
         } else {
             tick
         }
@@ -465,12 +465,12 @@
         let most =
             self.tuning
                 .plan_gap_most
-                .times(if self.is_receive_overloaded(self.last_settled) {
+                .times(if self.is_receive_overloaded(self.last_tick_at) {
                     4
                 } else {
                     1
                 });
-        self.plan_gap = gap.clamp(self.tuning.plan_gap_least, most);
+        self.plan_interval = gap.clamp(self.tuning.plan_gap_least, most);
     }
 
     /// Faults in the sums that are kept up to date with the changes, against sums counted anew;
@@ -478,24 +478,24 @@
     pub fn audit(&self) -> Vec<String> {
         let mut faults = Vec::new();
         for m in self.machines.values() {
-            if let Some(kept) = m.kept_load()
+            if let Some(kept) = m.cached_load()
                 && *kept != m.count(&self.cfg.teams)
             {
                 faults.push(format!("sums of {} are stale: {kept:?}", m.id));
             }
-            if m.is_registered && !self.registry.names(&m.id) {
+            if m.is_registered && !self.registry.contains(&m.id) {
                 faults.push(format!("{} counts as registered but is on no page", m.id));
             }
         }
         for (id, job) in &self.jobs {
-            if job.needs_write() && !self.writes.notes(id) {
+            if job.needs_write() && !self.writes.is_dirty(id) {
                 faults.push(format!("{id} has something to write that nobody noted"));
             }
             let tasks = job.spec.tasks;
             let open = job
                 .done
                 .missing(tasks)
-                .filter(|i| !job.places.contains_key(i))
+                .filter(|i| !job.attempts.contains_key(i))
                 .count();
             if open as u32 != job.unplaced_tasks() {
                 faults.push(format!(
@@ -524,19 +524,19 @@
         if !self.is_reconciling {
             return;
         }
-        let blind = self.registry.blind();
+        let has_unreadable_pages = self.registry.has_unreadable_pages();
         let open = self
             .machines
             .values()
             .filter(|m| self.is_unreconciled(m))
             .count();
-        if open == 0 && (!blind || now >= self.started + self.cfg.lease_bound()) {
+        if open == 0 && (!has_unreadable_pages || now >= self.granted_at + self.cfg.lease_bound()) {
             self.is_reconciling = false;
             self.changed = true;
-            self.registry.recovered();
+            self.registry.reconciliation_ended();
             info!(
                 token = self.token.0,
-                after_ms = (now - self.started).as_millis(),
+                after_ms = (now - self.granted_at).as_millis(),
                 "recovered"
             );
         }
@@ -546,16 +546,17 @@
     /// not in the register when we read it has nothing of theirs: they start nothing on a machine before its page is
     /// written for certain. (Scenario recovery_new_machines.)
     fn is_unreconciled(&self, m: &Machine) -> bool {
-        let may_hold = m.inherited || (self.registry.blind() && m.phase == MachinePhase::Up);
+        let may_hold =
+            m.inherited || (self.registry.has_unreadable_pages() && m.phase == MachinePhase::Up);
         may_hold && m.phase != MachinePhase::Lost && !m.is_reconciled(self.token)
     }
 
     /// A new report that still shows an older token, from now on, is of a session that began after our
     /// grant: one that is older was over when its lease ran out unless it took an answer of ours, and
     /// then it would show our token. No earlier holder can have commanded such a session.
-    /// (An answer counts for reports sent up to [`ANSWER_LIMIT`] before it.)
-    pub(crate) fn old_sessions_are_over(&self, now: Micros) -> bool {
-        now >= self.started + self.cfg.lease_bound() + ANSWER_LIMIT
+    /// (An answer counts for reports sent up to [`MAX_RESPONSE_DELAY`] before it.)
+    pub(crate) fn earlier_epochs_expired(&self, now: Micros) -> bool {
+        now >= self.granted_at + self.cfg.lease_bound() + MAX_RESPONSE_DELAY
     }
 
     fn new_request(&mut self) -> String {
@@ -597,16 +598,16 @@
             .map(|(all, silent)| heard && *all >= 3 && silent * 2 >= *all)
             .collect();
         for (z, name) in self.cfg.zones.iter().enumerate() {
-            if cut[z] != self.cut_zones.get(z).copied().unwrap_or(false) {
+            if cut[z] != self.partitioned_zones.get(z).copied().unwrap_or(false) {
                 info!(zone = %name, cut = cut[z], machines = seen[z].0, silent = seen[z].1, "zone silent");
                 self.changed = true;
             }
         }
-        self.cut_zones = cut;
+        self.partitioned_zones = cut;
     }
 
-    fn zone_cut(&self, zone: &str) -> bool {
-        self.cut_zones
+    fn is_zone_partitioned(&self, zone: &str) -> bool {
+        self.partitioned_zones
             .get(self.cfg.zone_index(zone))
             .copied()
             .unwrap_or(false)
@@ -625,10 +626,10 @@
             .values()
             .filter(|m| m.is_registered && m.phase != MachinePhase::Lost && !m.deleting)
             .collect();
-        let is_fresh = |m: &&&Machine| {
+        let is_reporting = |m: &&&Machine| {
             m.phase == MachinePhase::Up && now < m.last_seen + self.cfg.heartbeat_interval.times(2)
         };
-        let fresh = watched.iter().filter(is_fresh).count();
+        let fresh = watched.iter().filter(is_reporting).count();
         if fresh == 0 {
             return;
         }
@@ -644,7 +645,8 @@
             .iter()
             .filter(|m| self.is_reconciling && self.is_unreconciled(m))
             .count();
-        let is_mute = |m: &Machine| m.unreachable || (m.probing && now >= m.probed_at + MUTE_AFTER);
+        let is_mute =
+            |m: &Machine| m.unreachable || (m.probing && now >= m.probed_at + PROBE_TIMEOUT);
         let mute = watched
             .iter()
             .filter(|m| self.is_reconciling && self.is_unreconciled(m) && is_mute(m))
@@ -653,7 +655,11 @@
             !set_receive_overloaded && open > 0 && open == mute && open * 50 <= watched.len();
         let overdue_after = Micros(self.cfg.heartbeat_interval.0 * 5 / 4) + Micros::from_secs(1);
         let unlisted_after = self.cfg.heartbeat_interval.times(2);
-        let unlisted = |m: &Machine| self.listed.as_ref().is_some_and(|l| !l.contains(&m.id));
+        let unlisted = |m: &Machine| {
+            self.listed_instances
+                .as_ref()
+                .is_some_and(|l| !l.contains(&m.id))
+        };
         let silent: Vec<MachineId> = watched
             .iter()
             .filter(|m| {
@@ -661,7 +667,7 @@
                 (most_report && last_few && self.is_unreconciled(m))
                     || (most_report
                         && quiet >= silent_after
-                        && !self.zone_cut(&m.zone)
+                        && !self.is_zone_partitioned(&m.zone)
                         && !set_receive_overloaded)
                     || unlisted(m)
                         && ((m.unreachable && (most_report || !set_receive_overloaded))
@@ -670,7 +676,7 @@
             .map(|m| m.id.clone())
             .collect();
         let overdue = |m: &&&Machine| {
-            !m.is_crash_looping && unlisted(m) && now >= m.last_seen + overdue_after
+            !m.presumed_deleted && unlisted(m) && now >= m.last_seen + overdue_after
         };
         let suspects: Vec<MachineId> = watched
             .iter()
@@ -679,7 +685,7 @@
             .collect();
         for id in suspects {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.is_crash_looping = true;
+                m.presumed_deleted = true;
                 self.probes.push_back(id);
             }
         }
@@ -723,7 +729,7 @@
             let cut = self
                 .machines
                 .get(&id)
-                .is_some_and(|m| self.zone_cut(&m.zone));
+                .is_some_and(|m| self.is_zone_partitioned(&m.zone));
             if let Some(m) = self.machines.get_mut(&id) {
                 m.phase = MachinePhase::Lost;
                 m.deleting |= !cut && !set_receive_overloaded;
--- a/crates/hopyoke-scheduler/src/persist/batch.rs
+++ b/crates/hopyoke-scheduler/src/persist/batch.rs
@@ -30,7 +30,7 @@
     /// Drop a page of the register whatever it holds.
     DropPage { key: String },
     /// Replace a page of learned run times.
-    Learned { key: PageKey, page: Page },
+    LearnedRunTimes { key: PageKey, page: Page },
 }
 
 #[derive(Debug, Clone)]
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -11,43 +11,43 @@
     /// Jobs that may have something to write, and since when that is known.
     due: BTreeMap<JobId, Option<Micros>>,
     budget: f64,
-    refilled: Micros,
-    not_before: Micros,
+    refilled_at: Micros,
+    retry_not_before: Micros,
     /// New work waits to be recorded by other nodes as well: what can wait leaves them room.
-    pressed: bool,
+    admission_pressed: bool,
     /// Changes that may be spent meanwhile on what can wait.
-    patient: f64,
+    deferrable_budget: f64,
     /// Pages of the register are not rewritten for removals alone before this.
-    removals_at: Micros,
+    removals_not_before: Micros,
 }
 
 /// Of the leader's changes this much goes to what can wait while new work waits for the rest.
-const PATIENT_SHARE: f64 = 0.3;
+const DEFERRABLE_SHARE: f64 = 0.3;
 
 /// Bodies are limited to 64 KiB; a batch stays well below.
-const MOST_BYTES: usize = 40 * 1024;
+const MAX_BATCH_BYTES: usize = 40 * 1024;
 
 impl Writes {
     pub fn new(cfg: &SchedulerConfig, now: Micros) -> Writes {
         Writes {
             due: BTreeMap::new(),
             budget: cfg.write_rps / 2.0,
-            refilled: now,
-            not_before: Micros::ZERO,
-            pressed: false,
-            patient: 0.0,
-            removals_at: Micros::ZERO,
+            refilled_at: now,
+            retry_not_before: Micros::ZERO,
+            admission_pressed: false,
+            deferrable_budget: 0.0,
+            removals_not_before: Micros::ZERO,
         }
     }
 
     /// The job's record may have to be written.
-    pub fn note(&mut self, job: &JobId) {
+    pub fn mark_dirty(&mut self, job: &JobId) {
         if !self.due.contains_key(job) {
             self.due.insert(job.clone(), None);
         }
     }
 
-    pub fn notes(&self, job: &JobId) -> bool {
+    pub fn is_dirty(&self, job: &JobId) -> bool {
         self.due.contains_key(job)
     }
 }
@@ -57,12 +57,12 @@
     writes: Vec<Write>,
     ops: usize,
     bytes: usize,
-    most: usize,
+    max_ops: usize,
 }
 
 impl Draft {
     fn has_room(&self, ops: usize, bytes: usize) -> bool {
-        self.ops + ops <= self.most && self.bytes + bytes <= MOST_BYTES
+        self.ops + ops <= self.max_ops && self.bytes + bytes <= MAX_BATCH_BYTES
     }
 
     fn push(&mut self, write: Write, ops: usize, bytes: usize) {
@@ -79,43 +79,42 @@
     }
 
     /// New work finds no room at the nodes' doors, or finds it again.
-    pub fn set_pressed(&mut self, pressed: bool) {
-        self.writes.pressed = pressed;
+    pub fn set_admission_pressed(&mut self, admission_pressed: bool) {
+        self.writes.admission_pressed = admission_pressed;
     }
 
     /// Records wait for the rate at which they may be written.
-    pub fn short_of_writes(&self) -> bool {
+    pub fn is_write_rate_limited(&self) -> bool {
         self.writes.budget < 1.0 && self.has_writes()
     }
 
     /// The next batch of writes, if some are due and the rate allows it.
     pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
         let rate = self.cfg.write_rps / 2.0;
-        let most_budget = rate.max(4.0);
+        let max_budget = rate.max(4.0);
         let w = &mut self.writes;
-        w.budget = (w.budget + rate * (now - w.refilled).as_secs_f64()).min(most_budget);
-        w.patient = (w.patient + rate * PATIENT_SHARE * (now - w.refilled).as_secs_f64()).min(4.0);
-        w.refilled = now;
-        if now < w.not_before || w.budget < 1.0 {
+        w.budget = (w.budget + rate * (now - w.refilled_at).as_secs_f64()).min(max_budget);
+        w.deferrable_budget = (w.deferrable_budget
+            + rate * DEFERRABLE_SHARE * (now - w.refilled_at).as_secs_f64())
+        .min(4.0);
+        w.refilled_at = now;
+        if now < w.retry_not_before || w.budget < 1.0 {
             return None;
         }
-        let most = (w.budget as usize).min(self.cfg.txn_ops);
-        let (ample, fair) = (
-            w.budget >= most_budget * 0.75,
-            w.budget >= most_budget * 0.5,
-        );
+        let max_ops = (w.budget as usize).min(self.cfg.txn_ops);
+        let (ample, fair) = (w.budget >= max_budget * 0.75, w.budget >= max_budget * 0.5);
         let mut draft = Draft {
             writes: Vec::new(),
             ops: 0,
             bytes: 0,
-            most,
+            max_ops,
         };
         // Gangs' terms first: their tasks wait for it. Then machines, which wait for their first
         // task, then whatever completes, then what can be gathered.
         let mut ranked: Vec<(u8, JobId)> = Vec::new();
         let (jobs, tuning, machines) = (&self.jobs, &self.tuning, &self.machines);
         let up = |m: &MachineId| machines.get(m).is_some_and(|m| m.phase == MachinePhase::Up);
-        let (pressed, mut patient) = (w.pressed, w.patient);
+        let (admission_pressed, mut deferrable_budget) = (w.admission_pressed, w.deferrable_budget);
         w.due.retain(|id, since| {
             let Some(job) = jobs.get(id) else {
                 return false;
@@ -127,13 +126,13 @@
                 return false;
             }
             let since = *since.get_or_insert(now);
-            let rank = if job.term != job.recorded_term {
+            let rank = if job.start_attempt != job.recorded_start_attempt {
                 // Its first task can't start before a machine is up.
-                if pressed && !job.places.values().flatten().any(|(m, _)| up(m)) {
-                    if patient < 1.0 {
+                if admission_pressed && !job.attempts.values().flatten().any(|(m, _)| up(m)) {
+                    if deferrable_budget < 1.0 {
                         return true;
                     }
-                    patient -= 1.0;
+                    deferrable_budget -= 1.0;
                 }
                 0
             } else if job.is_over() {
@@ -149,22 +148,29 @@
             ranked.push((rank, id.clone()));
             true
         });
-        w.patient = patient;
+        w.deferrable_budget = deferrable_budget;
         ranked.sort_unstable();
         let split = ranked.partition_point(|(rank, _)| *rank == 0);
         let rest = ranked.split_off(split);
         self.draft_jobs(&mut draft, ranked);
         self.draft_pages(&mut draft, false);
         self.draft_jobs(&mut draft, rest);
-        if now >= self.writes.removals_at && draft.has_room(2, 0) && self.registry.has_removals() {
-            self.writes.removals_at = now + Micros::from_millis(500);
+        if now >= self.writes.removals_not_before
+            && draft.has_room(2, 0)
+            && self.registry.has_removals()
+        {
+            self.writes.removals_not_before = now + Micros::from_millis(500);
             self.draft_pages(&mut draft, true);
         }
         // Learned run times come last, alone, and within their own share: nothing waits for them.
         if draft.writes.is_empty()
             && let Some((key, page)) = self.next_learned(now)
         {
-            draft.push(Write::Learned { key, page }, 1, self.cfg.value_bytes);
+            draft.push(
+                Write::LearnedRunTimes { key, page },
+                1,
+                self.cfg.value_bytes,
+            );
         }
         if draft.writes.is_empty() {
             return None;
@@ -208,7 +214,7 @@
     /// A machine is registered once its worker has reported, and before its first task: so the
     /// next leader waits for no machine that still boots.
     fn draft_pages(&mut self, draft: &mut Draft, removals: bool) {
-        for id in self.registry.take_wanted() {
+        for id in self.registry.take_pending() {
             let Some(m) = self.machines.get(&id) else {
                 continue;
             };
@@ -224,7 +230,7 @@
                 });
         }
         while draft.has_room(1, self.cfg.value_bytes)
-            || (draft.writes.is_empty() && draft.most >= 1)
+            || (draft.writes.is_empty() && draft.max_ops >= 1)
         {
             let Some(write) = self.registry.next(removals) else {
                 return;
@@ -247,7 +253,7 @@
         now: Micros,
     ) {
         if result.is_err() {
-            self.writes.not_before = now + Micros::from_millis(200);
+            self.writes.retry_not_before = now + Micros::from_millis(200);
         }
         for write in batch.writes {
             match write {
@@ -260,35 +266,36 @@
                     job.writing = false;
                     match &result {
                         Ok(mod_revision) => {
-                            let first_start = job.recorded_term.0 == 0;
+                            let first_start = job.recorded_start_attempt.0 == 0;
                             if *mod_revision > job.mod_revision {
                                 job.mod_revision = *mod_revision;
                                 job.recorded = record.done;
-                                job.recorded_term = record.term;
+                                job.recorded_start_attempt = record.start_attempt;
                             }
                             // It may start now; results are reaped with the next answers.
                             if first_start || job.is_gang() {
-                                let places = job.places.values().flatten().map(|(m, _)| m.clone());
-                                self.commands_due.extend(places);
+                                let attempts =
+                                    job.attempts.values().flatten().map(|(m, _)| m.clone());
+                                self.commands_due.extend(attempts);
                             }
                         }
-                        Err(e) => self.reread_after(&id, e),
+                        Err(e) => self.reload_after(&id, e),
                     }
                 }
                 Write::End { job: id, .. } => match &result {
                     Ok(_) => {
                         tracing::debug!(job = %id, "over");
-                        self.job_dropped(&id, now);
+                        self.job_removed(&id, now);
                     }
                     Err(e) => {
                         if let Some(job) = self.jobs.get_mut(&id) {
                             job.writing = false;
                         }
-                        self.reread_after(&id, e);
+                        self.reload_after(&id, e);
                     }
                 },
                 Write::Page { key, page, .. } => self.page_ended(&key, page.as_ref(), &result),
-                Write::Learned { key, .. } => self.learned_written(key, result.is_ok()),
+                Write::LearnedRunTimes { key, .. } => self.learned_written(key, result.is_ok()),
                 Write::DropPage { key } => {
                     if result.is_err() {
                         self.registry.refused(&key);
@@ -329,7 +336,7 @@
     }
 
     /// After a conflict, or without an answer, the record itself says what holds.
-    fn reread_after(&mut self, id: &JobId, error: &BatchError) {
+    fn reload_after(&mut self, id: &JobId, error: &BatchError) {
         let record_reloaded = match error {
             BatchError::Conflict { jobs, .. } => jobs.contains(id),
             BatchError::Deposed => false,
@@ -357,8 +364,8 @@
             job.writing = false;
         }
         match record {
-            Some((record, mod_revision)) => self.job_seen(id, record, mod_revision, now),
-            None => self.job_dropped(&id, now),
+            Some((record, mod_revision)) => self.job_record_changed(id, record, mod_revision, now),
+            None => self.job_removed(&id, now),
         }
     }
 
--- a/crates/hopyoke-scheduler/src/persist/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -22,11 +22,11 @@
 #[derive(Default)]
 pub(crate) struct MachineRegistry {
     pages: BTreeMap<String, Page>,
-    at: BTreeMap<MachineId, String>,
+    page_of: BTreeMap<MachineId, String>,
     /// Machines that wait for a place on a page.
-    wanted: BTreeSet<MachineId>,
+    pending: BTreeSet<MachineId>,
     /// Pages that can't be read: their machines are unknown.
-    unreadable: Vec<String>,
+    unreadable_pages: Vec<String>,
     /// Keys to be dropped.
     drops: Vec<String>,
 }
@@ -40,11 +40,11 @@
         page: Option<&RegistryPage>,
     ) -> Vec<MachineId> {
         let Some(content) = page.cloned() else {
-            self.unreadable.push(key);
+            self.unreadable_pages.push(key);
             return Vec::new();
         };
         let machines: Vec<MachineId> = content.machines.keys().cloned().collect();
-        self.at
+        self.page_of
             .extend(machines.iter().map(|m| (m.clone(), key.clone())));
         self.pages.insert(
             key,
@@ -60,32 +60,32 @@
     }
 
     pub fn is_empty(&self) -> bool {
-        self.at.is_empty() && self.unreadable.is_empty()
+        self.page_of.is_empty() && self.unreadable_pages.is_empty()
     }
 
     /// Some page can't be read, so recovery can end by time alone.
-    pub fn blind(&self) -> bool {
-        !self.unreadable.is_empty()
+    pub fn has_unreadable_pages(&self) -> bool {
+        !self.unreadable_pages.is_empty()
     }
 
     /// Recovery is over: unreadable pages name no machine that matters any more.
-    pub fn recovered(&mut self) {
-        self.drops.append(&mut self.unreadable);
+    pub fn reconciliation_ended(&mut self) {
+        self.drops.append(&mut self.unreadable_pages);
     }
 
-    pub fn names(&self, id: &MachineId) -> bool {
-        self.at.contains_key(id)
+    pub fn contains(&self, id: &MachineId) -> bool {
+        self.page_of.contains_key(id)
     }
 
     /// A machine is to be registered, unless it is already.
-    pub fn want(&mut self, id: &MachineId) {
-        if !self.at.contains_key(id) {
-            self.wanted.insert(id.clone());
+    pub fn request_registration(&mut self, id: &MachineId) {
+        if !self.page_of.contains_key(id) {
+            self.pending.insert(id.clone());
         }
     }
 
-    pub fn take_wanted(&mut self) -> BTreeSet<MachineId> {
-        std::mem::take(&mut self.wanted)
+    pub fn take_pending(&mut self) -> BTreeSet<MachineId> {
+        std::mem::take(&mut self.pending)
     }
 
     /// Puts a machine on a page that has room for it.
@@ -128,20 +128,24 @@
                 key
             }
         };
-        self.at.insert(id, key);
+        self.page_of.insert(id, key);
     }
 
     /// A machine is gone for certain.
     pub fn remove(&mut self, id: &MachineId) {
-        self.wanted.remove(id);
-        if let Some(page) = self.at.remove(id).and_then(|key| self.pages.get_mut(&key)) {
+        self.pending.remove(id);
+        if let Some(page) = self
+            .page_of
+            .remove(id)
+            .and_then(|key| self.pages.get_mut(&key))
+        {
             page.content.machines.remove(id);
             page.removed = true;
         }
     }
 
     pub fn has_additions(&self) -> bool {
-        !self.wanted.is_empty() || self.pages.values().any(|p| p.added && !p.writing)
+        !self.pending.is_empty() || self.pages.values().any(|p| p.added && !p.writing)
     }
 
     pub fn has_removals(&self) -> bool {
@@ -193,7 +197,7 @@
             .map(|c| {
                 c.machines
                     .keys()
-                    .filter(|m| self.at.contains_key(*m))
+                    .filter(|m| self.page_of.contains_key(*m))
                     .cloned()
                     .collect()
             })
@@ -220,7 +224,7 @@
         let content = old.content.clone();
         let new = new_key();
         for m in content.machines.keys() {
-            self.at.insert(m.clone(), new.clone());
+            self.page_of.insert(m.clone(), new.clone());
         }
         self.pages.remove(key);
         if !content.machines.is_empty() {
--- a/crates/hopyoke-scheduler/src/plan/defragment.rs
+++ b/crates/hopyoke-scheduler/src/plan/defragment.rs
@@ -19,15 +19,15 @@
         // A small deployment earns a move a minute.
         let earned = f64::from(replicas.max(16))
             * self.tuning.move_share
-            * (now - self.moves_earned).as_secs_f64();
-        self.moves_earned = now;
+            * (now - self.defragmentation_credited_at).as_secs_f64();
+        self.defragmentation_credited_at = now;
         // At most what 20 s earn is kept, but enough for one move.
         let most = (f64::from(replicas) * self.tuning.move_share * 20.0).max(move_s + 30.0);
-        self.move_budget = (self.move_budget + earned).min(most);
-        if now < self.next_move || self.is_reconciling() {
+        self.defragmentation_budget_s = (self.defragmentation_budget_s + earned).min(most);
+        if now < self.next_defragmentation_at || self.is_reconciling() {
             return;
         }
-        self.next_move = now + Micros::from_secs(2);
+        self.next_defragmentation_at = now + Micros::from_secs(2);
         let usage = |b: &Bin| {
             1.0 - (b.free.gpus + b.free.cpus) / (plan.kinds[b.kind].gpus + plan.kinds[b.kind].cpus)
         };
@@ -90,8 +90,8 @@
                     (m.id.clone(), task, attempt, needs.spec.save_s),
                 ));
             }
-            if targets.len() as u32 == bin.replicas && cost <= self.move_budget {
-                self.move_budget -= cost;
+            if targets.len() as u32 == bin.replicas && cost <= self.defragmentation_budget_s {
+                self.defragmentation_budget_s -= cost;
                 // Nothing is moved to a machine that is being drained.
                 free[from] = Resources::default();
                 moves.extend(targets.into_iter().map(|t| t.2));
@@ -111,7 +111,7 @@
     /// have run for a while.
     pub(super) fn drain_of(&self, m: &Machine, now: Micros) -> Option<Vec<TaskKey>> {
         let is_reconciled = self.tuning.move_settled;
-        let load = m.kept_load()?;
+        let load = m.cached_load()?;
         if load.live == 0 || load.live != load.replicas {
             return None;
         }
--- a/crates/hopyoke-scheduler/src/plan/each.rs
+++ b/crates/hopyoke-scheduler/src/plan/each.rs
@@ -32,7 +32,7 @@
         let mut ahead = Vec::new();
         let window = self.cfg.window() as usize;
         let far = job.done.first_missing().saturating_add(self.cfg.span());
-        let most_ahead = (AHEAD * window).saturating_sub(job.places.len());
+        let most_ahead = (AHEAD * window).saturating_sub(job.attempts.len());
         for (n, index) in job.done.missing(job.spec.tasks).enumerate() {
             if n >= window && (index >= far || ahead.len() >= most_ahead) {
                 break;
@@ -51,7 +51,7 @@
             // fill the fleet again after each backoff; scenario mistaken_array.)
             ahead = startable
                 .drain(..)
-                .take(usize::from(job.places.is_empty()))
+                .take(usize::from(job.attempts.is_empty()))
                 .collect();
         }
         let mut left = startable.len() as u32;
--- a/crates/hopyoke-scheduler/src/plan/estimates.rs
+++ b/crates/hopyoke-scheduler/src/plan/estimates.rs
@@ -67,9 +67,9 @@
             else {
                 continue;
             };
-            if m.phase == MachinePhase::Booting {
+            if m.phase == MachinePhase::Provisioning {
                 complete = complete
-                    .max((m.rented_at + self.boot_time(&m.machine_type) - now).as_secs_f64());
+                    .max((m.requested_at + self.boot_time(&m.machine_type) - now).as_secs_f64());
             }
             for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live())
             {
@@ -185,12 +185,12 @@
                 continue;
             };
             let only = (!job.is_gang()).then_some(task.index);
-            for (_, places) in job
-                .places
+            for (_, attempts) in job
+                .attempts
                 .iter()
                 .filter(|(i, _)| only.is_none_or(|o| **i == o))
             {
-                for (id, _) in places {
+                for (id, _) in attempts {
                     let Some(m) = self
                         .machines
                         .get(id)
--- a/crates/hopyoke-scheduler/src/plan/gang.rs
+++ b/crates/hopyoke-scheduler/src/plan/gang.rs
@@ -24,7 +24,7 @@
             return None;
         };
         let n = job.spec.tasks;
-        let missing: Vec<u32> = (0..n).filter(|i| !job.places.contains_key(i)).collect();
+        let missing: Vec<u32> = (0..n).filter(|i| !job.attempts.contains_key(i)).collect();
         if missing.is_empty() || job.is_done() {
             return None;
         }
@@ -39,7 +39,7 @@
             return Some(WaitReason::Reconciliation);
         }
         let anew = missing.len() == n as usize;
-        let term = job.term;
+        let start_attempt = job.start_attempt;
         let count = missing.len() as u32;
         if !plan.charge(&needs, count, &self.cfg.teams) {
             if plan.keeps_room && !needs.is_crash_looping {
@@ -68,12 +68,16 @@
             }
             return Some(WaitReason::Provisioning);
         }
-        let attempt = if anew { self.new_attempt(now) } else { term };
+        let attempt = if anew {
+            self.new_attempt(now)
+        } else {
+            start_attempt
+        };
         if anew && let Some(job) = self.jobs.get_mut(id) {
             // Written before any of its tasks is told to start.
-            job.term = attempt;
+            job.start_attempt = attempt;
             job.gang_started = false;
-            let waited_ms = (now - job.seen_at).as_millis();
+            let waited_ms = (now - job.first_seen_at).as_millis();
             let (class, tasks, waited_for) = (
                 &job.spec.class,
                 job.spec.tasks,
@@ -83,8 +87,8 @@
                 .iter()
                 .filter(|b| plan.had_image(&plan.bins[**b], needs.image))
                 .count();
-            debug!(job = %id, class, tasks, waited_ms, waited_for, warm, first = term.0 == 0, "gang start");
-            self.writes.note(id);
+            debug!(job = %id, class, tasks, waited_ms, waited_for, warm, first = start_attempt.0 == 0, "gang start");
+            self.writes.mark_dirty(id);
         }
         for (index, bin) in missing.into_iter().zip(bins) {
             if let Some(machine) = plan.bins[bin].machine.clone() {
@@ -186,7 +190,7 @@
             |spec: &JobSpec| spec.kind == JobKind::Service && spec.team == needs.spec.team;
         let lasting = self.jobs.values().filter(|j| of_team(&j.spec));
         let lasting = lasting.fold(Resources::default(), |sum, j| {
-            sum + j.task.times(j.places.len() as f64)
+            sum + j.task.times(j.attempts.len() as f64)
         });
         let gang = needs.task.times(f64::from(count));
         if self.cfg.teams[team].allows(&(lasting + gang)) {
--- a/crates/hopyoke-scheduler/src/plan/mod.rs
+++ b/crates/hopyoke-scheduler/src/plan/mod.rs
@@ -63,7 +63,7 @@
     pub(super) fn plan(&mut self, now: Micros) -> Demand {
         self.plans += 1;
         self.add_visited(self.jobs.len() + 2 * self.machines.len());
-        self.judge_boots(now);
+        self.update_provisioning_states(now);
         let order = self.order(now);
         let mut plan = self.new_plan(&order, now);
         // A task on a machine whose job we don't know may belong to any team: until it is gone
@@ -78,7 +78,7 @@
                 Some(WaitReason::EndRecord)
             } else if self.is_held(&job.spec) {
                 Some(WaitReason::StaffedHours)
-            } else if now < job.hold_until {
+            } else if now < job.backoff_until {
                 Some(WaitReason::Backoff)
             } else if (orphaned || unbounded) && self.limited(&job.spec.team) {
                 Some(WaitReason::Reconciliation)
@@ -95,8 +95,8 @@
                 job.last_wait_reason = why.or(job.last_wait_reason);
             }
         }
-        if now >= self.next_fleet_line {
-            self.next_fleet_line = now + Micros::from_secs(5);
+        if now >= self.next_fleet_log_at {
+            self.next_fleet_log_at = now + Micros::from_secs(5);
             plan.tell();
         }
         for s in std::mem::take(&mut plan.starts) {
@@ -114,7 +114,7 @@
             .filter(|(_, n)| *n > 0);
         Demand {
             offers: offers.map(|(o, n)| (o.offer, n)).collect(),
-            wanted: plan
+            reserved_machines: plan
                 .bins
                 .into_iter()
                 .filter(|b| b.wanted)
@@ -195,7 +195,7 @@
         for used in &mut plan.used {
             *used = *used + most;
         }
-        !self.registry.blind()
+        !self.registry.has_unreadable_pages()
     }
 
     /// Jobs with work that has no place, in the order in which they get room.
@@ -272,7 +272,7 @@
     /// An array that has waited so long that one of its tasks is to begin before all others of its importance.
     /// (Scenario largest_arrays_begin.)
     fn is_overdue(&self, job: &Job, now: Micros) -> bool {
-        let begun = !job.places.is_empty() || job.done.count() > 0;
+        let begun = !job.attempts.is_empty() || job.done.count() > 0;
         !begun && crate::starvation::is_overdue(self.ago(job.accepted_us, now))
     }
 
@@ -281,17 +281,17 @@
         let Some(job) = self.jobs.get_mut(&s.job) else {
             return;
         };
-        if job.term.0 == 0 {
+        if job.start_attempt.0 == 0 {
             // Its first start is recorded before it is commanded.
-            job.term = s.attempt;
-            let waited_ms = (now - job.seen_at).as_millis();
+            job.start_attempt = s.attempt;
+            let waited_ms = (now - job.first_seen_at).as_millis();
             let (class, tasks, waited_for) = (
                 &job.spec.class,
                 job.spec.tasks,
                 job.last_wait_reason.map_or("", WaitReason::as_str),
             );
             debug!(job = %s.job, class, tasks, waited_ms, waited_for, image = s.image, "first start");
-            self.writes.note(&s.job);
+            self.writes.mark_dirty(&s.job);
         }
         let spec = job.spec.clone();
         let Some(m) = self.machines.get_mut(&s.machine) else {
@@ -302,13 +302,14 @@
             index: s.index,
         };
         let allocation = Allocation::new(AllocationState::Sent, Some(spec), now);
-        m.slots_mut().insert((task.clone(), s.attempt), allocation);
+        m.allocations_mut()
+            .insert((task.clone(), s.attempt), allocation);
         m.idle_since = None;
         if self.tuning.use_for_demand {
             self.run_commanded(&task, s.attempt, now);
         }
         self.commands_due.insert(s.machine.clone());
-        self.place_add(&s.machine, &task, s.attempt);
+        self.add_attempt(&s.machine, &task, s.attempt);
     }
 
     /// How many of a job's tasks run, as far as we know.
@@ -335,10 +336,10 @@
                 )
             })
         };
-        let places = job
-            .places
+        let attempts = job
+            .attempts
             .iter()
             .flat_map(|(i, p)| p.iter().map(move |(m, a)| (*i, m, *a)));
-        places.filter(|(i, m, a)| runs(*i, m, *a)).count() as u32
+        attempts.filter(|(i, m, a)| runs(*i, m, *a)).count() as u32
     }
 }
--- a/crates/hopyoke-scheduler/src/plan/needs.rs
+++ b/crates/hopyoke-scheduler/src/plan/needs.rs
@@ -114,7 +114,7 @@
             zones: vec![0; self.cfg.zones.len() + 1],
         };
         if needs.cares_for_zones() {
-            for (machine, _) in job.places.values().flatten() {
+            for (machine, _) in job.attempts.values().flatten() {
                 if let Some(m) = self.machines.get(machine) {
                     needs.zones[self.cfg.zone_index(&m.zone)] += 1;
                 }
--- a/crates/hopyoke-scheduler/src/plan/offers.rs
+++ b/crates/hopyoke-scheduler/src/plan/offers.rs
@@ -83,7 +83,7 @@
                     };
                     if (spot && price <= 0.0)
                         || self.pending_scale_outs.refused(&offer, now)
-                        || self.zone_cut(z)
+                        || self.is_zone_partitioned(z)
                     {
                         continue;
                     }
--- a/crates/hopyoke-scheduler/src/plan/stop_finished.rs
+++ b/crates/hopyoke-scheduler/src/plan/stop_finished.rs
@@ -14,7 +14,7 @@
         for m in self
             .machines
             .values()
-            .filter(|m| m.notice.is_some() || m.faulty)
+            .filter(|m| m.preemption_notice_at.is_some() || m.faulty)
         {
             for ((task, attempt), _) in m.allocations().iter().filter(|(_, s)| s.is_live()) {
                 let Some(job) = self.jobs.get(&task.job) else {
@@ -38,7 +38,7 @@
             }
         }
         for (id, job) in self.jobs.iter_mut().filter(|(_, j)| j.is_gang()) {
-            let placed = job.places.len() as u32;
+            let placed = job.attempts.len() as u32;
             if placed == 0 {
                 job.gang_failing = false;
                 job.gang_started = false;
@@ -48,9 +48,9 @@
                 job.gang_failing = true;
             }
             let moved = moving.contains(id);
-            for (&index, places) in &job.places {
-                for (m, attempt) in places {
-                    if job.gang_failing || *attempt != job.term {
+            for (&index, attempts) in &job.attempts {
+                for (m, attempt) in attempts {
+                    if job.gang_failing || *attempt != job.start_attempt {
                         stops.push((m.clone(), id.clone(), index, *attempt, 0.0));
                     } else if moved {
                         // Orderly stop: all are told at once and may save.
--- a/crates/hopyoke-scheduler/src/plan/view.rs
+++ b/crates/hopyoke-scheduler/src/plan/view.rs
@@ -287,16 +287,19 @@
                 || m.deleting
                 || m.faulty
                 || m.slow
-                || (m.phase == MachinePhase::Booting && m.boot != ProvisioningState::Awaited)
-                || m.notice.is_some()
-                || now < m.cool_until
+                || (m.phase == MachinePhase::Provisioning
+                    && m.provisioning != ProvisioningState::Awaited)
+                || m.preemption_notice_at.is_some()
+                || now < m.no_placement_before
             {
                 continue;
             }
             let Some(kind) = types.iter().position(|t| t.name == m.machine_type) else {
                 continue;
             };
-            let Some(load) = m.kept_load() else { continue };
+            let Some(load) = m.cached_load() else {
+                continue;
+            };
             let reportable = MOST_REPORTED.saturating_sub(m.allocations().len());
             let first = plan.images.len() as u32;
             plan.images.extend_from_slice(&load.images);
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -23,7 +23,7 @@
     /// A report came in on `/hello`; the answer renews the worker's lease.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Micros) -> HeartbeatReply {
         // A late report, or one of a machine that is gone, is answered without orders.
-        let fresh = self.merge(heartbeat, true, now);
+        let fresh = self.merge_heartbeat(heartbeat, true, now);
         let lease_bound = self.cfg.lease_bound();
         let mut commands = Vec::new();
         if let Some(m) = self.machines.get_mut(&heartbeat.machine) {
@@ -33,9 +33,9 @@
         if fresh {
             // Plan first, so that the orders go with this answer.
             if self.changed && self.plan_due(now) {
-                self.settle(now);
+                self.run_due_work(now);
             }
-            commands = self.orders_for(
+            commands = self.commands_for(
                 &heartbeat.machine,
                 Some((heartbeat.epoch, heartbeat.sequence)),
                 now,
@@ -49,19 +49,19 @@
     }
 
     /// A worker answered direct orders (or refused them) with its report.
-    pub fn direct_answer(
+    pub fn push_answered(
         &mut self,
         machine: &MachineId,
         executed: bool,
         heartbeat: Option<&Heartbeat>,
         now: Micros,
     ) {
-        self.probe_over(machine);
+        self.end_probe(machine);
         if let Some(m) = self.machines.get_mut(machine) {
-            m.direct_open = false;
+            m.push_open = false;
             let answered = heartbeat.map(|r| (r.epoch, r.sequence));
-            for (_, allocation) in m.slots_in_flight().filter(|(_, s)| s.direct) {
-                allocation.direct = false;
+            for (_, allocation) in m.allocations_in_flight().filter(|(_, s)| s.push_in_flight) {
+                allocation.push_in_flight = false;
                 match answered {
                     // Its report can't be read: what was started is unknown until another shows it.
                     None => allocation.outcome_unknown |= executed,
@@ -73,13 +73,13 @@
             }
             // A probe that met another session than we believed can be repeated at once.
             if !executed && heartbeat.is_none_or(|r| r.epoch == m.epoch) {
-                m.direct_retry_at = now + Micros::from_millis(500);
+                m.push_retry_at = now + Micros::from_millis(500);
             }
         }
         if let Some(r) = heartbeat
             && r.machine == *machine
         {
-            self.merge(r, false, now);
+            self.merge_heartbeat(r, false, now);
         }
         // The session was another than we believed; now we know it.
         if self.is_reconciling
@@ -96,17 +96,17 @@
 
     /// Direct orders got no answer. If they may have been sent they may be executed late, at any
     /// time of the session.
-    pub fn direct_failed(&mut self, machine: &MachineId, maybe_sent: bool, now: Micros) {
-        self.probe_over(machine);
+    pub fn push_failed(&mut self, machine: &MachineId, maybe_sent: bool, now: Micros) {
+        self.end_probe(machine);
         if let Some(m) = self.machines.get_mut(machine) {
-            m.direct_open = false;
-            m.direct_retry_at = now + Micros::from_secs(3);
+            m.push_open = false;
+            m.push_retry_at = now + Micros::from_secs(3);
             m.unreachable = true;
             if self.is_reconciling && !m.is_reconciled(self.token) {
                 self.probes.push_back(machine.clone());
             }
-            for (_, allocation) in m.slots_in_flight().filter(|(_, s)| s.direct) {
-                allocation.direct = false;
+            for (_, allocation) in m.allocations_in_flight().filter(|(_, s)| s.push_in_flight) {
+                allocation.push_in_flight = false;
                 allocation.outcome_unknown |= maybe_sent;
             }
             self.commands_due.insert(machine.clone());
@@ -114,7 +114,7 @@
     }
 
     /// Takes over what a report says if it is newer than all before; true if so.
-    fn merge(&mut self, heartbeat: &Heartbeat, hello: bool, now: Micros) -> bool {
+    fn merge_heartbeat(&mut self, heartbeat: &Heartbeat, hello: bool, now: Micros) -> bool {
         let id = &heartbeat.machine;
         if self.gone.contains_key(id) {
             return false;
@@ -134,7 +134,7 @@
             m.lease_end = now + self.cfg.lease_bound();
             self.machines.insert(id.clone(), m);
         }
-        let old_sessions_are_over = self.old_sessions_are_over(now);
+        let earlier_epochs_expired = self.earlier_epochs_expired(now);
         let Some(m) = self.machines.get_mut(id) else {
             return false;
         };
@@ -144,19 +144,20 @@
         }
         let new_session = heartbeat.epoch > m.epoch;
         let back = m.phase != MachinePhase::Up;
-        let booted = (m.phase == MachinePhase::Booting && m.dated).then_some(now - m.rented_at);
+        let booted = (m.phase == MachinePhase::Provisioning && m.has_known_age)
+            .then_some(now - m.requested_at);
         let was_settled = m.is_reconciled(self.token);
         m.epoch = heartbeat.epoch;
         m.sequence = heartbeat.sequence;
         m.token_seen = m.token_seen.max(heartbeat.token);
-        m.young_session |= hello && old_sessions_are_over;
+        m.epoch_began_after_grant |= hello && earlier_epochs_expired;
         self.changed |= back || was_settled != m.is_reconciled(self.token);
         if !m.is_registered {
-            self.registry.want(id);
+            self.registry.request_registration(id);
         }
         m.last_seen = now;
         m.unreachable = false;
-        m.is_crash_looping = false;
+        m.presumed_deleted = false;
         m.address = heartbeat.address.parse().ok();
         m.spot = heartbeat.spot;
         m.phase = MachinePhase::Up;
@@ -166,14 +167,14 @@
             // new session as well as a report does. (Scenario session_learned_by_order.)
             m.lease_end = m.lease_end.max(now + self.cfg.lease_bound());
         }
-        let notice = heartbeat
+        let preemption_notice_at = heartbeat
             .preemption_notice_s
             .map(|s| now + Micros::from_secs_f64(s));
-        if notice.is_some() && m.notice.is_none() {
+        if preemption_notice_at.is_some() && m.preemption_notice_at.is_none() {
             self.changed = true;
             info!(machine = %id, zone = %m.zone, in_s = heartbeat.preemption_notice_s, "notice: machine will be taken");
         }
-        m.notice = notice;
+        m.preemption_notice_at = preemption_notice_at;
         let (spot, zone) = (m.spot, m.zone.clone());
         if back {
             info!(machine = %id, zone = %zone, spot, epoch = heartbeat.epoch, "machine up");
@@ -218,9 +219,9 @@
             let spec = self.jobs.get(&key.0.job).map(|j| j.spec.clone());
             let allocation = Allocation::new(AllocationState::Live(TaskState::Fetching), spec, now);
             if let Some(m) = self.machines.get_mut(id) {
-                m.slots_mut().insert(key.clone(), allocation);
+                m.allocations_mut().insert(key.clone(), allocation);
             }
-            self.place_add(id, &key.0, t.attempt);
+            self.add_attempt(id, &key.0, t.attempt);
             self.changed = true;
             debug!(machine = %id, task = %key.0, attempt = t.attempt.0, state = ?t.state, "attempt found");
         }
@@ -237,7 +238,7 @@
         if matches!(was, AllocationState::Ended(_)) || (known && was == state) {
             return;
         }
-        let Some(allocation) = m.slots_mut().get_mut(&key) else {
+        let Some(allocation) = m.allocations_mut().get_mut(&key) else {
             return;
         };
         allocation.state = state;
@@ -267,21 +268,21 @@
             _ => {}
         }
         if !known {
-            self.judge_adopted(id, &key.0, t.attempt);
+            self.reconcile_adopted_attempt(id, &key.0, t.attempt);
         }
         self.stop_if_held(id, &key.0.job, key.0.index, t.attempt, state);
     }
 
     /// Decides whether an attempt that a worker reported unasked may go on.
-    fn judge_adopted(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
+    fn reconcile_adopted_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             // Cancelled or done, or never accepted.
             return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
         };
         // A later attempt was only started once all earlier ones were proven to be gone: if one is found beside it, an old
         // report tells of that, and the later goes on. (Scenario old_report_stops_nothing.)
-        let places = job.places.get(&task.index).into_iter().flatten();
-        let others: Vec<_> = places
+        let attempts = job.attempts.get(&task.index).into_iter().flatten();
+        let others: Vec<_> = attempts
             .filter(|(m, a)| m != id || *a != attempt)
             .cloned()
             .collect();
@@ -291,10 +292,10 @@
         }
         if job.is_gang() {
             // All tasks of a gang share their latest recorded attempt; others are being wound up.
-            if attempt > job.term {
-                job.term = attempt;
-                self.writes.note(&task.job);
-            } else if attempt < job.term {
+            if attempt > job.start_attempt {
+                job.start_attempt = attempt;
+                self.writes.mark_dirty(&task.job);
+            } else if attempt < job.start_attempt {
                 self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
             }
         }
@@ -305,7 +306,7 @@
 
     fn task_runs(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            if job.is_gang() && attempt == job.term {
+            if job.is_gang() && attempt == job.start_attempt {
                 job.gang_started = true;
             }
             let (image, gb) = (job.image, job.spec.image_gb);
@@ -334,7 +335,7 @@
         why: ExitReason,
         now: Micros,
     ) {
-        self.place_remove(id, task, attempt);
+        self.remove_attempt(id, task, attempt);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -349,7 +350,7 @@
                 job.failed_on.clear();
                 job.backoffs = 0;
                 let (image, gb) = (job.image, job.spec.image_gb);
-                self.writes.note(&task.job);
+                self.writes.mark_dirty(&task.job);
                 if let Some(m) = self.machines.get_mut(id) {
                     m.failed_jobs.clear();
                     m.failures = 0;
@@ -360,19 +361,19 @@
             ExitReason::InsufficientResources | ExitReason::Busy => {
                 // Our view of the machine was wrong: leave it alone until it has reported again.
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.cool_until = now + self.cfg.heartbeat_interval.times(2);
+                    m.no_placement_before = now + self.cfg.heartbeat_interval.times(2);
                 }
                 warn!(machine = %id, task = %task, why = ?why, "start refused");
             }
             ExitReason::UnknownTask => {
-                job.hold_until = now + Micros::from_secs(2);
+                job.backoff_until = now + Micros::from_secs(2);
                 warn!(machine = %id, task = %task, "start refused: the worker can't find the job");
             }
             _ => {}
         }
         if let Some(job) = self.jobs.get_mut(&task.job)
             && job.is_gang()
-            && attempt == job.term
+            && attempt == job.start_attempt
             && why != ExitReason::Done
         {
             job.gang_failing = true;
@@ -395,18 +396,18 @@
                 }
             }
         }
-        if bad_job && now >= job.hold_until {
+        if bad_job && now >= job.backoff_until {
             // Jobs that fail everywhere are started anew ever more rarely.
             let wait = self.tuning.job_backoff.times(1 << job.backoffs.min(4));
             job.backoffs += 1;
-            job.hold_until = now + wait;
+            job.backoff_until = now + wait;
             let machines = job.failed_on.len();
             info!(job = %task.job, machines, wait_s = wait.as_secs_f64(), "backoff: job fails on several machines");
             // Nobody watches a step as a user watches a job: its run is to hear that it failed.
             if job.flow && job.backoffs as usize > self.tuning.step_patience {
                 info!(job = %task.job, "given up");
                 job.given_up = true;
-                self.writes.note(&task.job);
+                self.writes.mark_dirty(&task.job);
             }
         }
         if let Some(m) = self.machines.get_mut(id)
@@ -415,7 +416,7 @@
             m.failed_jobs.insert(task.job.clone());
             m.failures += 1;
             // A faulty machine fails at once and so would draw the whole queue: pause it first.
-            m.cool_until = now + self.tuning.machine_pause;
+            m.no_placement_before = now + self.tuning.machine_pause;
             if m.failed_jobs.len() >= self.tuning.faulty_after && !m.faulty {
                 m.faulty = true;
                 info!(machine = %id, zone = %m.zone, failures = m.failures, "machine judged faulty");
@@ -446,7 +447,7 @@
                 // that answered an older one were executed. A direct answer may overtake them.
                 AllocationState::Sent => {
                     hello
-                        && !s.direct
+                        && !s.push_in_flight
                         && !s.outcome_unknown
                         && s.offered.is_some_and(|o| o < now_id)
                 }
@@ -458,7 +459,7 @@
             let Some(m) = self.machines.get_mut(id) else {
                 return;
             };
-            let was = m.slots_mut().remove(&(task.clone(), attempt));
+            let was = m.allocations_mut().remove(&(task.clone(), attempt));
             if was
                 .as_ref()
                 .is_some_and(|s| s.is_live() && s.running_since.is_some())
@@ -466,7 +467,7 @@
                 self.run_ended(id, &task, attempt, End::Cut, now);
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                remove_place(job, &task, id, attempt);
+                forget_attempt(job, &task, id, attempt);
             }
             self.changed |= was.is_some_and(|s| s.is_live());
         }
@@ -477,7 +478,7 @@
         let Some(m) = self.machines.get_mut(id) else {
             return 0;
         };
-        let allocations = std::mem::take(m.slots_mut());
+        let allocations = std::mem::take(m.allocations_mut());
         // For all that we know they ran until it was last heard of.
         let seen = m.last_seen;
         self.commands_due.remove(id);
@@ -490,7 +491,7 @@
                 }
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                remove_place(job, &task, id, attempt);
+                forget_attempt(job, &task, id, attempt);
             }
         }
         if held > 0 {
@@ -509,7 +510,7 @@
         };
         for m in self.machines.values_mut().filter(|m| orphaned(m)) {
             let machine = m.id.clone();
-            for ((task, attempt), allocation) in m.slots_mut() {
+            for ((task, attempt), allocation) in m.allocations_mut() {
                 if task.job == *id && allocation.spec.is_none() {
                     allocation.spec = Some(spec.clone());
                     if allocation.is_live() {
@@ -519,22 +520,22 @@
             }
         }
         for (machine, task, attempt) in found {
-            self.place_add(&machine, &task, attempt);
+            self.add_attempt(&machine, &task, attempt);
         }
     }
 
-    pub(crate) fn place_add(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
+    pub(crate) fn add_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.places
+            job.attempts
                 .entry(task.index)
                 .or_default()
                 .push((id.clone(), attempt));
         }
     }
 
-    fn place_remove(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
+    fn remove_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            remove_place(job, task, id, attempt);
+            forget_attempt(job, task, id, attempt);
         }
     }
 
@@ -562,18 +563,18 @@
         };
         if allocation.state == AllocationState::Sent
             && allocation.offered.is_none()
-            && !allocation.direct
+            && !allocation.push_in_flight
             && !allocation.outcome_unknown
         {
-            m.slots_mut().remove(&key);
+            m.allocations_mut().remove(&key);
             self.changed = true;
-            return self.place_remove(id, &key.0, attempt);
+            return self.remove_attempt(id, &key.0, attempt);
         }
         let stop = Stop { grace_s };
         // A stop is only ever made harsher.
         if allocation.is_live()
             && allocation.stop.is_none_or(|s| grace_s < s.grace_s)
-            && let Some(allocation) = m.slots_mut().get_mut(&key)
+            && let Some(allocation) = m.allocations_mut().get_mut(&key)
         {
             allocation.stop = Some(stop);
             self.commands_due.insert(id.clone());
@@ -581,7 +582,7 @@
     }
 
     /// The orders that bring a machine in line; all of them can be repeated.
-    fn orders_for(
+    fn commands_for(
         &mut self,
         id: &MachineId,
         answers: Option<(u64, u64)>,
@@ -596,12 +597,12 @@
         // lease of whatever it does not stop. (Guards `ran_cancelled`.)
         let mut stops = Vec::new();
         let mut commands = Vec::new();
-        for ((task, attempt), allocation) in m.slots_in_flight() {
+        for ((task, attempt), allocation) in m.allocations_in_flight() {
             let (name, attempt) = (task.to_string(), *attempt);
             let job = self.jobs.get(&task.job);
             // Answers to workers are bounded; the rest goes with the next. A machine holds no more attempts than
             // its report has room for, so all stops fit.
-            let room = commands.len() < MOST_ORDERS;
+            let room = commands.len() < MAX_COMMANDS_PER_RESPONSE;
             match allocation.state {
                 AllocationState::Ended(why) => {
                     let recorded = match job {
@@ -612,7 +613,8 @@
                     };
                     // A result is reaped only once it is recorded, and an attempt whose start may
                     // yet be executed late never: after a reap it would run again.
-                    if room && recorded && !allocation.outcome_unknown && !allocation.direct {
+                    if room && recorded && !allocation.outcome_unknown && !allocation.push_in_flight
+                    {
                         commands.push(Command::Acknowledge {
                             task: name,
                             attempt,
@@ -625,7 +627,7 @@
                         None if room && may_start && recorded => {
                             match answers {
                                 Some(a) => allocation.offered = Some(a),
-                                None => allocation.direct = true,
+                                None => allocation.push_in_flight = true,
                             }
                             commands.push(Command::Start {
                                 task: name,
@@ -676,9 +678,9 @@
     /// until each finds us with a report: an empty direct order shows them our token, and its
     /// answer is their report. (A machine that is known to have seen our token is accounted for.)
     /// Machines that are overdue and no longer listed are asked too, before they are given up.
-    pub(crate) fn probe(&mut self, now: Micros) {
+    pub(crate) fn send_probes(&mut self, now: Micros) {
         for _ in 0..self.probes.len() {
-            if !self.may_probe() {
+            if !self.can_probe() {
                 return;
             }
             let Some(id) = self.probes.pop_front() else {
@@ -689,21 +691,21 @@
             };
             let wanted = m.phase != MachinePhase::Lost
                 && !m.deleting
-                && (m.is_crash_looping || !m.is_reconciled(self.token));
+                && (m.presumed_deleted || !m.is_reconciled(self.token));
             let Some(address) = m.address.filter(|_| wanted) else {
                 continue;
             };
-            if m.direct_open || now < m.direct_retry_at {
+            if m.push_open || now < m.push_retry_at {
                 self.probes.push_back(id);
                 continue;
             }
-            m.direct_open = true;
+            m.push_open = true;
             m.probing = true;
             m.probed_at = now;
             self.open_probes += 1;
             // Most machines are in their first session; another is told by the refusal.
             let epoch = m.epoch.max(1);
-            self.actions.push_back(Action::Direct {
+            self.actions.push_back(Action::PushCommands {
                 machine: id,
                 address,
                 epoch,
@@ -712,11 +714,11 @@
         }
     }
 
-    pub(crate) fn may_probe(&self) -> bool {
-        !self.probes.is_empty() && self.open_probes < MOST_PROBES
+    pub(crate) fn can_probe(&self) -> bool {
+        !self.probes.is_empty() && self.open_probes < MAX_OPEN_PROBES
     }
 
-    pub(crate) fn probe_over(&mut self, id: &MachineId) {
+    pub(crate) fn end_probe(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id)
             && std::mem::take(&mut m.probing)
         {
@@ -726,7 +728,7 @@
 
     /// Sends new orders at once instead of with the answer to the next report. Results that are
     /// merely to be forgotten can wait for that.
-    pub(crate) fn pushed_commands(&mut self, now: Micros) {
+    pub(crate) fn push_commands(&mut self, now: Micros) {
         let mut later = Vec::new();
         while let Some(id) = self.commands_due.pop_first() {
             let Some(m) = self.machines.get(&id) else {
@@ -736,15 +738,15 @@
             if m.phase != MachinePhase::Up || !m.is_reconciled(self.token) || m.address.is_none() {
                 continue;
             }
-            if m.direct_open {
+            if m.push_open {
                 // Its answer makes the orders due again.
                 continue;
             }
-            if now < m.direct_retry_at {
+            if now < m.push_retry_at {
                 later.push(id);
                 continue;
             }
-            let commands: Vec<Command> = self.orders_for(&id, None, now);
+            let commands: Vec<Command> = self.commands_for(&id, None, now);
             let Some(m) = self.machines.get_mut(&id) else {
                 continue;
             };
@@ -753,8 +755,8 @@
                     .iter()
                     .any(|o| !matches!(o, Command::Acknowledge { .. }))
             {
-                m.direct_open = true;
-                self.actions.push_back(Action::Direct {
+                m.push_open = true;
+                self.actions.push_back(Action::PushCommands {
                     machine: id,
                     address,
                     epoch: m.epoch,
@@ -767,17 +769,17 @@
 }
 
 /// Starts and removals in one answer.
-const MOST_ORDERS: usize = 400;
+const MAX_COMMANDS_PER_RESPONSE: usize = 400;
 
 /// Machines asked at the same time: each takes a socket, and silent ones hold theirs for the
 /// whole time limit, so there must be enough for the others to pass them.
-const MOST_PROBES: usize = 96;
+const MAX_OPEN_PROBES: usize = 96;
 
-fn remove_place(job: &mut crate::Job, task: &TaskId, id: &MachineId, attempt: Attempt) {
-    if let Some(places) = job.places.get_mut(&task.index) {
-        places.retain(|(m, a)| !(m == id && *a == attempt));
-        if places.is_empty() {
-            job.places.remove(&task.index);
+fn forget_attempt(job: &mut crate::Job, task: &TaskId, id: &MachineId, attempt: Attempt) {
+    if let Some(attempts) = job.attempts.get_mut(&task.index) {
+        attempts.retain(|(m, a)| !(m == id && *a == attempt));
+        if attempts.is_empty() {
+            job.attempts.remove(&task.index);
         }
     }
 }
--- a/crates/hopyoke-scheduler/src/reconcile/restart_check.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/restart_check.rs
@@ -20,7 +20,7 @@
     pub fn check(&self, job: &Job, index: u32) -> RestartDecision {
         if job.done.contains(index) {
             RestartDecision::AcceptResult
-        } else if job.places.get(&index).is_some_and(|p| !p.is_empty()) {
+        } else if job.attempts.get(&index).is_some_and(|p| !p.is_empty()) {
             RestartDecision::Reconnect
         } else if job.inherited && self.is_reconciling() {
             RestartDecision::Unknown
--- a/crates/hopyoke-scheduler/src/run_times.rs
+++ b/crates/hopyoke-scheduler/src/run_times.rs
@@ -15,19 +15,19 @@
 /// An attempt's number: the token in the upper bits, below it a counter that also tells the time.
 const COUNTER_BITS: u32 = 28;
 /// One step of the counter is at least this long, while starts are fewer.
-const TICK: Micros = Micros::from_millis(100);
+const COUNTER_TICK: Micros = Micros::from_millis(100);
 /// Between two leaders nobody leads for about this long.
-const GAP: Micros = Micros::from_secs(5);
+const LEADERLESS_INTERVAL: Micros = Micros::from_secs(5);
 /// What is found completed this long after a takeover ended who knows when.
-const FOUND_WITHIN: Micros = Micros::from_secs(20);
+const FOUND_RUN_WINDOW: Micros = Micros::from_secs(20);
 /// Such runs that wait to be dated.
-const MOST_FOUND: usize = 512;
+const MAX_UNDATED_RUNS: usize = 512;
 /// Runs of the past that are kept for `hopyoke history`.
-const MOST_HISTORY: usize = 2048;
+const MAX_COMPLETED_RUNS: usize = 2048;
 
 /// A run that ended, for the history.
 #[derive(Debug, Clone)]
-pub struct Past {
+pub struct CompletedRun {
     /// Counts the runs that this leader has seen end, from 1.
     pub number: u64,
     pub spec: Rc<JobSpec>,
@@ -42,11 +42,11 @@
 
 /// What the core keeps for learning.
 #[derive(Default)]
-pub(crate) struct Learned {
+pub(crate) struct LearnedRunTimes {
     pub learner: hopyoke_run_times::Learner,
     /// Time of day less the steady clock; `None`: not known yet.
     day: Option<u64>,
-    past: VecDeque<Past>,
+    past: VecDeque<CompletedRun>,
     count: u64,
     /// Writes that learned run times may make, earned up to a time.
     budget: f64,
@@ -54,12 +54,12 @@
     /// Runs that were found completed after a takeover, until they can be dated.
     found: Vec<(TaskId, Attempt, Micros)>,
     /// When slow machines are looked for again.
-    next_look: Micros,
+    next_slow_check_at: Micros,
 }
 
 /// A question about capacity.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
+pub struct CapacityQuery {
     pub team: String,
     pub gpus: f64,
     pub zone: Option<String>,
@@ -67,7 +67,7 @@
 
 /// An answer in seconds from now, with what it rests on.
 #[derive(Debug, Clone, PartialEq)]
-pub struct When {
+pub struct CompletionEstimate {
     pub p50_s: f64,
     pub p90_s: f64,
     pub rests_on: String,
@@ -86,7 +86,7 @@
     /// ours alone and rises. It never falls behind the time since the grant, so that a later
     /// leader can tell when an attempt was commanded without any record of it.
     pub(crate) fn new_attempt(&mut self, now: Micros) -> Attempt {
-        let ticks = (now - self.started).0 / TICK.0;
+        let ticks = (now - self.granted_at).0 / COUNTER_TICK.0;
         self.counter = (self.counter + 1).max(ticks);
         Attempt((self.token.0 << COUNTER_BITS) | (self.counter & ((1 << COUNTER_BITS) - 1)))
     }
@@ -98,12 +98,12 @@
         if self.tuning.learn {
             self.learned
                 .learner
-                .note_grant(self.token.0, Micros(day + self.started.0));
+                .note_grant(self.token.0, Micros(day + self.granted_at.0));
         }
     }
 
     /// Takes up what an earlier leader has learned. `None`: it can't be read.
-    pub fn learned(&mut self, key: &str, page: Option<&Page>) {
+    pub fn run_times_loaded(&mut self, key: &str, page: Option<&Page>) {
         let Some(key) = PageKey::parse(key) else {
             return warn!(
                 page = key,
@@ -119,20 +119,20 @@
                 warn!(page = %key, error = e, "learned run times: left aside, learning again")
             }
         }
-        self.date_runs();
+        self.date_found_runs();
     }
 
     /// Runs that we found under way began when their attempts say, once we know of the grant.
-    fn date_runs(&mut self) {
+    fn date_found_runs(&mut self) {
         let Some(day) = self.learned.day else { return };
         let split = |a: Attempt| {
             (
                 a.0 >> COUNTER_BITS,
-                TICK.times(a.0 & ((1 << COUNTER_BITS) - 1)),
+                COUNTER_TICK.times(a.0 & ((1 << COUNTER_BITS) - 1)),
             )
         };
         self.learned.learner.date_runs(Micros(day), &split);
-        let Learned { learner, found, .. } = &mut self.learned;
+        let LearnedRunTimes { learner, found, .. } = &mut self.learned;
         found.retain(|(task, attempt, about)| {
             let Some(job) = self.jobs.get(&task.job) else {
                 return false;
@@ -187,15 +187,15 @@
             || job.spec.kind == JobKind::Service
             || (job.is_gang() && job.is_done())
             || seen
-            || self.learned.found.len() >= MOST_FOUND
-            || now > self.started + FOUND_WITHIN
+            || self.learned.found.len() >= MAX_UNDATED_RUNS
+            || now > self.granted_at + FOUND_RUN_WINDOW
         {
             return;
         }
-        let from = self.started - GAP;
+        let from = self.granted_at - LEADERLESS_INTERVAL;
         let about = from + Micros((now - from).0 / 2);
         self.learned.found.push((key, attempt, about));
-        self.date_runs();
+        self.date_found_runs();
     }
 
     /// A task was seen running for the first time; `seen`: we saw it before it ran.
@@ -216,10 +216,10 @@
             // What is left of saved work says nothing about the whole.
             _ if job.resumed => return,
             JobKind::Array => ((task.clone(), attempt), vec![id.clone()]),
-            JobKind::Gang if attempt != job.term => return,
+            JobKind::Gang if attempt != job.start_attempt => return,
             JobKind::Gang => {
                 let mut machines: Vec<MachineId> = job
-                    .places
+                    .attempts
                     .values()
                     .flatten()
                     .map(|(m, _)| m.clone())
@@ -252,7 +252,7 @@
             .learner
             .started(key, work_of(&spec), machines, now, before);
         if !seen {
-            self.date_runs();
+            self.date_found_runs();
         }
     }
 
@@ -297,7 +297,7 @@
             return;
         };
         self.learned.count += 1;
-        let past = Past {
+        let past = CompletedRun {
             number: self.learned.count,
             spec: job.spec.clone(),
             index: key.0.index,
@@ -308,13 +308,13 @@
         };
         debug!(job = %task.job, index = past.index, class = %past.spec.class, ran_s, "run ended");
         self.learned.past.push_back(past);
-        if self.learned.past.len() > MOST_HISTORY {
+        if self.learned.past.len() > MAX_COMPLETED_RUNS {
             self.learned.past.pop_front();
         }
     }
 
     /// Runs that ended, after the one with this number, oldest first.
-    pub fn history(&self, since: u64, most: usize) -> Vec<&Past> {
+    pub fn history(&self, since: u64, most: usize) -> Vec<&CompletedRun> {
         self.learned
             .past
             .iter()
@@ -333,10 +333,10 @@
             info!(class = %class, "runs outlive what was learned: expecting more of all of them");
             self.changed = true;
         }
-        if now < self.learned.next_look {
+        if now < self.learned.next_slow_check_at {
             return;
         }
-        self.learned.next_look = now + Micros::from_secs(5);
+        self.learned.next_slow_check_at = now + Micros::from_secs(5);
         if !self.tuning.use_for_slow_machines || self.is_reconciling {
             return;
         }
@@ -423,7 +423,7 @@
     ///
     /// # Errors
     /// Why that can't be told.
-    pub fn when_job(&self, id: &JobId, now: Micros) -> Result<When, String> {
+    pub fn estimate_job_end(&self, id: &JobId, now: Micros) -> Result<CompletionEstimate, String> {
         let job = self
             .jobs
             .get(id)
@@ -441,10 +441,10 @@
         let n = if job.is_gang() {
             1
         } else {
-            job.places.len() as u32
+            job.attempts.len() as u32
         };
-        for (index, places) in &job.places {
-            for (_, attempt) in places {
+        for (index, attempts) in &job.attempts {
+            for (_, attempt) in attempts {
                 let task = TaskId {
                     job: id.clone(),
                     index: *index,
@@ -489,7 +489,7 @@
                 job.wait_reason.unwrap_or(WaitReason::FirstPlacement)
             );
         }
-        Ok(When {
+        Ok(CompletionEstimate {
             p50_s: left.0,
             p90_s: left.1,
             rests_on,
@@ -500,7 +500,11 @@
     ///
     /// # Errors
     /// Why that can't be told, or never.
-    pub fn when_capacity(&self, ask: &Ask, now: Micros) -> Result<When, String> {
+    pub fn estimate_capacity(
+        &self,
+        ask: &CapacityQuery,
+        now: Micros,
+    ) -> Result<CompletionEstimate, String> {
         let Some(team) = self.team(&ask.team) else {
             return Err(format!("no team is named '{}'", ask.team));
         };
@@ -524,7 +528,7 @@
                 && m.phase == MachinePhase::Up
                 && !m.deleting
                 && !m.faulty
-                && m.notice.is_none();
+                && m.preemption_notice_at.is_none();
             let mut room = self.machine_type(&m.machine_type).map_or(0.0, |t| t.gpus);
             for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live())
             {
@@ -611,7 +615,7 @@
             found = (found.0.max(limit.0), found.1.max(limit.1));
             rests_on += &format!("; the team uses {used} of {} GPUs", team.gpus_max);
         }
-        Ok(When {
+        Ok(CompletionEstimate {
             p50_s: found.0,
             p90_s: found.1,
             rests_on,
--- a/crates/hopyoke-scheduler/src/staffed_hours.rs
+++ b/crates/hopyoke-scheduler/src/staffed_hours.rs
@@ -77,18 +77,18 @@
     }
 
     /// Nobody is there.
-    pub fn unstaffed(&self) -> bool {
+    pub fn is_unstaffed(&self) -> bool {
         self.staffing.hours.is_some() && self.staffing.window.is_some_and(|(_, w)| !w.staffed)
     }
 
     /// This job is not to be placed now.
     pub fn is_held(&self, spec: &JobSpec) -> bool {
-        self.unstaffed() && self.staffing.hours.as_ref().is_some_and(|h| h.holds(spec))
+        self.is_unstaffed() && self.staffing.hours.as_ref().is_some_and(|h| h.holds(spec))
     }
 
     /// Until when held work waits, as the calendar's zone writes it.
     pub fn held_until(&self) -> Option<String> {
-        let (_, window) = self.staffing.window.filter(|_| self.unstaffed())?;
+        let (_, window) = self.staffing.window.filter(|_| self.is_unstaffed())?;
         let hours = self.staffing.hours.as_ref()?;
         Some(
             window
@@ -103,8 +103,8 @@
         let held = self.jobs.iter().filter(|(_, j)| self.is_held(&j.spec));
         let mut stops: Vec<(MachineId, JobId, u32, Attempt, f64)> = Vec::new();
         for (id, job) in held {
-            for (&index, places) in &job.places {
-                for (m, attempt) in places {
+            for (&index, attempts) in &job.attempts {
+                for (m, attempt) in attempts {
                     let key = (
                         hopyoke_types::TaskId {
                             job: id.clone(),
--- a/crates/hopyoke-scheduler/tests/frozen_forms.rs
+++ b/crates/hopyoke-scheduler/tests/frozen_forms.rs
@@ -57,7 +57,7 @@
 fn job_records() {
     let fresh = JobRecord::accepted(array(1), ACCEPTED_US);
     assert_stored("job-record-fresh", &fresh);
-    let term = Attempt(5_000_000_007_000_001);
+    let start_attempt = Attempt(5_000_000_007_000_001);
     // Task numbers are a list of ranges, or bits where these are shorter.
     let cases = [
         ("list", ranges(0..40)),
@@ -67,7 +67,7 @@
     for (name, done) in cases {
         let running = JobRecord {
             done,
-            term,
+            start_attempt,
             ..JobRecord::accepted(array(100), ACCEPTED_US)
         };
         assert_stored(&format!("job-record-{name}"), &running);
@@ -75,7 +75,7 @@
     assert_stored(
         "job-record-gang",
         &JobRecord {
-            term,
+            start_attempt,
             ..JobRecord::accepted(gang(), ACCEPTED_US)
         },
     );
@@ -86,15 +86,15 @@
     assert_stored("job-record-flow", &JobRecord::of_flow(step, ACCEPTED_US));
 }
 
-/// Without `done`, `term`, `marks_start` and `flow`; and with several ranges as a list.
+/// Without `done`, `start_attempt`, `has_start_marker` and `flow`; and with several ranges as a list.
 #[test]
 fn job_records_of_earlier_versions() {
     let older = JobRecord {
         spec: Rc::new(gang()),
         accepted_us: ACCEPTED_US,
         done: Ranges::default(),
-        term: Attempt(0),
-        marks_start: false,
+        start_attempt: Attempt(0),
+        has_start_marker: false,
         flow: false,
     };
     assert!(older.may_have_started());
--- a/crates/hopyoke-scheduler/tests/pushed_commands.rs
+++ b/crates/hopyoke-scheduler/tests/pushed_commands.rs
@@ -65,7 +65,7 @@
     };
     // Its first start is recorded, and by this leader.
     let record = JobRecord {
-        term: Attempt(1),
+        start_attempt: Attempt(1),
         ..JobRecord::accepted(spec(), 0)
     };
     let mut scheduler = Scheduler::new(
@@ -90,10 +90,10 @@
     };
     let probed = std::iter::from_fn(|| scheduler.next_action()).count();
     assert_eq!(probed, 0);
-    scheduler.direct_answer(&machine, true, Some(&heartbeat), at);
+    scheduler.push_answered(&machine, true, Some(&heartbeat), at);
     scheduler.tick(at + Micros::from_secs(1));
     let starts = |a: Action| match a {
-        Action::Direct { commands, .. } => {
+        Action::PushCommands { commands, .. } => {
             commands.iter().any(|o| matches!(o, Command::Start { .. }))
         }
         _ => false,
@@ -102,8 +102,8 @@
         std::iter::from_fn(|| scheduler.next_action()).any(starts),
         "the task is started"
     );
-    scheduler.direct_answer(&machine, true, None, at + Micros::from_secs(1));
-    scheduler.job_dropped(&job, at + Micros::from_secs(2));
+    scheduler.push_answered(&machine, true, None, at + Micros::from_secs(1));
+    scheduler.job_removed(&job, at + Micros::from_secs(2));
     assert!(
         scheduler.machines[&machine].has_live(),
         "its place is free though it may run"
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -168,7 +168,7 @@
         // afterwards is answered; one serves all that wait.
         let gather = Micros(self.random(0, GATHER.0));
         self.timer(i, gather, move |w| {
-            let Some(applied) = w.lead(i, process).map(|l| l.scheduler.applied()) else {
+            let Some(applied) = w.lead(i, process).map(|l| l.scheduler.applied_revision()) else {
                 return;
             };
             let sent = w.now;
@@ -379,9 +379,9 @@
             if let Some(lead) = n
                 .lead
                 .as_mut()
-                .filter(|l| l.scheduler.applied() < mod_revision)
+                .filter(|l| l.scheduler.applied_revision() < mod_revision)
             {
-                lead.scheduler.job_dropped(job, now);
+                lead.scheduler.job_removed(job, now);
             }
         }
         n.finals.insert(job.clone(), end);
--- a/crates/hopyoke-simulator/src/controller.rs
+++ b/crates/hopyoke-simulator/src/controller.rs
@@ -365,14 +365,14 @@
         scheduler.set_hours(self.hours.clone());
         scheduler.note_time(self.now, self.time_of_day(i));
         for (key, page) in &r.learned {
-            scheduler.learned(key, Some(page));
+            scheduler.run_times_loaded(key, Some(page));
         }
         scheduler.set_catalog(self.types.clone());
         let mut leader_lease = LeaderLease::new(r.until, self.ttl, WATCH, self.nodes.len());
         leader_lease.heard(at);
-        scheduler.caught_up(revision, at);
+        scheduler.records_applied_to(revision, at);
         for id in self.nodes[i].confirmed.after(revision) {
-            scheduler.job_dropped(&id, self.now);
+            scheduler.job_removed(&id, self.now);
         }
         self.nodes[i].confirmed.began_before(revision);
         let lead = Lead {
@@ -473,7 +473,7 @@
         let Some(lead) = self.lead(i, process) else {
             return;
         };
-        let (applied, delivered) = (lead.scheduler.applied(), lead.delivered.clone());
+        let (applied, delivered) = (lead.scheduler.applied_revision(), lead.delivered.clone());
         // Who is not entitled gets no promises; its own place among the peers needs none.
         let lease_is_valid = self.lease_is_valid(i);
         let sent = self.now;
@@ -506,7 +506,7 @@
                         return;
                     };
                     for id in &delta.jobs {
-                        lead.scheduler.job_dropped(id, now);
+                        lead.scheduler.job_removed(id, now);
                     }
                     lead.delivered.took(j, its, delta.upto);
                     lead.leader_lease.answered(j, sent, span, now);
@@ -530,7 +530,7 @@
             return;
         };
         lead.watch += 1;
-        let (since, number) = (lead.scheduler.applied(), lead.watch);
+        let (since, number) = (lead.scheduler.applied_revision(), lead.watch);
         self.send(Host::Node(i), Host::State, move |w| {
             if w.state_refuses(i) {
                 // Only watches that are open wait; a new one is refused, and asked for again.
@@ -620,12 +620,12 @@
         lead.leader_lease.heard(sent);
         for (id, record, mod_revision, dropped) in news.events {
             match record {
-                Some(r) => lead.scheduler.job_seen(id, r, mod_revision, now),
-                None if dropped => lead.scheduler.job_dropped(&id, now),
+                Some(r) => lead.scheduler.job_record_changed(id, r, mod_revision, now),
+                None if dropped => lead.scheduler.job_removed(&id, now),
                 None => {}
             }
         }
-        lead.scheduler.caught_up(news.revision, sent);
+        lead.scheduler.records_applied_to(news.revision, sent);
     }
 
     fn tick(&mut self, i: usize, process: u64) {
@@ -677,13 +677,13 @@
         while let Some(a) = lead.scheduler.next_action() {
             actions.push(a);
         }
-        lead.scheduler.set_pressed(pressed);
+        lead.scheduler.set_admission_pressed(pressed);
         let batch = if lead.writing {
             None
         } else {
             lead.scheduler.next_batch(now)
         };
-        let short = batch.is_none() && lead.scheduler.short_of_writes();
+        let short = batch.is_none() && lead.scheduler.is_write_rate_limited();
         lead.writing |= batch.is_some();
         let token = lead.scheduler.token;
         if let Some(p) = self.nodes[i].part.as_mut().filter(|_| short) {
@@ -728,10 +728,10 @@
                         let out = if got.is_empty() {
                             ScaleOutOutcome::NoCapacity
                         } else {
-                            ScaleOutOutcome::Rented(got)
+                            ScaleOutOutcome::Created(got)
                         };
                         if let Some(l) = w.lead(i, process) {
-                            l.scheduler.rented(&request, out, now);
+                            l.scheduler.scale_out_ended(&request, out, now);
                         }
                     });
                 });
@@ -745,13 +745,13 @@
                     w.send(Host::Cloud, Host::Node(i), move |w| {
                         let now = w.now;
                         if let Some(l) = w.lead(i, process) {
-                            l.scheduler.deleted(&machines, now);
+                            l.scheduler.deletion_confirmed(&machines, now);
                         }
                     });
                 });
             }
             Action::ReloadRecord { job } => self.record_reloaded(i, process, job),
-            Action::Direct {
+            Action::PushCommands {
                 machine,
                 epoch,
                 commands,
@@ -762,7 +762,7 @@
                 let sent = self.now;
                 if self.no_sockets.get(&i).is_some_and(|t| sent < *t) {
                     if let Some(l) = self.lead(i, process) {
-                        l.scheduler.direct_failed(&m, false, sent);
+                        l.scheduler.push_failed(&m, false, sent);
                     }
                     return;
                 }
@@ -775,9 +775,9 @@
                         && l.scheduler
                             .machines
                             .get(&m)
-                            .is_some_and(|x| x.direct_open && x.epoch.max(1) == epoch)
+                            .is_some_and(|x| x.push_open && x.epoch.max(1) == epoch)
                     {
-                        l.scheduler.direct_failed(&m, true, now);
+                        l.scheduler.push_failed(&m, true, now);
                     }
                 });
             }
@@ -865,7 +865,7 @@
                     && let Some(l) = w.lead(i, process)
                 {
                     l.scheduler
-                        .direct_answer(&machine, executed, Some(&heartbeat), now);
+                        .push_answered(&machine, executed, Some(&heartbeat), now);
                     w.act(i, process);
                 }
             });
@@ -911,7 +911,7 @@
                         None => Mutation::Delete(format!("fleet/{key}")),
                     });
                 }
-                Write::Learned { key, page } => {
+                Write::LearnedRunTimes { key, page } => {
                     apply.push(Mutation::Put(
                         format!("learn/{key}"),
                         Value::Learned(page.clone()),
@@ -1050,7 +1050,7 @@
         let now = self.now;
         let listed = self.cloud_list();
         if let Some(l) = self.lead(i, process) {
-            l.scheduler.listed(&listed, now);
+            l.scheduler.instances_listed(&listed, now);
         }
         self.timer(i, Micros::from_secs(5), move |w| w.list(i, process));
     }
--- a/crates/hopyoke-simulator/src/script.rs
+++ b/crates/hopyoke-simulator/src/script.rs
@@ -6,7 +6,7 @@
 use hopyoke_calendar::{Calendar, HoldSelector, StaffedHours, StaffingOverride};
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState, Priority};
-use hopyoke_scheduler::{Ask, Team, WaitReason};
+use hopyoke_scheduler::{CapacityQuery, Team, WaitReason};
 use hopyoke_types::Micros;
 use hopyoke_types::{JobId, MachineId};
 use std::collections::BTreeMap;
@@ -918,12 +918,12 @@
         .and_then(|i| w.nodes[i].lead.as_ref())
         .ok_or("nobody leads")?;
     let found = if what.starts_with("req-") {
-        leader.scheduler.when_job(&JobId::new(what), w.now)
+        leader.scheduler.estimate_job_end(&JobId::new(what), w.now)
     } else {
         let (gpus, zone) = (num(word(it)), word(it));
         let zone = (zone != "any").then(|| zone.to_owned());
-        leader.scheduler.when_capacity(
-            &Ask {
+        leader.scheduler.estimate_capacity(
+            &CapacityQuery {
                 team: what.to_owned(),
                 gpus,
                 zone,
--- a/crates/hopyoke/src/agents/pushed_commands.rs
+++ b/crates/hopyoke/src/agents/pushed_commands.rs
@@ -71,7 +71,7 @@
             leadership
                 .scheduler
                 .borrow_mut()
-                .direct_failed(&machine, false, runtime::now());
+                .push_failed(&machine, false, runtime::now());
             return;
         }
         log_starts(&machine, token, epoch, 0, &commands, "pushed commands");
@@ -93,15 +93,15 @@
             Ok(r) if matches!(r.status, 200 | 409) => {
                 let heartbeat: Option<Heartbeat> = decode(&r.body).ok();
                 leadership.heartbeat_monitor.borrow_mut().command_answered();
-                scheduler.direct_answer(&machine, r.status == 200, heartbeat.as_ref(), now);
+                scheduler.push_answered(&machine, r.status == 200, heartbeat.as_ref(), now);
             }
             Ok(r) => {
                 warn!(machine = %machine, status = r.status, "pushed commands refused");
-                scheduler.direct_failed(&machine, false, now);
+                scheduler.push_failed(&machine, false, now);
             }
             Err(e) => {
                 debug!(machine = %machine, error = %e, "pushing commands failed");
-                scheduler.direct_failed(&machine, !matches!(e, ClientError::NotSent(_)), now);
+                scheduler.push_failed(&machine, !matches!(e, ClientError::NotSent(_)), now);
                 self.clients.borrow_mut().remove(&address);
             }
         }
--- a/crates/hopyoke/src/cloud.rs
+++ b/crates/hopyoke/src/cloud.rs
@@ -67,15 +67,15 @@
             .await
         {
             Ok(r) if r.status == 200 => decode::<MachineNames>(&r.body)
-                .map_or(ScaleOutOutcome::Unsure, |m| {
-                    ScaleOutOutcome::Rented(m.machines)
+                .map_or(ScaleOutOutcome::Unknown, |m| {
+                    ScaleOutOutcome::Created(m.machines)
                 }),
             // Both "no capacity" and "trouble" come as 503.
             Ok(r) if r.status == 503 && !has_word(&r.body, b"trouble") => {
                 ScaleOutOutcome::NoCapacity
             }
             Ok(r) if r.status == 400 => ScaleOutOutcome::NoCapacity,
-            _ => ScaleOutOutcome::Unsure,
+            _ => ScaleOutOutcome::Unknown,
         }
     }
 
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -228,15 +228,15 @@
         .lease_support
         .confirmed
         .borrow()
-        .after(scheduler.applied())
+        .after(scheduler.applied_revision())
     {
-        scheduler.job_dropped(&id, now);
+        scheduler.job_removed(&id, now);
     }
     // A process that has just begun may not have learned a revision yet; this one does as well.
     node.lease_support
         .confirmed
         .borrow_mut()
-        .began_before(scheduler.applied());
+        .began_before(scheduler.applied_revision());
     // All that was cancelled before the records were read is missing in them.
     leader_lease.borrow_mut().heard(granted_at);
     let leadership = Rc::new(Leadership {
@@ -383,7 +383,7 @@
         .collect();
     let jobs = jobs.into_iter().filter_map(job_of).collect();
     let mut scheduler = Scheduler::new(node.config.clone(), token, jobs, register, granted_at);
-    scheduler.caught_up(ModRevision(revision), granted_at);
+    scheduler.records_applied_to(ModRevision(revision), granted_at);
     scheduler.set_tuning(settings::tuning_of(
         &node.policy.evaluate(&Figures::default()),
     ));
@@ -413,7 +413,7 @@
     loop {
         let batch = {
             let mut scheduler = leadership.scheduler.borrow_mut();
-            scheduler.set_pressed(node.admission.is_overloaded());
+            scheduler.set_admission_pressed(node.admission.is_overloaded());
             if leadership.lease_is_valid() {
                 scheduler.next_batch(runtime::now())
             } else {
@@ -422,7 +422,7 @@
         };
         let Some(batch) = batch else {
             let more = leadership.scheduler.borrow().has_writes();
-            if leadership.scheduler.borrow().short_of_writes() {
+            if leadership.scheduler.borrow().is_write_rate_limited() {
                 node.admission.writes_deferred();
             }
             let pause = if more {
@@ -534,7 +534,7 @@
                     },
                 });
             }
-            Write::Learned { key, page } => {
+            Write::LearnedRunTimes { key, page } => {
                 mutations.push(Mutation::Put {
                     key: learned_key(*key),
                     value: Value::Learned(page),
@@ -577,7 +577,7 @@
             leadership
                 .scheduler
                 .borrow_mut()
-                .listed(&list, runtime::now());
+                .instances_listed(&list, runtime::now());
             leadership.wakeup.notify();
         }
         let pause = node.config.list_lag.max(Micros::from_secs(5));
@@ -602,7 +602,7 @@
     let mut scheduler = leadership.scheduler.borrow_mut();
     for pair in pages {
         if let Some(key) = pair.key.strip_prefix(LEARNED) {
-            scheduler.learned(key, pair.value.readable().as_ref());
+            scheduler.run_times_loaded(key, pair.value.readable().as_ref());
         }
     }
 }
@@ -675,14 +675,16 @@
                 let outcome = node.cloud.rent(&rent).await;
                 l.scheduler
                     .borrow_mut()
-                    .rented(&request, outcome, runtime::now());
+                    .scale_out_ended(&request, outcome, runtime::now());
             }
             Action::Delete { machines } => {
                 if node.cloud.delete(machines.clone()).await {
-                    l.scheduler.borrow_mut().deleted(&machines, runtime::now());
+                    l.scheduler
+                        .borrow_mut()
+                        .deletion_confirmed(&machines, runtime::now());
                 } else {
                     runtime::sleep(Micros::from_secs(2)).await;
-                    l.scheduler.borrow_mut().delete_failed(&machines);
+                    l.scheduler.borrow_mut().deletion_failed(&machines);
                 }
             }
             Action::ReloadRecord { job } => {
@@ -711,7 +713,7 @@
                     }
                 }
             }
-            Action::Direct {
+            Action::PushCommands {
                 machine,
                 address,
                 epoch,
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -5,7 +5,7 @@
 use crate::peers::client::{GREET_TIMEOUT, PeerClient};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::user::JobKind;
-use hopyoke_scheduler::{Ask, Past};
+use hopyoke_scheduler::{CapacityQuery, CompletedRun};
 use hopyoke_types::{JobId, Micros};
 use hopyoke_workload_trace::{Run, Writer};
 
@@ -21,8 +21,8 @@
         let now = runtime::now();
         let found = if request.job.is_empty() {
             let zone = (!request.zone.is_empty()).then_some(request.zone);
-            scheduler.when_capacity(
-                &Ask {
+            scheduler.estimate_capacity(
+                &CapacityQuery {
                     team: request.team,
                     gpus: request.gpus,
                     zone,
@@ -31,7 +31,7 @@
             )
         } else {
             match JobId::parse(&request.job) {
-                Some(id) => scheduler.when_job(&id, now),
+                Some(id) => scheduler.estimate_job_end(&id, now),
                 None => Err(format!("'{}' is not a job's id", request.job)),
             }
         };
@@ -125,7 +125,7 @@
     answer.unwrap_or_else(|| refused("the leader did not answer"))
 }
 
-fn run_of(p: &Past) -> Run {
+fn run_of(p: &CompletedRun) -> Run {
     let spec = &p.spec;
     Run {
         submitted_us: p.accepted_us,
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -111,7 +111,10 @@
                 .filter(|j| j.unplaced_tasks() > 0)
                 .count() as f64,
         )
-        .boolean("production_arriving", scheduler.production_arriving(now))
+        .boolean(
+            "production_arriving",
+            scheduler.has_recent_production_work(now),
+        )
         .number("plan_busy", plan_busy)
         .number("hour", hour)
 }
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -145,7 +145,7 @@
     let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
     for machine in scheduler.machines.values() {
         let phase = match machine.phase {
-            MachinePhase::Booting => "booting",
+            MachinePhase::Provisioning => "booting",
             MachinePhase::Up => "up",
             MachinePhase::Lost => "lost",
         };
@@ -197,11 +197,11 @@
             job.spec.team,
             job.spec.tasks,
             job.done.count(),
-            job.places.len(),
+            job.attempts.len(),
             scheduler.running(id),
             outcome_unknown.count()
         )?;
-        if let Ok(estimate) = scheduler.when_job(id, now) {
+        if let Ok(estimate) = scheduler.estimate_job_end(id, now) {
             write!(
                 out,
                 " ends_in {:.0} to {:.0} s",
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -41,7 +41,7 @@
     let leadership = node.leadership().filter(|l| l.lease_is_valid());
     let (token, applied_revision) = leadership.map_or((0, 0), |l| {
         let scheduler = l.scheduler.borrow();
-        (scheduler.token.0, scheduler.applied().0)
+        (scheduler.token.0, scheduler.applied_revision().0)
     });
     Greeting {
         node: node.settings.node.clone(),
@@ -158,7 +158,7 @@
         .lease_support
         .confirmed
         .borrow()
-        .covers(leadership.scheduler.borrow().applied());
+        .covers(leadership.scheduler.borrow().applied_revision());
     let span = (answer.support_us > 0 && own_applied).then_some(Micros(answer.support_us));
     if !answer.cancelled_jobs.is_empty() {
         let mut scheduler = leadership.scheduler.borrow_mut();
@@ -168,7 +168,7 @@
             .filter_map(|id| JobId::parse(id))
         {
             // Also of jobs that are not known yet: their records may still be on their way.
-            scheduler.job_dropped(&id, now);
+            scheduler.job_removed(&id, now);
         }
         leadership.wakeup.notify();
     }
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -44,9 +44,9 @@
             .note(id, mod_revision);
         if let Some(leadership) = node.leadership()
             && let mut scheduler = leadership.scheduler.borrow_mut()
-            && scheduler.applied() < mod_revision
+            && scheduler.applied_revision() < mod_revision
         {
-            scheduler.job_dropped(id, runtime::now());
+            scheduler.job_removed(id, runtime::now());
             leadership.wakeup.notify();
         }
     }
--- a/crates/hopyoke/src/store/watch.rs
+++ b/crates/hopyoke/src/store/watch.rs
@@ -22,7 +22,7 @@
 pub async fn watch(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
         let sent = runtime::now();
-        let since = leadership.scheduler.borrow().applied().0;
+        let since = leadership.scheduler.borrow().applied_revision().0;
         let result: Result<WatchResponse<JobRecord>, _> =
             node.state.records().watch(JOBS, since, WATCH).await;
         match result {
@@ -51,12 +51,12 @@
                         .filter(|id| !listed.contains(id) && old(id))
                         .collect();
                     for id in gone {
-                        scheduler.job_dropped(&id, now);
+                        scheduler.job_removed(&id, now);
                     }
                     for (id, record, mod_revision) in pairs.into_iter().filter_map(job_of) {
-                        scheduler.job_seen(id, record, mod_revision, now);
+                        scheduler.job_record_changed(id, record, mod_revision, now);
                     }
-                    scheduler.caught_up(ModRevision(revision), sent);
+                    scheduler.records_applied_to(ModRevision(revision), sent);
                     leadership.leader_lease.borrow_mut().heard(sent);
                     leadership.wakeup.notify();
                 }
@@ -86,7 +86,7 @@
             continue;
         };
         let sent = runtime::now();
-        let since = leadership.scheduler.borrow().applied().0;
+        let since = leadership.scheduler.borrow().applied_revision().0;
         let result: Result<WatchResponse<JobRecord>, StateError> = node
             .state
             .records()
@@ -122,7 +122,7 @@
     let mut scheduler = leadership.scheduler.borrow_mut();
     for e in events.events {
         if let Some(id) = e.deleted.as_deref().and_then(job_id_of) {
-            scheduler.job_dropped(&id, now);
+            scheduler.job_removed(&id, now);
         } else if let (Some(key), Some(value)) = (e.put, e.value)
             && let Some((id, record, mod_revision)) = job_of(KeyValue {
                 key,
@@ -130,10 +130,10 @@
                 mod_revision: e.mod_revision,
             })
         {
-            scheduler.job_seen(id, record, mod_revision, now);
+            scheduler.job_record_changed(id, record, mod_revision, now);
         }
     }
-    scheduler.caught_up(ModRevision(events.revision), sent);
+    scheduler.records_applied_to(ModRevision(events.revision), sent);
     drop(scheduler);
     if any {
         leadership.wakeup.notify();
