--- a/crates/hopyoke-scheduler/tests/frozen_forms.rs
+++ b/crates/hopyoke-scheduler/tests/frozen_forms.rs
@@ -86,7 +86,7 @@
     assert_stored("job-record-flow", &JobRecord::of_flow(step, ACCEPTED_US));
 }
 
-/// Without `done`, `start_attempt`, `has_start_marker` and `flow`; and with several ranges as a list.
+/// Without `done`, `term`, `marks_start` and `flow`; and with several ranges as a list.
 #[test]
 fn job_records_of_earlier_versions() {
     let older = JobRecord {
