--- a/crates/hopyoke-scheduler/src/autoscale/inventory.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/inventory.rs
@@ -3,15 +3,27 @@
 use crate::Scheduler;
 use crate::ledger::Machine;
 use hopyoke_protocol::cloud::{ListedMachine, ListedMachineState};
-use hopyoke_types::Micros;
+use hopyoke_types::{MachineId, Micros};
+use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
+/// What the cloud has said of instances.
+#[derive(Debug, Default)]
+pub(crate) struct CloudInventory {
+    /// Machines whose deletion the cloud confirmed, and when.
+    pub(crate) gone: BTreeMap<MachineId, Micros>,
+    /// What the cloud listed last; `None`: nothing yet.
+    pub(crate) listed: Option<BTreeSet<MachineId>>,
+    /// Deletions under way.
+    pub(crate) open_deletions: usize,
+}
+
 impl Scheduler {
     /// The cloud's list. It lags, so it never proves that a machine is not there.
     pub fn instances_listed(&mut self, list: &[ListedMachine], now: Micros) {
-        self.listed_instances = Some(list.iter().map(|l| l.id.clone()).collect());
+        self.inventory.listed = Some(list.iter().map(|l| l.id.clone()).collect());
         for l in list {
-            if self.gone.contains_key(&l.id) {
+            if self.inventory.gone.contains_key(&l.id) {
                 continue;
             }
             let age = Micros::from_secs_f64(l.age_s);
@@ -28,19 +40,19 @@
             if !known {
                 m.requested_at = now - age;
                 m.has_known_age = true;
-                self.changed = true;
+                self.plan_schedule.request();
                 info!(machine = %l.id, zone = %l.zone, spot = l.spot, "found an unknown machine");
             }
             if l.state == ListedMachineState::Failed && !m.deleting {
                 // It stopped by itself; the deletion proves it.
                 m.deleting = true;
-                self.changed = true;
+                self.plan_schedule.request();
                 info!(machine = %l.id, zone = %l.zone, "machine failed");
             }
         }
         // A list can be twice its lag old, and a held-back report minutes: neither may bring a
         // deleted machine back as alive.
         let remember = Micros::from_secs(600).max(self.cfg.list_lag.times(8));
-        self.gone.retain(|_, at| now < *at + remember);
+        self.inventory.gone.retain(|_, at| now < *at + remember);
     }
 }
--- a/crates/hopyoke-scheduler/src/autoscale/mod.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/mod.rs
@@ -1,5 +1,5 @@
 //! The autoscaler: instances are requested for unmet demand and returned when idle.
 
-mod inventory;
+pub(crate) mod inventory;
 mod scale_in;
-pub mod scale_out;
+pub(crate) mod scale_out;
--- a/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
@@ -1,13 +1,17 @@
 //! Scale-in: idle, faulty and failed instances are returned to the cloud; what the cloud says of deletions.
 
-use crate::ledger::MachinePhase;
+use crate::ledger::{Machine, MachinePhase};
 use crate::provisioning::ProvisioningState;
-use crate::{Action, Scheduler};
+use crate::{Action, Scheduler, Tuning};
 use hopyoke_protocol::user::Priority;
 use hopyoke_types::{MachineId, Micros};
 use std::collections::BTreeMap;
 use tracing::info;
 
+/// The boot time assumed for a type that the catalog does not name.
+const DEFAULT_BOOT_TIME: Micros = Micros::from_secs(60);
+
+/// Instances deleted with one call.
 const MAX_INSTANCES_PER_DELETION: usize = 100;
 /// Calls to the cloud are scarce: while one deletion is under way the next one gathers machines,
 /// or a shrinking fleet is paid for while single deletions queue. A second may go out beside it,
@@ -17,21 +21,21 @@
 impl Scheduler {
     /// The cloud confirmed a deletion: the machines and everything on them are gone.
     pub fn deletion_confirmed(&mut self, ids: &[MachineId], now: Micros) {
-        self.open_deletions = self.open_deletions.saturating_sub(1);
+        self.inventory.open_deletions = self.inventory.open_deletions.saturating_sub(1);
         for id in ids {
             self.end_probe(id);
             self.clear_allocations(id);
             self.machines.remove(id);
             self.registry.remove(id);
             self.learned.learner.forget_machine(id);
-            self.gone.insert(id.clone(), now);
+            self.inventory.gone.insert(id.clone(), now);
         }
-        self.changed = true;
+        self.plan_schedule.request();
     }
 
     /// A deletion was not confirmed: it is tried again.
     pub fn deletion_failed(&mut self, ids: &[MachineId]) {
-        self.open_deletions = self.open_deletions.saturating_sub(1);
+        self.inventory.open_deletions = self.inventory.open_deletions.saturating_sub(1);
         for id in ids {
             if let Some(m) = self.machines.get_mut(id) {
                 m.deletion_requested = false;
@@ -49,45 +53,30 @@
 
     /// Returns machines that nobody needs, that are faulty, or that never came up.
     pub(crate) fn scale_in(&mut self, now: Micros) {
-        let idle_for = self.tuning.idle_return;
-        let mut returns = Vec::new();
         // While production work arrives, one ordinary machine stays ready for the next of it.
-        let arriving = self.has_recent_production_work(now);
-        let mut idle_ordinary = self
-            .machines
-            .values()
-            .filter(|m| {
-                !m.spot
-                    && m.phase == MachinePhase::Up
-                    && m.allocations().is_empty()
-                    && !m.deleting
-                    && !m.faulty
-            })
-            .count();
-        let patience = |boot: Micros| Micros((boot.0 as f64 * self.tuning.boot_patience) as u64);
-        let provisioning_estimator: BTreeMap<&str, Micros> = self
+        let keeps_ready = self.has_recent_production_work(now);
+        let mut idle_ordinary = self.idle_ordinary_machines();
+        let is_reconciling = self.reconciliation.is_active();
+        let boot_times: BTreeMap<&str, Micros> = self
             .types
             .iter()
             .map(|t| (t.name.as_str(), Micros::from_secs_f64(t.boot_s)))
             .collect();
+        let tuning = &self.tuning;
+        let mut deletions = Vec::new();
         for m in self.machines.values_mut() {
-            if !m.allocations().is_empty() {
-                m.idle_since = None;
-            } else if m.idle_since.is_none() && m.phase == MachinePhase::Up {
-                m.idle_since = Some(now);
-            }
-            let boot = provisioning_estimator
+            update_idle_since(m, now);
+            let boot = boot_times
                 .get(m.machine_type.as_str())
                 .copied()
-                .unwrap_or(Micros::from_secs(60));
-            let never_up = m.phase == MachinePhase::Provisioning
-                && (m.provisioning == ProvisioningState::Hopeless
-                    || now >= m.requested_at + patience(boot) + Micros::from_secs(30));
-            let idle = m.idle_since.is_some_and(|t| now >= t + idle_for) && !self.is_reconciling;
+                .unwrap_or(DEFAULT_BOOT_TIME);
+            let never_up = is_never_up(m, boot, tuning, now);
+            let idle =
+                m.idle_since.is_some_and(|t| now >= t + tuning.idle_return) && !is_reconciling;
             let faulty = m.faulty && !m.has_live();
             let mut unneeded = (idle || (m.slow && m.allocations().is_empty())) && !m.has_live();
             if unneeded && !m.spot && !m.deleting && !m.slow {
-                if arriving && idle_ordinary <= self.tuning.keep_ready {
+                if keeps_ready && idle_ordinary <= tuning.keep_ready {
                     unneeded = false;
                 }
                 idle_ordinary = idle_ordinary.saturating_sub(1);
@@ -106,16 +95,47 @@
             }
             if m.deleting
                 && !m.deletion_requested
-                && self.open_deletions < MAX_OPEN_DELETIONS
-                && returns.len() < MAX_INSTANCES_PER_DELETION
+                && self.inventory.open_deletions < MAX_OPEN_DELETIONS
+                && deletions.len() < MAX_INSTANCES_PER_DELETION
             {
                 m.deletion_requested = true;
-                returns.push(m.id.clone());
+                deletions.push(m.id.clone());
             }
         }
-        if !returns.is_empty() {
-            self.open_deletions += 1;
-            self.actions.push_back(Action::Delete { machines: returns });
+        if !deletions.is_empty() {
+            self.inventory.open_deletions += 1;
+            self.actions.push_back(Action::Delete {
+                machines: deletions,
+            });
         }
     }
+
+    fn idle_ordinary_machines(&self) -> usize {
+        self.machines
+            .values()
+            .filter(|m| {
+                !m.spot
+                    && m.phase == MachinePhase::Up
+                    && m.allocations().is_empty()
+                    && !m.deleting
+                    && !m.faulty
+            })
+            .count()
+    }
+}
+
+fn update_idle_since(m: &mut Machine, now: Micros) {
+    if !m.allocations().is_empty() {
+        m.idle_since = None;
+    } else if m.idle_since.is_none() && m.phase == MachinePhase::Up {
+        m.idle_since = Some(now);
+    }
+}
+
+/// It has taken so long to be provisioned that it is not waited for any longer.
+fn is_never_up(m: &Machine, boot: Micros, tuning: &Tuning, now: Micros) -> bool {
+    let patience = Micros((boot.0 as f64 * tuning.boot_patience) as u64);
+    m.phase == MachinePhase::Provisioning
+        && (m.provisioning == ProvisioningState::Hopeless
+            || now >= m.requested_at + patience + Micros::from_secs(30))
 }
--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -10,14 +10,14 @@
 
 /// A kind of machine that can be rented.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Offer {
+pub(crate) struct Offer {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
 }
 
 /// What a plan found to be missing.
-pub struct Demand {
+pub(crate) struct Demand {
     pub offers: BTreeMap<Offer, u32>,
     pub reserved_machines: Vec<MachineId>,
 }
@@ -45,21 +45,21 @@
 }
 
 #[derive(Default)]
-pub struct PendingScaleOuts {
+pub(crate) struct PendingScaleOuts {
     open: BTreeMap<String, PendingScaleOut>,
     refusals: BTreeMap<Offer, CapacityBackoff>,
 }
 
 impl PendingScaleOuts {
     /// What is being rented right now.
-    pub fn open(&self) -> Vec<(Offer, u32)> {
+    pub(crate) fn open(&self) -> Vec<(Offer, u32)> {
         self.open
             .values()
             .map(|r| (r.offer.clone(), r.count))
             .collect()
     }
 
-    pub fn refused(&self, offer: &Offer, now: Micros) -> bool {
+    pub(crate) fn refused(&self, offer: &Offer, now: Micros) -> bool {
         self.refusals.get(offer).is_some_and(|r| now < r.until)
     }
 
@@ -122,7 +122,7 @@
         let Some(open) = self.pending_scale_outs.open.get_mut(request) else {
             return;
         };
-        self.changed = true;
+        self.plan_schedule.request();
         match outcome {
             ScaleOutOutcome::Created(ids) => {
                 let Some(open) = self.pending_scale_outs.open.remove(request) else {
@@ -137,7 +137,7 @@
                     self.pending_scale_outs.refusals.remove(&o);
                 }
                 for id in ids {
-                    if self.gone.contains_key(&id) {
+                    if self.inventory.gone.contains_key(&id) {
                         continue;
                     }
                     // A machine that we have rented ourselves was never commanded by anyone else.
--- a/crates/hopyoke-scheduler/src/ledger/machine.rs
+++ b/crates/hopyoke-scheduler/src/ledger/machine.rs
@@ -205,7 +205,7 @@
             if !allocation.is_live() {
                 continue;
             }
-            let amounts = allocation.amounts();
+            let amounts = allocation.resources();
             load.used = load.used + amounts;
             load.live += 1;
             load.replicas += u32::from(spec.kind == JobKind::Service);
--- a/crates/hopyoke-scheduler/src/ledger/mod.rs
+++ b/crates/hopyoke-scheduler/src/ledger/mod.rs
@@ -5,7 +5,9 @@
 mod machine;
 mod wait_reason;
 
-pub use allocation::{Allocation, AllocationState, Stop};
+pub(crate) use allocation::Stop;
+pub use allocation::{Allocation, AllocationState};
 pub use job::{EndRecord, Job, JobRecord};
-pub use machine::{ImageKey, Load, Machine, MachinePhase};
+pub(crate) use machine::ImageKey;
+pub use machine::{Load, Machine, MachinePhase};
 pub use wait_reason::WaitReason;
--- a/crates/hopyoke-scheduler/src/persist/batch.rs
+++ b/crates/hopyoke-scheduler/src/persist/batch.rs
@@ -1,4 +1,4 @@
-//! What is written to the state service: the vocabulary that records and the register share.
+//! What is written to the state service: what the record writer and the machine registry share.
 
 use crate::ledger::{EndRecord, JobRecord};
 use hopyoke_run_times::{Page, PageKey};
@@ -9,32 +9,51 @@
 /// One write of a batch. Every batch is conditional on our grant as well.
 #[derive(Debug, Clone)]
 pub enum Write {
-    /// Replace the record, which must still have this mark.
+    /// Replace the record, which must still have this revision.
     Update {
+        /// The job.
         job: JobId,
+        /// The revision that the value must still have.
         mod_revision: ModRevision,
+        /// Its new value.
         record: JobRecord,
     },
-    /// Move the record, which must still have this mark, to its final place.
+    /// Move the record, which must still have this revision, to its final place.
     End {
+        /// The job.
         job: JobId,
+        /// The revision that the value must still have.
         mod_revision: ModRevision,
+        /// The value at its final place.
         end: EndRecord,
     },
-    /// Replace a page of the register, which must still have this mark, or drop it.
+    /// Replace a page of the machine registry, which must still have this revision, or drop it.
     Page {
+        /// Below `fleet/`.
         key: String,
+        /// The revision that the value must still have.
         mod_revision: ModRevision,
+        /// The new value; `None`: the page is dropped.
         page: Option<RegistryPage>,
     },
-    /// Drop a page of the register whatever it holds.
-    DropPage { key: String },
+    /// Drop a page of the machine registry whatever it holds.
+    DropPage {
+        /// Below `fleet/`.
+        key: String,
+    },
     /// Replace a page of learned run times.
-    LearnedRunTimes { key: PageKey, page: Page },
+    LearnedRunTimes {
+        /// Which page.
+        key: PageKey,
+        /// Its new value.
+        page: Page,
+    },
 }
 
+/// Writes that go through together or not at all.
 #[derive(Debug, Clone)]
 pub struct Batch {
+    /// In the order of their urgency.
     pub writes: Vec<Write>,
 }
 
@@ -53,10 +72,12 @@
 pub enum BatchError {
     /// The records of these jobs have changed meanwhile.
     Conflict {
+        /// Jobs whose records were not as expected.
         jobs: Vec<JobId>,
+        /// Keys of registry pages that were not as expected.
         pages: Vec<String>,
     },
-    /// Our grant is gone: somebody else leads.
+    /// The grant of the shards is gone: another node leads.
     Deposed,
     /// Certainly not executed.
     Refused,
@@ -64,13 +85,16 @@
     Unknown,
 }
 
-/// A page of the register, under `fleet/KEY`.
+/// A page of the machine registry, under `fleet/KEY`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegistryPage {
+    /// The type that all machines on it have.
     pub machine_type: String,
+    /// The zone that all are in.
     pub zone: String,
+    /// Whether all are spot instances.
     pub spot: bool,
-    /// With their workers' addresses, at which a new leader can ask them.
+    /// With their agents' addresses, at which a new leader probes them.
     pub machines: BTreeMap<MachineId, String>,
 }
 
--- a/crates/hopyoke-scheduler/src/persist/mod.rs
+++ b/crates/hopyoke-scheduler/src/persist/mod.rs
@@ -1,5 +1,5 @@
 //! State that outlives a leader: what is written to the state service, in batches.
 
-pub mod batch;
-pub mod records;
-pub mod registry;
+pub(crate) mod batch;
+pub(crate) mod records;
+pub(crate) mod registry;
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -28,7 +28,7 @@
 const MAX_BATCH_BYTES: usize = 40 * 1024;
 
 impl Writes {
-    pub fn new(cfg: &SchedulerConfig, now: Micros) -> Writes {
+    pub(crate) fn new(cfg: &SchedulerConfig, now: Micros) -> Writes {
         Writes {
             due: BTreeMap::new(),
             budget: cfg.write_rps / 2.0,
@@ -40,18 +40,38 @@
         }
     }
 
+    /// Adds what was earned since the last call, at `rate` changes per second.
+    fn refill(&mut self, rate: f64, max_budget: f64, now: Micros) {
+        let earned_s = (now - self.refilled_at).as_secs_f64();
+        self.budget = (self.budget + rate * earned_s).min(max_budget);
+        self.deferrable_budget =
+            (self.deferrable_budget + rate * DEFERRABLE_SHARE * earned_s).min(4.0);
+        self.refilled_at = now;
+    }
+
     /// The job's record may have to be written.
-    pub fn mark_dirty(&mut self, job: &JobId) {
+    pub(crate) fn mark_dirty(&mut self, job: &JobId) {
         if !self.due.contains_key(job) {
             self.due.insert(job.clone(), None);
         }
     }
 
-    pub fn is_dirty(&self, job: &JobId) -> bool {
+    pub(crate) fn is_dirty(&self, job: &JobId) -> bool {
         self.due.contains_key(job)
     }
 }
 
+/// How urgent the write of a job's record is, most urgent first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum WriteRank {
+    /// A first start, or a gang's new placement, waits for it.
+    Start,
+    /// The job is over.
+    End,
+    /// Tasks that are done; such writes can be gathered.
+    Progress,
+}
+
 /// A batch in the making.
 struct Draft {
     writes: Vec<Write>,
@@ -92,29 +112,59 @@
     pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
         let rate = self.cfg.write_rps / 2.0;
         let max_budget = rate.max(4.0);
-        let w = &mut self.writes;
-        w.budget = (w.budget + rate * (now - w.refilled_at).as_secs_f64()).min(max_budget);
-        w.deferrable_budget = (w.deferrable_budget
-            + rate * DEFERRABLE_SHARE * (now - w.refilled_at).as_secs_f64())
-        .min(4.0);
-        w.refilled_at = now;
-        if now < w.retry_not_before || w.budget < 1.0 {
+        self.writes.refill(rate, max_budget, now);
+        if now < self.writes.retry_not_before || self.writes.budget < 1.0 {
             return None;
         }
-        let max_ops = (w.budget as usize).min(self.cfg.txn_ops);
-        let (ample, fair) = (w.budget >= max_budget * 0.75, w.budget >= max_budget * 0.5);
         let mut draft = Draft {
             writes: Vec::new(),
             ops: 0,
             bytes: 0,
-            max_ops,
+            max_ops: (self.writes.budget as usize).min(self.cfg.txn_ops),
         };
-        // Gangs' terms first: their tasks wait for it. Then machines, which wait for their first
+        // First starts come first: their tasks wait for it. Then machines, which wait for their first
         // task, then whatever completes, then what can be gathered.
-        let mut ranked: Vec<(u8, JobId)> = Vec::new();
+        let mut starts = self.ranked_jobs(max_budget, now);
+        let split = starts.partition_point(|(rank, _)| *rank == WriteRank::Start);
+        let rest = starts.split_off(split);
+        self.draft_jobs(&mut draft, starts);
+        self.draft_pages(&mut draft, false);
+        self.draft_jobs(&mut draft, rest);
+        if now >= self.writes.removals_not_before
+            && draft.has_room(2, 0)
+            && self.registry.has_removals()
+        {
+            self.writes.removals_not_before = now + Micros::from_millis(500);
+            self.draft_pages(&mut draft, true);
+        }
+        // Learned run times come last, alone, and within their own share: nothing waits for them.
+        if draft.writes.is_empty()
+            && let Some((key, page)) = self.next_learned(now)
+        {
+            draft.push(
+                Write::LearnedRunTimes { key, page },
+                1,
+                self.cfg.value_bytes,
+            );
+        }
+        if draft.writes.is_empty() {
+            return None;
+        }
+        self.writes.budget -= draft.ops as f64;
+        Some(Batch {
+            writes: draft.writes,
+        })
+    }
+
+    /// Jobs whose records are to be written now, in the order in which they get room.
+    fn ranked_jobs(&mut self, max_budget: f64, now: Micros) -> Vec<(WriteRank, JobId)> {
+        let mut ranked = Vec::new();
+        let w = &mut self.writes;
         let (jobs, tuning, machines) = (&self.jobs, &self.tuning, &self.machines);
-        let up = |m: &MachineId| machines.get(m).is_some_and(|m| m.phase == MachinePhase::Up);
-        let (admission_pressed, mut deferrable_budget) = (w.admission_pressed, w.deferrable_budget);
+        let is_up = |m: &MachineId| machines.get(m).is_some_and(|m| m.phase == MachinePhase::Up);
+        let (is_ample, is_fair) = (w.budget >= max_budget * 0.75, w.budget >= max_budget * 0.5);
+        let (admission_pressed, deferrable_budget) =
+            (w.admission_pressed, &mut w.deferrable_budget);
         w.due.retain(|id, since| {
             let Some(job) = jobs.get(id) else {
                 return false;
@@ -128,60 +178,31 @@
             let since = *since.get_or_insert(now);
             let rank = if job.start_attempt != job.recorded_start_attempt {
                 // Its first task can't start before a machine is up.
-                if admission_pressed && !job.attempts.values().flatten().any(|(m, _)| up(m)) {
-                    if deferrable_budget < 1.0 {
+                if admission_pressed && !job.attempts.values().flatten().any(|(m, _)| is_up(m)) {
+                    if *deferrable_budget < 1.0 {
                         return true;
                     }
-                    deferrable_budget -= 1.0;
+                    *deferrable_budget -= 1.0;
                 }
-                0
+                WriteRank::Start
             } else if job.is_over() {
-                1
-            } else if (ample && now >= since + tuning.gather_least)
-                || (fair && now >= since + tuning.gather)
+                WriteRank::End
+            } else if (is_ample && now >= since + tuning.gather_least)
+                || (is_fair && now >= since + tuning.gather)
                 || now >= since + tuning.gather_most
             {
-                2
+                WriteRank::Progress
             } else {
                 return true;
             };
             ranked.push((rank, id.clone()));
             true
         });
-        w.deferrable_budget = deferrable_budget;
         ranked.sort_unstable();
-        let split = ranked.partition_point(|(rank, _)| *rank == 0);
-        let rest = ranked.split_off(split);
-        self.draft_jobs(&mut draft, ranked);
-        self.draft_pages(&mut draft, false);
-        self.draft_jobs(&mut draft, rest);
-        if now >= self.writes.removals_not_before
-            && draft.has_room(2, 0)
-            && self.registry.has_removals()
-        {
-            self.writes.removals_not_before = now + Micros::from_millis(500);
-            self.draft_pages(&mut draft, true);
-        }
-        // Learned run times come last, alone, and within their own share: nothing waits for them.
-        if draft.writes.is_empty()
-            && let Some((key, page)) = self.next_learned(now)
-        {
-            draft.push(
-                Write::LearnedRunTimes { key, page },
-                1,
-                self.cfg.value_bytes,
-            );
-        }
-        if draft.writes.is_empty() {
-            return None;
-        }
-        self.writes.budget -= draft.ops as f64;
-        Some(Batch {
-            writes: draft.writes,
-        })
+        ranked
     }
 
-    fn draft_jobs(&mut self, draft: &mut Draft, jobs: Vec<(u8, JobId)>) {
+    fn draft_jobs(&mut self, draft: &mut Draft, jobs: Vec<(WriteRank, JobId)>) {
         for (_, id) in jobs {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
@@ -319,7 +340,7 @@
                         && !m.is_registered
                     {
                         m.is_registered = true;
-                        self.changed = true;
+                        self.plan_schedule.request();
                     }
                 }
             }
--- a/crates/hopyoke-scheduler/src/persist/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -1,7 +1,7 @@
-//! The register: which machines may hold tasks. A new leader reads it to know whom to wait for.
+//! The machine registry: which machines may hold tasks. A new leader reads it to know whom to wait for.
 //!
 //! Machines of one type, zone and kind share pages, so that a whole fleet is registered within a
-//! few writes. Each write of a page is conditional on the page's mark: a late one must not bring
+//! few writes. Each write of a page is conditional on the page's revision: a late one must not bring
 //! an older page back. (Guards `ran_twice`: a machine whose entry was lost would not be waited
 //! for.) A page whose write went unanswered is left behind for a new one.
 
@@ -9,6 +9,7 @@
 use hopyoke_types::{MachineId, ModRevision};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A page and how far its writes have come.
 struct Page {
     content: RegistryPage,
     mod_revision: ModRevision,
@@ -19,6 +20,7 @@
     removed: bool,
 }
 
+/// Which machine is on which page, and what of that is still to be written.
 #[derive(Default)]
 pub(crate) struct MachineRegistry {
     pages: BTreeMap<String, Page>,
@@ -33,7 +35,7 @@
 
 impl MachineRegistry {
     /// Takes over a page; returns the machines on it.
-    pub fn read(
+    pub(crate) fn read(
         &mut self,
         key: String,
         mod_revision: ModRevision,
@@ -59,37 +61,37 @@
         machines
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.page_of.is_empty() && self.unreadable_pages.is_empty()
     }
 
-    /// Some page can't be read, so recovery can end by time alone.
-    pub fn has_unreadable_pages(&self) -> bool {
+    /// Some page can't be read, so reconciliation can end by time alone.
+    pub(crate) fn has_unreadable_pages(&self) -> bool {
         !self.unreadable_pages.is_empty()
     }
 
-    /// Recovery is over: unreadable pages name no machine that matters any more.
-    pub fn reconciliation_ended(&mut self) {
+    /// Reconciliation is over: unreadable pages name no machine that matters any more.
+    pub(crate) fn reconciliation_ended(&mut self) {
         self.drops.append(&mut self.unreadable_pages);
     }
 
-    pub fn contains(&self, id: &MachineId) -> bool {
+    pub(crate) fn contains(&self, id: &MachineId) -> bool {
         self.page_of.contains_key(id)
     }
 
     /// A machine is to be registered, unless it is already.
-    pub fn request_registration(&mut self, id: &MachineId) {
+    pub(crate) fn request_registration(&mut self, id: &MachineId) {
         if !self.page_of.contains_key(id) {
             self.pending.insert(id.clone());
         }
     }
 
-    pub fn take_pending(&mut self) -> BTreeSet<MachineId> {
+    pub(crate) fn take_pending(&mut self) -> BTreeSet<MachineId> {
         std::mem::take(&mut self.pending)
     }
 
     /// Puts a machine on a page that has room for it.
-    pub fn add(
+    pub(crate) fn add(
         &mut self,
         id: MachineId,
         address: String,
@@ -132,7 +134,7 @@
     }
 
     /// A machine is gone for certain.
-    pub fn remove(&mut self, id: &MachineId) {
+    pub(crate) fn remove(&mut self, id: &MachineId) {
         self.pending.remove(id);
         if let Some(page) = self
             .page_of
@@ -144,17 +146,17 @@
         }
     }
 
-    pub fn has_additions(&self) -> bool {
+    pub(crate) fn has_additions(&self) -> bool {
         !self.pending.is_empty() || self.pages.values().any(|p| p.added && !p.writing)
     }
 
-    pub fn has_removals(&self) -> bool {
+    pub(crate) fn has_removals(&self) -> bool {
         !self.drops.is_empty() || self.pages.values().any(|p| p.removed && !p.writing)
     }
 
     /// The next page to be written: one with additions, or else one with removals if they are
     /// asked for. An empty page is dropped.
-    pub fn next(&mut self, removals: bool) -> Option<Write> {
+    pub(crate) fn next(&mut self, removals: bool) -> Option<Write> {
         // What a dropped page held must stand elsewhere first, or go there with the same write.
         if removals
             && !self.pages.values().any(|p| p.added)
@@ -175,7 +177,7 @@
     }
 
     /// A write of a page went through; returns the machines that are now registered.
-    pub fn written(
+    pub(crate) fn written(
         &mut self,
         key: &str,
         mod_revision: ModRevision,
@@ -205,7 +207,7 @@
     }
 
     /// A write certainly did not happen.
-    pub fn refused(&mut self, key: &str) {
+    pub(crate) fn refused(&mut self, key: &str) {
         if let Some(page) = self.pages.get_mut(key) {
             page.writing = false;
             page.added = true;
@@ -216,7 +218,7 @@
 
     /// A write may have happened or may yet happen: its machines move to a new page, and the old
     /// one goes only once that stands.
-    pub fn outcome_unknown(&mut self, key: &str, new_key: impl FnOnce() -> String) {
+    pub(crate) fn outcome_unknown(&mut self, key: &str, new_key: impl FnOnce() -> String) {
         let Some(old) = self.pages.get_mut(key) else {
             return self.drops.push(key.to_owned());
         };
--- a/crates/hopyoke-scheduler/src/plan/defragment.rs
+++ b/crates/hopyoke-scheduler/src/plan/defragment.rs
@@ -19,15 +19,15 @@
         // A small deployment earns a move a minute.
         let earned = f64::from(replicas.max(16))
             * self.tuning.move_share
-            * (now - self.defragmentation_credited_at).as_secs_f64();
-        self.defragmentation_credited_at = now;
+            * (now - self.defragmentation.credited_at).as_secs_f64();
+        self.defragmentation.credited_at = now;
         // At most what 20 s earn is kept, but enough for one move.
         let most = (f64::from(replicas) * self.tuning.move_share * 20.0).max(move_s + 30.0);
-        self.defragmentation_budget_s = (self.defragmentation_budget_s + earned).min(most);
-        if now < self.next_defragmentation_at || self.is_reconciling() {
+        self.defragmentation.budget_s = (self.defragmentation.budget_s + earned).min(most);
+        if now < self.defragmentation.next_at || self.is_reconciling() {
             return;
         }
-        self.next_defragmentation_at = now + Micros::from_secs(2);
+        self.defragmentation.next_at = now + Micros::from_secs(2);
         let usage = |b: &Bin| {
             1.0 - (b.free.gpus + b.free.cpus) / (plan.kinds[b.kind].gpus + plan.kinds[b.kind].cpus)
         };
@@ -90,8 +90,8 @@
                     (m.id.clone(), task, attempt, needs.spec.save_s),
                 ));
             }
-            if targets.len() as u32 == bin.replicas && cost <= self.defragmentation_budget_s {
-                self.defragmentation_budget_s -= cost;
+            if targets.len() as u32 == bin.replicas && cost <= self.defragmentation.budget_s {
+                self.defragmentation.budget_s -= cost;
                 // Nothing is moved to a machine that is being drained.
                 free[from] = Resources::default();
                 moves.extend(targets.into_iter().map(|t| t.2));
--- a/crates/hopyoke-scheduler/src/plan/mod.rs
+++ b/crates/hopyoke-scheduler/src/plan/mod.rs
@@ -61,7 +61,7 @@
 impl Scheduler {
     /// Makes a plan, starts what it can, and says which machines to rent.
     pub(super) fn plan(&mut self, now: Micros) -> Demand {
-        self.plans += 1;
+        self.plan_schedule.count_plan();
         self.add_visited(self.jobs.len() + 2 * self.machines.len());
         self.update_provisioning_states(now);
         let order = self.order(now);
--- a/crates/hopyoke-scheduler/src/plan/preempt.rs
+++ b/crates/hopyoke-scheduler/src/plan/preempt.rs
@@ -65,7 +65,7 @@
                 if needs.task.fits_in(&room) {
                     break;
                 }
-                room = room + allocation.amounts();
+                room = room + allocation.resources();
                 lost += ran + 1.0;
                 victims.push(key.clone());
             }
@@ -83,7 +83,7 @@
         let freed = victims
             .iter()
             .filter_map(|k| self.machines.get(&machine)?.allocations().get(k))
-            .map(Allocation::amounts);
+            .map(Allocation::resources);
         let freed = freed.fold(Resources::default(), |a, b| a + b);
         // Room that is promised to this task is neither free nor freeing for others.
         bin.freeing = bin.freeing + bin.free + freed - needs.task;
--- /dev/null
+++ b/crates/hopyoke-scheduler/src/reconcile/attempts.rs
@@ -0,0 +1,127 @@
+//! Attempts in the ledger: which machine has, or may have, which attempt of a task.
+
+use crate::Scheduler;
+use crate::ledger::{AllocationState, Job, Machine, Stop};
+use hopyoke_protocol::user::JobSpec;
+use hopyoke_run_times::End;
+use hopyoke_types::{Attempt, JobId, MachineId, TaskId};
+use std::rc::Rc;
+
+impl Scheduler {
+    /// Forgets all that was on a machine; returns how many attempts held a place.
+    pub(crate) fn clear_allocations(&mut self, id: &MachineId) -> usize {
+        let Some(m) = self.machines.get_mut(id) else {
+            return 0;
+        };
+        let allocations = std::mem::take(m.allocations_mut());
+        // For all that we know they ran until it was last heard of.
+        let seen = m.last_seen;
+        self.commands_due.remove(id);
+        let mut held = 0;
+        for ((task, attempt), allocation) in allocations {
+            if allocation.is_live() {
+                held += 1;
+                if allocation.running_since.is_some() {
+                    self.run_ended(id, &task, attempt, End::Cut, seen);
+                }
+            }
+            if let Some(job) = self.jobs.get_mut(&task.job) {
+                forget_attempt(job, &task, id, attempt);
+            }
+        }
+        if held > 0 {
+            self.plan_schedule.request();
+        }
+        held
+    }
+
+    /// A job appeared in the ledger of which workers have reported tasks already.
+    pub(crate) fn adopt_allocations(&mut self, id: &JobId, spec: &Rc<JobSpec>) {
+        let mut found = Vec::new();
+        let orphaned = |m: &Machine| {
+            m.allocations()
+                .iter()
+                .any(|((t, _), s)| t.job == *id && s.spec.is_none())
+        };
+        for m in self.machines.values_mut().filter(|m| orphaned(m)) {
+            let machine = m.id.clone();
+            for ((task, attempt), allocation) in m.allocations_mut() {
+                if task.job == *id && allocation.spec.is_none() {
+                    allocation.spec = Some(spec.clone());
+                    if allocation.is_live() {
+                        found.push((machine.clone(), task.clone(), *attempt));
+                    }
+                }
+            }
+        }
+        for (machine, task, attempt) in found {
+            self.add_attempt(&machine, &task, attempt);
+        }
+    }
+
+    pub(crate) fn add_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
+        if let Some(job) = self.jobs.get_mut(&task.job) {
+            job.attempts
+                .entry(task.index)
+                .or_default()
+                .push((id.clone(), attempt));
+        }
+    }
+
+    pub(crate) fn remove_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
+        if let Some(job) = self.jobs.get_mut(&task.job) {
+            forget_attempt(job, task, id, attempt);
+        }
+    }
+
+    /// Has an attempt stopped. One that was never offered to the worker just goes.
+    pub(crate) fn stop_allocation(
+        &mut self,
+        id: &MachineId,
+        job: &JobId,
+        index: u32,
+        attempt: Attempt,
+        grace_s: f64,
+    ) {
+        let key = (
+            TaskId {
+                job: job.clone(),
+                index,
+            },
+            attempt,
+        );
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        let Some(allocation) = m.allocations().get(&key) else {
+            return;
+        };
+        if allocation.state == AllocationState::Sent
+            && allocation.offered.is_none()
+            && !allocation.push_in_flight
+            && !allocation.outcome_unknown
+        {
+            m.allocations_mut().remove(&key);
+            self.plan_schedule.request();
+            return self.remove_attempt(id, &key.0, attempt);
+        }
+        let stop = Stop { grace_s };
+        // A stop is only ever made harsher.
+        if allocation.is_live()
+            && allocation.stop.is_none_or(|s| grace_s < s.grace_s)
+            && let Some(allocation) = m.allocations_mut().get_mut(&key)
+        {
+            allocation.stop = Some(stop);
+            self.commands_due.insert(id.clone());
+        }
+    }
+}
+
+pub(crate) fn forget_attempt(job: &mut Job, task: &TaskId, id: &MachineId, attempt: Attempt) {
+    if let Some(attempts) = job.attempts.get_mut(&task.index) {
+        attempts.retain(|(m, a)| !(m == id && *a == attempt));
+        if attempts.is_empty() {
+            job.attempts.remove(&task.index);
+        }
+    }
+}
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -1,14 +1,10 @@
-//! Workers' reports: they rebuild and update the ledger, and are answered with orders.
+//! Heartbeats: they rebuild and update the ledger, and renew leases.
 
-use crate::ledger::{Allocation, AllocationState, Machine, MachinePhase, Stop};
-use crate::{Action, Scheduler};
-use hopyoke_protocol::user::{JobKind, JobSpec};
-use hopyoke_protocol::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
-use hopyoke_run_times::End;
-use hopyoke_types::Micros;
-use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, TaskId};
-use std::rc::Rc;
-use tracing::{debug, info, warn};
+use crate::Scheduler;
+use crate::ledger::{Machine, MachinePhase};
+use hopyoke_protocol::worker::{Command, Heartbeat};
+use hopyoke_types::{FencingToken, Micros, TaskId};
+use tracing::{info, warn};
 
 /// What to answer to a report.
 #[derive(Debug, PartialEq)]
@@ -32,7 +28,7 @@
         }
         if fresh {
             // Plan first, so that the orders go with this answer.
-            if self.changed && self.plan_due(now) {
+            if self.plan_schedule.is_requested_plan_due(now) {
                 self.run_due_work(now);
             }
             commands = self.commands_for(
@@ -48,82 +44,23 @@
         }
     }
 
-    /// A worker answered direct orders (or refused them) with its report.
-    pub fn push_answered(
+    /// Takes over what a heartbeat says if it is newer than all before; true if so. `renews_lease`: it was sent as a
+    /// heartbeat, not as the answer to pushed commands.
+    pub(crate) fn merge_heartbeat(
         &mut self,
-        machine: &MachineId,
-        executed: bool,
-        heartbeat: Option<&Heartbeat>,
+        heartbeat: &Heartbeat,
+        renews_lease: bool,
         now: Micros,
-    ) {
-        self.end_probe(machine);
-        if let Some(m) = self.machines.get_mut(machine) {
-            m.push_open = false;
-            let answered = heartbeat.map(|r| (r.epoch, r.sequence));
-            for (_, allocation) in m.allocations_in_flight().filter(|(_, s)| s.push_in_flight) {
-                allocation.push_in_flight = false;
-                match answered {
-                    // Its report can't be read: what was started is unknown until another shows it.
-                    None => allocation.outcome_unknown |= executed,
-                    Some(_) if executed && allocation.offered < answered => {
-                        allocation.offered = answered
-                    }
-                    Some(_) => {}
-                }
-            }
-            // A probe that met another session than we believed can be repeated at once.
-            if !executed && heartbeat.is_none_or(|r| r.epoch == m.epoch) {
-                m.push_retry_at = now + Micros::from_millis(500);
-            }
-        }
-        if let Some(r) = heartbeat
-            && r.machine == *machine
-        {
-            self.merge_heartbeat(r, false, now);
-        }
-        // The session was another than we believed; now we know it.
-        if self.is_reconciling
-            && self
-                .machines
-                .get(machine)
-                .is_some_and(|m| !m.is_reconciled(self.token))
-        {
-            self.probes.push_back(machine.clone());
-        }
-        // What changed meanwhile, or was refused, is still to be sent.
-        self.commands_due.insert(machine.clone());
-    }
-
-    /// Direct orders got no answer. If they may have been sent they may be executed late, at any
-    /// time of the session.
-    pub fn push_failed(&mut self, machine: &MachineId, maybe_sent: bool, now: Micros) {
-        self.end_probe(machine);
-        if let Some(m) = self.machines.get_mut(machine) {
-            m.push_open = false;
-            m.push_retry_at = now + Micros::from_secs(3);
-            m.unreachable = true;
-            if self.is_reconciling && !m.is_reconciled(self.token) {
-                self.probes.push_back(machine.clone());
-            }
-            for (_, allocation) in m.allocations_in_flight().filter(|(_, s)| s.push_in_flight) {
-                allocation.push_in_flight = false;
-                allocation.outcome_unknown |= maybe_sent;
-            }
-            self.commands_due.insert(machine.clone());
-        }
-    }
-
-    /// Takes over what a report says if it is newer than all before; true if so.
-    fn merge_heartbeat(&mut self, heartbeat: &Heartbeat, hello: bool, now: Micros) -> bool {
+    ) -> bool {
         let id = &heartbeat.machine;
-        if self.gone.contains_key(id) {
+        if self.inventory.gone.contains_key(id) {
             return false;
         }
         if !self.machines.contains_key(id) {
-            if !hello {
+            if !renews_lease {
                 return false;
             }
-            // A machine that nobody told us of: an earlier leader's, or a late rental's.
+            // Created by an earlier leader, or by a scale-out whose answer was lost.
             let mut m = Machine::new(
                 id.clone(),
                 heartbeat.machine_type.clone(),
@@ -134,24 +71,43 @@
             m.lease_end = now + self.cfg.lease_bound();
             self.machines.insert(id.clone(), m);
         }
-        let earlier_epochs_expired = self.earlier_epochs_expired(now);
-        let Some(m) = self.machines.get_mut(id) else {
+        let Some(is_new_epoch) = self.merge_machine_status(heartbeat, renews_lease, now) else {
             return false;
         };
-        // Reports can arrive late: only the newest counts.
+        if is_new_epoch {
+            // Everything of earlier epochs is gone, and so are commands pushed to them.
+            self.clear_allocations(id);
+        }
+        self.merge_tasks(heartbeat, renews_lease, now);
+        true
+    }
+
+    /// What a heartbeat says of the machine itself. `None`: it is not newer than all before; otherwise whether the
+    /// agent's epoch is new.
+    fn merge_machine_status(
+        &mut self,
+        heartbeat: &Heartbeat,
+        renews_lease: bool,
+        now: Micros,
+    ) -> Option<bool> {
+        let earlier_epochs_expired = self.earlier_epochs_expired(now);
+        let id = &heartbeat.machine;
+        let m = self.machines.get_mut(id)?;
+        // Heartbeats can arrive late: only the newest counts.
         if (heartbeat.epoch, heartbeat.sequence) <= (m.epoch, m.sequence) {
-            return false;
+            return None;
         }
-        let new_session = heartbeat.epoch > m.epoch;
-        let back = m.phase != MachinePhase::Up;
-        let booted = (m.phase == MachinePhase::Provisioning && m.has_known_age)
+        let is_new_epoch = heartbeat.epoch > m.epoch;
+        let is_back = m.phase != MachinePhase::Up;
+        let provisioned_after = (m.phase == MachinePhase::Provisioning && m.has_known_age)
             .then_some(now - m.requested_at);
-        let was_settled = m.is_reconciled(self.token);
+        let was_reconciled = m.is_reconciled(self.token);
         m.epoch = heartbeat.epoch;
         m.sequence = heartbeat.sequence;
         m.token_seen = m.token_seen.max(heartbeat.token);
-        m.epoch_began_after_grant |= hello && earlier_epochs_expired;
-        self.changed |= back || was_settled != m.is_reconciled(self.token);
+        m.epoch_began_after_grant |= renews_lease && earlier_epochs_expired;
+        self.plan_schedule
+            .request_if(is_back || was_reconciled != m.is_reconciled(self.token));
         if !m.is_registered {
             self.registry.request_registration(id);
         }
@@ -161,625 +117,60 @@
         m.address = heartbeat.address.parse().ok();
         m.spot = heartbeat.spot;
         m.phase = MachinePhase::Up;
-        if new_session || (back && m.lease_end <= now) {
-            // A session has its whole lease from its beginning, and that may have been just now: the
-            // end that was counted is that of the session before. A direct order's answer tells of a
-            // new session as well as a report does. (Scenario session_learned_by_order.)
+        if is_new_epoch || (is_back && m.lease_end <= now) {
+            // An epoch has its whole lease from its beginning, and that may have been just now: the
+            // end that was counted is that of the epoch before. The answer to pushed commands tells of a
+            // new epoch as well as a heartbeat does. (Scenario session_learned_by_order.)
             m.lease_end = m.lease_end.max(now + self.cfg.lease_bound());
         }
-        let preemption_notice_at = heartbeat
-            .preemption_notice_s
-            .map(|s| now + Micros::from_secs_f64(s));
-        if preemption_notice_at.is_some() && m.preemption_notice_at.is_none() {
-            self.changed = true;
-            info!(machine = %id, zone = %m.zone, in_s = heartbeat.preemption_notice_s, "notice: machine will be taken");
-        }
-        m.preemption_notice_at = preemption_notice_at;
-        let (spot, zone) = (m.spot, m.zone.clone());
-        if back {
-            info!(machine = %id, zone = %zone, spot, epoch = heartbeat.epoch, "machine up");
-        }
-        let nominal = self.boot_time(&heartbeat.machine_type);
-        if let Some(took) = booted.filter(|_| nominal > Micros::ZERO) {
-            let in_boots = |t: Micros| t.as_secs_f64() / nominal.as_secs_f64();
-            self.provisioning_estimator.came_up(
-                &heartbeat.machine_type,
-                in_boots(took),
-                in_boots(now),
-            );
-        }
-        if new_session {
-            // Everything of earlier sessions is gone, and so are their late direct orders.
-            self.clear_allocations(id);
-        }
-        let allocations = self.machines.get(id).map_or(0, |m| m.allocations().len());
-        self.add_visited(1 + heartbeat.tasks.len() + allocations);
-        let mut listed = Vec::with_capacity(heartbeat.tasks.len());
-        for t in &heartbeat.tasks {
-            let Some(task) = TaskId::parse(&t.task) else {
-                warn!(machine = %id, task = %t.task, "report names a malformed task");
-                continue;
-            };
-            listed.push((task.clone(), t.attempt));
-            self.merge_task(id, task, t, now);
-        }
-        listed.sort_unstable();
-        self.merge_absent(id, &listed, hello, heartbeat, now);
-        true
-    }
-
-    fn merge_task(&mut self, id: &MachineId, task: TaskId, t: &TaskStatus, now: Micros) {
-        let key = (task, t.attempt);
-        let known = self
-            .machines
-            .get(id)
-            .is_some_and(|m| m.allocations().contains_key(&key));
-        if !known {
-            // Reconnect: an attempt of an earlier holder, or one that we believed gone.
-            let spec = self.jobs.get(&key.0.job).map(|j| j.spec.clone());
-            let allocation = Allocation::new(AllocationState::Live(TaskState::Fetching), spec, now);
-            if let Some(m) = self.machines.get_mut(id) {
-                m.allocations_mut().insert(key.clone(), allocation);
-            }
-            self.add_attempt(id, &key.0, t.attempt);
-            self.changed = true;
-            debug!(machine = %id, task = %key.0, attempt = t.attempt.0, state = ?t.state, "attempt found");
-        }
-        let state = match (t.state, t.exit_reason) {
-            (TaskState::Ended, why) => AllocationState::Ended(why.unwrap_or(ExitReason::Other)),
-            (s, _) => AllocationState::Live(s),
-        };
-        let Some(m) = self.machines.get_mut(id) else {
-            return;
-        };
-        let Some(was) = m.allocations().get(&key).map(|s| s.state) else {
-            return;
-        };
-        if matches!(was, AllocationState::Ended(_)) || (known && was == state) {
-            return;
-        }
-        let Some(allocation) = m.allocations_mut().get_mut(&key) else {
-            return;
-        };
-        allocation.state = state;
-        // Only an end makes room.
-        self.changed |= matches!(state, AllocationState::Ended(_));
-        match state {
-            AllocationState::Live(TaskState::Running) => {
-                let first = allocation.running_since.is_none();
-                allocation.running_since.get_or_insert(now);
-                self.task_runs(id, &key.0, t.attempt);
-                if first {
-                    self.run_began(id, &key.0, t.attempt, known, now);
-                }
-            }
-            AllocationState::Ended(why) => {
-                let end = match why {
-                    ExitReason::Done => End::Done,
-                    ExitReason::Stopped | ExitReason::GangPeersLost => End::Cut,
-                    _ => End::Void,
-                };
-                if !known && end == End::Done {
-                    self.run_found_ended(&key.0, t.attempt, now);
-                }
-                self.run_ended(id, &key.0, t.attempt, end, now);
-                self.task_ended(id, &key.0, t.attempt, why, now);
-            }
-            _ => {}
-        }
-        if !known {
-            self.reconcile_adopted_attempt(id, &key.0, t.attempt);
-        }
-        self.stop_if_held(id, &key.0.job, key.0.index, t.attempt, state);
-    }
-
-    /// Decides whether an attempt that a worker reported unasked may go on.
-    fn reconcile_adopted_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            // Cancelled or done, or never accepted.
-            return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
-        };
-        // A later attempt was only started once all earlier ones were proven to be gone: if one is found beside it, an old
-        // report tells of that, and the later goes on. (Scenario old_report_stops_nothing.)
-        let attempts = job.attempts.get(&task.index).into_iter().flatten();
-        let others: Vec<_> = attempts
-            .filter(|(m, a)| m != id || *a != attempt)
-            .cloned()
-            .collect();
-        let surplus = others.iter().any(|(_, a)| *a >= attempt);
-        if job.done.contains(task.index) || task.index >= job.spec.tasks || surplus {
-            return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
-        }
-        if job.is_gang() {
-            // All tasks of a gang share their latest recorded attempt; others are being wound up.
-            if attempt > job.start_attempt {
-                job.start_attempt = attempt;
-                self.writes.mark_dirty(&task.job);
-            } else if attempt < job.start_attempt {
-                self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
-            }
-        }
-        for (machine, earlier) in others {
-            self.stop_allocation(&machine, &task.job, task.index, earlier, 0.0);
-        }
-    }
-
-    fn task_runs(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
-        if let Some(job) = self.jobs.get_mut(&task.job) {
-            if job.is_gang() && attempt == job.start_attempt {
-                job.gang_started = true;
-            }
-            let (image, gb) = (job.image, job.spec.image_gb);
-            self.note_image(id, image, gb);
-        }
-    }
-
-    fn note_image(&mut self, id: &MachineId, image: crate::ledger::ImageKey, gb: f64) {
-        let Some(m) = self.machines.get(id) else {
-            return;
-        };
-        let cache = self
-            .machine_type(&m.machine_type)
-            .map_or(f64::MAX, |t| t.cache_gb);
-        if let Some(m) = self.machines.get_mut(id) {
-            m.touch_image(image, gb, cache);
-        }
-    }
-
-    /// An attempt has ended by the worker's own word: its place is free.
-    fn task_ended(
-        &mut self,
-        id: &MachineId,
-        task: &TaskId,
-        attempt: Attempt,
-        why: ExitReason,
-        now: Micros,
-    ) {
-        self.remove_attempt(id, task, attempt);
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return;
-        };
-        match why {
-            ExitReason::Done if job.spec.kind != JobKind::Service => {
-                if job.is_gang() {
-                    // Gangs complete together.
-                    job.done = crate::Ranges::all(job.spec.tasks);
-                } else if task.index < job.spec.tasks {
-                    job.done.insert(task.index);
-                }
-                job.failed_on.clear();
-                job.backoffs = 0;
-                let (image, gb) = (job.image, job.spec.image_gb);
-                self.writes.mark_dirty(&task.job);
-                if let Some(m) = self.machines.get_mut(id) {
-                    m.failed_jobs.clear();
-                    m.failures = 0;
-                }
-                self.note_image(id, image, gb);
-            }
-            ExitReason::Error => self.task_failed(id, task, now),
-            ExitReason::InsufficientResources | ExitReason::Busy => {
-                // Our view of the machine was wrong: leave it alone until it has reported again.
-                if let Some(m) = self.machines.get_mut(id) {
-                    m.no_placement_before = now + self.cfg.heartbeat_interval.times(2);
-                }
-                warn!(machine = %id, task = %task, why = ?why, "start refused");
-            }
-            ExitReason::UnknownTask => {
-                job.backoff_until = now + Micros::from_secs(2);
-                warn!(machine = %id, task = %task, "start refused: the worker can't find the job");
-            }
-            _ => {}
-        }
-        if let Some(job) = self.jobs.get_mut(&task.job)
-            && job.is_gang()
-            && attempt == job.start_attempt
-            && why != ExitReason::Done
-        {
-            job.gang_failing = true;
-        }
-    }
-
-    /// Errors on several machines speak against the job, errors of several jobs against the
-    /// machine.
-    fn task_failed(&mut self, id: &MachineId, task: &TaskId, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return;
-        };
-        job.failed_on.insert(id.clone());
-        let bad_job = job.is_crash_looping(self.tuning.suspect_after);
-        if bad_job {
-            // Its failures so far speak against it, not against the machines.
-            for m in &job.failed_on {
-                if let Some(m) = self.machines.get_mut(m) {
-                    m.failed_jobs.remove(&task.job);
-                }
-            }
-        }
-        if bad_job && now >= job.backoff_until {
-            // Jobs that fail everywhere are started anew ever more rarely.
-            let wait = self.tuning.job_backoff.times(1 << job.backoffs.min(4));
-            job.backoffs += 1;
-            job.backoff_until = now + wait;
-            let machines = job.failed_on.len();
-            info!(job = %task.job, machines, wait_s = wait.as_secs_f64(), "backoff: job fails on several machines");
-            // Nobody watches a step as a user watches a job: its run is to hear that it failed.
-            if job.flow && job.backoffs as usize > self.tuning.step_patience {
-                info!(job = %task.job, "given up");
-                job.given_up = true;
-                self.writes.mark_dirty(&task.job);
-            }
-        }
-        if let Some(m) = self.machines.get_mut(id)
-            && !bad_job
-        {
-            m.failed_jobs.insert(task.job.clone());
-            m.failures += 1;
-            // A faulty machine fails at once and so would draw the whole queue: pause it first.
-            m.no_placement_before = now + self.tuning.machine_pause;
-            if m.failed_jobs.len() >= self.tuning.faulty_after && !m.faulty {
-                m.faulty = true;
-                info!(machine = %id, zone = %m.zone, failures = m.failures, "machine judged faulty");
-            }
+        if is_back {
+            info!(machine = %id, zone = %m.zone, spot = m.spot, epoch = m.epoch, "machine up");
         }
-    }
-
-    /// What the report does not list (`listed` is sorted) is gone, with one exception: a start that has not been
-    /// proven to be unexecuted.
-    fn merge_absent(
-        &mut self,
-        id: &MachineId,
-        listed: &[(TaskId, Attempt)],
-        hello: bool,
-        heartbeat: &Heartbeat,
-        now: Micros,
-    ) {
-        let Some(m) = self.machines.get_mut(id) else {
-            return;
-        };
-        let now_id = (heartbeat.epoch, heartbeat.sequence);
-        let absent: Vec<(TaskId, Attempt)> = m
-            .allocations()
-            .iter()
-            .filter(|(k, _)| listed.binary_search(k).is_err())
-            .filter(|(_, s)| match s.state {
-                // One report is in flight at a time, so a newer report shows whether the orders
-                // that answered an older one were executed. A direct answer may overtake them.
-                AllocationState::Sent => {
-                    hello
-                        && !s.push_in_flight
-                        && !s.outcome_unknown
-                        && s.offered.is_some_and(|o| o < now_id)
-                }
-                _ => true,
-            })
-            .map(|(k, _)| k.clone())
-            .collect();
-        for (task, attempt) in absent {
-            let Some(m) = self.machines.get_mut(id) else {
-                return;
-            };
-            let was = m.allocations_mut().remove(&(task.clone(), attempt));
-            if was
-                .as_ref()
-                .is_some_and(|s| s.is_live() && s.running_since.is_some())
-            {
-                self.run_ended(id, &task, attempt, End::Cut, now);
-            }
-            if let Some(job) = self.jobs.get_mut(&task.job) {
-                forget_attempt(job, &task, id, attempt);
-            }
-            self.changed |= was.is_some_and(|s| s.is_live());
+        self.merge_preemption_notice(heartbeat, now);
+        if let Some(took) = provisioned_after {
+            self.note_provisioned(&heartbeat.machine_type, took, now);
         }
+        Some(is_new_epoch)
     }
 
-    /// Forgets all that was on a machine; returns how many attempts held a place.
-    pub(crate) fn clear_allocations(&mut self, id: &MachineId) -> usize {
-        let Some(m) = self.machines.get_mut(id) else {
-            return 0;
-        };
-        let allocations = std::mem::take(m.allocations_mut());
-        // For all that we know they ran until it was last heard of.
-        let seen = m.last_seen;
-        self.commands_due.remove(id);
-        let mut held = 0;
-        for ((task, attempt), allocation) in allocations {
-            if allocation.is_live() {
-                held += 1;
-                if allocation.running_since.is_some() {
-                    self.run_ended(id, &task, attempt, End::Cut, seen);
-                }
-            }
-            if let Some(job) = self.jobs.get_mut(&task.job) {
-                forget_attempt(job, &task, id, attempt);
-            }
-        }
-        if held > 0 {
-            self.changed = true;
-        }
-        held
-    }
-
-    /// A job appeared in the ledger of which workers have reported tasks already.
-    pub(crate) fn adopt_allocations(&mut self, id: &JobId, spec: &Rc<JobSpec>) {
-        let mut found = Vec::new();
-        let orphaned = |m: &Machine| {
-            m.allocations()
-                .iter()
-                .any(|((t, _), s)| t.job == *id && s.spec.is_none())
-        };
-        for m in self.machines.values_mut().filter(|m| orphaned(m)) {
-            let machine = m.id.clone();
-            for ((task, attempt), allocation) in m.allocations_mut() {
-                if task.job == *id && allocation.spec.is_none() {
-                    allocation.spec = Some(spec.clone());
-                    if allocation.is_live() {
-                        found.push((machine.clone(), task.clone(), *attempt));
-                    }
-                }
-            }
-        }
-        for (machine, task, attempt) in found {
-            self.add_attempt(&machine, &task, attempt);
-        }
-    }
-
-    pub(crate) fn add_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
-        if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.attempts
-                .entry(task.index)
-                .or_default()
-                .push((id.clone(), attempt));
-        }
-    }
-
-    fn remove_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
-        if let Some(job) = self.jobs.get_mut(&task.job) {
-            forget_attempt(job, task, id, attempt);
-        }
-    }
-
-    /// Has an attempt stopped. One that was never offered to the worker just goes.
-    pub(crate) fn stop_allocation(
-        &mut self,
-        id: &MachineId,
-        job: &JobId,
-        index: u32,
-        attempt: Attempt,
-        grace_s: f64,
-    ) {
-        let key = (
-            TaskId {
-                job: job.clone(),
-                index,
-            },
-            attempt,
-        );
+    fn merge_preemption_notice(&mut self, heartbeat: &Heartbeat, now: Micros) {
+        let id = &heartbeat.machine;
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(allocation) = m.allocations().get(&key) else {
-            return;
-        };
-        if allocation.state == AllocationState::Sent
-            && allocation.offered.is_none()
-            && !allocation.push_in_flight
-            && !allocation.outcome_unknown
-        {
-            m.allocations_mut().remove(&key);
-            self.changed = true;
-            return self.remove_attempt(id, &key.0, attempt);
-        }
-        let stop = Stop { grace_s };
-        // A stop is only ever made harsher.
-        if allocation.is_live()
-            && allocation.stop.is_none_or(|s| grace_s < s.grace_s)
-            && let Some(allocation) = m.allocations_mut().get_mut(&key)
-        {
-            allocation.stop = Some(stop);
-            self.commands_due.insert(id.clone());
-        }
-    }
-
-    /// The orders that bring a machine in line; all of them can be repeated.
-    fn commands_for(
-        &mut self,
-        id: &MachineId,
-        answers: Option<(u64, u64)>,
-        now: Micros,
-    ) -> Vec<Command> {
-        let Some(m) = self.machines.get_mut(id) else {
-            return Vec::new();
-        };
-        self.commands_due.remove(id);
-        let may_start = m.is_registered && m.is_reconciled(self.token);
-        // Stops of work that is over come first and are never left for the next answer: this one renews the
-        // lease of whatever it does not stop. (Guards `ran_cancelled`.)
-        let mut stops = Vec::new();
-        let mut commands = Vec::new();
-        for ((task, attempt), allocation) in m.allocations_in_flight() {
-            let (name, attempt) = (task.to_string(), *attempt);
-            let job = self.jobs.get(&task.job);
-            // Answers to workers are bounded; the rest goes with the next. A machine holds no more attempts than
-            // its report has room for, so all stops fit.
-            let room = commands.len() < MAX_COMMANDS_PER_RESPONSE;
-            match allocation.state {
-                AllocationState::Ended(why) => {
-                    let recorded = match job {
-                        Some(j) if why == ExitReason::Done && j.spec.kind != JobKind::Service => {
-                            j.recorded.contains(task.index)
-                        }
-                        _ => true,
-                    };
-                    // A result is reaped only once it is recorded, and an attempt whose start may
-                    // yet be executed late never: after a reap it would run again.
-                    if room && recorded && !allocation.outcome_unknown && !allocation.push_in_flight
-                    {
-                        commands.push(Command::Acknowledge {
-                            task: name,
-                            attempt,
-                        });
-                    }
-                }
-                AllocationState::Sent => {
-                    let recorded = job.is_none_or(|j| j.may_start(attempt));
-                    match allocation.stop {
-                        None if room && may_start && recorded => {
-                            match answers {
-                                Some(a) => allocation.offered = Some(a),
-                                None => allocation.push_in_flight = true,
-                            }
-                            commands.push(Command::Start {
-                                task: name,
-                                attempt,
-                            });
-                        }
-                        // It may be executed late unless the worker knows it as stopped already.
-                        Some(_)
-                            if allocation.outcome_unknown
-                                && now >= allocation.since + Micros::from_secs(5) =>
-                        {
-                            stops.push(Command::Start {
-                                task: name.clone(),
-                                attempt,
-                            });
-                            stops.push(Command::Stop {
-                                task: name,
-                                attempt,
-                                grace_s: 0.0,
-                            });
-                        }
-                        Some(_) => stops.push(Command::Stop {
-                            task: name,
-                            attempt,
-                            grace_s: 0.0,
-                        }),
-                        None => {}
-                    }
-                }
-                AllocationState::Live(state) => {
-                    if let Some(stop) = allocation.stop
-                        && (state != TaskState::Saving || stop.grace_s == 0.0)
-                    {
-                        stops.push(Command::Stop {
-                            task: name,
-                            attempt,
-                            grace_s: stop.grace_s,
-                        });
-                    }
-                }
-            }
-        }
-        stops.append(&mut commands);
-        stops
-    }
-
-    /// After a takeover, registered machines are asked at once what is on them, instead of waiting
-    /// until each finds us with a report: an empty direct order shows them our token, and its
-    /// answer is their report. (A machine that is known to have seen our token is accounted for.)
-    /// Machines that are overdue and no longer listed are asked too, before they are given up.
-    pub(crate) fn send_probes(&mut self, now: Micros) {
-        for _ in 0..self.probes.len() {
-            if !self.can_probe() {
-                return;
-            }
-            let Some(id) = self.probes.pop_front() else {
-                return;
-            };
-            let Some(m) = self.machines.get_mut(&id) else {
-                continue;
-            };
-            let wanted = m.phase != MachinePhase::Lost
-                && !m.deleting
-                && (m.presumed_deleted || !m.is_reconciled(self.token));
-            let Some(address) = m.address.filter(|_| wanted) else {
-                continue;
-            };
-            if m.push_open || now < m.push_retry_at {
-                self.probes.push_back(id);
-                continue;
-            }
-            m.push_open = true;
-            m.probing = true;
-            m.probed_at = now;
-            self.open_probes += 1;
-            // Most machines are in their first session; another is told by the refusal.
-            let epoch = m.epoch.max(1);
-            self.actions.push_back(Action::PushCommands {
-                machine: id,
-                address,
-                epoch,
-                commands: Vec::new(),
-            });
+        let preemption_at = heartbeat
+            .preemption_notice_s
+            .map(|s| now + Micros::from_secs_f64(s));
+        if preemption_at.is_some() && m.preemption_notice_at.is_none() {
+            self.plan_schedule.request();
+            info!(machine = %id, zone = %m.zone, in_s = heartbeat.preemption_notice_s, "preemption notice");
         }
+        m.preemption_notice_at = preemption_at;
     }
 
-    pub(crate) fn can_probe(&self) -> bool {
-        !self.probes.is_empty() && self.open_probes < MAX_OPEN_PROBES
-    }
-
-    pub(crate) fn end_probe(&mut self, id: &MachineId) {
-        if let Some(m) = self.machines.get_mut(id)
-            && std::mem::take(&mut m.probing)
-        {
-            self.open_probes -= 1;
+    fn note_provisioned(&mut self, machine_type: &str, took: Micros, now: Micros) {
+        let nominal = self.boot_time(machine_type);
+        if nominal > Micros::ZERO {
+            let in_boots = |t: Micros| t.as_secs_f64() / nominal.as_secs_f64();
+            self.provisioning_estimator
+                .came_up(machine_type, in_boots(took), in_boots(now));
         }
     }
 
-    /// Sends new orders at once instead of with the answer to the next report. Results that are
-    /// merely to be forgotten can wait for that.
-    pub(crate) fn push_commands(&mut self, now: Micros) {
-        let mut later = Vec::new();
-        while let Some(id) = self.commands_due.pop_first() {
-            let Some(m) = self.machines.get(&id) else {
-                continue;
-            };
-            // Whatever is not up yet gets its orders with the answer to its first report.
-            if m.phase != MachinePhase::Up || !m.is_reconciled(self.token) || m.address.is_none() {
-                continue;
-            }
-            if m.push_open {
-                // Its answer makes the orders due again.
-                continue;
-            }
-            if now < m.push_retry_at {
-                later.push(id);
-                continue;
-            }
-            let commands: Vec<Command> = self.commands_for(&id, None, now);
-            let Some(m) = self.machines.get_mut(&id) else {
+    fn merge_tasks(&mut self, heartbeat: &Heartbeat, renews_lease: bool, now: Micros) {
+        let id = &heartbeat.machine;
+        let allocations = self.machines.get(id).map_or(0, |m| m.allocations().len());
+        self.add_visited(1 + heartbeat.tasks.len() + allocations);
+        let mut listed = Vec::with_capacity(heartbeat.tasks.len());
+        for t in &heartbeat.tasks {
+            let Some(task) = TaskId::parse(&t.task) else {
+                warn!(machine = %id, task = %t.task, "heartbeat names a malformed task");
                 continue;
             };
-            if let Some(address) = m.address
-                && commands
-                    .iter()
-                    .any(|o| !matches!(o, Command::Acknowledge { .. }))
-            {
-                m.push_open = true;
-                self.actions.push_back(Action::PushCommands {
-                    machine: id,
-                    address,
-                    epoch: m.epoch,
-                    commands,
-                });
-            }
-        }
-        self.commands_due.extend(later);
-    }
-}
-
-/// Starts and removals in one answer.
-const MAX_COMMANDS_PER_RESPONSE: usize = 400;
-
-/// Machines asked at the same time: each takes a socket, and silent ones hold theirs for the
-/// whole time limit, so there must be enough for the others to pass them.
-const MAX_OPEN_PROBES: usize = 96;
-
-fn forget_attempt(job: &mut crate::Job, task: &TaskId, id: &MachineId, attempt: Attempt) {
-    if let Some(attempts) = job.attempts.get_mut(&task.index) {
-        attempts.retain(|(m, a)| !(m == id && *a == attempt));
-        if attempts.is_empty() {
-            job.attempts.remove(&task.index);
+            listed.push((task.clone(), t.attempt));
+            self.merge_task(id, task, t, now);
         }
+        listed.sort_unstable();
+        self.merge_absent(id, &listed, renews_lease, heartbeat, now);
     }
 }
--- /dev/null
+++ b/crates/hopyoke-scheduler/src/reconcile/probes.rs
@@ -0,0 +1,78 @@
+//! Probes: after a failover registered machines are asked at once what runs on them.
+
+use crate::ledger::MachinePhase;
+use crate::{Action, Scheduler};
+use hopyoke_types::{MachineId, Micros};
+use std::collections::VecDeque;
+
+/// Machines asked at the same time: each takes a socket, and silent ones hold theirs for the
+/// whole time limit, so there must be enough for the others to pass them.
+const MAX_OPEN_PROBES: usize = 96;
+
+/// Machines to be asked what runs on them.
+#[derive(Debug, Default)]
+pub(crate) struct FailoverProbes {
+    queue: VecDeque<MachineId>,
+    /// Probes under way.
+    open: usize,
+}
+
+impl FailoverProbes {
+    pub(crate) fn push(&mut self, machine: MachineId) {
+        self.queue.push_back(machine);
+    }
+}
+
+impl Scheduler {
+    /// After a takeover, registered machines are asked at once what is on them, instead of waiting
+    /// until each finds us with a report: an empty direct order shows them our token, and its
+    /// answer is their report. (A machine that is known to have seen our token is accounted for.)
+    /// Machines that are overdue and no longer listed are asked too, before they are given up.
+    pub(crate) fn send_probes(&mut self, now: Micros) {
+        for _ in 0..self.probes.queue.len() {
+            if !self.can_probe() {
+                return;
+            }
+            let Some(id) = self.probes.queue.pop_front() else {
+                return;
+            };
+            let Some(m) = self.machines.get_mut(&id) else {
+                continue;
+            };
+            let wanted = m.phase != MachinePhase::Lost
+                && !m.deleting
+                && (m.presumed_deleted || !m.is_reconciled(self.token));
+            let Some(address) = m.address.filter(|_| wanted) else {
+                continue;
+            };
+            if m.push_open || now < m.push_retry_at {
+                self.probes.push(id);
+                continue;
+            }
+            m.push_open = true;
+            m.probing = true;
+            m.probed_at = now;
+            self.probes.open += 1;
+            // Most machines are in their first session; another is told by the refusal.
+            let epoch = m.epoch.max(1);
+            self.actions.push_back(Action::PushCommands {
+                machine: id,
+                address,
+                epoch,
+                commands: Vec::new(),
+            });
+        }
+    }
+
+    pub(crate) fn can_probe(&self) -> bool {
+        !self.probes.queue.is_empty() && self.probes.open < MAX_OPEN_PROBES
+    }
+
+    pub(crate) fn end_probe(&mut self, id: &MachineId) {
+        if let Some(m) = self.machines.get_mut(id)
+            && std::mem::take(&mut m.probing)
+        {
+            self.probes.open -= 1;
+        }
+    }
+}
--- a/crates/hopyoke-scheduler/src/run_times.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -1,17 +1,18 @@
 //! Learned run times: what the core feeds the learner, and what it asks of it. Nothing here
 //! decides a rule.
 
-use crate::ledger::{AllocationState, MachinePhase, WaitReason};
+use crate::ledger::MachinePhase;
 use crate::{Scheduler, Tuning};
 use hopyoke_protocol::user::{JobKind, JobSpec};
-use hopyoke_protocol::worker::TaskState;
-use hopyoke_run_times::capacity::{Freeing, when_free};
-use hopyoke_run_times::{End, Estimate, Limits, Page, PageKey, Work};
-use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
+use hopyoke_run_times::{End, Limits, Page, PageKey, Work};
+use hopyoke_types::{Attempt, MachineId, Micros, TaskId};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
+mod estimates;
+pub use estimates::{CapacityQuery, CompletionEstimate};
+
 /// An attempt's number: the token in the upper bits, below it a counter that also tells the time.
 const COUNTER_BITS: u32 = 28;
 /// One step of the counter is at least this long, while starts are fewer.
@@ -57,22 +58,6 @@
     next_slow_check_at: Micros,
 }
 
-/// A question about capacity.
-#[derive(Debug, Clone, PartialEq)]
-pub struct CapacityQuery {
-    pub team: String,
-    pub gpus: f64,
-    pub zone: Option<String>,
-}
-
-/// An answer in seconds from now, with what it rests on.
-#[derive(Debug, Clone, PartialEq)]
-pub struct CompletionEstimate {
-    pub p50_s: f64,
-    pub p90_s: f64,
-    pub rests_on: String,
-}
-
 fn work_of(spec: &JobSpec) -> Work<'_> {
     Work {
         class: &spec.class,
@@ -86,7 +71,7 @@
     /// ours alone and rises. It never falls behind the time since the grant, so that a later
     /// leader can tell when an attempt was commanded without any record of it.
     pub(crate) fn new_attempt(&mut self, now: Micros) -> Attempt {
-        let ticks = (now - self.granted_at).0 / COUNTER_TICK.0;
+        let ticks = (now - self.reconciliation.granted_at()).0 / COUNTER_TICK.0;
         self.counter = (self.counter + 1).max(ticks);
         Attempt((self.token.0 << COUNTER_BITS) | (self.counter & ((1 << COUNTER_BITS) - 1)))
     }
@@ -96,9 +81,10 @@
         let day = time_of_day.0.saturating_sub(now.0);
         self.learned.day = Some(day);
         if self.tuning.learn {
-            self.learned
-                .learner
-                .note_grant(self.token.0, Micros(day + self.granted_at.0));
+            self.learned.learner.note_grant(
+                self.token.0,
+                Micros(day + self.reconciliation.granted_at().0),
+            );
         }
     }
 
@@ -188,11 +174,11 @@
             || (job.is_gang() && job.is_done())
             || seen
             || self.learned.found.len() >= MAX_UNDATED_RUNS
-            || now > self.granted_at + FOUND_RUN_WINDOW
+            || now > self.reconciliation.granted_at() + FOUND_RUN_WINDOW
         {
             return;
         }
-        let from = self.granted_at - LEADERLESS_INTERVAL;
+        let from = self.reconciliation.granted_at() - LEADERLESS_INTERVAL;
         let about = from + Micros((now - from).0 / 2);
         self.learned.found.push((key, attempt, about));
         self.date_found_runs();
@@ -331,13 +317,13 @@
         }
         for class in self.learned.learner.tick(now) {
             info!(class = %class, "runs outlive what was learned: expecting more of all of them");
-            self.changed = true;
+            self.plan_schedule.request();
         }
         if now < self.learned.next_slow_check_at {
             return;
         }
         self.learned.next_slow_check_at = now + Micros::from_secs(5);
-        if !self.tuning.use_for_slow_machines || self.is_reconciling {
+        if !self.tuning.use_for_slow_machines || self.reconciliation.is_active() {
             return;
         }
         self.add_visited(self.machines.len());
@@ -362,7 +348,7 @@
             {
                 m.slow = true;
                 draining += 1;
-                self.changed = true;
+                self.plan_schedule.request();
                 let (factor, runs) = (slow.factor, slow.runs);
                 info!(machine = %slow.machine, zone = %m.zone, factor, runs, "machine far slower than its peers: draining it");
             }
@@ -396,229 +382,4 @@
     pub fn slow_machines(&self) -> Vec<hopyoke_run_times::Slow> {
         self.learned.learner.all_slow(self.tuning.slow_factor)
     }
-
-    /// What a task of this job is expected to take once it runs.
-    pub fn expected(&self, spec: &JobSpec) -> Estimate {
-        self.learned.learner.estimate(work_of(spec), None)
-    }
-
-    /// Seconds that an attempt under way still needs, at probability `p`; `None`: not known.
-    pub fn remaining_s(&self, task: &TaskId, attempt: Attempt, p: f64, now: Micros) -> Option<f64> {
-        let job = self.jobs.get(&task.job)?;
-        let index = if job.is_gang() { 0 } else { task.index };
-        let (d, ran) = self.learned.learner.remaining(
-            &(
-                TaskId {
-                    job: task.job.clone(),
-                    index,
-                },
-                attempt,
-            ),
-            now,
-        )?;
-        Some(d.remaining(ran, p))
-    }
-
-    /// When a job will be over.
-    ///
-    /// # Errors
-    /// Why that can't be told.
-    pub fn estimate_job_end(&self, id: &JobId, now: Micros) -> Result<CompletionEstimate, String> {
-        let job = self
-            .jobs
-            .get(id)
-            .ok_or_else(|| format!("no unfinished job is named {id}"))?;
-        let spec = &job.spec;
-        if spec.kind == JobKind::Service {
-            return Err(format!("{id} is a service: it runs until it is cancelled"));
-        }
-        let anew = self.expected(spec);
-        let lead = self.learned.learner.lead_s(&spec.class);
-        // All of `n` runs are over with probability p once each is with the n-th root of p.
-        let root = |p: f64, n: u32| p.powf(1.0 / f64::from(n.max(1)));
-        let (mut running, mut placed) = (0u32, 0u32);
-        let mut left = (0.0f64, 0.0f64);
-        let n = if job.is_gang() {
-            1
-        } else {
-            job.attempts.len() as u32
-        };
-        for (index, attempts) in &job.attempts {
-            for (_, attempt) in attempts {
-                let task = TaskId {
-                    job: id.clone(),
-                    index: *index,
-                };
-                let of = |p: f64| match self.remaining_s(&task, *attempt, root(p, n), now) {
-                    Some(s) => (s, 1),
-                    None => (lead + anew.distribution.quantile(root(p, n)), 0),
-                };
-                let ((a, seen), (b, _)) = (of(0.5), of(0.9));
-                left = (left.0.max(a), left.1.max(b));
-                running += seen;
-                placed += 1;
-            }
-        }
-        let waiting = job.unplaced_tasks();
-        if waiting > 0 {
-            // What has no place yet follows in as many turns as it takes beside what runs now.
-            let turns = if job.is_gang() {
-                1.0
-            } else {
-                f64::from(waiting.div_ceil(placed.max(1)))
-            };
-            let one = |p: f64| lead + anew.distribution.quantile(root(p, waiting));
-            left = (left.0 + turns * one(0.5), left.1 + turns * one(0.9));
-        }
-        let b = anew.basis;
-        let mut rests_on = format!(
-            "{running} of {} tasks seen running, {waiting} without a place; {} runs of class {}, {} of team {}; owners' estimates count {:.0}%",
-            spec.tasks,
-            b.class_runs,
-            spec.class,
-            b.team_runs,
-            spec.team,
-            100.0 * b.ratio_share
-        );
-        if b.changes > 0 {
-            rests_on += &format!("; the class has changed {} times", b.changes);
-        }
-        if waiting > 0 {
-            rests_on += &format!(
-                "; the wait for a place is not counted (it waits for {})",
-                job.wait_reason.unwrap_or(WaitReason::FirstPlacement)
-            );
-        }
-        Ok(CompletionEstimate {
-            p50_s: left.0,
-            p90_s: left.1,
-            rests_on,
-        })
-    }
-
-    /// When this many GPUs will be free for a team, behind what waits already.
-    ///
-    /// # Errors
-    /// Why that can't be told, or never.
-    pub fn estimate_capacity(
-        &self,
-        ask: &CapacityQuery,
-        now: Micros,
-    ) -> Result<CompletionEstimate, String> {
-        let Some(team) = self.team(&ask.team) else {
-            return Err(format!("no team is named '{}'", ask.team));
-        };
-        if !(ask.gpus.is_finite() && ask.gpus > 0.0) {
-            return Err(format!("gpus: {} is not above 0", ask.gpus));
-        }
-        if let Some(z) = ask.zone.as_ref().filter(|z| !self.cfg.zones.contains(z)) {
-            return Err(format!("no zone is named '{z}'"));
-        }
-        if team.gpus_max > 0.0 && ask.gpus > team.gpus_max {
-            return Err(format!(
-                "{} GPUs exceed the limit of team '{}', {}",
-                ask.gpus, ask.team, team.gpus_max
-            ));
-        }
-        let (mut free, mut machines, mut used) = (0.0, 0, 0.0);
-        let (mut here, mut own) = (Vec::new(), Vec::new());
-        for m in self.machines.values() {
-            let zone = ask.zone.as_ref().is_none_or(|z| *z == m.zone);
-            let usable = zone
-                && m.phase == MachinePhase::Up
-                && !m.deleting
-                && !m.faulty
-                && m.preemption_notice_at.is_none();
-            let mut room = self.machine_type(&m.machine_type).map_or(0.0, |t| t.gpus);
-            for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live())
-            {
-                let Some(spec) = &allocation.spec else {
-                    continue;
-                };
-                room -= spec.gpus;
-                used += if spec.team == ask.team {
-                    spec.gpus
-                } else {
-                    0.0
-                };
-                if spec.kind == JobKind::Service || spec.gpus <= 0.0 {
-                    continue;
-                }
-                let index = if spec.kind == JobKind::Gang {
-                    0
-                } else {
-                    task.index
-                };
-                let key = (
-                    TaskId {
-                        job: task.job.clone(),
-                        index,
-                    },
-                    *attempt,
-                );
-                let waits = matches!(
-                    allocation.state,
-                    AllocationState::Sent | AllocationState::Live(TaskState::Fetching)
-                );
-                let (run, ran_s) = match self.learned.learner.remaining(&key, now) {
-                    Some(found) => found,
-                    None if waits => (self.expected(spec).distribution, 0.0),
-                    None => (
-                        self.expected(spec).distribution,
-                        (now - allocation.since).as_secs_f64(),
-                    ),
-                };
-                let freeing = Freeing {
-                    run,
-                    ran_s,
-                    amount: spec.gpus,
-                };
-                if usable {
-                    here.push(freeing);
-                }
-                if spec.team == ask.team {
-                    own.push(freeing);
-                }
-            }
-            if usable {
-                machines += 1;
-                free += room.max(0.0);
-            }
-        }
-        let ahead: f64 = self
-            .jobs
-            .values()
-            .filter(|j| ask.zone.is_none() || j.spec.zone.is_none() || j.spec.zone == ask.zone)
-            .map(|j| f64::from(j.unplaced_tasks()) * j.spec.gpus)
-            .sum();
-        let place = ask
-            .zone
-            .as_ref()
-            .map_or(String::new(), |z| format!(" in zone {z}"));
-        let Some(mut found) = when_free(&here, free, ask.gpus + ahead) else {
-            return Err(format!(
-                "running work on {machines} machines{place} will not free {} GPUs behind {ahead} that wait already ({free} are free): more must be rented",
-                ask.gpus
-            ));
-        };
-        let mut rests_on = format!(
-            "{free} GPUs free on {machines} machines{place}, {} running tasks, {ahead} GPUs waiting ahead",
-            here.len()
-        );
-        if team.gpus_max > 0.0 && used + ask.gpus > team.gpus_max {
-            let Some(limit) = when_free(&own, team.gpus_max - used, ask.gpus) else {
-                return Err(format!(
-                    "team '{}' uses {used} of {} GPUs with services that stay",
-                    ask.team, team.gpus_max
-                ));
-            };
-            found = (found.0.max(limit.0), found.1.max(limit.1));
-            rests_on += &format!("; the team uses {used} of {} GPUs", team.gpus_max);
-        }
-        Ok(CompletionEstimate {
-            p50_s: found.0,
-            p90_s: found.1,
-            rests_on,
-        })
-    }
 }
--- a/crates/hopyoke-scheduler/src/staffed_hours.rs
+++ b/crates/hopyoke-scheduler/src/staffed_hours.rs
@@ -4,11 +4,11 @@
 //! unless the operators' settings say drain.
 
 use crate::Scheduler;
-use crate::ledger::AllocationState;
+use crate::ledger::{AllocationState, Job};
 use hopyoke_calendar::{StaffedHours, StaffingOverride, Window};
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_protocol::worker::TaskState;
-use hopyoke_types::{Attempt, JobId, MachineId, Micros};
+use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use tracing::info;
 
 /// What the core knows of hours.
@@ -21,12 +21,21 @@
     window: Option<(Micros, Window)>,
 }
 
+/// An attempt that is to be stopped.
+struct PendingStop {
+    machine: MachineId,
+    task: TaskId,
+    attempt: Attempt,
+    /// Seconds in which it may save its progress.
+    grace_s: f64,
+}
+
 impl Scheduler {
     /// The operators' hours; `None`: nothing is ever held.
     pub fn set_hours(&mut self, hours: Option<StaffedHours>) {
         self.staffing.hours = hours;
         self.staffing.window = None;
-        self.changed = true;
+        self.plan_schedule.request();
     }
 
     /// An operator's word, or that it was taken back.
@@ -36,7 +45,7 @@
         {
             h.staffing_override = switch;
             self.staffing.window = None;
-            self.changed = true;
+            self.plan_schedule.request();
         }
     }
 
@@ -69,7 +78,7 @@
                 .until
                 .map_or_else(|| "further notice".to_owned(), |u| hours.local(u));
             info!(staffed = window.staffed, until, "hours");
-            self.changed = true;
+            self.plan_schedule.request();
             if !window.staffed {
                 self.stop_held();
             }
@@ -100,49 +109,56 @@
     /// Staffed hours have ended. (Guards against held work that begins after them.)
     fn stop_held(&mut self) {
         let drain = self.staffing.hours.as_ref().is_some_and(|h| h.drain);
-        let held = self.jobs.iter().filter(|(_, j)| self.is_held(&j.spec));
-        let mut stops: Vec<(MachineId, JobId, u32, Attempt, f64)> = Vec::new();
-        for (id, job) in held {
-            for (&index, attempts) in &job.attempts {
-                for (m, attempt) in attempts {
-                    let key = (
-                        hopyoke_types::TaskId {
-                            job: id.clone(),
-                            index,
-                        },
-                        *attempt,
-                    );
-                    let state = self
-                        .machines
-                        .get(m)
-                        .and_then(|m| m.allocations().get(&key))
-                        .map(|s| s.state);
-                    // A gang that has begun goes on as a whole.
-                    let begun = job.gang_started || matches!(state, Some(s) if has_begun(s));
-                    if !begun {
-                        stops.push((m.clone(), id.clone(), index, *attempt, 0.0));
-                    } else if drain {
-                        // All tasks of a gang are told at once and may save.
-                        stops.push((
-                            m.clone(),
-                            id.clone(),
-                            index,
-                            *attempt,
-                            job.spec.save_s + 1.0,
-                        ));
-                    }
-                }
-            }
-        }
+        let stops: Vec<PendingStop> = self
+            .jobs
+            .iter()
+            .filter(|(_, j)| self.is_held(&j.spec))
+            .flat_map(|(id, job)| self.stops_of_held(id, job, drain))
+            .collect();
         if !stops.is_empty() {
             info!(
                 tasks = stops.len(),
                 drain, "staffed hours end: held tasks are stopped"
             );
         }
-        for (machine, job, index, attempt, grace) in stops {
-            self.stop_allocation(&machine, &job, index, attempt, grace);
+        for s in stops {
+            let TaskId { job, index } = s.task;
+            self.stop_allocation(&s.machine, &job, index, s.attempt, s.grace_s);
+        }
+    }
+
+    /// The attempts of a held job that are to be stopped.
+    fn stops_of_held(&self, id: &JobId, job: &Job, drain: bool) -> Vec<PendingStop> {
+        let mut stops = Vec::new();
+        for (&index, attempts) in &job.attempts {
+            for (machine, attempt) in attempts {
+                let task = TaskId {
+                    job: id.clone(),
+                    index,
+                };
+                let key = (task, *attempt);
+                let state = self
+                    .machines
+                    .get(machine)
+                    .and_then(|m| m.allocations().get(&key))
+                    .map(|s| s.state);
+                // A gang that has begun goes on as a whole.
+                let begun = job.gang_started || state.is_some_and(has_begun);
+                // All tasks of a gang are told at once and may save.
+                let grace_s = match (begun, drain) {
+                    (false, _) => 0.0,
+                    (true, true) => job.spec.save_s + 1.0,
+                    (true, false) => continue,
+                };
+                stops.push(PendingStop {
+                    machine: machine.clone(),
+                    task: key.0,
+                    attempt: *attempt,
+                    grace_s,
+                });
+            }
         }
+        stops
     }
 
     /// An attempt was reported that has not begun, while nobody is there: it is stopped as well, as
