--- a/crates/hopyoke-scheduler/src/autoscale/inventory.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/inventory.rs
@@ -19,7 +19,7 @@
 }
 
 impl Scheduler {
-    /// The cloud's list. It lags, so it never proves that a machine is not there.
+    /// The cloud's list of instances. It lags, so it never proves that a machine is not there.
     pub fn instances_listed(&mut self, list: &[ListedMachine], now: Micros) {
         self.inventory.listed = Some(list.iter().map(|l| l.id.clone()).collect());
         for l in list {
@@ -50,7 +50,7 @@
                 info!(machine = %l.id, zone = %l.zone, "machine failed");
             }
         }
-        // A list can be twice its lag old, and a held-back report minutes: neither may bring a
+        // A list can be twice its lag old, and a held-back heartbeat minutes: neither may bring a
         // deleted machine back as alive.
         let remember = Micros::from_secs(600).max(self.cfg.list_lag.times(8));
         self.inventory.gone.retain(|_, at| now < *at + remember);
--- a/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
@@ -45,10 +45,10 @@
 
     /// A production job was first seen of late.
     pub fn has_recent_production_work(&self, now: Micros) -> bool {
-        let lately = self.tuning.keep_ready_for;
-        self.jobs
-            .values()
-            .any(|j| j.spec.priority == Priority::Production && now < j.first_seen_at + lately)
+        let keep_ready_for = self.tuning.keep_ready_for;
+        self.jobs.values().any(|j| {
+            j.spec.priority == Priority::Production && now < j.first_seen_at + keep_ready_for
+        })
     }
 
     /// Returns machines that nobody needs, that are faulty, or that never came up.
--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -8,29 +8,37 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// A kind of machine that can be rented.
+/// A kind of instance that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Offer {
+    /// Its type in the catalog.
     pub machine_type: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether the cloud may take it away.
     pub spot: bool,
 }
 
 /// What a plan found to be missing.
 pub(crate) struct Demand {
+    /// Instances to be requested.
     pub offers: BTreeMap<Offer, u32>,
+    /// Machines that wait for work of this plan: they don't count as idle.
     pub reserved_machines: Vec<MachineId>,
 }
 
-/// How a rental request ended.
+/// How a scale-out request ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScaleOutOutcome {
+    /// These instances were created; they may be fewer than requested.
     Created(Vec<MachineId>),
+    /// The cloud has no such instances now.
     NoCapacity,
     /// Not executed for another reason, or no answer: the same request is to be sent again.
     Unknown,
 }
 
+/// A scale-out request that the cloud has not answered for good.
 struct PendingScaleOut {
     offer: Offer,
     count: u32,
@@ -38,12 +46,14 @@
     retry_at: Option<Micros>,
 }
 
+/// An offer without capacity is not requested again for a while, longer each time.
 #[derive(Default)]
 struct CapacityBackoff {
     until: Micros,
     times: u32,
 }
 
+/// Scale-out requests under way, by their names, and offers that lack capacity.
 #[derive(Default)]
 pub(crate) struct PendingScaleOuts {
     open: BTreeMap<String, PendingScaleOut>,
@@ -51,7 +61,7 @@
 }
 
 impl PendingScaleOuts {
-    /// What is being rented right now.
+    /// Requests under way, with how many instances.
     pub(crate) fn open(&self) -> Vec<(Offer, u32)> {
         self.open
             .values()
@@ -59,6 +69,7 @@
             .collect()
     }
 
+    /// The offer lacked capacity a short time ago.
     pub(crate) fn refused(&self, offer: &Offer, now: Micros) -> bool {
         self.refusals.get(offer).is_some_and(|r| now < r.until)
     }
@@ -74,20 +85,21 @@
 const MAX_TRIES: u32 = 8;
 
 impl Scheduler {
+    /// Requests instances for what a plan found missing, and repeats requests without an answer.
     pub(crate) fn scale_out(&mut self, demand: Demand, now: Micros) {
         for m in &demand.reserved_machines {
             if let Some(m) = self.machines.get_mut(m) {
                 m.idle_since = None;
             }
         }
-        let again: Vec<String> = self
+        let due_retries: Vec<String> = self
             .pending_scale_outs
             .open
             .iter()
             .filter(|(_, r)| r.retry_at.is_some_and(|t| now >= t))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in again {
+        for name in due_retries {
             if let Some(r) = self.pending_scale_outs.open.get_mut(&name) {
                 r.retry_at = None;
                 self.actions.push_back(scale_out_action(&name, r));
@@ -97,12 +109,12 @@
             return;
         }
         for (offer, count) in demand.offers {
-            let busy = self
+            let is_pending = self
                 .pending_scale_outs
                 .open
                 .values()
                 .any(|r| r.offer == offer);
-            if busy || self.pending_scale_outs.open.len() >= self.tuning.rent_requests {
+            if is_pending || self.pending_scale_outs.open.len() >= self.tuning.rent_requests {
                 continue;
             }
             let request = self.new_request();
@@ -117,7 +129,7 @@
         }
     }
 
-    /// A rental request ended.
+    /// A scale-out request ended.
     pub fn scale_out_ended(&mut self, request: &str, outcome: ScaleOutOutcome, now: Micros) {
         let Some(open) = self.pending_scale_outs.open.get_mut(request) else {
             return;
@@ -140,7 +152,7 @@
                     if self.inventory.gone.contains_key(&id) {
                         continue;
                     }
-                    // A machine that we have rented ourselves was never commanded by anyone else.
+                    // A machine that we have requested ourselves was never commanded by anyone else.
                     let m = self.machines.entry(id.clone()).or_insert_with(|| {
                         Machine::new(id, o.machine_type.clone(), o.zone.clone(), o.spot, now)
                     });
@@ -158,7 +170,7 @@
             ScaleOutOutcome::Unknown => {
                 open.tries += 1;
                 if open.tries >= MAX_TRIES {
-                    // Should it have been executed, the machines show up in reports or the list.
+                    // Should it have been executed, the machines show up in heartbeats or the list.
                     self.pending_scale_outs.open.remove(request);
                 } else {
                     open.retry_at = Some(now + Micros::from_secs(1u64 << open.tries.min(3)));
@@ -167,13 +179,13 @@
         }
     }
 
-    /// Judges the machines that boot. One that is late is no longer counted on, so that what waits for it has
-    /// another rented; nothing that keeps a rule looks at this.
+    /// Updates what is expected of machines that are being provisioned. One that is overdue is no longer counted on, so that what waits for it has
+    /// another requested; nothing that keeps a rule looks at this.
     pub(crate) fn update_provisioning_states(&mut self, now: Micros) {
         if self.is_receive_overloaded(now) {
             return;
         }
-        let cut: Vec<String> = self
+        let partitioned_zones: Vec<String> = self
             .cfg
             .zones
             .iter()
@@ -203,22 +215,23 @@
             of_type.push(m);
         }
         for (kind, (nominal, ages, of_type)) in booting {
-            for (m, verdict) in of_type.into_iter().zip(provisioning_estimator.judge(
+            for (m, expected) in of_type.into_iter().zip(provisioning_estimator.judge(
                 kind,
                 &ages,
                 now.as_secs_f64() / nominal,
             )) {
                 if m.provisioning == ProvisioningState::Awaited
-                    && verdict != ProvisioningState::Awaited
+                    && expected != ProvisioningState::Awaited
                 {
                     info!(machine = %m.id, zone = %m.zone, spot = m.spot, "machine late: no longer counted on");
                 }
                 // In a zone that is cut off it may be up without our hearing of it.
-                let unheard = verdict == ProvisioningState::Hopeless && cut.contains(&m.zone);
-                m.provisioning = if unheard {
+                let may_be_up =
+                    expected == ProvisioningState::Hopeless && partitioned_zones.contains(&m.zone);
+                m.provisioning = if may_be_up {
                     ProvisioningState::Late
                 } else {
-                    verdict
+                    expected
                 };
             }
         }
--- a/crates/hopyoke-scheduler/src/ledger/allocation.rs
+++ b/crates/hopyoke-scheduler/src/ledger/allocation.rs
@@ -6,7 +6,7 @@
 use hopyoke_types::Micros;
 use std::rc::Rc;
 
-/// An attempt on a machine, from its start command until the worker no longer lists it.
+/// An attempt on a machine, from its start command until the agent no longer lists it.
 #[derive(Debug, Clone)]
 pub struct Allocation {
     /// How far it has come.
--- a/crates/hopyoke-scheduler/src/ledger/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -13,9 +13,11 @@
 /// The record of an unfinished job, under `job/ID`. It outlives every attempt and every leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// What the user asked for.
     pub spec: Rc<JobSpec>,
     /// Time of day at which it was accepted, in microseconds.
     pub accepted_us: u64,
+    /// Tasks that are done.
     #[serde(default)]
     pub done: Ranges,
     /// The attempt of the latest gang placement, or of another job's first start; 0: none.
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Some holder may have told a worker to start one of its tasks.
+    /// Some leader may have commanded an agent to start one of its tasks.
     pub fn may_have_started(&self) -> bool {
         self.start_attempt.0 != 0 || !self.has_start_marker
     }
@@ -64,9 +66,12 @@
 /// The record of a finished job, under `end/ID`; kept for good.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct EndRecord {
+    /// How it ended.
     pub state: JobState,
+    /// Tasks that were done.
     #[serde(default)]
     pub done: u32,
+    /// It was a step of a workflow's run.
     #[serde(default, skip_serializing_if = "is_false")]
     pub flow: bool,
     /// A step's job that kept failing: it was cancelled by the scheduler.
@@ -86,34 +91,41 @@
     }
 }
 
-/// A job that the leader looks after.
+/// An unfinished job in the ledger.
 pub struct Job {
+    /// What the user asked for.
     pub spec: Rc<JobSpec>,
     /// What one task takes.
     pub task: Resources,
+    /// The image of its tasks.
     pub image: ImageKey,
+    /// Time of day at which it was accepted, in microseconds.
     pub accepted_us: u64,
     /// Of the record as last seen.
     pub mod_revision: ModRevision,
-    /// An earlier holder may have started its tasks.
+    /// A stale leaseholder may have started its tasks.
     pub inherited: bool,
+    /// As in the record.
     pub has_start_marker: bool,
+    /// It is a step of a workflow's run.
     pub flow: bool,
     /// It kept failing and its end is to be recorded.
     pub given_up: bool,
+    /// Tasks that are done.
     pub done: Ranges,
-    /// What the record says is done: only this may be reaped from workers.
+    /// What the record says is done: only this may be acknowledged to agents.
     pub recorded: Ranges,
     /// Attempt of the current gang placement, or of another job's first start.
     pub start_attempt: Attempt,
+    /// What the record says of it.
     pub recorded_start_attempt: Attempt,
     /// Some task of the current gang placement has been seen running.
     pub gang_started: bool,
-    /// The current gang placement is being wound up: all its tasks must be gone before the next.
+    /// The current gang placement is being stopped: all its tasks must be gone before the next.
     pub gang_failing: bool,
     /// A run of it was cut short and may have saved progress.
     pub resumed: bool,
-    /// Attempts that hold a place: from their command until their proven exit.
+    /// Attempts by task, with their machines: from their command until their proven exit.
     pub attempts: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
     /// Machines on which a task of this job failed since one last succeeded.
     pub failed_on: BTreeSet<MachineId>,
@@ -132,6 +144,7 @@
 }
 
 impl Job {
+    /// A job whose record has this revision. `inherited`: an earlier leader may have started it.
     pub fn new(record: JobRecord, mod_revision: ModRevision, inherited: bool, now: Micros) -> Job {
         let inherited = inherited && record.may_have_started();
         let done = record.done.tidy(record.spec.tasks);
@@ -163,6 +176,7 @@
         }
     }
 
+    /// The record to be written.
     pub fn record(&self) -> JobRecord {
         JobRecord {
             spec: self.spec.clone(),
@@ -174,10 +188,10 @@
         }
     }
 
-    /// Tasks that are neither done nor hold a place.
+    /// Tasks that are neither done nor have an attempt.
     pub fn unplaced_tasks(&self) -> u32 {
         let tasks = self.spec.tasks;
-        // Of a task that is done, or that the job never had, a worker may still report an attempt.
+        // Of a task that is done, or that the job never had, an agent may still report an attempt.
         let beyond = self
             .attempts
             .last_key_value()
@@ -195,6 +209,7 @@
             .saturating_sub(placed as u32)
     }
 
+    /// All its tasks are done; never true of services.
     pub fn is_done(&self) -> bool {
         self.spec.kind != JobKind::Service && self.done.count() == self.spec.tasks
     }
@@ -237,11 +252,12 @@
         }
     }
 
-    /// Failed on several machines: the fault is its own most likely.
+    /// Its tasks failed on at least `after` machines: the fault is its own most likely.
     pub fn is_crash_looping(&self, after: usize) -> bool {
         self.failed_on.len() >= after
     }
 
+    /// Its tasks run all at once or not at all.
     pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
--- a/crates/hopyoke-scheduler/src/ledger/machine.rs
+++ b/crates/hopyoke-scheduler/src/ledger/machine.rs
@@ -9,11 +9,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A hash of an image's name. Two names with the same hash only cost a worse choice of place.
+/// A hash of an image's name. A collision only costs a worse choice of machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ImageKey(u64);
 
 impl ImageKey {
+    /// The key of an image.
     pub fn of(name: &str) -> ImageKey {
         let mut h = DefaultHasher::new();
         name.hash(&mut h);
@@ -21,8 +22,8 @@
     }
 }
 
-/// What is on a machine, summed up. Kept until the machine's slots change, so that a plan need
-/// not look at every slot of the fleet.
+/// What is on a machine, summed up. Kept until the machine's allocations change, so that a plan need
+/// not visit every allocation of the fleet.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Load {
     /// What live attempts take.
@@ -31,85 +32,105 @@
     pub live: u32,
     /// Replicas of services among them, which stay long.
     pub replicas: u32,
-    /// What attempts take that have been told to go at once.
+    /// What attempts take that are being killed.
     pub freeing: Resources,
-    /// What tasks of arrays below production take that nobody has stopped yet.
+    /// What tasks of arrays below production priority take that are not being stopped.
     pub preemptible: Resources,
     /// A live attempt of a job that the ledger doesn't know.
     pub orphaned: bool,
-    /// What live attempts take, by team (a place in the settings' list).
+    /// What live attempts take, by team (an index into the settings' list).
     pub teams: Vec<(u16, Resources)>,
     /// Images that it has or fetches.
     pub images: Vec<ImageKey>,
 }
 
+/// Whether a machine reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachinePhase {
-    /// Rented, its worker has not reported yet.
+    /// Requested from the cloud; its agent has not reported yet.
     Provisioning,
-    /// Its worker reports.
+    /// Its agent reports.
     Up,
-    /// Its worker's lease has lapsed: everything on it is gone.
+    /// Its agent's lease has expired: everything on it is gone.
     Lost,
 }
 
+/// A machine in the ledger.
 pub struct Machine {
+    /// Its id at the cloud.
     pub id: MachineId,
+    /// Where its agent takes pushed commands; `None`: not known, or not an address.
     pub address: Option<std::net::SocketAddr>,
+    /// Its type in the catalog.
     pub machine_type: String,
+    /// The zone that it is in.
     pub zone: String,
+    /// Whether the cloud may take it away.
     pub spot: bool,
+    /// Whether it reports.
     pub phase: MachinePhase,
+    /// The agent's epoch in its newest heartbeat; 0: none yet.
     pub epoch: u64,
+    /// The sequence number of its newest heartbeat.
     pub sequence: u64,
+    /// The highest fencing token that its agent has reported.
     pub token_seen: FencingToken,
-    /// Rented by this leader: no earlier holder can have commanded it.
+    /// Requested by this leader: no stale leaseholder can have commanded it.
     pub created_by_this_leader: bool,
-    /// Its session began after our grant: no earlier holder can have commanded it either.
+    /// Its epoch began after our grant: no stale leaseholder can have commanded it either.
     pub epoch_began_after_grant: bool,
+    /// When its newest heartbeat, or the answer to pushed commands, came.
     pub last_seen: Micros,
-    /// By now the session has ended, unless we answer another of its reports.
+    /// By then the epoch has ended, unless another of its heartbeats is answered.
     pub lease_end: Micros,
-    /// When the cloud takes it away.
+    /// When the cloud will take it away, as its preemption notice says.
     pub preemption_notice_at: Option<Micros>,
     allocations: BTreeMap<(TaskId, Attempt), Allocation>,
     load: Option<Load>,
     /// Most recently used last.
     images: Vec<(ImageKey, f64)>,
+    /// When the cloud was asked for it; see `has_known_age`.
     pub requested_at: Micros,
-    /// When it was rented is known: from the cloud's answer, or its list.
+    /// When it was requested is known: from the cloud's answer, or its list.
     pub has_known_age: bool,
-    /// What to think of it while it boots.
+    /// Whether it is still expected to come up.
     pub provisioning: ProvisioningState,
+    /// Since when nothing has been on it.
     pub idle_since: Option<Micros>,
     /// Jobs whose tasks failed here since one last succeeded here.
     pub failed_jobs: BTreeSet<JobId>,
+    /// Tasks that failed on it since one last succeeded.
     pub failures: u32,
-    /// Judged faulty: nothing more is placed on it, and it is returned.
+    /// Judged faulty: nothing more is placed on it, and it is deleted.
     pub faulty: bool,
-    /// Far slower than its peers: nothing more is placed on it, and it is returned once it is empty.
+    /// Far slower than its peers: nothing more is placed on it, and it is deleted once it is empty.
     pub slow: bool,
     /// A refused start: nothing is placed here before this.
     pub no_placement_before: Micros,
-    /// It stands in the register of machines that may hold tasks.
+    /// It is on a page of the machine registry: it may hold tasks.
     pub is_registered: bool,
-    /// It stood there when this leader read it.
+    /// It was on a page when this leader read the registry.
     pub inherited: bool,
-    /// A deletion is wanted or under way.
+    /// It is to be deleted, or its deletion is under way.
     pub deleting: bool,
+    /// The deletion is under way.
     pub deletion_requested: bool,
     /// Overdue and no longer listed by the cloud: most likely gone.
     pub presumed_deleted: bool,
-    /// The latest direct order to it got no answer, and no report has come since.
+    /// The latest push to it got no answer, and no heartbeat has come since.
     pub unreachable: bool,
+    /// Pushed commands are under way.
     pub push_open: bool,
-    /// The direct order under way is a question after a takeover.
+    /// The push under way is a probe.
     pub probing: bool,
+    /// When the latest probe was sent.
     pub probed_at: Micros,
+    /// No commands are pushed before this.
     pub push_retry_at: Micros,
 }
 
 impl Machine {
+    /// A machine that is being provisioned, as far as is known.
     pub fn new(
         id: MachineId,
         machine_type: String,
@@ -157,29 +178,30 @@
         }
     }
 
-    /// Commands of earlier holders can no longer be executed on it.
+    /// Commands of stale leaseholders can no longer be executed on it.
     pub fn is_reconciled(&self, token: FencingToken) -> bool {
         self.created_by_this_leader || self.epoch_began_after_grant || self.token_seen >= token
     }
 
+    /// The attempts on it.
     pub fn allocations(&self) -> &BTreeMap<(TaskId, Attempt), Allocation> {
         &self.allocations
     }
 
-    /// The slots, to be changed: the sums over them are counted anew when next needed.
+    /// The attempts on it, to be changed: the sums over them are counted anew when next needed.
     pub fn allocations_mut(&mut self) -> &mut BTreeMap<(TaskId, Attempt), Allocation> {
         self.load = None;
         &mut self.allocations
     }
 
-    /// Notes how far orders have come. Only for what does not show in the sums.
+    /// The attempts on it, to note how far commands have come; only for what does not show in the sums.
     pub(crate) fn allocations_in_flight(
         &mut self,
     ) -> impl Iterator<Item = (&(TaskId, Attempt), &mut Allocation)> {
         self.allocations.iter_mut()
     }
 
-    /// The sums over its slots.
+    /// The sums over its allocations.
     pub fn load(&mut self, teams: &[crate::Team]) -> &Load {
         if self.load.is_none() {
             self.load = Some(self.count(teams));
@@ -230,11 +252,12 @@
         load
     }
 
-    /// The sums as kept, if no slot has changed since they were counted.
+    /// The sums as kept, if no allocation has changed since they were counted.
     pub fn cached_load(&self) -> Option<&Load> {
         self.load.as_ref()
     }
 
+    /// Some attempt on it has not ended, as far as is known.
     pub fn has_live(&self) -> bool {
         self.allocations.values().any(Allocation::is_live)
     }
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -59,33 +59,46 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What the core wants done.
+/// What the daemon or the simulator is to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
+    /// Request instances from the cloud.
     ScaleOut {
+        /// Names the request, so that it can be repeated.
         request: String,
+        /// Type of the instances.
         machine_type: String,
+        /// Their zone.
         zone: String,
+        /// Whether the cloud may take them away.
         spot: bool,
+        /// How many.
         count: u32,
     },
+    /// Delete instances.
     Delete {
+        /// Which.
         machines: Vec<MachineId>,
     },
     /// Read the job's record again: a write of it failed or went unanswered.
     ReloadRecord {
+        /// The job.
         job: JobId,
     },
-    /// Send orders straight to a worker.
+    /// Send commands to an agent without waiting for its heartbeat; none: a probe.
     PushCommands {
+        /// The agent's machine.
         machine: MachineId,
+        /// Where the agent listens.
         address: std::net::SocketAddr,
+        /// The epoch for which they are meant: an agent in another refuses them.
         epoch: u64,
+        /// What the agent is to do.
         commands: Vec<Command>,
     },
 }
 
-/// How often machines are looked at for what only time brings.
+/// How often expired leases and unresponsive machines are searched for.
 const SWEEP_INTERVAL: Micros = Micros::from_millis(100);
 
 /// The scheduler's state machine.
@@ -107,7 +120,7 @@
     /// When this leader last began, or began again, to act.
     resumed_at: Micros,
     last_tick_at: Micros,
-    /// When unresponsive machines and expired leases are looked for again.
+    /// When unresponsive machines and expired leases are searched for again.
     next_sweep_at: Micros,
     next_fleet_log_at: Micros,
     /// Counts requests and attempts of this leader.
@@ -157,7 +170,7 @@
 }
 
 impl Scheduler {
-    /// Takes over: `jobs` and `registry` are as read after the grant of `token`.
+    /// A new leader's scheduler: `jobs` and `registry` are as read after the grant of `token`.
     pub fn new(
         cfg: SchedulerConfig,
         token: FencingToken,
@@ -236,6 +249,7 @@
         }
     }
 
+    /// The machine types that the cloud offers.
     pub fn set_catalog(&mut self, types: Vec<MachineType>) {
         if self.types != types {
             self.types = types;
@@ -243,6 +257,7 @@
         }
     }
 
+    /// Ids of all unfinished jobs, in order.
     pub fn job_ids(&self) -> Vec<JobId> {
         self.jobs.keys().cloned().collect()
     }
@@ -264,7 +279,7 @@
         self.push_commands(now);
     }
 
-    /// All of a tick but the sending of direct orders.
+    /// All of a tick but the sending of probes and pushed commands.
     fn run_due_work(&mut self, now: Micros) {
         if now > self.last_tick_at + Micros::from_secs(1) {
             self.resumed_at = now;
@@ -289,7 +304,7 @@
         }
     }
 
-    /// What has been looked at so far: machines, jobs, bins, slots.
+    /// Machines, jobs, bins and allocations visited so far: a measure of work that does not depend on the processor.
     pub fn entities_visited(&self) -> u64 {
         self.entities_visited.get()
     }
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -17,7 +17,7 @@
     admission_pressed: bool,
     /// Changes that may be spent meanwhile on what can wait.
     deferrable_budget: f64,
-    /// Pages of the register are not rewritten for removals alone before this.
+    /// Pages of the machine registry are not rewritten for removals alone before this.
     removals_not_before: Micros,
 }
 
@@ -98,7 +98,7 @@
         !self.writes.due.is_empty() || self.registry.has_additions() || self.registry.has_removals()
     }
 
-    /// New work finds no room at the nodes' doors, or finds it again.
+    /// New work finds no room at the nodes' admission control, or finds it again.
     pub fn set_admission_pressed(&mut self, admission_pressed: bool) {
         self.writes.admission_pressed = admission_pressed;
     }
@@ -232,7 +232,7 @@
         }
     }
 
-    /// A machine is registered once its worker has reported, and before its first task: so the
+    /// A machine is registered once its agent has reported, and before its first task: so the
     /// next leader waits for no machine that still boots.
     fn draft_pages(&mut self, draft: &mut Draft, removals: bool) {
         for id in self.registry.take_pending() {
@@ -293,7 +293,7 @@
                                 job.recorded = record.done;
                                 job.recorded_start_attempt = record.start_attempt;
                             }
-                            // It may start now; results are reaped with the next answers.
+                            // It may start now; results are acknowledged with the next answers.
                             if first_start || job.is_gang() {
                                 let attempts =
                                     job.attempts.values().flatten().map(|(m, _)| m.clone());
--- a/crates/hopyoke-scheduler/src/reconcile/attempts.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/attempts.rs
@@ -8,21 +8,21 @@
 use std::rc::Rc;
 
 impl Scheduler {
-    /// Forgets all that was on a machine; returns how many attempts held a place.
+    /// Forgets all that was on a machine; returns how many attempts were live.
     pub(crate) fn clear_allocations(&mut self, id: &MachineId) -> usize {
         let Some(m) = self.machines.get_mut(id) else {
             return 0;
         };
         let allocations = std::mem::take(m.allocations_mut());
         // For all that we know they ran until it was last heard of.
-        let seen = m.last_seen;
+        let last_seen_at = m.last_seen;
         self.commands_due.remove(id);
         let mut held = 0;
         for ((task, attempt), allocation) in allocations {
             if allocation.is_live() {
                 held += 1;
                 if allocation.running_since.is_some() {
-                    self.run_ended(id, &task, attempt, End::Cut, seen);
+                    self.run_ended(id, &task, attempt, End::Cut, last_seen_at);
                 }
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -35,7 +35,7 @@
         held
     }
 
-    /// A job appeared in the ledger of which workers have reported tasks already.
+    /// A job appeared in the ledger of which agents have reported tasks already.
     pub(crate) fn adopt_allocations(&mut self, id: &JobId, spec: &Rc<JobSpec>) {
         let mut found = Vec::new();
         let orphaned = |m: &Machine| {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Has an attempt stopped. One that was never offered to the worker just goes.
+    /// Has an attempt stopped. One that was never offered to the agent just goes.
     pub(crate) fn stop_allocation(
         &mut self,
         id: &MachineId,
--- a/crates/hopyoke-scheduler/src/reconcile/commands.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/commands.rs
@@ -70,7 +70,7 @@
         stops
     }
 
-    /// Sends new orders at once instead of with the answer to the next report. Results that are
+    /// Sends new commands at once instead of with the answer to the next heartbeat. Results that are
     /// merely to be forgotten can wait for that.
     pub(crate) fn push_commands(&mut self, now: Micros) {
         let mut later = Vec::new();
@@ -78,12 +78,12 @@
             let Some(m) = self.machines.get(&id) else {
                 continue;
             };
-            // Whatever is not up yet gets its orders with the answer to its first report.
+            // Whatever is not up yet gets its commands with the answer to its first heartbeat.
             if m.phase != MachinePhase::Up || !m.is_reconciled(self.token) || m.address.is_none() {
                 continue;
             }
             if m.push_open {
-                // Its answer makes the orders due again.
+                // Its answer makes the commands due again.
                 continue;
             }
             if now < m.push_retry_at {
@@ -111,7 +111,7 @@
         self.commands_due.extend(later);
     }
 
-    /// A worker answered direct orders (or refused them) with its report.
+    /// An agent answered pushed commands (or refused them) with its heartbeat.
     pub fn push_answered(
         &mut self,
         machine: &MachineId,
@@ -126,7 +126,7 @@
             for (_, allocation) in m.allocations_in_flight().filter(|(_, s)| s.push_in_flight) {
                 allocation.push_in_flight = false;
                 match answered {
-                    // Its report can't be read: what was started is unknown until another shows it.
+                    // Its heartbeat can't be read: what was started is unknown until another shows it.
                     None => allocation.outcome_unknown |= executed,
                     Some(_) if executed && allocation.offered < answered => {
                         allocation.offered = answered
@@ -134,7 +134,7 @@
                     Some(_) => {}
                 }
             }
-            // A probe that met another session than we believed can be repeated at once.
+            // A probe that met another epoch than we believed can be repeated at once.
             if !executed && heartbeat.is_none_or(|r| r.epoch == m.epoch) {
                 m.push_retry_at = now + Micros::from_millis(500);
             }
@@ -144,7 +144,7 @@
         {
             self.merge_heartbeat(r, false, now);
         }
-        // The session was another than we believed; now we know it.
+        // The epoch was another than we believed; now we know it.
         if self.reconciliation.is_active()
             && self
                 .machines
@@ -157,8 +157,8 @@
         self.commands_due.insert(machine.clone());
     }
 
-    /// Direct orders got no answer. If they may have been sent they may be executed late, at any
-    /// time of the session.
+    /// Pushed commands got no answer. If they may have been sent they may be executed late, at any
+    /// time of the epoch.
     pub fn push_failed(&mut self, machine: &MachineId, maybe_sent: bool, now: Micros) {
         self.end_probe(machine);
         if let Some(m) = self.machines.get_mut(machine) {
--- a/crates/hopyoke-scheduler/src/reconcile/failover.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/failover.rs
@@ -5,7 +5,7 @@
 use hopyoke_types::Micros;
 use tracing::info;
 
-/// A worker takes an answer no later than this after it sent its report.
+/// An agent takes an answer no later than this after it sent its heartbeat.
 const MAX_RESPONSE_DELAY: Micros = Micros::from_millis(4_010);
 
 /// The state of reconciliation after this leader's failover.
@@ -39,13 +39,13 @@
         self.reconciliation.is_active
     }
 
-    /// Recovery ends when every machine in the register is accounted for: it reported after
-    /// having seen our token, its session has lapsed, or the cloud confirmed its deletion. Tasks
+    /// Reconciliation ends when every machine in the machine registry is accounted for: it reported after
+    /// having seen our token, its epoch has expired, or the cloud confirmed its deletion. Tasks
     /// are only ever started on registered machines, so what nobody reported by then is nowhere.
     /// (Guards `ran_twice` and `quota`.)
     ///
     /// Time alone ends it only for machines on pages that can't be read: whoever we have answered
-    /// lives on, and an order of an earlier holder may have reached it between its report and our
+    /// lives on, and an order of a stale leaseholder may have reached it between its heartbeat and our
     /// answer. (Scenario recovery_outlasts_leases.)
     pub(crate) fn update_reconciliation(&mut self, now: Micros) {
         if !self.reconciliation.is_active {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// An earlier holder may have started something on it, and it has not shown yet that no more can come. What was
-    /// not in the register when we read it has nothing of theirs: they start nothing on a machine before its page is
+    /// An stale leaseholder may have started something on it, and it has not shown yet that no more can come. What was
+    /// not in the machine registry when we read it has nothing of theirs: they start nothing on a machine before its page is
     /// written for certain. (Scenario recovery_new_machines.)
     pub(crate) fn is_unreconciled(&self, m: &Machine) -> bool {
         let may_hold =
@@ -81,10 +81,10 @@
         may_hold && m.phase != MachinePhase::Lost && !m.is_reconciled(self.token)
     }
 
-    /// A new report that still shows an older token, from now on, is of a session that began after our
+    /// A new heartbeat that still shows an older token, from now on, is of an epoch that began after our
     /// grant: one that is older was over when its lease ran out unless it took an answer of ours, and
-    /// then it would show our token. No earlier holder can have commanded such a session.
-    /// (An answer counts for reports sent up to [`MAX_RESPONSE_DELAY`] before it.)
+    /// then it would show our token. No stale leaseholder can have commanded such an epoch.
+    /// (An answer counts for heartbeats sent up to [`MAX_RESPONSE_DELAY`] before it.)
     pub(crate) fn earlier_epochs_expired(&self, now: Micros) -> bool {
         now >= self.reconciliation.granted_at + self.cfg.lease_bound() + MAX_RESPONSE_DELAY
     }
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -6,28 +6,30 @@
 use hopyoke_types::{FencingToken, Micros, TaskId};
 use tracing::{info, warn};
 
-/// What to answer to a report.
+/// The response to a heartbeat.
 #[derive(Debug, PartialEq)]
 pub struct HeartbeatReply {
+    /// The token of this leader.
     pub token: FencingToken,
-    /// The report was newer than all before. One that is not says nothing about now.
+    /// The heartbeat was newer than all before. One that is not says nothing about now.
     pub fresh: bool,
+    /// What the agent is to do.
     pub commands: Vec<Command>,
 }
 
 impl Scheduler {
-    /// A report came in on `/hello`; the answer renews the worker's lease.
+    /// A heartbeat came in; the response renews the agent's lease.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Micros) -> HeartbeatReply {
-        // A late report, or one of a machine that is gone, is answered without orders.
+        // A late heartbeat, or one of a machine that is gone, is answered without commands.
         let fresh = self.merge_heartbeat(heartbeat, true, now);
         let lease_bound = self.cfg.lease_bound();
         let mut commands = Vec::new();
         if let Some(m) = self.machines.get_mut(&heartbeat.machine) {
-            // Counted from the answer, the worker counts from its earlier sending: we are never early.
+            // Counted from the answer, the agent counts from its earlier sending: we are never early.
             m.lease_end = m.lease_end.max(now + lease_bound);
         }
         if fresh {
-            // Plan first, so that the orders go with this answer.
+            // Plan first, so that the commands go with this answer.
             if self.plan_schedule.is_requested_plan_due(now) {
                 self.run_due_work(now);
             }
@@ -143,7 +145,7 @@
             .map(|s| now + Micros::from_secs_f64(s));
         if preemption_at.is_some() && m.preemption_notice_at.is_none() {
             self.plan_schedule.request();
-            info!(machine = %id, zone = %m.zone, in_s = heartbeat.preemption_notice_s, "preemption notice");
+            info!(machine = %id, zone = %m.zone, in_s = heartbeat.preemption_notice_s, "notice: machine will be taken");
         }
         m.preemption_notice_at = preemption_at;
     }
--- a/crates/hopyoke-scheduler/src/reconcile/job_records.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/job_records.rs
@@ -16,8 +16,8 @@
         match self.jobs.get_mut(&id) {
             None if self.tombstones.outdates(&id, mod_revision) => return,
             None => {
-                // Whatever was first written after our grant can't have been started by an earlier
-                // holder: its time was over before the grant was applied.
+                // Whatever was first written after our grant can't have been started by a stale
+                // leaseholder: its lease was over before the grant was applied.
                 let inherited = mod_revision.0 <= self.token.0;
                 let job = Job::new(record, mod_revision, inherited, now);
                 let spec = job.spec.clone();
@@ -52,8 +52,8 @@
         self.plan_schedule.request();
     }
 
-    /// All changes of jobs' records up to `revision` have been told to us, by an answer to what was asked at
-    /// `sent`.
+    /// All changes of jobs' records up to `revision` have been applied here; they came with the answer to a request
+    /// that was sent at `sent`.
     pub fn records_applied_to(&mut self, revision: ModRevision, sent: Micros) {
         self.tombstones.caught_up(revision, sent);
     }
--- a/crates/hopyoke-scheduler/src/reconcile/probes.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/probes.rs
@@ -24,8 +24,8 @@
 }
 
 impl Scheduler {
-    /// After a takeover, registered machines are asked at once what is on them, instead of waiting
-    /// until each finds us with a report: an empty direct order shows them our token, and its
+    /// After a failover, registered machines are asked at once what is on them, instead of waiting
+    /// until each finds us with a heartbeat: an empty push shows them our token, and its
     /// answer is their report. (A machine that is known to have seen our token is accounted for.)
     /// Machines that are overdue and no longer listed are asked too, before they are given up.
     pub(crate) fn send_probes(&mut self, now: Micros) {
@@ -39,10 +39,10 @@
             let Some(m) = self.machines.get_mut(&id) else {
                 continue;
             };
-            let wanted = m.phase != MachinePhase::Lost
+            let needs_probe = m.phase != MachinePhase::Lost
                 && !m.deleting
                 && (m.presumed_deleted || !m.is_reconciled(self.token));
-            let Some(address) = m.address.filter(|_| wanted) else {
+            let Some(address) = m.address.filter(|_| needs_probe) else {
                 continue;
             };
             if m.push_open || now < m.push_retry_at {
@@ -53,7 +53,7 @@
             m.probing = true;
             m.probed_at = now;
             self.probes.open += 1;
-            // Most machines are in their first session; another is told by the refusal.
+            // Most machines are in their first epoch; the refusal tells of another.
             let epoch = m.epoch.max(1);
             self.actions.push_back(Action::PushCommands {
                 machine: id,
--- a/crates/hopyoke-scheduler/src/reconcile/restart_check.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/restart_check.rs
@@ -1,4 +1,4 @@
-//! The three-way check before any start: the recorded previous attempt against workers' reports.
+//! The three-way check before any start: the recorded previous attempt against agents' heartbeats.
 
 use crate::Scheduler;
 use crate::ledger::Job;
@@ -6,9 +6,9 @@
 /// What is to be done about a task that is not recorded as done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestartDecision {
-    /// An attempt holds a place, or may: stay connected to it.
+    /// An attempt runs, or may: stay connected to it.
     Reconnect,
-    /// A worker reported it as done: take its result; nothing is started.
+    /// An agent reported it as done: take its result; nothing is started.
     AcceptResult,
     /// Nobody has reported it, and not every machine that could run it is accounted for.
     Unknown,
@@ -17,6 +17,7 @@
 }
 
 impl Scheduler {
+    /// What is to be done about task `index` of a job.
     pub fn check(&self, job: &Job, index: u32) -> RestartDecision {
         if job.done.contains(index) {
             RestartDecision::AcceptResult
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -238,7 +238,7 @@
         }
     }
 
-    /// What the report does not list (`listed` is sorted) is gone, with one exception: a start that has not been
+    /// What the heartbeat does not list (`listed` is sorted) is gone, with one exception: a start that has not been
     /// proven to be unexecuted.
     pub(crate) fn merge_absent(
         &mut self,
@@ -257,8 +257,8 @@
             .iter()
             .filter(|(k, _)| listed.binary_search(k).is_err())
             .filter(|(_, s)| match s.state {
-                // One report is in flight at a time, so a newer report shows whether the orders
-                // that answered an older one were executed. A direct answer may overtake them.
+                // One heartbeat is in flight at a time, so a newer heartbeat shows whether the commands
+                // that answered an older one were executed. A answer to a push may overtake them.
                 AllocationState::Sent => {
                     hello
                         && !s.push_in_flight
--- a/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
@@ -3,9 +3,9 @@
 use crate::Scheduler;
 use crate::ledger::{Machine, MachinePhase};
 use hopyoke_types::{MachineId, Micros};
-use tracing::info;
+use tracing::{info, warn};
 
-/// A machine that has not answered a question after a takeover for so long, while nearly all others have, is
+/// A machine that has not answered a question after a failover for so long, while nearly all others have, is
 /// taken not to: waiting for the whole time limit would hold up the fleet.
 const PROBE_TIMEOUT: Micros = Micros::from_millis(1_200);
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Zones of which most machines fell silent together, by their place in the settings' list.
+/// Zones of which most machines fell silent together, by their index in the settings' list.
 #[derive(Debug, Default)]
 pub(crate) struct PartitionedZones(Vec<bool>);
 
@@ -44,10 +44,10 @@
 }
 
 impl Scheduler {
-    /// Reports can't all be heard: this node is behind on its own processor, or has no room for
-    /// connections. Until two report intervals after the last such moment no machine is given up for
-    /// its silence, and none is rented in place of those that are not heard. (Guards against a fleet
-    /// that is deleted and rented anew because its leader is overloaded: seen at four to six times
+    /// Heartbeats can't all be received: this node is behind on its own processor, or has no room for
+    /// connections. Until two heartbeat intervals after the last such moment no machine is given up for
+    /// its silence, and none is requested in place of those whose heartbeats are lost. (Guards against a fleet
+    /// that is deleted and requested anew because its leader is overloaded: seen at four to six times
     /// heirloomlane-fleet's size.)
     pub fn set_receive_overloaded(&mut self, now: Micros) {
         if now >= self.receive_health.overloaded_until {
@@ -64,36 +64,36 @@
     }
 
     /// When most machines of a zone fall silent together, the zone is most likely cut off: they will
-    /// be back, and machines rented there now could not report either.
+    /// be back, and machines requested there now could not report either.
     pub(crate) fn detect_partitioned_zones(&mut self, now: Micros) {
         let zones = self.cfg.zones.len() + 1;
-        let quiet = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(1);
-        let mut seen = vec![(0usize, 0usize); zones];
+        let silent_after = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(1);
+        let mut machines_and_silent = vec![(0usize, 0usize); zones];
         for m in self
             .machines
             .values()
             .filter(|m| m.is_registered && !m.deleting)
         {
             let since = m.last_seen.max(self.resumed_at);
-            let (all, silent) = &mut seen[self.cfg.zone_index(&m.zone)];
+            let (all, silent) = &mut machines_and_silent[self.cfg.zone_index(&m.zone)];
             *all += 1;
-            *silent += usize::from(m.phase == MachinePhase::Lost || now >= since + quiet);
+            *silent += usize::from(m.phase == MachinePhase::Lost || now >= since + silent_after);
         }
         // Were all zones silent, the fault would be ours.
-        let heard = seen
+        let some_zone_reports = machines_and_silent
             .iter()
             .any(|(all, silent)| *all > 0 && silent * 2 < *all);
-        let cut: Vec<bool> = seen
+        let partitioned: Vec<bool> = machines_and_silent
             .iter()
-            .map(|(all, silent)| heard && *all >= 3 && silent * 2 >= *all)
+            .map(|(all, silent)| some_zone_reports && *all >= 3 && silent * 2 >= *all)
             .collect();
         for (z, name) in self.cfg.zones.iter().enumerate() {
-            if cut[z] != self.partitioned_zones.contains(z) {
-                info!(zone = %name, cut = cut[z], machines = seen[z].0, silent = seen[z].1, "zone silent");
+            if partitioned[z] != self.partitioned_zones.contains(z) {
+                info!(zone = %name, partitioned = partitioned[z], machines = machines_and_silent[z].0, silent = machines_and_silent[z].1, "zone silent");
                 self.plan_schedule.request();
             }
         }
-        self.partitioned_zones = PartitionedZones(cut);
+        self.partitioned_zones = PartitionedZones(partitioned);
     }
 
     pub(crate) fn is_zone_partitioned(&self, zone: &str) -> bool {
@@ -139,7 +139,7 @@
             if let Some(m) = self.machines.get_mut(&id) {
                 m.deleting = true;
                 self.plan_schedule.request();
-                info!(machine = %id, zone = %m.zone, spot = m.spot, "machine unresponsive: deleting it");
+                info!(machine = %id, zone = %m.zone, spot = m.spot, "machine silent: giving it up");
             }
         }
     }
@@ -198,11 +198,11 @@
             .is_some_and(|l| !l.contains(&m.id))
     }
 
-    /// Sessions end by themselves when we have not answered for long enough; then everything on
+    /// Epochs end by themselves when we have not answered for long enough; then everything on
     /// the machine is gone. (Guards `ran_twice`: not a moment earlier.)
     pub(crate) fn expire_leases(&mut self, now: Micros) {
-        let set_receive_overloaded = self.is_receive_overloaded(now);
-        let lapsed: Vec<MachineId> = self
+        let is_overloaded = self.is_receive_overloaded(now);
+        let expired: Vec<MachineId> = self
             .machines
             .values()
             .filter(|m| {
@@ -211,30 +211,30 @@
             .map(|m| m.id.clone())
             .collect();
         // Machines of a zone that is cut off are kept for as long as new ones would take to boot.
-        let kept: Vec<MachineId> = self
+        let overdue_lost: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.phase == MachinePhase::Lost && !m.deleting && !set_receive_overloaded)
+            .filter(|m| m.phase == MachinePhase::Lost && !m.deleting && !is_overloaded)
             .filter(|m| now >= m.lease_end + self.boot_time(&m.machine_type))
             .map(|m| m.id.clone())
             .collect();
-        for id in kept {
+        for id in overdue_lost {
             if let Some(m) = self.machines.get_mut(&id) {
                 m.deleting = true;
                 self.plan_schedule.request();
             }
         }
-        for id in lapsed {
+        for id in expired {
             let held = self.clear_allocations(&id);
-            let cut = self
+            let partitioned = self
                 .machines
                 .get(&id)
                 .is_some_and(|m| self.is_zone_partitioned(&m.zone));
             if let Some(m) = self.machines.get_mut(&id) {
                 m.phase = MachinePhase::Lost;
-                m.deleting |= !cut && !set_receive_overloaded;
+                m.deleting |= !partitioned && !is_overloaded;
                 m.idle_since = None;
-                info!(machine = %id, zone = %m.zone, spot = m.spot, tasks = held, epoch = m.epoch, "machine lost: its lease lapsed");
+                warn!(machine = %id, zone = %m.zone, spot = m.spot, tasks = held, epoch = m.epoch, "machine lost: its lease lapsed");
             }
             self.plan_schedule.request();
         }
--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -9,19 +9,25 @@
 use hopyoke_run_times::capacity::{Freeing, when_free};
 use hopyoke_types::{Attempt, JobId, Micros, TaskId};
 
-/// A question about capacity.
+/// A question of when capacity becomes free.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CapacityQuery {
+    /// Whose work it is for.
     pub team: String,
+    /// GPUs, above 0.
     pub gpus: f64,
+    /// Only in this zone.
     pub zone: Option<String>,
 }
 
-/// An answer in seconds from now, with what it rests on.
+/// When something will be over or free, in seconds from now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CompletionEstimate {
+    /// With probability 0.5 by then.
     pub p50_s: f64,
+    /// With probability 0.9 by then.
     pub p90_s: f64,
+    /// What the estimate rests on, as shown to the user.
     pub rests_on: String,
 }
 
@@ -76,7 +82,7 @@
     /// When a job will be over.
     ///
     /// # Errors
-    /// Why that can't be told, as shown to the user.
+    /// Why there is no estimate, as shown to the user.
     pub fn estimate_job_end(&self, id: &JobId, now: Micros) -> Result<CompletionEstimate, String> {
         let job = self
             .jobs
@@ -147,7 +153,7 @@
     /// When this many GPUs will be free for a team, behind what waits already.
     ///
     /// # Errors
-    /// Why that can't be told, or never, as shown to the user.
+    /// Why there is no estimate, or never, as shown to the user.
     pub fn estimate_capacity(
         &self,
         query: &CapacityQuery,
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -1,5 +1,5 @@
-//! Learned run times: what the core feeds the learner, and what it asks of it. Nothing here
-//! decides a rule.
+//! Learned run times: what the scheduler feeds the learner, and what it asks of it. No rule depends on
+//! them.
 
 use crate::ledger::MachinePhase;
 use crate::{Scheduler, Tuning};
@@ -19,7 +19,7 @@
 const COUNTER_TICK: Micros = Micros::from_millis(100);
 /// Between two leaders nobody leads for about this long.
 const LEADERLESS_INTERVAL: Micros = Micros::from_secs(5);
-/// What is found completed this long after a takeover ended who knows when.
+/// What is found completed this long after a failover ended at an unknown time.
 const FOUND_RUN_WINDOW: Micros = Micros::from_secs(20);
 /// Such runs that wait to be dated.
 const MAX_UNDATED_RUNS: usize = 512;
@@ -31,30 +31,34 @@
 pub struct CompletedRun {
     /// Counts the runs that this leader has seen end, from 1.
     pub number: u64,
+    /// The job.
     pub spec: Rc<JobSpec>,
+    /// The task's index; 0 of a gang.
     pub index: u32,
     /// `None`: a gang on several machines.
     pub machine: Option<MachineId>,
-    /// Times of day, in microseconds.
+    /// When the job was accepted: time of day, in microseconds.
     pub accepted_us: u64,
+    /// When the run ended: time of day, in microseconds; 0: not known.
     pub ended_us: u64,
+    /// Seconds that it ran.
     pub ran_s: f64,
 }
 
-/// What the core keeps for learning.
+/// What the scheduler keeps for learning.
 #[derive(Default)]
 pub(crate) struct LearnedRunTimes {
     pub learner: hopyoke_run_times::Learner,
     /// Time of day less the steady clock; `None`: not known yet.
-    day: Option<u64>,
-    past: VecDeque<CompletedRun>,
+    day_offset_us: Option<u64>,
+    completed: VecDeque<CompletedRun>,
     count: u64,
     /// Writes that learned run times may make, earned up to a time.
     budget: f64,
-    earned: Micros,
-    /// Runs that were found completed after a takeover, until they can be dated.
-    found: Vec<(TaskId, Attempt, Micros)>,
-    /// When slow machines are looked for again.
+    budget_earned_until: Micros,
+    /// Runs that were found completed after a failover, until they can be dated.
+    undated_runs: Vec<(TaskId, Attempt, Micros)>,
+    /// When slow machines are searched for again.
     next_slow_check_at: Micros,
 }
 
@@ -78,12 +82,12 @@
 
     /// Says what time of day it is; remembers when our token was granted.
     pub fn set_time_of_day(&mut self, now: Micros, time_of_day: Micros) {
-        let day = time_of_day.0.saturating_sub(now.0);
-        self.learned.day = Some(day);
+        let day_offset_us = time_of_day.0.saturating_sub(now.0);
+        self.learned.day_offset_us = Some(day_offset_us);
         if self.tuning.learn {
             self.learned.learner.note_grant(
                 self.token.0,
-                Micros(day + self.reconciliation.granted_at().0),
+                Micros(day_offset_us + self.reconciliation.granted_at().0),
             );
         }
     }
@@ -110,21 +114,35 @@
 
     /// Runs that we found under way began when their attempts say, once we know of the grant.
     fn date_found_runs(&mut self) {
-        let Some(day) = self.learned.day else { return };
+        let Some(day_offset_us) = self.learned.day_offset_us else {
+            return;
+        };
         let split = |a: Attempt| {
             (
                 a.0 >> COUNTER_BITS,
                 COUNTER_TICK.times(a.0 & ((1 << COUNTER_BITS) - 1)),
             )
         };
-        self.learned.learner.date_runs(Micros(day), &split);
-        let LearnedRunTimes { learner, found, .. } = &mut self.learned;
-        found.retain(|(task, attempt, about)| {
+        self.learned
+            .learner
+            .date_runs(Micros(day_offset_us), &split);
+        let LearnedRunTimes {
+            learner,
+            undated_runs,
+            ..
+        } = &mut self.learned;
+        undated_runs.retain(|(task, attempt, about)| {
             let Some(job) = self.jobs.get(&task.job) else {
                 return false;
             };
             let key = (task.clone(), *attempt);
-            !learner.found_ended(&key, work_of(&job.spec), *about, Micros(day), &split)
+            !learner.found_ended(
+                &key,
+                work_of(&job.spec),
+                *about,
+                Micros(day_offset_us),
+                &split,
+            )
         });
     }
 
@@ -138,7 +156,7 @@
         self.tuning = tuning;
     }
 
-    /// A task has been told to start.
+    /// The start of a task has been commanded.
     pub(crate) fn run_commanded(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
         let Some(job) = self
             .jobs
@@ -166,21 +184,21 @@
         };
         let seen = self
             .learned
-            .found
+            .undated_runs
             .iter()
             .any(|(t, a, _)| *t == key && *a == attempt);
         if job.resumed
             || job.spec.kind == JobKind::Service
             || (job.is_gang() && job.is_done())
             || seen
-            || self.learned.found.len() >= MAX_UNDATED_RUNS
+            || self.learned.undated_runs.len() >= MAX_UNDATED_RUNS
             || now > self.reconciliation.granted_at() + FOUND_RUN_WINDOW
         {
             return;
         }
         let from = self.reconciliation.granted_at() - LEADERLESS_INTERVAL;
         let about = from + Micros((now - from).0 / 2);
-        self.learned.found.push((key, attempt, about));
+        self.learned.undated_runs.push((key, attempt, about));
         self.date_found_runs();
     }
 
@@ -283,26 +301,26 @@
             return;
         };
         self.learned.count += 1;
-        let past = CompletedRun {
+        let completed = CompletedRun {
             number: self.learned.count,
             spec: job.spec.clone(),
             index: key.0.index,
             machine: (!gang || job.spec.tasks == 1).then(|| id.clone()),
             accepted_us: job.accepted_us,
-            ended_us: self.learned.day.map_or(0, |d| d + now.0),
+            ended_us: self.learned.day_offset_us.map_or(0, |d| d + now.0),
             ran_s,
         };
-        debug!(job = %task.job, index = past.index, class = %past.spec.class, ran_s, "run ended");
-        self.learned.past.push_back(past);
-        if self.learned.past.len() > MAX_COMPLETED_RUNS {
-            self.learned.past.pop_front();
+        debug!(job = %task.job, index = completed.index, class = %completed.spec.class, ran_s, "run ended");
+        self.learned.completed.push_back(completed);
+        if self.learned.completed.len() > MAX_COMPLETED_RUNS {
+            self.learned.completed.pop_front();
         }
     }
 
     /// Runs that ended, after the one with this number, oldest first.
     pub fn history(&self, since: u64, most: usize) -> Vec<&CompletedRun> {
         self.learned
-            .past
+            .completed
             .iter()
             .filter(|p| p.number > since)
             .take(most)
@@ -359,8 +377,8 @@
     pub(crate) fn next_learned(&mut self, now: Micros) -> Option<(PageKey, Page)> {
         let rate = self.cfg.write_rps * self.tuning.learn_write_share;
         let l = &mut self.learned;
-        l.budget = (l.budget + rate * (now - l.earned).as_secs_f64()).min(1.0);
-        l.earned = now;
+        l.budget = (l.budget + rate * (now - l.budget_earned_until).as_secs_f64()).min(1.0);
+        l.budget_earned_until = now;
         if l.budget < 1.0 || !self.tuning.learn {
             return None;
         }
--- a/crates/hopyoke-scheduler/src/staffed_hours.rs
+++ b/crates/hopyoke-scheduler/src/staffed_hours.rs
@@ -1,4 +1,4 @@
-//! Staffed hours: work that is held is not placed while nobody is there.
+//! Staffed hours: work that is held is not placed outside them.
 //!
 //! What was commanded shortly before and has not begun when they end is stopped; what runs goes on,
 //! unless the operators' settings say drain.
@@ -11,7 +11,7 @@
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use tracing::info;
 
-/// What the core knows of hours.
+/// What the scheduler knows of staffed hours.
 #[derive(Default)]
 pub(crate) struct Staffing {
     hours: Option<StaffedHours>,
@@ -38,7 +38,7 @@
         self.plan_schedule.request();
     }
 
-    /// An operator's word, or that it was taken back.
+    /// An operator's override of the hours; `None`: it was withdrawn.
     pub fn set_switch(&mut self, switch: Option<StaffingOverride>) {
         if let Some(h) = &mut self.staffing.hours
             && h.staffing_override != switch
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Nobody is there.
+    /// It is outside staffed hours.
     pub fn is_unstaffed(&self) -> bool {
         self.staffing.hours.is_some() && self.staffing.window.is_some_and(|(_, w)| !w.staffed)
     }
@@ -144,7 +144,7 @@
                     .map(|s| s.state);
                 // A gang that has begun goes on as a whole.
                 let begun = job.gang_started || state.is_some_and(has_begun);
-                // All tasks of a gang are told at once and may save.
+                // All tasks of a gang are stopped at once and may save.
                 let grace_s = match (begun, drain) {
                     (false, _) => 0.0,
                     (true, true) => job.spec.save_s + 1.0,
@@ -161,8 +161,8 @@
         stops
     }
 
-    /// An attempt was reported that has not begun, while nobody is there: it is stopped as well, as
-    /// after a takeover at the boundary.
+    /// An attempt was reported that has not begun, outside staffed hours: it is stopped as well, as
+    /// after a failover at the boundary.
     pub(crate) fn stop_if_held(
         &mut self,
         id: &MachineId,
