--- a/crates/hopyoke-consistency/src/lib.rs
+++ b/crates/hopyoke-consistency/src/lib.rs
@@ -6,7 +6,7 @@
 //! cancelled jobs would be kept alive. (Guards `ran_cancelled`.)
 //!
 //! - [`leader_lease`]: how long a leader may go on commanding agents.
-//! - [`CancellationLog`], at every node: cancellations acknowledged here, noted *before* the user is told. It is
+//! - [`CancellationLog`], at every node: cancellations acknowledged here, appended *before* the user is told. It is
 //!   bounded by number; what it has dropped is known by revision, and then no support is granted.
 //! - [`DeliveryCursors`], at the leader: how far it has received each peer's log, so that an answer carries only
 //!   what is new.
--- a/crates/hopyoke-types/src/ids.rs
+++ b/crates/hopyoke-types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers and counters with types of their own.
+//! Identifiers and counters, each a type of its own.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -11,9 +11,12 @@
         pub struct $name(Rc<str>);
 
         impl $name {
-            pub fn new(s: &str) -> $name {
-                $name(Rc::from(s))
+            /// An id of this text, which is not checked.
+            pub fn new(text: &str) -> $name {
+                $name(Rc::from(text))
             }
+
+            /// The id as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -35,7 +38,7 @@
         }
         impl<'de> Deserialize<'de> for $name {
             fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-                String::deserialize(d).map(|s| $name(Rc::from(s)))
+                String::deserialize(d).map(|text| $name(Rc::from(text)))
             }
         }
     };
@@ -46,30 +49,33 @@
     JobId
 );
 text_id!(
-    /// A rented machine, named by the cloud.
+    /// A machine, named by the cloud.
     MachineId
 );
 
 impl JobId {
-    /// Checks the form that every job id has: `req-` and up to 20 digits.
-    pub fn parse(s: &str) -> Option<JobId> {
-        let digits = s.strip_prefix("req-")?;
-        let ok =
-            !digits.is_empty() && digits.len() <= 20 && digits.bytes().all(|b| b.is_ascii_digit());
-        ok.then(|| JobId::new(s))
+    /// The id if it has the form that every job's id has, `req-` and 1 to 20 digits; else `None`.
+    pub fn parse(text: &str) -> Option<JobId> {
+        let digits = text.strip_prefix("req-")?;
+        let is_valid =
+            (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
+        is_valid.then(|| JobId::new(text))
     }
 }
 
 /// One task of a job.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
+    /// Its job.
     pub job: JobId,
+    /// Its place in the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    pub fn parse(s: &str) -> Option<TaskId> {
-        let (job, index) = s.rsplit_once('/')?;
+    /// Reads the form `JOB/INDEX`; `None` if the text does not have it.
+    pub fn parse(text: &str) -> Option<TaskId> {
+        let (job, index) = text.rsplit_once('/')?;
         Some(TaskId {
             job: JobId::parse(job)?,
             index: index.parse().ok()?,
@@ -99,7 +105,8 @@
 }
 
 number!(
-    /// Says who is entitled to command workers; a higher one outdates all lower ones.
+    /// A leader's fencing token: agents and the key-value store reject commands and writes of a stale leaseholder,
+    /// whose token is lower.
     FencingToken
 );
 number!(
@@ -107,6 +114,6 @@
     Attempt
 );
 number!(
-    /// The revision of a key's last change in the state service.
+    /// The revision of the key-value store at which a key was last changed; 0 if the key is absent.
     ModRevision
 );
--- a/crates/hopyoke-types/src/lib.rs
+++ b/crates/hopyoke-types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, counters and times that every other package shares. It depends on nothing of ours.
+//! Identifiers, counters and times that all packages of hopyoke share. It depends on none of them.
 
 mod ids;
 mod time;
--- a/crates/hopyoke/src/cloud.rs
+++ b/crates/hopyoke/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud: typed requests within this node's share of its rate.
+//! Client of the cloud: typed requests within its rate.
 
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, Method};
@@ -14,7 +14,7 @@
 const REQUEST_TIMEOUT: Micros = Micros::from_secs(8);
 /// Machines per page of a list.
 const LIST_PAGE_SIZE: u32 = 500;
-/// Of this node's share of the rate, the part that it uses.
+/// The part of the cloud's rate that a node uses.
 const USED_RATE: f64 = 0.85;
 /// Requests may be sent at once for as long as this is worth at the rate.
 const BURST: Micros = Micros::from_secs(1);
--- a/crates/hopyoke/src/leadership/actions.rs
+++ b/crates/hopyoke/src/leadership/actions.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// The scheduler is run at least this often while the leader lease is not valid.
-const MAX_TICK_INTERVAL: Micros = Micros::from_millis(250);
+/// While the leader lease is not valid the scheduler is not run; this is how often that is checked.
+const LEASE_CHECK_INTERVAL: Micros = Micros::from_millis(250);
 /// Pause after a deletion that the cloud did not confirm.
 const DELETE_RETRY_INTERVAL: Micros = Micros::from_secs(2);
 /// Pause after a record that could not be read.
@@ -24,7 +24,7 @@
         node.settings.facts.limits.max_connections,
     ));
     loop {
-        let mut next_tick_at = runtime::now() + MAX_TICK_INTERVAL;
+        let mut next_tick_at = runtime::now() + LEASE_CHECK_INTERVAL;
         if leadership.lease_is_valid() {
             next_tick_at = tick(&node, &leadership, &command_pusher);
         }
--- a/crates/hopyoke/src/leadership/keep_alive.rs
+++ b/crates/hopyoke/src/leadership/keep_alive.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tracing::{debug, trace, warn};
 
-/// The shortest timeout of a renewal. A lost one is repeated soon; where the store is slow, the timeout grows up to
+/// The shortest timeout of a renewal. A lost one is repeated after that; where the store is slow, the timeout grows up to
 /// half of the lease: each renewal that is executed without being waited for would prolong the lease of a leader
 /// that must not act, while nobody else can lead. (Test a_slow_state_service_keeps_its_leader.)
 const MIN_RENEW_TIMEOUT: Micros = Micros::from_secs(1);
