--- a/crates/hopyoke-experiments/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -5,7 +5,7 @@
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::{JobKind, JobSpec, Priority};
 use hopyoke_scheduler::Team;
-use hopyoke_simulator::{Truth, World};
+use hopyoke_simulator::{JobGroundTruth, Simulation};
 use hopyoke_types::{JobId, Micros, TaskId};
 use hopyoke_workload_trace::{History, Run};
 use std::cell::RefCell;
@@ -81,9 +81,9 @@
     let start = Micros::from_secs(5);
     let at = |r: &Run| start + Micros(r.submitted_us - first);
     let last = runs.iter().map(at).max().unwrap_or(start);
-    let mut w = World::new(options.seed, 3);
-    w.thorough = false;
-    w.types.push(MachineType {
+    let mut w = Simulation::new(options.seed, 3);
+    w.exhaustive_checks = false;
+    w.machine_types.push(MachineType {
         name: "std".into(),
         cpus: CPUS,
         gpus: 8.0,
@@ -93,10 +93,10 @@
         price: 1.0,
         spot_price: 0.0,
         boot_s: 10.0,
-        zones: w.cfg.zones.clone(),
+        zones: w.config.zones.clone(),
     });
     let teams: std::collections::BTreeSet<&str> = runs.iter().map(|r| r.team.as_str()).collect();
-    w.cfg.teams = teams
+    w.config.teams = teams
         .into_iter()
         .map(|t| Team {
             name: t.to_owned(),
@@ -106,7 +106,7 @@
     // Machines are there from the start, stay, and are enough for the busiest hour: it is run
     // times that are replayed, not queues.
     w.tuning.idle_return = Micros::from_secs(100_000_000);
-    let zones = w.cfg.zones.clone();
+    let zones = w.config.zones.clone();
     for i in 0..machines(&runs) {
         w.add_machine(
             "std",
@@ -141,7 +141,7 @@
     while w.now < end {
         let next = w.now + Micros::from_secs(60);
         w.run_until(next);
-        if let Some(broken) = w.broken.first() {
+        if let Some(broken) = w.violations.first() {
             return Err(format!("a rule broke: {broken}"));
         }
         if w.now > last && w.jobs.values().all(|j| j.done_at.is_some()) {
@@ -159,7 +159,7 @@
     let mut out = Replayed {
         unseen: runs.len() - told.len(),
         left_aside,
-        leaders: w.leaders,
+        leaders: w.elected_leaders,
         span_s: w.now.as_secs_f64(),
         ..Replayed::default()
     };
@@ -209,7 +209,7 @@
     ((most * 1.35 / CPUS).ceil() as usize).clamp(3, 2_000)
 }
 
-fn truth_of(n: usize, run: &Run) -> Truth {
+fn truth_of(n: usize, run: &Run) -> JobGroundTruth {
     let spec = JobSpec {
         id: id_of(n),
         class: run.class.clone(),
@@ -236,22 +236,18 @@
         save_s: 0.0,
         deadline_s: None,
     };
-    Truth {
-        run: Micros::from_secs_f64(run.ran_s),
+    JobGroundTruth {
+        run_time: Micros::from_secs_f64(run.ran_s),
         done: vec![false; run.tasks as usize],
         spec: Rc::new(spec),
-        ..Truth::new(id_of(n))
+        ..JobGroundTruth::new(id_of(n))
     }
 }
 
 /// Twice a second, whoever leads is asked about jobs that are newly seen running.
-fn look(w: &mut World, watch: Rc<RefCell<Watch>>) {
+fn look(w: &mut Simulation, watch: Rc<RefCell<Watch>>) {
     let now = w.now;
-    if let Some(scheduler) = w
-        .leader()
-        .and_then(|i| w.nodes[i].lead.as_ref())
-        .map(|l| &l.scheduler)
-    {
+    if let Some(scheduler) = w.leading_scheduler() {
         let mut watch_now = watch.borrow_mut();
         let mut told = Vec::new();
         for (id, n) in &watch_now.open {
@@ -292,7 +288,7 @@
     w.after(Micros::from_millis(500), move |w| look(w, watch));
 }
 
-fn kill(w: &mut World, every: Micros) {
+fn kill(w: &mut Simulation, every: Micros) {
     w.after(every, move |w| {
         if let Some(i) = w.leader() {
             w.crash_node(i, Micros::from_secs(6));
--- a/crates/hopyoke-simulator/src/worker.rs
+++ b/crates/hopyoke-simulator/src/agent.rs
@@ -1,6 +1,6 @@
 //! Workers, as the protocol describes them.
 
-use super::{Host, World};
+use super::{Host, Simulation};
 use hopyoke_protocol::user::JobKind;
 use hopyoke_protocol::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use hopyoke_types::Micros;
@@ -8,90 +8,90 @@
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone)]
-pub struct Task {
-    pub state: TaskState,
-    pub why: Option<ExitReason>,
-    pub saved: bool,
-    pub started: Micros,
+pub(crate) struct Task {
+    pub(crate) state: TaskState,
+    pub(crate) why: Option<ExitReason>,
+    pub(crate) saved: bool,
+    pub(crate) started: Micros,
 }
 
 /// 200 with orders, or another status, perhaps with the node to go to.
-pub type Answer = Result<(FencingToken, Vec<Command>), Option<usize>>;
+pub(crate) type Answer = Result<(FencingToken, Vec<Command>), Option<usize>>;
 
-pub struct Worker {
-    pub id: MachineId,
-    pub kind: String,
-    pub zone: String,
-    pub spot: bool,
-    pub drift: f64,
-    pub up: bool,
-    pub rented_at: Micros,
-    pub hung_until: Micros,
+pub(crate) struct Agent {
+    pub(crate) id: MachineId,
+    pub(crate) kind: String,
+    pub(crate) zone: String,
+    pub(crate) spot: bool,
+    pub(crate) drift: f64,
+    pub(crate) up: bool,
+    pub(crate) created_at: Micros,
+    pub(crate) hangs_until: Micros,
     /// Until then its reports arrive, but answers and direct orders to it are lost.
-    pub deaf_until: Micros,
+    pub(crate) responses_lost_until: Micros,
     /// Until then it reaches no controller, while direct orders reach it.
-    pub mute_until: Micros,
+    pub(crate) outbound_lost_until: Micros,
     /// Until then direct orders to it are under way, and arrive.
-    pub orders_held_until: Micros,
+    pub(crate) commands_held_until: Micros,
     /// Until then answers to its reports, and its own to direct orders, are under way.
-    pub answers_held_until: Micros,
-    pub sick: bool,
+    pub(crate) responses_held_until: Micros,
+    pub(crate) is_faulty: bool,
     /// How many times as long tasks take here.
-    pub slowness: f64,
-    pub epoch: u64,
-    pub sequence: u64,
-    pub token: FencingToken,
-    pub notice: Option<Micros>,
-    pub tasks: BTreeMap<(TaskId, Attempt), Task>,
-    pub images: Vec<String>,
+    pub(crate) slowdown: f64,
+    pub(crate) epoch: u64,
+    pub(crate) sequence: u64,
+    pub(crate) token: FencingToken,
+    pub(crate) preemption_at: Option<Micros>,
+    pub(crate) tasks: BTreeMap<(TaskId, Attempt), Task>,
+    pub(crate) images: Vec<String>,
     /// The lease runs from here.
-    pub lease_from: Micros,
-    pub node: usize,
+    pub(crate) lease_started_at: Micros,
+    pub(crate) node: usize,
     /// Number of the report in flight.
-    pub in_flight: Option<u64>,
-    pub last_report: Micros,
-    wanted: bool,
+    pub(crate) in_flight: Option<u64>,
+    pub(crate) last_heartbeat_at: Micros,
+    heartbeat_scheduled: bool,
 }
 
-impl Worker {
-    pub fn new(
+impl Agent {
+    pub(crate) fn new(
         id: MachineId,
         kind: &str,
         zone: &str,
         spot: bool,
         drift: f64,
         now: Micros,
-    ) -> Worker {
-        Worker {
+    ) -> Agent {
+        Agent {
             id,
             kind: kind.to_owned(),
             zone: zone.to_owned(),
             spot,
             drift,
             up: false,
-            rented_at: now,
-            hung_until: Micros::ZERO,
-            deaf_until: Micros::ZERO,
-            mute_until: Micros::ZERO,
-            orders_held_until: Micros::ZERO,
-            answers_held_until: Micros::ZERO,
-            sick: false,
-            slowness: 1.0,
+            created_at: now,
+            hangs_until: Micros::ZERO,
+            responses_lost_until: Micros::ZERO,
+            outbound_lost_until: Micros::ZERO,
+            commands_held_until: Micros::ZERO,
+            responses_held_until: Micros::ZERO,
+            is_faulty: false,
+            slowdown: 1.0,
             epoch: 1,
             sequence: 0,
             token: FencingToken(0),
-            notice: None,
+            preemption_at: None,
             tasks: BTreeMap::new(),
             images: Vec::new(),
-            lease_from: now,
+            lease_started_at: now,
             node: 0,
             in_flight: None,
-            last_report: Micros::ZERO,
-            wanted: false,
+            last_heartbeat_at: Micros::ZERO,
+            heartbeat_scheduled: false,
         }
     }
 
-    pub fn heartbeat(&mut self, now: Micros) -> Heartbeat {
+    pub(crate) fn heartbeat(&mut self, now: Micros) -> Heartbeat {
         self.sequence += 1;
         let tasks = self
             .tasks
@@ -116,24 +116,24 @@
             epoch: self.epoch,
             sequence: self.sequence,
             token: self.token,
-            preemption_notice_s: self.notice.map(|t| (t - now).as_secs_f64()),
+            preemption_notice_s: self.preemption_at.map(|t| (t - now).as_secs_f64()),
             tasks,
         }
     }
 }
 
 /// How long a report is in the form in which the protocol counts its limit.
-pub fn heartbeat_chars(heartbeat: &Heartbeat) -> usize {
+pub(crate) fn heartbeat_chars(heartbeat: &Heartbeat) -> usize {
     let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
     let of = |t: &TaskStatus| 62 + t.task.len() + digits(t.attempt.0);
     220 + heartbeat.tasks.iter().map(of).sum::<usize>()
 }
 
 /// A body may have this many.
-pub const MOST_CHARS: usize = 64 * 1024;
+pub(crate) const MAX_HEARTBEAT_CHARS: usize = 64 * 1024;
 
-impl World {
-    pub fn boot(&mut self, id: &MachineId) {
+impl Simulation {
+    pub(crate) fn boot(&mut self, id: &MachineId) {
         let nodes = self.nodes.len() as u64;
         let node = self.random(0, nodes - 1) as usize;
         let now = self.now;
@@ -141,22 +141,22 @@
             return;
         };
         m.up = true;
-        m.lease_from = now;
+        m.lease_started_at = now;
         m.node = node;
         let id = id.clone();
-        self.worker_turn(&id);
-        self.worker_loop(&id);
+        self.send_heartbeat(&id);
+        self.run_heartbeat_timer(&id);
     }
 
     /// The worker's own timer.
-    fn worker_loop(&mut self, id: &MachineId) {
-        let base = self.cfg.heartbeat_interval.0;
+    fn run_heartbeat_timer(&mut self, id: &MachineId) {
+        let base = self.config.heartbeat_interval.0;
         let wait = Micros(self.random(base * 3 / 4, base * 5 / 4));
         let m = id.clone();
         self.after(wait, move |w| {
             if w.machines.contains_key(&m) {
-                w.worker_turn(&m);
-                w.worker_loop(&m);
+                w.send_heartbeat(&m);
+                w.run_heartbeat_timer(&m);
             }
         });
         let m = id.clone();
@@ -165,16 +165,16 @@
 
     /// Kills everything when the last answered report was sent too long ago.
     fn lease_check(&mut self, id: &MachineId) {
-        let lease = self.cfg.lease;
+        let lease = self.config.lease;
         let now = self.now;
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
         let limit = Micros((lease.0 as f64 * (1.0 + m.drift)) as u64);
-        if now > m.lease_from + limit {
+        if now > m.lease_started_at + limit {
             m.epoch += 1;
-            self.lapses += 1;
-            m.lease_from = now;
+            self.expired_epochs += 1;
+            m.lease_started_at = now;
             m.in_flight = None;
             let gone: Vec<(TaskId, Attempt)> = std::mem::take(&mut m.tasks).into_keys().collect();
             self.log(|| format!("{id} session over, {} tasks killed", gone.len()));
@@ -182,16 +182,16 @@
                 self.gang_lost(&t.job, a);
             }
         } else {
-            let at = m.lease_from + limit + Micros(1);
+            let at = m.lease_started_at + limit + Micros(1);
             let id = id.clone();
             self.at(at, move |w| w.lease_check(&id));
         }
     }
 
-    pub fn hung(&self, id: &MachineId) -> Option<Micros> {
+    pub(crate) fn paused_until(&self, id: &MachineId) -> Option<Micros> {
         self.machines
             .get(id)
-            .map(|m| m.hung_until)
+            .map(|m| m.hangs_until)
             .filter(|t| *t > self.now)
     }
 
@@ -200,38 +200,38 @@
         &mut self,
         id: &MachineId,
         span: Micros,
-        step: impl FnOnce(&mut World) + 'static,
+        step: impl FnOnce(&mut Simulation) + 'static,
     ) {
         let id = id.clone();
-        self.after(span, move |w| match w.hung(&id) {
+        self.after(span, move |w| match w.paused_until(&id) {
             Some(t) => w.on_machine(&id, t - w.now, step),
             None => step(w),
         });
     }
 
     /// Reports soon, because something has changed.
-    pub fn heartbeat_soon(&mut self, id: &MachineId) {
+    pub(crate) fn schedule_heartbeat(&mut self, id: &MachineId) {
         let now = self.now;
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        if std::mem::replace(&mut m.wanted, true) {
+        if std::mem::replace(&mut m.heartbeat_scheduled, true) {
             return;
         }
-        let at = now.max(m.last_report + Micros::from_millis(500));
+        let at = now.max(m.last_heartbeat_at + Micros::from_millis(500));
         let id = id.clone();
         self.at(at, move |w| {
             if let Some(m) = w.machines.get_mut(&id) {
-                m.wanted = false;
-                w.worker_turn(&id);
+                m.heartbeat_scheduled = false;
+                w.send_heartbeat(&id);
             }
         });
     }
 
-    fn worker_turn(&mut self, id: &MachineId) {
-        if let Some(t) = self.hung(id) {
+    fn send_heartbeat(&mut self, id: &MachineId) {
+        if let Some(t) = self.paused_until(id) {
             let m = id.clone();
-            return self.at(t, move |w| w.worker_turn(&m));
+            return self.at(t, move |w| w.send_heartbeat(&m));
         }
         let now = self.now;
         let Some(m) = self.machines.get_mut(id) else {
@@ -243,56 +243,64 @@
         let heartbeat = m.heartbeat(now);
         let number = m.sequence;
         m.in_flight = Some(number);
-        m.last_report = now;
+        m.last_heartbeat_at = now;
         let node = m.node;
         let me = id.clone();
-        if self.no_room.get(id).is_some_and(|t| now < *t) {
+        if self
+            .connections_refused_until
+            .get(id)
+            .is_some_and(|t| now < *t)
+        {
             // Its connection finds no room.
-            let (s, me) = (m_session(self, id), me);
+            let (s, me) = (agent_epoch(self, id), me);
             return self.after(Micros::from_millis(1), move |w| {
-                w.heartbeat_answered(&me, s, number, now, Some(Err(None)));
+                w.receive_heartbeat_response(&me, s, number, now, Some(Err(None)));
             });
         }
-        let epoch = m_session(self, id);
-        if self.machines.get(id).is_some_and(|m| now < m.mute_until) {
+        let epoch = agent_epoch(self, id);
+        if self
+            .machines
+            .get(id)
+            .is_some_and(|m| now < m.outbound_lost_until)
+        {
             // It opens no connection.
             return self.after(Micros::from_secs(4), move |w| {
-                w.heartbeat_answered(&me, epoch, number, now, None)
+                w.receive_heartbeat_response(&me, epoch, number, now, None)
             });
         }
-        if self.hits(self.late_reports) {
+        if self.draws_fault(self.duplicated_heartbeats) {
             // A copy arrives again, up to well over a lease later.
             let copy = heartbeat.clone();
-            let span = Micros(self.random(2_000_000, self.cfg.lease.0 * 8 / 5));
+            let span = Micros(self.random(2_000_000, self.config.lease.0 * 8 / 5));
             self.after(span, move |w| {
-                let from = w.worker(&copy.machine);
+                let from = w.agent_host(&copy.machine);
                 w.send(from, Host::Node(node), move |w| {
                     w.node_heartbeat(node, copy, number, true)
                 });
             });
         }
-        if self.hits(self.reports_for_next.copied) {
-            self.reports_for_next.kept.push(heartbeat.clone());
+        if self.draws_fault(self.heartbeats_for_next_leader.copied) {
+            self.heartbeats_for_next_leader.kept.push(heartbeat.clone());
         }
-        if self.hits(self.reports_for_next.held) {
-            self.reports_for_next.kept.push(heartbeat);
+        if self.draws_fault(self.heartbeats_for_next_leader.held) {
+            self.heartbeats_for_next_leader.kept.push(heartbeat);
         } else {
-            self.send(self.worker(id), Host::Node(node), move |w| {
+            self.send(self.agent_host(id), Host::Node(node), move |w| {
                 w.node_heartbeat(node, heartbeat, number, false)
             });
         }
         self.after(Micros::from_secs(4), move |w| {
-            w.heartbeat_answered(&me, epoch, number, now, None);
+            w.receive_heartbeat_response(&me, epoch, number, now, None);
         });
     }
 
     /// A new leader begins: reports that were kept for it reach every controller, out of order.
-    pub fn next_leader_begins(&mut self) {
-        for heartbeat in std::mem::take(&mut self.reports_for_next.kept) {
+    pub(crate) fn deliver_heartbeats_held_for_leader(&mut self) {
+        for heartbeat in std::mem::take(&mut self.heartbeats_for_next_leader.kept) {
             for node in 0..self.nodes.len() {
                 let (heartbeat, sequence) = (heartbeat.clone(), heartbeat.sequence);
-                self.after(self.reports_for_next.after, move |w| {
-                    let from = w.worker(&heartbeat.machine);
+                self.after(self.heartbeats_for_next_leader.after, move |w| {
+                    let from = w.agent_host(&heartbeat.machine);
                     w.send(from, Host::Node(node), move |w| {
                         w.node_heartbeat(node, heartbeat, sequence, true)
                     });
@@ -302,7 +310,7 @@
     }
 
     /// An answer to a report, or its absence. `Some(Ok)`: 200, `Some(Err)`: another node.
-    pub fn heartbeat_answered(
+    pub(crate) fn receive_heartbeat_response(
         &mut self,
         id: &MachineId,
         epoch: u64,
@@ -310,10 +318,10 @@
         sent: Micros,
         answer: Option<Answer>,
     ) {
-        if let Some(t) = self.hung(id) {
+        if let Some(t) = self.paused_until(id) {
             let id = id.clone();
             return self.at(t, move |w| {
-                w.heartbeat_answered(&id, epoch, number, sent, answer)
+                w.receive_heartbeat_response(&id, epoch, number, sent, answer)
             });
         }
         let nodes = self.nodes.len();
@@ -321,13 +329,13 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        if now < m.deaf_until && answer.is_some() {
+        if now < m.responses_lost_until && answer.is_some() {
             return;
         }
-        if now < m.answers_held_until && answer.is_some() {
-            let (id, until) = (id.clone(), m.answers_held_until);
+        if now < m.responses_held_until && answer.is_some() {
+            let (id, until) = (id.clone(), m.responses_held_until);
             return self.at(until, move |w| {
-                w.heartbeat_answered(&id, epoch, number, sent, answer)
+                w.receive_heartbeat_response(&id, epoch, number, sent, answer)
             });
         }
         if m.in_flight != Some(number) || m.epoch != epoch {
@@ -346,9 +354,9 @@
                 if token >= m.token {
                     let higher = token > m.token;
                     m.token = token;
-                    m.lease_from = sent;
+                    m.lease_started_at = sent;
                     if higher {
-                        self.heartbeat_soon(id);
+                        self.schedule_heartbeat(id);
                     }
                     self.execute(id, commands);
                 }
@@ -356,18 +364,18 @@
             Some(Err(Some(to))) if to != m.node => {
                 m.node = to;
                 let id = id.clone();
-                self.after(Micros::from_millis(100), move |w| w.worker_turn(&id));
+                self.after(Micros::from_millis(100), move |w| w.send_heartbeat(&id));
             }
             _ => {
                 m.node = (m.node + 1) % nodes;
                 let id = id.clone();
-                self.after(Micros::from_secs(1), move |w| w.worker_turn(&id));
+                self.after(Micros::from_secs(1), move |w| w.send_heartbeat(&id));
             }
         }
     }
 
     /// Orders sent straight to a worker; `None`: hanging or gone, no answer (now).
-    pub fn direct(
+    pub(crate) fn receive_pushed_commands(
         &mut self,
         id: &MachineId,
         token: FencingToken,
@@ -376,7 +384,10 @@
     ) -> Option<(bool, Heartbeat)> {
         self.digest_pushed_commands(token, epoch, &commands);
         let now = self.now;
-        let m = self.machines.get_mut(id).filter(|m| now >= m.deaf_until)?;
+        let m = self
+            .machines
+            .get_mut(id)
+            .filter(|m| now >= m.responses_lost_until)?;
         let ok = token >= m.token && epoch == m.epoch;
         if ok {
             m.token = token;
@@ -386,7 +397,7 @@
         Some((ok, m.heartbeat(now)))
     }
 
-    pub fn execute(&mut self, id: &MachineId, commands: Vec<Command>) {
+    pub(crate) fn execute(&mut self, id: &MachineId, commands: Vec<Command>) {
         for command in commands {
             self.log(|| format!("{id} {command:?}"));
             match command {
@@ -415,7 +426,7 @@
             return;
         };
         let spec = self.jobs.get(&task.job).map(|j| j.spec.clone());
-        let types = self.types.clone();
+        let types = self.machine_types.clone();
         let Some(m) = self.machines.get(id) else {
             return;
         };
@@ -469,7 +480,7 @@
             },
         );
         let (Some(spec), None) = (spec, why) else {
-            return self.heartbeat_soon(id);
+            return self.schedule_heartbeat(id);
         };
         let cached = m.images.contains(&spec.image);
         let rate = kind.map_or(1.0, |k| k.fetch_gb_per_s);
@@ -480,7 +491,7 @@
         };
         let epoch = m.epoch;
         let me = id.clone();
-        self.heartbeat_soon(id);
+        self.schedule_heartbeat(id);
         self.on_machine(id, fetch, move |w| w.fetched(&me, epoch, task, attempt));
     }
 
@@ -503,27 +514,31 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        job.starts += 1;
-        job.began.get_or_insert(self.now);
-        let (spec, done, fails) = (job.spec.clone(), job.done[task.index as usize], job.fails);
-        self.check_start(id, &task);
+        job.start_count += 1;
+        job.first_started_at.get_or_insert(self.now);
+        let (spec, done, fails) = (
+            job.spec.clone(),
+            job.done[task.index as usize],
+            job.always_fails,
+        );
+        self.check_task_start(id, &task);
         if let Some(m) = self.machines.get_mut(id)
             && !m.images.contains(&spec.image)
         {
             m.images.push(spec.image.clone());
         }
-        let sick = self.machines.get(id).is_some_and(|m| m.sick);
+        let is_faulty = self.machines.get(id).is_some_and(|m| m.is_faulty);
         if done {
             return self.exit(id, &key, ExitReason::Done, false);
         }
-        if sick || fails {
+        if is_faulty || fails {
             return self.exit(id, &key, ExitReason::Error, false);
         }
         if spec.kind == JobKind::Gang {
             if let Some(t) = self.live(id, epoch, &key) {
                 t.state = TaskState::Waiting;
             }
-            let wait = self.cfg.gang_wait;
+            let wait = self.config.gang_wait;
             let (me, k) = (id.clone(), key.clone());
             self.on_machine(id, wait, move |w| {
                 if w.live(&me, epoch, &k)
@@ -532,7 +547,7 @@
                     w.exit(&me, &k, ExitReason::Incomplete, false);
                 }
             });
-            self.heartbeat_soon(id);
+            self.schedule_heartbeat(id);
             return self.gang_ready(&task.job, attempt);
         }
         self.begin(id, epoch, &key);
@@ -544,14 +559,14 @@
             t.state = TaskState::Running;
             t.started = now;
         }
-        self.heartbeat_soon(id);
+        self.schedule_heartbeat(id);
         let Some(job) = self.jobs.get(&key.0.job) else {
             return;
         };
         if job.spec.kind == JobKind::Service {
             return;
         }
-        let left = job.run - job.saved;
+        let left = job.run_time - job.checkpointed;
         let gang = job.spec.kind == JobKind::Gang;
         // A gang runs at its slowest.
         let on = if gang {
@@ -561,16 +576,16 @@
         };
         let slowest = on
             .iter()
-            .filter_map(|(m, _)| Some(self.machines.get(m)?.slowness))
+            .filter_map(|(m, _)| Some(self.machines.get(m)?.slowdown))
             .fold(1.0, f64::max);
         let slowest = if gang {
             slowest
         } else {
-            self.machines.get(id).map_or(1.0, |m| m.slowness)
+            self.machines.get(id).map_or(1.0, |m| m.slowdown)
         };
         let left = Micros((left.0 as f64 * slowest) as u64);
         let (me, k) = (id.clone(), key.clone());
-        self.ends_in(&key.0, left);
+        self.task_ends_in(&key.0, left);
         self.on_machine(id, left, move |w| w.complete(&me, epoch, &k));
     }
 
@@ -595,7 +610,7 @@
             .jobs
             .get(&key.0.job)
             .is_some_and(|j| members.len() == j.spec.tasks as usize);
-        if gang && (!whole || members.iter().any(|(m, _)| self.hung(m).is_some())) {
+        if gang && (!whole || members.iter().any(|(m, _)| self.paused_until(m).is_some())) {
             return;
         }
         for (m, task) in members {
@@ -612,7 +627,7 @@
             .get(&key.0.job)
             .is_some_and(|j| j.done_at.is_some())
         {
-            self.at_end(&key.0.job);
+            self.job_ending(&key.0.job);
         }
     }
 
@@ -633,22 +648,22 @@
         let Some(truth) = self.jobs.get(job) else {
             return;
         };
-        let waiting = |w: &World, m: &MachineId, t: &TaskId| {
+        let is_waiting = |w: &Simulation, m: &MachineId, t: &TaskId| {
             w.machines[m].tasks[&(t.clone(), attempt)].state == TaskState::Waiting
         };
         if members.len() == truth.spec.tasks as usize
-            && members.iter().all(|(m, t)| waiting(self, m, t))
+            && members.iter().all(|(m, t)| is_waiting(self, m, t))
         {
             for (m, t) in members {
-                let s = m_session(self, &m);
+                let s = agent_epoch(self, &m);
                 self.begin(&m, s, &(t, attempt));
             }
         }
     }
 
     /// The other tasks of a running gang notice that one is gone.
-    pub fn gang_lost(&mut self, job: &JobId, attempt: Attempt) {
-        let peer = self.cfg.gang_peer;
+    pub(crate) fn gang_lost(&mut self, job: &JobId, attempt: Attempt) {
+        let peer = self.config.gang_peer;
         if self
             .jobs
             .get(job)
@@ -660,7 +675,7 @@
             let key = (t, attempt);
             let running = self.machines[&m].tasks[&key].state;
             if matches!(running, TaskState::Running | TaskState::Saving) {
-                let s = m_session(self, &m);
+                let s = agent_epoch(self, &m);
                 let wait = Micros(self.random(0, peer.0));
                 self.on_machine(&m.clone(), wait, move |w| {
                     if w.live(&m, s, &key).is_some() {
@@ -676,7 +691,7 @@
             return;
         };
         let key = (task, attempt);
-        let epoch = m_session(self, id);
+        let epoch = agent_epoch(self, id);
         let Some(job) = self.jobs.get(&key.0.job) else {
             return;
         };
@@ -695,7 +710,7 @@
         t.state = TaskState::Saving;
         let progress = self.now - self.machines[id].tasks[&key].started;
         let me = id.clone();
-        self.heartbeat_soon(id);
+        self.schedule_heartbeat(id);
         self.on_machine(id, Micros::from_secs_f64(spec.save_s), move |w| {
             if w.live(&me, epoch, &key)
                 .is_none_or(|t| t.state != TaskState::Saving)
@@ -704,7 +719,7 @@
             }
             let whole = w.members(&key.0.job, key.1).len() as u32 == spec.tasks;
             if whole && let Some(job) = w.jobs.get_mut(&key.0.job) {
-                job.saved = (job.saved + progress).min(job.run);
+                job.checkpointed = (job.checkpointed + progress).min(job.run_time);
             }
             w.exit(&me, &key, ExitReason::Stopped, whole);
         });
@@ -717,13 +732,13 @@
             t.saved = saved;
         }
         self.log(|| format!("{id} {} exits: {why:?}", key.0));
-        self.heartbeat_soon(id);
+        self.schedule_heartbeat(id);
         if why != ExitReason::Done {
             self.gang_lost(&key.0.job, key.1);
         }
     }
 }
 
-pub fn m_session(w: &World, id: &MachineId) -> u64 {
+pub(crate) fn agent_epoch(w: &Simulation, id: &MachineId) -> u64 {
     w.machines.get(id).map_or(0, |m| m.epoch)
 }
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -1,8 +1,8 @@
 //! What controllers answer users, as the daemon's routines of that name do it: any node by itself, from its
 //! final states, its core or the records.
 
-use super::store::{Entry, Mutation, Value};
-use super::{Host, World};
+use super::kv_store::{Entry, Mutation, Value};
+use super::{Host, Simulation};
 use hopyoke_protocol::user::{JobSpec, JobState};
 use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
 use hopyoke_types::{JobId, Micros, ModRevision};
@@ -10,14 +10,14 @@
 use std::rc::Rc;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Request {
+pub(crate) enum Request {
     Submit,
     Poll,
     Cancel,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub(crate) enum Answer {
     /// 200, or 201: accepted and not over.
     Unfinished,
     /// 200: done or cancelled.
@@ -29,11 +29,11 @@
     /// 422.
     NeverRuns,
     /// 503: to be asked again after so long.
-    Later(Micros),
+    RetryAfter(Micros),
 }
 
 /// What becomes of an answer, where it arrives.
-pub type Reply = Box<dyn FnOnce(&mut World, Answer)>;
+pub(crate) type Reply = Box<dyn FnOnce(&mut Simulation, Answer)>;
 
 /// A job's record, wherever it is.
 enum Lookup {
@@ -53,54 +53,62 @@
 }
 
 /// Times that the daemon's `links`, `replica` and `records` set.
-const ASK_LEADER: Micros = Micros::from_millis(500);
-const ASK_PEER: Micros = Micros::from_millis(1_800);
-const GATHER: Micros = Micros::from_millis(40);
-const RETRY: Micros = Micros::from_secs(1);
-const CANCEL_FOR: Micros = Micros::from_secs(2);
+const LEADER_REQUEST_TIMEOUT: Micros = Micros::from_millis(500);
+const PEER_REQUEST_TIMEOUT: Micros = Micros::from_millis(1_800);
+const READ_BATCH_WINDOW: Micros = Micros::from_millis(40);
+const RETRY_AFTER: Micros = Micros::from_secs(1);
+const CANCEL_RETRY_LIMIT: Micros = Micros::from_secs(2);
 
-impl World {
+impl Simulation {
     /// A user's request at a node. Where no answer can be had nothing is replied.
-    pub(crate) fn take_request(&mut self, i: usize, id: JobId, what: Request, reply: Reply) {
+    pub(crate) fn take_request(&mut self, i: usize, id: JobId, request: Request, reply: Reply) {
         let leader = self.nodes[i]
-            .leader_seen
-            .filter(|l| *l != i && self.nodes[i].lead.is_none());
-        if let (Request::Poll, Some(leader)) = (what, leader) {
+            .observed_leader
+            .filter(|l| *l != i && self.nodes[i].leadership.is_none());
+        if let (Request::Poll, Some(leader)) = (request, leader) {
             // The leader answers best; without its answer the node's own.
             return self.pass_on(
                 i,
                 leader,
                 id,
-                what,
-                ASK_LEADER,
+                request,
+                LEADER_REQUEST_TIMEOUT,
                 reply,
-                |w, i, id, what, reply| {
-                    w.own_or_peers_answer(i, id, what, reply);
+                |w, i, id, request, reply| {
+                    w.own_or_peers_answer(i, id, request, reply);
                 },
             );
         }
-        self.own_or_peers_answer(i, id, what, reply);
+        self.own_or_peers_answer(i, id, request, reply);
     }
 
     /// A node that the state service does not answer passes the request to a peer that it answers.
-    fn own_or_peers_answer(&mut self, i: usize, id: JobId, what: Request, reply: Reply) {
-        let reaches = |w: &World, j: usize| {
-            !w.state_refuses(j) && w.cut(Host::Node(j), Host::State).is_none()
+    fn own_or_peers_answer(&mut self, i: usize, id: JobId, request: Request, reply: Reply) {
+        let reaches = |w: &Simulation, j: usize| {
+            !w.store_rejects(j) && w.partition_between(Host::Node(j), Host::KvStore).is_none()
         };
         if reaches(self, i) {
-            return self.own_answer(i, id, what, reply);
+            return self.own_answer(i, id, request, reply);
         }
         let peer =
             (0..self.nodes.len()).find(|j| *j != i && self.nodes[*j].up && reaches(self, *j));
         match peer {
-            Some(j) => self.pass_on(i, j, id, what, ASK_PEER, reply, |w, _, _, _, reply| {
-                reply(w, Answer::Later(RETRY));
-            }),
-            None => reply(self, Answer::Later(RETRY)),
+            Some(j) => self.pass_on(
+                i,
+                j,
+                id,
+                request,
+                PEER_REQUEST_TIMEOUT,
+                reply,
+                |w, _, _, _, reply| {
+                    reply(w, Answer::RetryAfter(RETRY_AFTER));
+                },
+            ),
+            None => reply(self, Answer::RetryAfter(RETRY_AFTER)),
         }
     }
 
-    /// Passes a request to a peer; without an answer of its in time, `else_` is done. What it answers later
+    /// Passes a request to a peer; without an answer of its in time, `fallback` is done. What it answers later
     /// counts for nothing.
     #[allow(clippy::too_many_arguments)]
     fn pass_on(
@@ -108,10 +116,10 @@
         i: usize,
         peer: usize,
         id: JobId,
-        what: Request,
+        request: Request,
         limit: Micros,
         reply: Reply,
-        else_: impl FnOnce(&mut World, usize, JobId, Request, Reply) + 'static,
+        fallback: impl FnOnce(&mut Simulation, usize, JobId, Request, Reply) + 'static,
     ) {
         let process = self.nodes[i].process;
         let reply = Rc::new(RefCell::new(Some(reply)));
@@ -120,16 +128,16 @@
             if w.alive(i, process)
                 && let Some(reply) = late.take()
             {
-                else_(w, i, job, what, reply);
+                fallback(w, i, job, request, reply);
             }
         });
         self.send(Host::Node(i), Host::Node(peer), move |w| {
             if !w.nodes[peer].up {
                 return;
             }
-            let back = Box::new(move |w: &mut World, answer: Answer| {
+            let back = Box::new(move |w: &mut Simulation, answer: Answer| {
                 // The peer could not decide either: as if it had not answered.
-                if matches!(answer, Answer::Later(_)) {
+                if matches!(answer, Answer::RetryAfter(_)) {
                     return;
                 }
                 w.send(Host::Node(peer), Host::Node(i), move |w| {
@@ -140,62 +148,62 @@
                     }
                 });
             });
-            w.own_answer(peer, id, what, back);
+            w.own_answer(peer, id, request, back);
         });
     }
 
     /// What the node itself answers.
-    fn own_answer(&mut self, i: usize, id: JobId, what: Request, reply: Reply) {
+    fn own_answer(&mut self, i: usize, id: JobId, request: Request, reply: Reply) {
         let process = self.nodes[i].process;
-        match what {
+        match request {
             Request::Submit => self.submit_at(i, process, id, reply),
             Request::Poll => self.poll_at(i, process, id, reply),
             Request::Cancel => {
-                let until = self.now + CANCEL_FOR;
+                let until = self.now + CANCEL_RETRY_LIMIT;
                 self.cancel_at(i, process, id, until, reply);
             }
         }
     }
 
     fn poll_at(&mut self, i: usize, process: u64, id: JobId, reply: Reply) {
-        if let Some(end) = self.nodes[i].finals.get(&id).copied() {
+        if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
             return reply(self, Answer::Finished(end));
         }
-        if self.lead(i, process).is_none() {
-            return self.lookup(i, process, id, move |w, found| reply(w, found.answer()));
+        if self.leadership(i, process).is_none() {
+            return self.look_up(i, process, id, move |w, found| reply(w, found.answer()));
         }
         // Whatever was written before the poll arrived is in the core once a question that was sent
         // afterwards is answered; one serves all that wait.
-        let gather = Micros(self.random(0, GATHER.0));
+        let gather = Micros(self.random(0, READ_BATCH_WINDOW.0));
         self.timer(i, gather, move |w| {
-            let Some(applied) = w.lead(i, process).map(|l| l.scheduler.applied()) else {
+            let Some(applied) = w.leadership(i, process).map(|l| l.scheduler.applied()) else {
                 return;
             };
             let sent = w.now;
-            w.send(Host::Node(i), Host::State, move |w| {
-                if w.state_refuses(i) {
+            w.send(Host::Node(i), Host::KvStore, move |w| {
+                if w.store_rejects(i) {
                     return;
                 }
-                let news = w.news_since(applied);
-                w.send(Host::State, Host::Node(i), move |w| {
-                    if w.lead(i, process).is_none() {
+                let news = w.record_changes_since(applied);
+                w.send(Host::KvStore, Host::Node(i), move |w| {
+                    if w.leadership(i, process).is_none() {
                         return;
                     }
-                    w.take_news(i, process, news, sent);
-                    if w.lead(i, process)
+                    w.apply_record_changes(i, process, news, sent);
+                    if w.leadership(i, process)
                         .is_some_and(|l| l.scheduler.jobs.contains_key(&id))
                     {
                         return reply(w, Answer::Unfinished);
                     }
-                    w.lookup_ended(i, process, id, reply);
+                    w.look_up_ended(i, process, id, reply);
                 });
             });
         });
     }
 
     /// Of a job that is not among the unfinished ones, so most likely over.
-    fn lookup_ended(&mut self, i: usize, process: u64, id: JobId, reply: Reply) {
-        if let Some(end) = self.nodes[i].finals.get(&id).copied() {
+    fn look_up_ended(&mut self, i: usize, process: u64, id: JobId, reply: Reply) {
+        if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
             return reply(self, Answer::Finished(end));
         }
         self.read(
@@ -211,20 +219,20 @@
                     w.found_ended(i, &id, end.state, ModRevision(mod_revision));
                     reply(w, Answer::Finished(end.state));
                 }
-                _ => w.lookup(i, process, id, move |w, found| reply(w, found.answer())),
+                _ => w.look_up(i, process, id, move |w, found| reply(w, found.answer())),
             },
         );
     }
 
     /// A record only ever moves from `job/` to `end/`: read in this order it can't be missed.
-    fn lookup(
+    fn look_up(
         &mut self,
         i: usize,
         process: u64,
         id: JobId,
-        then: impl FnOnce(&mut World, Lookup) + 'static,
+        then: impl FnOnce(&mut Simulation, Lookup) + 'static,
     ) {
-        if let Some(end) = self.nodes[i].finals.get(&id).copied() {
+        if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
             return then(self, Lookup::Finished(end));
         }
         self.read(i, process, format!("job/{id}"), move |w, found| {
@@ -260,14 +268,14 @@
         i: usize,
         process: u64,
         key: String,
-        then: impl FnOnce(&mut World, Option<Entry>) + 'static,
+        then: impl FnOnce(&mut Simulation, Option<Entry>) + 'static,
     ) {
-        self.send(Host::Node(i), Host::State, move |w| {
-            if w.state_refuses(i) || !w.state_takes(0) {
+        self.send(Host::Node(i), Host::KvStore, move |w| {
+            if w.store_rejects(i) || !w.store_accepts(0) {
                 return;
             }
-            let found = w.store.keys.get(&key).cloned();
-            w.send(Host::State, Host::Node(i), move |w| {
+            let found = w.kv_store.keys.get(&key).cloned();
+            w.send(Host::KvStore, Host::Node(i), move |w| {
                 if w.alive(i, process) {
                     then(w, found);
                 }
@@ -279,34 +287,45 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let (flow, body) = (job.flow, job.body.as_deref().map(JobSpec::parse));
+        let (flow, body) = (
+            job.is_workflow_step,
+            job.malformed_body.as_deref().map(JobSpec::parse),
+        );
         let spec = match body {
             None => (*job.spec).clone(),
             Some(Ok(spec)) => spec,
             Some(Err(_)) => return reply(self, Answer::Malformed),
         };
-        if !flow && never_runs(&spec, &self.types, &self.cfg.zones, &self.cfg.teams).is_some() {
+        if !flow
+            && never_runs(
+                &spec,
+                &self.machine_types,
+                &self.config.zones,
+                &self.config.teams,
+            )
+            .is_some()
+        {
             // An accepted job stays accepted, whatever the catalog says now.
-            return self.lookup(i, process, id, move |w, found| match found {
+            return self.look_up(i, process, id, move |w, found| match found {
                 Lookup::Missing => reply(w, Answer::NeverRuns),
                 found => reply(w, found.answer()),
             });
         }
-        if let Some(end) = self.nodes[i].finals.get(&id).copied() {
+        if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
             return reply(self, Answer::Finished(end));
         }
-        if let Err(after) = self.let_in(i, &id) {
-            let known = self
-                .lead(i, process)
+        if let Err(after) = self.admit(i, &id) {
+            let is_known = self
+                .leadership(i, process)
                 .is_some_and(|l| l.scheduler.jobs.contains_key(&id));
-            return if known {
+            return if is_known {
                 self.poll_at(i, process, id, reply)
             } else {
-                reply(self, Answer::Later(after))
+                reply(self, Answer::RetryAfter(after))
             };
         }
-        self.send(Host::Node(i), Host::State, move |w| {
-            if w.state_refuses(i) || !w.state_takes(1) {
+        self.send(Host::Node(i), Host::KvStore, move |w| {
+            if w.store_rejects(i) || !w.store_accepts(1) {
                 return;
             }
             let at = w.time_of_day(i).0;
@@ -320,12 +339,12 @@
             let Some(result) = w.transact(&when, vec![put]) else {
                 return;
             };
-            w.send(Host::State, Host::Node(i), move |w| match result {
+            w.send(Host::KvStore, Host::Node(i), move |w| match result {
                 _ if !w.alive(i, process) => {}
                 Ok(_) => reply(w, Answer::Unfinished),
                 // Accepted by an earlier try. It can't have vanished.
-                Err(_) => w.lookup(i, process, id, move |w, found| match found {
-                    Lookup::Missing => reply(w, Answer::Later(RETRY)),
+                Err(_) => w.look_up(i, process, id, move |w, found| match found {
+                    Lookup::Missing => reply(w, Answer::RetryAfter(RETRY_AFTER)),
                     found => reply(w, found.answer()),
                 }),
             });
@@ -335,7 +354,7 @@
     /// Moves the job's record to its final place; again until a while has passed, for it may change meanwhile.
     fn cancel_at(&mut self, i: usize, process: u64, id: JobId, until: Micros, reply: Reply) {
         let job = id.clone();
-        self.lookup(i, process, job, move |w, found| {
+        self.look_up(i, process, job, move |w, found| {
             let Lookup::Unfinished(record, mod_revision) = found else {
                 return reply(w, found.answer());
             };
@@ -343,8 +362,8 @@
                 flow: record.flow,
                 ..EndRecord::new(JobState::Cancelled, record.done.count())
             };
-            w.send(Host::Node(i), Host::State, move |w| {
-                if w.state_refuses(i) || !w.state_takes(2) {
+            w.send(Host::Node(i), Host::KvStore, move |w| {
+                if w.store_rejects(i) || !w.store_accepts(2) {
                     return;
                 }
                 let (job, over) = (format!("job/{id}"), format!("end/{id}"));
@@ -355,14 +374,14 @@
                 let Some(result) = w.transact(&[(job, mod_revision.0), (over, 0)], apply) else {
                     return;
                 };
-                w.send(Host::State, Host::Node(i), move |w| match result {
+                w.send(Host::KvStore, Host::Node(i), move |w| match result {
                     _ if !w.alive(i, process) => {}
                     Ok(mod_revision) => {
                         w.found_ended(i, &id, end.state, ModRevision(mod_revision));
                         reply(w, Answer::Finished(end.state));
                     }
                     Err(_) if w.now < until => w.cancel_at(i, process, id, until, reply),
-                    Err(_) => reply(w, Answer::Later(RETRY)),
+                    Err(_) => reply(w, Answer::RetryAfter(RETRY_AFTER)),
                 });
             });
         });
@@ -375,15 +394,15 @@
         let now = self.now;
         let n = &mut self.nodes[i];
         if end == JobState::Cancelled {
-            n.confirmed.note(job, mod_revision);
-            if let Some(lead) = n
-                .lead
+            n.cancellation_log.note(job, mod_revision);
+            if let Some(leadership) = n
+                .leadership
                 .as_mut()
                 .filter(|l| l.scheduler.applied() < mod_revision)
             {
-                lead.scheduler.job_dropped(job, now);
+                leadership.scheduler.job_dropped(job, now);
             }
         }
-        n.finals.insert(job.clone(), end);
+        n.terminal_states.insert(job.clone(), end);
     }
 }
--- a/crates/hopyoke-simulator/src/digest.rs
+++ b/crates/hopyoke-simulator/src/digest.rs
@@ -1,8 +1,8 @@
 //! A digest of a whole run: each message that is delivered, in its protocol's form, with its virtual time,
 //! and each random draw. Two builds that decide alike have equal digests for a scenario and seed.
 
-use super::World;
-use super::store::{Mutation, Value};
+use super::Simulation;
+use super::kv_store::{Mutation, Value};
 use hopyoke_protocol::state::Compare;
 use hopyoke_protocol::worker::{Command, HeartbeatResponse, PushedCommands};
 use hopyoke_types::FencingToken;
@@ -11,7 +11,7 @@
 
 /// Which way a message goes.
 #[derive(Debug, Clone, Copy)]
-pub enum Channel {
+pub(crate) enum Channel {
     /// A worker's heartbeat as a controller receives it.
     Heartbeat = 1,
     /// The answer to a heartbeat as the worker receives it.
@@ -36,11 +36,11 @@
 
 /// The digest of what has happened so far.
 #[derive(Default)]
-pub struct Digest(Xxh3);
+pub(crate) struct Digest(Xxh3);
 
 impl Digest {
     /// Adds bytes that were seen on a channel at a time in microseconds.
-    pub fn add(&mut self, channel: Channel, at_us: u64, bytes: &[u8]) {
+    pub(crate) fn add(&mut self, channel: Channel, at_us: u64, bytes: &[u8]) {
         self.0.update(&[channel as u8]);
         self.0.update(&at_us.to_le_bytes());
         self.0.update(&(bytes.len() as u64).to_le_bytes());
@@ -48,7 +48,7 @@
     }
 
     /// The digest's value.
-    pub fn value(&self) -> u64 {
+    pub(crate) fn value(&self) -> u64 {
         self.0.digest()
     }
 }
@@ -60,11 +60,11 @@
         Value::End(end) => hopyoke_protocol::encode(end),
         Value::Page(page) => hopyoke_protocol::encode(page),
         Value::Learned(page) => hopyoke_protocol::encode(page),
-        Value::Holder(node) => hopyoke_protocol::encode(&(*node as u64)),
+        Value::LeaseHolder(node) => hopyoke_protocol::encode(&(*node as u64)),
     }
 }
 
-impl World {
+impl Simulation {
     /// Adds a message in its protocol's form to the run's digest.
     pub(crate) fn digest_message(&mut self, channel: Channel, message: &impl Serialize) {
         let bytes = hopyoke_protocol::encode(message);
--- /dev/null
+++ b/crates/hopyoke-simulator/src/event_queue.rs
@@ -0,0 +1,97 @@
+//! The queue of events in virtual time.
+
+use crate::Simulation;
+use crate::digest::Channel;
+use hopyoke_types::Micros;
+use std::cmp::{Ordering, Reverse};
+use std::collections::BinaryHeap;
+
+/// How long invariants of the whole cluster go unchecked where they aren't checked after each event.
+const CHECK_INTERVAL: Micros = Micros::from_millis(250);
+
+/// What an event does to the simulation.
+type EventHandler = Box<dyn FnOnce(&mut Simulation)>;
+
+/// An event and when it is due; events of the same time run in the order in which they were scheduled.
+struct ScheduledEvent {
+    due_at: Micros,
+    number: u64,
+    handler: EventHandler,
+}
+
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
+        self.number == other.number
+    }
+}
+
+impl Eq for ScheduledEvent {}
+
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> Ordering {
+        (self.due_at, self.number).cmp(&(other.due_at, other.number))
+    }
+}
+
+/// Events that are still to come, the next one first.
+#[derive(Default)]
+pub(crate) struct EventQueue {
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
+    last_number: u64,
+}
+
+impl EventQueue {
+    /// Adds an event.
+    fn push(&mut self, due_at: Micros, handler: EventHandler) {
+        self.last_number += 1;
+        self.events.push(Reverse(ScheduledEvent {
+            due_at,
+            number: self.last_number,
+            handler,
+        }));
+    }
+
+    /// Takes the next event that is due at `end` or before.
+    fn pop_due(&mut self, end: Micros) -> Option<ScheduledEvent> {
+        if self.events.peek()?.0.due_at > end {
+            return None;
+        }
+        self.events.pop().map(|Reverse(event)| event)
+    }
+}
+
+impl Simulation {
+    /// Schedules an event at a virtual time; now, if that is past.
+    pub fn at(&mut self, t: Micros, handler: impl FnOnce(&mut Simulation) + 'static) {
+        let due_at = t.max(self.now);
+        self.events.push(due_at, Box::new(handler));
+    }
+
+    /// Schedules an event after a span of virtual time.
+    pub fn after(&mut self, span: Micros, handler: impl FnOnce(&mut Simulation) + 'static) {
+        self.at(self.now + span, handler);
+    }
+
+    /// Runs the events that are due until `end`, and checks the invariants. Stops at the first violation.
+    pub fn run_until(&mut self, end: Micros) {
+        while let Some(event) = self.events.pop_due(end) {
+            self.now = event.due_at;
+            self.digest_bytes(Channel::Step, &[]);
+            (event.handler)(self);
+            if self.checks_each_event() || self.now >= self.next_check_at {
+                self.check_invariants();
+                self.next_check_at = self.now + CHECK_INTERVAL;
+            }
+            if !self.violations.is_empty() {
+                return;
+            }
+        }
+        self.now = end;
+    }
+}
--- a/crates/hopyoke-simulator/src/rules.rs
+++ b/crates/hopyoke-simulator/src/invariants.rs
@@ -1,6 +1,6 @@
 //! The rules, checked against what is true.
 
-use super::{DAWN, Truth, World};
+use super::{JobGroundTruth, START_TIME_OF_DAY, Simulation};
 use hopyoke_calendar::StaffedHours;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
 use hopyoke_protocol::worker::TaskState;
@@ -10,13 +10,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// See PROTOCOL, and the users' word on days with troubles.
-const UNANSWERED: Micros = Micros::from_secs(75);
+const MAX_UNANSWERED: Micros = Micros::from_secs(75);
 
 /// After the troubles no job may wait for so long though it could run, and how often that is looked at.
-const WAITED: Micros = Micros::from_secs(90);
-const WAITS_EVERY: Micros = Micros::from_secs(2);
+const MAX_SCHEDULABLE_WAIT: Micros = Micros::from_secs(90);
+const SCHEDULABLE_CHECK_INTERVAL: Micros = Micros::from_secs(2);
 /// A worker's report holds so many attempts that no controller puts more on its machine.
-const REPORTABLE: usize = 500;
+const MAX_ATTEMPTS_PER_HEARTBEAT: usize = 500;
 
 /// What is left of a machine on which work could begin.
 struct Room {
@@ -33,9 +33,9 @@
     zones: BTreeMap<String, u32>,
 }
 
-impl World {
-    pub fn broke(&mut self, rule: &str, what: String) {
-        self.broken
+impl Simulation {
+    pub(crate) fn record_violation(&mut self, rule: &str, what: String) {
+        self.violations
             .push(format!("{:.3} s: {rule}: {what}", self.now.as_secs_f64()));
     }
 
@@ -53,13 +53,13 @@
     }
 
     /// At the moment a task starts on a machine.
-    pub fn check_start(&mut self, id: &MachineId, task: &TaskId) {
+    pub(crate) fn check_task_start(&mut self, id: &MachineId, task: &TaskId) {
         let m = &self.machines[id];
         let (zone, kind, spot) = (m.zone.clone(), m.kind.clone(), m.spot);
         let spec = self.jobs[&task.job].spec.clone();
         let present = self.present();
         if let Some((other, _, _)) = present.iter().find(|(o, t, _)| t == task && o != id) {
-            self.broke(
+            self.record_violation(
                 "ran_twice",
                 format!("{task} starts on {id} while on {other}"),
             );
@@ -79,7 +79,7 @@
         let together = !spec.one_zone || here(&zone) == others;
         let apart = !spec.spread || here(&zone) < spec.tasks.div_ceil(2) as usize;
         if !types_ok || !zone_ok || !together || !apart || (spot && !spec.spot) {
-            self.broke(
+            self.record_violation(
                 "wrong_place",
                 format!("{task} starts on {id} ({kind}, {zone}, spot {spot})"),
             );
@@ -91,17 +91,17 @@
                 margin: Micros::ZERO,
                 ..h.clone()
             };
-            if truth.holds(&spec) && !truth.at(DAWN + self.now).staffed {
-                self.broke(
+            if truth.holds(&spec) && !truth.at(START_TIME_OF_DAY + self.now).staffed {
+                self.record_violation(
                     "unstaffed",
                     format!("{task} starts on {id} while nobody is there"),
                 );
             }
         }
-        if let Some(t) = self.jobs[&task.job].cancelled {
-            self.cancelled_starts.push(self.now - t);
-            if self.now > t + self.cancel_s {
-                self.broke("ran_cancelled", format!("{task} starts on {id}"));
+        if let Some(t) = self.jobs[&task.job].cancelled_at {
+            self.starts_after_cancellation.push(self.now - t);
+            if self.now > t + self.cancellation_bound {
+                self.record_violation("ran_cancelled", format!("{task} starts on {id}"));
             }
         }
         let mut used: BTreeMap<String, (f64, f64)> = BTreeMap::new();
@@ -115,7 +115,7 @@
             if (team.cpus_max > 0.0 && cpus > team.cpus_max + 1e-6)
                 || (team.gpus_max > 0.0 && gpus > team.gpus_max + 1e-6)
             {
-                self.broke(
+                self.record_violation(
                     "quota",
                     format!("team {name} uses {cpus} cpus and {gpus} gpus"),
                 );
@@ -124,31 +124,31 @@
     }
 
     /// After every step.
-    pub fn check_rules(&mut self) {
+    pub(crate) fn check_invariants(&mut self) {
         let late: Vec<TaskId> = self
             .present()
             .into_iter()
             .map(|p| p.1)
             .filter(|t| {
                 self.jobs[&t.job]
-                    .cancelled
-                    .is_some_and(|c| self.now > c + self.cancel_s)
+                    .cancelled_at
+                    .is_some_and(|c| self.now > c + self.cancellation_bound)
             })
             .collect();
         for t in late {
-            self.broke("ran_cancelled", format!("{t} is still there"));
+            self.record_violation("ran_cancelled", format!("{t} is still there"));
         }
-        if self.now >= self.next_waits {
-            self.next_waits = self.now + WAITS_EVERY;
-            self.check_waits();
+        if self.now >= self.next_schedulable_check_at {
+            self.next_schedulable_check_at = self.now + SCHEDULABLE_CHECK_INTERVAL;
+            self.check_schedulable_jobs();
         }
         let mut wrong = Vec::new();
         // Once the troubles are over a job whose questions all fail for so long counts as forgotten.
-        let calm = self.trouble_until + UNANSWERED;
+        let calm = self.faults_end_at + MAX_UNANSWERED;
         if self.limits.is_none() && self.now > calm {
-            let silent = |j: &Truth| {
-                j.accepted
-                    .is_some_and(|t| self.now > t.max(j.answered) + UNANSWERED)
+            let silent = |j: &JobGroundTruth| {
+                j.accepted_at
+                    .is_some_and(|t| self.now > t.max(j.last_answer_at) + MAX_UNANSWERED)
             };
             let lost = self
                 .jobs
@@ -158,34 +158,34 @@
             wrong.extend(lost.map(|id| ("forgotten", format!("{id} has had no answer"))));
         }
         // What is over and well is looked at again only now and then.
-        self.checks += 1;
-        if self.checks.is_multiple_of(512) {
-            self.settled.clear();
+        self.check_count += 1;
+        if self.check_count.is_multiple_of(512) {
+            self.verified_jobs.clear();
         }
         let mut over = Vec::new();
         for (id, job) in self
             .jobs
             .iter()
-            .filter(|(id, _)| !self.settled.contains(*id))
+            .filter(|(id, _)| !self.verified_jobs.contains(*id))
         {
-            let unfinished = self.store.keys.contains_key(&format!("job/{id}"));
+            let unfinished = self.kv_store.keys.contains_key(&format!("job/{id}"));
             let end = self.end_of(id);
-            if job.body.is_some() && (unfinished || end.is_some()) {
+            if job.malformed_body.is_some() && (unfinished || end.is_some()) {
                 wrong.push(("accepted_odd", id.to_string()));
             }
-            if job.accepted.is_some() && !unfinished && end.is_none() {
+            if job.accepted_at.is_some() && !unfinished && end.is_none() {
                 wrong.push(("forgotten", id.to_string()));
             }
             match end {
                 Some(JobState::Done) if !job.done.iter().all(|d| *d) => {
                     wrong.push(("not_done", id.to_string()))
                 }
-                Some(JobState::Done) if job.cancelled.is_some() => {
+                Some(JobState::Done) if job.cancelled_at.is_some() => {
                     wrong.push(("went_back", id.to_string()))
                 }
                 _ => {}
             }
-            if job.cancelled.is_some() && end != Some(JobState::Cancelled) {
+            if job.cancelled_at.is_some() && end != Some(JobState::Cancelled) {
                 wrong.push(("went_back", id.to_string()));
             }
             if end.is_some() && !unfinished {
@@ -193,19 +193,19 @@
             }
         }
         if wrong.is_empty() {
-            self.settled.extend(over);
+            self.verified_jobs.extend(over);
         }
         for (rule, what) in wrong {
-            self.broke(rule, what);
+            self.record_violation(rule, what);
         }
     }
 
     /// Once the troubles are over no job waits long while there is room for it by what is true: a machine that fits,
     /// is up and of no trouble, and its team's limit. Of a job that none of its tasks holds a place, of a service any.
-    fn check_waits(&mut self) {
+    fn check_schedulable_jobs(&mut self) {
         let now = self.now;
-        if now < self.trouble_until {
-            return self.waiting.clear();
+        if now < self.faults_end_at {
+            return self.schedulable_since.clear();
         }
         let mut held: BTreeMap<JobId, Held> = BTreeMap::new();
         let mut used: BTreeMap<String, Resources> = BTreeMap::new();
@@ -222,9 +222,16 @@
                 held.tasks.insert(task.index);
                 *held.zones.entry(m.zone.clone()).or_default() += 1;
             }
-            let sound =
-                m.up && m.hung_until <= now && m.deaf_until <= now && !m.sick && m.slowness == 1.0;
-            if sound && m.notice.is_none() && m.tasks.len() < REPORTABLE && free.cpus > 0.0 {
+            let sound = m.up
+                && m.hangs_until <= now
+                && m.responses_lost_until <= now
+                && !m.is_faulty
+                && m.slowdown == 1.0;
+            if sound
+                && m.preemption_at.is_none()
+                && m.tasks.len() < MAX_ATTEMPTS_PER_HEARTBEAT
+                && free.cpus > 0.0
+            {
                 rooms.push(Room {
                     kind: m.kind.clone(),
                     zone: m.zone.clone(),
@@ -234,14 +241,16 @@
             }
         }
         let none = Held::default();
-        let mut waiting = BTreeMap::new();
+        let mut schedulable_since = BTreeMap::new();
         for (id, job) in self
             .jobs
             .iter()
-            .filter(|(id, _)| !self.settled.contains(*id))
+            .filter(|(id, _)| !self.verified_jobs.contains(*id))
         {
-            let open =
-                job.accepted.is_some() && job.told.is_none() && !job.asked_cancel && !job.fails;
+            let open = job.accepted_at.is_some()
+                && job.observed_end.is_none()
+                && !job.cancel_requested
+                && !job.always_fails;
             if !open || job.done_at.is_some() {
                 continue;
             }
@@ -253,25 +262,28 @@
                 held.tasks.is_empty()
             };
             if lacks && self.could_run(&job.spec, held, &rooms, &used) {
-                waiting.insert(id.clone(), self.waiting.get(id).copied().unwrap_or(now));
+                schedulable_since.insert(
+                    id.clone(),
+                    self.schedulable_since.get(id).copied().unwrap_or(now),
+                );
             }
         }
-        let late = waiting
+        let late = schedulable_since
             .iter()
-            .find(|(_, since)| now > **since + WAITED)
+            .find(|(_, since)| now > **since + MAX_SCHEDULABLE_WAIT)
             .map(|(id, _)| id.clone());
-        self.waiting = waiting;
+        self.schedulable_since = schedulable_since;
         if let Some(id) = late {
             let scheduler = self
                 .leader()
-                .and_then(|i| self.nodes[i].lead.as_ref())
+                .and_then(|i| self.nodes[i].leadership.as_ref())
                 .map(|l| &l.scheduler);
             let why = scheduler.map_or("no leader", |c| {
                 c.jobs.get(&id).map_or("unknown", |j| j.waits_for)
             });
-            self.broke(
+            self.record_violation(
                 "waits",
-                format!("{id} could have begun for {WAITED:?} ({why})"),
+                format!("{id} could have begun for {MAX_SCHEDULABLE_WAIT:?} ({why})"),
             );
         }
     }
@@ -291,11 +303,11 @@
         }
         let gang = spec.kind == JobKind::Gang;
         let task = Resources::of_task(spec);
-        let wanted = if gang { spec.tasks } else { 1 };
+        let tasks = if gang { spec.tasks } else { 1 };
         let taken = used.get(&spec.team).copied().unwrap_or_default();
         if !self
             .team(&spec.team)
-            .allows(&(taken + task.times(f64::from(wanted))))
+            .allows(&(taken + task.times(f64::from(tasks))))
         {
             return false;
         }
@@ -319,36 +331,36 @@
                 *room = (*room).min(half.saturating_sub(here));
             }
         }
-        let most = if spec.one_zone {
+        let capacity = if spec.one_zone {
             by_zone.values().max().copied().unwrap_or(0)
         } else {
             by_zone.values().sum()
         };
-        most >= wanted
+        capacity >= tasks
     }
 
-    pub fn end_of(&self, id: &JobId) -> Option<JobState> {
-        Some(self.end_with_mark(id)?.0)
+    pub(crate) fn end_of(&self, id: &JobId) -> Option<JobState> {
+        Some(self.end_with_revision(id)?.0)
     }
 
     /// A job's final state, and the revision that made it final.
-    pub fn end_with_mark(&self, id: &JobId) -> Option<(JobState, ModRevision)> {
-        let entry = self.store.keys.get(&format!("end/{id}"))?;
+    pub(crate) fn end_with_revision(&self, id: &JobId) -> Option<(JobState, ModRevision)> {
+        let entry = self.kv_store.keys.get(&format!("end/{id}"))?;
         match &entry.value {
-            super::store::Value::End(e) => Some((e.state, ModRevision(entry.mod_revision))),
+            super::kv_store::Value::End(e) => Some((e.state, ModRevision(entry.mod_revision))),
             _ => None,
         }
     }
 
     /// Tasks of a job that run now.
-    pub fn running(&self, id: &JobId) -> usize {
+    pub(crate) fn running(&self, id: &JobId) -> usize {
         let states = self.machines.values().flat_map(|m| m.tasks.iter());
         states
             .filter(|((t, _), x)| t.job == *id && x.state == TaskState::Running)
             .count()
     }
 
-    pub fn done_after(&self, id: &JobId) -> Option<Micros> {
+    pub(crate) fn done_after(&self, id: &JobId) -> Option<Micros> {
         self.jobs.get(id).and_then(|j| j.done_at)
     }
 }
--- a/crates/hopyoke-simulator/src/store.rs
+++ b/crates/hopyoke-simulator/src/kv_store.rs
@@ -1,6 +1,6 @@
 //! The state service.
 
-use super::World;
+use super::Simulation;
 use super::digest::Channel;
 use hopyoke_protocol::worker::Heartbeat;
 use hopyoke_scheduler::{EndRecord, JobRecord, RegistryPage};
@@ -8,48 +8,48 @@
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone)]
-pub enum Value {
+pub(crate) enum Value {
     Job(JobRecord),
     End(EndRecord),
     Page(RegistryPage),
     Learned(hopyoke_run_times::Page),
-    Holder(usize),
+    LeaseHolder(usize),
 }
 
 #[derive(Debug, Clone)]
-pub struct Entry {
-    pub value: Value,
-    pub mod_revision: u64,
-    pub lease: Option<u64>,
+pub(crate) struct Entry {
+    pub(crate) value: Value,
+    pub(crate) mod_revision: u64,
+    pub(crate) lease: Option<u64>,
 }
 
 #[derive(Default)]
-pub struct Store {
-    pub keys: BTreeMap<String, Entry>,
-    pub revision: u64,
+pub(crate) struct KvStore {
+    pub(crate) keys: BTreeMap<String, Entry>,
+    pub(crate) revision: u64,
     /// (revision, key, dropped)
-    pub log: Vec<(u64, String, bool)>,
-    pub leases: BTreeMap<u64, Micros>,
+    pub(crate) log: Vec<(u64, String, bool)>,
+    pub(crate) leases: BTreeMap<u64, Micros>,
     next_lease: u64,
-    pub outage_until: Micros,
+    pub(crate) outage_until: Micros,
     /// Nodes that alone are refused, and until when.
-    pub refused: BTreeMap<usize, Micros>,
+    pub(crate) refused: BTreeMap<usize, Micros>,
     /// So much longer takes what reaches the service, and until when.
-    pub slow: (Micros, Micros),
-    pub lost_answers: Spell,
+    pub(crate) slow: (Micros, Micros),
+    pub(crate) lost_responses: FaultWindow,
     /// The same of renewals of leases.
-    pub lost_renewals: Spell,
-    pub late_writes: Spell,
+    pub(crate) lost_renewals: FaultWindow,
+    pub(crate) late_writes: FaultWindow,
 }
 
-pub enum Mutation {
+pub(crate) enum Mutation {
     Put(String, Value, Option<u64>),
     Delete(String),
 }
 
-impl Store {
+impl KvStore {
     /// Applies the changes if every condition holds; else says which did not.
-    pub fn txn(
+    pub(crate) fn txn(
         &mut self,
         when: &[(String, u64)],
         apply: Vec<Mutation>,
@@ -110,17 +110,17 @@
     }
 
     /// What changed after a revision.
-    pub fn since(&self, revision: u64) -> &[(u64, String, bool)] {
+    pub(crate) fn since(&self, revision: u64) -> &[(u64, String, bool)] {
         &self.log[self.log.partition_point(|(r, ..)| *r <= revision)..]
     }
 
-    pub fn grant(&mut self, until: Micros) -> u64 {
+    pub(crate) fn grant(&mut self, until: Micros) -> u64 {
         self.next_lease += 1;
         self.leases.insert(self.next_lease, until);
         self.next_lease
     }
 
-    pub fn end_lease(&mut self, lease: u64) {
+    pub(crate) fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
             .keys
@@ -136,114 +136,114 @@
 
 /// What becomes of a transaction that the service does not refuse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum TransactionOutcome {
     Usual,
     /// It is carried out, and its answer is lost.
-    AnswerLost,
+    ResponseLost,
     /// It gets no answer and is carried out so much later, after newer ones.
     Late(Micros),
 }
 
 /// For a while a share of the transactions, in percent, meets a fate.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Spell {
-    pub percent: u64,
-    pub until: Micros,
+pub(crate) struct FaultWindow {
+    pub(crate) percent: u64,
+    pub(crate) until: Micros,
 }
 
 /// Reports that are kept, and reach every controller once a new leader begins.
 #[derive(Debug, Default)]
-pub struct ForNext {
+pub(crate) struct HeartbeatsForNextLeader {
     /// Copies of reports that arrive as usual.
-    pub copied: Spell,
+    pub(crate) copied: FaultWindow,
     /// Reports that arrive then only: their workers have given them up.
-    pub held: Spell,
+    pub(crate) held: FaultWindow,
     /// How long after the beginning.
-    pub after: Micros,
-    pub kept: Vec<Heartbeat>,
+    pub(crate) after: Micros,
+    pub(crate) kept: Vec<Heartbeat>,
 }
 
-impl World {
+impl Simulation {
     /// Draws whether a spell is met.
-    pub(crate) fn hits(&mut self, s: Spell) -> bool {
+    pub(crate) fn draws_fault(&mut self, s: FaultWindow) -> bool {
         self.now < s.until && self.random(0, 99) < s.percent
     }
 
     /// Draws what becomes of a transaction.
-    fn fate(&mut self) -> Fate {
-        if self.hits(self.store.lost_answers) {
-            Fate::AnswerLost
-        } else if self.hits(self.store.late_writes) {
-            Fate::Late(Micros(self.random(2_000_000, 12_000_000)))
+    fn draw_transaction_outcome(&mut self) -> TransactionOutcome {
+        if self.draws_fault(self.kv_store.lost_responses) {
+            TransactionOutcome::ResponseLost
+        } else if self.draws_fault(self.kv_store.late_writes) {
+            TransactionOutcome::Late(Micros(self.random(2_000_000, 12_000_000)))
         } else {
-            Fate::Usual
+            TransactionOutcome::Usual
         }
     }
 
     /// A transaction that the service does not refuse; `None`: it has no answer.
-    pub fn transact(
+    pub(crate) fn transact(
         &mut self,
         when: &[(String, u64)],
         apply: Vec<Mutation>,
     ) -> Option<Result<u64, Vec<String>>> {
         self.digest_transaction(when, &apply);
-        match self.fate() {
-            Fate::Usual => {
-                let result = self.store.txn(when, apply);
+        match self.draw_transaction_outcome() {
+            TransactionOutcome::Usual => {
+                let result = self.kv_store.txn(when, apply);
                 self.digest_message(Channel::TransactionResult, &result);
                 Some(result)
             }
-            Fate::AnswerLost => {
-                let _ = self.store.txn(when, apply);
+            TransactionOutcome::ResponseLost => {
+                let _ = self.kv_store.txn(when, apply);
                 None
             }
-            Fate::Late(span) => {
+            TransactionOutcome::Late(span) => {
                 let when = when.to_vec();
-                self.after(span, move |w| drop(w.store.txn(&when, apply)));
+                self.after(span, move |w| drop(w.kv_store.txn(&when, apply)));
                 None
             }
         }
     }
 
     /// The service refuses this node now, or everybody.
-    pub fn state_refuses(&self, node: usize) -> bool {
-        self.state_down()
+    pub(crate) fn store_rejects(&self, node: usize) -> bool {
+        self.store_is_down()
             || self
-                .store
+                .kv_store
                 .refused
                 .get(&node)
                 .is_some_and(|until| self.now < *until)
     }
 
-    pub fn state_down(&self) -> bool {
-        self.now < self.store.outage_until
+    pub(crate) fn store_is_down(&self) -> bool {
+        self.now < self.kv_store.outage_until
     }
 
     /// Ends leases that were not renewed; runs all the time.
     pub fn expire_leases(&mut self) {
-        if !self.state_down() {
+        if !self.store_is_down() {
             let now = self.now;
             let over: Vec<u64> = self
-                .store
+                .kv_store
                 .leases
                 .iter()
                 .filter(|(_, t)| **t <= now)
                 .map(|(id, _)| *id)
                 .collect();
             for id in over {
-                self.store.end_lease(id);
+                self.kv_store.end_lease(id);
             }
         }
-        self.after(Micros::from_millis(20), World::expire_leases);
+        self.after(Micros::from_millis(20), Simulation::expire_leases);
     }
 
     /// After an outage every lease has its full time again.
-    pub fn outage(&mut self, span: Micros) {
+    pub(crate) fn begin_outage(&mut self, span: Micros) {
         let end = self.now + span;
-        self.store.outage_until = end;
+        self.kv_store.outage_until = end;
         self.at(end, |w| {
-            let until = w.now + w.ttl;
-            for t in w.store.leases.values_mut() {
+            let until = w.now + w.lease_ttl;
+            for t in w.kv_store.leases.values_mut() {
                 *t = until;
             }
         });
--- a/crates/hopyoke-simulator/src/limits.rs
+++ b/crates/hopyoke-simulator/src/limits.rs
@@ -1,33 +1,33 @@
 //! The state service's limits, and what the nodes make of them.
 
-use super::{Host, World};
+use super::{Host, Simulation};
 use hopyoke_admission::{AdmissionController, RateLimiter, RequestPriority, SharedLimit};
 use hopyoke_scheduler::Team;
 use hopyoke_types::{JobId, Micros};
 
 /// Nodes tell each other of their lines so often.
-const TOLD_EVERY: Micros = Micros::from_millis(400);
+const GOSSIP_INTERVAL: Micros = Micros::from_millis(400);
 
 /// The service's own count: it refuses above its rates, with bursts worth one second.
-pub struct Limits {
+pub(crate) struct Limits {
     requests: f64,
     changes: f64,
     left: (f64, f64),
     at: Micros,
     /// Nodes ask as they please: what it was like before they kept to their parts.
-    pub unpaced: bool,
-    pub taken: u64,
-    pub refused: u64,
+    pub(crate) unpaced: bool,
+    pub(crate) taken: u64,
+    pub(crate) refused: u64,
 }
 
 /// What one node may ask.
-pub struct Part {
-    pub pace: RateLimiter,
-    pub door: AdmissionController,
+pub(crate) struct NodeLimits {
+    pub(crate) rate_limiter: RateLimiter,
+    pub(crate) admission: AdmissionController,
 }
 
 impl Limits {
-    pub fn new(requests: f64, changes: f64, unpaced: bool) -> Limits {
+    pub(crate) fn new(requests: f64, changes: f64, unpaced: bool) -> Limits {
         let left = (requests, changes);
         Limits {
             requests,
@@ -55,40 +55,44 @@
         ok
     }
 
-    pub fn part(&self, nodes: usize, teams: &[Team], now: Micros) -> Part {
+    pub(crate) fn limits_of_node(&self, nodes: usize, teams: &[Team], now: Micros) -> NodeLimits {
         let bounds = |per_second| SharedLimit {
             per_second,
             nodes: nodes as u32,
         };
         let guaranteed: Vec<bool> = teams.iter().map(|t| t.cpus > 0.0 || t.gpus > 0.0).collect();
-        Part {
-            pace: RateLimiter::new(bounds(self.requests), now),
-            door: AdmissionController::new(bounds(self.changes), &guaranteed, now),
+        NodeLimits {
+            rate_limiter: RateLimiter::new(bounds(self.requests), now),
+            admission: AdmissionController::new(bounds(self.changes), &guaranteed, now),
         }
     }
 }
 
-impl World {
+impl Simulation {
     /// The state service takes one more request with so many changes, or answers 429.
-    pub fn state_takes(&mut self, changes: usize) -> bool {
+    pub(crate) fn store_accepts(&mut self, changes: usize) -> bool {
         let now = self.now;
         self.limits.as_mut().is_none_or(|l| l.takes(changes, now))
     }
 
     /// A node finds room in its part for a request; else how long until it may.
-    pub fn finds_room(&mut self, i: usize, importance: RequestPriority) -> Result<(), Micros> {
+    pub(crate) fn acquire_request(
+        &mut self,
+        i: usize,
+        importance: RequestPriority,
+    ) -> Result<(), Micros> {
         if self.limits.as_ref().is_none_or(|l| l.unpaced) {
             return Ok(());
         }
         let now = self.now;
         self.nodes[i]
-            .part
+            .limits_of_node
             .as_mut()
-            .map_or(Ok(()), |p| p.pace.take(importance, 1, now))
+            .map_or(Ok(()), |p| p.rate_limiter.take(importance, 1, now))
     }
 
     /// Tells the other nodes of the line at this one's door, again and again.
-    pub fn tell_line(&mut self, i: usize, process: u64) {
+    pub(crate) fn gossip_queue(&mut self, i: usize, process: u64) {
         if !self.nodes[i].up || self.nodes[i].process != process {
             return;
         }
@@ -96,39 +100,41 @@
         // A node's place among the peers of another.
         let place = |of: usize, at: usize| if of < at { of } else { of - 1 };
         for j in (0..self.nodes.len()).filter(|j| *j != i) {
-            let Some(part) = self.nodes[i].part.as_mut() else {
+            let Some(limits_of_node) = self.nodes[i].limits_of_node.as_mut() else {
                 return;
             };
-            let words = part.door.take_gossip(place(j, i), now);
+            let words = limits_of_node.admission.take_gossip(place(j, i), now);
             self.send(Host::Node(i), Host::Node(j), move |w| {
                 let now = w.now;
-                if let Some(part) = w.nodes[j].part.as_mut() {
-                    part.door.gossip_received(place(i, j), &words, now);
+                if let Some(limits_of_node) = w.nodes[j].limits_of_node.as_mut() {
+                    limits_of_node
+                        .admission
+                        .gossip_received(place(i, j), &words, now);
                 }
             });
         }
-        self.timer(i, TOLD_EVERY, move |w| w.tell_line(i, process));
+        self.timer(i, GOSSIP_INTERVAL, move |w| w.gossip_queue(i, process));
     }
 
     /// A user's job is let in by a node; else when the user is to come back.
-    pub fn let_in(&mut self, i: usize, job: &JobId) -> Result<(), Micros> {
+    pub(crate) fn admit(&mut self, i: usize, job: &JobId) -> Result<(), Micros> {
         if self.limits.as_ref().is_none_or(|l| l.unpaced) {
             return Ok(());
         }
-        let (now, leads) = (self.now, self.nodes[i].lead.is_some());
+        let (now, leads) = (self.now, self.nodes[i].leadership.is_some());
         let team = self.jobs.get(job).map_or("", |j| j.spec.team.as_str());
         let team = self
-            .cfg
+            .config
             .teams
             .iter()
             .position(|t| t.name == team)
-            .unwrap_or(self.cfg.teams.len());
-        let Some(p) = self.nodes[i].part.as_mut() else {
+            .unwrap_or(self.config.teams.len());
+        let Some(p) = self.nodes[i].limits_of_node.as_mut() else {
             return Ok(());
         };
-        let room = p.door.admit(job, team, leads, now).and_then(|()| {
-            let room = p.pace.take(RequestPriority::Accepts, 1, now);
-            room.map_err(|_| p.door.reject(job, team, leads, now))
+        let room = p.admission.admit(job, team, leads, now).and_then(|()| {
+            let room = p.rate_limiter.take(RequestPriority::Accepts, 1, now);
+            room.map_err(|_| p.admission.reject(job, team, leads, now))
         });
         room.map_err(|after| Micros::from_secs(u64::from(after.0)))
     }
--- /dev/null
+++ b/crates/hopyoke-simulator/src/node/election.rs
@@ -0,0 +1,141 @@
+//! Leader election: campaigns at the store, and stepping down.
+
+use crate::kv_store::{Mutation, Value};
+use crate::{Host, Simulation};
+use hopyoke_admission::RequestPriority;
+use hopyoke_types::Micros;
+
+/// A campaign for the leader's key.
+#[derive(Debug, Clone, Copy)]
+struct Campaign {
+    node: usize,
+    process: u64,
+    /// The process has not led yet: it may take over the key of the node's former process.
+    is_first: bool,
+    /// It may take another node's place.
+    may_take_over: bool,
+    sent: Micros,
+}
+
+impl Simulation {
+    /// Asks the store who leads, and campaigns if nobody does; again until the node leads.
+    pub(super) fn campaign(&mut self, i: usize, process: u64, is_first: bool) {
+        if !self.alive(i, process) || self.nodes[i].leadership.is_some() {
+            return;
+        }
+        let sent = self.now;
+        let n = &mut self.nodes[i];
+        let may_take_over = sent >= n.takeover_not_before;
+        if sent < n.campaign_not_before {
+            let wait = n.campaign_not_before - sent;
+            return self.timer(i, wait, move |w| w.campaign(i, process, is_first));
+        }
+        if let Err(wait) = self.acquire_request(i, RequestPriority::Critical) {
+            return self.timer(i, wait, move |w| w.campaign(i, process, is_first));
+        }
+        self.nodes[i].pending_campaigns += 1;
+        let campaign = Campaign {
+            node: i,
+            process,
+            is_first,
+            may_take_over,
+            sent,
+        };
+        self.send(Host::Node(i), Host::KvStore, move |w| {
+            w.campaign_at_store(campaign)
+        });
+        let pause = Micros(self.random(200_000, 500_000));
+        self.timer(i, pause, move |w| w.campaign(i, process, is_first));
+    }
+
+    /// Reads who leads, grants a lease, and writes the leader's key with a shard for each zone.
+    fn campaign_at_store(&mut self, campaign: Campaign) {
+        let Campaign {
+            node: i, process, ..
+        } = campaign;
+        let completed = move |w: &mut Simulation| w.campaign_completed(i, process);
+        let changes = 1 + self.config.zones.len();
+        if self.store_rejects(i)
+            || !self.store_accepts(0)
+            || !self.store_accepts(0)
+            || !self.store_accepts(changes)
+        {
+            return self.send(Host::KvStore, Host::Node(i), completed);
+        }
+        let holder = match self.kv_store.keys.get("leader") {
+            Some(e) => match e.value {
+                Value::LeaseHolder(h) => Some((h, e.mod_revision)),
+                _ => None,
+            },
+            None => None,
+        };
+        let mod_revision = match holder {
+            None if !campaign.may_take_over => {
+                return self.send(Host::KvStore, Host::Node(i), completed);
+            }
+            None => 0,
+            // A former process of the same node: its lease need not expire.
+            Some((h, mod_revision)) if h == i && campaign.is_first => mod_revision,
+            Some((h, _)) => {
+                return self.send(Host::KvStore, Host::Node(i), move |w| {
+                    completed(w);
+                    w.nodes[i].observed_leader = Some(h);
+                });
+            }
+        };
+        let until = self.now + self.lease_ttl;
+        let lease = self.kv_store.grant(until);
+        let put = Mutation::Put("leader".into(), Value::LeaseHolder(i), Some(lease));
+        match self.transact(&[("leader".into(), mod_revision)], vec![put]) {
+            // A leader's campaign stays pending as long as its process lives: it never grants lease support.
+            Some(Ok(token)) => self.send(Host::KvStore, Host::Node(i), move |w| {
+                w.lease_granted(i, process, lease, token, campaign.sent)
+            }),
+            Some(Err(_)) => self.send(Host::KvStore, Host::Node(i), completed),
+            // The lease is revoked before lease support is granted or another campaign begins.
+            None => self.timer(i, Micros::from_millis(2_500), move |w| {
+                w.revoke_lease(i, process, lease)
+            }),
+        }
+    }
+
+    /// A campaign of the process can't succeed any more.
+    fn campaign_completed(&mut self, i: usize, process: u64) {
+        if self.alive(i, process) {
+            let n = &mut self.nodes[i];
+            n.pending_campaigns = n.pending_campaigns.saturating_sub(1);
+        }
+    }
+
+    /// Revokes the lease of a campaign whose outcome is unknown.
+    fn revoke_lease(&mut self, i: usize, process: u64, lease: u64) {
+        if !self.alive(i, process) {
+            return;
+        }
+        self.send(Host::Node(i), Host::KvStore, move |w| {
+            if w.store_rejects(i) {
+                return w.after(Micros::from_millis(500), move |w| {
+                    w.revoke_lease(i, process, lease)
+                });
+            }
+            w.kv_store.end_lease(lease);
+            w.send(Host::KvStore, Host::Node(i), move |w| {
+                w.campaign_completed(i, process)
+            });
+        });
+    }
+
+    /// Gives leadership up, as an isolated leader does that no agent reaches; others campaign first then.
+    pub(crate) fn step_down(&mut self, i: usize) {
+        let now = self.now;
+        let n = &mut self.nodes[i];
+        let Some(leadership) = n.leadership.take() else {
+            return;
+        };
+        let process = n.process;
+        n.campaign_not_before = n.campaign_not_before.max(now + Micros::from_secs(12));
+        n.pending_campaigns += 1;
+        self.revoke_lease(i, process, leadership.lease);
+        self.campaign(i, process, false);
+    }
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/node/failover.rs
@@ -0,0 +1,175 @@
+//! Failover: a new leader reads the registry and the jobs, and starts its scheduler.
+
+use super::{Leadership, WATCH_TIMEOUT};
+use crate::kv_store::{KvStore, Value};
+use crate::{Host, Simulation};
+use hopyoke_consistency::DeliveryCursors;
+use hopyoke_consistency::leader_lease::LeaderLease;
+use hopyoke_scheduler::{JobRecord, RegistryPage, Scheduler};
+use hopyoke_types::{FencingToken, JobId, Micros, ModRevision};
+use std::ops::Bound;
+
+/// Records on a page where the store has no limits; so few that a failover reads several pages.
+const RECORDS_PER_PAGE: usize = 4;
+
+/// What a new leader has read so far.
+#[derive(Default)]
+struct RecordScan {
+    lease: u64,
+    token: u64,
+    /// How long the lease lasts, and when it was granted.
+    until: Micros,
+    granted_at: Micros,
+    jobs: Vec<(JobId, JobRecord, ModRevision)>,
+    registry: Vec<(String, ModRevision, Option<RegistryPage>)>,
+    learned: Vec<(String, hopyoke_run_times::Page)>,
+    /// Of the first page of jobs: watching from there on misses nothing.
+    revision: Option<ModRevision>,
+    last: Option<String>,
+}
+
+impl RecordScan {
+    /// Reads the registry, or a page of jobs; true if there is more.
+    fn take_page(&mut self, store: &KvStore, max_records: usize) -> bool {
+        let Some(last) = self.last.take() else {
+            for (key, e) in &store.keys {
+                match (&e.value, key.split_once('/')) {
+                    (Value::Page(p), Some((_, k))) => {
+                        self.registry.push((
+                            k.to_owned(),
+                            ModRevision(e.mod_revision),
+                            Some(p.clone()),
+                        ));
+                    }
+                    (Value::Learned(p), Some((_, k))) => {
+                        self.learned.push((k.to_owned(), p.clone()))
+                    }
+                    _ => {}
+                }
+            }
+            self.last = Some("job/".to_owned());
+            return true;
+        };
+        self.revision.get_or_insert(ModRevision(store.revision));
+        let after = (Bound::Excluded(last), Bound::Excluded("job0".to_owned()));
+        let mut found = store.keys.range(after);
+        for (key, e) in found.by_ref().take(max_records) {
+            if let Value::Job(r) = &e.value {
+                self.jobs.push((
+                    JobId::new(&key[4..]),
+                    r.clone(),
+                    ModRevision(e.mod_revision),
+                ));
+            }
+            self.last = Some(key.clone());
+        }
+        found.next().is_some()
+    }
+}
+
+impl Simulation {
+    /// The node holds the leader's key: reads the records, then leads.
+    pub(super) fn lease_granted(
+        &mut self,
+        i: usize,
+        process: u64,
+        lease: u64,
+        token: u64,
+        sent: Micros,
+    ) {
+        if !self.alive(i, process) || self.nodes[i].leadership.is_some() {
+            return;
+        }
+        let until = sent + self.lease_ttl.less_drift();
+        let granted_at = self.now;
+        if granted_at >= until {
+            return;
+        }
+        let reading = RecordScan {
+            lease,
+            token,
+            until,
+            granted_at,
+            ..RecordScan::default()
+        };
+        self.read_records(i, process, reading);
+    }
+
+    /// Reads the registry, then the jobs page by page, each as of its own revision.
+    fn read_records(&mut self, i: usize, process: u64, mut r: RecordScan) {
+        self.send(Host::Node(i), Host::KvStore, move |w| {
+            // A refused page is asked for again.
+            if w.store_rejects(i) || !w.store_accepts(0) {
+                let again = Micros::from_millis(250);
+                return w.after(again, move |w| {
+                    if w.alive(i, process) && w.now < r.until && w.nodes[i].leadership.is_none() {
+                        w.read_records(i, process, r);
+                    }
+                });
+            }
+            let page = w
+                .limits
+                .as_ref()
+                .map_or(RECORDS_PER_PAGE, |l| if l.unpaced { 200 } else { 400 });
+            let more = r.take_page(&w.kv_store, page);
+            w.send(Host::KvStore, Host::Node(i), move |w| {
+                if !w.alive(i, process) || w.nodes[i].leadership.is_some() || w.now >= r.until {
+                    return;
+                }
+                if more {
+                    w.read_records(i, process, r)
+                } else {
+                    w.failover(i, process, r)
+                }
+            });
+        });
+    }
+
+    /// Takes over with what was read: the scheduler starts to reconcile.
+    fn failover(&mut self, i: usize, process: u64, r: RecordScan) {
+        let (token, at, revision) = (r.token, r.granted_at, r.revision.unwrap_or_default());
+        self.log(|| format!("node {i} leads with token {token}"));
+        self.elected_leaders += 1;
+        let mut scheduler = Scheduler::new(
+            self.config.clone(),
+            FencingToken(token),
+            r.jobs,
+            r.registry,
+            at,
+        );
+        scheduler.set_tuning(self.tuning.clone());
+        scheduler.set_time_of_day(self.now, self.now);
+        scheduler.set_hours(self.hours.clone());
+        scheduler.note_time(self.now, self.time_of_day(i));
+        for (key, page) in &r.learned {
+            scheduler.learned(key, Some(page));
+        }
+        scheduler.set_catalog(self.machine_types.clone());
+        let mut leader_lease =
+            LeaderLease::new(r.until, self.lease_ttl, WATCH_TIMEOUT, self.nodes.len());
+        leader_lease.heard(at);
+        scheduler.caught_up(revision, at);
+        for id in self.nodes[i].cancellation_log.after(revision) {
+            scheduler.job_dropped(&id, self.now);
+        }
+        self.nodes[i].cancellation_log.began_before(revision);
+        let leadership = Leadership {
+            scheduler,
+            lease: r.lease,
+            leader_lease,
+            delivery_cursors: DeliveryCursors::new(self.nodes.len()),
+            watch: 0,
+            batch_in_flight: false,
+            reconciling_since: Some(at),
+            next_audit_at: Micros::ZERO,
+        };
+        self.nodes[i].leadership = Some(leadership);
+        self.nodes[i].observed_leader = Some(i);
+        self.deliver_heartbeats_held_for_leader();
+        self.renew_lease(i, process);
+        self.watch(i, process);
+        self.request_lease_support(i, process);
+        self.tick(i, process);
+        self.poll_cloud_inventory(i, process);
+    }
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/node/lease_support.rs
@@ -0,0 +1,118 @@
+//! Peers' support for a leader whose lease can't be renewed because the store is unreachable.
+
+use crate::{Host, Simulation};
+use hopyoke_consistency::DeliveryCursors;
+use hopyoke_consistency::leader_lease::SUPPORT_DURATION;
+use hopyoke_types::{Micros, ModRevision};
+
+/// A leader's request for lease support.
+#[derive(Debug, Clone, Copy)]
+struct SupportRequest {
+    node: usize,
+    process: u64,
+    /// Revision that the leader has applied: it needs to hear of later cancellations.
+    applied: ModRevision,
+    /// A leader without a valid lease gets no support.
+    lease_is_valid: bool,
+    sent: Micros,
+}
+
+impl Simulation {
+    /// Asks the peers for lease support, and for the cancellations that they told users of.
+    pub(super) fn request_lease_support(&mut self, i: usize, process: u64) {
+        let Some(leadership) = self.leadership(i, process) else {
+            return;
+        };
+        let (applied, cursors) = (
+            leadership.scheduler.applied(),
+            leadership.delivery_cursors.clone(),
+        );
+        let request = SupportRequest {
+            node: i,
+            process,
+            applied,
+            lease_is_valid: self.lease_is_valid(i),
+            sent: self.now,
+        };
+        for j in (0..self.nodes.len()).filter(|j| *j != i) {
+            let cursors = cursors.clone();
+            self.send(Host::Node(i), Host::Node(j), move |w| {
+                w.lease_support_requested(j, request, &cursors)
+            });
+        }
+        // The leader's own place among the peers: what it confirmed itself counts as well.
+        let support = self.nodes[i]
+            .cancellation_log
+            .covers(applied)
+            .then_some(SUPPORT_DURATION);
+        if let Some(leadership) = self.leadership(i, process) {
+            let sent = request.sent;
+            leadership.leader_lease.answered(i, sent, support, sent);
+        }
+        self.timer(i, Micros::from_millis(600), move |w| {
+            w.request_lease_support(i, process)
+        });
+    }
+
+    /// A peer answers a leader: it grants support if the store rejects it as well, and if it has told the leader of
+    /// all cancellations.
+    fn lease_support_requested(
+        &mut self,
+        j: usize,
+        request: SupportRequest,
+        cursors: &DeliveryCursors,
+    ) {
+        if !self.nodes[j].up {
+            return;
+        }
+        let SupportRequest {
+            node: i,
+            process,
+            applied,
+            lease_is_valid,
+            sent,
+        } = request;
+        let now = self.now;
+        let store_unreachable = self.store_rejects(j)
+            || self
+                .partition_between(Host::Node(j), Host::KvStore)
+                .is_some();
+        let peer = &mut self.nodes[j];
+        let cursor = cursors.cursor(j);
+        let delta = peer
+            .cancellation_log
+            .since(applied, cursor.in_process(peer.process));
+        let may_support = lease_is_valid
+            && delta.complete
+            && peer.leadership.is_none()
+            && peer.pending_campaigns == 0;
+        let support = (store_unreachable && may_support).then_some(SUPPORT_DURATION);
+        if support.is_some() {
+            peer.campaign_not_before = peer
+                .campaign_not_before
+                .max(now + SUPPORT_DURATION.with_drift());
+        }
+        let peer_process = peer.process;
+        // The request carries the leader's demand for writes.
+        let demand = self.nodes[i]
+            .limits_of_node
+            .as_mut()
+            .map(|p| p.admission.write_demand(now));
+        if let (Some(demand), Some(p)) = (demand, self.nodes[j].limits_of_node.as_mut()) {
+            p.admission.write_demand_received(demand, sent);
+        }
+        self.send(Host::Node(j), Host::Node(i), move |w| {
+            let now = w.now;
+            let Some(leadership) = w.leadership(i, process) else {
+                return;
+            };
+            for id in &delta.jobs {
+                leadership.scheduler.job_dropped(id, now);
+            }
+            leadership
+                .delivery_cursors
+                .took(j, peer_process, delta.upto);
+            leadership.leader_lease.answered(j, sent, support, now);
+        });
+    }
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/node/persist.rs
@@ -0,0 +1,167 @@
+//! Batches of the scheduler's writes.
+
+use crate::kv_store::{Mutation, Value};
+use crate::{Host, Simulation};
+use hopyoke_protocol::user::JobState;
+use hopyoke_scheduler::{Batch, BatchError, Write};
+use hopyoke_types::{FencingToken, JobId, Micros, ModRevision};
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// A batch without a response within this has an unknown outcome.
+const BATCH_TIMEOUT: Micros = Micros::from_millis(2500);
+
+/// A compare-and-swap transaction: the revisions that keys must have, and what is done then.
+struct Transaction {
+    compares: Vec<(String, u64)>,
+    mutations: Vec<Mutation>,
+}
+
+impl Transaction {
+    /// The writes of a leader, fenced by its token.
+    fn of_batch(token: FencingToken, batch: &Batch) -> Transaction {
+        let mut transaction = Transaction {
+            compares: vec![("leader".to_owned(), token.0)],
+            mutations: Vec::new(),
+        };
+        for write in &batch.writes {
+            transaction.add(write);
+        }
+        transaction
+    }
+
+    fn add(&mut self, write: &Write) {
+        let (compares, mutations) = (&mut self.compares, &mut self.mutations);
+        match write {
+            Write::Update {
+                job,
+                mod_revision,
+                record,
+            } => {
+                compares.push((format!("job/{job}"), mod_revision.0));
+                mutations.push(Mutation::Put(
+                    format!("job/{job}"),
+                    Value::Job(record.clone()),
+                    None,
+                ));
+            }
+            Write::End {
+                job,
+                mod_revision,
+                end,
+            } => {
+                compares.push((format!("job/{job}"), mod_revision.0));
+                mutations.push(Mutation::Delete(format!("job/{job}")));
+                mutations.push(Mutation::Put(format!("end/{job}"), Value::End(*end), None));
+            }
+            Write::Page {
+                key,
+                mod_revision,
+                page,
+            } => {
+                compares.push((format!("fleet/{key}"), mod_revision.0));
+                mutations.push(match page {
+                    Some(p) => Mutation::Put(format!("fleet/{key}"), Value::Page(p.clone()), None),
+                    None => Mutation::Delete(format!("fleet/{key}")),
+                });
+            }
+            Write::Learned { key, page } => mutations.push(Mutation::Put(
+                format!("learn/{key}"),
+                Value::Learned(page.clone()),
+                None,
+            )),
+            Write::DropPage { key } => mutations.push(Mutation::Delete(format!("fleet/{key}"))),
+        }
+    }
+}
+
+/// Why a batch failed whose compares on these keys did not hold.
+fn conflict(keys: &[String]) -> BatchError {
+    if keys.iter().any(|k| k == "leader") {
+        return BatchError::Deposed;
+    }
+    let jobs = keys
+        .iter()
+        .filter_map(|k| k.strip_prefix("job/"))
+        .map(JobId::new)
+        .collect();
+    let pages = keys
+        .iter()
+        .filter_map(|k| k.strip_prefix("fleet/"))
+        .map(str::to_owned)
+        .collect();
+    BatchError::Conflict { jobs, pages }
+}
+
+impl Simulation {
+    /// Sends a batch to the store; its outcome is unknown without a response in time.
+    pub(super) fn commit_batch(
+        &mut self,
+        i: usize,
+        process: u64,
+        token: FencingToken,
+        batch: Batch,
+    ) {
+        let transaction = Transaction::of_batch(token, &batch);
+        let (sent, changes) = (self.now, batch.changes());
+        if let Some(p) = &mut self.nodes[i].limits_of_node {
+            p.admission.changes_written(changes, sent);
+        }
+        let is_open = Rc::new(Cell::new(true));
+        let (answered, timed_out) = (is_open.clone(), is_open);
+        let (batch, late) = (batch.clone(), batch);
+        self.send(Host::Node(i), Host::KvStore, move |w| {
+            let refused = w.store_rejects(i) || !w.store_accepts(changes);
+            let result = if refused {
+                Err(BatchError::Refused)
+            } else {
+                let Some(result) = w.transact(&transaction.compares, transaction.mutations) else {
+                    return;
+                };
+                result.map(ModRevision).map_err(|keys| conflict(&keys))
+            };
+            w.send(Host::KvStore, Host::Node(i), move |w| {
+                // A late response is left to the timer, which may be late as well.
+                if w.now < sent + BATCH_TIMEOUT && answered.replace(false) {
+                    w.batch_completed(i, process, batch, result);
+                }
+            });
+        });
+        self.timer(i, BATCH_TIMEOUT, move |w| {
+            if timed_out.replace(false) {
+                w.batch_completed(i, process, late, Err(BatchError::Unknown));
+            }
+        });
+    }
+
+    /// Hands a batch's outcome to the scheduler; a deposed leader campaigns again.
+    fn batch_completed(
+        &mut self,
+        i: usize,
+        process: u64,
+        batch: Batch,
+        result: Result<ModRevision, BatchError>,
+    ) {
+        let now = self.now;
+        let Some(l) = self.leadership(i, process) else {
+            return;
+        };
+        if result == Err(BatchError::Deposed) {
+            self.nodes[i].leadership = None;
+            return self.campaign(i, process, false);
+        }
+        l.batch_in_flight = false;
+        let ends = batch
+            .writes
+            .iter()
+            .filter(|_| result.is_ok())
+            .filter_map(|w| match w {
+                Write::End { job, end, .. } => Some((job.clone(), end.state)),
+                _ => None,
+            });
+        let ends: Vec<(JobId, JobState)> = ends.collect();
+        l.scheduler.batch_ended(batch, result, now);
+        self.nodes[i].terminal_states.extend(ends);
+        self.run_scheduler(i, process);
+    }
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/node/scheduling.rs
@@ -0,0 +1,241 @@
+//! Runs of the scheduler, and the actions that it decides on.
+
+use super::Leadership;
+use super::commands::PushDelivery;
+use crate::digest::Channel;
+use crate::kv_store::{Entry, Value};
+use crate::{Host, Simulation};
+use hopyoke_protocol::cloud::ScaleOutRequest;
+use hopyoke_scheduler::{Action, Batch, ScaleOutOutcome};
+use hopyoke_types::{FencingToken, JobId, MachineId, Micros, ModRevision};
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// From this delay on a leader counts as an overloaded receiver.
+const OVERLOADED_DELAY: Micros = Micros::from_millis(400);
+
+/// Inputs of a run of the scheduler.
+struct RunInputs {
+    now: Micros,
+    time_of_day: Micros,
+    receive_overloaded: bool,
+    /// Users' submissions wait for admission.
+    is_pressed: bool,
+    /// The scheduler's state is audited now and not only once a second.
+    always_audit: bool,
+}
+
+/// What a run of the scheduler decided and found.
+struct RunOutputs {
+    entities_visited: u64,
+    /// Since when the reconciliation lasted that is now complete.
+    reconciled_since: Option<Micros>,
+    audit_faults: Vec<String>,
+    actions: Vec<Action>,
+    batch: Option<Batch>,
+    short_of_writes: bool,
+    token: FencingToken,
+}
+
+impl Leadership {
+    /// Lets the scheduler decide.
+    fn run(&mut self, inputs: RunInputs) -> RunOutputs {
+        let now = inputs.now;
+        let entities_before = self.scheduler.entities_visited();
+        if inputs.receive_overloaded {
+            self.scheduler.set_receive_overloaded(now);
+        }
+        self.scheduler.note_time(now, inputs.time_of_day);
+        self.scheduler.tick(now);
+        let entities_visited = self.scheduler.entities_visited() - entities_before;
+        let reconciled_since = if self.scheduler.is_reconciling() {
+            None
+        } else {
+            self.reconciling_since.take()
+        };
+        // Auditing a whole fleet at every event would take minutes.
+        let audit_faults = if !inputs.always_audit && now < self.next_audit_at {
+            Vec::new()
+        } else {
+            self.scheduler.audit()
+        };
+        if now >= self.next_audit_at {
+            self.next_audit_at = now + Micros::from_secs(1);
+        }
+        let mut actions = Vec::new();
+        while let Some(action) = self.scheduler.next_action() {
+            actions.push(action);
+        }
+        self.scheduler.set_pressed(inputs.is_pressed);
+        let batch = if self.batch_in_flight {
+            None
+        } else {
+            self.scheduler.next_batch(now)
+        };
+        let short_of_writes = batch.is_none() && self.scheduler.short_of_writes();
+        self.batch_in_flight |= batch.is_some();
+        RunOutputs {
+            entities_visited,
+            reconciled_since,
+            audit_faults,
+            actions,
+            batch,
+            short_of_writes,
+            token: self.scheduler.token,
+        }
+    }
+}
+
+impl Simulation {
+    /// Runs the scheduler at regular intervals.
+    pub(super) fn tick(&mut self, i: usize, process: u64) {
+        if self.leadership(i, process).is_none() {
+            return;
+        }
+        self.run_scheduler(i, process);
+        self.timer(i, Micros::from_millis(100), move |w| w.tick(i, process));
+    }
+
+    /// Lets the scheduler decide, and carries out what it decided; not without a valid leader lease.
+    pub(super) fn run_scheduler(&mut self, i: usize, process: u64) {
+        if !self.lease_is_valid(i) || self.is_paused(i) {
+            return;
+        }
+        let now = self.now;
+        let inputs = RunInputs {
+            now,
+            time_of_day: self.time_of_day(i),
+            receive_overloaded: self.delivery_delay(Host::Node(i)) >= OVERLOADED_DELAY,
+            is_pressed: self.nodes[i]
+                .limits_of_node
+                .as_mut()
+                .is_some_and(|p| p.admission.is_overloaded(now)),
+            always_audit: self.checks_each_event(),
+        };
+        let Some(leadership) = self.leadership(i, process) else {
+            return;
+        };
+        let outputs = leadership.run(inputs);
+        let limits = self.nodes[i].limits_of_node.as_mut();
+        if let Some(p) = limits.filter(|_| outputs.short_of_writes) {
+            p.admission.writes_deferred(now);
+        }
+        self.max_entities_per_tick = self.max_entities_per_tick.max(outputs.entities_visited);
+        if let Some(since) = outputs.reconciled_since {
+            self.longest_reconciliation = self.longest_reconciliation.max(now - since);
+        }
+        for fault in outputs.audit_faults {
+            self.record_violation("audit", fault);
+        }
+        for action in outputs.actions {
+            self.execute_action(i, process, outputs.token, action);
+        }
+        if let Some(batch) = outputs.batch {
+            self.commit_batch(i, process, outputs.token, batch);
+        }
+    }
+
+    fn execute_action(&mut self, i: usize, process: u64, token: FencingToken, action: Action) {
+        match action {
+            Action::ScaleOut {
+                request,
+                machine_type,
+                zone,
+                spot,
+                count,
+            } => self.send(Host::Node(i), Host::Cloud, move |w| {
+                let message = ScaleOutRequest {
+                    request: &request,
+                    machine_type: &machine_type,
+                    zone: &zone,
+                    spot,
+                    count,
+                };
+                w.digest_message(Channel::ScaleOut, &message);
+                let created = w.scale_out(&request, &machine_type, &zone, spot, count);
+                w.send(Host::Cloud, Host::Node(i), move |w| {
+                    let now = w.now;
+                    let outcome = if created.is_empty() {
+                        ScaleOutOutcome::NoCapacity
+                    } else {
+                        ScaleOutOutcome::Rented(created)
+                    };
+                    if let Some(l) = w.leadership(i, process) {
+                        l.scheduler.rented(&request, outcome, now);
+                    }
+                });
+            }),
+            Action::Delete { machines } => self.scale_in(i, process, machines),
+            Action::ReloadRecord { job } => self.reload_record(i, process, job),
+            Action::Direct {
+                machine,
+                epoch,
+                commands,
+                ..
+            } => {
+                self.log(|| format!("node {i} to {machine} epoch {epoch} {commands:?}"));
+                let sent = self.now;
+                self.push_commands(PushDelivery {
+                    node: i,
+                    process,
+                    machine,
+                    token,
+                    epoch,
+                    commands,
+                    sent,
+                });
+            }
+        }
+    }
+
+    /// Deletes machines at the cloud.
+    fn scale_in(&mut self, i: usize, process: u64, machines: Vec<MachineId>) {
+        self.send(Host::Node(i), Host::Cloud, move |w| {
+            for m in &machines {
+                w.digest_bytes(Channel::ScaleIn, m.as_str().as_bytes());
+                w.remove_machine(m);
+            }
+            w.send(Host::Cloud, Host::Node(i), move |w| {
+                let now = w.now;
+                if let Some(l) = w.leadership(i, process) {
+                    l.scheduler.deleted(&machines, now);
+                }
+            });
+        });
+    }
+
+    /// Reads a job's record; without a response within 1.5 s the read has failed.
+    fn reload_record(&mut self, i: usize, process: u64, job: JobId) {
+        let open = Rc::new(Cell::new(true));
+        let (late, unanswered) = (job.clone(), open.clone());
+        self.timer(i, Micros::from_millis(1500), move |w| {
+            if unanswered.replace(false)
+                && let Some(l) = w.leadership(i, process)
+            {
+                l.scheduler.record_reload_failed(late);
+            }
+        });
+        self.send(Host::Node(i), Host::KvStore, move |w| {
+            let found = match w.kv_store.keys.get(&format!("job/{job}")) {
+                Some(Entry {
+                    value: Value::Job(r),
+                    mod_revision,
+                    ..
+                }) => Some((r.clone(), ModRevision(*mod_revision))),
+                _ => None,
+            };
+            let refused = w.store_rejects(i);
+            w.send(Host::KvStore, Host::Node(i), move |w| {
+                let now = w.now;
+                let Some(l) = w.leadership(i, process).filter(|_| open.replace(false)) else {
+                    return;
+                };
+                if refused {
+                    l.scheduler.record_reload_failed(job)
+                } else {
+                    l.scheduler.record_reloaded(job, found, now)
+                }
+            });
+        });
+    }
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/scenario/machine_faults.rs
@@ -0,0 +1,101 @@
+//! Faults of machines and of the links of their agents.
+
+use super::parser::{Words, key_values, next_word, number, seconds};
+use super::selectors::{fault_end, machine};
+use crate::Simulation;
+use crate::agent::Agent;
+use hopyoke_types::{MachineId, Micros};
+
+/// Executes an event that strikes machines; false if `name` is none.
+pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
+    match name {
+        "wave" => strike_many(w, words),
+        "deaf" | "mute" | "hold_orders" | "hold_answers" => strike_link(w, name, words),
+        "no_room" => {
+            let id = machine(w, next_word(words));
+            let until = fault_end(w, words);
+            w.connections_refused_until.extend(id.map(|id| (id, until)));
+        }
+        "hang" => {
+            let (id, span) = (machine(w, next_word(words)), seconds(next_word(words)));
+            let until = w.now + span;
+            if let Some(agent) = agent_mut(w, id) {
+                agent.hangs_until = until;
+            }
+        }
+        "slow" => {
+            let (id, factor) = (machine(w, next_word(words)), number(next_word(words)));
+            if let Some(agent) = agent_mut(w, id) {
+                agent.slowdown = factor;
+            }
+        }
+        "sick" => {
+            let id = machine(w, next_word(words));
+            if let Some(agent) = agent_mut(w, id) {
+                agent.is_faulty = true;
+            }
+        }
+        "take" => {
+            if let Some(id) = machine(w, next_word(words)) {
+                w.remove_machine(&id);
+            }
+        }
+        "notice" => {
+            let (id, span) = (machine(w, next_word(words)), seconds(next_word(words)));
+            if let Some(id) = id {
+                announce_preemption(w, id, span);
+            }
+        }
+        _ => return false,
+    }
+    true
+}
+
+/// The agent of a machine that was found.
+fn agent_mut(w: &mut Simulation, id: Option<MachineId>) -> Option<&mut Agent> {
+    id.and_then(|id| w.machines.get_mut(&id))
+}
+
+/// The cloud takes a spot machine back after a notice of `span`.
+fn announce_preemption(w: &mut Simulation, id: MachineId, span: Micros) {
+    let until = w.now + span;
+    if let Some(agent) = w.machines.get_mut(&id) {
+        agent.preemption_at = Some(until);
+    }
+    w.schedule_heartbeat(&id);
+    w.at(until, move |w| w.remove_machine(&id));
+}
+
+/// `NAME MACHINE for SECONDS`: messages to or from one machine are lost or held.
+fn strike_link(w: &mut Simulation, name: &str, words: &mut Words<'_>) {
+    let id = machine(w, next_word(words));
+    let until = fault_end(w, words);
+    if let Some(agent) = agent_mut(w, id) {
+        *match name {
+            "deaf" => &mut agent.responses_lost_until,
+            "mute" => &mut agent.outbound_lost_until,
+            "hold_orders" => &mut agent.commands_held_until,
+            _ => &mut agent.responses_held_until,
+        } = until;
+    }
+}
+
+/// `wave hang|deaf|mute|spot|lost COUNT [for SECONDS]`: the same fault on many machines at once.
+fn strike_many(w: &mut Simulation, words: &mut Words<'_>) {
+    let (fault, n) = (next_word(words), number(next_word(words)) as usize);
+    let until = w.now + seconds(key_values(words).get("for").copied().unwrap_or("0"));
+    let up = w
+        .machines
+        .values()
+        .filter(|m| m.up && (fault != "spot" || m.spot));
+    // Every third, so that the whole fleet is struck evenly.
+    let struck: Vec<MachineId> = up.map(|m| m.id.clone()).step_by(3).take(n).collect();
+    for id in struck {
+        match w.machines.get_mut(&id) {
+            Some(m) if fault == "hang" => m.hangs_until = until,
+            Some(m) if fault == "deaf" => m.responses_lost_until = until,
+            Some(m) if fault == "mute" => m.outbound_lost_until = until,
+            _ => w.remove_machine(&id),
+        }
+    }
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/scenario/mod.rs
@@ -0,0 +1,115 @@
+//! The scenario language: one statement a line, `#` starts a comment. The statements are listed in
+//! `crates/hopyoke/tests/scenarios/README.md`.
+
+mod expectations;
+mod job_expectations;
+mod machine_faults;
+mod network_faults;
+mod parser;
+mod random_day;
+mod selectors;
+mod service_expectations;
+mod setup;
+mod store_faults;
+mod sweep;
+mod workload;
+
+use crate::Simulation;
+use parser::{Words, next_word, number};
+use sweep::{Sweep, substitute};
+
+/// Statements that need no simulation: given its first word and the line, the result if the statement is known.
+pub type StatementHandler<'a> = &'a dyn Fn(&str, &str) -> Option<Result<(), String>>;
+
+/// Runs one scenario; what `handler` knows is left to it. The result is a digest of all that happened in virtual
+/// time; that of a sweep combines those of its runs.
+///
+/// # Errors
+///
+/// The line that failed, with what was expected and what was found, or the invariant that was violated.
+///
+/// # Panics
+///
+/// If a statement can't be read: the scenario is at fault.
+pub fn run(text: &str, handler: StatementHandler<'_>) -> Result<u64, String> {
+    let Some((line, sweep)) = text.lines().find_map(|l| Some((l, Sweep::parse(l)?))) else {
+        return run_once(text, handler);
+    };
+    let rest = text.replacen(line, "", 1);
+    let parameter = sweep.parameter;
+    let mut digest = 0u64;
+    for value in sweep.values {
+        let run = run(&substitute(&rest, parameter, value), handler)
+            .map_err(|e| format!("{parameter} {value}: {e}"))?;
+        digest = digest.rotate_left(1) ^ run;
+    }
+    Ok(digest)
+}
+
+/// Runs a scenario without sweeps.
+fn run_once(text: &str, handler: StatementHandler<'_>) -> Result<u64, String> {
+    let mut simulation: Option<Simulation> = None;
+    for (n, line) in text.lines().enumerate() {
+        let line = line.split('#').next().unwrap_or("").trim();
+        if line.is_empty() {
+            continue;
+        }
+        let words: Vec<&str> = line.split_whitespace().collect();
+        let fail = |e: String| format!("line {}: `{line}`: {e}", n + 1);
+        if words[0] == "seed" {
+            simulation = Some(setup::new_simulation(&words));
+            continue;
+        }
+        if let Some(result) = handler(words[0], line) {
+            result.map_err(fail)?;
+            continue;
+        }
+        let w = simulation
+            .as_mut()
+            .ok_or_else(|| fail("a scenario starts with `seed N`".into()))?;
+        statement(w, &words).map_err(fail)?;
+        if let Some(violation) = w.violations.first() {
+            return Err(fail(violation.clone()));
+        }
+    }
+    Ok(simulation.map_or(0, |w| w.digest.value()))
+}
+
+/// Executes a statement of the scenario.
+fn statement(w: &mut Simulation, words: &[&str]) -> Result<(), String> {
+    let mut it = words.iter();
+    let name = next_word(&mut it);
+    match name {
+        "at" => {
+            let t = parser::seconds(next_word(&mut it));
+            let rest: Vec<String> = it.map(|s| (*s).to_owned()).collect();
+            w.at(t, move |w| {
+                let words: Vec<&str> = rest.iter().map(String::as_str).collect();
+                inject(w, &words);
+            });
+            Ok(())
+        }
+        "until" => {
+            w.run_until(parser::seconds(next_word(&mut it)));
+            Ok(())
+        }
+        "expect" => expectations::expect(w, &mut it),
+        "random" => {
+            random_day::schedule(w, number(next_word(&mut it)) as u64);
+            Ok(())
+        }
+        _ => setup::statement(w, name, &mut it),
+    }
+}
+
+/// Executes an event now: work of the users, or a fault.
+fn inject(w: &mut Simulation, words: &[&str]) {
+    w.faults_end_at = w.faults_end_at.max(w.now + selectors::duration_of(words));
+    let mut it: Words<'_> = words.iter();
+    let name = next_word(&mut it);
+    let is_known = workload::event(w, name, &mut it)
+        || network_faults::event(w, name, &mut it)
+        || store_faults::event(w, name, &mut it)
+        || machine_faults::event(w, name, &mut it);
+    assert!(is_known, "unknown event {name}");
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/scenario/network_faults.rs
@@ -0,0 +1,88 @@
+//! Faults of nodes and of the network between nodes, agents, store and cloud.
+
+use super::parser::{Words, key_values, next_word, seconds};
+use super::selectors::{fault_end, next_nodes, nodes};
+use crate::{DeliveryDelay, Host, NetworkPartition, Simulation};
+use std::collections::BTreeMap;
+
+/// Executes an event that strikes nodes or links; false if `name` is none.
+pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
+    match name {
+        "crash" => {
+            let selector = next_word(words);
+            let back = seconds(key_values(words).get("back").copied().unwrap_or("6"));
+            for i in nodes(w, selector) {
+                w.crash_node(i, back);
+            }
+        }
+        "give_up" => {
+            for i in next_nodes(w, words) {
+                w.step_down(i);
+            }
+        }
+        "cut" => partition_nodes(w, words),
+        "cut_zone" => {
+            let name = next_word(words);
+            let pairs = key_values(words);
+            let zone = w.config.zones.iter().position(|z| z == name);
+            let until = w.now + seconds(pairs["for"]);
+            w.partition_zone(zone.expect("a known zone"), until, has_held_packets(&pairs));
+        }
+        "lag" => {
+            let (selector, by) = (next_word(words), seconds(next_word(words)));
+            let until = fault_end(w, words);
+            for node in nodes(w, selector) {
+                w.delivery_delays.push(DeliveryDelay { node, by, until });
+            }
+        }
+        "freeze" => {
+            let selector = next_word(words);
+            let until = fault_end(w, words);
+            for node in nodes(w, selector) {
+                w.paused_nodes.insert(node, until);
+            }
+        }
+        "no_sockets" => {
+            let selector = next_word(words);
+            let until = fault_end(w, words);
+            for node in nodes(w, selector) {
+                w.sockets_exhausted_until.insert(node, until);
+            }
+        }
+        _ => return false,
+    }
+    true
+}
+
+/// Packets of a partition are delivered at its end instead of lost.
+fn has_held_packets(pairs: &BTreeMap<&str, &str>) -> bool {
+    pairs.get("packets") == Some(&"held")
+}
+
+/// `cut NODES from PEERS[+PEERS ...] for SECONDS [packets held]`.
+fn partition_nodes(w: &mut Simulation, words: &mut Words<'_>) {
+    let selector = next_word(words);
+    let pairs = key_values(words);
+    let peers = || (0..w.nodes.len()).map(Host::Node);
+    let hosts = |name| match name {
+        "state" => vec![Host::KvStore],
+        "workers" => vec![Host::Agents],
+        "cloud" => vec![Host::Cloud],
+        "peers" => peers().collect(),
+        _ => [Host::KvStore, Host::Agents, Host::Cloud]
+            .into_iter()
+            .chain(peers())
+            .collect(),
+    };
+    let unreachable: Vec<Host> = pairs["from"].split('+').flat_map(hosts).collect();
+    let until = w.now + seconds(pairs["for"]);
+    let holds_packets = has_held_packets(&pairs);
+    for node in nodes(w, selector) {
+        w.partitions.push(NetworkPartition {
+            node,
+            unreachable: unreachable.clone(),
+            until,
+            holds_packets,
+        });
+    }
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/scenario/random_day.rs
@@ -0,0 +1,201 @@
+//! Random days: random jobs and random faults. Only the invariants are expected to hold, and that all work begins.
+
+use super::inject;
+use crate::Simulation;
+use hopyoke_types::Micros;
+
+/// Highest number of a job that random faults name.
+const MAX_FAULT_JOB: u64 = 40;
+
+/// Schedules work and faults over `duration_s` seconds.
+pub(super) fn schedule(w: &mut Simulation, duration_s: u64) {
+    // Decisions that rest on learned run times must not violate invariants either.
+    if w.random(0, 1) == 1 {
+        let t = &mut w.tuning;
+        (t.use_for_victims, t.use_for_backfill, t.use_for_demand) = (true, true, true);
+        (t.use_for_deadlines, t.use_for_slow_machines) = (true, true);
+    }
+    let jobs = schedule_jobs(w, duration_s);
+    schedule_faults(w, duration_s, jobs);
+}
+
+/// Schedules submissions and some cancellations; how many jobs there are.
+fn schedule_jobs(w: &mut Simulation, duration_s: u64) -> u64 {
+    let mut t = 1;
+    let mut n = 0;
+    while t < duration_s {
+        n += 1;
+        let id = format!("req-{n:06}");
+        let kind = ["array", "gang", "service"][w.random(0, 2) as usize];
+        let tasks = w.random(1, if kind == "gang" { 3 } else { 5 });
+        let team = ["crew", "other"][w.random(0, 1) as usize];
+        let run = w.random(3, 40);
+        let flag = |w: &mut Simulation| ["no", "yes"][w.random(0, 1) as usize];
+        let (spot, together) = (flag(w), flag(w));
+        let apart = if together == "yes" { "no" } else { flag(w) };
+        let checkpoint = if kind == "gang" { 5 } else { 0 };
+        let line = format!(
+            "submit {id} {kind} tasks {tasks} team {team} run {run} spot {spot} together {together} apart {apart} \
+             checkpoint {checkpoint} save 2 image img-{}",
+            w.random(1, 4)
+        );
+        schedule_event(w, t, line);
+        if kind == "service" || w.random(0, 9) == 0 {
+            let at = t + w.random(5, 80);
+            schedule_event(w, at, format!("cancel {id}"));
+        }
+        t += w.random(2, 9);
+    }
+    n
+}
+
+/// Schedules faults that overlap, and cancellations among them.
+fn schedule_faults(w: &mut Simulation, duration_s: u64, jobs: u64) {
+    let mut t = 20;
+    while t < duration_s {
+        // The second begins while the first lasts, or just after.
+        let first = w.random(5, 40);
+        let (line, other) = (random_fault(w, first), w.random(1, 40));
+        let within = t + w.random(0, first);
+        let second = random_fault(w, other);
+        schedule_event(w, t, line);
+        schedule_event(w, within, second);
+        // In half of the cases a third begins soon after the second.
+        if w.random(0, 1) == 0 {
+            let (span, at) = (w.random(1, 40), within + w.random(0, 5));
+            let third = random_fault(w, span);
+            schedule_event(w, at, third);
+        }
+        if jobs > 0 && w.random(0, 1) == 0 {
+            let at = within + w.random(0, 3);
+            let id = w.random(1, jobs);
+            schedule_event(w, at, format!("cancel req-{id:06}"));
+        }
+        t += w.random(8, 45);
+    }
+}
+
+/// What a random fault is made of; all of it is drawn for every fault.
+struct FaultParameters {
+    /// Nodes that it strikes.
+    nodes: &'static str,
+    /// What becomes of packets in a partition.
+    packets: &'static str,
+    /// Seconds after which a crashed node restarts.
+    restart_s: &'static str,
+    /// Share of messages that it strikes, in percent.
+    percent: u64,
+    /// Number of the job whose machine it strikes.
+    job: u64,
+    /// How long it lasts, in seconds.
+    span: u64,
+}
+
+/// A random fault that lasts about `span` seconds, as a line of the scenario language.
+fn random_fault(w: &mut Simulation, span: u64) -> String {
+    let fault = FaultParameters {
+        nodes: ["leader", "leader", "follower", "followers", "0", "1", "2"]
+            [w.random(0, 6) as usize],
+        packets: ["held", "lost"][w.random(0, 1) as usize],
+        restart_s: ["0.05", "0.2", "1", "6"][w.random(0, 3) as usize],
+        percent: [20, 60, 100][w.random(0, 2) as usize],
+        job: w.random(1, MAX_FAULT_JOB),
+        span,
+    };
+    match w.random(0, 47) {
+        kind @ 0..=24 => cluster_fault(w, kind, &fault),
+        kind => message_or_user_fault(w, kind, &fault),
+    }
+}
+
+/// Faults of nodes, links, machines, the store and the cloud.
+fn cluster_fault(w: &mut Simulation, kind: u64, fault: &FaultParameters) -> String {
+    let FaultParameters {
+        nodes,
+        packets,
+        restart_s,
+        percent,
+        job,
+        span,
+    } = fault;
+    match kind {
+        0 => format!("crash {nodes} back 6"),
+        1 => "crash all back 6".into(),
+        2 => format!("cut {nodes} from state for {span} packets {packets}"),
+        3 => format!("cut {nodes} from workers for {span} packets {packets}"),
+        4 => format!("cut {nodes} from all for {span} packets {packets}"),
+        5 => format!("outage {}", w.random(2, 70)),
+        6 => format!("hang any {span}"),
+        7 => format!("hang of:req-{job:06} {span}"),
+        8 => format!("take of:req-{job:06}"),
+        9 => format!("notice of:req-{job:06} 10"),
+        10 => format!(
+            "lag {nodes} {}.{} for {span}",
+            w.random(0, 3),
+            w.random(1, 9)
+        ),
+        11 => format!("no_room {} for {span}", any_machine(w)),
+        12 => format!("no_sockets {nodes} for {span}"),
+        13 => format!("freeze {nodes} for {span}"),
+        14 => format!("crash {nodes} back {restart_s}"),
+        15 => format!("crash all back {restart_s}"),
+        16 => format!(
+            "boots {} for {span}",
+            ["0.02", "3"][w.random(0, 1) as usize]
+        ),
+        17 => format!("duds {}", w.random(1, 3)),
+        18 => format!("old_lists for {span}"),
+        19 | 20 => format!("refuse {nodes} for {span}"),
+        21 => format!("cut {nodes} from state+peers for {span} packets {packets}"),
+        22 => format!("cut {nodes} from peers for {span} packets {packets}"),
+        _ => format!("late_writes {percent} for {span}"),
+    }
+}
+
+/// Lost, late and repeated messages, and requests of users that race with other changes.
+fn message_or_user_fault(w: &mut Simulation, kind: u64, fault: &FaultParameters) -> String {
+    let FaultParameters {
+        percent, job, span, ..
+    } = fault;
+    match kind {
+        25 => format!("lost_answers {percent} for {span}"),
+        26 => format!("late_reports {percent} for {}", span * 3),
+        27 => format!("deaf {} for {span}", any_machine(w)),
+        29 => format!(
+            "slow_state {}.{} for {span}",
+            w.random(0, 2),
+            w.random(1, 9)
+        ),
+        30 | 31 => format!("close_looks for {}", 10 + span),
+        32 | 33 => format!("cancel_at_end {percent} for {}", 10 + span),
+        34 => format!("cancel_now {}", w.random(1, 6)),
+        35 | 36 => format!("cancel_now {} hang {span}", w.random(1, 6)),
+        37 => format!("odd_requests for {}", 10 + span),
+        38 => format!("mute of:req-{job:06} for {span}"),
+        39 => format!("wave mute 2 for {span}"),
+        40 => format!(
+            "late_reports {percent} for {span} next 0.{}",
+            w.random(0, 9)
+        ),
+        41 => format!("held_reports {percent} for 8 next {}", w.random(0, 20)),
+        42 => format!("hold_orders of:req-{job:06} for {span}"),
+        43 => format!("hold_answers of:req-{job:06} for {}", w.random(1, 8)),
+        44 => format!("lost_renewals {percent} for {span}"),
+        45..=47 => format!("late_commands {percent} for {}", span * 2),
+        _ => format!("deaf of:req-{job:06} for {span}"),
+    }
+}
+
+/// Any machine, or one of the first.
+fn any_machine(w: &mut Simulation) -> &'static str {
+    ["any", "m-000001", "m-000002"][w.random(0, 2) as usize]
+}
+
+/// Executes a line of the scenario language at `at_s` seconds of virtual time.
+fn schedule_event(w: &mut Simulation, at_s: u64, line: String) {
+    w.at(Micros::from_secs(at_s), move |w| {
+        let words: Vec<&str> = line.split_whitespace().collect();
+        w.log(|| line.clone());
+        inject(w, &words);
+    });
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/scenario/selectors.rs
@@ -0,0 +1,67 @@
+//! Names of nodes and machines in a scenario, and the time for which a fault lasts.
+
+use super::parser::{Words, key_values, next_word, number, seconds};
+use crate::Simulation;
+use hopyoke_types::{JobId, MachineId, Micros};
+
+/// When a fault ends: `for SECONDS` among the pairs of the line.
+pub(super) fn fault_end(w: &Simulation, words: &mut Words<'_>) -> Micros {
+    w.now + seconds(key_values(words)["for"])
+}
+
+/// How long an event's fault lasts; zero if it is none.
+pub(super) fn duration_of(words: &[&str]) -> Micros {
+    let after = |key: &str| {
+        words
+            .iter()
+            .position(|w| *w == key)
+            .and_then(|at| words.get(at + 1))
+    };
+    match words[0] {
+        "submit" | "many" | "stream" | "cancel" => Micros::ZERO,
+        "outage" => seconds(words[1]),
+        "hang" => seconds(words[2]),
+        _ => after("for")
+            .or(after("back"))
+            .or(after("hang"))
+            .map_or(Micros::ZERO, |s| seconds(s)),
+    }
+}
+
+/// Nodes by role or number: `all`, `leader`, `follower` (the first), `followers` or `0` and up.
+pub(super) fn nodes(w: &Simulation, selector: &str) -> Vec<usize> {
+    match selector {
+        "all" => (0..w.nodes.len()).collect(),
+        "leader" => w.leader().into_iter().collect(),
+        "followers" => (0..w.nodes.len())
+            .filter(|i| w.leader() != Some(*i))
+            .collect(),
+        "follower" => (0..w.nodes.len())
+            .find(|i| w.leader() != Some(*i))
+            .into_iter()
+            .collect(),
+        // Random days name nodes of larger clusters as well.
+        n => vec![number(n) as usize % w.nodes.len()],
+    }
+}
+
+/// Nodes named by the next word.
+pub(super) fn next_nodes(w: &Simulation, words: &mut Words<'_>) -> Vec<usize> {
+    nodes(w, next_word(words))
+}
+
+/// A machine by name, the first that runs a task of a job (`of:req-1`), or the first of all (`any`).
+pub(super) fn machine(w: &Simulation, selector: &str) -> Option<MachineId> {
+    if let Some(id) = selector.strip_prefix("of:") {
+        let id = JobId::new(id);
+        return w
+            .machines
+            .values()
+            .find(|m| m.tasks.keys().any(|(t, _)| t.job == id))
+            .map(|m| m.id.clone());
+    }
+    if selector == "any" {
+        return w.machines.keys().next().cloned();
+    }
+    Some(MachineId::new(selector))
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/scenario/setup.rs
@@ -0,0 +1,169 @@
+//! Setup of a scenario: the simulated cluster, the settings of the scheduler and the machines at the beginning.
+
+use super::parser::{Words, key_values, next_word, number, seconds};
+use crate::limits::Limits;
+use crate::{START_TIME_OF_DAY, Simulation};
+use hopyoke_calendar::{Calendar, HoldSelector, StaffedHours};
+use hopyoke_protocol::cloud::MachineType;
+use hopyoke_scheduler::Team;
+use hopyoke_types::Micros;
+
+/// `seed N [nodes K]`: a cluster of K nodes (3 unless said) with the defaults of the scenarios.
+pub(super) fn new_simulation(words: &[&str]) -> Simulation {
+    let nodes = words.get(3).map_or(3, |n| number(n) as usize);
+    let mut w = Simulation::new(number(words[1]) as u64, nodes);
+    apply_defaults(&mut w);
+    w
+}
+
+/// One machine type, two teams, a little capacity in each zone, all nodes up.
+fn apply_defaults(w: &mut Simulation) {
+    w.machine_types.push(MachineType {
+        name: "std".into(),
+        cpus: 16.0,
+        gpus: 2.0,
+        memory_gb: 64.0,
+        cache_gb: 70.0,
+        fetch_gb_per_s: 2.0,
+        price: 7.0,
+        spot_price: 2.5,
+        boot_s: 10.0,
+        zones: w.config.zones.clone(),
+    });
+    for z in w.config.zones.clone() {
+        w.capacity.insert(("std".into(), z.clone(), false), 4);
+        w.capacity.insert(("std".into(), z, true), 2);
+    }
+    w.config.teams.push(Team {
+        name: "crew".into(),
+        gpus: 8.0,
+        gpus_max: 16.0,
+        ..Team::default()
+    });
+    w.config.teams.push(Team {
+        name: "other".into(),
+        gpus: 4.0,
+        gpus_max: 8.0,
+        ..Team::default()
+    });
+    w.expire_leases();
+    for i in 0..w.nodes.len() {
+        w.start_node(i);
+    }
+}
+
+/// Executes a statement that sets the simulation up.
+///
+/// # Errors
+///
+/// The statement is unknown, or a value is out of its range.
+pub(super) fn statement(
+    w: &mut Simulation,
+    name: &str,
+    words: &mut Words<'_>,
+) -> Result<(), String> {
+    match name {
+        "team" => set_team(w, words),
+        "use" => return enable_estimates(w, words),
+        "hours" => w.hours = Some(staffed_hours(words)?),
+        "limits" => set_store_limits(w, words),
+        "patience" => w.submission_timeout = Some(seconds(next_word(words))),
+        "idle_return" => w.tuning.idle_return = seconds(next_word(words)),
+        "report" => w.config.heartbeat_interval = seconds(next_word(words)),
+        "lease" => w.config.lease = seconds(next_word(words)),
+        "cancel_s" => w.cancellation_bound = seconds(next_word(words)),
+        "capacity" => {
+            let (zone, kind, n) = machine_group(words);
+            w.capacity
+                .insert(("std".into(), zone.into(), kind == "spot"), n);
+        }
+        "machines" => {
+            let (zone, kind, n) = machine_group(words);
+            for _ in 0..n {
+                w.add_machine("std", zone, kind == "spot", Some(Micros::from_millis(10)));
+            }
+        }
+        "duds" => w.failed_boots_left = number(next_word(words)) as u32,
+        other => return Err(format!("unknown statement {other}")),
+    }
+    Ok(())
+}
+
+/// `ZONE KIND COUNT` of machines.
+fn machine_group<'a>(words: &mut Words<'a>) -> (&'a str, &'a str, u32) {
+    (
+        next_word(words),
+        next_word(words),
+        number(next_word(words)) as u32,
+    )
+}
+
+/// `team NAME [cpus N] [cpus_max N] [gpus N] [gpus_max N]`: replaces the team's quota.
+fn set_team(w: &mut Simulation, words: &mut Words<'_>) {
+    let name = next_word(words).to_owned();
+    let pairs = key_values(words);
+    let get = |key: &str| pairs.get(key).map_or(0.0, |v| number(v));
+    w.config.teams.retain(|t| t.name != name);
+    w.config.teams.push(Team {
+        name,
+        cpus: get("cpus"),
+        cpus_max: get("cpus_max"),
+        gpus: get("gpus"),
+        gpus_max: get("gpus_max"),
+    });
+}
+
+/// `use PURPOSE ...`: decisions that rest on learned run times.
+fn enable_estimates(w: &mut Simulation, words: &mut Words<'_>) -> Result<(), String> {
+    let tuning = &mut w.tuning;
+    for name in words.by_ref() {
+        let flag = match *name {
+            "victims" => &mut tuning.use_for_victims,
+            "backfill" => &mut tuning.use_for_backfill,
+            "demand" => &mut tuning.use_for_demand,
+            "deadlines" => &mut tuning.use_for_deadlines,
+            "slow_machines" => &mut tuning.use_for_slow_machines,
+            other => return Err(format!("unknown use {other}")),
+        };
+        *flag = true;
+    }
+    Ok(())
+}
+
+/// `hours HELD drain|keep FROM-TO ...`: staffed hours in seconds of virtual time, and what is held outside them.
+fn staffed_hours(words: &mut Words<'_>) -> Result<StaffedHours, String> {
+    let (held, drain) = (next_word(words), next_word(words) == "drain");
+    let clock = |s: &str| {
+        let t = START_TIME_OF_DAY.0 / 1_000_000 + number(s) as u64;
+        format!("{:02}:{:02}:{:02}", t / 3600, t / 60 % 60, t % 60)
+    };
+    let spans: Vec<String> = words
+        .by_ref()
+        .map(|s| {
+            s.split_once('-')
+                .map_or(String::new(), |(a, b)| format!("{}-{}", clock(a), clock(b)))
+        })
+        .collect();
+    let calendar = Calendar::parse(&format!("Thu {}", spans.join(" ")), "UTC", "");
+    Ok(StaffedHours {
+        calendar: calendar.map_err(|e| e.to_string())?,
+        held: HoldSelector::parse(&held.replace('+', " ")).map_err(|e| e.to_string())?,
+        drain,
+        skew: Micros::from_millis(250),
+        margin: Micros::from_secs(2),
+        staffing_override: None,
+    })
+}
+
+/// `limits REQUESTS CHANGES [unpaced]`: rates of the key-value store per second. The nodes restart with their
+/// shares, so this stands before all events.
+fn set_store_limits(w: &mut Simulation, words: &mut Words<'_>) {
+    let (requests, changes) = (number(next_word(words)), number(next_word(words)));
+    let is_unpaced = words.next() == Some(&"unpaced");
+    w.limits = Some(Limits::new(requests, changes, is_unpaced));
+    // With so many users, checks of all invariants at every event would take minutes.
+    w.exhaustive_checks = false;
+    for i in 0..w.nodes.len() {
+        w.start_node(i);
+    }
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/scenario/store_faults.rs
@@ -0,0 +1,57 @@
+//! Faults of the key-value store and of the cloud, and lost, late or repeated messages.
+
+use super::parser::{Words, key_values, next_word, number, seconds};
+use super::selectors::{fault_end, nodes};
+use crate::Simulation;
+use crate::kv_store::FaultWindow;
+
+/// Executes an event that strikes the store, the cloud or messages; false if `name` is none.
+pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
+    match name {
+        "boots" => {
+            let factor = number(next_word(words));
+            w.cloud.slow = Some((factor, fault_end(w, words)));
+        }
+        "duds" => w.failed_boots_left = number(next_word(words)) as u32,
+        "old_lists" => w.cloud.stale_lists_until = fault_end(w, words),
+        "slow_state" => {
+            let by = seconds(next_word(words));
+            w.kv_store.slow = (by, fault_end(w, words));
+        }
+        "refuse" => {
+            let selector = next_word(words);
+            let until = fault_end(w, words);
+            for node in nodes(w, selector) {
+                w.kv_store.refused.insert(node, until);
+            }
+        }
+        "outage" => w.begin_outage(seconds(next_word(words))),
+        "lost_answers" | "lost_renewals" | "late_writes" | "late_reports" | "held_reports"
+        | "late_commands" => open_fault_window(w, name, words),
+        _ => return false,
+    }
+    true
+}
+
+/// `NAME PERCENT for SECONDS [next SECONDS]`: a share of the messages of a kind meets the fault; with `next` the
+/// heartbeats reach the next leader, so long after its election.
+fn open_fault_window(w: &mut Simulation, name: &str, words: &mut Words<'_>) {
+    let percent = number(next_word(words)) as u64;
+    let pairs = key_values(words);
+    let window = FaultWindow {
+        percent,
+        until: w.now + seconds(pairs["for"]),
+    };
+    let next = pairs.get("next").map(|s| seconds(s));
+    let place = match name {
+        "lost_answers" => &mut w.kv_store.lost_responses,
+        "lost_renewals" => &mut w.kv_store.lost_renewals,
+        "late_writes" => &mut w.kv_store.late_writes,
+        "late_commands" => &mut w.delayed_commands,
+        "held_reports" => &mut w.heartbeats_for_next_leader.held,
+        _ if next.is_some() => &mut w.heartbeats_for_next_leader.copied,
+        _ => &mut w.duplicated_heartbeats,
+    };
+    *place = window;
+    w.heartbeats_for_next_leader.after = next.unwrap_or(w.heartbeats_for_next_leader.after);
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/scenario/workload.rs
@@ -0,0 +1,149 @@
+//! Events of the workload: submissions, cancellations and what users do besides.
+
+use super::parser::{Words, key_values, next_word, number, seconds};
+use super::selectors::fault_end;
+use crate::kv_store::FaultWindow;
+use crate::{JobGroundTruth, START_TIME_OF_DAY, Simulation};
+use hopyoke_calendar::StaffingOverride;
+use hopyoke_protocol::user::{JobKind, JobSpec, Priority};
+use hopyoke_types::{JobId, Micros};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// Executes an event of the workload; false if `name` is none.
+pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
+    match name {
+        "submit" => {
+            let (id, kind) = (JobId::new(next_word(words)), next_word(words));
+            let truth = job(&id, kind, &key_values(words));
+            w.jobs.insert(id.clone(), truth);
+            w.submit(id);
+        }
+        "many" => {
+            let n = number(next_word(words)) as u64;
+            for id in new_jobs(w, n, words) {
+                w.submit(id);
+            }
+        }
+        "stream" => submit_stream(w, words),
+        "cancel" => w.cancel(JobId::new(next_word(words))),
+        "close_looks" => w.user_behavior.concurrent_reads_until = fault_end(w, words),
+        "cancel_at_end" => {
+            let percent = number(next_word(words)) as u64;
+            w.user_behavior.cancel_at_end = FaultWindow {
+                percent,
+                until: fault_end(w, words),
+            };
+        }
+        "cancel_now" => {
+            let max_jobs = number(next_word(words)) as usize;
+            let pairs = key_values(words);
+            let hang = pairs.get("hang").map_or(Micros::ZERO, |s| seconds(s));
+            w.cancel_now(max_jobs, hang);
+        }
+        "odd_requests" => {
+            w.user_behavior.malformed_requests_until = fault_end(w, words);
+            w.send_malformed_requests();
+        }
+        "staffed" => override_staffed_hours(w, words),
+        _ => return false,
+    }
+    true
+}
+
+/// `stream COUNT PER_SECOND PERCENT KIND KEY VALUE ...`: jobs at an even rate, of which a share is cancelled soon
+/// after its submission.
+fn submit_stream(w: &mut Simulation, words: &mut Words<'_>) {
+    let (n, rate, cancelled_percent) = (
+        number(next_word(words)) as u64,
+        number(next_word(words)),
+        number(next_word(words)) as u64,
+    );
+    for (k, id) in (0..).zip(new_jobs(w, n, words)) {
+        let begins = Micros::from_secs_f64(k as f64 / rate);
+        if k * cancelled_percent % 100 < cancelled_percent {
+            let (id, later) = (id.clone(), Micros(w.random(500_000, 10_000_000)));
+            w.after(begins + later, move |w| w.cancel(id));
+        }
+        w.after(begins, move |w| w.submit(id));
+    }
+}
+
+/// `staffed on|off UNTIL`: an operator overrides the calendar.
+fn override_staffed_hours(w: &mut Simulation, words: &mut Words<'_>) {
+    let (staffed, until) = (next_word(words) == "on", seconds(next_word(words)));
+    let switch = Some(StaffingOverride {
+        staffed,
+        until_us: (START_TIME_OF_DAY + until).0,
+        by: "operator".into(),
+    });
+    if let Some(hours) = &mut w.hours {
+        hours.staffing_override.clone_from(&switch);
+    }
+    for leadership in w.nodes.iter_mut().filter_map(|n| n.leadership.as_mut()) {
+        leadership.scheduler.set_switch(switch.clone());
+    }
+}
+
+/// So many jobs of one kind that nobody has submitted yet: `KIND KEY VALUE ...`.
+fn new_jobs(w: &mut Simulation, n: u64, words: &mut Words<'_>) -> Vec<JobId> {
+    let (kind, pairs) = (next_word(words), key_values(words));
+    let add = |_| {
+        let id = JobId::new(&format!("req-{:06}", 1000 + w.jobs.len()));
+        w.jobs.insert(id.clone(), job(&id, kind, &pairs));
+        id
+    };
+    (0..n).map(add).collect()
+}
+
+/// A job of a kind (`array`, `gang`, `service`) with what the pairs say of it.
+pub(super) fn job(id: &JobId, kind: &str, pairs: &BTreeMap<&str, &str>) -> JobGroundTruth {
+    let get = |k: &str, d: f64| pairs.get(k).map_or(d, |v| number(v));
+    let yes = |k: &str| pairs.get(k) == Some(&"yes");
+    let tasks = get("tasks", 1.0) as u32;
+    let run = get("run", 10.0);
+    let spec = JobSpec {
+        id: id.clone(),
+        class: pairs.get("class").unwrap_or(&"c").to_string(),
+        team: pairs.get("team").unwrap_or(&"crew").to_string(),
+        kind: match kind {
+            "array" => JobKind::Array,
+            "gang" => JobKind::Gang,
+            "service" => JobKind::Service,
+            other => panic!("unknown kind {other}"),
+        },
+        priority: match pairs.get("priority").copied() {
+            Some("production") => Priority::Production,
+            Some("high") => Priority::High,
+            Some("low") => Priority::Low,
+            _ => Priority::Normal,
+        },
+        tasks,
+        cpus: get("cpus", 6.0),
+        gpus: get("gpus", 1.0),
+        memory_gb: get("mem", 20.0),
+        image: pairs.get("image").unwrap_or(&"img-1").to_string(),
+        image_gb: get("image_gb", 2.0),
+        types: None,
+        zone: pairs.get("zone").map(|z| (*z).to_string()),
+        one_zone: yes("together"),
+        spread: yes("apart"),
+        spot: yes("spot"),
+        estimate_s: if kind == "service" {
+            0.0
+        } else {
+            run * get("owner", 1.0)
+        },
+        checkpoint_s: get("checkpoint", 0.0),
+        save_s: get("save", 0.0),
+        deadline_s: pairs.get("deadline").map(|v| number(v)),
+    };
+    JobGroundTruth {
+        run_time: Micros::from_secs_f64(run),
+        always_fails: yes("fails"),
+        is_workflow_step: yes("flow"),
+        done: vec![false; tasks as usize],
+        spec: Rc::new(spec),
+        ..JobGroundTruth::new(id.clone())
+    }
+}
--- a/crates/hopyoke-simulator/src/users.rs
+++ b/crates/hopyoke-simulator/src/users.rs
@@ -1,8 +1,8 @@
 //! Users, as the protocol describes them, and what they do besides in odd or hasty hours.
 
 use super::api::{Answer, Request};
-use super::store::Spell;
-use super::{Truth, World};
+use super::kv_store::FaultWindow;
+use super::{JobGroundTruth, Simulation};
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_protocol::{decode, encode};
@@ -11,53 +11,53 @@
 use std::rc::Rc;
 
 /// How long users wait for an answer.
-const POLL_LIMIT: Micros = Micros::from_secs(2);
-const LIMIT: Micros = Micros::from_secs(5);
+const POLL_TIMEOUT: Micros = Micros::from_secs(2);
+const REQUEST_TIMEOUT: Micros = Micros::from_secs(5);
 
 /// A job has long to go if it has this long.
-const LONG: Micros = Micros::from_secs(20);
+const MIN_REMAINING_RUN_TIME: Micros = Micros::from_secs(20);
 /// Jobs are called off within this, and machines hang with at most so many.
-const AT_ONCE: u64 = 200_000;
-const MOST_HANGS: usize = 8;
+const CANCEL_SPREAD: u64 = 200_000;
+const MAX_HANGING_MACHINES: usize = 8;
 /// A call at a task's end may come so long before it.
-const BEFORE_END: Micros = Micros::from_millis(10);
+const CANCEL_LEAD_TIME: Micros = Micros::from_millis(10);
 
 /// What users do for a while.
 #[derive(Debug, Default)]
-pub struct Habits {
+pub(crate) struct UserBehavior {
     /// They look closely until then.
-    pub close_looks: Micros,
+    pub(crate) concurrent_reads_until: Micros,
     /// So many of the jobs that end are cancelled at their end, in percent.
-    pub cancel_at_end: Spell,
+    pub(crate) cancel_at_end: FaultWindow,
     /// They send odd requests until then.
-    pub odd_requests: Micros,
+    pub(crate) malformed_requests_until: Micros,
     /// Odd requests so far.
-    odd: u64,
+    malformed_count: u64,
 }
 
-impl World {
+impl Simulation {
     /// A user sends a request to a node; `then` sees the answer, if one comes in time.
-    pub fn ask(
+    pub(crate) fn ask(
         &mut self,
         i: usize,
         id: &JobId,
-        what: Request,
-        then: impl FnOnce(&mut World, Answer) + 'static,
+        request: Request,
+        then: impl FnOnce(&mut Simulation, Answer) + 'static,
     ) {
-        let (known, sent, id) = (self.known(id), self.now, id.clone());
-        let limit = if what == Request::Poll {
-            POLL_LIMIT
+        let (observed_state, sent, id) = (self.observed_state(id), self.now, id.clone());
+        let limit = if request == Request::Poll {
+            POLL_TIMEOUT
         } else {
-            LIMIT
+            REQUEST_TIMEOUT
         };
-        let way = Micros(self.random(200, 2_000)) + self.lag(super::Host::Node(i));
+        let way = Micros(self.random(200, 2_000)) + self.delivery_delay(super::Host::Node(i));
         self.timer(i, way, move |w| {
             if !w.nodes[i].up {
                 return;
             }
             let process = w.nodes[i].process;
             let job = id.clone();
-            let reply = move |w: &mut World, answer: Answer| {
+            let reply = move |w: &mut Simulation, answer: Answer| {
                 if !w.alive(i, process) {
                     return;
                 }
@@ -66,22 +66,22 @@
                     if w.now > sent + limit {
                         return;
                     }
-                    w.log(|| format!("node {i} answers a {what:?} of {id}: {answer:?}"));
-                    w.heard(&id, what, known, answer);
+                    w.log(|| format!("node {i} answers a {request:?} of {id}: {answer:?}"));
+                    w.observe_answer(&id, request, observed_state, answer);
                     then(w, answer);
                 });
             };
-            w.take_request(i, job, what, Box::new(reply));
+            w.take_request(i, job, request, Box::new(reply));
         });
     }
 
     /// A node that can take users' requests; users try one after the other.
-    fn some_node(&mut self) -> usize {
+    fn pick_node(&mut self) -> usize {
         let n = self.nodes.len() as u64;
         let first = self.random(0, n - 1) as usize;
         (0..n as usize)
             .map(|k| (first + k) % n as usize)
-            .find(|&k| self.nodes[k].up && !self.stands_still(k))
+            .find(|&k| self.nodes[k].up && !self.is_paused(k))
             .unwrap_or(first)
     }
 
@@ -91,15 +91,15 @@
         let Some(job) = self
             .jobs
             .get_mut(&id)
-            .filter(|j| j.accepted.is_none() && !j.refused)
+            .filter(|j| j.accepted_at.is_none() && !j.is_rejected)
         else {
             return;
         };
-        let first = *job.first_try.get_or_insert(now);
-        if self.patience.is_some_and(|p| now >= first + p) {
+        let first = *job.first_submitted_at.get_or_insert(now);
+        if self.submission_timeout.is_some_and(|p| now >= first + p) {
             return;
         }
-        let i = self.some_node();
+        let i = self.pick_node();
         let job = id.clone();
         // Users come back after a second or so, or when they are told to.
         let pause = if self.limits.is_some() {
@@ -112,48 +112,48 @@
             if matches!(answer, Answer::Malformed | Answer::NeverRuns)
                 && let Some(job) = w.jobs.get_mut(&job)
             {
-                job.refused = true;
+                job.is_rejected = true;
             }
         });
         self.at(soon, move |w| w.submit(id));
     }
 
     /// A user cancels a job and repeats that until it is told what the job finally is.
-    pub fn cancel(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get_mut(&id).filter(|j| j.told.is_none()) else {
+    pub(crate) fn cancel(&mut self, id: JobId) {
+        let Some(job) = self.jobs.get_mut(&id).filter(|j| j.observed_end.is_none()) else {
             return;
         };
-        job.asked_cancel = true;
-        let i = self.some_node();
+        job.cancel_requested = true;
+        let i = self.pick_node();
         self.ask(i, &id, Request::Cancel, |_, _| {});
         self.after(Micros::from_millis(1500), move |w| w.cancel(id));
     }
 
     /// A user asks about a job, every few seconds until it is over, and now and then later on.
-    pub fn poll(&mut self, id: JobId) {
+    pub(crate) fn poll(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let pause = if job.told.is_some() {
+        let pause = if job.observed_end.is_some() {
             self.random(15_000_000, 40_000_000)
         } else {
             5_000_000
         };
-        let i = self.some_node();
+        let i = self.pick_node();
         self.ask(i, &id, Request::Poll, |_, _| {});
         self.after(Micros(pause), move |w| w.poll(id));
     }
 
     /// A job's user was first told that it is accepted, or over. Whoever looks closely asks at every node within
     /// milliseconds, again and again, and repeats the submission; some cancel at once.
-    pub(crate) fn told_news(&mut self, id: &JobId, end: Option<JobState>) {
-        if self.now >= self.habits.close_looks {
+    pub(crate) fn news_observed(&mut self, id: &JobId, end: Option<JobState>) {
+        if self.now >= self.user_behavior.concurrent_reads_until {
             return;
         }
         for i in 0..self.nodes.len() {
-            for what in [Request::Poll, Request::Poll, Request::Poll, Request::Submit] {
+            for request in [Request::Poll, Request::Poll, Request::Poll, Request::Submit] {
                 let (id, wait) = (id.clone(), Micros(self.random(0, 80_000)));
-                self.after(wait, move |w| w.ask(i, &id, what, |_, _| {}));
+                self.after(wait, move |w| w.ask(i, &id, request, |_, _| {}));
             }
         }
         if end.is_none() && self.random(0, 3) == 0 {
@@ -163,9 +163,9 @@
     }
 
     /// A task ends after `left`, if nothing comes between: its user may call just before.
-    pub(crate) fn ends_in(&mut self, task: &TaskId, left: Micros) {
+    pub(crate) fn task_ends_in(&mut self, task: &TaskId, left: Micros) {
         let task = task.clone();
-        self.after(left.max(BEFORE_END) - BEFORE_END, move |w| {
+        self.after(left.max(CANCEL_LEAD_TIME) - CANCEL_LEAD_TIME, move |w| {
             let open = w
                 .jobs
                 .get(&task.job)
@@ -175,25 +175,25 @@
                 .get(&task.job)
                 .is_some_and(|j| j.spec.kind == JobKind::Gang);
             if gang || open == 1 {
-                w.at_end(&task.job);
+                w.job_ending(&task.job);
             }
         });
     }
 
     /// A job's last task ends now: some users cancel it, ask everywhere and repeat the submission just then, or
     /// when its end is being recorded.
-    pub(crate) fn at_end(&mut self, id: &JobId) {
-        let Spell { percent, until } = self.habits.cancel_at_end;
+    pub(crate) fn job_ending(&mut self, id: &JobId) {
+        let FaultWindow { percent, until } = self.user_behavior.cancel_at_end;
         let drawn = self.now < until
             && self
                 .jobs
                 .get(id)
-                .is_some_and(|j| j.accepted.is_some() && j.told.is_none());
+                .is_some_and(|j| j.accepted_at.is_some() && j.observed_end.is_none());
         if !drawn
             || self
                 .jobs
                 .get_mut(id)
-                .is_none_or(|j| std::mem::replace(&mut j.end_drawn, true))
+                .is_none_or(|j| std::mem::replace(&mut j.cancel_at_end_drawn, true))
         {
             return;
         }
@@ -204,15 +204,15 @@
         let (job, wait) = (id.clone(), Micros(self.random(0, span)));
         self.after(wait, move |w| w.cancel(job));
         for i in 0..self.nodes.len() {
-            for what in [Request::Poll, Request::Poll, Request::Submit] {
+            for request in [Request::Poll, Request::Poll, Request::Submit] {
                 let (id, wait) = (id.clone(), Micros(self.random(0, span)));
-                self.after(wait, move |w| w.ask(i, &id, what, |_, _| {}));
+                self.after(wait, move |w| w.ask(i, &id, request, |_, _| {}));
             }
         }
     }
 
     /// Users call off jobs that run and have long to go, at once; some of their machines hang for a while.
-    pub fn cancel_now(&mut self, most: usize, hang: Micros) {
+    pub(crate) fn cancel_now(&mut self, most: usize, hang: Micros) {
         let now = self.now;
         let mut running: BTreeMap<JobId, Vec<MachineId>> = BTreeMap::new();
         for m in self.machines.values() {
@@ -225,8 +225,8 @@
                     continue;
                 };
                 let long = job.spec.kind == JobKind::Service
-                    || job.run > job.saved + (now - t.started) + LONG;
-                if long && job.told.is_none() && !job.asked_cancel {
+                    || job.run_time > job.checkpointed + (now - t.started) + MIN_REMAINING_RUN_TIME;
+                if long && job.observed_end.is_none() && !job.cancel_requested {
                     running
                         .entry(task.job.clone())
                         .or_default()
@@ -234,7 +234,7 @@
                 }
             }
         }
-        let mut hung = 0;
+        let mut paused_until = 0;
         for _ in 0..most.min(running.len()) {
             let at = self.random(0, running.len() as u64 - 1) as usize;
             let Some(id) = running.keys().nth(at).cloned() else {
@@ -244,48 +244,50 @@
                 if let Some(m) = self
                     .machines
                     .get_mut(&m)
-                    .filter(|m| hang.0 > 0 && m.hung_until < now + hang)
-                    && hung < MOST_HANGS
+                    .filter(|m| hang.0 > 0 && m.hangs_until < now + hang)
+                    && paused_until < MAX_HANGING_MACHINES
                 {
-                    m.hung_until = now + hang;
-                    hung += 1;
+                    m.hangs_until = now + hang;
+                    paused_until += 1;
                 }
             }
-            let wait = Micros(self.random(0, AT_ONCE));
+            let wait = Micros(self.random(0, CANCEL_SPREAD));
             self.after(wait, move |w| w.cancel(id));
         }
     }
 
     /// Users send odd requests, again and again.
-    pub fn odd_requests(&mut self) {
-        if self.now >= self.habits.odd_requests {
+    pub(crate) fn send_malformed_requests(&mut self) {
+        if self.now >= self.user_behavior.malformed_requests_until {
             return;
         }
-        let i = self.some_node();
+        let i = self.pick_node();
         match self.random(0, 3) {
             0 => {
-                if let Some(id) = self.some_job(|j| j.accepted.is_some() && j.told.is_none()) {
+                if let Some(id) =
+                    self.pick_job(|j| j.accepted_at.is_some() && j.observed_end.is_none())
+                {
                     self.ask(i, &id, Request::Submit, |_, _| {});
                 }
             }
             1 => {
-                if let Some(id) = self.some_job(|j| j.told == Some(JobState::Done)) {
+                if let Some(id) = self.pick_job(|j| j.observed_end == Some(JobState::Done)) {
                     self.ask(i, &id, Request::Cancel, |_, _| {});
                 }
             }
-            2 => self.submit_odd(),
+            2 => self.submit_malformed(),
             _ => {
                 // Nobody ever submits these.
                 let id = JobId::new(&format!("req-{}", 990_000 + self.random(0, 9_999)));
-                let what = [Request::Poll, Request::Cancel][self.random(0, 1) as usize];
-                self.ask(i, &id, what, |_, _| {});
+                let request = [Request::Poll, Request::Cancel][self.random(0, 1) as usize];
+                self.ask(i, &id, request, |_, _| {});
             }
         }
         let pause = Micros(self.random(100_000, 700_000));
-        self.after(pause, World::odd_requests);
+        self.after(pause, Simulation::send_malformed_requests);
     }
 
-    fn some_job(&mut self, which: impl Fn(&Truth) -> bool) -> Option<JobId> {
+    fn pick_job(&mut self, which: impl Fn(&JobGroundTruth) -> bool) -> Option<JobId> {
         let found: Vec<JobId> = self
             .jobs
             .iter()
@@ -297,11 +299,14 @@
     }
 
     /// Submits a job that can't run, or whose description lacks a field or has one out of its range.
-    fn submit_odd(&mut self) {
-        self.habits.odd += 1;
-        let id = JobId::new(&format!("req-{}", 900_000 + self.habits.odd));
+    fn submit_malformed(&mut self) {
+        self.user_behavior.malformed_count += 1;
+        let id = JobId::new(&format!(
+            "req-{}",
+            900_000 + self.user_behavior.malformed_count
+        ));
         let team = self
-            .cfg
+            .config
             .teams
             .iter()
             .find(|t| t.gpus_max > 0.0)
@@ -337,10 +342,10 @@
             map.remove(field);
             body = encode(&map);
         }
-        let truth = Truth {
+        let truth = JobGroundTruth {
             spec: Rc::new(spec),
-            body: Some(body),
-            ..Truth::new(id.clone())
+            malformed_body: Some(body),
+            ..JobGroundTruth::new(id.clone())
         };
         self.jobs.insert(id.clone(), truth);
         self.submit(id);
--- a/crates/hopyoke/tests/scenarios.rs
+++ b/crates/hopyoke/tests/scenarios.rs
@@ -2,7 +2,7 @@
 
 mod checks;
 
-use hopyoke_simulator::script;
+use hopyoke_simulator::scenario;
 use libtest_mimic::{Arguments, Failed, Trial};
 use std::fs;
 use std::path::PathBuf;
@@ -43,7 +43,7 @@
         .unwrap_or_default();
     Trial::test(format!("scenario::{name}"), move || {
         let text = fs::read_to_string(&file)?;
-        let digest = script::run(&text, &checks::statement)?;
+        let digest = scenario::run(&text, &checks::statement)?;
         if prints_digests() {
             println!("digest {name} {digest:016x}");
         }
@@ -82,7 +82,7 @@
                     if seed >= first + days {
                         return;
                     }
-                    match script::run(&day(seed), &checks::statement) {
+                    match scenario::run(&day(seed), &checks::statement) {
                         Ok(digest) if prints_digests() => {
                             println!("digest day_{seed} {digest:016x}")
                         }
