--- /dev/null
+++ b/crates/hopyoke-simulator/src/agent/heartbeats.rs
@@ -0,0 +1,253 @@
+//! Heartbeats of agents, their responses and pushed commands, and the agent's lease.
+
+use super::Answer;
+use crate::{Host, Simulation};
+use hopyoke_protocol::worker::{Command, Heartbeat};
+use hopyoke_types::{Attempt, FencingToken, MachineId, Micros, TaskId};
+
+/// A heartbeat without a response within this has failed.
+const HEARTBEAT_TIMEOUT: Micros = Micros::from_secs(4);
+
+impl Simulation {
+    /// A machine is up: its agent starts.
+    pub(crate) fn boot(&mut self, id: &MachineId) {
+        let nodes = self.nodes.len() as u64;
+        let node = self.random(0, nodes - 1) as usize;
+        let now = self.now;
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        m.up = true;
+        m.lease_started_at = now;
+        m.node = node;
+        let id = id.clone();
+        self.send_heartbeat(&id);
+        self.run_heartbeat_timer(&id);
+    }
+
+    /// Sends heartbeats at intervals that vary by a quarter.
+    fn run_heartbeat_timer(&mut self, id: &MachineId) {
+        let base = self.config.heartbeat_interval.0;
+        let wait = Micros(self.random(base * 3 / 4, base * 5 / 4));
+        let m = id.clone();
+        self.after(wait, move |w| {
+            if w.machines.contains_key(&m) {
+                w.send_heartbeat(&m);
+                w.run_heartbeat_timer(&m);
+            }
+        });
+        let m = id.clone();
+        self.lease_check(&m);
+    }
+
+    /// Kills all tasks when the last answered heartbeat was sent too long ago: the epoch ends.
+    fn lease_check(&mut self, id: &MachineId) {
+        let lease = self.config.lease;
+        let now = self.now;
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        let limit = Micros((lease.0 as f64 * (1.0 + m.drift)) as u64);
+        if now > m.lease_started_at + limit {
+            m.epoch += 1;
+            self.expired_epochs += 1;
+            m.lease_started_at = now;
+            m.in_flight = None;
+            let gone: Vec<(TaskId, Attempt)> = std::mem::take(&mut m.tasks).into_keys().collect();
+            self.log(|| format!("{id} session over, {} tasks killed", gone.len()));
+            for (t, a) in gone {
+                self.gang_lost(&t.job, a);
+            }
+        } else {
+            let at = m.lease_started_at + limit + Micros(1);
+            let id = id.clone();
+            self.at(at, move |w| w.lease_check(&id));
+        }
+    }
+
+    /// Sends a heartbeat because something has changed, at least half a second after the last.
+    pub(crate) fn schedule_heartbeat(&mut self, id: &MachineId) {
+        let now = self.now;
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        if std::mem::replace(&mut m.heartbeat_scheduled, true) {
+            return;
+        }
+        let at = now.max(m.last_heartbeat_at + Micros::from_millis(500));
+        let id = id.clone();
+        self.at(at, move |w| {
+            if let Some(m) = w.machines.get_mut(&id) {
+                m.heartbeat_scheduled = false;
+                w.send_heartbeat(&id);
+            }
+        });
+    }
+
+    /// Sends a heartbeat, unless one is in flight.
+    fn send_heartbeat(&mut self, id: &MachineId) {
+        if let Some(t) = self.paused_until(id) {
+            let m = id.clone();
+            return self.at(t, move |w| w.send_heartbeat(&m));
+        }
+        let now = self.now;
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        if !m.up || m.in_flight.is_some() {
+            return;
+        }
+        let heartbeat = m.heartbeat(now);
+        let (number, epoch) = (m.sequence, m.epoch);
+        m.in_flight = Some(number);
+        m.last_heartbeat_at = now;
+        let is_outbound_lost = now < m.outbound_lost_until;
+        let node = m.node;
+        let machine = id.clone();
+        if self
+            .connections_refused_until
+            .get(id)
+            .is_some_and(|t| now < *t)
+        {
+            return self.after(Micros::from_millis(1), move |w| {
+                w.receive_heartbeat_response(&machine, epoch, number, now, Some(Err(None)));
+            });
+        }
+        if !is_outbound_lost {
+            self.transmit_heartbeat(node, heartbeat);
+        }
+        self.after(HEARTBEAT_TIMEOUT, move |w| {
+            w.receive_heartbeat_response(&machine, epoch, number, now, None);
+        });
+    }
+
+    /// Sends a heartbeat to a node; faults may repeat it, or hold it for the next leader.
+    fn transmit_heartbeat(&mut self, node: usize, heartbeat: Heartbeat) {
+        let number = heartbeat.sequence;
+        if self.draws_fault(self.duplicated_heartbeats) {
+            // A copy arrives again, up to well over a lease later.
+            let copy = heartbeat.clone();
+            let span = Micros(self.random(2_000_000, self.config.lease.0 * 8 / 5));
+            self.after(span, move |w| {
+                let from = w.agent_host(&copy.machine);
+                w.send(from, Host::Node(node), move |w| {
+                    w.node_heartbeat(node, copy, number, true)
+                });
+            });
+        }
+        if self.draws_fault(self.heartbeats_for_next_leader.copied) {
+            self.heartbeats_for_next_leader.kept.push(heartbeat.clone());
+        }
+        if self.draws_fault(self.heartbeats_for_next_leader.held) {
+            self.heartbeats_for_next_leader.kept.push(heartbeat);
+        } else {
+            let from = self.agent_host(&heartbeat.machine);
+            self.send(from, Host::Node(node), move |w| {
+                w.node_heartbeat(node, heartbeat, number, false)
+            });
+        }
+    }
+
+    /// A new leader begins: heartbeats that were held for it reach every node, out of order.
+    pub(crate) fn deliver_heartbeats_held_for_leader(&mut self) {
+        for heartbeat in std::mem::take(&mut self.heartbeats_for_next_leader.kept) {
+            for node in 0..self.nodes.len() {
+                let (heartbeat, sequence) = (heartbeat.clone(), heartbeat.sequence);
+                self.after(self.heartbeats_for_next_leader.after, move |w| {
+                    let from = w.agent_host(&heartbeat.machine);
+                    w.send(from, Host::Node(node), move |w| {
+                        w.node_heartbeat(node, heartbeat, sequence, true)
+                    });
+                });
+            }
+        }
+    }
+
+    /// A response to a heartbeat, or its absence (`None`).
+    pub(crate) fn receive_heartbeat_response(
+        &mut self,
+        id: &MachineId,
+        epoch: u64,
+        number: u64,
+        sent: Micros,
+        answer: Option<Answer>,
+    ) {
+        if let Some(t) = self.paused_until(id) {
+            let id = id.clone();
+            return self.at(t, move |w| {
+                w.receive_heartbeat_response(&id, epoch, number, sent, answer)
+            });
+        }
+        let nodes = self.nodes.len();
+        let now = self.now;
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        if now < m.responses_lost_until && answer.is_some() {
+            return;
+        }
+        if now < m.responses_held_until && answer.is_some() {
+            let (id, until) = (id.clone(), m.responses_held_until);
+            return self.at(until, move |w| {
+                w.receive_heartbeat_response(&id, epoch, number, sent, answer)
+            });
+        }
+        if m.in_flight != Some(number) || m.epoch != epoch {
+            return;
+        }
+        if now > sent + HEARTBEAT_TIMEOUT && answer.is_some() {
+            return;
+        }
+        m.in_flight = None;
+        match answer {
+            Some(Ok((token, commands))) => {
+                self.digest_heartbeat_response(token, &commands);
+                let Some(m) = self.machines.get_mut(id) else {
+                    return;
+                };
+                if token >= m.token {
+                    let higher = token > m.token;
+                    m.token = token;
+                    m.lease_started_at = sent;
+                    if higher {
+                        self.schedule_heartbeat(id);
+                    }
+                    self.execute(id, commands);
+                }
+            }
+            Some(Err(Some(to))) if to != m.node => {
+                m.node = to;
+                let id = id.clone();
+                self.after(Micros::from_millis(100), move |w| w.send_heartbeat(&id));
+            }
+            _ => {
+                m.node = (m.node + 1) % nodes;
+                let id = id.clone();
+                self.after(Micros::from_secs(1), move |w| w.send_heartbeat(&id));
+            }
+        }
+    }
+
+    /// Commands that a leader pushed to an agent; `None`: the machine is gone or its response is lost.
+    pub(crate) fn receive_pushed_commands(
+        &mut self,
+        id: &MachineId,
+        token: FencingToken,
+        epoch: u64,
+        commands: Vec<Command>,
+    ) -> Option<(bool, Heartbeat)> {
+        self.digest_pushed_commands(token, epoch, &commands);
+        let now = self.now;
+        let m = self
+            .machines
+            .get_mut(id)
+            .filter(|m| now >= m.responses_lost_until)?;
+        let ok = token >= m.token && epoch == m.epoch;
+        if ok {
+            m.token = token;
+            self.execute(id, commands);
+        }
+        let m = self.machines.get_mut(id)?;
+        Some((ok, m.heartbeat(now)))
+    }
+}
--- /dev/null
+++ b/crates/hopyoke-simulator/src/agent/tasks.rs
@@ -0,0 +1,316 @@
+//! Life cycle of tasks on a machine: start, image fetch, run, checkpoint, exit.
+
+use super::{Agent, Task};
+use crate::Simulation;
+use hopyoke_protocol::user::JobKind;
+use hopyoke_protocol::worker::{Command, ExitReason, TaskState};
+use hopyoke_types::{Attempt, MachineId, Micros, TaskId};
+
+impl Simulation {
+    /// Executes commands in their order.
+    pub(crate) fn execute(&mut self, id: &MachineId, commands: Vec<Command>) {
+        for command in commands {
+            self.log(|| format!("{id} {command:?}"));
+            match command {
+                Command::Start { task, attempt } => self.start(id, &task, attempt),
+                Command::Stop {
+                    task,
+                    attempt,
+                    grace_s,
+                } => self.stop(id, &task, attempt, grace_s),
+                Command::Acknowledge { task, attempt } => {
+                    if let (Some(t), Some(m)) = (TaskId::parse(&task), self.machines.get_mut(id))
+                        && m.tasks
+                            .get(&(t.clone(), attempt))
+                            .is_some_and(|x| x.state == TaskState::Ended)
+                    {
+                        m.tasks.remove(&(t, attempt));
+                    }
+                }
+            }
+        }
+    }
+
+    /// Starts a task, or says why it can't run here.
+    fn start(&mut self, id: &MachineId, task: &str, attempt: Attempt) {
+        let now = self.now;
+        let Some(task) = TaskId::parse(task) else {
+            return;
+        };
+        let key = (task.clone(), attempt);
+        let Some(m) = self.machines.get(id) else {
+            return;
+        };
+        if m.tasks.contains_key(&key) {
+            return;
+        }
+        let why = self.refusal(m, &task);
+        let spec = self.jobs.get(&task.job).map(|j| j.spec.clone());
+        let fetch_rate = self
+            .machine_types
+            .iter()
+            .find(|t| t.name == m.kind)
+            .map_or(1.0, |t| t.fetch_gb_per_s);
+        let state = if why.is_some() {
+            TaskState::Ended
+        } else {
+            TaskState::Fetching
+        };
+        let Some(m) = self.machines.get_mut(id) else {
+            return;
+        };
+        m.tasks.insert(
+            key,
+            Task {
+                state,
+                why,
+                saved: false,
+                started: now,
+            },
+        );
+        let (Some(spec), None) = (spec, why) else {
+            return self.schedule_heartbeat(id);
+        };
+        let cached = m.images.contains(&spec.image);
+        let fetch = if cached {
+            Micros::from_millis(1)
+        } else {
+            Micros::from_secs_f64(spec.image_gb / fetch_rate)
+        };
+        let epoch = m.epoch;
+        let machine = id.clone();
+        self.schedule_heartbeat(id);
+        self.on_machine(id, fetch, move |w| {
+            w.fetched(&machine, epoch, task, attempt)
+        });
+    }
+
+    /// Why a task can't start on a machine.
+    fn refusal(&self, m: &Agent, task: &TaskId) -> Option<ExitReason> {
+        let Some(spec) = self.jobs.get(&task.job).map(|j| &j.spec) else {
+            return Some(ExitReason::UnknownTask);
+        };
+        let running = || m.tasks.iter().filter(|(_, x)| x.state != TaskState::Ended);
+        if running().any(|((t, _), _)| t == task) {
+            return Some(ExitReason::Busy);
+        }
+        let machine_type = self.machine_types.iter().find(|t| t.name == m.kind)?;
+        let (mut cpus, mut gpus, mut memory_gb) = (0.0, 0.0, 0.0);
+        for ((t, _), _) in running() {
+            if let Some(job) = self.jobs.get(&t.job) {
+                cpus += job.spec.cpus;
+                gpus += job.spec.gpus;
+                memory_gb += job.spec.memory_gb;
+            }
+        }
+        let exceeds = cpus + spec.cpus > machine_type.cpus + 1e-6
+            || gpus + spec.gpus > machine_type.gpus + 1e-6
+            || memory_gb + spec.memory_gb > machine_type.memory_gb + 1e-6;
+        exceeds.then_some(ExitReason::InsufficientResources)
+    }
+
+    /// A task that has not ended, in the epoch in which it was started.
+    pub(super) fn live(
+        &mut self,
+        id: &MachineId,
+        epoch: u64,
+        key: &(TaskId, Attempt),
+    ) -> Option<&mut Task> {
+        let m = self.machines.get_mut(id)?;
+        if m.epoch != epoch {
+            return None;
+        }
+        m.tasks.get_mut(key).filter(|t| t.state != TaskState::Ended)
+    }
+
+    /// A task has its image: it begins, or waits for its gang.
+    fn fetched(&mut self, id: &MachineId, epoch: u64, task: TaskId, attempt: Attempt) {
+        let key = (task.clone(), attempt);
+        if self
+            .live(id, epoch, &key)
+            .is_none_or(|t| t.state != TaskState::Fetching)
+        {
+            return;
+        }
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        job.start_count += 1;
+        job.first_started_at.get_or_insert(self.now);
+        let (spec, done, fails) = (
+            job.spec.clone(),
+            job.done[task.index as usize],
+            job.always_fails,
+        );
+        self.check_task_start(id, &task);
+        if let Some(m) = self.machines.get_mut(id)
+            && !m.images.contains(&spec.image)
+        {
+            m.images.push(spec.image.clone());
+        }
+        let is_faulty = self.machines.get(id).is_some_and(|m| m.is_faulty);
+        if done {
+            return self.exit(id, &key, ExitReason::Done, false);
+        }
+        if is_faulty || fails {
+            return self.exit(id, &key, ExitReason::Error, false);
+        }
+        if spec.kind == JobKind::Gang {
+            if let Some(t) = self.live(id, epoch, &key) {
+                t.state = TaskState::Waiting;
+            }
+            let wait = self.config.gang_wait;
+            let (me, k) = (id.clone(), key.clone());
+            self.on_machine(id, wait, move |w| {
+                if w.live(&me, epoch, &k)
+                    .is_some_and(|t| t.state == TaskState::Waiting)
+                {
+                    w.exit(&me, &k, ExitReason::Incomplete, false);
+                }
+            });
+            self.schedule_heartbeat(id);
+            return self.gang_ready(&task.job, attempt);
+        }
+        self.begin(id, epoch, &key);
+    }
+
+    /// A task begins to run; one that is no service ends after the rest of its run time.
+    pub(super) fn begin(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
+        let now = self.now;
+        if let Some(t) = self.live(id, epoch, key) {
+            t.state = TaskState::Running;
+            t.started = now;
+        }
+        self.schedule_heartbeat(id);
+        let Some(job) = self.jobs.get(&key.0.job) else {
+            return;
+        };
+        if job.spec.kind == JobKind::Service {
+            return;
+        }
+        let left = job.run_time - job.checkpointed;
+        let gang = job.spec.kind == JobKind::Gang;
+        // A gang runs at its slowest.
+        let on = if gang {
+            self.members(&key.0.job, key.1)
+        } else {
+            vec![(id.clone(), key.0.clone())]
+        };
+        let slowest = on
+            .iter()
+            .filter_map(|(m, _)| Some(self.machines.get(m)?.slowdown))
+            .fold(1.0, f64::max);
+        let slowest = if gang {
+            slowest
+        } else {
+            self.machines.get(id).map_or(1.0, |m| m.slowdown)
+        };
+        let left = Micros((left.0 as f64 * slowest) as u64);
+        let (me, k) = (id.clone(), key.clone());
+        self.task_ends_in(&key.0, left);
+        self.on_machine(id, left, move |w| w.complete(&me, epoch, &k));
+    }
+
+    /// A task has run to its end, a gang's only together with the others.
+    fn complete(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
+        if self
+            .live(id, epoch, key)
+            .is_none_or(|t| t.state != TaskState::Running)
+        {
+            return;
+        }
+        let gang = self
+            .jobs
+            .get(&key.0.job)
+            .is_some_and(|j| j.spec.kind == JobKind::Gang);
+        let members = if gang {
+            self.members(&key.0.job, key.1)
+        } else {
+            vec![(id.clone(), key.0.clone())]
+        };
+        // A gang that lost a task, or of which a machine hangs, makes no progress.
+        let whole = self
+            .jobs
+            .get(&key.0.job)
+            .is_some_and(|j| members.len() == j.spec.tasks as usize);
+        if gang && (!whole || members.iter().any(|(m, _)| self.paused_until(m).is_some())) {
+            return;
+        }
+        for (m, task) in members {
+            if let Some(job) = self.jobs.get_mut(&task.job) {
+                job.done[task.index as usize] = true;
+                if job.done.iter().all(|d| *d) {
+                    job.done_at.get_or_insert(self.now);
+                }
+            }
+            self.exit(&m, &(task, key.1), ExitReason::Done, false);
+        }
+        if self
+            .jobs
+            .get(&key.0.job)
+            .is_some_and(|j| j.done_at.is_some())
+        {
+            self.job_ending(&key.0.job);
+        }
+    }
+
+    /// Stops a task; one with checkpoints saves its progress if the grace period allows.
+    fn stop(&mut self, id: &MachineId, task: &str, attempt: Attempt, grace_s: f64) {
+        let Some(task) = TaskId::parse(task) else {
+            return;
+        };
+        let key = (task, attempt);
+        let epoch = self.agent_epoch(id);
+        let Some(job) = self.jobs.get(&key.0.job) else {
+            return;
+        };
+        let spec = job.spec.clone();
+        let Some(t) = self.live(id, epoch, &key) else {
+            return;
+        };
+        let saves =
+            t.state == TaskState::Running && spec.checkpoint_s > 0.0 && grace_s >= spec.save_s;
+        if t.state == TaskState::Saving && grace_s > 0.0 {
+            return;
+        }
+        if !saves {
+            return self.exit(id, &key, ExitReason::Stopped, false);
+        }
+        t.state = TaskState::Saving;
+        let progress = self.now - self.machines[id].tasks[&key].started;
+        let me = id.clone();
+        self.schedule_heartbeat(id);
+        self.on_machine(id, Micros::from_secs_f64(spec.save_s), move |w| {
+            if w.live(&me, epoch, &key)
+                .is_none_or(|t| t.state != TaskState::Saving)
+            {
+                return;
+            }
+            let whole = w.members(&key.0.job, key.1).len() as u32 == spec.tasks;
+            if whole && let Some(job) = w.jobs.get_mut(&key.0.job) {
+                job.checkpointed = (job.checkpointed + progress).min(job.run_time);
+            }
+            w.exit(&me, &key, ExitReason::Stopped, whole);
+        });
+    }
+
+    /// Ends a task.
+    pub(super) fn exit(
+        &mut self,
+        id: &MachineId,
+        key: &(TaskId, Attempt),
+        why: ExitReason,
+        saved: bool,
+    ) {
+        if let Some(t) = self.machines.get_mut(id).and_then(|m| m.tasks.get_mut(key)) {
+            t.state = TaskState::Ended;
+            t.why = Some(why);
+            t.saved = saved;
+        }
+        self.log(|| format!("{id} {} exits: {why:?}", key.0));
+        self.schedule_heartbeat(id);
+        if why != ExitReason::Done {
+            self.gang_lost(&key.0.job, key.1);
+        }
+    }
+}
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -1,5 +1,5 @@
-//! What controllers answer users, as the daemon's routines of that name do it: any node by itself, from its
-//! final states, its core or the records.
+//! The users' API of the nodes, as the daemon has it: any node answers by itself, from its terminal states, its
+//! scheduler or the records.
 
 use super::kv_store::{Entry, Mutation, Value};
 use super::{Host, Simulation};
@@ -9,6 +9,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
+/// What a user asks of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Request {
     Submit,
@@ -16,6 +17,7 @@
     Cancel,
 }
 
+/// What a user is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Answer {
     /// 200, or 201: accepted and not over.
@@ -52,7 +54,17 @@
     }
 }
 
-/// Times that the daemon's `links`, `replica` and `records` set.
+/// A user's request that a node forwards to a peer.
+struct Forwarded {
+    node: usize,
+    peer: usize,
+    id: JobId,
+    request: Request,
+    /// How long the node waits for the peer's answer.
+    timeout: Micros,
+}
+
+// Times that the daemon sets for its links, its replica of the jobs and its records.
 const LEADER_REQUEST_TIMEOUT: Micros = Micros::from_millis(500);
 const PEER_REQUEST_TIMEOUT: Micros = Micros::from_millis(1_800);
 const READ_BATCH_WINDOW: Micros = Micros::from_millis(40);
@@ -65,24 +77,23 @@
         let leader = self.nodes[i]
             .observed_leader
             .filter(|l| *l != i && self.nodes[i].leadership.is_none());
-        if let (Request::Poll, Some(leader)) = (request, leader) {
-            // The leader answers best; without its answer the node's own.
-            return self.pass_on(
-                i,
-                leader,
-                id,
+        if let (Request::Poll, Some(peer)) = (request, leader) {
+            let forwarded = Forwarded {
+                node: i,
+                peer,
+                id: id.clone(),
                 request,
-                LEADER_REQUEST_TIMEOUT,
-                reply,
-                |w, i, id, request, reply| {
-                    w.own_or_peers_answer(i, id, request, reply);
-                },
-            );
+                timeout: LEADER_REQUEST_TIMEOUT,
+            };
+            // Without the leader's answer the node's own.
+            return self.forward(forwarded, reply, move |w, reply| {
+                w.own_or_peers_answer(i, id, request, reply);
+            });
         }
         self.own_or_peers_answer(i, id, request, reply);
     }
 
-    /// A node that the state service does not answer passes the request to a peer that it answers.
+    /// A node that can't reach the store forwards the request to a peer that can.
     fn own_or_peers_answer(&mut self, i: usize, id: JobId, request: Request, reply: Reply) {
         let reaches = |w: &Simulation, j: usize| {
             !w.store_rejects(j) && w.partition_between(Host::Node(j), Host::KvStore).is_none()
@@ -92,43 +103,43 @@
         }
         let peer =
             (0..self.nodes.len()).find(|j| *j != i && self.nodes[*j].up && reaches(self, *j));
-        match peer {
-            Some(j) => self.pass_on(
-                i,
-                j,
-                id,
-                request,
-                PEER_REQUEST_TIMEOUT,
-                reply,
-                |w, _, _, _, reply| {
-                    reply(w, Answer::RetryAfter(RETRY_AFTER));
-                },
-            ),
-            None => reply(self, Answer::RetryAfter(RETRY_AFTER)),
-        }
+        let Some(peer) = peer else {
+            return reply(self, Answer::RetryAfter(RETRY_AFTER));
+        };
+        let forwarded = Forwarded {
+            node: i,
+            peer,
+            id,
+            request,
+            timeout: PEER_REQUEST_TIMEOUT,
+        };
+        self.forward(forwarded, reply, |w, reply| {
+            reply(w, Answer::RetryAfter(RETRY_AFTER));
+        });
     }
 
-    /// Passes a request to a peer; without an answer of its in time, `fallback` is done. What it answers later
-    /// counts for nothing.
-    #[allow(clippy::too_many_arguments)]
-    fn pass_on(
+    /// Forwards a request to a peer; `fallback` replies if the peer doesn't in time. A later answer is ignored.
+    fn forward(
         &mut self,
-        i: usize,
-        peer: usize,
-        id: JobId,
-        request: Request,
-        limit: Micros,
+        forwarded: Forwarded,
         reply: Reply,
-        fallback: impl FnOnce(&mut Simulation, usize, JobId, Request, Reply) + 'static,
+        fallback: impl FnOnce(&mut Simulation, Reply) + 'static,
     ) {
+        let Forwarded {
+            node: i,
+            peer,
+            id,
+            request,
+            timeout,
+        } = forwarded;
         let process = self.nodes[i].process;
         let reply = Rc::new(RefCell::new(Some(reply)));
-        let (late, job) = (reply.clone(), id.clone());
-        self.timer(i, limit, move |w| {
+        let late = reply.clone();
+        self.timer(i, timeout, move |w| {
             if w.alive(i, process)
                 && let Some(reply) = late.take()
             {
-                fallback(w, i, job, request, reply);
+                fallback(w, reply);
             }
         });
         self.send(Host::Node(i), Host::Node(peer), move |w| {
@@ -165,6 +176,7 @@
         }
     }
 
+    /// What is known of a job: at the leader by a linearizable read of its changes, else by its record.
     fn poll_at(&mut self, i: usize, process: u64, id: JobId, reply: Reply) {
         if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
             return reply(self, Answer::Finished(end));
@@ -172,7 +184,7 @@
         if self.leadership(i, process).is_none() {
             return self.look_up(i, process, id, move |w, found| reply(w, found.answer()));
         }
-        // Whatever was written before the poll arrived is in the core once a question that was sent
+        // Whatever was written before the poll arrived is in the scheduler once a read that was sent
         // afterwards is answered; one serves all that wait.
         let gather = Micros(self.random(0, READ_BATCH_WINDOW.0));
         self.timer(i, gather, move |w| {
@@ -184,12 +196,12 @@
                 if w.store_rejects(i) {
                     return;
                 }
-                let news = w.record_changes_since(applied);
+                let changes = w.record_changes_since(applied);
                 w.send(Host::KvStore, Host::Node(i), move |w| {
                     if w.leadership(i, process).is_none() {
                         return;
                     }
-                    w.apply_record_changes(i, process, news, sent);
+                    w.apply_record_changes(i, process, changes, sent);
                     if w.leadership(i, process)
                         .is_some_and(|l| l.scheduler.jobs.contains_key(&id))
                     {
@@ -201,7 +213,7 @@
         });
     }
 
-    /// Of a job that is not among the unfinished ones, so most likely over.
+    /// Reads the final state of a job that is not among the unfinished ones.
     fn look_up_ended(&mut self, i: usize, process: u64, id: JobId, reply: Reply) {
         if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
             return reply(self, Answer::Finished(end));
@@ -263,6 +275,7 @@
         });
     }
 
+    /// Reads a key; there is no response from a store that rejects it.
     fn read(
         &mut self,
         i: usize,
@@ -283,6 +296,7 @@
         });
     }
 
+    /// Accepts a job, or says why not; a repeated submission gets what became of the first.
     fn submit_at(&mut self, i: usize, process: u64, id: JobId, reply: Reply) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -324,12 +338,25 @@
                 reply(self, Answer::RetryAfter(after))
             };
         }
+        self.accept_at_store(i, process, id, spec, flow, reply);
+    }
+
+    /// Writes the record of a submitted job, unless the store has one or the job is over.
+    fn accept_at_store(
+        &mut self,
+        i: usize,
+        process: u64,
+        id: JobId,
+        spec: JobSpec,
+        is_workflow_step: bool,
+        reply: Reply,
+    ) {
         self.send(Host::Node(i), Host::KvStore, move |w| {
             if w.store_rejects(i) || !w.store_accepts(1) {
                 return;
             }
             let at = w.time_of_day(i).0;
-            let record = if flow {
+            let record = if is_workflow_step {
                 JobRecord::of_flow(spec, at)
             } else {
                 JobRecord::accepted(spec, at)
@@ -387,8 +414,8 @@
         });
     }
 
-    /// A job's final record was written or read here, so that from now on users may be told of it: before that a
-    /// cancellation is noted for leaders that may not hear of it, and our own core drops the job.
+    /// A job's final record was written or read here, so that from now on users may observe it: before that a
+    /// cancellation is logged for leaders that may not have seen it, and the node's own scheduler drops the job.
     fn found_ended(&mut self, i: usize, job: &JobId, end: JobState, mod_revision: ModRevision) {
         self.log(|| format!("node {i} tells that {job} is {end:?}"));
         let now = self.now;
--- a/crates/hopyoke-simulator/src/cloud.rs
+++ b/crates/hopyoke-simulator/src/cloud.rs
@@ -13,7 +13,7 @@
 /// Faults of the cloud.
 #[derive(Debug, Default)]
 pub(crate) struct Cloud {
-    /// Boots of machines rented until then take so many times as long.
+    /// Until when boots take so many times as long.
     pub(crate) slow: Option<(f64, Micros)>,
     /// Until when a listing may be any that was true of late.
     pub(crate) stale_lists_until: Micros,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What the cloud answers: machines as they were, at least the lag ago, or at some time before that.
+    /// Lists the machines as they were, at least the list's lag ago, or at some time before that.
     pub(crate) fn cloud_list(&mut self) -> Vec<ListedMachine> {
         let now = self.now;
         let there = self.machines.values().map(|m| ListedMachine {
--- a/crates/hopyoke-simulator/src/digest.rs
+++ b/crates/hopyoke-simulator/src/digest.rs
@@ -12,11 +12,11 @@
 /// Which way a message goes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Channel {
-    /// A worker's heartbeat as a controller receives it.
+    /// An agent's heartbeat as a node receives it.
     Heartbeat = 1,
-    /// The answer to a heartbeat as the worker receives it.
+    /// The answer to a heartbeat as the agent receives it.
     HeartbeatResponse = 2,
-    /// Commands pushed to a worker.
+    /// Commands pushed to an agent.
     PushedCommands = 3,
     /// A transaction that reaches the key-value store.
     Transaction = 4,
@@ -85,7 +85,7 @@
         self.digest_message(Channel::HeartbeatResponse, &answer);
     }
 
-    /// Adds commands that reach a worker directly.
+    /// Adds commands that are pushed to an agent.
     pub(crate) fn digest_pushed_commands(
         &mut self,
         token: FencingToken,
--- a/crates/hopyoke-simulator/src/ground_truth.rs
+++ b/crates/hopyoke-simulator/src/ground_truth.rs
@@ -16,19 +16,19 @@
     pub is_workflow_step: bool,
     /// When its user first tried to submit it.
     pub first_submitted_at: Option<Micros>,
-    /// When its user was first told that it is accepted.
+    /// When its user first observed that it is accepted.
     pub accepted_at: Option<Micros>,
     /// Its submission was rejected for good.
     pub is_rejected: bool,
-    /// What is sent for it in place of its description, and must not be accepted.
+    /// What is sent for it instead of its description, and must not be accepted.
     pub malformed_body: Option<Vec<u8>>,
     /// Its user has asked for its cancellation.
     pub cancel_requested: bool,
     /// Whether it is cancelled at its end has been drawn.
     pub cancel_at_end_drawn: bool,
-    /// When its user was first told that it is cancelled.
+    /// When its user first observed that it is cancelled.
     pub cancelled_at: Option<Micros>,
-    /// What its user was told that it finally is.
+    /// The final state that its user observed.
     pub observed_end: Option<JobState>,
     /// When its user last got an answer.
     pub last_answer_at: Micros,
--- /dev/null
+++ b/crates/hopyoke-simulator/src/invariants/task_start.rs
@@ -0,0 +1,99 @@
+//! Invariants of a task's start.
+
+use crate::{START_TIME_OF_DAY, Simulation};
+use hopyoke_calendar::StaffedHours;
+use hopyoke_types::{Attempt, MachineId, Micros, TaskId};
+use std::collections::BTreeMap;
+
+/// Rounding errors that a sum of resources may have.
+const TOLERANCE: f64 = 1e-6;
+
+/// Tasks that are on a machine, with their attempts.
+type PresentTasks = [(MachineId, TaskId, Attempt)];
+
+impl Simulation {
+    /// Checks the invariants that hold when a task starts on a machine.
+    pub(crate) fn check_task_start(&mut self, id: &MachineId, task: &TaskId) {
+        let present = self.present();
+        if let Some((other, _, _)) = present.iter().find(|(o, t, _)| t == task && o != id) {
+            self.record_violation(
+                "ran_twice",
+                format!("{task} starts on {id} while on {other}"),
+            );
+        }
+        self.check_placement(id, task, &present);
+        self.check_staffed_hours(id, task);
+        if let Some(t) = self.jobs[&task.job].cancelled_at {
+            self.starts_after_cancellation.push(self.now - t);
+            if self.now > t + self.cancellation_bound {
+                self.record_violation("ran_cancelled", format!("{task} starts on {id}"));
+            }
+        }
+        self.check_quotas(task, &present);
+    }
+
+    /// Guards `wrong_place`: the constraints of the job allow the machine.
+    fn check_placement(&mut self, id: &MachineId, task: &TaskId, present: &PresentTasks) {
+        let m = &self.machines[id];
+        let (zone, kind, spot) = (m.zone.clone(), m.kind.clone(), m.spot);
+        let spec = self.jobs[&task.job].spec.clone();
+        let siblings = || {
+            present
+                .iter()
+                .filter(|(_, t, _)| t.job == task.job && t != task)
+        };
+        let in_zone = siblings()
+            .filter(|(o, _, _)| self.machines[o].zone == zone)
+            .count();
+        let types_ok = spec.types.as_ref().is_none_or(|t| t.contains(&kind));
+        let zone_ok = spec.zone.as_ref().is_none_or(|z| *z == zone);
+        let together = !spec.one_zone || in_zone == siblings().count();
+        let apart = !spec.spread || in_zone < spec.tasks.div_ceil(2) as usize;
+        if !types_ok || !zone_ok || !together || !apart || (spot && !spec.spot) {
+            self.record_violation(
+                "wrong_place",
+                format!("{task} starts on {id} ({kind}, {zone}, spot {spot})"),
+            );
+        }
+    }
+
+    /// Guards `unstaffed`, by true time and without any margin.
+    fn check_staffed_hours(&mut self, id: &MachineId, task: &TaskId) {
+        let Some(hours) = &self.hours else {
+            return;
+        };
+        let truth = StaffedHours {
+            skew: Micros::ZERO,
+            margin: Micros::ZERO,
+            ..hours.clone()
+        };
+        let spec = &self.jobs[&task.job].spec;
+        if truth.holds(spec) && !truth.at(START_TIME_OF_DAY + self.now).staffed {
+            self.record_violation(
+                "unstaffed",
+                format!("{task} starts on {id} while nobody is there"),
+            );
+        }
+    }
+
+    /// Guards `quota`: what runs, and the task that starts, keep to the limits of all teams.
+    fn check_quotas(&mut self, task: &TaskId, present: &PresentTasks) {
+        let mut used: BTreeMap<String, (f64, f64)> = BTreeMap::new();
+        for t in present.iter().map(|p| &p.1).chain(std::iter::once(task)) {
+            let s = &self.jobs[&t.job].spec;
+            let u = used.entry(s.team.clone()).or_default();
+            *u = (u.0 + s.cpus, u.1 + s.gpus);
+        }
+        for (name, (cpus, gpus)) in used {
+            let team = self.team(&name);
+            if (team.cpus_max > 0.0 && cpus > team.cpus_max + TOLERANCE)
+                || (team.gpus_max > 0.0 && gpus > team.gpus_max + TOLERANCE)
+            {
+                self.record_violation(
+                    "quota",
+                    format!("team {name} uses {cpus} cpus and {gpus} gpus"),
+                );
+            }
+        }
+    }
+}
--- a/crates/hopyoke-simulator/src/kv_store.rs
+++ b/crates/hopyoke-simulator/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! The state service.
+//! The key-value store: transactions, leases and their faults.
 
 use super::Simulation;
 use super::digest::Channel;
@@ -25,23 +25,30 @@
 
 #[derive(Default)]
 pub(crate) struct KvStore {
+    /// Entries by key.
     pub(crate) keys: BTreeMap<String, Entry>,
+    /// Revision of the last transaction.
     pub(crate) revision: u64,
     /// (revision, key, dropped)
     pub(crate) log: Vec<(u64, String, bool)>,
+    /// Leases and when they expire.
     pub(crate) leases: BTreeMap<u64, Micros>,
     next_lease: u64,
+    /// Until then all requests are rejected.
     pub(crate) outage_until: Micros,
-    /// Nodes that alone are refused, and until when.
+    /// Nodes that alone are refused, and until compares.
     pub(crate) refused: BTreeMap<usize, Micros>,
-    /// So much longer takes what reaches the service, and until when.
+    /// So much longer takes what reaches the service, and until compares.
     pub(crate) slow: (Micros, Micros),
+    /// Share of the transactions that are applied, and whose responses are lost.
     pub(crate) lost_responses: FaultWindow,
     /// The same of renewals of leases.
     pub(crate) lost_renewals: FaultWindow,
+    /// Share of the transactions that get no response and are applied late.
     pub(crate) late_writes: FaultWindow,
 }
 
+/// A change of a key.
 pub(crate) enum Mutation {
     Put(String, Value, Option<u64>),
     Delete(String),
@@ -51,11 +58,11 @@
     /// Applies the changes if every condition holds; else says which did not.
     pub(crate) fn txn(
         &mut self,
-        when: &[(String, u64)],
+        compares: &[(String, u64)],
         apply: Vec<Mutation>,
     ) -> Result<u64, Vec<String>> {
         let mod_revision = |key: &String| self.keys.get(key).map_or(0, |e| e.mod_revision);
-        let failed: Vec<String> = when
+        let failed: Vec<String> = compares
             .iter()
             .filter(|(k, m)| mod_revision(k) != *m)
             .map(|(k, _)| k.clone())
@@ -63,9 +70,9 @@
         if !failed.is_empty() {
             return Err(failed);
         }
-        // A write on a lease that is over is refused.
-        let lapsed = |c: &Mutation| matches!(c, Mutation::Put(_, _, Some(l)) if !self.leases.contains_key(l));
-        if apply.iter().any(lapsed) {
+        // A write on an expired lease is rejected.
+        let on_expired_lease = |c: &Mutation| matches!(c, Mutation::Put(_, _, Some(l)) if !self.leases.contains_key(l));
+        if apply.iter().any(on_expired_lease) {
             return Err(Vec::new());
         }
         self.revision += 1;
@@ -114,12 +121,14 @@
         &self.log[self.log.partition_point(|(r, ..)| *r <= revision)..]
     }
 
+    /// Grants a lease.
     pub(crate) fn grant(&mut self, until: Micros) -> u64 {
         self.next_lease += 1;
         self.leases.insert(self.next_lease, until);
         self.next_lease
     }
 
+    /// Revokes a lease, and deletes the keys on it.
     pub(crate) fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
@@ -134,37 +143,40 @@
     }
 }
 
-/// What becomes of a transaction that the service does not refuse.
+/// What becomes of a transaction that the store does not reject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TransactionOutcome {
     Usual,
-    /// It is carried out, and its answer is lost.
+    /// It is applied, and its response is lost.
     ResponseLost,
-    /// It gets no answer and is carried out so much later, after newer ones.
+    /// It gets no response and is applied so much later, after newer ones.
     Late(Micros),
 }
 
-/// For a while a share of the transactions, in percent, meets a fate.
+/// A fault that strikes a share of messages or transactions for a while.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct FaultWindow {
+    /// The share, in percent.
     pub(crate) percent: u64,
+    /// When the fault is over.
     pub(crate) until: Micros,
 }
 
-/// Reports that are kept, and reach every controller once a new leader begins.
+/// Heartbeats that are kept, and reach every node once a new leader begins.
 #[derive(Debug, Default)]
 pub(crate) struct HeartbeatsForNextLeader {
-    /// Copies of reports that arrive as usual.
+    /// Share of the heartbeats that arrive as usual and are kept as well.
     pub(crate) copied: FaultWindow,
-    /// Reports that arrive then only: their workers have given them up.
+    /// Share of the heartbeats that arrive then only: their agents have given them up.
     pub(crate) held: FaultWindow,
-    /// How long after the beginning.
+    /// How long after the beginning they arrive.
     pub(crate) after: Micros,
+    /// The heartbeats.
     pub(crate) kept: Vec<Heartbeat>,
 }
 
 impl Simulation {
-    /// Draws whether a spell is met.
+    /// Draws whether a fault strikes now.
     pub(crate) fn draws_fault(&mut self, s: FaultWindow) -> bool {
         self.now < s.until && self.random(0, 99) < s.percent
     }
@@ -180,32 +192,32 @@
         }
     }
 
-    /// A transaction that the service does not refuse; `None`: it has no answer.
+    /// A transaction that the store does not reject; `None`: it gets no response.
     pub(crate) fn transact(
         &mut self,
-        when: &[(String, u64)],
+        compares: &[(String, u64)],
         apply: Vec<Mutation>,
     ) -> Option<Result<u64, Vec<String>>> {
-        self.digest_transaction(when, &apply);
+        self.digest_transaction(compares, &apply);
         match self.draw_transaction_outcome() {
             TransactionOutcome::Usual => {
-                let result = self.kv_store.txn(when, apply);
+                let result = self.kv_store.txn(compares, apply);
                 self.digest_message(Channel::TransactionResult, &result);
                 Some(result)
             }
             TransactionOutcome::ResponseLost => {
-                let _ = self.kv_store.txn(when, apply);
+                let _ = self.kv_store.txn(compares, apply);
                 None
             }
             TransactionOutcome::Late(span) => {
-                let when = when.to_vec();
-                self.after(span, move |w| drop(w.kv_store.txn(&when, apply)));
+                let compares = compares.to_vec();
+                self.after(span, move |w| drop(w.kv_store.txn(&compares, apply)));
                 None
             }
         }
     }
 
-    /// The service refuses this node now, or everybody.
+    /// The store rejects this node now, or everybody.
     pub(crate) fn store_rejects(&self, node: usize) -> bool {
         self.store_is_down()
             || self
@@ -215,6 +227,7 @@
                 .is_some_and(|until| self.now < *until)
     }
 
+    /// The store rejects everybody.
     pub(crate) fn store_is_down(&self) -> bool {
         self.now < self.kv_store.outage_until
     }
--- a/crates/hopyoke-simulator/src/limits.rs
+++ b/crates/hopyoke-simulator/src/limits.rs
@@ -1,32 +1,38 @@
-//! The state service's limits, and what the nodes make of them.
+//! Rate limits of the key-value store, and the nodes' shares of them.
 
 use super::{Host, Simulation};
 use hopyoke_admission::{AdmissionController, RateLimiter, RequestPriority, SharedLimit};
 use hopyoke_scheduler::Team;
 use hopyoke_types::{JobId, Micros};
 
-/// Nodes tell each other of their lines so often.
+/// How often nodes gossip about their waiting queues.
 const GOSSIP_INTERVAL: Micros = Micros::from_millis(400);
 
-/// The service's own count: it refuses above its rates, with bursts worth one second.
+/// The store's token buckets: it rejects above its rates, with bursts worth one second.
 pub(crate) struct Limits {
     requests: f64,
     changes: f64,
+    /// Requests and changes left in the buckets, at `at`.
     left: (f64, f64),
     at: Micros,
-    /// Nodes ask as they please: what it was like before they kept to their parts.
+    /// Nodes don't limit their own rates.
     pub(crate) unpaced: bool,
+    /// Requests that were accepted.
     pub(crate) taken: u64,
+    /// Requests that were rejected.
     pub(crate) refused: u64,
 }
 
-/// What one node may ask.
+/// A node's share of the store's rates.
 pub(crate) struct NodeLimits {
+    /// Of requests.
     pub(crate) rate_limiter: RateLimiter,
+    /// Of changes: submissions wait for admission.
     pub(crate) admission: AdmissionController,
 }
 
 impl Limits {
+    /// Limits of requests and changes per second.
     pub(crate) fn new(requests: f64, changes: f64, unpaced: bool) -> Limits {
         let left = (requests, changes);
         Limits {
@@ -55,6 +61,7 @@
         ok
     }
 
+    /// The share of one of so many nodes.
     pub(crate) fn limits_of_node(&self, nodes: usize, teams: &[Team], now: Micros) -> NodeLimits {
         let bounds = |per_second| SharedLimit {
             per_second,
@@ -69,13 +76,13 @@
 }
 
 impl Simulation {
-    /// The state service takes one more request with so many changes, or answers 429.
+    /// The store accepts one more request with so many changes, or answers 429.
     pub(crate) fn store_accepts(&mut self, changes: usize) -> bool {
         let now = self.now;
         self.limits.as_mut().is_none_or(|l| l.takes(changes, now))
     }
 
-    /// A node finds room in its part for a request; else how long until it may.
+    /// A node may send a request within its share; else how long until it may.
     pub(crate) fn acquire_request(
         &mut self,
         i: usize,
@@ -91,25 +98,25 @@
             .map_or(Ok(()), |p| p.rate_limiter.take(importance, 1, now))
     }
 
-    /// Tells the other nodes of the line at this one's door, again and again.
+    /// Gossips about the node's waiting queue, again and again.
     pub(crate) fn gossip_queue(&mut self, i: usize, process: u64) {
         if !self.nodes[i].up || self.nodes[i].process != process {
             return;
         }
         let now = self.now;
-        // A node's place among the peers of another.
-        let place = |of: usize, at: usize| if of < at { of } else { of - 1 };
+        // A node's index among the peers of another.
+        let peer_index = |of: usize, at: usize| if of < at { of } else { of - 1 };
         for j in (0..self.nodes.len()).filter(|j| *j != i) {
             let Some(limits_of_node) = self.nodes[i].limits_of_node.as_mut() else {
                 return;
             };
-            let words = limits_of_node.admission.take_gossip(place(j, i), now);
+            let gossip = limits_of_node.admission.take_gossip(peer_index(j, i), now);
             self.send(Host::Node(i), Host::Node(j), move |w| {
                 let now = w.now;
                 if let Some(limits_of_node) = w.nodes[j].limits_of_node.as_mut() {
                     limits_of_node
                         .admission
-                        .gossip_received(place(i, j), &words, now);
+                        .gossip_received(peer_index(i, j), &gossip, now);
                 }
             });
         }
@@ -121,7 +128,7 @@
         if self.limits.as_ref().is_none_or(|l| l.unpaced) {
             return Ok(());
         }
-        let (now, leads) = (self.now, self.nodes[i].leadership.is_some());
+        let (now, is_leader) = (self.now, self.nodes[i].leadership.is_some());
         let team = self.jobs.get(job).map_or("", |j| j.spec.team.as_str());
         let team = self
             .config
@@ -132,9 +139,9 @@
         let Some(p) = self.nodes[i].limits_of_node.as_mut() else {
             return Ok(());
         };
-        let room = p.admission.admit(job, team, leads, now).and_then(|()| {
+        let room = p.admission.admit(job, team, is_leader, now).and_then(|()| {
             let room = p.rate_limiter.take(RequestPriority::Accepts, 1, now);
-            room.map_err(|_| p.admission.reject(job, team, leads, now))
+            room.map_err(|_| p.admission.reject(job, team, is_leader, now))
         });
         room.map_err(|after| Micros::from_secs(u64::from(after.0)))
     }
--- a/crates/hopyoke-simulator/src/node/election.rs
+++ b/crates/hopyoke-simulator/src/node/election.rs
@@ -12,7 +12,7 @@
     process: u64,
     /// The process has not led yet: it may take over the key of the node's former process.
     is_first: bool,
-    /// It may take another node's place.
+    /// It may succeed another node.
     may_take_over: bool,
     sent: Micros,
 }
--- a/crates/hopyoke-simulator/src/node/lease_support.rs
+++ b/crates/hopyoke-simulator/src/node/lease_support.rs
@@ -10,7 +10,7 @@
 struct SupportRequest {
     node: usize,
     process: u64,
-    /// Revision that the leader has applied: it needs to hear of later cancellations.
+    /// Revision that the leader has applied: it needs to learn of later cancellations.
     applied: ModRevision,
     /// A leader without a valid lease gets no support.
     lease_is_valid: bool,
@@ -18,7 +18,7 @@
 }
 
 impl Simulation {
-    /// Asks the peers for lease support, and for the cancellations that they told users of.
+    /// Asks the peers for lease support, and for the cancellations that they confirmed to users.
     pub(super) fn request_lease_support(&mut self, i: usize, process: u64) {
         let Some(leadership) = self.leadership(i, process) else {
             return;
@@ -40,7 +40,7 @@
                 w.lease_support_requested(j, request, &cursors)
             });
         }
-        // The leader's own place among the peers: what it confirmed itself counts as well.
+        // The leader counts among its own peers: what it confirmed itself counts as well.
         let support = self.nodes[i]
             .cancellation_log
             .covers(applied)
@@ -54,8 +54,8 @@
         });
     }
 
-    /// A peer answers a leader: it grants support if the store rejects it as well, and if it has told the leader of
-    /// all cancellations.
+    /// A peer answers a leader: it grants support if the store rejects it as well, and if it has sent the leader
+    /// all cancellations that it confirmed.
     fn lease_support_requested(
         &mut self,
         j: usize,
--- a/crates/hopyoke-simulator/src/node/mod.rs
+++ b/crates/hopyoke-simulator/src/node/mod.rs
@@ -38,13 +38,13 @@
     pub(crate) leadership: Option<Leadership>,
     /// The leader, as far as it knows.
     pub(crate) observed_leader: Option<usize>,
-    /// It does not take another node's place before this: a former process may have granted lease support.
+    /// It does not succeed another node before this: a former process may have granted lease support.
     takeover_not_before: Micros,
     /// It does not campaign at all before this: it has granted lease support, or stepped down.
     campaign_not_before: Micros,
     /// Campaigns whose outcome is unknown: they may succeed late.
     pending_campaigns: u32,
-    /// Cancellations that users were told of here.
+    /// Cancellations that this node has confirmed to users.
     pub(crate) cancellation_log: CancellationLog,
     /// Final states that it has written or read.
     pub(crate) terminal_states: BTreeMap<JobId, JobState>,
@@ -52,12 +52,13 @@
 
 /// What a node knows as the leader.
 pub(crate) struct Leadership {
+    /// The real scheduler.
     pub(crate) scheduler: Scheduler,
     /// Its lease at the store.
     lease: u64,
     /// Until when it may act.
     leader_lease: LeaderLease,
-    /// Up to where peers have delivered the cancellations that they told users of.
+    /// Up to where peers have delivered the cancellations that they confirmed.
     delivery_cursors: DeliveryCursors,
     /// Number of the watch that is open.
     watch: u64,
--- a/crates/hopyoke-simulator/src/scenario/store_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/store_faults.rs
@@ -43,7 +43,7 @@
         until: w.now + seconds(pairs["for"]),
     };
     let next = pairs.get("next").map(|s| seconds(s));
-    let place = match name {
+    let slot = match name {
         "lost_answers" => &mut w.kv_store.lost_responses,
         "lost_renewals" => &mut w.kv_store.lost_renewals,
         "late_writes" => &mut w.kv_store.late_writes,
@@ -52,6 +52,6 @@
         _ if next.is_some() => &mut w.heartbeats_for_next_leader.copied,
         _ => &mut w.duplicated_heartbeats,
     };
-    *place = window;
+    *slot = window;
     w.heartbeats_for_next_leader.after = next.unwrap_or(w.heartbeats_for_next_leader.after);
 }
--- a/crates/hopyoke-simulator/src/simulation.rs
+++ b/crates/hopyoke-simulator/src/simulation.rs
@@ -28,8 +28,10 @@
 pub struct Simulation {
     /// The virtual time, since the beginning.
     pub now: Micros,
+    /// Events that are still to come.
     pub(crate) events: EventQueue,
-    pub(crate) rng: StdRng,
+    /// The source of all random draws.
+    rng: StdRng,
     /// Settings of the scheduler.
     pub config: SchedulerConfig,
     /// Settings of the scheduler that can change while it runs.
@@ -38,13 +40,15 @@
     pub(crate) hours: Option<StaffedHours>,
     /// How long a leader's lease lasts after a renewal.
     pub(crate) lease_ttl: Micros,
-    /// So long after its user was told of a cancellation no task of a job may run.
+    /// So long after the confirmation of its cancellation no task of a job may run.
     pub(crate) cancellation_bound: Micros,
     /// Machine types that the cloud offers.
     pub machine_types: Vec<MachineType>,
     /// Capacity left by (type, zone, spot).
     pub(crate) capacity: BTreeMap<(String, String, bool), u32>,
+    /// Machines that exist, with their agents.
     pub(crate) machines: BTreeMap<MachineId, Agent>,
+    /// Number of the next machine.
     pub(crate) next_machine: u32,
     /// Machines by the scale-out request that they were created for.
     pub(crate) scale_outs: BTreeMap<String, Vec<MachineId>>,
@@ -52,8 +56,11 @@
     pub(crate) failed_boots_left: u32,
     pub(crate) cloud: Cloud,
     pub(crate) kv_store: KvStore,
+    /// The nodes, by number.
     pub(crate) nodes: Vec<Node>,
+    /// Network partitions, healed ones too.
     pub(crate) partitions: Vec<NetworkPartition>,
+    /// Nodes that handle messages late, past delays too.
     pub(crate) delivery_delays: Vec<DeliveryDelay>,
     /// Nodes whose processes are paused, and until when.
     pub(crate) paused_nodes: BTreeMap<usize, Micros>,
@@ -69,9 +76,11 @@
     pub(crate) duplicated_heartbeats: FaultWindow,
     /// Share of the pushed commands that are held up unanswered.
     pub(crate) delayed_commands: FaultWindow,
+    /// Heartbeats that reach the next leader.
     pub(crate) heartbeats_for_next_leader: HeartbeatsForNextLeader,
     /// When the last fault so far is over.
     pub(crate) faults_end_at: Micros,
+    /// What users do besides submitting and polling.
     pub(crate) user_behavior: UserBehavior,
     /// The jobs of all users.
     pub jobs: BTreeMap<JobId, JobGroundTruth>,
@@ -83,16 +92,19 @@
     pub(crate) expired_epochs: u32,
     /// Longest reconciliation: from an election until all registered machines were accounted for.
     pub(crate) longest_reconciliation: Micros,
-    /// Starts of tasks whose user had been told that the job is cancelled: so long after that.
+    /// Starts of tasks of cancelled jobs: how long after the confirmation of the cancellation.
     pub(crate) starts_after_cancellation: Vec<Micros>,
     /// Since when jobs have waited though they could run.
     pub(crate) schedulable_since: BTreeMap<JobId, Micros>,
+    /// When waiting jobs are checked next.
     pub(crate) next_schedulable_check_at: Micros,
     /// Most entities that the scheduler visited for a heartbeat without a placement.
     pub(crate) max_entities_per_heartbeat: u64,
     /// Most entities that the scheduler visited for a tick.
     pub(crate) max_entities_per_tick: u64,
+    /// When invariants of the whole cluster are checked next, where not after each event.
     pub(crate) next_check_at: Micros,
+    /// Checks of the invariants of the whole cluster so far.
     pub(crate) check_count: u64,
     /// Jobs that were found over, with a record that agrees with the truth.
     pub(crate) verified_jobs: BTreeSet<JobId>,
@@ -217,7 +229,7 @@
             .expect("a known team")
     }
 
-    /// The first node that leads, or believes so.
+    /// The first node that leads, or has not learned yet that it was deposed.
     pub fn leader(&self) -> Option<usize> {
         self.nodes.iter().position(|n| n.leadership.is_some())
     }
--- a/crates/hopyoke-simulator/src/user_observations.rs
+++ b/crates/hopyoke-simulator/src/user_observations.rs
@@ -1,5 +1,5 @@
-//! What users are told, against what they were told before: no request that begins after an answer was
-//! received may get an older one, whatever node gave either.
+//! Linearizability of the users' API: no request that begins after an answer was received may get an older one,
+//! whatever node gave either.
 
 use super::Simulation;
 use super::api::{Answer, Request};
@@ -15,6 +15,7 @@
 }
 
 impl Simulation {
+    /// What a job's user knows now.
     pub(crate) fn observed_state(&self, id: &JobId) -> ObservedState {
         let job = self.jobs.get(id);
         ObservedState {
@@ -59,7 +60,7 @@
             _ => return,
         };
         job.last_answer_at = now;
-        let news = job.accepted_at.is_none() || (end.is_some() && job.observed_end.is_none());
+        let is_change = job.accepted_at.is_none() || (end.is_some() && job.observed_end.is_none());
         let first = job
             .accepted_at
             .replace(job.accepted_at.unwrap_or(now))
@@ -74,7 +75,7 @@
             let id = id.clone();
             self.after(Micros::from_secs(1), move |w| w.poll(id));
         }
-        if news {
+        if is_change {
             self.news_observed(id, end);
         }
     }
--- a/crates/hopyoke-simulator/src/users.rs
+++ b/crates/hopyoke-simulator/src/users.rs
@@ -1,4 +1,5 @@
-//! Users, as the protocol describes them, and what they do besides in odd or hasty hours.
+//! Users: they submit, poll and cancel as the protocol describes it, and by faults of theirs concurrently or
+//! with malformed requests.
 
 use super::api::{Answer, Request};
 use super::kv_store::FaultWindow;
@@ -10,28 +11,30 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long users wait for an answer.
+/// How long users wait for the answer to a poll.
 const POLL_TIMEOUT: Micros = Micros::from_secs(2);
+/// How long users wait for the answer to another request.
 const REQUEST_TIMEOUT: Micros = Micros::from_secs(5);
 
-/// A job has long to go if it has this long.
+/// Jobs that are cancelled while they run have at least this long to go.
 const MIN_REMAINING_RUN_TIME: Micros = Micros::from_secs(20);
-/// Jobs are called off within this, and machines hang with at most so many.
+/// Jobs are cancelled together within this, in microseconds.
 const CANCEL_SPREAD: u64 = 200_000;
+/// Machines that hang while their jobs are cancelled.
 const MAX_HANGING_MACHINES: usize = 8;
-/// A call at a task's end may come so long before it.
+/// A cancellation at a task's end may come so long before it.
 const CANCEL_LEAD_TIME: Micros = Micros::from_millis(10);
 
-/// What users do for a while.
+/// What users do besides, and until when.
 #[derive(Debug, Default)]
 pub(crate) struct UserBehavior {
-    /// They look closely until then.
+    /// Until then they read at all nodes right after each change.
     pub(crate) concurrent_reads_until: Micros,
-    /// So many of the jobs that end are cancelled at their end, in percent.
+    /// Share of the jobs that are cancelled at the moment of their end.
     pub(crate) cancel_at_end: FaultWindow,
-    /// They send odd requests until then.
+    /// Until then they send malformed requests.
     pub(crate) malformed_requests_until: Micros,
-    /// Odd requests so far.
+    /// Malformed submissions so far.
     malformed_count: u64,
 }
 
@@ -101,13 +104,13 @@
         }
         let i = self.pick_node();
         let job = id.clone();
-        // Users come back after a second or so, or when they are told to.
+        // Users retry after a second or so, or as `Retry-After` says.
         let pause = if self.limits.is_some() {
             self.random(1_000_000, 2_000_000)
         } else {
             1_500_000
         };
-        let soon = self.now + Micros(pause);
+        let retry_at = self.now + Micros(pause);
         self.ask(i, &id, Request::Submit, move |w, answer| {
             if matches!(answer, Answer::Malformed | Answer::NeverRuns)
                 && let Some(job) = w.jobs.get_mut(&job)
@@ -115,10 +118,10 @@
                 job.is_rejected = true;
             }
         });
-        self.at(soon, move |w| w.submit(id));
+        self.at(retry_at, move |w| w.submit(id));
     }
 
-    /// A user cancels a job and repeats that until it is told what the job finally is.
+    /// A user cancels a job and repeats that until it gets the job's final state.
     pub(crate) fn cancel(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id).filter(|j| j.observed_end.is_none()) else {
             return;
@@ -144,8 +147,8 @@
         self.after(Micros(pause), move |w| w.poll(id));
     }
 
-    /// A job's user was first told that it is accepted, or over. Whoever looks closely asks at every node within
-    /// milliseconds, again and again, and repeats the submission; some cancel at once.
+    /// A job's user first gets to know that it is accepted, or over. With concurrent reads it polls every node within
+    /// milliseconds, several times, and repeats the submission; some cancel at once.
     pub(crate) fn news_observed(&mut self, id: &JobId, end: Option<JobState>) {
         if self.now >= self.user_behavior.concurrent_reads_until {
             return;
@@ -212,7 +215,7 @@
     }
 
     /// Users call off jobs that run and have long to go, at once; some of their machines hang for a while.
-    pub(crate) fn cancel_now(&mut self, most: usize, hang: Micros) {
+    pub(crate) fn cancel_now(&mut self, max_jobs: usize, hang: Micros) {
         let now = self.now;
         let mut running: BTreeMap<JobId, Vec<MachineId>> = BTreeMap::new();
         for m in self.machines.values() {
@@ -235,7 +238,7 @@
             }
         }
         let mut paused_until = 0;
-        for _ in 0..most.min(running.len()) {
+        for _ in 0..max_jobs.min(running.len()) {
             let at = self.random(0, running.len() as u64 - 1) as usize;
             let Some(id) = running.keys().nth(at).cloned() else {
                 return;
@@ -256,7 +259,7 @@
         }
     }
 
-    /// Users send odd requests, again and again.
+    /// Users send malformed requests, again and again.
     pub(crate) fn send_malformed_requests(&mut self) {
         if self.now >= self.user_behavior.malformed_requests_until {
             return;
