--- a/crates/hopyoke-scheduler/src/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/heartbeats.rs
@@ -163,7 +163,7 @@
         if new_session || (back && m.lease_end <= now) {
             // A session has its whole lease from its beginning, and that may have been just now: the
             // end that was counted is that of the session before. A direct order's answer tells of a
-            // new session as well as a report does. (Scenario session_learned_by_order.)
+            // new session as well as a report does. (Scenario epoch_learned_by_pushed_command.)
             m.lease_end = m.lease_end.max(now + self.cfg.lease_bound());
         }
         let notice = heartbeat
@@ -279,7 +279,7 @@
             return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
         };
         // A later attempt was only started once all earlier ones were proven to be gone: if one is found beside it, an old
-        // report tells of that, and the later goes on. (Scenario old_report_stops_nothing.)
+        // report tells of that, and the later goes on. (Scenario stale_heartbeat_stops_nothing.)
         let places = job.places.get(&task.index).into_iter().flatten();
         let others: Vec<_> = places
             .filter(|(m, a)| m != id || *a != attempt)
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -524,7 +524,7 @@
     ///
     /// Time alone ends it only for machines on pages that can't be read: whoever we have answered
     /// lives on, and an order of an earlier holder may have reached it between its report and our
-    /// answer. (Scenario recovery_outlasts_leases.)
+    /// answer. (Scenario reconciliation_outlasts_leases.)
     fn update_reconciliation(&mut self, now: Micros) {
         if !self.is_reconciling {
             return;
@@ -549,7 +549,7 @@
 
     /// An earlier holder may have started something on it, and it has not shown yet that no more can come. What was
     /// not in the register when we read it has nothing of theirs: they start nothing on a machine before its page is
-    /// written for certain. (Scenario recovery_new_machines.)
+    /// written for certain. (Scenario reconciliation_new_machines.)
     fn is_unreconciled(&self, m: &Machine) -> bool {
         let may_hold = m.inherited || (self.registry.blind() && m.phase == MachinePhase::Up);
         may_hold && m.phase != MachinePhase::Lost && !m.is_reconciled(self.token)
--- a/crates/hopyoke-scheduler/src/plan/each.rs
+++ b/crates/hopyoke-scheduler/src/plan/each.rs
@@ -42,7 +42,7 @@
         if needs.is_crash_looping {
             // It failed on several machines: one task at a time shows whether it still does, on room that
             // is there. Nothing is rented or stopped for it. (Guards against arrays with a mistake that
-            // fill the fleet again after each backoff; scenario mistaken_array.)
+            // fill the fleet again after each backoff; scenario failing_array_tried_singly.)
             ahead = startable
                 .drain(..)
                 .take(usize::from(job.places.is_empty()))
--- a/crates/hopyoke-scheduler/src/plan/mod.rs
+++ b/crates/hopyoke-scheduler/src/plan/mod.rs
@@ -185,7 +185,7 @@
     /// unfinished jobs, and of jobs that were cancelled under an earlier holder, which no record
     /// names any more. They hold no more than the machines have, for workers refuse what has no
     /// room; so that is charged to every team. False if even that is not known.
-    /// (Guards `quota`; scenario cancelled_before_takeover.)
+    /// (Guards `quota`; scenario cancelled_before_failover_uses_quota.)
     fn charge_unknown(&self, plan: &mut Plan) -> bool {
         if !self.is_reconciling() {
             return true;
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -145,7 +145,7 @@
 
 /// Applies a peer's answer at the leader: first the cancellations, then the lease support, which is granted on the
 /// condition that the leader knows them. The support counts only if the leader has also applied what was confirmed at its
-/// own node before its election. (Guards `ran_cancelled`. Scenario gap_fresh_leader.)
+/// own node before its election. (Guards `ran_cancelled`. Scenario leader_rejected_then_outage_new_process.)
 fn apply_answer(
     node: &Node,
     leadership: &Leadership,
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -35,7 +35,7 @@
 /// it: a transaction's answer can be lost, and the user's repeated request finds what it did. Before that a
 /// cancellation is noted for leaders that may not hear of it, and our own core drops the job.
 /// (Guards `ran_cancelled`: a leader that outlives an outage would keep its tasks alive. Scenarios
-/// gap_answer_lost, gap_leader_reads.)
+/// leader_rejected_then_outage_responses_lost, leader_rejected_then_outage_leader_reads.)
 fn found_ended(node: &Node, id: &JobId, end: EndRecord, mod_revision: ModRevision) {
     if end.state == JobState::Cancelled {
         node.lease_support
--- a/crates/hopyoke/tests/checks/mod.rs
+++ b/crates/hopyoke/tests/checks/mod.rs
@@ -1,4 +1,4 @@
-//! Scenario statements that need no world: bodies of requests, settings, and raw HTTP.
+//! Scenario statements that need no simulation: bodies of requests, settings, and raw HTTP.
 
 use hopyoke_event_loop::http::{self, OpenConnections, Request, Response, ServerLimits};
 use hopyoke_event_loop::{self as runtime, CancellationToken, TcpListener, TcpStream};
--- a/crates/hopyoke/tests/scenarios.rs
+++ b/crates/hopyoke/tests/scenarios.rs
@@ -51,7 +51,7 @@
     })
 }
 
-/// A random day: two troubles at a time, in a world of a random size, and then time until all is over.
+/// A random day: two faults at a time, in a cluster of a random size, and then time until all is over.
 fn day(seed: u64) -> String {
     let nodes = [3, 3, 3, 5, 2, 1][seed as usize % 6];
     let machines = [
@@ -62,7 +62,7 @@
     format!("seed {seed} nodes {nodes}\n{machines}\nrandom 300\nuntil 700\nexpect began all\n")
 }
 
-/// Many random days, to look for broken rules: `DAYS=500 cargo test --release -- --ignored`; `FIRST` is the
+/// Many random days, to look for violated invariants: `DAYS=500 cargo test --release -- --ignored`; `FIRST` is the
 /// first seed.
 fn many_days() -> Result<(), Failed> {
     let days: u64 = std::env::var("DAYS")
