--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -42,7 +42,7 @@
 /// lost, and the user's repeated request finds what it did): from now on users may be told of it. Before that a
 /// cancellation is logged for leaders that may not receive it, and this node's own scheduler drops the job.
 /// (Guards `ran_cancelled`: a leader that outlives an outage would keep its tasks alive. Scenarios
-/// gap_answer_lost, gap_leader_reads.)
+/// leader_rejected_then_outage_responses_lost, leader_rejected_then_outage_leader_reads.)
 fn terminal_state_known(node: &Node, id: &JobId, end: EndRecord, mod_revision: ModRevision) {
     if end.state == JobState::Cancelled {
         node.lease_support
