--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -1,4 +1,4 @@
-//! What users ask: submit, poll, cancel. Any node answers by itself, from the state service.
+//! The users' interface: submit, poll and cancel jobs. Any node answers by itself, from the key-value store.
 
 use crate::node::{Leadership, Node};
 use crate::peers::client::{FORWARD_TO_LEADER_TIMEOUT, FORWARD_TO_PEER_TIMEOUT};
@@ -25,58 +25,59 @@
     Response::of(status, &Problem { error })
 }
 
-/// Undecidable now: said at once, with when to come back.
-fn later(why: &str) -> Response {
-    problem(503, why).retry_after(1)
+/// The outcome cannot be determined now: the client is to retry after a second.
+fn unavailable(reason: &str) -> Response {
+    problem(503, reason).retry_after(1)
 }
 
-/// No room now: said at once, with when there will be.
-fn no_room(after: RetryAfter) -> Response {
+/// Admission control rejected a submission.
+fn rejected(after: RetryAfter) -> Response {
     problem(503, "more work is offered than can be recorded").retry_after(after.0)
 }
 
-/// Users and workers go elsewhere while this node alone can't reach the state service.
-pub fn healthz(node: &Node, request: &Request) -> Response {
+/// Serves `GET /healthz`: unhealthy while this node alone cannot reach the key-value store, so that users and agents are
+/// routed to other nodes.
+pub(crate) fn healthz(node: &Node, request: &Request) -> Response {
     if request.method != Method::Get {
         return Response::empty(405);
     }
     if node.catalog.borrow().is_empty() {
         return problem(503, "the machine types are not known yet");
     }
-    if alone(node) {
+    if is_isolated(node) {
         return problem(503, "the state service does not answer this node");
     }
     Response::empty(200)
 }
 
-/// The state service has not answered us for a while, but answers a peer. In an outage, when it
-/// answers nobody, staying healthy spares users the way back.
-fn alone(node: &Node) -> bool {
-    let quiet = Micros::from_secs(3);
+/// The key-value store has not answered this node for a while, but answers a peer. In an outage, when it answers no node,
+/// all stay healthy: users need not be routed back afterwards.
+fn is_isolated(node: &Node) -> bool {
+    let min_silence = Micros::from_secs(3);
     !node.state.answers()
-        && runtime::now() > node.state.last_answer() + quiet
+        && runtime::now() > node.state.last_answer() + min_silence
         && node.peers.any_that_reaches_store().is_some()
 }
 
-/// What of a request's path follows that of all jobs; a query says nothing. Asked directly or by way of a peer, a
-/// path means the same.
-pub fn below_jobs(path: &str) -> Option<&str> {
+/// The part of a request's path below that of all jobs, without the query, for direct and for forwarded requests; `None`:
+/// it is another path.
+pub(crate) fn below_jobs(path: &str) -> Option<&str> {
     path.split('?').next()?.strip_prefix("/api/jobs")
 }
 
-/// A user's request: a poll is best answered by the leader, which knows what runs; whatever we
-/// cannot decide is passed to a peer that reaches the state service.
-pub async fn jobs(node: &Rc<Node>, rest: &str, request: &Request) -> Response {
+/// Serves a user's request. A poll is forwarded to the leader, which knows what runs; whatever this node cannot decide is
+/// forwarded to a peer that reaches the key-value store.
+pub(crate) async fn serve(node: &Rc<Node>, rest: &str, request: &Request) -> Response {
     if request.method == Method::Get && node.leadership().is_none() {
         let leader = node.leader.borrow().clone();
-        if let Some(link) = leader.as_deref().and_then(|l| node.peers.by_name(l))
-            && link.leads()
+        if let Some(client) = leader.as_deref().and_then(|l| node.peers.by_name(l))
+            && client.leads()
         {
-            // The leader answers many with one question of its own; our own would be two for each.
-            if link.is_busy() {
-                return later("the leader is busy");
+            // The leader answers many polls with one read of its own; this node would need two reads for each.
+            if client.is_busy() {
+                return unavailable("the leader is busy");
             }
-            if let Some(r) = link
+            if let Some(r) = client
                 .forward(&node.settings.node, request, FORWARD_TO_LEADER_TIMEOUT)
                 .await
             {
@@ -85,25 +86,25 @@
         }
     }
     if !node.state.answers()
-        && let Some(link) = node.peers.any_that_reaches_store()
-        && let Some(r) = link
+        && let Some(client) = node.peers.any_that_reaches_store()
+        && let Some(r) = client
             .forward(&node.settings.node, request, FORWARD_TO_PEER_TIMEOUT)
             .await
     {
         return r;
     }
-    // Known not to answer: said at once rather than after another try has run out. The connection
-    // is closed, so that the user's next try can reach another node.
+    // Known not to answer: reported at once rather than after another timeout. The connection is closed, so that the
+    // user's next attempt can reach another node.
     if !node.state.answers() && runtime::now() > node.state.last_answer() + Micros::from_secs(1) {
-        return later("the state service does not answer this node").closing();
+        return unavailable("the state service does not answer this node").closing();
     }
     let own = own_answer(node, rest, request).await;
-    // What found no room here is not passed on: the others have no more.
+    // Rejected submissions are not forwarded: the peers have no more capacity.
     if own.status == 503
         && request.method == Method::Post
         && !node.state.answers()
-        && let Some(link) = node.peers.any_that_reaches_store()
-        && let Some(r) = link
+        && let Some(client) = node.peers.any_that_reaches_store()
+        && let Some(r) = client
             .forward(&node.settings.node, request, FORWARD_TO_PEER_TIMEOUT)
             .await
     {
@@ -112,8 +113,8 @@
     own
 }
 
-/// What this node itself answers.
-pub async fn own_answer(node: &Rc<Node>, rest: &str, request: &Request) -> Response {
+/// Answers a request by this node itself.
+pub(crate) async fn own_answer(node: &Rc<Node>, rest: &str, request: &Request) -> Response {
     if rest.is_empty() {
         return match request.method {
             Method::Post => submit(node, &request.body).await,
@@ -128,7 +129,7 @@
         Some(_) => return Response::empty(404),
         None => (rest, Method::Get),
     };
-    // No job can have another form of id.
+    // Whatever is no valid id cannot be that of a job.
     let Some(id) = JobId::parse(id) else {
         return Response::empty(404);
     };
@@ -141,8 +142,8 @@
         cancel(node, &id).await
     };
     answer.unwrap_or_else(|e| {
-        debug!(job = %id, error = %e, "not decidable now");
-        later("the state service did not answer")
+        debug!(job = %id, error = %e, "request not answered");
+        unavailable("the state service did not answer")
     })
 }
 
@@ -159,7 +160,7 @@
     )
 }
 
-/// `leadership`: the leadership whose core may know how much of it runs.
+/// `leadership`: that of this node, if it leads: its scheduler may know the job's running tasks.
 fn unfinished(leadership: Option<&Leadership>, id: &JobId, record: Option<JobRecord>) -> Response {
     let done = record.map_or(0, |r| r.done.tidy(r.spec.tasks).count());
     let mut answer = JobStatusResponse {
@@ -186,11 +187,11 @@
         Lookup::Finished(end) => finished(id, end),
         Lookup::Unfinished(record, _) => {
             if matches!(record, Stored::Unreadable(_)) {
-                warn!(job = %id, "unreadable record");
+                warn!(job = %id, "malformed job record");
             }
             unfinished(node.leadership().as_deref(), id, record.readable())
         }
-        Lookup::Unreadable => later("the job's record can't be read"),
+        Lookup::Unreadable => unavailable("the job's record can't be read"),
         Lookup::Missing => problem(404, "no such job"),
     }
 }
@@ -201,22 +202,22 @@
     }
     if let Some(leadership) = node.leadership() {
         if leadership.is_current().await {
-            // Whatever was written before the poll arrived is in the core now. (Guards `went_back` and
-            // `forgotten`; an older answer than another node's is not possible.)
+            // The scheduler includes whatever was written before the poll arrived. (Guards `went_back` and `forgotten`: no
+            // answer is older than one that another node gave before.)
             if leadership.scheduler.borrow().jobs.contains_key(id) {
                 return Ok(unfinished(Some(&leadership), id, None));
             }
             if let Some(end) = node.terminal_states.get(id) {
                 return Ok(finished(id, end));
             }
-            // Over, or never accepted, or its record can't be read: its own records tell.
+            // It has ended, or was never accepted, or its record is malformed: its records tell.
             return Ok(answer(node, id, lookup_ended(node, id).await?));
         }
         if !leadership.cancel.is_cancelled() {
-            // More reads would not help: it is busy, or away. The user polls again.
-            return Ok(later("the state service did not answer in time"));
+            // More reads would not help: the store is overloaded or unreachable. The user polls again.
+            return Ok(unavailable("the state service did not answer in time"));
         }
-        // We lead no more: answered as by any other node.
+        // This node has stepped down: it answers like any other.
     }
     Ok(answer(
         node,
@@ -230,60 +231,58 @@
         Ok(s) => s,
         Err(e) => return problem(400, &e.to_string()),
     };
-    let never = {
+    let never_runs_reason = {
         let types = node.catalog.borrow();
         if types.is_empty() {
-            return later("the machine types are not known yet");
+            return unavailable("the machine types are not known yet");
         }
         never_runs(&spec, &types, &node.config.zones, &node.config.teams)
     };
     let id = spec.id.clone();
-    let result = match never {
+    let result = match never_runs_reason {
         // An accepted job stays accepted, whatever the catalog says now.
-        Some(why) => match lookup(node, node.state.accepting(), &id).await {
-            Ok(Lookup::Missing) => Ok(problem(422, &why)),
+        Some(reason) => match lookup(node, node.state.accepting(), &id).await {
+            Ok(Lookup::Missing) => Ok(problem(422, &reason)),
             Ok(found) => Ok(answer(node, &id, found)),
             Err(e) => Err(e),
         },
         None => accept(node, spec).await,
     };
     result.unwrap_or_else(|e| {
-        debug!(job = %id, error = %e, "not accepted now");
-        later("the state service did not answer")
+        debug!(job = %id, error = %e, "submission not answered");
+        unavailable("the state service did not answer")
     })
 }
 
-/// Accepts a job: a write on the condition that there is no record of it, answered only once it
-/// is committed.
+/// Accepts a job: writes its record on the condition that there is none, and answers only once that is committed.
 async fn accept(node: &Rc<Node>, spec: JobSpec) -> Result<Response, StateError> {
     let id = spec.id.clone();
     if let Some(end) = node.terminal_states.get(&id).filter(|e| !e.flow) {
         return Ok(finished(&id, end));
     }
     if let Err(after) = node.admission.admit(node, &spec) {
-        debug!(job = %id, after_s = after.0, "refused at the door");
-        // A repeated submission of what is accepted gets its answer all the same, where that costs
-        // nothing of its own.
+        debug!(job = %id, after_s = after.0, "submission rejected");
+        // A repeated submission of an accepted job is answered all the same, where that needs no request to the store.
         let known = node
             .leadership()
             .is_some_and(|l| l.scheduler.borrow().jobs.contains_key(&id));
         return if known {
             poll(node, &id).await
         } else {
-            Ok(no_room(after))
+            Ok(rejected(after))
         };
     }
     let team = spec.team.clone();
     let record = JobRecord::accepted(spec, runtime::time_of_day().0);
     let end = match records::accept(node, record, Vec::new()).await {
         Err(e) if e.is_refusal() && node.state.answers() => {
-            return Ok(no_room(node.admission.reject(node, &id, &team)));
+            return Ok(rejected(node.admission.reject(node, &id, &team)));
         }
         end => end?,
     };
     match end {
         TransactionOutcome::Applied(_) => {
-            debug!(job = %id, "accepted");
+            debug!(job = %id, "job accepted");
             let answer = JobStatusResponse {
                 id: id.as_str(),
                 state: JobState::Queued,
@@ -293,19 +292,19 @@
             Ok(Response::of(201, &answer))
         }
         TransactionOutcome::Failed(_) => match lookup(node, node.state.accepting(), &id).await? {
-            // It can't have vanished: the user is to ask again.
-            Lookup::Missing => Ok(later("the job's record changed meanwhile")),
+            // A record cannot vanish: the user is to retry.
+            Lookup::Missing => Ok(unavailable("the job's record changed meanwhile")),
             found if found.is_flow() => Ok(problem(422, "the id is that of a workflow's step")),
             found => Ok(answer(node, &id, found)),
         },
     }
 }
 
-/// Cancels a job: its record moves to its final place, or the final state that it has is told.
+/// Cancels a job: its record becomes a final one. Answers with the final state, also if the job had one before.
 async fn cancel(node: &Rc<Node>, id: &JobId) -> Result<Response, StateError> {
     Ok(match records::cancel(node, id).await? {
         Some(Lookup::Finished(end)) => finished(id, end),
         Some(found) => answer(node, id, found),
-        None => later("the job's record keeps changing"),
+        None => unavailable("the job's record keeps changing"),
     })
 }
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -388,7 +388,7 @@
         &node.policy.evaluate(&Figures::default()),
     ));
     scheduler.set_time_of_day(runtime::now(), runtime::time_of_day());
-    scheduler.set_hours(staffed_hours::at_first(node));
+    scheduler.set_hours(staffed_hours::initial(node));
     scheduler.set_catalog(node.catalog.borrow().clone());
     Some(scheduler)
 }
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads the command line and starts the library.
+//! The program `hopyoke`: reads the command line and starts the controller, or calls a running one.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use hopyoke::peers::client;
@@ -149,7 +149,11 @@
                 zone: zone.unwrap_or_default(),
             };
             ask(mesh, client::ask_when(mesh, request)).map(|w| {
-                println!("p50 in {}, p90 in {}", span(w.p50_s), span(w.p90_s));
+                println!(
+                    "p50 in {}, p90 in {}",
+                    format_span(w.p50_s),
+                    format_span(w.p90_s)
+                );
                 println!("rests on {}", w.rests_on);
             })
         }
@@ -170,7 +174,7 @@
     }
 }
 
-/// Sets or shows the operators' word on staffed hours.
+/// Sets or shows the operators' override of the staffed hours.
 fn staffed(word: Staffed, span: Option<&str>, mesh: SocketAddr) -> Result<(), String> {
     let span_s = match span {
         None => 0,
@@ -213,7 +217,8 @@
     ask(mesh, client::ask_staffed(mesh, request)).map(|a| println!("{}", a.text))
 }
 
-/// Becomes the program beside this one that speaks CWL: what it needs stays out of the controller.
+/// Replaces this process by `hopyoke-cwl`, from the same directory if it is there: its dependencies stay out of the
+/// controller.
 fn cwl(args: &[std::ffi::OsString]) -> Result<(), String> {
     use std::os::unix::process::CommandExt;
     let beside = std::env::current_exe()
@@ -272,90 +277,104 @@
     Ok(policy)
 }
 
+/// The columns of `policy show`.
+const POLICY_COLUMNS: [&str; 9] = [
+    "setting",
+    "value",
+    "unit",
+    "default",
+    "safe range",
+    "live",
+    "set to",
+    "what",
+    "why this range",
+];
+
+type PolicyRow = [String; 9];
+
 fn show_policy(policy: &Policy, format: Format) -> String {
-    let rows = policy.settings().iter().map(|s| {
-        let live = if s.live { "yes" } else { "" };
-        [
-            s.name.clone(),
-            s.values.clone(),
-            s.ty.to_string(),
-            s.default.clone(),
-            s.range_text(),
-            live.to_owned(),
-            if s.overridden {
-                s.expression.clone()
-            } else {
-                String::new()
-            },
-            s.about.clone(),
-            s.safe.clone(),
-        ]
-    });
-    let heads = [
-        "setting",
-        "value",
-        "unit",
-        "default",
-        "safe range",
-        "live",
-        "set to",
-        "what",
-        "why this range",
-    ];
+    let rows: Vec<PolicyRow> = policy
+        .settings()
+        .iter()
+        .map(|s| {
+            let live = if s.live { "yes" } else { "" };
+            [
+                s.name.clone(),
+                s.values.clone(),
+                s.ty.to_string(),
+                s.default.clone(),
+                s.range_text(),
+                live.to_owned(),
+                if s.overridden {
+                    s.expression.clone()
+                } else {
+                    String::new()
+                },
+                s.about.clone(),
+                s.safe.clone(),
+            ]
+        })
+        .collect();
     match format {
-        Format::Json => {
-            let list: Vec<serde_json::Value> = rows
-                .map(|r| {
-                    heads
-                        .iter()
-                        .zip(r)
-                        .map(|(h, v)| ((*h).to_owned(), serde_json::Value::from(v)))
-                        .collect()
-                })
-                .collect();
-            serde_json::to_string_pretty(&list).unwrap_or_default() + "\n"
-        }
-        Format::Markdown => {
-            let keep = [0, 2, 3, 4, 5, 7, 8];
-            let line = |cells: &[String]| {
-                format!(
-                    "| {} |\n",
-                    keep.map(|k| cells[k].replace('|', "\\|")).join(" | ")
-                )
-            };
-            let mut out =
-                line(&heads.map(str::to_owned)) + &format!("|{}\n", " --- |".repeat(keep.len()));
-            for mut r in rows {
-                r[0] = format!("`{}`", r[0]);
-                out += &line(&r);
-            }
-            out
-        }
-        Format::Table => {
-            let rows: Vec<_> = rows.collect();
-            let width = |k: usize| {
-                let cells = rows.iter().map(|r| r[k].chars().count());
-                cells.chain([heads[k].len()]).max().unwrap_or(0)
-            };
-            let widths: Vec<usize> = (0..7).map(width).collect();
-            let line = |cells: Vec<&str>| {
-                let padded = cells
-                    .iter()
-                    .zip(&widths)
-                    .map(|(c, w)| format!("{c:<w$}", w = *w));
-                format!("{}\n", padded.collect::<Vec<_>>().join("  ").trim_end())
-            };
-            let mut out = line(heads[..7].to_vec());
-            for r in &rows {
-                out += &line(r[..7].iter().map(String::as_str).collect());
-            }
-            out
-        }
+        Format::Json => policy_json(rows),
+        Format::Markdown => policy_markdown(rows),
+        Format::Table => policy_table(&rows),
+    }
+}
+
+fn policy_json(rows: Vec<PolicyRow>) -> String {
+    let list: Vec<serde_json::Value> = rows
+        .into_iter()
+        .map(|row| {
+            POLICY_COLUMNS
+                .iter()
+                .zip(row)
+                .map(|(column, cell)| ((*column).to_owned(), serde_json::Value::from(cell)))
+                .collect()
+        })
+        .collect();
+    serde_json::to_string_pretty(&list).unwrap_or_default() + "\n"
+}
+
+fn policy_markdown(rows: Vec<PolicyRow>) -> String {
+    let shown = [0, 2, 3, 4, 5, 7, 8];
+    let line = |cells: &[String]| {
+        format!(
+            "| {} |\n",
+            shown.map(|k| cells[k].replace('|', "\\|")).join(" | ")
+        )
+    };
+    let mut out =
+        line(&POLICY_COLUMNS.map(str::to_owned)) + &format!("|{}\n", " --- |".repeat(shown.len()));
+    for mut row in rows {
+        row[0] = format!("`{}`", row[0]);
+        out += &line(&row);
+    }
+    out
+}
+
+fn policy_table(rows: &[PolicyRow]) -> String {
+    let width = |k: usize| {
+        let cells = rows.iter().map(|row| row[k].chars().count());
+        cells.chain([POLICY_COLUMNS[k].len()]).max().unwrap_or(0)
+    };
+    let widths: Vec<usize> = (0..7).map(width).collect();
+    let line = |cells: Vec<&str>| {
+        let padded = cells
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:<w$}", w = *width));
+        format!("{}\n", padded.collect::<Vec<_>>().join("  ").trim_end())
+    };
+    let mut out = line(POLICY_COLUMNS[..7].to_vec());
+    for row in rows {
+        out += &line(row[..7].iter().map(String::as_str).collect());
     }
+    out
 }
 
-/// Seconds as people say them.
-fn span(s: f64) -> String {
+/// A time span in seconds, in a readable unit.
+fn format_span(s: f64) -> String {
     match s {
         _ if s < 90.0 => format!("{s:.0} s"),
         _ if s < 5400.0 => format!("{:.1} min", s / 60.0),
@@ -382,7 +401,7 @@
                 (token, since) = (a.token, a.last);
                 a.more
             }
-            // Between two leaders nobody answers; whoever follows goes on asking.
+            // No node answers during a failover; while `--follow` lasts the request is repeated.
             Err(e) if std::time::Instant::now() >= until => return Err(e),
             Err(e) => {
                 eprintln!("hopyoke: {e}; asking again");
@@ -398,15 +417,15 @@
     }
 }
 
-/// Asks a running controller.
+/// Calls a running controller on an event loop of its own.
 fn ask<T: 'static>(
     addr: SocketAddr,
     call: impl Future<Output = std::io::Result<T>> + 'static,
 ) -> Result<T, String> {
     let answer = Rc::new(RefCell::new(None));
-    let allocation = answer.clone();
+    let answer_slot = answer.clone();
     runtime::run(async move {
-        *allocation.borrow_mut() = Some(call.await);
+        *answer_slot.borrow_mut() = Some(call.await);
     })
     .map_err(text)?;
     match answer.take() {
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -1,6 +1,7 @@
-//! Operators' questions about learned run times. Any node takes them; the leader answers.
+//! Estimates by learned run times, and the history that they are learned from. Any node accepts the requests; the
+//! leader answers them.
 
-use crate::node::Node;
+use crate::node::{Leadership, Node};
 use crate::peers::client::proto::{HistoryAnswer, HistoryRequest, WhenAnswer, WhenRequest};
 use crate::peers::client::{GREET_TIMEOUT, PeerClient};
 use hopyoke_event_loop as runtime;
@@ -10,62 +11,66 @@
 use hopyoke_workload_trace::{Run, Writer};
 
 /// Runs in one answer.
-const MOST_RUNS: usize = 256;
-/// An answer about capacity looks at all running tasks.
-const ANSWER: Micros = Micros(GREET_TIMEOUT.0 * 2);
+const MAX_RUNS: usize = 256;
+/// An estimate of capacity visits all running tasks, so it may take longer than a greeting.
+const ANSWER_TIMEOUT: Micros = Micros(GREET_TIMEOUT.0 * 2);
 
-/// When a job will be over, or GPUs will be free.
-pub async fn when(node: &Node, mut request: WhenRequest) -> WhenAnswer {
+/// Estimates when a job will end, or GPUs will be free.
+pub(crate) async fn when(node: &Node, mut request: WhenRequest) -> WhenAnswer {
     if let Some(leadership) = node.leadership() {
-        let scheduler = leadership.scheduler.borrow();
-        let now = runtime::now();
-        let found = if request.job.is_empty() {
-            let zone = (!request.zone.is_empty()).then_some(request.zone);
-            scheduler.when_capacity(
-                &Ask {
-                    team: request.team,
-                    gpus: request.gpus,
-                    zone,
-                },
-                now,
-            )
-        } else {
-            match JobId::parse(&request.job) {
-                Some(id) => scheduler.when_job(&id, now),
-                None => Err(format!("'{}' is not a job's id", request.job)),
-            }
-        };
-        return match found {
-            Ok(w) => WhenAnswer {
-                error: String::new(),
-                p50_s: w.p50_s,
-                p90_s: w.p90_s,
-                rests_on: w.rests_on,
-            },
-            Err(error) => WhenAnswer {
-                error,
-                ..WhenAnswer::default()
-            },
-        };
+        return own_estimate(&leadership, request);
     }
     let refused = |error: &str| WhenAnswer {
         error: error.to_owned(),
         ..WhenAnswer::default()
     };
-    let link = match leader(node, &request.node) {
-        Ok(l) => l,
-        Err(why) => return refused(why),
+    let client = match leader(node, &request.node) {
+        Ok(client) => client,
+        Err(error) => return refused(error),
     };
     request.node.clone_from(&node.settings.node);
-    let answer = link
-        .call(ANSWER, |mut c| async move { c.when(request).await })
+    let answer = client
+        .call(ANSWER_TIMEOUT, |mut c| async move { c.when(request).await })
         .await;
     answer.unwrap_or_else(|| refused("the leader did not answer"))
 }
 
-/// The node that leads, for a question that nobody has passed on yet.
-fn leader<'a>(node: &'a Node, passed_on_by: &str) -> Result<&'a PeerClient, &'static str> {
-    if !passed_on_by.is_empty() {
+fn own_estimate(leadership: &Leadership, request: WhenRequest) -> WhenAnswer {
+    let scheduler = leadership.scheduler.borrow();
+    let now = runtime::now();
+    let estimate = if request.job.is_empty() {
+        let zone = (!request.zone.is_empty()).then_some(request.zone);
+        scheduler.when_capacity(
+            &Ask {
+                team: request.team,
+                gpus: request.gpus,
+                zone,
+            },
+            now,
+        )
+    } else {
+        match JobId::parse(&request.job) {
+            Some(id) => scheduler.when_job(&id, now),
+            None => Err(format!("'{}' is not a job's id", request.job)),
+        }
+    };
+    match estimate {
+        Ok(estimate) => WhenAnswer {
+            error: String::new(),
+            p50_s: estimate.p50_s,
+            p90_s: estimate.p90_s,
+            rests_on: estimate.rests_on,
+        },
+        Err(error) => WhenAnswer {
+            error,
+            ..WhenAnswer::default()
+        },
+    }
+}
+
+/// The client of the leader, for a request that no other node has forwarded.
+fn leader<'a>(node: &'a Node, forwarded_by: &str) -> Result<&'a PeerClient, &'static str> {
+    if !forwarded_by.is_empty() {
         return Err("the node that was asked does not lead");
     }
     let leader = node.leader.borrow().clone();
@@ -75,63 +80,69 @@
         .ok_or("nobody leads now")
 }
 
-/// Runs that have ended.
-pub async fn history(node: &Node, mut request: HistoryRequest) -> HistoryAnswer {
+/// Runs of tasks that have ended, as comma-separated values.
+pub(crate) async fn history(node: &Node, mut request: HistoryRequest) -> HistoryAnswer {
     if let Some(leadership) = node.leadership() {
-        let scheduler = leadership.scheduler.borrow();
-        let token = scheduler.token.0;
-        // Another leader counts its runs anew.
-        let since = if request.token == token {
-            request.since
-        } else {
-            0
-        };
-        let past = scheduler.history(since, MOST_RUNS + 1);
-        let mut writer = Writer::new(false);
-        for p in past.iter().take(MOST_RUNS) {
-            if let Err(error) = writer.add(&run_of(p)) {
-                return HistoryAnswer {
-                    error: error.to_string(),
-                    ..HistoryAnswer::default()
-                };
-            }
-        }
-        let last = past
-            .iter()
-            .take(MOST_RUNS)
-            .next_back()
-            .map_or(since, |p| p.number);
-        let more = past.len() > MOST_RUNS;
-        return HistoryAnswer {
-            error: String::new(),
-            csv: writer.text(),
-            token,
-            last,
-            more,
-        };
+        return own_history(&leadership, &request);
     }
     let refused = |error: &str| HistoryAnswer {
         error: error.to_owned(),
         ..HistoryAnswer::default()
     };
-    let link = match leader(node, &request.node) {
-        Ok(l) => l,
-        Err(why) => return refused(why),
+    let client = match leader(node, &request.node) {
+        Ok(client) => client,
+        Err(error) => return refused(error),
     };
     request.node.clone_from(&node.settings.node);
-    let answer = link
-        .call(ANSWER, |mut c| async move { c.history(request).await })
+    let answer = client
+        .call(
+            ANSWER_TIMEOUT,
+            |mut c| async move { c.history(request).await },
+        )
         .await;
     answer.unwrap_or_else(|| refused("the leader did not answer"))
 }
 
-fn run_of(p: &Past) -> Run {
-    let spec = &p.spec;
+fn own_history(leadership: &Leadership, request: &HistoryRequest) -> HistoryAnswer {
+    let scheduler = leadership.scheduler.borrow();
+    let token = scheduler.token.0;
+    // Each leader numbers the runs of its own term.
+    let after = if request.token == token {
+        request.since
+    } else {
+        0
+    };
+    let ended = scheduler.history(after, MAX_RUNS + 1);
+    let mut writer = Writer::new(false);
+    for run in ended.iter().take(MAX_RUNS) {
+        if let Err(error) = writer.add(&run_of(run)) {
+            return HistoryAnswer {
+                error: error.to_string(),
+                ..HistoryAnswer::default()
+            };
+        }
+    }
+    let last = ended
+        .iter()
+        .take(MAX_RUNS)
+        .next_back()
+        .map_or(after, |run| run.number);
+    HistoryAnswer {
+        error: String::new(),
+        csv: writer.text(),
+        token,
+        last,
+        more: ended.len() > MAX_RUNS,
+    }
+}
+
+fn run_of(past: &Past) -> Run {
+    let spec = &past.spec;
     Run {
-        submitted_us: p.accepted_us,
-        ended_us: p.ended_us,
+        submitted_us: past.accepted_us,
+        ended_us: past.ended_us,
         job: spec.id.to_string(),
-        index: p.index,
+        index: past.index,
         class: spec.class.clone(),
         team: spec.team.clone(),
         image: spec.image.clone(),
@@ -143,8 +154,11 @@
         cpus: spec.cpus,
         gpus: spec.gpus,
         mem_gb: spec.memory_gb,
-        machine: p.machine.as_ref().map_or(String::new(), |m| m.to_string()),
+        machine: past
+            .machine
+            .as_ref()
+            .map_or(String::new(), |m| m.to_string()),
         estimate_s: spec.estimate_s,
-        ran_s: p.ran_s,
+        ran_s: past.ran_s,
     }
 }
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -1,4 +1,4 @@
-//! Staffed hours on a node: the operators' word is a record, and the leader keeps it in mind.
+//! Staffed hours: the operators' override of the calendar is a record in the key-value store, which the leader follows.
 
 use crate::node::{Leadership, Node};
 use crate::operations::settings;
@@ -12,39 +12,40 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// How long the leader may not have heard of a new word.
-const FOLLOW: Micros = Micros::from_secs(5);
-const LONGEST_S: u64 = 31 * 86_400;
+/// The interval at which the leader reads the override.
+const READ_INTERVAL: Micros = Micros::from_secs(5);
+/// The longest override, in seconds.
+const MAX_SPAN_S: u64 = 31 * 86_400;
 
-/// The hours of the node's settings; `None`: nothing is held.
+/// The staffed hours by the node's settings; `None`: no work is held outside of them.
 fn hours(node: &Node) -> Option<StaffedHours> {
     let values = node.policy.evaluate(&Figures::default());
     let skew = Micros::from_secs_f64(node.settings.facts.clock_skew_ms / 1e3);
     match settings::hours_of(&values, skew) {
         Ok(h) => h,
         Err(e) => {
-            // Checked when the file was read.
-            warn!(error = %e, "hours can't be read");
+            // Unexpected: they were checked when the settings were read.
+            warn!(error = %e, "malformed staffed hours");
             None
         }
     }
 }
 
-/// What a new leader begins with. Until the operators' word was read, held work is held: it may say
-/// that nobody is there.
-pub fn at_first(node: &Node) -> Option<StaffedHours> {
-    let unread = StaffingOverride {
+/// The staffed hours that a new leader begins with. Until the override is read, it counts as "not staffed", since it may
+/// say so.
+pub(crate) fn initial(node: &Node) -> Option<StaffedHours> {
+    let not_staffed = StaffingOverride {
         staffed: false,
         until_us: u64::MAX / 4,
         by: "nobody yet".into(),
     };
     hours(node).map(|h| StaffedHours {
-        staffing_override: Some(unread),
+        staffing_override: Some(not_staffed),
         ..h
     })
 }
 
-async fn read(node: &Node) -> Result<(Option<StaffingOverride>, ModRevision), StateError> {
+async fn read_override(node: &Node) -> Result<(Option<StaffingOverride>, ModRevision), StateError> {
     Ok(
         match node
             .state
@@ -54,7 +55,7 @@
         {
             Some((Stored::Value(s), mod_revision)) => (Some(s), mod_revision),
             Some((Stored::Unreadable(_), mod_revision)) => {
-                warn!("unreadable word on staffed hours: the calendar holds");
+                warn!("malformed override of staffed hours: the calendar applies");
                 (None, mod_revision)
             }
             None => (None, ModRevision(0)),
@@ -62,17 +63,17 @@
     )
 }
 
-/// Keeps the operators' word in the leader's mind.
-pub async fn follow(node: Rc<Node>, leadership: Rc<Leadership>) {
+/// Keeps the leader's scheduler up to date with the override, for the leader's term.
+pub(crate) async fn follow(node: Rc<Node>, leadership: Rc<Leadership>) {
     if hours(&node).is_none() {
         return;
     }
     loop {
-        let pause = match read(&node).await {
+        let pause = match read_override(&node).await {
             Ok((switch, _)) => {
                 leadership.scheduler.borrow_mut().set_switch(switch);
                 leadership.wakeup.notify();
-                FOLLOW
+                READ_INTERVAL
             }
             Err(_) => Micros::from_millis(500),
         };
@@ -80,8 +81,8 @@
     }
 }
 
-/// Answers an operator.
-pub async fn answer(node: &Node, request: StaffedRequest) -> StaffedAnswer {
+/// Answers an operator who sets or shows the override.
+pub(crate) async fn answer(node: &Node, request: StaffedRequest) -> StaffedAnswer {
     match change(node, request).await {
         Ok(text) => StaffedAnswer {
             text,
@@ -94,22 +95,26 @@
     }
 }
 
+fn unavailable(e: StateError) -> String {
+    format!("the state service did not answer: {e}")
+}
+
+/// Serves an operator's request; returns the text of the answer, or why it is refused.
 async fn change(node: &Node, request: StaffedRequest) -> Result<String, String> {
     let mut hours = hours(node).ok_or("nothing is held: `hold` is off in this node's settings")?;
     let now = runtime::time_of_day();
-    let not_now = |e: StateError| format!("the state service did not answer: {e}");
-    let (known, mod_revision) = read(node).await.map_err(not_now)?;
-    let word = match request.word.as_str() {
-        "show" => known,
+    let (current, mod_revision) = read_override(node).await.map_err(unavailable)?;
+    let new_override = match request.word.as_str() {
+        "show" => current,
         "auto" => None,
-        "on" | "off" if !(1..=LONGEST_S).contains(&request.span_s) => {
+        "on" | "off" if !(1..=MAX_SPAN_S).contains(&request.span_s) => {
             return Err("the span must be 1 s to 31 days".into());
         }
-        word @ ("on" | "off") => {
+        state @ ("on" | "off") => {
             let until = now + Micros::from_secs(request.span_s);
             let by = request.by.chars().take(80).collect();
             Some(StaffingOverride {
-                staffed: word == "on",
+                staffed: state == "on",
                 until_us: until.0,
                 by,
             })
@@ -117,36 +122,53 @@
         other => return Err(format!("'{other}' is not on, off, auto or show")),
     };
     if request.word != "show" {
-        let change = match &word {
-            Some(w) => Mutation::Put {
-                key: SWITCH.to_owned(),
-                value: w.clone(),
-                lease: None,
-            },
-            None => Mutation::Delete {
-                key: SWITCH.to_owned(),
-            },
-        };
-        let condition = Compare {
+        write_override(node, new_override.as_ref(), mod_revision).await?;
+        info!(
+            state = request.word,
+            by = request.by,
+            "staffed hours overridden"
+        );
+    }
+    hours.staffing_override = new_override;
+    Ok(describe(hours, now))
+}
+
+/// Writes or removes the override, on the condition that it has not changed since it was read.
+async fn write_override(
+    node: &Node,
+    new_override: Option<&StaffingOverride>,
+    mod_revision: ModRevision,
+) -> Result<(), String> {
+    let change = match new_override {
+        Some(new_override) => Mutation::Put {
             key: SWITCH.to_owned(),
-            mod_revision,
-        };
-        match node
-            .state
-            .cancelling()
-            .txn(vec![condition], vec![change])
-            .await
-            .map_err(not_now)?
-        {
-            TransactionOutcome::Applied(_) => {
-                info!(word = request.word, by = request.by, "staffed hours")
-            }
-            TransactionOutcome::Failed(_) => {
-                return Err("somebody else said something at the same moment; look again".into());
-            }
+            value: new_override.clone(),
+            lease: None,
+        },
+        None => Mutation::Delete {
+            key: SWITCH.to_owned(),
+        },
+    };
+    let condition = Compare {
+        key: SWITCH.to_owned(),
+        mod_revision,
+    };
+    match node
+        .state
+        .cancelling()
+        .txn(vec![condition], vec![change])
+        .await
+        .map_err(unavailable)?
+    {
+        TransactionOutcome::Applied(_) => Ok(()),
+        TransactionOutcome::Failed(_) => {
+            Err("somebody else said something at the same moment; look again".into())
         }
     }
-    hours.staffing_override = word;
+}
+
+/// Whether the hours are staffed now, until when, and by whose override.
+fn describe(hours: StaffedHours, now: Micros) -> String {
     let window = hours.at(now);
     let until = window
         .until
@@ -162,12 +184,10 @@
             format!(", by {by}")
         }
     });
-    Ok(format!(
-        "{} until {until}{by}",
-        if window.staffed {
-            "staffed"
-        } else {
-            "not staffed"
-        }
-    ))
+    let state = if window.staffed {
+        "staffed"
+    } else {
+        "not staffed"
+    };
+    format!("{state} until {until}{by}")
 }
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -18,7 +18,13 @@
 use tracing::debug;
 
 /// The messages of the mesh, generated from `proto/mesh.proto`.
-#[allow(clippy::all, missing_docs, unreachable_pub, reason = "generated code")]
+#[allow(
+    clippy::all,
+    clippy::too_many_lines,
+    missing_docs,
+    unreachable_pub,
+    reason = "generated code"
+)]
 pub mod proto {
     tonic::include_proto!("hopyoke.mesh");
 }
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -1,4 +1,4 @@
-//! A controller node's routines, and how they are started.
+//! Starts a controller node's routines, and routes requests of users and agents.
 
 use crate::agents::heartbeats;
 use crate::api::jobs;
@@ -20,6 +20,9 @@
 use tracing::{debug, info};
 
 /// Serves until the process ends.
+///
+/// # Errors
+/// The event loop could not be set up, or the address to serve on could not be bound.
 pub fn serve(settings: Settings, policy: Policy) -> io::Result<()> {
     let listen = settings.listen;
     let failed = Rc::new(RefCell::new(None));
@@ -39,41 +42,8 @@
         let node = Rc::new(Node::new(settings, policy, flow_limits));
         let cancelled_gone_s = node.settings.cancellation_bound().total().as_secs_f64();
         info!(node = %node.settings.node, zone = %node.settings.zone, cancelled_gone_s, "serving");
-        runtime::spawn_until(node.cancel.clone(), keep_catalog(node.clone()));
-        runtime::spawn_until(node.cancel.clone(), election::run(node.clone()));
-        runtime::spawn_until(node.cancel.clone(), records::learn_beginning(node.clone()));
-        runtime::spawn_until(node.cancel.clone(), server::serve(node.clone()));
-        for peer in 0..node.peers.all().len() {
-            runtime::spawn_until(node.cancel.clone(), server::greet(node.clone(), peer));
-        }
-        runtime::spawn_until(node.cancel.clone(), probe_state(node.clone()));
-        runtime::spawn_until(node.cancel.clone(), heartbeat_relay::run(node.clone()));
-        runtime::spawn_until(node.cancel.clone(), watch_hearing(node.clone()));
-        runner::start(&node);
-        // Leave sockets for the state service, the cloud, workers and the mesh.
-        let connections = node.most_connections() as usize;
-        let limits = ServerLimits {
-            max_connections: connections,
-            max_persistent_connections: connections * 9 / 10,
-            idle_timeout: Micros::from_secs(90),
-            request_timeout: Micros::from_secs(10),
-            max_body_bytes: 64 * 1024,
-        };
-        let handler = {
-            let node = node.clone();
-            Rc::new(move |request: Request| {
-                let node = node.clone();
-                Box::pin(async move { route(&node, request).await }) as _
-            })
-        };
-        http::serve(
-            listener,
-            limits,
-            node.open.clone(),
-            node.cancel.clone(),
-            handler,
-        )
-        .await;
+        start_routines(&node);
+        serve_requests(&node, listener).await;
     })?;
     match failed.take() {
         Some(e) => Err(io::Error::new(e.kind(), format!("serve_on {listen}: {e}"))),
@@ -81,45 +51,88 @@
     }
 }
 
+fn start_routines(node: &Rc<Node>) {
+    runtime::spawn_until(node.cancel.clone(), refresh_catalog(node.clone()));
+    runtime::spawn_until(node.cancel.clone(), election::run(node.clone()));
+    runtime::spawn_until(node.cancel.clone(), records::learn_beginning(node.clone()));
+    runtime::spawn_until(node.cancel.clone(), server::serve(node.clone()));
+    for peer in 0..node.peers.all().len() {
+        runtime::spawn_until(node.cancel.clone(), server::greet(node.clone(), peer));
+    }
+    runtime::spawn_until(node.cancel.clone(), probe_store(node.clone()));
+    runtime::spawn_until(node.cancel.clone(), heartbeat_relay::run(node.clone()));
+    runtime::spawn_until(node.cancel.clone(), detect_overload(node.clone()));
+    runner::start(node);
+}
+
+/// Serves users' and agents' requests, for as long as the node runs.
+async fn serve_requests(node: &Rc<Node>, listener: TcpListener) {
+    // The remaining sockets are left for the key-value store, the cloud, agents and peers.
+    let connections = node.most_connections() as usize;
+    let limits = ServerLimits {
+        max_connections: connections,
+        max_persistent_connections: connections * 9 / 10,
+        idle_timeout: Micros::from_secs(90),
+        request_timeout: Micros::from_secs(10),
+        max_body_bytes: 64 * 1024,
+    };
+    let handler = {
+        let node = node.clone();
+        Rc::new(move |request: Request| {
+            let node = node.clone();
+            Box::pin(async move { route(&node, request).await }) as _
+        })
+    };
+    http::serve(
+        listener,
+        limits,
+        node.open.clone(),
+        node.cancel.clone(),
+        handler,
+    )
+    .await;
+}
+
 async fn route(node: &Rc<Node>, request: Request) -> Response {
     let path = request.path.split('?').next().unwrap_or("");
     match path {
         "/healthz" => jobs::healthz(node, &request),
         "/hello" => heartbeats::serve(node, request).await,
         _ => match jobs::below_jobs(&request.path) {
-            Some(rest) => jobs::jobs(node, rest, &request).await,
+            Some(rest) => jobs::serve(node, rest, &request).await,
             None => Response::empty(404),
         },
     }
 }
 
-/// Keeps knowing whether the state service answers, when nothing else asks it.
-async fn probe_state(node: Rc<Node>) {
-    let every = Micros::from_secs(1);
+/// Probes the key-value store when no other request has been answered for a second.
+async fn probe_store(node: Rc<Node>) {
+    let interval = Micros::from_secs(1);
     loop {
-        if runtime::now() > node.state.last_answer() + every {
+        if runtime::now() > node.state.last_answer() + interval {
             let _ = node
                 .state
                 .background()
                 .get::<serde::de::IgnoredAny>(crate::store::client::LEADER)
                 .await;
         }
-        runtime::sleep(every).await;
+        runtime::sleep(interval).await;
     }
 }
 
-/// Watches how far this process is behind, and whether workers find room: a leader that can't hear all
-/// its machines must not take their silence for theirs.
-async fn watch_hearing(node: Rc<Node>) {
-    let every = Micros::from_millis(250);
+/// Detects that this process is behind, or that agents find no free connection: a leader that cannot receive all
+/// heartbeats must not take their absence for failed machines.
+async fn detect_overload(node: Rc<Node>) {
+    let interval = Micros::from_millis(250);
     loop {
-        let due = runtime::now() + every;
-        runtime::sleep_until(due).await;
+        let due_at = runtime::now() + interval;
+        runtime::sleep_until(due_at).await;
         let now = runtime::now();
-        if now > due + BEHIND {
-            node.behind_until.set(now + BEHIND_FOR);
+        let woke_late = now > due_at + MAX_WAKEUP_DELAY;
+        if woke_late {
+            node.behind_until.set(now + BEHIND_DURATION);
         }
-        if (now > due + BEHIND || node.open.count() >= node.most_connections())
+        if (woke_late || node.open.count() >= node.most_connections())
             && let Some(leadership) = node.leadership()
         {
             leadership
@@ -130,18 +143,17 @@
     }
 }
 
-/// A process that wakes so much later than it wanted is behind on its processor. (Three times as late, still well below
-/// the 4 s after which workers drop answers, was too late to notice: at six times heirloomlane-fleet's size 17,981
-/// attempts were killed by their lease instead of none.)
-const BEHIND: Micros = Micros::from_millis(400);
-/// ... and counts as behind for so long.
-const BEHIND_FOR: Micros = Micros::from_secs(20);
+/// A process that wakes later than this after its timer is behind. (Three times this delay, still well below the 4 s
+/// after which agents drop responses, was too late to detect: at six times heirloomlane-fleet's size 17,981 attempts were
+/// killed by the expiry of their lease instead of none.)
+const MAX_WAKEUP_DELAY: Micros = Micros::from_millis(400);
+/// For how long the process then counts as behind.
+const BEHIND_DURATION: Micros = Micros::from_secs(20);
 
-/// Every node needs the machine types to tell which jobs can run.
-async fn keep_catalog(node: Rc<Node>) {
+/// Keeps the machine types up to date: every node needs them to tell which jobs can ever run.
+async fn refresh_catalog(node: Rc<Node>) {
     loop {
-        let got = node.cloud.catalog().await;
-        let pause = match got {
+        let pause = match node.cloud.catalog().await {
             Some(types) if !types.is_empty() => {
                 if let Some(l) = node.leadership() {
                     l.scheduler.borrow_mut().set_catalog(types.clone());
@@ -151,7 +163,7 @@
                 Micros::from_secs(60)
             }
             _ => {
-                debug!("no catalog");
+                debug!("machine types not available");
                 Micros::from_secs(2)
             }
         };
