--- a/crates/hopyoke-scheduler/src/reconcile/attempts.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/attempts.rs
@@ -3,7 +3,7 @@
 use crate::Scheduler;
 use crate::ledger::{AllocationState, Job, Machine, Stop};
 use hopyoke_protocol::user::JobSpec;
-use hopyoke_run_times::End;
+use hopyoke_run_times::RunOutcome;
 use hopyoke_types::{Attempt, JobId, MachineId, TaskId};
 use std::rc::Rc;
 
@@ -22,7 +22,7 @@
             if allocation.is_live() {
                 held += 1;
                 if allocation.running_since.is_some() {
-                    self.run_ended(id, &task, attempt, End::Cut, last_seen_at);
+                    self.run_ended(id, &task, attempt, RunOutcome::Cut, last_seen_at);
                 }
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
--- a/crates/hopyoke-scheduler/src/reconcile/failover.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/failover.rs
@@ -46,7 +46,7 @@
     ///
     /// Time alone ends it only for machines on pages that can't be read: whoever we have answered
     /// lives on, and an order of a stale leaseholder may have reached it between its heartbeat and our
-    /// answer. (Scenario recovery_outlasts_leases.)
+    /// answer. (Scenario reconciliation_outlasts_leases.)
     pub(crate) fn update_reconciliation(&mut self, now: Micros) {
         if !self.reconciliation.is_active {
             return;
@@ -74,7 +74,7 @@
 
     /// An stale leaseholder may have started something on it, and it has not shown yet that no more can come. What was
     /// not in the machine registry when we read it has nothing of theirs: they start nothing on a machine before its page is
-    /// written for certain. (Scenario recovery_new_machines.)
+    /// written for certain. (Scenario reconciliation_new_machines.)
     pub(crate) fn is_unreconciled(&self, m: &Machine) -> bool {
         let may_hold =
             m.inherited || (self.registry.has_unreadable_pages() && m.phase == MachinePhase::Up);
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -122,7 +122,7 @@
         if is_new_epoch || (is_back && m.lease_end <= now) {
             // An epoch has its whole lease from its beginning, and that may have been just now: the
             // end that was counted is that of the epoch before. The answer to pushed commands tells of a
-            // new epoch as well as a heartbeat does. (Scenario session_learned_by_order.)
+            // new epoch as well as a heartbeat does. (Scenario epoch_learned_by_pushed_command.)
             m.lease_end = m.lease_end.max(now + self.cfg.lease_bound());
         }
         if is_back {
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -5,7 +5,7 @@
 use crate::{Ranges, Scheduler};
 use hopyoke_protocol::user::JobKind;
 use hopyoke_protocol::worker::{ExitReason, Heartbeat, TaskState, TaskStatus};
-use hopyoke_run_times::End;
+use hopyoke_run_times::RunOutcome;
 use hopyoke_types::{Attempt, MachineId, Micros, TaskId};
 use tracing::{debug, info, warn};
 
@@ -51,11 +51,11 @@
             }
             AllocationState::Ended(why) => {
                 let end = match why {
-                    ExitReason::Done => End::Done,
-                    ExitReason::Stopped | ExitReason::GangPeersLost => End::Cut,
-                    _ => End::Void,
+                    ExitReason::Done => RunOutcome::Done,
+                    ExitReason::Stopped | ExitReason::GangPeersLost => RunOutcome::Cut,
+                    _ => RunOutcome::Void,
                 };
-                if !known && end == End::Done {
+                if !known && end == RunOutcome::Done {
                     self.run_found_ended(&key.0, t.attempt, now);
                 }
                 self.run_ended(id, &key.0, t.attempt, end, now);
@@ -94,7 +94,7 @@
             return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
         };
         // A later attempt was only started once all earlier ones were proven to be gone: if one is found beside it, an old
-        // report tells of that, and the later goes on. (Scenario old_report_stops_nothing.)
+        // report tells of that, and the later goes on. (Scenario stale_heartbeat_stops_nothing.)
         let attempts = job.attempts.get(&task.index).into_iter().flatten();
         let others: Vec<_> = attempts
             .filter(|(m, a)| m != id || *a != attempt)
@@ -278,7 +278,7 @@
                 .as_ref()
                 .is_some_and(|s| s.is_live() && s.running_since.is_some())
             {
-                self.run_ended(id, &task, attempt, End::Cut, now);
+                self.run_ended(id, &task, attempt, RunOutcome::Cut, now);
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 forget_attempt(job, &task, id, attempt);
--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -6,7 +6,7 @@
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_run_times::Estimate;
-use hopyoke_run_times::capacity::{Freeing, when_free};
+use hopyoke_run_times::capacity::{ReleasingTask, time_until_free};
 use hopyoke_types::{Attempt, JobId, Micros, TaskId};
 
 /// A question of when capacity becomes free.
@@ -51,9 +51,9 @@
     /// GPUs that the team uses.
     used: f64,
     /// Attempts on usable machines.
-    usable: Vec<Freeing>,
+    usable: Vec<ReleasingTask>,
     /// Attempts of the team.
-    of_team: Vec<Freeing>,
+    of_team: Vec<ReleasingTask>,
 }
 
 impl Scheduler {
@@ -93,7 +93,7 @@
             return Err(format!("{id} is a service: it runs until it is cancelled"));
         }
         let anew = self.expected(spec);
-        let lead_s = self.learned.learner.lead_s(&spec.class);
+        let lead_s = self.learned.learner.start_latency_s(&spec.class);
         let mut left = self.placed_attempts_end(id, job, &anew, lead_s, now);
         let waiting = job.unplaced_tasks();
         if waiting > 0 {
@@ -172,7 +172,7 @@
             .as_ref()
             .map_or(String::new(), |z| format!(" in zone {z}"));
         let (free, machines, used) = (capacity.free, capacity.machines, capacity.used);
-        let Some(mut found) = when_free(&capacity.usable, free, query.gpus + ahead) else {
+        let Some(mut found) = time_until_free(&capacity.usable, free, query.gpus + ahead) else {
             return Err(format!(
                 "running work on {machines} machines{place} will not free {} GPUs behind {ahead} that wait already ({free} are free): more must be rented",
                 query.gpus
@@ -183,7 +183,8 @@
             capacity.usable.len()
         );
         if gpus_max > 0.0 && used + query.gpus > gpus_max {
-            let Some(limit) = when_free(&capacity.of_team, gpus_max - used, query.gpus) else {
+            let Some(limit) = time_until_free(&capacity.of_team, gpus_max - used, query.gpus)
+            else {
                 return Err(format!(
                     "team '{}' uses {used} of {gpus_max} GPUs with services that stay",
                     query.team
@@ -280,7 +281,7 @@
         allocation: &Allocation,
         spec: &JobSpec,
         now: Micros,
-    ) -> Freeing {
+    ) -> ReleasingTask {
         let index = if spec.kind == JobKind::Gang {
             0
         } else {
@@ -305,7 +306,7 @@
                 (now - allocation.since).as_secs_f64(),
             ),
         };
-        Freeing {
+        ReleasingTask {
             run,
             ran_s,
             amount: spec.gpus,
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -4,7 +4,7 @@
 use crate::ledger::MachinePhase;
 use crate::{Scheduler, Tuning};
 use hopyoke_protocol::user::{JobKind, JobSpec};
-use hopyoke_run_times::{End, Limits, Page, PageKey, Work};
+use hopyoke_run_times::{Limits, Page, PageKey, RunOutcome, Work};
 use hopyoke_types::{Attempt, MachineId, Micros, TaskId};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -106,7 +106,7 @@
         match self.learned.learner.load(key, page) {
             Ok(n) => info!(page = %key, entries = n, "learned run times taken up"),
             Err(e) => {
-                warn!(page = %key, error = e, "learned run times: left aside, learning again")
+                warn!(page = %key, error = %e, "learned run times: left aside, learning again")
             }
         }
         self.date_found_runs();
@@ -249,7 +249,7 @@
         if let Some(since) = allocation.filter(|_| seen).map(|s| s.since) {
             self.learned
                 .learner
-                .note_lead(&spec.class, (now - since).as_secs_f64());
+                .observe_start_latency(&spec.class, (now - since).as_secs_f64());
         }
         let before = seen.then_some(Micros::ZERO);
         self.learned
@@ -266,7 +266,7 @@
         id: &MachineId,
         task: &TaskId,
         attempt: Attempt,
-        end: End,
+        end: RunOutcome,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -280,7 +280,7 @@
                         },
                         attempt,
                     ),
-                    End::Cut,
+                    RunOutcome::Cut,
                     now,
                 );
             }
@@ -294,7 +294,8 @@
             },
             attempt,
         );
-        if end != End::Done && job.spec.checkpoint_s > 0.0 && self.learned.learner.runs(&key) {
+        if end != RunOutcome::Done && job.spec.checkpoint_s > 0.0 && self.learned.learner.runs(&key)
+        {
             job.resumed = true;
         }
         let Some(ran_s) = self.learned.learner.ended(&key, end, now) else {
@@ -393,11 +394,17 @@
 
     /// Runs under way, classes remembered, machines known, classes forgotten so far.
     pub fn learned_counts(&self) -> (usize, usize, usize, u64) {
-        self.learned.learner.counts()
+        let counts = self.learned.learner.counts();
+        (
+            counts.running,
+            counts.classes,
+            counts.machines,
+            counts.evicted,
+        )
     }
 
     /// Machines that are credibly far slower than their peers.
-    pub fn slow_machines(&self) -> Vec<hopyoke_run_times::Slow> {
+    pub fn slow_machines(&self) -> Vec<hopyoke_run_times::SlowMachine> {
         self.learned.learner.all_slow(self.tuning.slow_factor)
     }
 }
--- a/crates/hopyoke/tests/scenarios.rs
+++ b/crates/hopyoke/tests/scenarios.rs
@@ -2,7 +2,7 @@
 
 mod checks;
 
-use hopyoke_simulator::script;
+use hopyoke_simulator::scenario;
 use libtest_mimic::{Arguments, Failed, Trial};
 use std::fs;
 use std::path::PathBuf;
@@ -43,7 +43,7 @@
         .unwrap_or_default();
     Trial::test(format!("scenario::{name}"), move || {
         let text = fs::read_to_string(&file)?;
-        let digest = script::run(&text, &checks::statement)?;
+        let digest = scenario::run(&text, &checks::statement)?;
         if prints_digests() {
             println!("digest {name} {digest:016x}");
         }
@@ -51,7 +51,7 @@
     })
 }
 
-/// A random day: two troubles at a time, in a world of a random size, and then time until all is over.
+/// A random day: two faults at a time, in a cluster of a random size, and then time until all is over.
 fn day(seed: u64) -> String {
     let nodes = [3, 3, 3, 5, 2, 1][seed as usize % 6];
     let machines = [
@@ -62,7 +62,7 @@
     format!("seed {seed} nodes {nodes}\n{machines}\nrandom 300\nuntil 700\nexpect began all\n")
 }
 
-/// Many random days, to look for broken rules: `DAYS=500 cargo test --release -- --ignored`; `FIRST` is the
+/// Many random days, to look for violated invariants: `DAYS=500 cargo test --release -- --ignored`; `FIRST` is the
 /// first seed.
 fn many_days() -> Result<(), Failed> {
     let days: u64 = std::env::var("DAYS")
@@ -82,7 +82,7 @@
                     if seed >= first + days {
                         return;
                     }
-                    match script::run(&day(seed), &checks::statement) {
+                    match scenario::run(&day(seed), &checks::statement) {
                         Ok(digest) if prints_digests() => {
                             println!("digest day_{seed} {digest:016x}")
                         }
