--- a/crates/hopyoke-cwl/src/expand.rs
+++ b/crates/hopyoke-cwl/src/expand.rs
@@ -15,7 +15,7 @@
 use crate::yaml::{Data, Node};
 use hopyoke_protocol::user::{JobKind, JobSpec, MAX_TASKS};
 use hopyoke_types::JobId;
-use hopyoke_workflow::{MOST_AFTER, MOST_STEPS, Plan, PlanStep, RunId, StepNo};
+use hopyoke_workflow::{MAX_DEPENDENCIES, MAX_STEPS, Plan, PlanStep, RunId, StepNo};
 use indexmap::IndexMap;
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -637,10 +637,10 @@
         path: &str,
         at: Pos,
     ) -> Result<BTreeSet<StepNo>> {
-        while deps.len() > MOST_AFTER / 4 {
+        while deps.len() > MAX_DEPENDENCIES / 4 {
             let all: Vec<StepNo> = deps.into_iter().collect();
             deps = BTreeSet::new();
-            for chunk in all.chunks(MOST_AFTER) {
+            for chunk in all.chunks(MAX_DEPENDENCIES) {
                 let step = PlanStep {
                     path: format!("{path} (join)"),
                     after: chunk.to_vec(),
@@ -654,10 +654,10 @@
     }
 
     fn add_step(&mut self, step: PlanStep, at: Pos) -> Result<StepNo> {
-        if self.plan.steps.len() >= MOST_STEPS {
+        if self.plan.steps.len() >= MAX_STEPS {
             return self.fail(
                 at,
-                format!("the run has more than {MOST_STEPS} steps"),
+                format!("the run has more than {MAX_STEPS} steps"),
                 "fewer steps",
             );
         }
--- a/crates/hopyoke-workflow/benches/engine.rs
+++ b/crates/hopyoke-workflow/benches/engine.rs
@@ -1,10 +1,11 @@
-//! The engine's cost per step: a run is claimed, read, submitted and ended, with answers at once.
+//! The engine's cost per step: a run is claimed, read, submitted and ended, and each action succeeds at once.
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
-    Action, Engine, Fetched, Head, JobEnd, Limits, Outcome, Plan, PlanStep, RunId, StepNo, Written,
+    Action, Engine, Head, JobEnd, JobOutcome, Limits, Plan, PlanStep, RunId, RunRecords, StepNo,
+    WriteOutcome,
 };
 use std::collections::BTreeMap;
 
@@ -31,72 +32,72 @@
     }
 }
 
-/// Carries one run to its end; returns what the engine looked at.
-fn carry(plan: &Plan) -> u64 {
+/// Executes one run to its end; returns the entities visited.
+fn execute_run(plan: &Plan) -> u64 {
     let run = RunId::new(1).expect("in range");
     let head = Head::new("bench", "crew", "", plan, 1, 0);
     let limits = Limits {
-        writes_per_s: 1e9,
-        reads_per_s: 1e9,
-        steps_in_flight: 1000,
-        team_steps_in_flight: 1000,
+        max_writes_per_s: 1e9,
+        max_reads_per_s: 1e9,
+        max_run_steps_in_flight: 1000,
+        max_team_steps_in_flight: 1000,
         ..Limits::default()
     };
     let mut now = Micros::ZERO;
     let mut e = Engine::new(limits, "node", vec!["node".into()], 16, 1, now);
-    e.head_seen(run, head.clone(), ModRevision(1), now);
-    let mut marks = BTreeMap::new();
-    let mut ended = Vec::new();
+    e.head_changed(run, head.clone(), ModRevision(1), now);
+    let mut pages = BTreeMap::new();
+    let mut submitted = Vec::new();
     while e.runs().next().is_some() {
         now += Micros::from_millis(50);
         e.tick(now);
         while let Some(action) = e.next_action() {
+            answer(&mut e, &action, (&head, plan), now);
             match &action {
-                Action::Claim { run } => e.claimed(*run, Ok(ModRevision(2)), now),
-                Action::Fetch { run, epoch, .. } => {
-                    let fetched = Fetched {
-                        head: head.clone(),
-                        head_revision: ModRevision(1),
-                        grant: Some(ModRevision(2)),
-                        plan: Some(plan.clone()),
-                        pages: Vec::new(),
-                        jobs: Vec::new(),
-                        ends: Vec::new(),
-                    };
-                    e.fetched(*run, *epoch, Some(fetched), now);
-                }
-                Action::Submit {
-                    run,
-                    epoch,
-                    step,
-                    spec,
-                    ..
-                } => {
-                    e.submitted(*run, *epoch, *step, Outcome::Accepted, now);
-                    ended.push(spec.id.clone());
-                }
-                Action::Write {
-                    run, epoch, pages, ..
-                } => {
-                    marks.extend(pages.iter().map(|p| (p.0, now)));
-                    let mod_revision = ModRevision(3 + now.0);
-                    e.written(*run, *epoch, &action, Written::Applied(mod_revision), now);
-                }
-                Action::Withdraw { .. } => unreachable!("nothing is withdrawn"),
+                Action::Submit { spec, .. } => submitted.push(spec.id.clone()),
+                Action::Write { pages: p, .. } => pages.extend(p.iter().map(|p| (p.0, now))),
+                _ => {}
             }
         }
-        for job in ended.drain(..) {
+        for job in submitted.drain(..) {
             e.job_ended(&job, JobEnd::Done, now);
         }
     }
-    e.looks()
+    e.entities_visited()
+}
+
+/// Lets an action succeed at once.
+fn answer(e: &mut Engine, action: &Action, (head, plan): (&Head, &Plan), now: Micros) {
+    match action {
+        Action::Claim { run } => e.claim_finished(*run, Ok(ModRevision(2)), now),
+        Action::Read { run, epoch, .. } => {
+            let records = RunRecords {
+                head: head.clone(),
+                head_revision: ModRevision(1),
+                claim_revision: Some(ModRevision(2)),
+                plan: Some(plan.clone()),
+                pages: Vec::new(),
+                jobs: Vec::new(),
+                ends: Vec::new(),
+            };
+            e.read_finished(*run, *epoch, Some(records), now);
+        }
+        Action::Submit {
+            run, epoch, step, ..
+        } => e.submission_finished(*run, *epoch, *step, JobOutcome::Accepted, now),
+        Action::Write { run, epoch, .. } => {
+            let outcome = WriteOutcome::Applied(ModRevision(3 + now.0));
+            e.write_finished(*run, *epoch, action, outcome, now);
+        }
+        Action::Cancel { .. } => unreachable!("nothing is cancelled"),
+    }
 }
 
 fn engine(c: &mut Criterion) {
     for steps in [100u32, 1_000, 10_000] {
         let plan = plan(steps);
-        c.bench_function(&format!("carry {steps} steps"), |b| {
-            b.iter_batched(|| plan.clone(), |p| carry(&p), BatchSize::LargeInput)
+        c.bench_function(&format!("execute {steps} steps"), |b| {
+            b.iter_batched(|| plan.clone(), |p| execute_run(&p), BatchSize::LargeInput)
         });
     }
     let plan = plan(1_000);
--- /dev/null
+++ b/crates/hopyoke-workflow/src/engine/outcomes.rs
@@ -0,0 +1,256 @@
+//! How the actions ended.
+
+use super::{Engine, Timer};
+use crate::ids::{RunId, StepNo};
+use crate::messages::{Action, JobOutcome, RunRecords, WriteOutcome};
+use crate::run::Phase;
+use crate::step_table::{StepJob, StepTable};
+use hopyoke_types::{Micros, ModRevision};
+use std::rc::Rc;
+use tracing::{debug, info};
+
+impl Engine {
+    /// How a claim ended. `Ok`: its revision. `Err` with a revision: another owner's claim has it. `Err(None)`: not known.
+    pub fn claim_finished(
+        &mut self,
+        run: RunId,
+        result: Result<ModRevision, Option<ModRevision>>,
+        now: Micros,
+    ) {
+        let Some(r) = self
+            .runs
+            .get_mut(&run)
+            .filter(|r| r.phase == Phase::Claiming)
+        else {
+            return;
+        };
+        match result {
+            Ok(claim_revision) => {
+                r.claim_revision = claim_revision;
+                r.claimed_revision = r.claimed_revision.max(claim_revision);
+                r.failures = 0;
+                r.phase = Phase::Reading;
+                info!(%run, claim_revision = claim_revision.0, "run claimed");
+                self.timers.insert((now, run, Timer::Read));
+            }
+            Err(other_claim) => {
+                r.phase = Phase::NotOwned;
+                r.refused_revision = r.refused_revision.max(other_claim.unwrap_or_default());
+                r.claimed_revision = r.claimed_revision.max(r.refused_revision);
+                r.failures += 1;
+                let may_claim = r.may_claim();
+                self.uncount_run(run);
+                if may_claim {
+                    self.claim_later(run, now);
+                }
+            }
+        }
+    }
+
+    /// A run's records as they were read; `None`: they could not be read.
+    pub fn read_finished(
+        &mut self,
+        run: RunId,
+        epoch: u64,
+        records: Option<RunRecords>,
+        now: Micros,
+    ) {
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
+        if r.phase != Phase::Reading || r.epoch != epoch {
+            return;
+        }
+        let known_plan = r.table.as_ref().map(|t| t.plan.clone());
+        let Some((records, plan)) = records.and_then(|mut records| {
+            let plan = records.plan.take().map(Rc::new).or(known_plan)?;
+            Some((records, plan))
+        }) else {
+            self.read_again(run, now);
+            return;
+        };
+        r.failures = 0;
+        if records.claim_revision != Some(r.claim_revision) {
+            self.release(run, now);
+            return;
+        }
+        if records.head_revision >= r.head_revision {
+            r.head = records.head.clone();
+            r.head_revision = records.head_revision;
+        }
+        if r.head.state.is_final() {
+            self.run_ended(run);
+            return;
+        }
+        self.entities_visited += plan.steps.len() as u64;
+        if plan.steps.len() != r.head.steps as usize || plan.digest() != r.head.digest {
+            // The pages were written before the head, so this is no partial write but corruption.
+            debug!(%run, "plan does not match its head");
+            self.read_again(run, now);
+            return;
+        }
+        let table = StepTable::reconcile(plan, &r.head, &records);
+        let p = table.progress();
+        debug!(
+            %run,
+            steps = p.steps,
+            done = p.done,
+            reconnected = p.in_flight,
+            ready = p.ready,
+            "run records read");
+        r.table = Some(table);
+        r.phase = Phase::Executing;
+        let early_ends = std::mem::take(&mut r.early_ends);
+        self.begin_stop(run, now);
+        for (job, end) in early_ends {
+            self.job_ended(&job, end, now);
+        }
+        self.steps_changed(run, now);
+    }
+
+    /// How a submission ended.
+    pub fn submission_finished(
+        &mut self,
+        run: RunId,
+        epoch: u64,
+        step: StepNo,
+        outcome: JobOutcome,
+        now: Micros,
+    ) {
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
+        if r.phase != Phase::Executing || r.epoch != epoch {
+            return;
+        }
+        let Some(table) = r.table.as_mut() else {
+            return;
+        };
+        if table.in_flight.get(&step) != Some(&StepJob::Submitting) {
+            return;
+        }
+        let is_stopping = !r.head.state.starts_steps();
+        match outcome {
+            JobOutcome::Accepted | JobOutcome::Known if !is_stopping => {
+                table.failures.remove(&step);
+                table.in_flight.insert(step, StepJob::Submitted);
+            }
+            JobOutcome::Ended(end) => table.job_ended(step, end, &r.head),
+            JobOutcome::Never(why) => table.fail(step, &why, &r.head),
+            // Even if this submission was certainly not executed, an earlier one may have been.
+            _ if is_stopping => table.queue_cancellation(step),
+            JobOutcome::Taken if !table.next_attempt(step) => {
+                table.fail(step, "all its ids are taken by other jobs", &r.head);
+            }
+            JobOutcome::Taken => {
+                table.in_flight.remove(&step);
+                table.ready.push_front(step);
+            }
+            JobOutcome::Later(_) | JobOutcome::Unknown => {
+                table.in_flight.insert(step, StepJob::OutcomeUnknown);
+                if let JobOutcome::Later(pause) = outcome {
+                    self.paused_until = self.paused_until.max(now + pause);
+                }
+                self.retry_step_later(run, step, now);
+                return;
+            }
+            JobOutcome::Accepted | JobOutcome::Known | JobOutcome::Stale | JobOutcome::Missing => {
+                self.read_again(run, now);
+                return;
+            }
+        }
+        self.steps_changed(run, now);
+    }
+
+    /// How a cancellation ended: `Ended`, `Missing`, `Taken`, or any other for "not known".
+    pub fn cancellation_finished(
+        &mut self,
+        run: RunId,
+        epoch: u64,
+        step: StepNo,
+        outcome: JobOutcome,
+        now: Micros,
+    ) {
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
+        if r.phase != Phase::Executing || r.epoch != epoch {
+            return;
+        }
+        let Some(table) = r.table.as_mut() else {
+            return;
+        };
+        if table.in_flight.get(&step) != Some(&StepJob::Cancelling) {
+            return;
+        }
+        match outcome {
+            JobOutcome::Ended(end) => table.job_ended(step, end, &r.head),
+            // A late submission can't be executed any more either: the head's revision has changed.
+            JobOutcome::Missing | JobOutcome::Taken => table.skip(step),
+            _ => {
+                table.in_flight.insert(step, StepJob::CancelQueued);
+                self.retry_step_later(run, step, now);
+                return;
+            }
+        }
+        self.steps_changed(run, now);
+    }
+
+    /// How a write ended; `action` is the one that asked for it.
+    pub fn write_finished(
+        &mut self,
+        run: RunId,
+        epoch: u64,
+        action: &Action,
+        outcome: WriteOutcome,
+        now: Micros,
+    ) {
+        let Action::Write {
+            pages,
+            head,
+            release,
+            ..
+        } = action
+        else {
+            return;
+        };
+        let Some(r) = self.runs.get_mut(&run) else {
+            return;
+        };
+        if r.phase != Phase::Executing || r.epoch != epoch {
+            return;
+        }
+        let Some(table) = r.table.as_mut() else {
+            return;
+        };
+        table.is_writing = false;
+        match outcome {
+            WriteOutcome::Applied(mod_revision) => {
+                r.failures = 0;
+                for (page, ..) in pages {
+                    table.page_revisions.insert(*page, mod_revision);
+                }
+                if let Some((_, head)) = head {
+                    r.head = head.clone();
+                    r.head_revision = mod_revision;
+                }
+                if *release {
+                    info!(%run, state = ?r.head.state, done = r.head.done, "run ended");
+                    self.run_ended(run);
+                    return;
+                }
+                self.begin_stop(run, now);
+                self.write_progress(run, now);
+            }
+            WriteOutcome::Refused => {
+                table.dirty_pages.extend(pages.iter().map(|p| p.0));
+                table.dirty_since = Some(now);
+                r.failures += 1;
+                let failures = r.failures;
+                let delay = self.retry_delay(failures);
+                self.timers.insert((now + delay, run, Timer::WriteProgress));
+            }
+            WriteOutcome::Conflict | WriteOutcome::Unknown => self.read_again(run, now),
+        }
+    }
+}
--- a/crates/hopyoke-workflow/src/ids.rs
+++ b/crates/hopyoke-workflow/src/ids.rs
@@ -10,29 +10,30 @@
 pub struct RunId(u64);
 
 /// Runs are numbered below this.
-const RUNS: u64 = 1_000_000_000_000;
+const RUN_COUNT: u64 = 1_000_000_000_000;
 
 impl RunId {
-    /// A run's id by its number; `None` from a million million on.
+    /// A run's id by its number; `None` from 10¹² on.
     pub fn new(number: u64) -> Option<RunId> {
-        (number < RUNS).then_some(RunId(number))
+        (number < RUN_COUNT).then_some(RunId(number))
     }
 
-    /// A run's id by any number, folded into the range.
+    /// A run's id by any number, modulo 10¹².
     pub fn folded(number: u64) -> RunId {
-        RunId(number % RUNS)
+        RunId(number % RUN_COUNT)
     }
 
     /// Reads the twelve digits that [`fmt::Display`] writes.
     pub fn parse(s: &str) -> Option<RunId> {
-        let ok = s.len() == 12 && s.bytes().all(|b| b.is_ascii_digit());
-        if ok {
+        let is_id = s.len() == 12 && s.bytes().all(|b| b.is_ascii_digit());
+        if is_id {
             s.parse().ok().and_then(RunId::new)
         } else {
             None
         }
     }
 
+    /// The run's number.
     pub fn number(self) -> u64 {
         self.0
     }
@@ -51,29 +52,32 @@
 
 /// What the ids of all jobs of runs begin with. They have twenty digits and a leading 9, so as
 /// numbers they lie above 2⁶⁴, where no counter of a user's can reach.
-pub const RESERVED: &str = "req-9";
+pub const RESERVED_JOB_PREFIX: &str = "req-9";
 
 /// A step is submitted under at most this many ids.
-pub const MOST_TRIES: u8 = 100;
+pub const MAX_ATTEMPTS: u8 = 100;
 
-/// The id of a step's job: `req-9`, the run, five digits for the step and two for the try.
+/// The id of a step's job: `req-9`, the run, five digits for the step and two for the attempt.
 pub fn job_id(run: RunId, step: StepNo, attempt: u8) -> JobId {
-    JobId::new(&format!("{RESERVED}{run}{:05}{:02}", step.0, attempt))
+    JobId::new(&format!(
+        "{RESERVED_JOB_PREFIX}{run}{:05}{:02}",
+        step.0, attempt
+    ))
 }
 
 /// What the ids of a run's jobs begin with.
 pub fn job_prefix(run: RunId) -> String {
-    format!("{RESERVED}{run}")
+    format!("{RESERVED_JOB_PREFIX}{run}")
 }
 
-/// The id has the form of those that runs use.
+/// Whether the id has the form of those that runs use.
 pub fn is_reserved(job: &JobId) -> bool {
     parts_of(job).is_some()
 }
 
-/// The run, step and try of a job's id.
+/// The run, step and attempt of a job's id.
 pub fn parts_of(job: &JobId) -> Option<(RunId, StepNo, u8)> {
-    let digits = job.as_str().strip_prefix(RESERVED)?;
+    let digits = job.as_str().strip_prefix(RESERVED_JOB_PREFIX)?;
     if digits.len() != 19 || !digits.is_ascii() {
         return None;
     }
@@ -84,20 +88,3 @@
         digits[17..].parse().ok()?,
     ))
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn ids_go_there_and_back() {
-        let run = RunId::new(41_000_000_007).expect("in range");
-        let job = job_id(run, StepNo(99_999), 99);
-        assert_eq!(job.as_str(), "req-90410000000079999999");
-        assert_eq!(parts_of(&job), Some((run, StepNo(99_999), 99)));
-        assert!(JobId::parse(job.as_str()).is_some());
-        assert!(!is_reserved(&JobId::new("req-9")));
-        assert!(!is_reserved(&JobId::new("req-18446744073709551615")));
-        assert_eq!(RunId::new(RUNS), None);
-    }
-}
--- a/crates/hopyoke-workflow/src/lib.rs
+++ b/crates/hopyoke-workflow/src/lib.rs
@@ -1,32 +1,35 @@
-//! Workflow runs as durable state machines, without any I/O: events and the time go in, actions
-//! come out.
+//! Workflow runs as durable state machines, without any I/O: events and the time go in, actions come out.
 //!
-//! A run is a graph of steps; each step is one job. The run's records outlive engines, nodes and
-//! all controllers, in the spirit of AIP-103's per-task record. Any node may carry a run; its grant
-//! is a key on the node's lease, and every write and every submission is conditional on that key's
-//! mark and on the mark of the run's head. So an old carrier can't act late, and nothing starts
-//! once a cancellation is written.
+//! A run is a graph of steps; each step is one job. The run's records outlive engines, nodes and all controllers, in
+//! the spirit of AIP-103's per-task record. Any node may execute a run; it claims the run by a key on the node's lease,
+//! and every write and every submission is conditional on that key's revision and on the revision of the run's head.
+//! So a stale owner can't act late, and nothing starts once a cancellation is written.
 //!
-//! - [`RunId`], [`StepNo`], [`job_id`]: a step's job id follows from run, step and try, so that a
-//!   repeated submission can never start a second job.
-//! - [`Plan`]: the graph, checked, and its pages.
+//! - [`RunId`], [`StepNo`], [`job_id`]: a step's job id follows from run, step and attempt, so that a repeated
+//!   submission can never start a second job.
+//! - [`Plan`]: the graph, validated, and its pages.
 //! - [`Head`], [`StepPage`]: what is recorded of a run's progress.
-//! - [`Engine`]: one node's decisions: which runs to claim, which steps to submit or withdraw, what
-//!   to write, with limits and retries.
+//! - [`Engine`]: one node's decisions: which runs to claim, which steps to submit or cancel, what to write, with limits
+//!   and retries. It emits an [`Action`] and is told its outcome.
 //!
-//! Before a step is started (again), the three-way check compares it with its job's record:
-//! reconnect to an unfinished job, take the result of a finished one, or start anew.
+//! Before a step is started (again), reconciliation compares it with its job's record: reconnect to an unfinished job,
+//! take the result of a finished one, or start anew.
 
 mod engine;
 mod ids;
 mod limits;
+mod messages;
 mod plan;
 mod record;
 mod run;
+mod step_table;
 
-pub use engine::{Action, Engine, Fetched, JobEnd, Outcome, Written};
-pub use ids::{MOST_TRIES, RESERVED, RunId, StepNo, is_reserved, job_id, job_prefix, parts_of};
+pub use engine::Engine;
+pub use ids::{
+    MAX_ATTEMPTS, RESERVED_JOB_PREFIX, RunId, StepNo, is_reserved, job_id, job_prefix, parts_of,
+};
 pub use limits::Limits;
-pub use plan::{MOST_AFTER, MOST_STEPS, Plan, PlanError, PlanPage, PlanStep};
-pub use record::{Head, Hold, OnError, RunState, STEPS_PER_PAGE, StepMark, StepPage};
+pub use messages::{Action, JobEnd, JobOutcome, RunRecords, WriteOutcome};
+pub use plan::{MAX_DEPENDENCIES, MAX_STEPS, Plan, PlanError, PlanPage, PlanStep};
+pub use record::{Head, OnError, RunClaim, RunState, STEPS_PER_PAGE, StepPage, StepState};
 pub use run::Progress;
--- a/crates/hopyoke-workflow/src/limits.rs
+++ b/crates/hopyoke-workflow/src/limits.rs
@@ -1,82 +1,87 @@
-//! What the engine may take of the state service and of the queue of jobs.
+//! How much of the key-value store and of the job queue the engine may use.
 
 use hopyoke_types::Micros;
 
-/// An operator's limits; see `docs/POLICY.md`.
+/// The operators' limits; see `docs/POLICY.md`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Steps of one run that are submitted and not over.
-    pub steps_in_flight: usize,
-    /// The same of all runs of one team that this node carries.
-    pub team_steps_in_flight: usize,
-    /// Runs that this node carries at once.
-    pub runs_carried: usize,
-    /// Steps of all runs that this node carries; one run may have more. Bounds memory.
-    pub steps_carried: usize,
-    /// Writes a second that runs may take: submissions, progress and ends.
-    pub writes_per_s: f64,
-    /// Requests a second that reading may take when runs are taken over.
-    pub reads_per_s: f64,
-    /// Progress waits this long for more to be written with it.
-    pub gather: Micros,
-    /// First pause before something that failed is tried again; doubled up to `retry_most`.
-    pub retry_least: Micros,
-    pub retry_most: Micros,
-    /// A run without a carrier is left to nodes that come before this one for so long, each.
-    pub claim_gap: Micros,
+    /// Steps in flight of one run.
+    pub max_run_steps_in_flight: usize,
+    /// Steps in flight of all runs of one team that this node owns.
+    pub max_team_steps_in_flight: usize,
+    /// Runs that this node owns at once.
+    pub max_owned_runs: usize,
+    /// Steps of all runs that this node owns; a single run may have more. Bounds memory.
+    pub max_owned_steps: usize,
+    /// Writes per second of all runs: submissions, cancellations, progress.
+    pub max_writes_per_s: f64,
+    /// Requests per second that reading runs' records may take.
+    pub max_reads_per_s: f64,
+    /// Progress waits this long for more to be written in the same transaction.
+    pub write_batch_delay: Micros,
+    /// The delay of the first retry, at most; doubled by each further failure, up to `max_retry_delay`.
+    pub min_retry_delay: Micros,
+    /// The longest delay of a retry.
+    pub max_retry_delay: Micros,
+    /// Time that each node of lower rank has to claim a run before this one does.
+    pub claim_stagger: Micros,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            steps_in_flight: 64,
-            team_steps_in_flight: 256,
-            runs_carried: 500,
-            steps_carried: 50_000,
-            writes_per_s: 5.0,
-            reads_per_s: 10.0,
-            gather: Micros::from_secs(2),
-            retry_least: Micros::from_millis(500),
-            retry_most: Micros::from_secs(20),
-            claim_gap: Micros::from_secs(2),
+            max_run_steps_in_flight: 64,
+            max_team_steps_in_flight: 256,
+            max_owned_runs: 500,
+            max_owned_steps: 50_000,
+            max_writes_per_s: 5.0,
+            max_reads_per_s: 10.0,
+            write_batch_delay: Micros::from_secs(2),
+            min_retry_delay: Micros::from_millis(500),
+            max_retry_delay: Micros::from_secs(20),
+            claim_stagger: Micros::from_secs(2),
         }
     }
 }
 
-/// Earns so many a second, and keeps at most one second's worth (but at least one).
+/// A token bucket that holds one second's tokens, but at least one. The rate may change at any time.
 #[derive(Debug, Clone)]
-pub(crate) struct Budget {
-    left: f64,
-    at: Micros,
+pub(crate) struct TokenBucket {
+    tokens: f64,
+    refilled_at: Micros,
 }
 
-impl Budget {
-    pub(crate) fn new(now: Micros) -> Budget {
-        Budget { left: 1.0, at: now }
+impl TokenBucket {
+    pub(crate) fn new(now: Micros) -> TokenBucket {
+        TokenBucket {
+            tokens: 1.0,
+            refilled_at: now,
+        }
     }
 
-    /// Takes `n` if there is so much; an amount above the most that is kept may be owed.
+    /// Takes `n` tokens if there are so many; of more than it can hold, it takes on debt once it is full.
     pub(crate) fn take(&mut self, n: f64, per_s: f64, now: Micros) -> bool {
-        self.earn(per_s, now);
-        let enough = self.left >= n.min(per_s.max(1.0));
-        if enough {
-            self.left -= n;
+        self.refill(per_s, now);
+        let is_enough = self.tokens >= n.min(per_s.max(1.0));
+        if is_enough {
+            self.tokens -= n;
         }
-        enough
+        is_enough
     }
 
-    fn earn(&mut self, per_s: f64, now: Micros) {
-        self.left = (self.left + (now - self.at).as_secs_f64() * per_s).min(per_s.max(1.0));
-        self.at = now.max(self.at);
+    fn refill(&mut self, per_s: f64, now: Micros) {
+        self.tokens =
+            (self.tokens + (now - self.refilled_at).as_secs_f64() * per_s).min(per_s.max(1.0));
+        self.refilled_at = now.max(self.refilled_at);
     }
 
-    /// When `n` will be there.
-    pub(crate) fn when(&self, n: f64, per_s: f64, now: Micros) -> Micros {
-        let short = n.min(per_s.max(1.0)) - self.left;
-        if short <= 0.0 {
+    /// When `n` tokens can be taken.
+    pub(crate) fn available_at(&self, n: f64, per_s: f64, now: Micros) -> Micros {
+        let missing = n.min(per_s.max(1.0)) - self.tokens;
+        if missing <= 0.0 {
             now
         } else {
-            now.max(self.at + Micros::from_secs_f64(short / per_s.max(0.01)))
+            now.max(self.refilled_at + Micros::from_secs_f64(missing / per_s.max(0.01)))
         }
     }
 }
--- a/crates/hopyoke-workflow/src/plan.rs
+++ b/crates/hopyoke-workflow/src/plan.rs
@@ -1,4 +1,4 @@
-//! The graph of a run's steps, and its pages in the state service.
+//! The graph of a run's steps, and its pages in the key-value store.
 
 use crate::ids::StepNo;
 use hopyoke_protocol::user::{JobKind, JobSpec};
@@ -7,23 +7,24 @@
 use std::collections::VecDeque;
 
 /// The most steps of a run: their numbers have five digits in job ids.
-pub const MOST_STEPS: usize = 100_000;
-/// The most steps that one step may wait for; a step without work joins more.
-pub const MOST_AFTER: usize = 256;
-const MOST_PATH: usize = 400;
+pub const MAX_STEPS: usize = 100_000;
+/// The most direct dependencies of a step; steps without a job join more.
+pub const MAX_DEPENDENCIES: usize = 256;
+/// The longest path of a step.
+const MAX_PATH_BYTES: usize = 400;
 
-/// One step: a job, or only a place where others meet.
+/// One step: a job, or a join of others without a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanStep {
-    /// Its name in the workflow, such as `convert/split`.
+    /// Its path in the workflow, such as `convert/split`.
     pub path: String,
-    /// Steps that must be done before it starts.
+    /// Its dependencies: steps that must be done before it starts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<StepNo>,
-    /// Its job's shape, by its place in [`Plan::shapes`]; `None`: no work.
+    /// Its job's template, as an index of [`Plan::shapes`]; `None`: no job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shape: Option<u32>,
-    /// Tasks of its job.
+    /// How many tasks its job has.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub tasks: u32,
 }
@@ -35,8 +36,9 @@
 /// A run's graph.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Plan {
-    /// Descriptions that steps share; id and number of tasks are a step's own.
+    /// Job templates that steps share; id and number of tasks are a step's own.
     pub shapes: Vec<JobSpec>,
+    /// The steps; a step's number is its index.
     pub steps: Vec<PlanStep>,
     /// What the run yields once all steps are done, as JSON.
     pub outputs: String,
@@ -45,38 +47,50 @@
 /// A part of a plan, under `flowplan/RUN/PAGE`; written once.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct PlanPage {
+    /// The next job templates.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub shapes: Vec<JobSpec>,
+    /// The next steps.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub steps: Vec<PlanStep>,
+    /// The next part of the outputs.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub outputs: String,
 }
 
-/// Why a plan can't be run.
+/// Why a plan can't be run or stored.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    #[error("{0} steps; a run may have at most {MOST_STEPS}")]
+    /// More than [`MAX_STEPS`] steps.
+    #[error("{0} steps; a run may have at most {MAX_STEPS}")]
     TooMany(usize),
+    /// A step is invalid.
     #[error("step {path}: {what}")]
-    Step { path: String, what: String },
+    Step {
+        /// The step's path.
+        path: String,
+        /// What is wrong with it.
+        what: String,
+    },
+    /// The dependencies have a cycle; names a step on it, or after it.
     #[error("the steps wait for each other in a circle: {0}")]
-    Circle(String),
+    Cycle(String),
+    /// A part is larger than a value of the key-value store may be; names the part.
     #[error("a page of the plan does not fit a value of the state service: {0}")]
     TooLarge(String),
+    /// Not all pages are there.
     #[error("pages of the plan are missing")]
     Incomplete,
 }
 
 impl Plan {
-    /// Checks that every step can be told apart, waits for known steps, and has a valid job; that
-    /// the graph has no circle; and that all jobs are of `team`.
+    /// Checks that each step has a path, known dependencies and a valid job of `team`, and that the graph has no cycle.
     ///
     /// # Errors
-    /// The first step at fault, and why.
+    /// The first invalid step, and why.
     pub fn check(&self, team: &str) -> Result<(), PlanError> {
         let n = self.steps.len();
-        if n > MOST_STEPS {
+        if n > MAX_STEPS {
             return Err(PlanError::TooMany(n));
         }
         for (i, step) in self.steps.iter().enumerate() {
@@ -86,12 +100,12 @@
                     what,
                 })
             };
-            if step.path.is_empty() || step.path.len() > MOST_PATH {
-                return fault(format!("its name must have 1 to {MOST_PATH} bytes"));
+            if step.path.is_empty() || step.path.len() > MAX_PATH_BYTES {
+                return fault(format!("its name must have 1 to {MAX_PATH_BYTES} bytes"));
             }
-            if step.after.len() > MOST_AFTER {
+            if step.after.len() > MAX_DEPENDENCIES {
                 return fault(format!(
-                    "it waits for {} steps; at most {MOST_AFTER} are allowed",
+                    "it waits for {} steps; at most {MAX_DEPENDENCIES} are allowed",
                     step.after.len()
                 ));
             }
@@ -113,39 +127,41 @@
                 return fault(e.to_string());
             }
         }
-        match self.order() {
+        match self.topological_order() {
             Ok(_) => Ok(()),
-            Err(step) => Err(PlanError::Circle(self.steps[step.0 as usize].path.clone())),
+            Err(step) => Err(PlanError::Cycle(self.steps[step.0 as usize].path.clone())),
         }
     }
 
-    /// The steps in an order in which each comes after all that it waits for.
+    /// The steps in topological order.
     ///
     /// # Errors
-    /// A step on a circle, or after one.
-    pub fn order(&self) -> Result<Vec<StepNo>, StepNo> {
+    /// A step on a cycle, or after one.
+    pub fn topological_order(&self) -> Result<Vec<StepNo>, StepNo> {
         let n = self.steps.len();
-        let mut waits: Vec<usize> = self.steps.iter().map(|s| s.after.len()).collect();
-        let followers = self.followers();
-        let mut ready: VecDeque<u32> = (0..n as u32).filter(|i| waits[*i as usize] == 0).collect();
-        let mut order = Vec::with_capacity(n);
+        let mut open_dependencies: Vec<usize> = self.steps.iter().map(|s| s.after.len()).collect();
+        let dependents = self.dependents();
+        let mut ready: VecDeque<u32> = (0..n as u32)
+            .filter(|i| open_dependencies[*i as usize] == 0)
+            .collect();
+        let mut topological_order = Vec::with_capacity(n);
         while let Some(i) = ready.pop_front() {
-            order.push(StepNo(i));
-            for &f in &followers[i as usize] {
-                waits[f as usize] -= 1;
-                if waits[f as usize] == 0 {
+            topological_order.push(StepNo(i));
+            for &f in &dependents[i as usize] {
+                open_dependencies[f as usize] -= 1;
+                if open_dependencies[f as usize] == 0 {
                     ready.push_back(f);
                 }
             }
         }
-        match waits.iter().position(|w| *w > 0) {
+        match open_dependencies.iter().position(|w| *w > 0) {
             Some(step) => Err(StepNo(step as u32)),
-            None => Ok(order),
+            None => Ok(topological_order),
         }
     }
 
-    /// For each step, those that wait for it; once for each time that they name it.
-    pub fn followers(&self) -> Vec<Vec<u32>> {
+    /// The dependents of each step, by step; one that names it several times is there as often.
+    pub fn dependents(&self) -> Vec<Vec<u32>> {
         let mut out = vec![Vec::new(); self.steps.len()];
         for (i, step) in self.steps.iter().enumerate() {
             for s in &step.after {
@@ -157,7 +173,7 @@
         out
     }
 
-    /// The job of a step under this id; `None`: it has no work.
+    /// The job of a step under this id; `None`: it has none.
     pub fn spec(&self, step: StepNo, id: JobId) -> Option<JobSpec> {
         let step = self.steps.get(step.0 as usize)?;
         let shape = self.shapes.get(step.shape? as usize)?;
@@ -168,7 +184,7 @@
         })
     }
 
-    /// The same for the same plan, whatever the version of the program that wrote it.
+    /// A digest of the plan as JSON: equal for equal plans, in every version of the program.
     pub fn digest(&self) -> u64 {
         xxhash_rust::xxh3::xxh3_64(serde_json::to_string(self).unwrap_or_default().as_bytes())
     }
@@ -179,16 +195,16 @@
     /// A part that is too large alone.
     pub fn pages(&self, value_bytes: usize) -> Result<Vec<PlanPage>, PlanError> {
         // The page's own braces, names and commas.
-        let most = value_bytes.saturating_sub(64);
+        let max_bytes = value_bytes.saturating_sub(64);
         let size =
             |json: Result<String, serde_json::Error>| json.map_or(usize::MAX, |t| t.len() + 1);
         let mut pages = vec![PlanPage::default()];
         let mut used = 0;
         let mut place = |pages: &mut Vec<PlanPage>, bytes: usize, what: &str| {
-            if bytes > most {
+            if bytes > max_bytes {
                 return Err(PlanError::TooLarge(what.to_owned()));
             }
-            if used + bytes > most {
+            if used + bytes > max_bytes {
                 pages.push(PlanPage::default());
                 used = 0;
             }
@@ -222,24 +238,24 @@
         // Text may grow sixfold when it is escaped.
         let mut rest = self.outputs.as_str();
         while !rest.is_empty() {
-            let mut cut = (most / 6).min(rest.len());
+            let mut cut = (max_bytes / 6).min(rest.len());
             while !rest.is_char_boundary(cut) {
                 cut -= 1;
             }
-            let (part, left) = rest.split_at(cut);
+            let (part, remainder) = rest.split_at(cut);
             place(&mut pages, size(serde_json::to_string(part)), "the outputs")?;
             pages
                 .last_mut()
                 .expect("at least one page")
                 .outputs
                 .push_str(part);
-            rest = left;
+            rest = remainder;
         }
         Ok(pages)
     }
 
-    /// Puts pages together again, in their order.
-    pub fn of_pages(pages: impl IntoIterator<Item = PlanPage>) -> Plan {
+    /// Joins pages, which must be complete and in their order.
+    pub fn from_pages(pages: impl IntoIterator<Item = PlanPage>) -> Plan {
         let mut plan = Plan::default();
         for p in pages {
             plan.shapes.extend(p.shapes);
--- a/crates/hopyoke-workflow/src/record.rs
+++ b/crates/hopyoke-workflow/src/record.rs
@@ -5,32 +5,37 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What becomes of a run's other steps once one has failed.
+/// What happens to a run's other steps once one has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum OnError {
-    /// Steps under way are withdrawn, nothing else starts.
+    /// Jobs in flight are cancelled, nothing else starts.
     #[default]
     Stop,
-    /// All that does not need the failed step goes on.
+    /// All that does not depend on the failed step goes on.
     Continue,
 }
 
-/// Where a run stands. `Done`, `Failed` and `Cancelled` are final and never change.
+/// The state of a run. `Done`, `Failed` and `Cancelled` are final and never change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunState {
+    /// Steps are submitted as they become ready.
     Running,
-    /// A step failed and the others are being wound up; it will be `Failed`.
+    /// A step failed and the others are being cancelled; becomes `Failed`.
     Failing,
-    /// A client was told that it is cancelled; it will be `Cancelled`.
+    /// A client got its cancellation confirmed; becomes `Cancelled`.
     Cancelling,
+    /// All steps are done.
     Done,
+    /// A step failed.
     Failed,
+    /// It was cancelled before its end.
     Cancelled,
 }
 
 impl RunState {
+    /// Whether the state never changes again.
     pub fn is_final(self) -> bool {
         matches!(
             self,
@@ -38,47 +43,52 @@
         )
     }
 
-    /// Steps may be submitted.
+    /// Whether steps may be submitted.
     pub fn starts_steps(self) -> bool {
         self == RunState::Running
     }
 }
 
-/// A run's head, under `flow/head/RUN`, and under `flowend/RUN` once its state is final. Its mark
-/// changes when the run's state does, and only then: submissions are conditional on it.
+/// A run's head, under `flow/head/RUN`, and under `flowend/RUN` once its state is final. Its
+/// revision changes when the run's state does, and only then: submissions are conditional on it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// What the submitter calls it.
+    /// The submitter's name for it.
     pub name: String,
-    /// The team whose guarantee and limit apply to all its steps.
+    /// The team whose quota applies to all its steps.
     pub team: String,
-    /// Who submitted it, as the gateway knows them; only they and operators see it.
+    /// Who submitted it, as the gateway authenticated them; only they and operators see it.
     #[serde(default)]
     pub owner: String,
     /// Time of day in microseconds.
     pub submitted_us: u64,
+    /// Time of day in microseconds; 0 until it has ended.
     #[serde(default)]
     pub ended_us: u64,
+    /// How many steps the plan has.
     pub steps: u32,
+    /// How many pages the plan has.
     pub plan_pages: u32,
     /// A digest of the plan: a repeated submission of another plan under this id is refused.
     pub digest: u64,
+    /// What happens once a step has failed.
     #[serde(default)]
     pub on_error: OnError,
+    /// Where the run stands.
     pub state: RunState,
-    /// Why it failed.
+    /// Why it failed; empty if it did not.
     #[serde(default)]
     pub reason: String,
     /// Steps that were done when it ended.
     #[serde(default)]
     pub done: u32,
-    /// It goes on from what this run had done.
+    /// The run from whose done steps this one goes on.
     #[serde(default)]
     pub resumes: Option<RunId>,
     /// The run under whose id the plan's pages stand, if that is another.
     #[serde(default)]
     pub plan_of: Option<RunId>,
-    /// What the submitter wants to be told again.
+    /// The submitter's own labels, returned as they are.
     #[serde(default)]
     pub tags: BTreeMap<String, String>,
 }
@@ -113,109 +123,114 @@
     }
 }
 
-/// Who carries a run, under `flow/hold/RUN`, on the carrier's lease. Its mark is the grant.
+/// A node's claim of a run, under `flow/hold/RUN`, on the owner's lease. Its revision fences the owner's writes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hold {
+pub struct RunClaim {
+    /// The owner.
     pub node: String,
-    /// The carrier's lease: tells a process from an earlier one of its node.
+    /// The owner's lease: tells a process from an earlier one of its node.
     pub lease: u64,
 }
 
-/// What is recorded of one step.
+/// The recorded state of one step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum StepMark {
-    /// Not over, as far as this page knows; the job's own record may know more.
+pub enum StepState {
+    /// Not over, as far as the page says; the job's own record may be newer.
     #[default]
     Open,
+    /// Its job succeeded, or it has none.
     Done,
+    /// Its job failed, or was cancelled while the run went on.
     Failed,
-    /// It was withdrawn because its run was cancelled or failed.
-    Withdrawn,
-    /// It never started, because a step that it needs failed or its run ended.
+    /// Its job was cancelled because its run was cancelled or failed.
+    Cancelled,
+    /// It never started, because a dependency failed or its run stopped.
     Skipped,
 }
 
-impl StepMark {
+impl StepState {
     fn letter(self) -> u8 {
         match self {
-            StepMark::Open => b'.',
-            StepMark::Done => b'd',
-            StepMark::Failed => b'f',
-            StepMark::Withdrawn => b'w',
-            StepMark::Skipped => b's',
+            StepState::Open => b'.',
+            StepState::Done => b'd',
+            StepState::Failed => b'f',
+            StepState::Cancelled => b'w',
+            StepState::Skipped => b's',
         }
     }
 
-    fn of_letter(b: u8) -> StepMark {
+    fn of_letter(b: u8) -> StepState {
         match b {
-            b'd' => StepMark::Done,
-            b'f' => StepMark::Failed,
-            b'w' => StepMark::Withdrawn,
-            b's' => StepMark::Skipped,
-            // An unknown letter is no knowledge: the job's record is looked at again.
-            _ => StepMark::Open,
+            b'd' => StepState::Done,
+            b'f' => StepState::Failed,
+            b'w' => StepState::Cancelled,
+            b's' => StepState::Skipped,
+            // An unknown letter is no information: the job's record decides.
+            _ => StepState::Open,
         }
     }
 
+    /// Whether the state is final.
     pub fn is_over(self) -> bool {
-        self != StepMark::Open
+        self != StepState::Open
     }
 }
 
-/// Steps on one page: two thousand letters and some tries fit into 4 KiB.
+/// Steps on one page: two thousand letters and some attempts fit into 4 KiB.
 pub const STEPS_PER_PAGE: u32 = 2000;
 
 /// A page of steps' progress, under `flowpage/RUN/PAGE`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct StepPage {
-    /// A letter a step.
-    pub marks: String,
-    /// Tries of steps whose first id was taken by somebody else.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub tries: BTreeMap<u32, u8>,
+    /// One letter per step.
+    #[serde(rename = "marks")]
+    pub states: String,
+    /// Attempts of steps whose first id was taken by another submitter, by step.
+    #[serde(rename = "tries", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub attempts: BTreeMap<u32, u8>,
 }
 
 impl StepPage {
-    /// The page on which a step is.
+    /// The number of the page on which a step is.
     pub fn of(step: StepNo) -> u32 {
         step.0 / STEPS_PER_PAGE
     }
 
-    pub(crate) fn write(first: u32, steps: &[(StepMark, u8)]) -> StepPage {
-        let marks = steps.iter().map(|(m, _)| m.letter() as char).collect();
-        let tries = (first..)
+    pub(crate) fn write(first: u32, steps: &[(StepState, u8)]) -> StepPage {
+        let states = steps.iter().map(|(m, _)| m.letter() as char).collect();
+        let attempts = (first..)
             .zip(steps)
             .filter(|(_, (_, t))| *t > 0)
             .map(|(i, (_, t))| (i, *t))
             .collect();
-        StepPage { marks, tries }
+        StepPage { states, attempts }
     }
 
-    /// The page of a run that goes on from what this one had done, under ids of its own.
-    pub fn done_alone(&self) -> StepPage {
-        let letter = |b: u8| match StepMark::of_letter(b) {
-            StepMark::Done => StepMark::Done,
-            _ => StepMark::Open,
+    /// The page of a run that goes on from the done steps of this one, under ids of its own.
+    pub fn only_done(&self) -> StepPage {
+        let letter = |b: u8| match StepState::of_letter(b) {
+            StepState::Done => StepState::Done,
+            _ => StepState::Open,
         };
-        let marks = self
-            .marks
+        let states = self
+            .states
             .bytes()
             .map(|b| letter(b).letter() as char)
             .collect();
         StepPage {
-            marks,
-            tries: BTreeMap::new(),
+            states,
+            attempts: BTreeMap::new(),
         }
     }
 
-    /// The marks and tries that the page records, from its first step on.
-    pub fn read(&self, page: u32) -> impl Iterator<Item = (StepNo, StepMark, u8)> + '_ {
+    /// The states and attempts on this page, whose number is `page`, in the order of steps.
+    pub fn read(&self, page: u32) -> impl Iterator<Item = (StepNo, StepState, u8)> + '_ {
         let first = page * STEPS_PER_PAGE;
         (first..)
-            .zip(self.marks.bytes().take(STEPS_PER_PAGE as usize))
+            .zip(self.states.bytes().take(STEPS_PER_PAGE as usize))
             .map(|(i, b)| {
-                let tries = self.tries.get(&i).copied().unwrap_or(0);
-                (StepNo(i), StepMark::of_letter(b), tries)
+                let attempts = self.attempts.get(&i).copied().unwrap_or(0);
+                (StepNo(i), StepState::of_letter(b), attempts)
             })
     }
 }
--- a/crates/hopyoke-workflow/tests/frozen_forms.rs
+++ b/crates/hopyoke-workflow/tests/frozen_forms.rs
@@ -8,7 +8,7 @@
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::JobId;
 use hopyoke_workflow::{
-    Head, Hold, OnError, Plan, PlanPage, PlanStep, RunId, RunState, StepMark, StepNo, StepPage,
+    Head, OnError, Plan, PlanPage, PlanStep, RunClaim, RunId, RunState, StepNo, StepPage, StepState,
 };
 use std::collections::BTreeMap;
 
@@ -97,7 +97,7 @@
 fn holds() {
     assert_stored(
         "hold",
-        &Hold {
+        &RunClaim {
             node: "node-2".into(),
             lease: 31,
         },
@@ -107,26 +107,26 @@
 #[test]
 fn step_pages() {
     let page = StepPage {
-        marks: "dfws.?d".into(),
-        tries: BTreeMap::from([(1, 3), (4, 1)]),
+        states: "dfws.?d".into(),
+        attempts: BTreeMap::from([(1, 3), (4, 1)]),
     };
     assert_stored("step-page", &page);
-    let marks: Vec<_> = read::<StepPage>("step-page").read(0).collect();
+    let states: Vec<_> = read::<StepPage>("step-page").read(0).collect();
     let want = [
-        (StepNo(0), StepMark::Done, 0),
-        (StepNo(1), StepMark::Failed, 3),
-        (StepNo(2), StepMark::Withdrawn, 0),
-        (StepNo(3), StepMark::Skipped, 0),
-        (StepNo(4), StepMark::Open, 1),
-        (StepNo(5), StepMark::Open, 0),
-        (StepNo(6), StepMark::Done, 0),
+        (StepNo(0), StepState::Done, 0),
+        (StepNo(1), StepState::Failed, 3),
+        (StepNo(2), StepState::Cancelled, 0),
+        (StepNo(3), StepState::Skipped, 0),
+        (StepNo(4), StepState::Open, 1),
+        (StepNo(5), StepState::Open, 0),
+        (StepNo(6), StepState::Done, 0),
     ];
-    assert_eq!(marks, want);
+    assert_eq!(states, want);
     assert_stored(
         "step-page-no-tries",
         &StepPage {
-            marks: "d.".into(),
-            tries: BTreeMap::new(),
+            states: "d.".into(),
+            attempts: BTreeMap::new(),
         },
     );
 }
--- a/crates/hopyoke-workflow/tests/properties.rs
+++ b/crates/hopyoke-workflow/tests/properties.rs
@@ -1,13 +1,13 @@
 //! Random graphs under random faults against a plain reference: what can be done is done, once, in
 //! order, and nothing else.
 
-#[allow(dead_code)]
+#[expect(dead_code, reason = "the scenarios use more of the model")]
 mod model;
 
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
 use hopyoke_workflow::{OnError, Plan, PlanPage, PlanStep, RunId, RunState, StepNo};
-use model::{FAULTS, Fate, Model};
+use model::{FAULTS, JobBehavior, Model};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
 struct Graph {
     /// Steps needed, and whether there is work, and whether it fails.
     steps: Vec<(Vec<usize>, bool, bool)>,
-    keep_on: bool,
+    continue_on_error: bool,
     cancel: Option<u8>,
     faults: Vec<(u64, usize)>,
 }
@@ -34,7 +34,7 @@
         prop::option::weighted(0.25, 1u8..15),
         faults,
     )
-        .prop_map(|(steps, keep_on, cancel, faults)| {
+        .prop_map(|(steps, continue_on_error, cancel, faults)| {
             let steps = (0..)
                 .zip(steps)
                 .map(|(i, (after, work, fails))| {
@@ -49,7 +49,7 @@
                 .collect();
             Graph {
                 steps,
-                keep_on,
+                continue_on_error,
                 cancel,
                 faults,
             }
@@ -93,49 +93,49 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn as_the_reference(g in graphs(), seed in 0u64..1000) {
+    fn runs_end_as_the_reference(g in graphs(), seed in 0u64..1000) {
         let run = RunId::new(7).expect("in range");
         let mut m = Model::new(seed, 3);
         m.faults = g.faults.iter().map(|(n, f)| (*n, FAULTS[*f])).collect();
-        let mut fates = BTreeMap::new();
+        let mut behaviors = BTreeMap::new();
         for (i, (_, _, fails)) in g.steps.iter().enumerate() {
             let t = Micros::from_millis(300 + 97 * i as u64 % 2000);
-            fates.insert(StepNo(i as u32), if *fails { Fate::GivenUp(t) } else { Fate::Done(t) });
+            behaviors.insert(StepNo(i as u32), if *fails { JobBehavior::GivenUp(t) } else { JobBehavior::Done(t) });
         }
-        m.submit(run, "crew", plan_of(&g), fates, g.keep_on);
+        m.submit(run, "crew", plan_of(&g), behaviors, g.continue_on_error);
         if let Some(t) = g.cancel {
             m.cancel_at(run, Micros::from_secs(u64::from(t)));
         }
         m.run_until(Micros::from_secs(400));
-        prop_assert!(m.broken.is_empty(), "{:?}", m.broken);
+        prop_assert!(m.violations.is_empty(), "{:?}", m.violations);
         let r = &m.runs[&run];
         let (state, _) = r.ended.ok_or_else(|| TestCaseError::fail("it never ended"))?;
-        let can = reachable(&g);
-        let with_work: BTreeSet<StepNo> =
-            can.iter().filter(|i| g.steps[**i].1).map(|i| StepNo(*i as u32)).collect();
+        let reachable_steps = reachable(&g);
+        let steps_with_jobs: BTreeSet<StepNo> =
+            reachable_steps.iter().filter(|i| g.steps[**i].1).map(|i| StepNo(*i as u32)).collect();
         // Only what fails keeps a step from being done; one that nothing leads to may fail unseen.
         let fails = (0..g.steps.len()).any(|i| {
             let (after, work, fails) = &g.steps[i];
-            *work && *fails && after.iter().all(|d| can.contains(d))
+            *work && *fails && after.iter().all(|d| reachable_steps.contains(d))
         });
         if r.cancelled.is_some() {
             prop_assert_eq!(state, RunState::Cancelled);
-            prop_assert!(r.done.is_subset(&with_work));
+            prop_assert!(r.done.is_subset(&steps_with_jobs));
         } else if fails {
             prop_assert_eq!(state, RunState::Failed);
-            if g.keep_on {
-                prop_assert_eq!(&r.done, &with_work);
+            if g.continue_on_error {
+                prop_assert_eq!(&r.done, &steps_with_jobs);
             } else {
-                prop_assert!(r.done.is_subset(&with_work));
+                prop_assert!(r.done.is_subset(&steps_with_jobs));
             }
         } else {
             prop_assert_eq!(state, RunState::Done);
-            prop_assert_eq!(&r.done, &with_work);
+            prop_assert_eq!(&r.done, &steps_with_jobs);
         }
     }
 
     #[test]
-    fn plans_survive_their_pages(g in graphs(), bytes in 1024usize..8192, outputs in ".{0,3000}") {
+    fn plans_are_restored_from_pages(g in graphs(), bytes in 1024usize..8192, outputs in ".{0,3000}") {
         let plan = Plan { outputs, ..plan_of(&g) };
         let pages = plan.pages(bytes).map_err(|e| TestCaseError::fail(e.to_string()))?;
         for p in &pages {
@@ -144,14 +144,14 @@
         }
         let text: Vec<String> = pages.iter().map(|p| serde_json::to_string(p).unwrap_or_default()).collect();
         let read = text.iter().map(|t| serde_json::from_str::<PlanPage>(t).expect("its own page"));
-        let back = Plan::of_pages(read);
+        let back = Plan::from_pages(read);
         prop_assert_eq!(back.digest(), plan.digest());
         prop_assert_eq!(back, plan);
     }
 }
 
 #[test]
-fn faults_of_plans_are_named() {
+fn plan_errors_name_the_fault() {
     let plan = |steps: Vec<PlanStep>| Plan {
         shapes: vec![shape()],
         steps,
@@ -163,18 +163,18 @@
         shape,
         tasks: 1,
     };
-    let said = |p: Plan, team: &str| p.check(team).expect_err("a fault").to_string();
-    let circle = plan(vec![
+    let error_of = |p: Plan, team: &str| p.check(team).expect_err("a fault").to_string();
+    let cycle = plan(vec![
         step("a", vec![1], Some(0)),
         step("b", vec![0], Some(0)),
     ]);
-    assert!(said(circle, "crew").contains("circle: a"));
-    assert!(said(plan(vec![step("a", vec![5], Some(0))]), "crew").contains("waits for step 5"));
-    assert!(said(plan(vec![step("a", vec![], Some(3))]), "crew").contains("shape 3"));
-    assert!(said(plan(vec![step("a", vec![], Some(0))]), "other").contains("its team is crew"));
-    assert!(said(plan(vec![step("", vec![], Some(0))]), "crew").contains("name"));
+    assert!(error_of(cycle, "crew").contains("circle: a"));
+    assert!(error_of(plan(vec![step("a", vec![5], Some(0))]), "crew").contains("waits for step 5"));
+    assert!(error_of(plan(vec![step("a", vec![], Some(3))]), "crew").contains("shape 3"));
+    assert!(error_of(plan(vec![step("a", vec![], Some(0))]), "other").contains("its team is crew"));
+    assert!(error_of(plan(vec![step("", vec![], Some(0))]), "crew").contains("name"));
     let mut none = plan(vec![step("a", vec![], Some(0))]);
     none.steps[0].tasks = 0;
-    assert!(said(none, "crew").contains("oars"));
+    assert!(error_of(none, "crew").contains("oars"));
     assert_eq!(OnError::default(), OnError::Stop);
 }
--- a/crates/hopyoke-workflow/tests/scenarios.rs
+++ b/crates/hopyoke-workflow/tests/scenarios.rs
@@ -21,7 +21,7 @@
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
 use hopyoke_workflow::{Plan, PlanStep, RunId, RunState, StepNo, job_id};
-use model::{FAULTS, Fate, Fault, Model};
+use model::{FAULTS, Fault, JobBehavior, Model};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
     RunId::new(s.parse().unwrap_or_else(|_| panic!("not a run: {s}"))).expect("a run in range")
 }
 
-pub fn shape(team: &str) -> JobSpec {
+fn shape(team: &str) -> JobSpec {
     JobSpec::plain(JobId::new("req-0"), "convert", team, "img")
 }
 
@@ -47,7 +47,7 @@
 fn step(
     text: &str,
     plan: &mut Plan,
-    fates: &mut BTreeMap<StepNo, Fate>,
+    behaviors: &mut BTreeMap<StepNo, JobBehavior>,
     known: &mut BTreeMap<String, Vec<StepNo>>,
 ) {
     let chain = text.contains('~');
@@ -72,9 +72,9 @@
         });
         match fate {
             "join" => None,
-            "never" => fates.insert(no, Fate::Endless),
-            "gives-up" => fates.insert(no, Fate::GivenUp(Micros::from_secs(3))),
-            t => fates.insert(no, Fate::Done(secs(t))),
+            "never" => behaviors.insert(no, JobBehavior::Endless),
+            "gives-up" => behaviors.insert(no, JobBehavior::GivenUp(Micros::from_secs(3))),
+            t => behaviors.insert(no, JobBehavior::Done(secs(t))),
         };
         let of_name = known.entry(name.to_owned()).or_default();
         if chain {
@@ -87,92 +87,105 @@
 
 /// Runs a scenario's lines; with `faults` at the given actions.
 fn play(lines: &[(usize, Vec<&str>)], faults: &[(u64, Fault)]) -> Result<Model, String> {
-    let mut world: Option<Model> = None;
-    let mut started = false;
+    let mut model: Option<Model> = None;
     for (n, words) in lines {
         let fail = |e: String| format!("line {n}: `{}`: {e}", words.join(" "));
         if words[0] == "seed" {
             let mut m = Model::new(num(words[1]) as u64, 3);
             m.faults = faults.to_vec();
-            world = Some(m);
+            model = Some(m);
             continue;
         }
-        let m = world
+        let m = model
             .as_mut()
             .ok_or_else(|| fail("a scenario starts with `seed N`".into()))?;
-        if !started && words[0] != "limit" {
-            started = true;
-        }
         match words.as_slice() {
-            ["limit", "steps_in_flight", v] => m.limits.steps_in_flight = num(v) as usize,
-            ["limit", "team_steps_in_flight", v] => m.limits.team_steps_in_flight = num(v) as usize,
-            ["limit", "runs_carried", v] => m.limits.runs_carried = num(v) as usize,
-            ["limit", "writes_per_s", v] => m.limits.writes_per_s = num(v),
-            ["run", id, team, rest @ ..] => {
-                let keep_on = rest.first() == Some(&"keep-on");
-                let mut plan = Plan {
-                    shapes: vec![shape(team)],
-                    ..Plan::default()
-                };
-                let (mut fates, mut known) = (BTreeMap::new(), BTreeMap::new());
-                for text in &rest[usize::from(keep_on)..] {
-                    step(text, &mut plan, &mut fates, &mut known);
-                }
-                m.submit(run_id(id), team, plan, fates, keep_on);
-            }
-            ["cancel", id, "at", t] => m.cancel_at(run_id(id), secs(t)),
-            ["crash", node, "at", t] => m.crash_at(num(node) as usize, secs(t)),
-            ["fetch", span] => m.fetch = secs(span),
-            ["outage", from, span] => m.outage = (secs(from), secs(from) + secs(span)),
-            ["foreign", id, step, rest @ ..] => {
-                let job = job_id(run_id(id), StepNo(num(step) as u32), 0);
-                m.foreign(&job, rest == ["over"]);
+            ["expect", expectation @ ..] => check(m, expectation).map_err(fail)?,
+            statement => execute(m, statement).map_err(fail)?,
+        }
+        if let Some(violation) = m.violations.first() {
+            return Err(fail(violation.clone()));
+        }
+    }
+    model.ok_or_else(|| "an empty scenario".into())
+}
+
+fn execute(m: &mut Model, statement: &[&str]) -> Result<(), String> {
+    match statement {
+        ["limit", "steps_in_flight", v] => m.limits.max_run_steps_in_flight = num(v) as usize,
+        ["limit", "team_steps_in_flight", v] => {
+            m.limits.max_team_steps_in_flight = num(v) as usize;
+        }
+        ["limit", "runs_carried", v] => m.limits.max_owned_runs = num(v) as usize,
+        ["limit", "writes_per_s", v] => m.limits.max_writes_per_s = num(v),
+        ["run", id, team, rest @ ..] => {
+            let continue_on_error = rest.first() == Some(&"keep-on");
+            let mut plan = Plan {
+                shapes: vec![shape(team)],
+                ..Plan::default()
+            };
+            let (mut behaviors, mut known) = (BTreeMap::new(), BTreeMap::new());
+            for text in &rest[usize::from(continue_on_error)..] {
+                step(text, &mut plan, &mut behaviors, &mut known);
             }
-            ["until", t] => m.run_until(secs(t)),
-            ["expect", "run", id, state, rest @ ..] => {
-                let want = match *state {
-                    "done" => RunState::Done,
-                    "failed" => RunState::Failed,
-                    "cancelled" => RunState::Cancelled,
-                    other => return Err(fail(format!("unknown state {other}"))),
-                };
-                match m.runs[&run_id(id)].ended {
-                    Some((state, at)) if state == want => {
-                        if let ["by", t] = rest
-                            && at > secs(t)
-                        {
-                            return Err(fail(format!("only at {:.2} s", at.as_secs_f64())));
-                        }
+            m.submit(run_id(id), team, plan, behaviors, continue_on_error);
+        }
+        ["cancel", id, "at", t] => m.cancel_at(run_id(id), secs(t)),
+        ["crash", node, "at", t] => m.crash_at(num(node) as usize, secs(t)),
+        ["fetch", span] => m.read_latency = secs(span),
+        ["outage", from, span] => m.outage = (secs(from), secs(from) + secs(span)),
+        ["foreign", id, step, rest @ ..] => {
+            let job = job_id(run_id(id), StepNo(num(step) as u32), 0);
+            m.add_foreign_job(&job, rest == ["over"]);
+        }
+        ["until", t] => m.run_until(secs(t)),
+        _ => return Err("unknown statement".into()),
+    }
+    Ok(())
+}
+
+fn check(m: &Model, expectation: &[&str]) -> Result<(), String> {
+    match expectation {
+        ["run", id, state, rest @ ..] => {
+            let expected = match *state {
+                "done" => RunState::Done,
+                "failed" => RunState::Failed,
+                "cancelled" => RunState::Cancelled,
+                other => return Err(format!("unknown state {other}")),
+            };
+            match m.runs[&run_id(id)].ended {
+                Some((state, at)) if state == expected => {
+                    if let ["by", t] = rest
+                        && at > secs(t)
+                    {
+                        return Err(format!("only at {:.2} s", at.as_secs_f64()));
                     }
-                    other => return Err(fail(format!("it is {other:?}"))),
-                }
-            }
-            ["expect", "steps", id, "done", k] => {
-                let done = m.runs[&run_id(id)].done.len();
-                if done != num(k) as usize {
-                    return Err(fail(format!("{done} are done")));
                 }
+                other => return Err(format!("it is {other:?}")),
             }
-            ["expect", "most", team, k] => {
-                let most = m.most_in_flight.get(*team).copied().unwrap_or(0);
-                if most > num(k) as usize {
-                    return Err(fail(format!("{most} were in flight")));
-                }
-            }
-            ["expect", "writes", k] if m.writes > num(k) as u64 => {
-                return Err(fail(format!("{} writes", m.writes)));
+        }
+        ["steps", id, "done", k] => {
+            let done = m.runs[&run_id(id)].done.len();
+            if done != num(k) as usize {
+                return Err(format!("{done} are done"));
             }
-            ["expect", "looks", k] if m.looks() > num(k) as u64 => {
-                return Err(fail(format!("{} looks", m.looks())));
+        }
+        ["most", team, k] => {
+            let max = m.max_in_flight.get(*team).copied().unwrap_or(0);
+            if max > num(k) as usize {
+                return Err(format!("{max} were in flight"));
             }
-            ["expect", "writes" | "looks", _] => {}
-            _ => return Err(fail("unknown statement".into())),
         }
-        if let Some(b) = m.broken.first() {
-            return Err(fail(b.clone()));
+        ["writes", k] if m.writes > num(k) as u64 => {
+            return Err(format!("{} writes", m.writes));
+        }
+        ["looks", k] if m.entities_visited() > num(k) as u64 => {
+            return Err(format!("{} entities visited", m.entities_visited()));
         }
+        ["writes" | "looks", _] => {}
+        _ => return Err("unknown statement".into()),
     }
-    world.ok_or_else(|| "an empty scenario".into())
+    Ok(())
 }
 
 /// One file; returns how often it was played.
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -74,13 +74,13 @@
     let facts = &settings.facts;
     let nodes = f64::from(facts.nodes.max(1));
     Limits {
-        steps_in_flight: v.count("flow_steps"),
-        team_steps_in_flight: v.count("flow_team_steps"),
-        runs_carried: v.count("flow_runs"),
-        steps_carried: v.count("flow_steps_carried"),
-        writes_per_s: facts.state.write_rps * v.share("flow_write_share") / nodes,
-        reads_per_s: facts.state.rps * v.share("flow_read_share") / nodes,
-        gather: v.duration("flow_gather"),
+        max_run_steps_in_flight: v.count("flow_steps"),
+        max_team_steps_in_flight: v.count("flow_team_steps"),
+        max_owned_runs: v.count("flow_runs"),
+        max_owned_steps: v.count("flow_steps_carried"),
+        max_writes_per_s: facts.state.write_rps * v.share("flow_write_share") / nodes,
+        max_reads_per_s: facts.state.rps * v.share("flow_read_share") / nodes,
+        write_batch_delay: v.duration("flow_gather"),
         ..Limits::default()
     }
 }
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -19,7 +19,7 @@
 use hopyoke_scheduler::{JobRecord, never_runs};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
-    Head, OnError, Plan, PlanPage, RunId, RunState, StepMark, StepNo, job_id, job_prefix, parts_of,
+    Head, OnError, Plan, PlanPage, RunId, RunState, StepNo, StepState, job_id, job_prefix, parts_of,
 };
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -150,7 +150,7 @@
     }
     possible(node, &plan)?;
     if flows.engine.borrow().runs().count()
-        >= flows.engine.borrow().limits.runs_carried * node.peers.all().len().max(1) * 2
+        >= flows.engine.borrow().limits.max_owned_runs * node.peers.all().len().max(1) * 2
     {
         return refuse(503, "too many runs are waiting");
     }
@@ -222,7 +222,7 @@
     let missing: Vec<u32> = (0..pages.len() as u32)
         .filter(|n| !known.contains(n))
         .collect();
-    let rate = flows.engine.borrow().limits.writes_per_s.max(0.5);
+    let rate = flows.engine.borrow().limits.max_writes_per_s.max(0.5);
     let value = node.config.value_bytes.max(1);
     let at_once = (MOST_TXN / value).clamp(1, node.config.txn_ops.max(1));
     for chunk in missing.chunks(at_once) {
@@ -320,7 +320,7 @@
     let Some(plan) = plan_of(node, run, &head).await? else {
         return refuse(503, "the plan can't be read now");
     };
-    let mut marks = vec![(StepMark::Open, 0); plan.steps.len()];
+    let mut marks = vec![(StepState::Open, 0); plan.steps.len()];
     for (page, _, value) in &pages {
         for (step, mod_revision, tries) in value.read(*page) {
             if let Some(m) = marks.get_mut(step.0 as usize) {
@@ -341,14 +341,14 @@
             .filter(|p| matches!(&p.value, Stored::Value(r) if r.flow));
         submitted.extend(ours.filter_map(|p| Some(parts_of(&job_id_of(&p.key)?)?.1)));
     }
-    let done = marks.iter().filter(|m| m.0 == StepMark::Done).count() as u32;
-    let word = |step: StepNo, mod_revision: StepMark| match mod_revision {
-        StepMark::Done => "done",
-        StepMark::Failed => "failed",
-        StepMark::Withdrawn => "withdrawn",
-        StepMark::Skipped => "skipped",
-        StepMark::Open if submitted.contains(&step) => "submitted",
-        StepMark::Open => "waiting",
+    let done = marks.iter().filter(|m| m.0 == StepState::Done).count() as u32;
+    let word = |step: StepNo, mod_revision: StepState| match mod_revision {
+        StepState::Done => "done",
+        StepState::Failed => "failed",
+        StepState::Cancelled => "withdrawn",
+        StepState::Skipped => "skipped",
+        StepState::Open if submitted.contains(&step) => "submitted",
+        StepState::Open => "waiting",
     };
     let most = q.most.min(MOST_STEPS_TOLD);
     let steps = (0..)
@@ -535,12 +535,12 @@
         };
     }
     // What is done stays done: its marks are the new run's before it begins.
-    let rate = flows.engine.borrow().limits.writes_per_s.max(0.5);
+    let rate = flows.engine.borrow().limits.max_writes_per_s.max(0.5);
     for (page, _, value) in pages_of(node, old).await? {
         let key = workflow_page_key(run, page);
         let change = Mutation::Put {
             key: key.clone(),
-            value: Value::Page(value.done_alone()),
+            value: Value::Page(value.only_done()),
             lease: None,
         };
         let conditions = vec![
--- a/crates/hopyoke/src/workflows/runner.rs
+++ b/crates/hopyoke/src/workflows/runner.rs
@@ -15,8 +15,8 @@
 use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
-    Action, Fetched, Head, Hold, JobEnd, Outcome, Plan, PlanPage, RESERVED, RunId, StepPage,
-    Written, job_prefix,
+    Action, Head, JobEnd, JobOutcome, Plan, PlanPage, RESERVED_JOB_PREFIX, RunClaim, RunId,
+    RunRecords, StepPage, WriteOutcome, job_prefix,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -35,7 +35,7 @@
 #[serde(untagged)]
 pub(crate) enum Value {
     Head(Box<Head>),
-    Hold(Hold),
+    RunClaim(RunClaim),
     Page(StepPage),
     Plan(PlanPage),
 }
@@ -167,12 +167,12 @@
     match value {
         Value::Head(head) => {
             if let Some(run) = run_of(key, WORKFLOW_HEADS) {
-                engine.head_seen(run, *head, mod_revision, now);
+                engine.head_changed(run, *head, mod_revision, now);
             }
         }
-        Value::Hold(hold) => {
+        Value::RunClaim(hold) => {
             if let Some(run) = run_of(key, WORKFLOW_HOLDERS) {
-                engine.hold_seen(run, &hold.node, mod_revision, now);
+                engine.claim_changed(run, &hold.node, mod_revision, now);
             }
         }
         _ => warn!(key, "neither a run's head nor a grant"),
@@ -182,9 +182,9 @@
 fn dropped(node: &Node, key: &str, mod_revision: ModRevision) {
     let mut engine = of(node).engine.borrow_mut();
     if let Some(run) = run_of(key, WORKFLOW_HOLDERS) {
-        engine.hold_gone(run, mod_revision, runtime::now());
+        engine.claim_deleted(run, mod_revision, runtime::now());
     } else if let Some(run) = run_of(key, WORKFLOW_HEADS) {
-        engine.head_gone(run, mod_revision);
+        engine.head_deleted(run, mod_revision);
     }
 }
 
@@ -205,19 +205,19 @@
     let known: Vec<RunId> = engine.runs().map(|(run, ..)| run).collect();
     for run in known {
         if !heads.contains(&run) {
-            engine.head_gone(run, revision);
+            engine.head_deleted(run, revision);
         } else if !holds.contains(&run) {
-            engine.hold_gone(run, revision, runtime::now());
+            engine.claim_deleted(run, revision, runtime::now());
         }
     }
-    engine.news_lost(runtime::now());
+    engine.watch_interrupted(runtime::now());
     flows.wakeup.notify();
 }
 
 /// Learns of the ends of steps' jobs, and of no others.
 async fn watch_ends(node: Rc<Node>) {
     let flows = of(&node);
-    let prefix = format!("end/{RESERVED}");
+    let prefix = format!("end/{RESERVED_JOB_PREFIX}");
     let mut since: Option<u64> = None;
     loop {
         let from = match since {
@@ -230,7 +230,7 @@
                 .await
             {
                 Ok(page) => {
-                    flows.engine.borrow_mut().news_lost(runtime::now());
+                    flows.engine.borrow_mut().watch_interrupted(runtime::now());
                     page.revision
                 }
                 Err(_) => {
@@ -283,10 +283,14 @@
             flows
                 .engine
                 .borrow_mut()
-                .claimed(*run, result, runtime::now());
+                .claim_finished(*run, result, runtime::now());
         }
-        Action::Fetch { run, epoch, plan } => {
-            let fetched = match fetch(node, *run, *plan).await {
+        Action::Read {
+            run,
+            epoch,
+            with_plan,
+        } => {
+            let fetched = match fetch(node, *run, *with_plan).await {
                 Ok(f) => f,
                 Err(e) => {
                     debug!(%run, error = %e, "records not read");
@@ -296,65 +300,74 @@
             flows
                 .engine
                 .borrow_mut()
-                .fetched(*run, *epoch, fetched, runtime::now());
+                .read_finished(*run, *epoch, fetched, runtime::now());
         }
         Action::Submit {
             run,
             epoch,
             step,
             spec,
-            grant,
+            claim_revision,
             head,
         } => {
-            let outcome = submit(node, *run, spec, *grant, *head)
+            let outcome = submit(node, *run, spec, *claim_revision, *head)
                 .await
                 .unwrap_or_else(|e| not_known(&e));
-            flows
-                .engine
-                .borrow_mut()
-                .submitted(*run, *epoch, *step, outcome, runtime::now());
+            flows.engine.borrow_mut().submission_finished(
+                *run,
+                *epoch,
+                *step,
+                outcome,
+                runtime::now(),
+            );
         }
-        Action::Withdraw {
+        Action::Cancel {
             run,
             epoch,
             step,
             job,
         } => {
             let outcome = match records::cancel(node, job).await {
-                Ok(Some(Lookup::Finished(end))) if end.flow => Outcome::Ended(how(end)),
-                Ok(Some(Lookup::Missing)) => Outcome::Missing,
-                Ok(Some(Lookup::Finished(_))) => Outcome::Taken,
-                Ok(_) => Outcome::Unknown,
+                Ok(Some(Lookup::Finished(end))) if end.flow => JobOutcome::Ended(how(end)),
+                Ok(Some(Lookup::Missing)) => JobOutcome::Missing,
+                Ok(Some(Lookup::Finished(_))) => JobOutcome::Taken,
+                Ok(_) => JobOutcome::Unknown,
                 Err(e) => not_known(&e),
             };
-            flows
-                .engine
-                .borrow_mut()
-                .withdrawn(*run, *epoch, *step, outcome, runtime::now());
+            flows.engine.borrow_mut().cancellation_finished(
+                *run,
+                *epoch,
+                *step,
+                outcome,
+                runtime::now(),
+            );
         }
         Action::Write {
             run,
             epoch,
-            grant,
+            claim_revision,
             pages,
             head,
             release,
         } => {
-            let written = write(node, *run, *grant, pages, head.as_ref(), *release).await;
-            flows
-                .engine
-                .borrow_mut()
-                .written(*run, *epoch, &action, written, runtime::now());
+            let written = write(node, *run, *claim_revision, pages, head.as_ref(), *release).await;
+            flows.engine.borrow_mut().write_finished(
+                *run,
+                *epoch,
+                &action,
+                written,
+                runtime::now(),
+            );
         }
     }
 }
 
-fn not_known(e: &StateError) -> Outcome {
+fn not_known(e: &StateError) -> JobOutcome {
     match e {
         StateError::Refused(_) | StateError::InsufficientResources => {
-            Outcome::Later(Micros::from_millis(500))
+            JobOutcome::Later(Micros::from_millis(500))
         }
-        _ => Outcome::Unknown,
+        _ => JobOutcome::Unknown,
     }
 }
 
@@ -362,7 +375,7 @@
     let Some(lease) = of(node).lease.get() else {
         return Err(None);
     };
-    let hold = Hold {
+    let hold = RunClaim {
         node: node.settings.node.clone(),
         lease,
     };
@@ -395,7 +408,7 @@
     match node.store.background().txn(conditions, changes).await {
         Ok(TransactionOutcome::Applied(mod_revision)) => Ok(mod_revision),
         Ok(TransactionOutcome::Failed(_)) => {
-            match node.store.background().get::<Hold>(&key).await {
+            match node.store.background().get::<RunClaim>(&key).await {
                 // An earlier try of this very process went through.
                 Ok(Some((Stored::Value(h), mod_revision))) if h == hold => Ok(mod_revision),
                 Ok(Some((_, mod_revision))) => Err(Some(mod_revision)),
@@ -463,14 +476,14 @@
     let pages: Option<Vec<PlanPage>> = pairs.into_iter().map(|p| p.value.readable()).collect();
     Ok(pages
         .filter(|p| p.len() == head.plan_pages as usize)
-        .map(Plan::of_pages))
+        .map(Plan::from_pages))
 }
 
-async fn fetch(node: &Node, run: RunId, plan: bool) -> Result<Option<Fetched>, StateError> {
+async fn fetch(node: &Node, run: RunId, plan: bool) -> Result<Option<RunRecords>, StateError> {
     let grant = node
         .store
         .background()
-        .get::<Hold>(&workflow_holder_key(run))
+        .get::<RunClaim>(&workflow_holder_key(run))
         .await?
         .map(|(_, mod_revision)| mod_revision);
     let Some((head, head_revision)) = head_of(node, run).await? else {
@@ -500,10 +513,10 @@
         .await?
         .pairs;
     let id = |key: &str| JobId::parse(key.split_once('/')?.1);
-    Ok(Some(Fetched {
+    Ok(Some(RunRecords {
         head,
         head_revision,
-        grant,
+        claim_revision: grant,
         plan,
         pages,
         jobs: jobs
@@ -527,11 +540,11 @@
     spec: &JobSpec,
     grant: ModRevision,
     head: ModRevision,
-) -> Result<Outcome, StateError> {
+) -> Result<JobOutcome, StateError> {
     let never = {
         let types = node.catalog.borrow();
         if types.is_empty() {
-            return Ok(Outcome::Later(Micros::from_secs(1)));
+            return Ok(JobOutcome::Later(Micros::from_secs(1)));
         }
         never_runs(spec, &types, &node.config.zones, &node.config.teams)
     };
@@ -539,7 +552,7 @@
         // An accepted job stays accepted, whatever the catalog says now.
         return Ok(
             match lookup(node, node.store.background(), &spec.id).await? {
-                Lookup::Missing => Outcome::Never(why),
+                Lookup::Missing => JobOutcome::Never(why),
                 found => known(&found),
             },
         );
@@ -556,25 +569,25 @@
         },
     ];
     Ok(match records::accept(node, record, more).await? {
-        TransactionOutcome::Applied(_) => Outcome::Accepted,
+        TransactionOutcome::Applied(_) => JobOutcome::Accepted,
         // The three-way check: what does the job's own record say?
         TransactionOutcome::Failed(_) => {
             match lookup(node, node.store.background(), &spec.id).await? {
-                Lookup::Missing => Outcome::Stale,
+                Lookup::Missing => JobOutcome::Stale,
                 found => known(&found),
             }
         }
     })
 }
 
-fn known(found: &Lookup) -> Outcome {
+fn known(found: &Lookup) -> JobOutcome {
     match found {
-        Lookup::Finished(end) if end.flow => Outcome::Ended(how(*end)),
-        Lookup::Unfinished(Stored::Value(r), _) if r.flow => Outcome::Known,
+        Lookup::Finished(end) if end.flow => JobOutcome::Ended(how(*end)),
+        Lookup::Unfinished(Stored::Value(r), _) if r.flow => JobOutcome::Known,
         Lookup::Missing | Lookup::Unreadable | Lookup::Unfinished(Stored::Unreadable(_), _) => {
-            Outcome::Unknown
+            JobOutcome::Unknown
         }
-        _ => Outcome::Taken,
+        _ => JobOutcome::Taken,
     }
 }
 
@@ -585,7 +598,7 @@
     pages: &[(u32, ModRevision, StepPage)],
     head: Option<&(ModRevision, Head)>,
     release: bool,
-) -> Written {
+) -> WriteOutcome {
     let mut conditions = vec![Compare {
         key: workflow_holder_key(run),
         mod_revision: grant,
@@ -630,9 +643,9 @@
         });
     }
     match node.store.background().txn(conditions, changes).await {
-        Ok(TransactionOutcome::Applied(mod_revision)) => Written::Applied(mod_revision),
-        Ok(TransactionOutcome::Failed(_)) => Written::Conflict,
-        Err(e) if e.is_refusal() => Written::Refused,
-        Err(_) => Written::Unknown,
+        Ok(TransactionOutcome::Applied(mod_revision)) => WriteOutcome::Applied(mod_revision),
+        Ok(TransactionOutcome::Failed(_)) => WriteOutcome::Conflict,
+        Err(e) if e.is_refusal() => WriteOutcome::Refused,
+        Err(_) => WriteOutcome::Unknown,
     }
 }
