--- a/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
@@ -1,7 +1,7 @@
 //! Scale-in: idle, faulty and failed instances are returned to the cloud; what the cloud says of deletions.
 
+use crate::autoscale::provisioning::ProvisioningState;
 use crate::ledger::{Machine, MachinePhase};
-use crate::provisioning::ProvisioningState;
 use crate::{Action, Scheduler, Tuning};
 use hopyoke_protocol::user::Priority;
 use hopyoke_types::{MachineId, Micros};
--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -1,7 +1,7 @@
 //! Scale-out: instances requested from the cloud for unmet demand, and the watch over their provisioning.
 
+use crate::autoscale::provisioning::ProvisioningState;
 use crate::ledger::{Machine, MachinePhase};
-use crate::provisioning::ProvisioningState;
 use crate::{Action, Scheduler};
 use hopyoke_types::MachineId;
 use hopyoke_types::Micros;
--- a/crates/hopyoke-scheduler/src/config.rs
+++ b/crates/hopyoke-scheduler/src/config.rs
@@ -1,7 +1,7 @@
 //! What the scheduler takes from the platform's settings.
 
-use crate::amounts::Team;
-use crate::ranges;
+use crate::resources::Team;
+use crate::task_ranges::RANGE_CHARS;
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
 
@@ -82,7 +82,7 @@
     /// This many of a job's unfinished tasks, lowest numbers first, are always considered: what is done among
     /// them never falls into more ranges than fit.
     pub fn window(&self) -> u32 {
-        (self.done_chars() / ranges::RANGE_CHARS).max(16) as u32
+        (self.done_chars() / RANGE_CHARS).max(16) as u32
     }
 
     /// Others are considered up to this far behind the first unfinished one: within this span a bit for
--- a/crates/hopyoke-scheduler/src/ledger/allocation.rs
+++ b/crates/hopyoke-scheduler/src/ledger/allocation.rs
@@ -1,6 +1,6 @@
 //! Attempts of tasks on machines.
 
-use crate::amounts::Resources;
+use crate::resources::Resources;
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_protocol::worker::{ExitReason, TaskState};
 use hopyoke_types::Micros;
--- a/crates/hopyoke-scheduler/src/ledger/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -1,8 +1,8 @@
 //! A job in the leader's ledger, and its record in the state service.
 
-use crate::amounts::Resources;
 use crate::ledger::{ImageKey, WaitReason};
-use crate::ranges::Ranges;
+use crate::resources::Resources;
+use crate::task_ranges::TaskRanges;
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, MachineId, ModRevision};
@@ -19,7 +19,7 @@
     pub accepted_us: u64,
     /// Tasks that are done.
     #[serde(default)]
-    pub done: Ranges,
+    pub done: TaskRanges,
     /// The attempt of the latest gang placement, or of another job's first start; 0: none.
     #[serde(default, rename = "term")]
     pub start_attempt: Attempt,
@@ -42,7 +42,7 @@
         JobRecord {
             spec: Rc::new(spec),
             accepted_us,
-            done: Ranges::default(),
+            done: TaskRanges::default(),
             start_attempt: Attempt::default(),
             has_start_marker: true,
             flow: false,
@@ -112,9 +112,9 @@
     /// It kept failing and its end is to be recorded.
     pub given_up: bool,
     /// Tasks that are done.
-    pub done: Ranges,
+    pub done: TaskRanges,
     /// What the record says is done: only this may be acknowledged to agents.
-    pub recorded: Ranges,
+    pub recorded: TaskRanges,
     /// Attempt of the current gang placement, or of another job's first start.
     pub start_attempt: Attempt,
     /// What the record says of it.
--- a/crates/hopyoke-scheduler/src/ledger/machine.rs
+++ b/crates/hopyoke-scheduler/src/ledger/machine.rs
@@ -1,8 +1,8 @@
 //! Machines and what is known to be, or may be, on them.
 
 use super::allocation::Allocation;
-use crate::amounts::Resources;
-use crate::provisioning::ProvisioningState;
+use crate::autoscale::provisioning::ProvisioningState;
+use crate::resources::Resources;
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_types::Micros;
 use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, TaskId};
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -2,54 +2,51 @@
 //!
 //! - `ledger`: jobs, machines and allocations.
 //! - `reconcile`: heartbeats rebuild and update the ledger; commands answer them; failover.
-//! - `plan`: placement inside the leased shards, and the demand for machines.
+//! - [`placement`]: one scheduling cycle: which task runs on which machine, and the demand for machines.
+//! - `resources`, `task_ranges`: amounts of resources, and sets of task numbers.
 //! - `autoscale`: scale-out and scale-in.
 //! - `persist`: what must be written to the state service, in batches, and the machine registry.
 //! - `staffed_hours`: work that is held outside staffed hours.
 //! - `run_times`: learned run times and what is estimated from them.
 
-mod amounts;
 mod audit;
 mod autoscale;
 mod config;
-pub mod fragmentation;
 mod ledger;
 mod persist;
-mod plan;
+pub mod placement;
 mod plan_schedule;
-pub mod provisioning;
-pub mod queue_order;
-mod ranges;
 mod reconcile;
-pub mod reservation;
+mod resources;
 mod run_times;
 mod staffed_hours;
-pub mod starvation;
+mod task_ranges;
 mod tuning;
 
-pub use amounts::{Resources, Team, never_runs};
+pub use autoscale::provisioning;
 pub use autoscale::scale_out::ScaleOutOutcome;
 pub use config::SchedulerConfig;
 pub use ledger::{
     Allocation, AllocationState, EndRecord, Job, JobRecord, Load, Machine, MachinePhase, WaitReason,
 };
 pub use persist::batch::{Batch, BatchError, RegistryPage, Write};
-pub use ranges::Ranges;
 pub use reconcile::heartbeats::HeartbeatReply;
 pub use reconcile::restart_check::RestartDecision;
+pub use resources::{Resources, Team, never_runs};
 pub use run_times::{CapacityQuery, CompletedRun, CompletionEstimate};
+pub use task_ranges::TaskRanges;
 pub use tuning::Tuning;
 
 use crate::autoscale::inventory::CloudInventory;
+use crate::autoscale::provisioning::ProvisioningEstimator;
 use crate::autoscale::scale_out::PendingScaleOuts;
 use crate::persist::records::Writes;
 use crate::persist::registry::MachineRegistry;
+use crate::placement::reservation::Reservations;
 use crate::plan_schedule::PlanSchedule;
-use crate::provisioning::ProvisioningEstimator;
 use crate::reconcile::failover::Reconciliation;
 use crate::reconcile::probes::FailoverProbes;
 use crate::reconcile::unresponsive::{PartitionedZones, ReceiveHealth};
-use crate::reservation::Reservations;
 use crate::run_times::LearnedRunTimes;
 use crate::staffed_hours::Staffing;
 use hopyoke_consistency::Tombstones;
@@ -298,7 +295,7 @@
         if self.plan_schedule.is_due(now) {
             self.plan_schedule.begin(now);
             self.stop_finished();
-            let demand = self.plan(now);
+            let demand = self.run_placement_cycle(now);
             self.scale_out(demand, now);
             self.scale_in(now);
         }
--- a/crates/hopyoke-scheduler/src/plan/defragment.rs
+++ b/crates/hopyoke-scheduler/src/placement/defragment.rs
@@ -1,10 +1,10 @@
 //! Replicas are moved together, so that whole machines fall free.
 
 use super::TaskKey;
-use super::view::{Bin, Plan};
+use super::snapshot::{Bin, ClusterSnapshot};
 use crate::Scheduler;
-use crate::amounts::Resources;
 use crate::ledger::{Allocation, Machine};
+use crate::resources::Resources;
 use hopyoke_types::Micros;
 use tracing::info;
 
@@ -13,8 +13,8 @@
     /// the machine can then hold a gang, or be returned. A move costs the replica a moment, so a
     /// small share of all replicas' time is what moves may take. (Moving replicas to drain a
     /// machine is allowed.)
-    pub(super) fn defragment(&mut self, plan: &Plan, now: Micros) {
-        let replicas: u32 = plan.bins.iter().map(|b| b.replicas).sum();
+    pub(super) fn defragment(&mut self, snapshot: &ClusterSnapshot, now: Micros) {
+        let replicas: u32 = snapshot.bins.iter().map(|b| b.replicas).sum();
         let move_s = self.tuning.move_cost.as_secs_f64();
         // A small deployment earns a move a minute.
         let earned = f64::from(replicas.max(16))
@@ -29,11 +29,12 @@
         }
         self.defragmentation.next_at = now + Micros::from_secs(2);
         let usage = |b: &Bin| {
-            1.0 - (b.free.gpus + b.free.cpus) / (plan.kinds[b.kind].gpus + plan.kinds[b.kind].cpus)
+            1.0 - (b.free.gpus + b.free.cpus)
+                / (snapshot.kinds[b.kind].gpus + snapshot.kinds[b.kind].cpus)
         };
         let room =
-            |b: &Bin| b.free.gpus > 0.0 || plan.kinds[b.kind].gpus == 0.0 && b.free.cpus > 0.0;
-        let mut hosts: Vec<(f64, usize)> = plan
+            |b: &Bin| b.free.gpus > 0.0 || snapshot.kinds[b.kind].gpus == 0.0 && b.free.cpus > 0.0;
+        let mut hosts: Vec<(f64, usize)> = snapshot
             .bins
             .iter()
             .enumerate()
@@ -41,11 +42,11 @@
             .map(|(i, b)| (usage(b), i))
             .collect();
         hosts.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut free: Vec<Resources> = hosts.iter().map(|h| plan.bins[h.1].free).collect();
+        let mut free: Vec<Resources> = hosts.iter().map(|h| snapshot.bins[h.1].free).collect();
         let mut moves = Vec::new();
         // Each look searches all hosts; what is not reached now is reached when others have gone.
         for from in 0..hosts.len().min(self.tuning.drain_looks) {
-            let bin = &plan.bins[hosts[from].1];
+            let bin = &snapshot.bins[hosts[from].1];
             let Some(m) = bin.machine.as_ref().and_then(|id| self.machines.get(id)) else {
                 continue;
             };
@@ -56,17 +57,18 @@
             let mut targets = Vec::new();
             let mut cost = 0.0;
             for (task, attempt) in drain {
-                let Some(mut needs) = self.needs(&task.job) else {
+                let Some(mut request) = self.request(&task.job) else {
                     break;
                 };
-                needs.zones[bin.zone] = needs.zones[bin.zone].saturating_sub(1);
+                request.zones[bin.zone] = request.zones[bin.zone].saturating_sub(1);
                 let fits = |i: usize| {
-                    let b = &plan.bins[hosts[i].1];
-                    needs.task.fits_in(&free[i])
-                        && self.allowed(&needs, b)
-                        && needs.zone_allows(b.zone)
+                    let b = &snapshot.bins[hosts[i].1];
+                    request.task.fits_in(&free[i])
+                        && self.allowed(&request, b)
+                        && request.zone_allows(b.zone)
                 };
-                let image = |i: &usize| plan.has_image(&plan.bins[hosts[*i].1], needs.image);
+                let image =
+                    |i: &usize| snapshot.has_image(&snapshot.bins[hosts[*i].1], request.image);
                 // The fullest first. Each drained machine is one machine less, so this comes to an end.
                 let fuller = || (from + 1..hosts.len()).rev();
                 let Some(to) = fuller()
@@ -76,18 +78,18 @@
                 else {
                     break;
                 };
-                let fetch = self.types[plan.bins[hosts[to].1].kind].fetch_gb_per_s;
+                let fetch = self.types[snapshot.bins[hosts[to].1].kind].fetch_gb_per_s;
                 cost += move_s
                     + if image(&to) {
                         0.0
                     } else {
-                        needs.spec.image_gb / fetch.max(0.05)
+                        request.spec.image_gb / fetch.max(0.05)
                     };
-                free[to] = free[to] - needs.task;
+                free[to] = free[to] - request.task;
                 targets.push((
                     to,
-                    needs.task,
-                    (m.id.clone(), task, attempt, needs.spec.save_s),
+                    request.task,
+                    (m.id.clone(), task, attempt, request.spec.save_s),
                 ));
             }
             if targets.len() as u32 == bin.replicas && cost <= self.defragmentation.budget_s {
--- a/crates/hopyoke-scheduler/src/plan/estimates.rs
+++ b/crates/hopyoke-scheduler/src/placement/estimates.rs
@@ -1,12 +1,12 @@
 //! What learned run times are used for in a plan. Each use is a setting of its own; none decides
 //! a rule: what may be stopped, charged or placed is settled elsewhere.
 
-use super::needs::Needs;
-use super::view::{Plan, Soon};
+use super::request::PlacementRequest;
+use super::snapshot::{ClusterSnapshot, Soon};
 use super::{Keyed, TaskKey};
 use crate::Scheduler;
-use crate::amounts::Resources;
 use crate::ledger::{Allocation, MachinePhase};
+use crate::resources::Resources;
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_types::Micros;
 
@@ -57,10 +57,10 @@
     }
 
     /// Room that is kept for a gang is lent until its last machine is expected to be free.
-    pub(super) fn lend(&self, taken: &[usize], plan: &mut Plan, now: Micros) {
+    pub(super) fn lend(&self, taken: &[usize], snapshot: &mut ClusterSnapshot, now: Micros) {
         let mut complete = 0.0f64;
         for &i in taken {
-            let Some(m) = plan.bins[i]
+            let Some(m) = snapshot.bins[i]
                 .machine
                 .as_ref()
                 .and_then(|id| self.machines.get(id))
@@ -84,78 +84,90 @@
             }
         }
         for &i in taken {
-            let bin = &mut plan.bins[i];
+            let bin = &mut snapshot.bins[i];
             if bin.ready && (bin.free.gpus > 0.0 || bin.free.cpus > 0.0) {
                 bin.lent = Some((bin.free, complete));
-                plan.lending.push(i);
+                snapshot.lending.push(i);
             }
         }
     }
 
     /// A place on lent room for a task that will most likely be over before it is missed; whether
     /// its image is there.
-    pub(super) fn borrow_room(&self, needs: &Needs, plan: &mut Plan) -> Option<(usize, bool)> {
-        if plan.lending.is_empty() || needs.spec.kind != JobKind::Array || needs.cares_for_zones() {
+    pub(super) fn borrow_room(
+        &self,
+        request: &PlacementRequest,
+        snapshot: &mut ClusterSnapshot,
+    ) -> Option<(usize, bool)> {
+        if snapshot.lending.is_empty()
+            || request.spec.kind != JobKind::Array
+            || request.cares_for_zones()
+        {
             return None;
         }
-        let run = self.expected(&needs.spec).distribution.quantile(0.9);
-        let found = plan.lending.iter().copied().find_map(|i| {
-            let bin = &plan.bins[i];
+        let run = self.expected(&request.spec).distribution.quantile(0.9);
+        let found = snapshot.lending.iter().copied().find_map(|i| {
+            let bin = &snapshot.bins[i];
             let (room, until) = bin.lent?;
-            let image = plan.has_image(bin, needs.image);
+            let image = snapshot.has_image(bin, request.image);
             let fetch = self.types[bin.kind].fetch_gb_per_s.max(0.05);
             let takes = run
                 + if image {
                     0.0
                 } else {
-                    needs.spec.image_gb / fetch
+                    request.spec.image_gb / fetch
                 };
-            (needs.task.fits_in(&room) && takes <= until && self.allowed(needs, bin))
+            (request.task.fits_in(&room) && takes <= until && self.allowed(request, bin))
                 .then_some((i, image))
         })?;
-        let bin = &mut plan.bins[found.0];
+        let bin = &mut snapshot.bins[found.0];
         if let Some((room, _)) = &mut bin.lent {
-            *room = *room - needs.task;
+            *room = *room - request.task;
         }
-        bin.latest = Some(needs.image);
+        bin.latest = Some(request.image);
         Some(found)
     }
 
     /// Running tasks will most likely have made room for one more task before a machine that is
     /// rented now has booted; that room is then spoken for.
-    pub(super) fn room_soon(&self, needs: &Needs, plan: &mut Plan, now: Micros) -> bool {
-        if needs.spec.priority == Priority::Production || needs.cares_for_zones() {
+    pub(super) fn room_soon(
+        &self,
+        request: &PlacementRequest,
+        snapshot: &mut ClusterSnapshot,
+        now: Micros,
+    ) -> bool {
+        if request.spec.priority == Priority::Production || request.cares_for_zones() {
             return false;
         }
-        if plan.soon.is_none() {
+        if snapshot.soon.is_none() {
             let boot = self
                 .types
                 .iter()
                 .map(|t| t.boot_s)
                 .fold(f64::INFINITY, f64::min);
             let span = Micros::from_secs_f64(if boot.is_finite() { boot } else { 0.0 });
-            plan.soon = Some(self.soon_free(plan, now, span));
+            snapshot.soon = Some(self.soon_free(snapshot, now, span));
         }
-        let Some(soon) = &mut plan.soon else {
+        let Some(soon) = &mut snapshot.soon else {
             return false;
         };
         let fits = |s: &&mut Soon| {
-            needs.task.fits_in(&s.room)
-                && needs.kinds[s.kind]
-                && needs.zone.is_none_or(|z| z == s.zone)
-                && (needs.spec.spot || !s.spot)
+            request.task.fits_in(&s.room)
+                && request.kinds[s.kind]
+                && request.zone.is_none_or(|z| z == s.zone)
+                && (request.spec.spot || !s.spot)
         };
         let Some(found) = soon.iter_mut().find(fits) else {
             return false;
         };
-        found.room = found.room - needs.task;
+        found.room = found.room - request.task;
         true
     }
 
-    fn soon_free(&self, plan: &Plan, now: Micros, span: Micros) -> Vec<Soon> {
+    fn soon_free(&self, snapshot: &ClusterSnapshot, now: Micros, span: Micros) -> Vec<Soon> {
         let mut soon = Vec::new();
         // What this plan starts itself may end in time, too.
-        for start in &plan.starts {
+        for start in &snapshot.starts {
             let Some(job) = self
                 .jobs
                 .get(&start.job)
--- a/crates/hopyoke-scheduler/src/plan/gang.rs
+++ b/crates/hopyoke-scheduler/src/placement/gang.rs
@@ -1,12 +1,12 @@
 //! Gangs: all tasks get places at once, or machines are reserved until they can.
 
 use super::Start;
-use super::needs::Needs;
-use super::view::Plan;
+use super::request::PlacementRequest;
+use super::snapshot::ClusterSnapshot;
 use crate::Scheduler;
-use crate::amounts::Resources;
 use crate::ledger::WaitReason;
 use crate::reconcile::restart_check::RestartDecision;
+use crate::resources::Resources;
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use hopyoke_types::{JobId, Micros};
 use std::cmp::Reverse;
@@ -17,10 +17,10 @@
     pub(super) fn place_gang(
         &mut self,
         id: &JobId,
-        plan: &mut Plan,
+        snapshot: &mut ClusterSnapshot,
         now: Micros,
     ) -> Option<WaitReason> {
-        let (Some(needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else {
+        let (Some(request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
             return None;
         };
         let n = job.spec.tasks;
@@ -41,30 +41,30 @@
         let anew = missing.len() == n as usize;
         let start_attempt = job.start_attempt;
         let count = missing.len() as u32;
-        if !plan.charge(&needs, count, &self.cfg.teams) {
-            if plan.keeps_room && !needs.is_crash_looping {
-                self.reserve_quota(&needs, plan, count);
+        if !snapshot.charge(&request, count, &self.cfg.teams) {
+            if snapshot.keeps_room && !request.is_crash_looping {
+                self.reserve_quota(&request, snapshot, count);
             }
             return Some(WaitReason::TeamLimit);
         }
         // For a gang that failed on several machines nothing is rented and no room is kept.
-        let offers = needs
+        let offers = request
             .is_crash_looping
-            .then(|| std::mem::take(&mut plan.offers));
-        let chosen = self.choose_all(&needs, plan, count);
+            .then(|| std::mem::take(&mut snapshot.offers));
+        let chosen = self.choose_all(&request, snapshot, count);
         if let Some(offers) = offers {
-            plan.offers = offers;
+            snapshot.offers = offers;
         }
         let Some(bins) = chosen else {
-            plan.refund(&needs, count);
-            if plan.keeps_room && !needs.is_crash_looping {
-                self.reserve(&needs, plan, count, now);
+            snapshot.refund(&request, count);
+            if snapshot.keeps_room && !request.is_crash_looping {
+                self.reserve(&request, snapshot, count, now);
             }
             return Some(WaitReason::Machines);
         };
-        if !bins.iter().all(|&b| plan.bins[b].ready) {
-            if !plan.keeps_room {
-                plan.lend_ready(&needs, &bins);
+        if !bins.iter().all(|&b| snapshot.bins[b].ready) {
+            if !snapshot.keeps_room {
+                snapshot.lend_ready(&request, &bins);
             }
             return Some(WaitReason::Provisioning);
         }
@@ -85,15 +85,15 @@
             );
             let warm = bins
                 .iter()
-                .filter(|b| plan.had_image(&plan.bins[**b], needs.image))
+                .filter(|b| snapshot.had_image(&snapshot.bins[**b], request.image))
                 .count();
             debug!(job = %id, class, tasks, waited_ms, waited_for, warm, first = start_attempt.0 == 0, "gang start");
             self.writes.mark_dirty(id);
         }
         for (index, bin) in missing.into_iter().zip(bins) {
-            if let Some(machine) = plan.bins[bin].machine.clone() {
-                let image = plan.had_image(&plan.bins[bin], needs.image);
-                plan.starts.push(Start {
+            if let Some(machine) = snapshot.bins[bin].machine.clone() {
+                let image = snapshot.had_image(&snapshot.bins[bin], request.image);
+                snapshot.starts.push(Start {
                     job: id.clone(),
                     index,
                     machine,
@@ -109,22 +109,22 @@
     /// that are not ready yet is taken in the plan, so that it is kept for this gang.
     pub(super) fn choose_all(
         &self,
-        needs: &Needs,
-        plan: &mut Plan,
+        request: &PlacementRequest,
+        snapshot: &mut ClusterSnapshot,
         count: u32,
     ) -> Option<Vec<usize>> {
-        let zones: Vec<Option<usize>> = if needs.spec.one_zone {
+        let zones: Vec<Option<usize>> = if request.spec.one_zone {
             let mut room = vec![(0u32, 0u32, 0u32); self.cfg.zones.len()];
-            for &i in &plan.open {
-                let b = &plan.bins[i];
+            for &i in &snapshot.open {
+                let b = &snapshot.bins[i];
                 let Some(room) = room.get_mut(b.zone) else {
                     continue;
                 };
-                let holds = b.free.holds(&needs.task);
-                if holds > 0 && self.allowed(needs, b) {
+                let holds = b.free.holds(&request.task);
+                if holds > 0 && self.allowed(request, b) {
                     room.0 += if b.ready { holds } else { 0 };
                     room.1 += holds;
-                    room.2 += if b.ready && plan.has_image(b, needs.image) {
+                    room.2 += if b.ready && snapshot.has_image(b, request.image) {
                         holds
                     } else {
                         0
@@ -146,35 +146,39 @@
             vec![None]
         };
         for zone in zones {
-            let mut taking = needs.clone();
-            let mut candidates = self.candidates(needs, plan, zone);
+            let mut taking = request.clone();
+            let mut candidates = self.candidates(request, snapshot, zone);
             let mut taken: Vec<usize> = Vec::new();
-            let (bins, open, demand) = (plan.bins.len(), plan.open.len(), plan.demand.clone());
+            let (bins, open, demand) = (
+                snapshot.bins.len(),
+                snapshot.open.len(),
+                snapshot.demand.clone(),
+            );
             let mut undo = Vec::new();
             for left in (1..=count).rev() {
                 let found = candidates
-                    .best(&taking, plan, |b| plan.score(&taking, b))
+                    .best(&taking, snapshot, |b| snapshot.score(&taking, b))
                     .or_else(|| {
-                        let new = plan.open_new(&taking, zone, left)?;
-                        candidates.put_first(new, plan.bins[new].zone);
+                        let new = snapshot.open_new(&taking, zone, left)?;
+                        candidates.put_first(new, snapshot.bins[new].zone);
                         Some(new)
                     });
                 let Some(bin) = found else { break };
                 if bin < bins {
-                    undo.push((bin, plan.bins[bin].before()));
+                    undo.push((bin, snapshot.bins[bin].before()));
                 }
-                plan.take(bin, &mut taking);
+                snapshot.take(bin, &mut taking);
                 taken.push(bin);
             }
             if taken.len() == count as usize {
                 return Some(taken);
             }
             for (bin, before) in undo.into_iter().rev() {
-                plan.bins[bin].restore(before);
+                snapshot.bins[bin].restore(before);
             }
-            plan.bins.truncate(bins);
-            plan.open.truncate(open);
-            plan.demand = demand;
+            snapshot.bins.truncate(bins);
+            snapshot.open.truncate(open);
+            snapshot.demand = demand;
         }
         None
     }
@@ -183,40 +187,55 @@
     /// room for it: without this, single tasks take every piece of the limit that falls free, and a gang that
     /// needs much of it never begins. Not if the team's services, which don't end, leave it no room anyway.
     /// (Scenario largest_begin.)
-    fn reserve_quota(&self, needs: &Needs, plan: &mut Plan, count: u32) {
-        let Some(team) = needs.team else { return };
+    fn reserve_quota(
+        &self,
+        request: &PlacementRequest,
+        snapshot: &mut ClusterSnapshot,
+        count: u32,
+    ) {
+        let Some(team) = request.team else { return };
         self.add_visited(self.jobs.len());
         let of_team =
-            |spec: &JobSpec| spec.kind == JobKind::Service && spec.team == needs.spec.team;
+            |spec: &JobSpec| spec.kind == JobKind::Service && spec.team == request.spec.team;
         let lasting = self.jobs.values().filter(|j| of_team(&j.spec));
         let lasting = lasting.fold(Resources::default(), |sum, j| {
             sum + j.task.times(j.attempts.len() as f64)
         });
-        let gang = needs.task.times(f64::from(count));
+        let gang = request.task.times(f64::from(count));
         if self.cfg.teams[team].allows(&(lasting + gang)) {
-            plan.used[team] = plan.used[team] + gang;
+            snapshot.used[team] = snapshot.used[team] + gang;
         }
     }
 
     /// A gang that finds no room keeps lesser work off the machines that will hold it: without
     /// this, single tasks take every place that falls free, and gangs starve. Machines without
     /// replicas, which stay long, are chosen; the emptiest first, and in one zone if it must be.
-    pub(super) fn reserve(&self, needs: &Needs, plan: &mut Plan, count: u32, now: Micros) {
-        if plan.reservations >= self.tuning.gang_reservations {
+    pub(super) fn reserve(
+        &self,
+        request: &PlacementRequest,
+        snapshot: &mut ClusterSnapshot,
+        count: u32,
+        now: Micros,
+    ) {
+        if snapshot.reservations >= self.tuning.gang_reservations {
             return;
         }
-        plan.reservations += 1;
-        self.add_visited(plan.bins.len());
-        let holds: Vec<u32> = plan.kinds.iter().map(|k| k.holds(&needs.task)).collect();
-        let zones = if needs.spec.one_zone {
+        snapshot.reservations += 1;
+        self.add_visited(snapshot.bins.len());
+        let holds: Vec<u32> = snapshot
+            .kinds
+            .iter()
+            .map(|k| k.holds(&request.task))
+            .collect();
+        let zones = if request.spec.one_zone {
             self.cfg.zones.len() + 1
         } else {
             1
         };
         let mut fits: Vec<Vec<(u32, u32, usize)>> = vec![Vec::new(); zones];
-        for (i, b) in plan.bins.iter().enumerate() {
-            if b.replicas == 0 && holds[b.kind] > 0 && self.allowed(needs, b) {
-                fits[b.zone.min(zones - 1)].push((b.free.holds(&needs.task), holds[b.kind], i));
+        for (i, b) in snapshot.bins.iter().enumerate() {
+            if b.replicas == 0 && holds[b.kind] > 0 && self.allowed(request, b) {
+                fits[b.zone.min(zones - 1)].push((b.free.holds(&request.task), holds[b.kind], i));
             }
         }
         let mut best: Option<(u32, u32, Vec<usize>)> = None;
@@ -242,11 +261,11 @@
             && room >= count
         {
             if self.tuning.use_for_backfill {
-                self.lend(&taken, plan, now);
+                self.lend(&taken, snapshot, now);
             }
             for i in taken {
-                plan.bins[i].wanted = true;
-                plan.bins[i].free = Resources::default();
+                snapshot.bins[i].wanted = true;
+                snapshot.bins[i].free = Resources::default();
             }
         }
     }
--- a/crates/hopyoke-scheduler/src/plan/offers.rs
+++ b/crates/hopyoke-scheduler/src/placement/instance_offers.rs
@@ -1,7 +1,7 @@
 //! Which kinds of machine can be rented, and which is the cheapest for a job.
 
-use super::needs::Needs;
-use super::view::{Bin, OfferView, Plan};
+use super::request::PlacementRequest;
+use super::snapshot::{Bin, ClusterSnapshot, OfferView};
 use crate::Scheduler;
 use crate::autoscale::scale_out::Offer;
 use hopyoke_types::Micros;
@@ -9,26 +9,26 @@
 /// A kind of machine that other work has no alternative to counts as so much dearer.
 const NICHE_BURDEN: f64 = 1.25;
 
-impl Plan {
+impl ClusterSnapshot {
     /// The cheapest offer per task that the job can place on it.
     pub(super) fn best_offer(
         &self,
-        needs: &Needs,
+        request: &PlacementRequest,
         zone: Option<usize>,
         left: u32,
     ) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
         for (i, o) in self.offers.iter().enumerate() {
-            if !needs.kinds[o.kind]
-                || (o.spot && !needs.spec.spot)
+            if !request.kinds[o.kind]
+                || (o.spot && !request.spec.spot)
                 || zone.is_some_and(|want| want != o.zone)
-                || needs.zone.is_some_and(|want| want != o.zone)
-                || !needs.zone_allows(o.zone)
+                || request.zone.is_some_and(|want| want != o.zone)
+                || !request.zone_allows(o.zone)
             {
                 continue;
             }
-            let allocations = self.kinds[o.kind].holds(&needs.task).min(left.max(1));
-            let avoided = self.fragmentation.avoids(o.kind, needs.choices);
+            let allocations = self.kinds[o.kind].holds(&request.task).min(left.max(1));
+            let avoided = self.fragmentation.avoids(o.kind, request.choices);
             let cost = o.cost * if avoided { NICHE_BURDEN } else { 1.0 } / f64::from(allocations);
             if allocations > 0 && best.is_none_or(|(c, _)| cost < c) {
                 best = Some((cost, i));
@@ -40,11 +40,11 @@
     /// Counts on one more machine for a task of the job; its bin.
     pub(super) fn open_new(
         &mut self,
-        needs: &Needs,
+        request: &PlacementRequest,
         zone: Option<usize>,
         left: u32,
     ) -> Option<usize> {
-        let offer = self.best_offer(needs, zone, left)?;
+        let offer = self.best_offer(request, zone, left)?;
         self.demand[offer] += 1;
         let o = &self.offers[offer];
         self.bins
--- a/crates/hopyoke-scheduler/src/plan/mod.rs
+++ b/crates/hopyoke-scheduler/src/placement/mod.rs
@@ -9,26 +9,30 @@
 //! once per job, not once per task.
 
 mod defragment;
-mod each;
 mod estimates;
+pub mod fragmentation;
 mod gang;
-mod needs;
-mod offers;
-mod preempt;
+mod instance_offers;
+mod preemption;
+mod queue;
+pub mod queue_order;
+mod request;
+pub mod reservation;
+mod snapshot;
+pub(crate) mod starvation;
 mod stop_finished;
-mod turns;
-mod view;
+mod tasks;
 
-use super::amounts::{Resources, Team};
 use super::{Job, Scheduler};
 use crate::autoscale::scale_out::Demand;
 use crate::ledger::{Allocation, AllocationState, WaitReason};
+use crate::resources::{Resources, Team};
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
+use snapshot::ClusterSnapshot;
 use std::collections::BTreeMap;
 use tracing::{debug, info};
-use view::Plan;
 
 /// A job in the order of placement: class of importance, priority, acceptance.
 type Keyed = ((u8, Priority, u64), JobId);
@@ -60,16 +64,16 @@
 
 impl Scheduler {
     /// Makes a plan, starts what it can, and says which machines to rent.
-    pub(super) fn plan(&mut self, now: Micros) -> Demand {
+    pub(crate) fn run_placement_cycle(&mut self, now: Micros) -> Demand {
         self.plan_schedule.count_plan();
         self.add_visited(self.jobs.len() + 2 * self.machines.len());
         self.update_provisioning_states(now);
         let order = self.order(now);
-        let mut plan = self.new_plan(&order, now);
+        let mut snapshot = self.new_plan(&order, now);
         // A task on a machine whose job we don't know may belong to any team: until it is gone
         // (it has been told to stop) nothing that counts against a limit is started.
-        let orphaned = plan.orphaned;
-        let unbounded = !self.charge_unknown(&mut plan);
+        let orphaned = snapshot.orphaned;
+        let unbounded = !self.charge_unknown(&mut snapshot);
         for Turn { id, first } in order {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
@@ -83,12 +87,12 @@
             } else if (orphaned || unbounded) && self.limited(&job.spec.team) {
                 Some(WaitReason::Reconciliation)
             } else if first {
-                self.place_first(&id, &mut plan, now);
+                self.place_first(&id, &mut snapshot, now);
                 continue;
             } else if job.is_gang() {
-                self.place_gang(&id, &mut plan, now)
+                self.place_gang(&id, &mut snapshot, now)
             } else {
-                self.place_each(&id, &mut plan, now)
+                self.place_each(&id, &mut snapshot, now)
             };
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.wait_reason = why;
@@ -97,24 +101,24 @@
         }
         if now >= self.next_fleet_log_at {
             self.next_fleet_log_at = now + Micros::from_secs(5);
-            plan.tell();
+            snapshot.tell();
         }
-        for s in std::mem::take(&mut plan.starts) {
+        for s in std::mem::take(&mut snapshot.starts) {
             self.start(s, now);
         }
-        for (machine, (task, attempt)) in std::mem::take(&mut plan.victims) {
+        for (machine, (task, attempt)) in std::mem::take(&mut snapshot.victims) {
             info!(machine = %machine, task = %task, "preempted for a production task");
             self.stop_allocation(&machine, &task.job, task.index, attempt, 0.0);
         }
-        self.defragment(&plan, now);
-        let offers = plan
+        self.defragment(&snapshot, now);
+        let offers = snapshot
             .offers
             .into_iter()
-            .zip(plan.demand)
+            .zip(snapshot.demand)
             .filter(|(_, n)| *n > 0);
         Demand {
             offers: offers.map(|(o, n)| (o.offer, n)).collect(),
-            reserved_machines: plan
+            reserved_machines: snapshot
                 .bins
                 .into_iter()
                 .filter(|b| b.wanted)
@@ -123,8 +127,8 @@
         }
     }
 
-    fn new_plan(&mut self, order: &[Turn], now: Micros) -> Plan {
-        let mut plan = Plan {
+    fn new_plan(&mut self, order: &[Turn], now: Micros) -> ClusterSnapshot {
+        let mut snapshot = ClusterSnapshot {
             bins: Vec::with_capacity(self.machines.len() + 64),
             open: Vec::new(),
             images: Vec::new(),
@@ -143,8 +147,8 @@
             soon: None,
             fragmentation: self.fragmentation(order),
         };
-        plan.demand = vec![0; plan.offers.len()];
-        self.fill_bins(&mut plan, now);
+        snapshot.demand = vec![0; snapshot.offers.len()];
+        self.fill_bins(&mut snapshot, now);
         // Bins without room even for the smallest waiting task need no second look.
         let least = order
             .iter()
@@ -156,11 +160,11 @@
                 memory_gb: a.memory_gb.min(b.memory_gb),
             });
         if let Some(least) = least {
-            plan.open = (0..plan.bins.len())
-                .filter(|&i| least.fits_in(&plan.bins[i].free))
+            snapshot.open = (0..snapshot.bins.len())
+                .filter(|&i| least.fits_in(&snapshot.bins[i].free))
                 .collect();
         }
-        plan
+        snapshot
     }
 
     fn limited(&self, team: &str) -> bool {
@@ -181,7 +185,7 @@
     /// names any more. They hold no more than the machines have, for workers refuse what has no
     /// room; so that is charged to every team. False if even that is not known.
     /// (Guards `quota`; scenario cancelled_before_failover_uses_quota.)
-    fn charge_unknown(&self, plan: &mut Plan) -> bool {
+    fn charge_unknown(&self, snapshot: &mut ClusterSnapshot) -> bool {
         if !self.is_reconciling() {
             return true;
         }
@@ -192,7 +196,7 @@
             };
             most = most + Resources::of_type(t);
         }
-        for used in &mut plan.used {
+        for used in &mut snapshot.used {
             *used = *used + most;
         }
         !self.registry.has_unreadable_pages()
@@ -266,14 +270,14 @@
         let need = job.task.times(f64::from(job.unplaced_tasks()));
         let part = |need: f64, most: f64| if most > 0.0 { need / most } else { 0.0 };
         let part = part(need.cpus, team.cpus_max).max(part(need.gpus, team.gpus_max));
-        crate::starvation::is_due(part, self.ago(job.accepted_us, now))
+        crate::placement::starvation::is_due(part, self.ago(job.accepted_us, now))
     }
 
     /// An array that has waited so long that one of its tasks is to begin before all others of its importance.
     /// (Scenario largest_arrays_begin.)
     fn is_overdue(&self, job: &Job, now: Micros) -> bool {
         let begun = !job.attempts.is_empty() || job.done.count() > 0;
-        !begun && crate::starvation::is_overdue(self.ago(job.accepted_us, now))
+        !begun && crate::placement::starvation::is_overdue(self.ago(job.accepted_us, now))
     }
 
     /// Puts an attempt on a machine; its start order goes out with the next orders.
--- a/crates/hopyoke-scheduler/src/plan/preempt.rs
+++ b/crates/hopyoke-scheduler/src/placement/preemption.rs
@@ -1,11 +1,11 @@
 //! Room for production work by stopping tasks of arrays.
 
 use super::TaskKey;
-use super::needs::Needs;
-use super::view::Plan;
+use super::request::PlacementRequest;
+use super::snapshot::ClusterSnapshot;
 use crate::Scheduler;
-use crate::amounts::Resources;
 use crate::ledger::Allocation;
+use crate::resources::Resources;
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::Micros;
 
@@ -16,24 +16,29 @@
     /// Makes room for a production task on a machine that is up by stopping tasks of arrays of
     /// lower priority: nobody else is preempted, for arrays lose least. The room is taken in the
     /// plan; the task starts once the others have exited. Returns the zone.
-    pub(super) fn preempt(&self, needs: &Needs, plan: &mut Plan, now: Micros) -> Option<usize> {
-        if plan.preempt_searches >= self.tuning.preempt_searches {
+    pub(super) fn preempt(
+        &self,
+        request: &PlacementRequest,
+        snapshot: &mut ClusterSnapshot,
+        now: Micros,
+    ) -> Option<usize> {
+        if snapshot.preempt_searches >= self.tuning.preempt_searches {
             return None;
         }
-        plan.preempt_searches += 1;
-        self.add_visited(plan.bins.len());
+        snapshot.preempt_searches += 1;
+        self.add_visited(snapshot.bins.len());
         let mut best: Option<Room> = None;
-        for (i, bin) in plan.bins.iter().enumerate() {
+        for (i, bin) in snapshot.bins.iter().enumerate() {
             if !bin.ready
-                || !needs
+                || !request
                     .task
                     .fits_in(&(bin.free + bin.freeing + bin.preemptible))
-                || !self.allowed(needs, bin)
-                || !needs.zone_allows(bin.zone)
+                || !self.allowed(request, bin)
+                || !request.zone_allows(bin.zone)
             {
                 continue;
             }
-            let image = if plan.has_image(bin, needs.image) {
+            let image = if snapshot.has_image(bin, request.image) {
                 0.0
             } else {
                 1000.0
@@ -51,25 +56,25 @@
                 .allocations()
                 .iter()
                 .filter(|(k, s)| {
-                    s.is_live() && s.stop.is_none() && !plan.victims.iter().any(|v| v.1 == **k)
+                    s.is_live() && s.stop.is_none() && !snapshot.victims.iter().any(|v| v.1 == **k)
                 })
                 .filter(|(_, s)| {
                     s.spec.as_ref().is_some_and(|v| {
-                        v.kind == JobKind::Array && v.priority > needs.spec.priority
+                        v.kind == JobKind::Array && v.priority > request.spec.priority
                     })
                 })
                 .map(|(k, s)| (self.work_lost(k, s, now), k, s))
                 .collect();
             candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
             for (ran, key, allocation) in candidates {
-                if needs.task.fits_in(&room) {
+                if request.task.fits_in(&room) {
                     break;
                 }
                 room = room + allocation.resources();
                 lost += ran + 1.0;
                 victims.push(key.clone());
             }
-            if !needs.task.fits_in(&room) {
+            if !request.task.fits_in(&room) {
                 continue;
             }
             let cost = image + lost;
@@ -78,7 +83,7 @@
             }
         }
         let (_, i, victims) = best?;
-        let bin = &mut plan.bins[i];
+        let bin = &mut snapshot.bins[i];
         let machine = bin.machine.clone()?;
         let freed = victims
             .iter()
@@ -86,12 +91,13 @@
             .map(Allocation::resources);
         let freed = freed.fold(Resources::default(), |a, b| a + b);
         // Room that is promised to this task is neither free nor freeing for others.
-        bin.freeing = bin.freeing + bin.free + freed - needs.task;
+        bin.freeing = bin.freeing + bin.free + freed - request.task;
         bin.preemptible = bin.preemptible - freed;
         bin.free = Resources::default();
         bin.wanted = true;
-        plan.victims
+        snapshot
+            .victims
             .extend(victims.into_iter().map(|k| (machine.clone(), k)));
-        Some(plan.bins[i].zone)
+        Some(snapshot.bins[i].zone)
     }
 }
--- a/crates/hopyoke-scheduler/src/plan/turns.rs
+++ b/crates/hopyoke-scheduler/src/placement/queue.rs
@@ -1,7 +1,7 @@
-//! Whose turn it is inside a tenant (a team with a class): see [`crate::queue_order`].
+//! Whose turn it is inside a tenant (a team with a class): see [`crate::placement::queue_order`].
 
 use super::{Keyed, OVERDUE};
-use crate::queue_order::Waiting;
+use crate::placement::queue_order::Waiting;
 use crate::{Job, Scheduler};
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_types::Micros;
@@ -16,8 +16,8 @@
         let mut tenants: BTreeMap<(u8, Priority, &str, &str), usize> = BTreeMap::new();
         let (mut places, mut waiting) = (Vec::new(), Vec::new());
         for (place, ((class, priority, accepted_us), id)) in keyed.iter().enumerate() {
-            let turns = |j: &&Job| j.spec.kind != JobKind::Service && *accepted_us > OVERDUE;
-            let Some(job) = self.jobs.get(id).filter(turns) else {
+            let queue = |j: &&Job| j.spec.kind != JobKind::Service && *accepted_us > OVERDUE;
+            let Some(job) = self.jobs.get(id).filter(queue) else {
                 continue;
             };
             let spec = &job.spec;
@@ -32,7 +32,7 @@
                 waited: self.ago(*accepted_us, now),
             });
         }
-        let order = crate::queue_order::take_turns(&waiting);
+        let order = crate::placement::queue_order::take_turns(&waiting);
         let jobs: Vec<Keyed> = order
             .into_iter()
             .map(|i| keyed[places[i]].clone())
--- a/crates/hopyoke-scheduler/src/queue_order.rs
+++ b/crates/hopyoke-scheduler/src/placement/queue_order.rs
@@ -52,9 +52,9 @@
             let waited = (jobs[*i].waited + HEAD_START).as_secs_f64();
             work(i).max(least) / waited
         };
-        let mut turns: Vec<(f64, usize)> = own.iter().map(|i| (ratio(i), *i)).collect();
-        turns.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (place, (_, job)) in own.into_iter().zip(turns) {
+        let mut queue: Vec<(f64, usize)> = own.iter().map(|i| (ratio(i), *i)).collect();
+        queue.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        for (place, (_, job)) in own.into_iter().zip(queue) {
             order[place] = job;
         }
     }
--- a/crates/hopyoke-scheduler/src/plan/needs.rs
+++ b/crates/hopyoke-scheduler/src/placement/request.rs
@@ -1,18 +1,18 @@
 //! What the placement of one job must look at, and the bins that it may use.
 
 use super::Turn;
-use super::view::{Bin, Plan};
+use super::snapshot::{Bin, ClusterSnapshot};
 use crate::Scheduler;
-use crate::amounts::Resources;
-use crate::fragmentation::Fragmentation;
 use crate::ledger::ImageKey;
+use crate::placement::fragmentation::Fragmentation;
+use crate::resources::Resources;
 use hopyoke_protocol::user::{JobKind, JobSpec, Priority};
 use hopyoke_types::JobId;
 use std::rc::Rc;
 
 /// What the placement of one job must look at.
 #[derive(Clone)]
-pub(super) struct Needs {
+pub(super) struct PlacementRequest {
     pub(super) id: JobId,
     pub(super) spec: Rc<JobSpec>,
     pub(super) task: Resources,
@@ -32,7 +32,7 @@
     pub(super) zones: Vec<u32>,
 }
 
-impl Needs {
+impl PlacementRequest {
     /// The job's zone rules allow one more task in this zone, given where its others are.
     /// (Guards `wrong_place`.)
     pub(super) fn zone_allows(&self, zone: usize) -> bool {
@@ -63,21 +63,21 @@
     /// The best bin that still has room, in a zone that the job's rules allow.
     pub(super) fn best(
         &mut self,
-        needs: &Needs,
-        plan: &Plan,
+        request: &PlacementRequest,
+        snapshot: &ClusterSnapshot,
         score: impl Fn(&Bin) -> f64,
     ) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
         for (list, next) in self.lists.iter().zip(&mut self.next) {
             while list
                 .get(*next)
-                .is_some_and(|&b| !needs.task.fits_in(&plan.bins[b].free))
+                .is_some_and(|&b| !request.task.fits_in(&snapshot.bins[b].free))
             {
                 *next += 1;
             }
             let Some(&b) = list.get(*next) else { continue };
-            let bin = &plan.bins[b];
-            if needs.cares_for_zones() && !needs.zone_allows(bin.zone) {
+            let bin = &snapshot.bins[b];
+            if request.cares_for_zones() && !request.zone_allows(bin.zone) {
                 continue;
             }
             let value = score(bin);
@@ -97,10 +97,10 @@
 }
 
 impl Scheduler {
-    pub(super) fn needs(&self, id: &JobId) -> Option<Needs> {
+    pub(super) fn request(&self, id: &JobId) -> Option<PlacementRequest> {
         let job = self.jobs.get(id)?;
         let kinds: Vec<bool> = self.kinds_of(&job.spec).collect();
-        let mut needs = Needs {
+        let mut request = PlacementRequest {
             id: id.clone(),
             spec: job.spec.clone(),
             task: job.task,
@@ -113,14 +113,14 @@
             spare_ordinary: false,
             zones: vec![0; self.cfg.zones.len() + 1],
         };
-        if needs.cares_for_zones() {
+        if request.cares_for_zones() {
             for (machine, _) in job.attempts.values().flatten() {
                 if let Some(m) = self.machines.get(machine) {
-                    needs.zones[self.cfg.zone_index(&m.zone)] += 1;
+                    request.zones[self.cfg.zone_index(&m.zone)] += 1;
                 }
             }
         }
-        Some(needs)
+        Some(request)
     }
 
     /// Which types hold a task of the job, by their place in the catalog.
@@ -149,13 +149,13 @@
     }
 
     /// The job may use this machine.
-    pub(super) fn allowed(&self, needs: &Needs, bin: &Bin) -> bool {
-        needs.kinds[bin.kind]
-            && needs.zone.is_none_or(|z| z == bin.zone)
-            && (needs.spec.spot || !bin.spot)
-            && !(needs.spare_ordinary && !bin.spot && bin.empty)
-            && !(bin.returning && needs.spec.priority == Priority::Production)
-            && (needs.is_crash_looping || !bin.failed || !self.failed_on(bin, &needs.id))
+    pub(super) fn allowed(&self, request: &PlacementRequest, bin: &Bin) -> bool {
+        request.kinds[bin.kind]
+            && request.zone.is_none_or(|z| z == bin.zone)
+            && (request.spec.spot || !bin.spot)
+            && !(request.spare_ordinary && !bin.spot && bin.empty)
+            && !(bin.returning && request.spec.priority == Priority::Production)
+            && (request.is_crash_looping || !bin.failed || !self.failed_on(bin, &request.id))
     }
 
     pub(super) fn failed_on(&self, bin: &Bin, job: &JobId) -> bool {
@@ -164,21 +164,26 @@
     }
 
     /// All bins that have room for a task of the job, best first.
-    pub(super) fn candidates(&self, needs: &Needs, plan: &Plan, zone: Option<usize>) -> Candidates {
-        self.add_visited(plan.open.len());
-        let zones = if needs.cares_for_zones() {
+    pub(super) fn candidates(
+        &self,
+        request: &PlacementRequest,
+        snapshot: &ClusterSnapshot,
+        zone: Option<usize>,
+    ) -> Candidates {
+        self.add_visited(snapshot.open.len());
+        let zones = if request.cares_for_zones() {
             self.cfg.zones.len() + 1
         } else {
             1
         };
         let mut scored: Vec<Vec<(f64, usize)>> = vec![Vec::new(); zones];
-        for &i in &plan.open {
-            let b = &plan.bins[i];
-            if needs.task.fits_in(&b.free)
+        for &i in &snapshot.open {
+            let b = &snapshot.bins[i];
+            if request.task.fits_in(&b.free)
                 && zone.is_none_or(|z| z == b.zone)
-                && self.allowed(needs, b)
+                && self.allowed(request, b)
             {
-                scored[b.zone.min(zones - 1)].push((plan.score(needs, b), i));
+                scored[b.zone.min(zones - 1)].push((snapshot.score(request, b), i));
             }
         }
         let lists: Vec<Vec<usize>> = scored
--- a/crates/hopyoke-scheduler/src/plan/view.rs
+++ b/crates/hopyoke-scheduler/src/placement/snapshot.rs
@@ -1,13 +1,13 @@
 //! What one plan sees and changes: bins (machines, real or yet to be rented), offers, use by team.
 
-use super::needs::Needs;
+use super::request::PlacementRequest;
 use super::{Start, TaskKey};
 use crate::Scheduler;
-use crate::amounts::{Resources, Team};
+use crate::autoscale::provisioning::ProvisioningState;
 use crate::autoscale::scale_out::Offer;
-use crate::fragmentation::Fragmentation;
 use crate::ledger::{ImageKey, MachinePhase};
-use crate::provisioning::ProvisioningState;
+use crate::placement::fragmentation::Fragmentation;
+use crate::resources::{Resources, Team};
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::{JobId, MachineId, Micros};
 use std::collections::BTreeMap;
@@ -63,7 +63,7 @@
 }
 
 /// A plan in the making.
-pub(super) struct Plan {
+pub(super) struct ClusterSnapshot {
     pub(super) bins: Vec<Bin>,
     /// Bins that had room for the smallest waiting task, and all new ones.
     pub(super) open: Vec<usize>,
@@ -153,7 +153,7 @@
     }
 }
 
-impl Plan {
+impl ClusterSnapshot {
     pub(super) fn has_image(&self, bin: &Bin, image: ImageKey) -> bool {
         bin.latest == Some(image) || self.had_image(bin, image)
     }
@@ -164,12 +164,12 @@
         self.images[first as usize..end as usize].contains(&image)
     }
 
-    pub(super) fn score(&self, needs: &Needs, bin: &Bin) -> f64 {
+    pub(super) fn score(&self, request: &PlacementRequest, bin: &Bin) -> f64 {
         let mut score = 0.0;
         if bin.ready {
             score += 1000.0;
         }
-        if self.has_image(bin, needs.image) {
+        if self.has_image(bin, request.image) {
             score += 100.0;
         }
         // Work that may use spot machines leaves the ordinary ones to work that may not.
@@ -180,19 +180,19 @@
             score += 20.0;
         }
         // Work that has a choice leaves room to work that has none.
-        if self.fragmentation.avoids(bin.kind, needs.choices) {
+        if self.fragmentation.avoids(bin.kind, request.choices) {
             score -= 60.0;
         }
-        if needs.spec.kind == JobKind::Service {
+        if request.spec.kind == JobKind::Service {
             // Replicas stay long: packed together they leave whole machines to gangs, and to be
             // returned. Spread over zones, one zone's end takes few of a job's.
             if bin.replicas > 0 {
                 score += 70.0;
             }
-            score -= 30.0 * f64::from(needs.zones[bin.zone]);
+            score -= 30.0 * f64::from(request.zones[bin.zone]);
         }
         // Best fit.
-        score - (bin.free.gpus - needs.task.gpus) - (bin.free.cpus - needs.task.cpus) / 16.0
+        score - (bin.free.gpus - request.task.gpus) - (bin.free.cpus - request.task.cpus) / 16.0
     }
 
     /// Says how the fleet is used once this plan's tasks run; for finding out what is paid in vain.
@@ -223,9 +223,11 @@
     }
 
     /// Charges `n` tasks to their team unless that exceeds its limit.
-    pub(super) fn charge(&mut self, needs: &Needs, n: u32, teams: &[Team]) -> bool {
-        let Some(team) = needs.team else { return false };
-        let sum = self.used[team] + needs.task.times(f64::from(n));
+    pub(super) fn charge(&mut self, request: &PlacementRequest, n: u32, teams: &[Team]) -> bool {
+        let Some(team) = request.team else {
+            return false;
+        };
+        let sum = self.used[team] + request.task.times(f64::from(n));
         if !teams[team].allows(&sum) {
             return false;
         }
@@ -233,40 +235,40 @@
         true
     }
 
-    pub(super) fn refund(&mut self, needs: &Needs, n: u32) {
-        if let Some(team) = needs.team {
-            self.used[team] = self.used[team] - needs.task.times(f64::from(n));
+    pub(super) fn refund(&mut self, request: &PlacementRequest, n: u32) {
+        if let Some(team) = request.team {
+            self.used[team] = self.used[team] - request.task.times(f64::from(n));
         }
     }
 
     /// What was taken on machines that are up, for a gang whose others still boot, is free for others.
-    pub(super) fn lend_ready(&mut self, needs: &Needs, bins: &[usize]) {
+    pub(super) fn lend_ready(&mut self, request: &PlacementRequest, bins: &[usize]) {
         for &bin in bins {
             let b = &mut self.bins[bin];
             if b.ready {
-                b.free = b.free + needs.task;
+                b.free = b.free + request.task;
             }
         }
-        self.refund(needs, bins.len() as u32);
+        self.refund(request, bins.len() as u32);
     }
 
-    pub(super) fn take(&mut self, bin: usize, needs: &mut Needs) {
+    pub(super) fn take(&mut self, bin: usize, request: &mut PlacementRequest) {
         let b = &mut self.bins[bin];
-        b.free = b.free - needs.task;
+        b.free = b.free - request.task;
         b.empty = false;
         b.reportable = b.reportable.saturating_sub(1);
         if b.reportable == 0 {
             b.free = Resources::default();
         }
-        b.replicas += u32::from(needs.spec.kind == JobKind::Service);
-        b.latest = Some(needs.image);
+        b.replicas += u32::from(request.spec.kind == JobKind::Service);
+        b.latest = Some(request.image);
         b.wanted = true;
-        needs.zones[b.zone] += 1;
+        request.zones[b.zone] += 1;
     }
 }
 
 impl Scheduler {
-    pub(super) fn fill_bins(&mut self, plan: &mut Plan, now: Micros) {
+    pub(super) fn fill_bins(&mut self, snapshot: &mut ClusterSnapshot, now: Micros) {
         let quiet = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(2);
         let Scheduler {
             machines,
@@ -277,9 +279,9 @@
         } = self;
         for m in machines.values_mut() {
             let load = m.load(&cfg.teams);
-            plan.orphaned |= load.orphaned;
+            snapshot.orphaned |= load.orphaned;
             for (team, amounts) in &load.teams {
-                let used = &mut plan.used[usize::from(*team)];
+                let used = &mut snapshot.used[usize::from(*team)];
                 *used = *used + *amounts;
             }
             let fresh = m.phase == MachinePhase::Up && now < m.last_seen + quiet;
@@ -301,16 +303,16 @@
                 continue;
             };
             let reportable = MOST_REPORTED.saturating_sub(m.allocations().len());
-            let first = plan.images.len() as u32;
-            plan.images.extend_from_slice(&load.images);
-            plan.bins.push(Bin {
+            let first = snapshot.images.len() as u32;
+            snapshot.images.extend_from_slice(&load.images);
+            snapshot.bins.push(Bin {
                 machine: Some(m.id.clone()),
                 ready: fresh && m.is_registered && m.is_reconciled(*token),
                 kind,
                 zone: cfg.zone_index(&m.zone),
                 spot: m.spot,
                 free: if reportable > 0 {
-                    plan.kinds[kind] - load.used
+                    snapshot.kinds[kind] - load.used
                 } else {
                     Resources::default()
                 },
@@ -319,7 +321,7 @@
                 replicas: load.replicas,
                 freeing: load.freeing,
                 preemptible: load.preemptible,
-                images: (first, plan.images.len() as u32),
+                images: (first, snapshot.images.len() as u32),
                 latest: None,
                 failed: !m.failed_jobs.is_empty(),
                 // Its lease has lapsed, but its zone is cut off and it may be back.
@@ -333,8 +335,9 @@
             if let Some(kind) = self.types.iter().position(|t| t.name == offer.machine_type) {
                 let zone = self.cfg.zone_index(&offer.zone);
                 for _ in 0..n {
-                    plan.bins
-                        .push(Bin::rented(kind, zone, offer.spot, plan.kinds[kind]));
+                    snapshot
+                        .bins
+                        .push(Bin::rented(kind, zone, offer.spot, snapshot.kinds[kind]));
                 }
             }
         }
--- a/crates/hopyoke-scheduler/src/plan/each.rs
+++ b/crates/hopyoke-scheduler/src/placement/tasks.rs
@@ -1,7 +1,7 @@
 //! Arrays and services: each task gets a place for itself.
 
 use super::Start;
-use super::view::Plan;
+use super::snapshot::ClusterSnapshot;
 use crate::Scheduler;
 use crate::ledger::WaitReason;
 use crate::reconcile::restart_check::RestartDecision;
@@ -17,15 +17,15 @@
     pub(super) fn place_each(
         &mut self,
         id: &JobId,
-        plan: &mut Plan,
+        snapshot: &mut ClusterSnapshot,
         now: Micros,
     ) -> Option<WaitReason> {
-        let (Some(mut needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else {
+        let (Some(mut request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
             return None;
         };
-        let begun = plan.begun.get(id).copied();
+        let begun = snapshot.begun.get(id).copied();
         if let Some((_, zone)) = begun {
-            needs.zones[zone] += 1;
+            request.zones[zone] += 1;
         }
         let (mut unknown, mut soon) = (false, false);
         let mut startable = Vec::new();
@@ -45,7 +45,7 @@
                 RestartDecision::Reconnect | RestartDecision::AcceptResult => {}
             }
         }
-        if needs.is_crash_looping {
+        if request.is_crash_looping {
             // It failed on several machines: one task at a time shows whether it still does, on room that
             // is there. Nothing is rented or stopped for it. (Guards against arrays with a mistake that
             // fill the fleet again after each backoff; scenario failing_array_tried_singly.)
@@ -56,52 +56,54 @@
         }
         let mut left = startable.len() as u32;
         // A zone rule must not be broken by tasks that nobody has reported yet.
-        if unknown && (needs.spec.spread || needs.spec.one_zone) {
+        if unknown && (request.spec.spread || request.spec.one_zone) {
             return Some(WaitReason::Reconciliation);
         }
-        needs.spare_ordinary = plan.keeps_room
-            && needs.spec.spot
-            && plan
-                .best_offer(&needs, None, 1)
-                .is_some_and(|o| plan.offers[o].spot);
-        let mut candidates = self.candidates(&needs, plan, None);
-        let production = needs.spec.priority == Priority::Production;
+        request.spare_ordinary = snapshot.keeps_room
+            && request.spec.spot
+            && snapshot
+                .best_offer(&request, None, 1)
+                .is_some_and(|o| snapshot.offers[o].spot);
+        let mut candidates = self.candidates(&request, snapshot, None);
+        let production = request.spec.priority == Priority::Production;
         for index in startable {
-            if !plan.charge(&needs, 1, &self.cfg.teams) {
+            if !snapshot.charge(&request, 1, &self.cfg.teams) {
                 return Some(WaitReason::TeamLimit);
             }
-            let found = candidates.best(&needs, plan, |b| plan.score(&needs, b));
+            let found = candidates.best(&request, snapshot, |b| snapshot.score(&request, b));
             let bin = match found {
-                Some(bin) if plan.bins[bin].ready => bin,
+                Some(bin) if snapshot.bins[bin].ready => bin,
                 _ => {
-                    if production && let Some(zone) = self.preempt(&needs, plan, now) {
-                        needs.zones[zone] += 1;
+                    if production && let Some(zone) = self.preempt(&request, snapshot, now) {
+                        request.zones[zone] += 1;
                         left -= 1;
                         continue;
                     }
                     if self.tuning.use_for_backfill
-                        && let Some((bin, image)) = self.borrow_room(&needs, plan)
+                        && let Some((bin, image)) = self.borrow_room(&request, snapshot)
                     {
                         left -= 1;
-                        self.start_on(bin, id, index, image, plan, now);
+                        self.start_on(bin, id, index, image, snapshot, now);
                         continue;
                     }
                     match found {
                         Some(bin) => bin,
-                        None if self.tuning.use_for_demand && self.room_soon(&needs, plan, now) => {
+                        None if self.tuning.use_for_demand
+                            && self.room_soon(&request, snapshot, now) =>
+                        {
                             // Its room is on its way: it is looked for again then.
-                            plan.refund(&needs, 1);
+                            snapshot.refund(&request, 1);
                             left -= 1;
                             soon = true;
                             continue;
                         }
-                        None => match plan.open_new(&needs, None, left) {
+                        None => match snapshot.open_new(&request, None, left) {
                             Some(bin) => {
-                                candidates.put_first(bin, plan.bins[bin].zone);
+                                candidates.put_first(bin, snapshot.bins[bin].zone);
                                 bin
                             }
                             None => {
-                                plan.refund(&needs, 1);
+                                snapshot.refund(&request, 1);
                                 return Some(WaitReason::Machines);
                             }
                         },
@@ -109,25 +111,25 @@
                 }
             };
             left -= 1;
-            let image = plan.has_image(&plan.bins[bin], needs.image);
-            plan.take(bin, &mut needs);
-            if plan.bins[bin].ready {
-                self.start_on(bin, id, index, image, plan, now);
+            let image = snapshot.has_image(&snapshot.bins[bin], request.image);
+            snapshot.take(bin, &mut request);
+            if snapshot.bins[bin].ready {
+                self.start_on(bin, id, index, image, snapshot, now);
             }
         }
         for index in ahead {
             let bin = candidates
-                .best(&needs, plan, |b| plan.score(&needs, b))
-                .filter(|b| plan.bins[*b].ready);
-            let Some(bin) = bin.filter(|_| plan.charge(&needs, 1, &self.cfg.teams)) else {
+                .best(&request, snapshot, |b| snapshot.score(&request, b))
+                .filter(|b| snapshot.bins[*b].ready);
+            let Some(bin) = bin.filter(|_| snapshot.charge(&request, 1, &self.cfg.teams)) else {
                 break;
             };
-            let image = plan.has_image(&plan.bins[bin], needs.image);
-            plan.take(bin, &mut needs);
-            self.start_on(bin, id, index, image, plan, now);
+            let image = snapshot.has_image(&snapshot.bins[bin], request.image);
+            snapshot.take(bin, &mut request);
+            self.start_on(bin, id, index, image, snapshot, now);
         }
         match (unknown, soon) {
-            _ if needs.is_crash_looping => Some(WaitReason::SingleTaskTrial),
+            _ if request.is_crash_looping => Some(WaitReason::SingleTaskTrial),
             (true, _) => Some(WaitReason::Reconciliation),
             (_, true) => Some(WaitReason::EndingTasks),
             _ => None,
@@ -135,29 +137,31 @@
     }
 
     /// Lets an array that is overdue begin, with one task on room that is there: nothing is rented or stopped for it.
-    pub(super) fn place_first(&mut self, id: &JobId, plan: &mut Plan, now: Micros) {
-        let (Some(mut needs), Some(job)) = (self.needs(id), self.jobs.get(id)) else {
+    pub(super) fn place_first(&mut self, id: &JobId, snapshot: &mut ClusterSnapshot, now: Micros) {
+        let (Some(mut request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
             return;
         };
         let index = job.done.first_missing();
-        if needs.is_crash_looping || self.check(job, index) != RestartDecision::Restart {
+        if request.is_crash_looping || self.check(job, index) != RestartDecision::Restart {
             return;
         }
         // Most that are overdue wait for their team's limit: no bins are looked at for them.
-        if !plan.charge(&needs, 1, &self.cfg.teams) {
+        if !snapshot.charge(&request, 1, &self.cfg.teams) {
             return;
         }
-        let mut candidates = self.candidates(&needs, plan, None);
+        let mut candidates = self.candidates(&request, snapshot, None);
         let bin = candidates
-            .best(&needs, plan, |b| plan.score(&needs, b))
-            .filter(|b| plan.bins[*b].ready);
+            .best(&request, snapshot, |b| snapshot.score(&request, b))
+            .filter(|b| snapshot.bins[*b].ready);
         let Some(bin) = bin else {
-            return plan.refund(&needs, 1);
+            return snapshot.refund(&request, 1);
         };
-        let image = plan.has_image(&plan.bins[bin], needs.image);
-        plan.take(bin, &mut needs);
-        plan.begun.insert(id.clone(), (index, plan.bins[bin].zone));
-        self.start_on(bin, id, index, image, plan, now);
+        let image = snapshot.has_image(&snapshot.bins[bin], request.image);
+        snapshot.take(bin, &mut request);
+        snapshot
+            .begun
+            .insert(id.clone(), (index, snapshot.bins[bin].zone));
+        self.start_on(bin, id, index, image, snapshot, now);
     }
 
     /// Has the plan start a task in a bin for which room was taken.
@@ -167,12 +171,12 @@
         job: &JobId,
         index: u32,
         image: bool,
-        plan: &mut Plan,
+        snapshot: &mut ClusterSnapshot,
         now: Micros,
     ) {
-        if let Some(machine) = plan.bins[bin].machine.clone() {
+        if let Some(machine) = snapshot.bins[bin].machine.clone() {
             let attempt = self.new_attempt(now);
-            plan.starts.push(Start {
+            snapshot.starts.push(Start {
                 job: job.clone(),
                 index,
                 machine,
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -2,7 +2,7 @@
 
 use super::attempts::forget_attempt;
 use crate::ledger::{Allocation, AllocationState, ImageKey};
-use crate::{Ranges, Scheduler};
+use crate::{Scheduler, TaskRanges};
 use hopyoke_protocol::user::JobKind;
 use hopyoke_protocol::worker::{ExitReason, Heartbeat, TaskState, TaskStatus};
 use hopyoke_run_times::RunOutcome;
@@ -157,7 +157,7 @@
             ExitReason::Done if job.spec.kind != JobKind::Service => {
                 if job.is_gang() {
                     // Gangs complete together.
-                    job.done = Ranges::all(job.spec.tasks);
+                    job.done = TaskRanges::all(job.spec.tasks);
                 } else if task.index < job.spec.tasks {
                     job.done.insert(task.index);
                 }
--- a/crates/hopyoke-scheduler/src/ranges.rs
+++ b/crates/hopyoke-scheduler/src/task_ranges.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ranges(Vec<(u32, u32)>);
+pub struct TaskRanges(Vec<(u32, u32)>);
 
 /// A range takes at most so many characters in a record.
 pub(crate) const RANGE_CHARS: usize = 14;
@@ -24,7 +24,7 @@
     Text(String),
 }
 
-impl Serialize for Ranges {
+impl Serialize for TaskRanges {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         if self.text_chars() < self.0.len() * RANGE_CHARS {
             return Form::Text(self.to_text()).serialize(s);
@@ -33,17 +33,17 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Ranges {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Ranges, D::Error> {
+impl<'de> Deserialize<'de> for TaskRanges {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<TaskRanges, D::Error> {
         match Form::deserialize(d)? {
-            Form::List(parts) => Ok(Ranges(parts)),
-            Form::Text(text) => Ranges::of_text(&text)
+            Form::List(parts) => Ok(TaskRanges(parts)),
+            Form::Text(text) => TaskRanges::of_text(&text)
                 .ok_or_else(|| serde::de::Error::custom("malformed set of task numbers")),
         }
     }
 }
 
-impl Ranges {
+impl TaskRanges {
     /// The first number that is missing.
     pub fn first_missing(&self) -> u32 {
         self.0.first().filter(|p| p.0 == 0).map_or(0, |p| p.1 + 1)
@@ -72,14 +72,14 @@
         format!("{first}:{}", STANDARD_NO_PAD.encode(bytes))
     }
 
-    fn of_text(text: &str) -> Option<Ranges> {
+    fn of_text(text: &str) -> Option<TaskRanges> {
         let (first, bits) = text.split_once(':')?;
         let first: u32 = first.parse().ok().filter(|f| *f <= MOST)?;
         let bytes = STANDARD_NO_PAD
             .decode(bits)
             .ok()
             .filter(|b| b.len() <= MOST as usize / 8 + 1)?;
-        let mut out = Ranges::all(first);
+        let mut out = TaskRanges::all(first);
         let set = |x: &u32| bytes[(x / 8) as usize] >> (x % 8) & 1 == 1;
         for x in (0..bytes.len() as u32 * 8).filter(set) {
             out.insert(first + x);
@@ -88,17 +88,17 @@
     }
 }
 
-impl Ranges {
-    pub fn all(n: u32) -> Ranges {
+impl TaskRanges {
+    pub fn all(n: u32) -> TaskRanges {
         if n == 0 {
-            Ranges::default()
+            TaskRanges::default()
         } else {
-            Ranges(vec![(0, n - 1)])
+            TaskRanges(vec![(0, n - 1)])
         }
     }
 
     /// Sorts and merges what was read from outside; drops what lies beyond `n`.
-    pub fn tidy(self, n: u32) -> Ranges {
+    pub fn tidy(self, n: u32) -> TaskRanges {
         let mut parts: Vec<_> = self
             .0
             .into_iter()
@@ -112,7 +112,7 @@
                 _ => out.push((a, b)),
             }
         }
-        Ranges(out)
+        TaskRanges(out)
     }
 
     pub fn contains(&self, x: u32) -> bool {
@@ -140,7 +140,7 @@
         true
     }
 
-    pub fn merge(&mut self, other: &Ranges) {
+    pub fn merge(&mut self, other: &TaskRanges) {
         for &(a, b) in &other.0 {
             for x in a..=b {
                 self.insert(x);
--- a/crates/hopyoke-scheduler/tests/fragmentation.rs
+++ b/crates/hopyoke-scheduler/tests/fragmentation.rs
@@ -1,6 +1,6 @@
 //! What has a choice gives way to what has none.
 
-use hopyoke_scheduler::fragmentation::Fragmentation;
+use hopyoke_scheduler::placement::fragmentation::Fragmentation;
 
 #[test]
 fn only_what_has_no_alternative_makes_a_niche() {
--- a/crates/hopyoke-scheduler/tests/frozen_forms.rs
+++ b/crates/hopyoke-scheduler/tests/frozen_forms.rs
@@ -5,7 +5,7 @@
 
 use frozen::{assert_read_as, assert_stored};
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState, Priority};
-use hopyoke_scheduler::{EndRecord, JobRecord, Ranges, RegistryPage};
+use hopyoke_scheduler::{EndRecord, JobRecord, RegistryPage, TaskRanges};
 use hopyoke_types::{Attempt, JobId, MachineId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -45,8 +45,8 @@
     }
 }
 
-fn ranges(numbers: impl IntoIterator<Item = u32>) -> Ranges {
-    let mut out = Ranges::default();
+fn ranges(numbers: impl IntoIterator<Item = u32>) -> TaskRanges {
+    let mut out = TaskRanges::default();
     for x in numbers {
         out.insert(x);
     }
@@ -92,7 +92,7 @@
     let older = JobRecord {
         spec: Rc::new(gang()),
         accepted_us: ACCEPTED_US,
-        done: Ranges::default(),
+        done: TaskRanges::default(),
         start_attempt: Attempt(0),
         has_start_marker: false,
         flow: false,
--- a/crates/hopyoke-scheduler/tests/queue_order.rs
+++ b/crates/hopyoke-scheduler/tests/queue_order.rs
@@ -1,6 +1,6 @@
 //! The order inside a tenant: most are served, nobody starves, and no other tenant notices.
 
-use hopyoke_scheduler::queue_order::{MOST_WAIT, Waiting, take_turns};
+use hopyoke_scheduler::placement::queue_order::{MOST_WAIT, Waiting, take_turns};
 use hopyoke_types::Micros;
 use proptest::prelude::*;
 
--- a/crates/hopyoke-scheduler/tests/reservation.rs
+++ b/crates/hopyoke-scheduler/tests/reservation.rs
@@ -1,6 +1,6 @@
 //! Room is kept, and never for long.
 
-use hopyoke_scheduler::reservation::Reservations;
+use hopyoke_scheduler::placement::reservation::Reservations;
 use hopyoke_types::Micros;
 use proptest::prelude::*;
 
