--- a/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
@@ -85,7 +85,7 @@
                 m.deleting = true;
                 if never_up && m.has_known_age && boot > Micros::ZERO {
                     let in_boots = |t: Micros| t.as_secs_f64() / boot.as_secs_f64();
-                    self.provisioning_estimator.given_up(
+                    self.provisioning_estimator.record_abandoned(
                         &m.machine_type,
                         in_boots(now - m.requested_at),
                         in_boots(now),
@@ -136,6 +136,6 @@
 fn is_never_up(m: &Machine, boot: Micros, tuning: &Tuning, now: Micros) -> bool {
     let patience = Micros((boot.0 as f64 * tuning.boot_patience) as u64);
     m.phase == MachinePhase::Provisioning
-        && (m.provisioning == ProvisioningState::Hopeless
+        && (m.provisioning == ProvisioningState::Failed
             || now >= m.requested_at + patience + Micros::from_secs(30))
 }
--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -215,7 +215,7 @@
             of_type.push(m);
         }
         for (kind, (nominal, ages, of_type)) in booting {
-            for (m, expected) in of_type.into_iter().zip(provisioning_estimator.judge(
+            for (m, expected) in of_type.into_iter().zip(provisioning_estimator.assess(
                 kind,
                 &ages,
                 now.as_secs_f64() / nominal,
@@ -227,9 +227,9 @@
                 }
                 // In a zone that is cut off it may be up without our hearing of it.
                 let may_be_up =
-                    expected == ProvisioningState::Hopeless && partitioned_zones.contains(&m.zone);
+                    expected == ProvisioningState::Failed && partitioned_zones.contains(&m.zone);
                 m.provisioning = if may_be_up {
-                    ProvisioningState::Late
+                    ProvisioningState::Overdue
                 } else {
                     expected
                 };
--- a/crates/hopyoke-scheduler/src/ledger/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -147,7 +147,7 @@
     /// A job whose record has this revision. `inherited`: an earlier leader may have started it.
     pub fn new(record: JobRecord, mod_revision: ModRevision, inherited: bool, now: Micros) -> Job {
         let inherited = inherited && record.may_have_started();
-        let done = record.done.tidy(record.spec.tasks);
+        let done = record.done.normalized(record.spec.tasks);
         Job {
             task: Resources::of_task(&record.spec),
             image: ImageKey::of(&record.spec.image),
@@ -196,7 +196,7 @@
             .attempts
             .last_key_value()
             .is_some_and(|(i, _)| *i >= tasks);
-        let placed = if self.done.parts() == 0 && !beyond {
+        let placed = if self.done.range_count() == 0 && !beyond {
             self.attempts.len()
         } else {
             self.attempts
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -32,7 +32,7 @@
 pub use persist::batch::{Batch, BatchError, RegistryPage, Write};
 pub use reconcile::heartbeats::HeartbeatReply;
 pub use reconcile::restart_check::RestartDecision;
-pub use resources::{Resources, Team, never_runs};
+pub use resources::{Resources, Team, unschedulable_reason};
 pub use run_times::{CapacityQuery, CompletedRun, CompletionEstimate};
 pub use task_ranges::TaskRanges;
 pub use tuning::Tuning;
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -209,7 +209,7 @@
             };
             let end = job.is_over();
             let cost = if end { 2 } else { 1 };
-            let size = 1500 + job.done.chars();
+            let size = 1500 + job.done.max_encoded_len();
             if !draft.has_room(cost, size) {
                 break;
             }
--- a/crates/hopyoke-scheduler/src/placement/estimates.rs
+++ b/crates/hopyoke-scheduler/src/placement/estimates.rs
@@ -1,50 +1,56 @@
-//! What learned run times are used for in a plan. Each use is a setting of its own; none decides
-//! a rule: what may be stopped, charged or placed is settled elsewhere.
+//! Uses of learned run times in placement.
+//!
+//! Each use has a setting of its own. None decides a rule: what may be stopped, charged or placed is settled elsewhere.
 
+use super::TaskKey;
+use super::queue::QueueEntry;
 use super::request::PlacementRequest;
-use super::snapshot::{ClusterSnapshot, Soon};
-use super::{Keyed, TaskKey};
+use super::snapshot::{BackfillRoom, ClusterSnapshot, ExpectedRoom};
 use crate::Scheduler;
-use crate::ledger::{Allocation, MachinePhase};
+use crate::ledger::{Allocation, Machine, MachinePhase};
 use crate::resources::Resources;
 use hopyoke_protocol::user::{JobKind, Priority};
-use hopyoke_types::Micros;
+use hopyoke_types::{MachineId, Micros};
+
+/// Download rate assumed at least, in GB/s.
+const MIN_FETCH_GB_PER_S: f64 = 0.05;
 
 impl Scheduler {
-    /// Jobs with a deadline change places among themselves, within one importance, by when they
-    /// must start at the latest. The places that they hold together stay the same.
-    pub(super) fn order_by_latest_start(&self, keyed: &mut [Keyed]) {
+    /// Jobs with a deadline change positions among themselves, within one importance, by their latest start. The set
+    /// of positions that they hold stays the same.
+    pub(super) fn order_by_latest_start(&self, entries: &mut [QueueEntry]) {
         let mut from = 0;
-        while from < keyed.len() {
-            let importance = (keyed[from].0.0, keyed[from].0.1);
-            let len = keyed[from..]
+        while from < entries.len() {
+            let importance = (entries[from].class, entries[from].priority);
+            let len = entries[from..]
                 .iter()
-                .take_while(|k| (k.0.0, k.0.1) == importance)
+                .take_while(|e| (e.class, e.priority) == importance)
                 .count();
-            let group = &mut keyed[from..from + len];
+            let group = &mut entries[from..from + len];
             from += len;
-            let mut places = Vec::new();
-            let mut due: Vec<(i64, Keyed)> = Vec::new();
-            for (i, key) in group.iter().enumerate() {
-                let Some(job) = self.jobs.get(&key.1) else {
+            let mut positions = Vec::new();
+            let mut by_latest_start: Vec<(i64, QueueEntry)> = Vec::new();
+            for (i, entry) in group.iter().enumerate() {
+                let Some(job) = self.jobs.get(&entry.job) else {
                     continue;
                 };
                 let Some(deadline) = job.spec.deadline_s else {
                     continue;
                 };
-                let run = self.expected(&job.spec).distribution.quantile(0.9);
-                let slack = (deadline - run).clamp(-1e9, 1e9);
-                places.push(i);
-                due.push((key.0.2 as i64 + (slack * 1e6) as i64, key.clone()));
+                let run_s = self.expected(&job.spec).distribution.quantile(0.9);
+                let slack_s = (deadline - run_s).clamp(-1e9, 1e9);
+                let latest_start_us = entry.accepted_us as i64 + (slack_s * 1e6) as i64;
+                positions.push(i);
+                by_latest_start.push((latest_start_us, entry.clone()));
             }
-            due.sort();
-            for (i, (_, key)) in places.into_iter().zip(due) {
-                group[i] = key;
+            by_latest_start.sort();
+            for (i, (_, entry)) in positions.into_iter().zip(by_latest_start) {
+                group[i] = entry;
             }
         }
     }
 
-    /// What stopping a task costs, in seconds: what it has run; more, the nearer it is to its end.
+    /// Cost of stopping a task, in seconds: the time it has run; weighted up the nearer it is to its end.
     pub(super) fn work_lost(&self, key: &TaskKey, allocation: &Allocation, now: Micros) -> f64 {
         let ran = allocation
             .running_since
@@ -56,19 +62,21 @@
         ran * (1.0 + ran / (ran + left).max(1e-6))
     }
 
-    /// Room that is kept for a gang is lent until its last machine is expected to be free.
-    pub(super) fn lend(&self, taken: &[usize], snapshot: &mut ClusterSnapshot, now: Micros) {
-        let mut complete = 0.0f64;
-        for &i in taken {
-            let Some(m) = snapshot.bins[i]
-                .machine
-                .as_ref()
-                .and_then(|id| self.machines.get(id))
-            else {
+    /// Offers room that is reserved for a gang to backfill, until the gang's last machine is expected to be free.
+    pub(super) fn offer_backfill(
+        &self,
+        reserved: &[usize],
+        snapshot: &mut ClusterSnapshot,
+        now: Micros,
+    ) {
+        let mut available_s = 0.0f64;
+        for &i in reserved {
+            let machine = snapshot.bins[i].machine.as_ref();
+            let Some(m) = machine.and_then(|id| self.machines.get(id)) else {
                 continue;
             };
             if m.phase == MachinePhase::Provisioning {
-                complete = complete
+                available_s = available_s
                     .max((m.requested_at + self.boot_time(&m.machine_type) - now).as_secs_f64());
             }
             for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live())
@@ -80,150 +88,156 @@
                         .as_ref()
                         .map_or(0.0, |s| self.expected(s).distribution.quantile(0.5)),
                 };
-                complete = complete.max(left);
+                available_s = available_s.max(left);
             }
         }
-        for &i in taken {
+        for &i in reserved {
             let bin = &mut snapshot.bins[i];
             if bin.ready && (bin.free.gpus > 0.0 || bin.free.cpus > 0.0) {
-                bin.lent = Some((bin.free, complete));
-                snapshot.lending.push(i);
+                bin.backfill_room = Some(BackfillRoom {
+                    free: bin.free,
+                    available_s,
+                });
+                snapshot.backfill_bins.push(i);
             }
         }
     }
 
-    /// A place on lent room for a task that will most likely be over before it is missed; whether
-    /// its image is there.
-    pub(super) fn borrow_room(
+    /// Reserves backfill room for a task of an array that will most likely end before the gang needs it. Returns the
+    /// bin, and whether it has the image.
+    pub(super) fn backfill(
         &self,
         request: &PlacementRequest,
         snapshot: &mut ClusterSnapshot,
     ) -> Option<(usize, bool)> {
-        if snapshot.lending.is_empty()
+        if snapshot.backfill_bins.is_empty()
             || request.spec.kind != JobKind::Array
-            || request.cares_for_zones()
+            || request.is_zone_sensitive()
         {
             return None;
         }
-        let run = self.expected(&request.spec).distribution.quantile(0.9);
-        let found = snapshot.lending.iter().copied().find_map(|i| {
+        let run_s = self.expected(&request.spec).distribution.quantile(0.9);
+        let found = snapshot.backfill_bins.iter().copied().find_map(|i| {
             let bin = &snapshot.bins[i];
-            let (room, until) = bin.lent?;
-            let image = snapshot.has_image(bin, request.image);
-            let fetch = self.types[bin.kind].fetch_gb_per_s.max(0.05);
-            let takes = run
-                + if image {
-                    0.0
-                } else {
-                    request.spec.image_gb / fetch
-                };
-            (request.task.fits_in(&room) && takes <= until && self.allowed(request, bin))
-                .then_some((i, image))
+            let room = bin.backfill_room?;
+            let has_image = snapshot.has_image(bin, request.image);
+            let fetch_gb_per_s = self.types[bin.type_index]
+                .fetch_gb_per_s
+                .max(MIN_FETCH_GB_PER_S);
+            let fetch_s = if has_image {
+                0.0
+            } else {
+                request.spec.image_gb / fetch_gb_per_s
+            };
+            (request.task.fits_in(&room.free)
+                && run_s + fetch_s <= room.available_s
+                && self.passes_filters(request, bin))
+            .then_some((i, has_image))
         })?;
         let bin = &mut snapshot.bins[found.0];
-        if let Some((room, _)) = &mut bin.lent {
-            *room = *room - request.task;
+        if let Some(room) = &mut bin.backfill_room {
+            room.free = room.free - request.task;
         }
-        bin.latest = Some(request.image);
+        bin.last_image = Some(request.image);
         Some(found)
     }
 
-    /// Running tasks will most likely have made room for one more task before a machine that is
-    /// rented now has booted; that room is then spoken for.
-    pub(super) fn room_soon(
+    /// Reserves room for one more task that running tasks are expected to free before an instance requested now is
+    /// ready; false if there is none.
+    pub(super) fn claim_expected_room(
         &self,
         request: &PlacementRequest,
         snapshot: &mut ClusterSnapshot,
         now: Micros,
     ) -> bool {
-        if request.spec.priority == Priority::Production || request.cares_for_zones() {
+        if request.spec.priority == Priority::Production || request.is_zone_sensitive() {
             return false;
         }
-        if snapshot.soon.is_none() {
-            let boot = self
+        if snapshot.expected_room.is_none() {
+            let min_boot_s = self
                 .types
                 .iter()
                 .map(|t| t.boot_s)
                 .fold(f64::INFINITY, f64::min);
-            let span = Micros::from_secs_f64(if boot.is_finite() { boot } else { 0.0 });
-            snapshot.soon = Some(self.soon_free(snapshot, now, span));
+            let horizon = Micros::from_secs_f64(if min_boot_s.is_finite() {
+                min_boot_s
+            } else {
+                0.0
+            });
+            snapshot.expected_room = Some(self.expected_room(snapshot, now, horizon));
         }
-        let Some(soon) = &mut snapshot.soon else {
+        let Some(expected_room) = &mut snapshot.expected_room else {
             return false;
         };
-        let fits = |s: &&mut Soon| {
-            request.task.fits_in(&s.room)
-                && request.kinds[s.kind]
-                && request.zone.is_none_or(|z| z == s.zone)
-                && (request.spec.spot || !s.spot)
+        let fits = |e: &&mut ExpectedRoom| {
+            request.task.fits_in(&e.room)
+                && request.allowed_types[e.type_index]
+                && request.zone.is_none_or(|z| z == e.zone)
+                && (request.spec.spot || !e.spot)
         };
-        let Some(found) = soon.iter_mut().find(fits) else {
+        let Some(found) = expected_room.iter_mut().find(fits) else {
             return false;
         };
         found.room = found.room - request.task;
         true
     }
 
-    fn soon_free(&self, snapshot: &ClusterSnapshot, now: Micros, span: Micros) -> Vec<Soon> {
-        let mut soon = Vec::new();
-        // What this plan starts itself may end in time, too.
-        for start in &snapshot.starts {
-            let Some(job) = self
-                .jobs
-                .get(&start.job)
-                .filter(|j| j.spec.kind == JobKind::Array)
-            else {
-                continue;
-            };
-            let lead = self.learned.learner.start_latency_s(&job.spec.class);
-            let Some(m) = self.machines.get(&start.machine) else {
+    /// Room that is expected to be freed within `horizon`, by tasks that this cycle starts and by running ones.
+    fn expected_room(
+        &self,
+        snapshot: &ClusterSnapshot,
+        now: Micros,
+        horizon: Micros,
+    ) -> Vec<ExpectedRoom> {
+        let mut expected = Vec::new();
+        for binding in &snapshot.bindings {
+            let job = self.jobs.get(&binding.job);
+            let Some(job) = job.filter(|j| j.spec.kind == JobKind::Array) else {
                 continue;
             };
-            let Some(kind) = self.types.iter().position(|t| t.name == m.machine_type) else {
+            let lead_s = self.learned.learner.start_latency_s(&job.spec.class);
+            let machine = self.machines.get(&binding.machine);
+            let Some(room) = machine.and_then(|m| self.room_on(m, job.task)) else {
                 continue;
             };
-            if lead + self.expected(&job.spec).distribution.quantile(0.9) <= span.as_secs_f64() {
-                soon.push(Soon {
-                    kind,
-                    zone: self.cfg.zone_index(&m.zone),
-                    spot: m.spot,
-                    room: job.task,
-                });
+            let run_s = self.expected(&job.spec).distribution.quantile(0.9);
+            if lead_s + run_s <= horizon.as_secs_f64() {
+                expected.push(room);
             }
         }
-        for (task, _) in self.learned.learner.ending_within(now, span) {
+        for (task, _) in self.learned.learner.ending_within(now, horizon) {
             self.add_visited(1);
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            let only = (!job.is_gang()).then_some(task.index);
+            // Tasks of a gang end together.
+            let only_index = (!job.is_gang()).then_some(task.index);
             for (_, attempts) in job
                 .attempts
                 .iter()
-                .filter(|(i, _)| only.is_none_or(|o| **i == o))
+                .filter(|(i, _)| only_index.is_none_or(|only| **i == only))
             {
-                for (id, _) in attempts {
-                    let Some(m) = self
-                        .machines
-                        .get(id)
-                        .filter(|m| !m.faulty && !m.slow && !m.deleting)
-                    else {
-                        continue;
-                    };
-                    let Some(kind) = self.types.iter().position(|t| t.name == m.machine_type)
-                    else {
-                        continue;
-                    };
-                    let room: Resources = job.task;
-                    soon.push(Soon {
-                        kind,
-                        zone: self.cfg.zone_index(&m.zone),
-                        spot: m.spot,
-                        room,
-                    });
-                }
+                let machines = attempts.iter().filter_map(|(id, _)| self.usable(id));
+                expected.extend(machines.filter_map(|m| self.room_on(m, job.task)));
             }
         }
-        soon
+        expected
+    }
+
+    /// The machine, unless room that falls free on it is of no use.
+    fn usable(&self, id: &MachineId) -> Option<&Machine> {
+        let machine = self.machines.get(id);
+        machine.filter(|m| !m.faulty && !m.slow && !m.deleting)
+    }
+
+    /// `None` if the catalog no longer has the machine's type.
+    fn room_on(&self, m: &Machine, room: Resources) -> Option<ExpectedRoom> {
+        let type_index = self.types.iter().position(|t| t.name == m.machine_type)?;
+        Some(ExpectedRoom {
+            type_index,
+            zone: self.cfg.zone_index(&m.zone),
+            spot: m.spot,
+            room,
+        })
     }
 }
--- a/crates/hopyoke-scheduler/src/placement/fragmentation.rs
+++ b/crates/hopyoke-scheduler/src/placement/fragmentation.rs
@@ -1,39 +1,45 @@
-//! Where work goes: what a choice of place leaves to others, without any I/O.
-//!
-//! [`Fragmentation`]: kinds of machine that some of the waiting work has no alternative to.
+//! Machine types that some waiting work has no alternative to.
 
-/// Kinds of machine (places in a catalog) that some work which waits can only run on.
+/// Types of a catalog, by index, that are the only choice of some waiting work.
 ///
-/// Work that has a choice leaves them alone: of two places that are as good for it, the one that nobody else depends
-/// on costs the fleet less.
+/// Work that can run on several types leaves them alone: of two types that suit it equally, the one that nothing else
+/// depends on costs the fleet less.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fragmentation {
-    wanted: Vec<bool>,
+    is_only_choice: Vec<bool>,
 }
 
 impl Fragmentation {
-    /// None, of so many kinds.
-    pub fn none(kinds: usize) -> Fragmentation {
+    /// No dependence yet, for a catalog of `types` types.
+    #[must_use]
+    pub fn new(types: usize) -> Fragmentation {
         Fragmentation {
-            wanted: vec![false; kinds],
+            is_only_choice: vec![false; types],
         }
     }
 
-    /// Some work that waits can run on these kinds.
+    /// Adds waiting work that can run on these types. Indices outside the catalog are ignored.
     pub fn add(&mut self, runs_on: impl Iterator<Item = usize>) {
-        let mut runs_on = runs_on.filter(|k| *k < self.wanted.len());
+        let mut runs_on = runs_on.filter(|t| *t < self.is_only_choice.len());
         if let (Some(only), None) = (runs_on.next(), runs_on.next()) {
-            self.wanted[only] = true;
+            self.is_only_choice[only] = true;
         }
     }
 
-    /// Work that can run on `choices` kinds should leave this kind alone.
-    pub fn avoids(&self, kind: usize, choices: usize) -> bool {
-        choices > 1 && self.wanted.get(kind).copied().unwrap_or(false)
+    /// Work that can run on `choices` types should leave this type alone.
+    #[must_use]
+    pub fn avoids(&self, type_index: usize, choices: usize) -> bool {
+        choices > 1
+            && self
+                .is_only_choice
+                .get(type_index)
+                .copied()
+                .unwrap_or(false)
     }
 
-    /// Any kind is depended on.
+    /// Some type is the only choice of some work.
+    #[must_use]
     pub fn any(&self) -> bool {
-        self.wanted.contains(&true)
+        self.is_only_choice.contains(&true)
     }
 }
--- a/crates/hopyoke-scheduler/src/placement/gang.rs
+++ b/crates/hopyoke-scheduler/src/placement/gang.rs
@@ -1,10 +1,10 @@
-//! Gangs: all tasks get places at once, or machines are reserved until they can.
+//! Gang scheduling: all tasks get room at once, or machines are reserved until they can.
 
-use super::Start;
+use super::Binding;
 use super::request::PlacementRequest;
-use super::snapshot::ClusterSnapshot;
+use super::snapshot::{BinState, ClusterSnapshot};
 use crate::Scheduler;
-use crate::ledger::WaitReason;
+use crate::ledger::{Job, WaitReason};
 use crate::reconcile::restart_check::RestartDecision;
 use crate::resources::Resources;
 use hopyoke_protocol::user::{JobKind, JobSpec};
@@ -12,8 +12,67 @@
 use std::cmp::Reverse;
 use tracing::debug;
 
+/// Number of a gang's tasks that one zone has room for.
+#[derive(Clone, Copy, Default)]
+struct ZoneRoom {
+    /// On ready machines.
+    ready: u32,
+    total: u32,
+    /// On ready machines that have the image.
+    ready_with_image: u32,
+}
+
+/// A machine that may be reserved for a gang.
+#[derive(Clone, Copy)]
+struct GangHost {
+    /// Tasks that fit into its free room.
+    free_tasks: u32,
+    /// Tasks that fit into its capacity.
+    total_tasks: u32,
+    bin: usize,
+}
+
+/// Machines that together hold a gang, or as much of it as they can.
+struct GangHosts {
+    /// Tasks that fit into their capacity, up to the gang's size.
+    total_tasks: u32,
+    /// Tasks that fit into their free room.
+    free_tasks: u32,
+    bins: Vec<usize>,
+}
+
+/// What a try to reserve room for a gang changed in the snapshot.
+struct Savepoint {
+    bins: usize,
+    open: usize,
+    demand: Vec<u32>,
+    /// Changed bins, in the order of the changes.
+    changed: Vec<(usize, BinState)>,
+}
+
+impl Savepoint {
+    fn new(snapshot: &ClusterSnapshot) -> Savepoint {
+        Savepoint {
+            bins: snapshot.bins.len(),
+            open: snapshot.open.len(),
+            demand: snapshot.demand.clone(),
+            changed: Vec::new(),
+        }
+    }
+
+    fn undo(self, snapshot: &mut ClusterSnapshot) {
+        for (bin, state) in self.changed.into_iter().rev() {
+            snapshot.bins[bin].restore(state);
+        }
+        snapshot.bins.truncate(self.bins);
+        snapshot.open.truncate(self.open);
+        snapshot.demand = self.demand;
+    }
+}
+
 impl Scheduler {
-    /// Gangs: all tasks at once, or the replacements that a waiting gang lacks.
+    /// Places a gang: all tasks at once, or the replacements that a gang which waits for its start lacks. Returns why
+    /// it still waits, if it does.
     pub(super) fn place_gang(
         &mut self,
         id: &JobId,
@@ -23,58 +82,81 @@
         let (Some(request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
             return None;
         };
-        let n = job.spec.tasks;
-        let missing: Vec<u32> = (0..n).filter(|i| !job.attempts.contains_key(i)).collect();
+        let missing: Vec<u32> = (0..job.spec.tasks)
+            .filter(|i| !job.attempts.contains_key(i))
+            .collect();
         if missing.is_empty() || job.is_done() {
             return None;
         }
-        // Tasks of the old attempt stay where they are until they exit: nothing new before that.
-        if job.gang_failing || (job.gang_started && missing.len() < n as usize) {
-            return Some(WaitReason::PreviousAttempt);
-        }
-        if missing
-            .iter()
-            .any(|&i| self.check(job, i) != RestartDecision::Restart)
-        {
-            return Some(WaitReason::Reconciliation);
+        let is_new = missing.len() == job.spec.tasks as usize;
+        if let Some(reason) = self.gang_hold_up(job, &missing, is_new) {
+            return Some(reason);
         }
-        let anew = missing.len() == n as usize;
-        let start_attempt = job.start_attempt;
         let count = missing.len() as u32;
         if !snapshot.charge(&request, count, &self.cfg.teams) {
-            if snapshot.keeps_room && !request.is_crash_looping {
+            if snapshot.reservations_enabled && !request.is_crash_looping {
                 self.reserve_quota(&request, snapshot, count);
             }
             return Some(WaitReason::TeamLimit);
         }
-        // For a gang that failed on several machines nothing is rented and no room is kept.
+        // For a crash-looping gang no instance is requested and no machine is reserved.
         let offers = request
             .is_crash_looping
             .then(|| std::mem::take(&mut snapshot.offers));
-        let chosen = self.choose_all(&request, snapshot, count);
+        let chosen = self.reserve_gang(&request, snapshot, count);
         if let Some(offers) = offers {
             snapshot.offers = offers;
         }
         let Some(bins) = chosen else {
             snapshot.refund(&request, count);
-            if snapshot.keeps_room && !request.is_crash_looping {
-                self.reserve(&request, snapshot, count, now);
+            if snapshot.reservations_enabled && !request.is_crash_looping {
+                self.reserve_machines(&request, snapshot, count, now);
             }
             return Some(WaitReason::Machines);
         };
         if !bins.iter().all(|&b| snapshot.bins[b].ready) {
-            if !snapshot.keeps_room {
-                snapshot.lend_ready(&request, &bins);
+            if !snapshot.reservations_enabled {
+                snapshot.release_ready(&request, &bins);
             }
             return Some(WaitReason::Provisioning);
         }
-        let attempt = if anew {
+        self.start_gang(&request, missing, &bins, is_new, snapshot, now);
+        None
+    }
+
+    /// Why the gang may not be placed now whatever room there is.
+    fn gang_hold_up(&self, job: &Job, missing: &[u32], is_new: bool) -> Option<WaitReason> {
+        // Tasks of the previous attempt stay until they exit: nothing new before that.
+        if job.gang_failing || (job.gang_started && !is_new) {
+            return Some(WaitReason::PreviousAttempt);
+        }
+        missing
+            .iter()
+            .any(|&i| self.check(job, i) != RestartDecision::Restart)
+            .then_some(WaitReason::Reconciliation)
+    }
+
+    /// Binds the missing tasks to their machines. A new gang gets a new attempt, which its record names before any of
+    /// its tasks is commanded to start.
+    fn start_gang(
+        &mut self,
+        request: &PlacementRequest,
+        missing: Vec<u32>,
+        bins: &[usize],
+        is_new: bool,
+        snapshot: &mut ClusterSnapshot,
+        now: Micros,
+    ) {
+        let id = &request.id;
+        let Some(previous) = self.jobs.get(id).map(|job| job.start_attempt) else {
+            return;
+        };
+        let attempt = if is_new {
             self.new_attempt(now)
         } else {
-            start_attempt
+            previous
         };
-        if anew && let Some(job) = self.jobs.get_mut(id) {
-            // Written before any of its tasks is told to start.
+        if is_new && let Some(job) = self.jobs.get_mut(id) {
             job.start_attempt = attempt;
             job.gang_started = false;
             let waited_ms = (now - job.first_seen_at).as_millis();
@@ -85,106 +167,117 @@
             );
             let warm = bins
                 .iter()
-                .filter(|b| snapshot.had_image(&snapshot.bins[**b], request.image))
+                .filter(|b| snapshot.had_image_before_cycle(&snapshot.bins[**b], request.image))
                 .count();
-            debug!(job = %id, class, tasks, waited_ms, waited_for, warm, first = start_attempt.0 == 0, "gang start");
+            debug!(job = %id, class, tasks, waited_ms, waited_for, warm, first = previous.0 == 0, "gang start");
             self.writes.mark_dirty(id);
         }
-        for (index, bin) in missing.into_iter().zip(bins) {
+        for (index, &bin) in missing.into_iter().zip(bins) {
             if let Some(machine) = snapshot.bins[bin].machine.clone() {
-                let image = snapshot.had_image(&snapshot.bins[bin], request.image);
-                snapshot.starts.push(Start {
+                let has_image = snapshot.had_image_before_cycle(&snapshot.bins[bin], request.image);
+                snapshot.bindings.push(Binding {
                     job: id.clone(),
                     index,
                     machine,
                     attempt,
-                    image,
+                    has_image,
                 });
             }
         }
-        None
     }
 
-    /// Finds room for `count` tasks at once, in one zone if the job asks for it. Room on machines
-    /// that are not ready yet is taken in the plan, so that it is kept for this gang.
-    pub(super) fn choose_all(
+    /// Reserves room for `count` tasks at once, in one zone if the job asks for it. Room on machines that are not
+    /// ready yet is reserved as well, so that it is kept for this gang. `None`, with nothing changed, if there is none.
+    fn reserve_gang(
         &self,
         request: &PlacementRequest,
         snapshot: &mut ClusterSnapshot,
         count: u32,
     ) -> Option<Vec<usize>> {
         let zones: Vec<Option<usize>> = if request.spec.one_zone {
-            let mut room = vec![(0u32, 0u32, 0u32); self.cfg.zones.len()];
-            for &i in &snapshot.open {
-                let b = &snapshot.bins[i];
-                let Some(room) = room.get_mut(b.zone) else {
-                    continue;
-                };
-                let holds = b.free.holds(&request.task);
-                if holds > 0 && self.allowed(request, b) {
-                    room.0 += if b.ready { holds } else { 0 };
-                    room.1 += holds;
-                    room.2 += if b.ready && snapshot.has_image(b, request.image) {
-                        holds
-                    } else {
-                        0
-                    };
-                }
-            }
-            let mut zones: Vec<usize> = (0..room.len()).collect();
-            // Where all can start now; among those where most have the image: the last to fetch it is
-            // the one that all wait for.
-            zones.sort_by_key(|&z| {
-                Reverse((
-                    room[z].0.min(count),
-                    room[z].1.min(count),
-                    room[z].2.min(count),
-                ))
-            });
+            let zones = self.zones_by_room(request, snapshot, count);
             zones.into_iter().map(Some).collect()
         } else {
             vec![None]
         };
-        for zone in zones {
-            let mut taking = request.clone();
-            let mut candidates = self.candidates(request, snapshot, zone);
-            let mut taken: Vec<usize> = Vec::new();
-            let (bins, open, demand) = (
-                snapshot.bins.len(),
-                snapshot.open.len(),
-                snapshot.demand.clone(),
-            );
-            let mut undo = Vec::new();
-            for left in (1..=count).rev() {
-                let found = candidates
-                    .best(&taking, snapshot, |b| snapshot.score(&taking, b))
-                    .or_else(|| {
-                        let new = snapshot.open_new(&taking, zone, left)?;
-                        candidates.put_first(new, snapshot.bins[new].zone);
-                        Some(new)
-                    });
-                let Some(bin) = found else { break };
-                if bin < bins {
-                    undo.push((bin, snapshot.bins[bin].before()));
+        zones
+            .into_iter()
+            .find_map(|zone| self.reserve_gang_in(zone, request, snapshot, count))
+    }
+
+    /// Zones in the order in which a gang of one zone tries them: where all tasks can start now; among those where most
+    /// have the image, for all tasks wait for the last one to fetch it.
+    fn zones_by_room(
+        &self,
+        request: &PlacementRequest,
+        snapshot: &ClusterSnapshot,
+        count: u32,
+    ) -> Vec<usize> {
+        let mut rooms = vec![ZoneRoom::default(); self.cfg.zones.len()];
+        for &i in &snapshot.open {
+            let b = &snapshot.bins[i];
+            let Some(room) = rooms.get_mut(b.zone) else {
+                continue;
+            };
+            let tasks = b.free.holds(&request.task);
+            if tasks > 0 && self.passes_filters(request, b) {
+                room.total += tasks;
+                if b.ready {
+                    room.ready += tasks;
+                    if snapshot.has_image(b, request.image) {
+                        room.ready_with_image += tasks;
+                    }
                 }
-                snapshot.take(bin, &mut taking);
-                taken.push(bin);
             }
-            if taken.len() == count as usize {
-                return Some(taken);
-            }
-            for (bin, before) in undo.into_iter().rev() {
-                snapshot.bins[bin].restore(before);
+        }
+        let mut zones: Vec<usize> = (0..rooms.len()).collect();
+        zones.sort_by_key(|&z| {
+            let room = rooms[z];
+            Reverse((
+                room.ready.min(count),
+                room.total.min(count),
+                room.ready_with_image.min(count),
+            ))
+        });
+        zones
+    }
+
+    /// Reserves room for `count` tasks at once, in the given zone only if there is one; the bins, one for each task.
+    fn reserve_gang_in(
+        &self,
+        zone: Option<usize>,
+        request: &PlacementRequest,
+        snapshot: &mut ClusterSnapshot,
+        count: u32,
+    ) -> Option<Vec<usize>> {
+        let mut reserving = request.clone();
+        let mut candidates = self.candidates(request, snapshot, zone);
+        let mut reserved: Vec<usize> = Vec::new();
+        let mut savepoint = Savepoint::new(snapshot);
+        for remaining in (1..=count).rev() {
+            let found = candidates
+                .best(&reserving, snapshot, |b| snapshot.score(&reserving, b))
+                .or_else(|| {
+                    let new = snapshot.reserve_new_instance(&reserving, zone, remaining)?;
+                    candidates.put_first(new, snapshot.bins[new].zone);
+                    Some(new)
+                });
+            let Some(bin) = found else { break };
+            if bin < savepoint.bins {
+                savepoint.changed.push((bin, snapshot.bins[bin].state()));
             }
-            snapshot.bins.truncate(bins);
-            snapshot.open.truncate(open);
-            snapshot.demand = demand;
+            snapshot.reserve(bin, &mut reserving);
+            reserved.push(bin);
+        }
+        if reserved.len() == count as usize {
+            return Some(reserved);
         }
+        savepoint.undo(snapshot);
         None
     }
 
-    /// A gang that its team's limit keeps waiting (in plans that keep room) holds later work of the team back, so that what ends makes
-    /// room for it: without this, single tasks take every piece of the limit that falls free, and a gang that
+    /// A gang held up by its team's limit holds later work of the team back (in cycles with reservations), so that what
+    /// ends makes room for it: without this, single tasks use every piece of the limit that falls free, and a gang that
     /// needs much of it never begins. Not if the team's services, which don't end, leave it no room anyway.
     /// (Scenario largest_begin.)
     fn reserve_quota(
@@ -195,22 +288,22 @@
     ) {
         let Some(team) = request.team else { return };
         self.add_visited(self.jobs.len());
-        let of_team =
+        let is_service_of_team =
             |spec: &JobSpec| spec.kind == JobKind::Service && spec.team == request.spec.team;
-        let lasting = self.jobs.values().filter(|j| of_team(&j.spec));
-        let lasting = lasting.fold(Resources::default(), |sum, j| {
+        let services = self.jobs.values().filter(|j| is_service_of_team(&j.spec));
+        let services = services.fold(Resources::default(), |sum, j| {
             sum + j.task.times(j.attempts.len() as f64)
         });
         let gang = request.task.times(f64::from(count));
-        if self.cfg.teams[team].allows(&(lasting + gang)) {
+        if self.cfg.teams[team].allows(&(services + gang)) {
             snapshot.used[team] = snapshot.used[team] + gang;
         }
     }
 
-    /// A gang that finds no room keeps lesser work off the machines that will hold it: without
-    /// this, single tasks take every place that falls free, and gangs starve. Machines without
-    /// replicas, which stay long, are chosen; the emptiest first, and in one zone if it must be.
-    pub(super) fn reserve(
+    /// Reserves the machines that will hold a gang which finds no room: without this, single tasks use all room that
+    /// falls free, and gangs starve. Machines without replicas, which stay long, are chosen; those with most free room
+    /// first, and in one zone if it must be.
+    fn reserve_machines(
         &self,
         request: &PlacementRequest,
         snapshot: &mut ClusterSnapshot,
@@ -222,51 +315,75 @@
         }
         snapshot.reservations += 1;
         self.add_visited(snapshot.bins.len());
-        let holds: Vec<u32> = snapshot
-            .kinds
+        let mut best: Option<GangHosts> = None;
+        for hosts in self.gang_hosts(request, snapshot) {
+            let hosts = roomiest_hosts(hosts, count);
+            if best.as_ref().is_none_or(|b| {
+                (hosts.total_tasks, hosts.free_tasks) > (b.total_tasks, b.free_tasks)
+            }) {
+                best = Some(hosts);
+            }
+        }
+        if let Some(hosts) = best
+            && hosts.total_tasks >= count
+        {
+            if self.tuning.use_for_backfill {
+                self.offer_backfill(&hosts.bins, snapshot, now);
+            }
+            for bin in hosts.bins {
+                snapshot.bins[bin].reserved = true;
+                snapshot.bins[bin].free = Resources::default();
+            }
+        }
+    }
+
+    /// Machines that may be reserved for a gang: one list per zone if it must be in one zone, else a single list.
+    fn gang_hosts(
+        &self,
+        request: &PlacementRequest,
+        snapshot: &ClusterSnapshot,
+    ) -> Vec<Vec<GangHost>> {
+        let capacities: Vec<u32> = snapshot
+            .type_resources
             .iter()
-            .map(|k| k.holds(&request.task))
+            .map(|capacity| capacity.holds(&request.task))
             .collect();
         let zones = if request.spec.one_zone {
             self.cfg.zones.len() + 1
         } else {
             1
         };
-        let mut fits: Vec<Vec<(u32, u32, usize)>> = vec![Vec::new(); zones];
-        for (i, b) in snapshot.bins.iter().enumerate() {
-            if b.replicas == 0 && holds[b.kind] > 0 && self.allowed(request, b) {
-                fits[b.zone.min(zones - 1)].push((b.free.holds(&request.task), holds[b.kind], i));
-            }
-        }
-        let mut best: Option<(u32, u32, Vec<usize>)> = None;
-        for mut fits in fits {
-            fits.sort_unstable_by_key(|f| Reverse((f.0, f.1)));
-            let (mut room, mut now, mut taken) = (0, 0, Vec::new());
-            for (free, total, i) in fits {
-                if room >= count {
-                    break;
-                }
-                room += total;
-                now += free;
-                taken.push(i);
-            }
-            if best
-                .as_ref()
-                .is_none_or(|b| (room.min(count), now) > (b.0, b.1))
-            {
-                best = Some((room.min(count), now, taken));
+        let mut hosts: Vec<Vec<GangHost>> = vec![Vec::new(); zones];
+        for (bin, b) in snapshot.bins.iter().enumerate() {
+            let total_tasks = capacities[b.type_index];
+            if b.replicas == 0 && total_tasks > 0 && self.passes_filters(request, b) {
+                hosts[b.zone.min(zones - 1)].push(GangHost {
+                    free_tasks: b.free.holds(&request.task),
+                    total_tasks,
+                    bin,
+                });
             }
         }
-        if let Some((room, _, taken)) = best
-            && room >= count
-        {
-            if self.tuning.use_for_backfill {
-                self.lend(&taken, snapshot, now);
-            }
-            for i in taken {
-                snapshot.bins[i].wanted = true;
-                snapshot.bins[i].free = Resources::default();
-            }
+        hosts
+    }
+}
+
+/// The hosts with most free room that together hold `count` tasks, or all hosts if they don't.
+fn roomiest_hosts(mut hosts: Vec<GangHost>, count: u32) -> GangHosts {
+    hosts.sort_unstable_by_key(|h| Reverse((h.free_tasks, h.total_tasks)));
+    let mut chosen = GangHosts {
+        total_tasks: 0,
+        free_tasks: 0,
+        bins: Vec::new(),
+    };
+    for host in hosts {
+        if chosen.total_tasks >= count {
+            break;
         }
+        chosen.total_tasks += host.total_tasks;
+        chosen.free_tasks += host.free_tasks;
+        chosen.bins.push(host.bin);
     }
+    chosen.total_tasks = chosen.total_tasks.min(count);
+    chosen
 }
--- a/crates/hopyoke-scheduler/src/placement/instance_offers.rs
+++ b/crates/hopyoke-scheduler/src/placement/instance_offers.rs
@@ -1,35 +1,45 @@
-//! Which kinds of machine can be rented, and which is the cheapest for a job.
+//! Instances that can be requested from the cloud, and the cheapest offer for a job.
 
 use super::request::PlacementRequest;
-use super::snapshot::{Bin, ClusterSnapshot, OfferView};
+use super::snapshot::{Bin, ClusterSnapshot, InstanceOffer};
 use crate::Scheduler;
 use crate::autoscale::scale_out::Offer;
 use hopyoke_types::Micros;
 
-/// A kind of machine that other work has no alternative to counts as so much dearer.
-const NICHE_BURDEN: f64 = 1.25;
+/// Factor on the price of a type that is the only choice of other work.
+const SOLE_CHOICE_PRICE_FACTOR: f64 = 1.25;
 
 impl ClusterSnapshot {
-    /// The cheapest offer per task that the job can place on it.
+    /// Index of the offer with the lowest cost per task, of at most `remaining` tasks to place; in `zone` only if given.
     pub(super) fn best_offer(
         &self,
         request: &PlacementRequest,
         zone: Option<usize>,
-        left: u32,
+        remaining: u32,
     ) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
         for (i, o) in self.offers.iter().enumerate() {
-            if !request.kinds[o.kind]
+            if !request.allowed_types[o.type_index]
                 || (o.spot && !request.spec.spot)
-                || zone.is_some_and(|want| want != o.zone)
-                || request.zone.is_some_and(|want| want != o.zone)
+                || zone.is_some_and(|only| only != o.zone)
+                || request.zone.is_some_and(|only| only != o.zone)
                 || !request.zone_allows(o.zone)
             {
                 continue;
             }
-            let allocations = self.kinds[o.kind].holds(&request.task).min(left.max(1));
-            let avoided = self.fragmentation.avoids(o.kind, request.choices);
-            let cost = o.cost * if avoided { NICHE_BURDEN } else { 1.0 } / f64::from(allocations);
+            let allocations = self.type_resources[o.type_index]
+                .holds(&request.task)
+                .min(remaining.max(1));
+            let avoided = self
+                .fragmentation
+                .avoids(o.type_index, request.type_choices);
+            let cost = o.cost
+                * if avoided {
+                    SOLE_CHOICE_PRICE_FACTOR
+                } else {
+                    1.0
+                }
+                / f64::from(allocations);
             if allocations > 0 && best.is_none_or(|(c, _)| cost < c) {
                 best = Some((cost, i));
             }
@@ -37,33 +47,37 @@
         best.map(|(_, i)| i)
     }
 
-    /// Counts on one more machine for a task of the job; its bin.
-    pub(super) fn open_new(
+    /// Adds one more instance to the demand, for tasks of the job. Returns its bin.
+    pub(super) fn reserve_new_instance(
         &mut self,
         request: &PlacementRequest,
         zone: Option<usize>,
-        left: u32,
+        remaining: u32,
     ) -> Option<usize> {
-        let offer = self.best_offer(request, zone, left)?;
+        let offer = self.best_offer(request, zone, remaining)?;
         self.demand[offer] += 1;
         let o = &self.offers[offer];
-        self.bins
-            .push(Bin::rented(o.kind, o.zone, o.spot, self.kinds[o.kind]));
+        self.bins.push(Bin::requested(
+            o.type_index,
+            o.zone,
+            o.spot,
+            self.type_resources[o.type_index],
+        ));
         self.open.push(self.bins.len() - 1);
         Some(self.bins.len() - 1)
     }
 }
 
 impl Scheduler {
-    /// What can be rented, but for what the cloud refused of late.
-    pub(super) fn offers(&self, now: Micros) -> Vec<OfferView> {
-        let mut here = vec![0u32; self.cfg.zones.len() + 1];
+    /// Offers of the catalog, without those that the cloud refused lately and those in partitioned zones.
+    pub(super) fn offers(&self, now: Micros) -> Vec<InstanceOffer> {
+        let mut machines_by_zone = vec![0u32; self.cfg.zones.len() + 1];
         for m in self.machines.values() {
-            here[self.cfg.zone_index(&m.zone)] += 1;
+            machines_by_zone[self.cfg.zone_index(&m.zone)] += 1;
         }
-        let all = f64::from(here.iter().sum::<u32>().max(1));
+        let total = f64::from(machines_by_zone.iter().sum::<u32>().max(1));
         let mut offers = Vec::new();
-        for (kind, t) in self.types.iter().enumerate() {
+        for (type_index, t) in self.types.iter().enumerate() {
             let zones = if t.zones.is_empty() {
                 &self.cfg.zones
             } else {
@@ -71,9 +85,10 @@
             };
             for z in zones {
                 let zone = self.cfg.zone_index(z);
-                // Zones that hold less of the fleet are preferred, slightly.
-                let burden =
-                    1.0 + self.tuning.zone_burden * f64::from(here[zone]) / all + 0.001 * t.boot_s;
+                // Zones that hold less of the fleet are slightly preferred.
+                let cost_factor = 1.0
+                    + self.tuning.zone_burden * f64::from(machines_by_zone[zone]) / total
+                    + 0.001 * t.boot_s;
                 for spot in [true, false] {
                     let price = if spot { t.spot_price } else { t.price };
                     let offer = Offer {
@@ -87,12 +102,12 @@
                     {
                         continue;
                     }
-                    offers.push(OfferView {
+                    offers.push(InstanceOffer {
                         offer,
-                        kind,
+                        type_index,
                         zone,
                         spot,
-                        cost: price * burden,
+                        cost: price * cost_factor,
                     });
                 }
             }
--- a/crates/hopyoke-scheduler/src/placement/preemption.rs
+++ b/crates/hopyoke-scheduler/src/placement/preemption.rs
@@ -1,21 +1,29 @@
-//! Room for production work by stopping tasks of arrays.
+//! Preemption: room for production work by stopping tasks of arrays.
 
 use super::TaskKey;
 use super::request::PlacementRequest;
-use super::snapshot::ClusterSnapshot;
+use super::snapshot::{Bin, ClusterSnapshot};
 use crate::Scheduler;
 use crate::ledger::Allocation;
 use crate::resources::Resources;
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::Micros;
 
-/// What making room costs, in which bin, and who must go.
-type Room = (f64, usize, Vec<TaskKey>);
+/// Cost of a machine without the task's image, in seconds of lost work: more than any victims on one with it should cost.
+const MISSING_IMAGE_COST: f64 = 1000.0;
+
+/// The preemptions that make room on one machine.
+struct Preemption {
+    /// Seconds of work lost, with what speaks against the machine.
+    cost: f64,
+    bin: usize,
+    victims: Vec<TaskKey>,
+}
 
 impl Scheduler {
-    /// Makes room for a production task on a machine that is up by stopping tasks of arrays of
-    /// lower priority: nobody else is preempted, for arrays lose least. The room is taken in the
-    /// plan; the task starts once the others have exited. Returns the zone.
+    /// Makes room for a production task on a ready machine by stopping tasks of arrays of lower priority: only those
+    /// are preempted, for arrays lose least. The room is reserved; the task starts once the victims have exited.
+    /// Returns the zone.
     pub(super) fn preempt(
         &self,
         request: &PlacementRequest,
@@ -27,77 +35,101 @@
         }
         snapshot.preempt_searches += 1;
         self.add_visited(snapshot.bins.len());
-        let mut best: Option<Room> = None;
+        let mut best: Option<Preemption> = None;
         for (i, bin) in snapshot.bins.iter().enumerate() {
+            let max_room = bin.free + bin.freeing + bin.preemptible;
             if !bin.ready
-                || !request
-                    .task
-                    .fits_in(&(bin.free + bin.freeing + bin.preemptible))
-                || !self.allowed(request, bin)
+                || !request.task.fits_in(&max_room)
+                || !self.passes_filters(request, bin)
                 || !request.zone_allows(bin.zone)
             {
                 continue;
             }
-            let image = if snapshot.has_image(bin, request.image) {
+            let image_cost = if snapshot.has_image(bin, request.image) {
                 0.0
             } else {
-                1000.0
+                MISSING_IMAGE_COST
             };
-            if best.as_ref().is_some_and(|b| image >= b.0) {
+            if best.as_ref().is_some_and(|b| image_cost >= b.cost) {
                 continue;
             }
-            let mut room = bin.free + bin.freeing;
-            let mut victims = Vec::new();
-            let mut lost = 0.0;
-            let Some(m) = bin.machine.as_ref().and_then(|m| self.machines.get(m)) else {
+            let Some((victims, work_lost)) = self.select_victims(request, bin, snapshot, now)
+            else {
                 continue;
             };
-            let mut candidates: Vec<(f64, &TaskKey, &Allocation)> = m
-                .allocations()
-                .iter()
-                .filter(|(k, s)| {
-                    s.is_live() && s.stop.is_none() && !snapshot.victims.iter().any(|v| v.1 == **k)
-                })
-                .filter(|(_, s)| {
-                    s.spec.as_ref().is_some_and(|v| {
-                        v.kind == JobKind::Array && v.priority > request.spec.priority
-                    })
-                })
-                .map(|(k, s)| (self.work_lost(k, s, now), k, s))
-                .collect();
-            candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-            for (ran, key, allocation) in candidates {
-                if request.task.fits_in(&room) {
-                    break;
-                }
-                room = room + allocation.resources();
-                lost += ran + 1.0;
-                victims.push(key.clone());
+            let cost = image_cost + work_lost;
+            if best.as_ref().is_none_or(|b| cost < b.cost) {
+                best = Some(Preemption {
+                    cost,
+                    bin: i,
+                    victims,
+                });
             }
-            if !request.task.fits_in(&room) {
-                continue;
-            }
-            let cost = image + lost;
-            if best.as_ref().is_none_or(|b| cost < b.0) {
-                best = Some((cost, i, victims));
+        }
+        self.reserve_by_preemption(request, best?, snapshot)
+    }
+
+    /// The tasks on this machine that lose least and make enough room, with the seconds of work lost.
+    fn select_victims(
+        &self,
+        request: &PlacementRequest,
+        bin: &Bin,
+        snapshot: &ClusterSnapshot,
+        now: Micros,
+    ) -> Option<(Vec<TaskKey>, f64)> {
+        let m = bin.machine.as_ref().and_then(|m| self.machines.get(m))?;
+        let mut candidates: Vec<(f64, &TaskKey, &Allocation)> = m
+            .allocations()
+            .iter()
+            .filter(|(k, s)| {
+                s.is_live() && s.stop.is_none() && !snapshot.victims.iter().any(|v| v.1 == **k)
+            })
+            .filter(|(_, s)| {
+                s.spec
+                    .as_ref()
+                    .is_some_and(|v| v.kind == JobKind::Array && v.priority > request.spec.priority)
+            })
+            .map(|(k, s)| (self.work_lost(k, s, now), k, s))
+            .collect();
+        candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let mut room = bin.free + bin.freeing;
+        let mut victims = Vec::new();
+        let mut work_lost = 0.0;
+        for (lost_s, key, allocation) in candidates {
+            if request.task.fits_in(&room) {
+                break;
             }
+            room = room + allocation.resources();
+            work_lost += lost_s + 1.0;
+            victims.push(key.clone());
         }
-        let (_, i, victims) = best?;
-        let bin = &mut snapshot.bins[i];
+        request.task.fits_in(&room).then_some((victims, work_lost))
+    }
+
+    /// Reserves the room of the victims and of what else is free or falls free on their machine. Returns its zone.
+    fn reserve_by_preemption(
+        &self,
+        request: &PlacementRequest,
+        preemption: Preemption,
+        snapshot: &mut ClusterSnapshot,
+    ) -> Option<usize> {
+        let bin = &mut snapshot.bins[preemption.bin];
         let machine = bin.machine.clone()?;
-        let freed = victims
+        let freed = preemption
+            .victims
             .iter()
             .filter_map(|k| self.machines.get(&machine)?.allocations().get(k))
             .map(Allocation::resources);
         let freed = freed.fold(Resources::default(), |a, b| a + b);
-        // Room that is promised to this task is neither free nor freeing for others.
+        // Room that is reserved for this task is neither free nor freeing for others.
         bin.freeing = bin.freeing + bin.free + freed - request.task;
         bin.preemptible = bin.preemptible - freed;
         bin.free = Resources::default();
-        bin.wanted = true;
+        bin.reserved = true;
+        let zone = bin.zone;
         snapshot
             .victims
-            .extend(victims.into_iter().map(|k| (machine.clone(), k)));
-        Some(snapshot.bins[i].zone)
+            .extend(preemption.victims.into_iter().map(|k| (machine.clone(), k)));
+        Some(zone)
     }
 }
--- a/crates/hopyoke-scheduler/src/placement/queue_order.rs
+++ b/crates/hopyoke-scheduler/src/placement/queue_order.rs
@@ -1,44 +1,44 @@
-//! The order of a tenant's own jobs: by what is left of them against how long they have waited.
+//! The order of a tenant's own jobs: by their remaining work against their wait.
 //!
-//! By age alone, a tenant that offers more than its limit lets run serves few jobs: the large ones
-//! that came first hold all its room, and everybody behind them waits for longer than it would have
-//! run. By size alone the large ones would never run. The ratio of both serves most jobs, and bounds
-//! how long a newcomer can go ahead of one that waits.
+//! By age alone, a tenant that offers more than its limit allows has few jobs served: the large ones that came first hold
+//! all its room, and those behind them wait for longer than they would have run. By size alone the large ones would
+//! never run. The ratio of both serves most jobs, and bounds how long newcomers can overtake one that waits.
 
 use hopyoke_types::Micros;
 use std::collections::BTreeMap;
 
-/// One job that waits for room.
+/// A job with unplaced tasks.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Waiting<T> {
-    /// Only jobs of the same tenant change places.
+pub struct WaitingJob<T> {
+    /// Only jobs of the same tenant change positions.
     pub tenant: T,
-    /// Seconds of task time that have no place yet; not negative, 0 for unknown.
+    /// Estimated task time of its unplaced tasks, in seconds; not negative, 0 if unknown.
     pub work_s: f64,
-    /// How long it has waited.
+    /// Time since its acceptance.
     pub waited: Micros,
 }
 
-/// A job that came just now counts as having waited for this long.
-const HEAD_START: Micros = Micros::from_secs(10);
-/// Jobs smaller than this part of the tenant's largest count as this large.
-const SPAN: f64 = 64.0;
+/// Added to every wait, so that a new job has a finite ratio.
+const MIN_WAIT: Micros = Micros::from_secs(10);
+/// Jobs smaller than the tenant's largest job divided by this count as of that size.
+const SIZE_RANGE: f64 = 64.0;
 
-/// After this no job that comes later goes ahead of one of the same tenant, whatever their sizes.
-pub const MOST_WAIT: Micros = Micros(HEAD_START.0 * (SPAN as u64 - 1));
+/// After this wait a job is no longer overtaken by newcomers of the same tenant, whatever their sizes.
+pub const MAX_OVERTAKING_WAIT: Micros = Micros(MIN_WAIT.0 * (SIZE_RANGE as u64 - 1));
 
-/// The order in which jobs take their turns: `order[i]` is the job that takes the place of the i-th.
+/// The order of the jobs: `order[i]` is the index of the job that gets the i-th position.
 ///
-/// `jobs` are in the order of their age, or of whatever decides between tenants. Each tenant's jobs share the
-/// places that they hold together; within them the one with the least work for its wait comes first, and among
-/// equals the earlier one. What is not a number counts as no work.
-pub fn take_turns<T: Ord + Copy>(jobs: &[Waiting<T>]) -> Vec<usize> {
-    let mut places: BTreeMap<T, Vec<usize>> = BTreeMap::new();
+/// `jobs` are in order of age, or of what decides between tenants. The set of positions that a tenant's jobs hold stays
+/// the same; within it the job with the least work for its wait comes first, and among equals the earlier one. Work that
+/// is not a finite number counts as none.
+#[must_use]
+pub fn order_within_tenants<T: Ord + Copy>(jobs: &[WaitingJob<T>]) -> Vec<usize> {
+    let mut positions: BTreeMap<T, Vec<usize>> = BTreeMap::new();
     for (i, job) in jobs.iter().enumerate() {
-        places.entry(job.tenant).or_default().push(i);
+        positions.entry(job.tenant).or_default().push(i);
     }
     let mut order = vec![0; jobs.len()];
-    for own in places.into_values() {
+    for own in positions.into_values() {
         let work = |i: &usize| {
             if jobs[*i].work_s.is_finite() {
                 jobs[*i].work_s.max(0.0)
@@ -47,15 +47,15 @@
             }
         };
         let largest = own.iter().map(work).fold(0.0, f64::max);
-        let least = (largest / SPAN).max(f64::MIN_POSITIVE);
+        let min_work = (largest / SIZE_RANGE).max(f64::MIN_POSITIVE);
         let ratio = |i: &usize| {
-            let waited = (jobs[*i].waited + HEAD_START).as_secs_f64();
-            work(i).max(least) / waited
+            let waited = (jobs[*i].waited + MIN_WAIT).as_secs_f64();
+            work(i).max(min_work) / waited
         };
         let mut queue: Vec<(f64, usize)> = own.iter().map(|i| (ratio(i), *i)).collect();
         queue.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (place, (_, job)) in own.into_iter().zip(queue) {
-            order[place] = job;
+        for (position, (_, job)) in own.into_iter().zip(queue) {
+            order[position] = job;
         }
     }
     order
--- a/crates/hopyoke-scheduler/src/placement/request.rs
+++ b/crates/hopyoke-scheduler/src/placement/request.rs
@@ -1,6 +1,6 @@
-//! What the placement of one job must look at, and the bins that it may use.
+//! One job's placement request: resources, constraints (filter), and its candidate machines (score).
 
-use super::Turn;
+use super::queue::QueueItem;
 use super::snapshot::{Bin, ClusterSnapshot};
 use crate::Scheduler;
 use crate::ledger::ImageKey;
@@ -10,57 +10,61 @@
 use hopyoke_types::JobId;
 use std::rc::Rc;
 
-/// What the placement of one job must look at.
+/// Resources and constraints of one job's tasks.
 #[derive(Clone)]
 pub(super) struct PlacementRequest {
     pub(super) id: JobId,
     pub(super) spec: Rc<JobSpec>,
+    /// Resources of one task.
     pub(super) task: Resources,
     pub(super) image: ImageKey,
+    /// Index of its team in the settings; `None`: unknown team, whose work is never started.
     pub(super) team: Option<usize>,
-    /// The only zone allowed.
+    /// Index of the only zone allowed.
     pub(super) zone: Option<usize>,
-    /// Types allowed, by their place in the catalog.
-    pub(super) kinds: Vec<bool>,
-    /// How many types can hold a task of it.
-    pub(super) choices: usize,
-    /// It failed on several machines, so no machine is avoided for that.
+    /// Whether each type of the catalog is allowed and large enough, by its index.
+    pub(super) allowed_types: Vec<bool>,
+    /// Number of types that are allowed and large enough.
+    pub(super) type_choices: usize,
+    /// It failed on several machines, so that a machine on which it failed is not avoided.
     pub(super) is_crash_looping: bool,
-    /// Spot machines are to be had: it leaves empty ordinary ones to work that needs them.
-    pub(super) spare_ordinary: bool,
-    /// Places of the job's tasks by zone.
+    /// Spot machines are on offer: it leaves empty on-demand machines to work that needs them.
+    pub(super) spare_on_demand: bool,
+    /// Number of the job's placed tasks by zone index.
     pub(super) zones: Vec<u32>,
 }
 
 impl PlacementRequest {
-    /// The job's zone rules allow one more task in this zone, given where its others are.
+    /// The job's zone constraints allow one more task in this zone, given where its others are.
     /// (Guards `wrong_place`.)
     pub(super) fn zone_allows(&self, zone: usize) -> bool {
-        if self.spec.one_zone
-            && self
-                .zones
+        let has_task_elsewhere = || {
+            self.zones
                 .iter()
                 .enumerate()
-                .any(|(z, &n)| n > 0 && z != zone)
-        {
+                .any(|(z, &count)| count > 0 && z != zone)
+        };
+        if self.spec.one_zone && has_task_elsewhere() {
             return false;
         }
         !self.spec.spread || self.zones[zone] < self.spec.tasks.div_ceil(2)
     }
 
-    pub(super) fn cares_for_zones(&self) -> bool {
+    /// Its candidates depend on the zones of its other tasks.
+    pub(super) fn is_zone_sensitive(&self) -> bool {
         self.spec.one_zone || self.spec.spread || self.spec.kind == JobKind::Service
     }
 }
 
-/// Bins that one job may use, best first, by zone if the job cares for zones.
+/// Bins that one job may use, best first; one list per zone for a zone-sensitive job, else a single list.
 pub(super) struct Candidates {
-    pub(super) lists: Vec<Vec<usize>>,
-    pub(super) next: Vec<usize>,
+    lists: Vec<Vec<usize>>,
+    /// The first position of each list that may still have room.
+    next: Vec<usize>,
 }
 
 impl Candidates {
-    /// The best bin that still has room, in a zone that the job's rules allow.
+    /// The bin with the highest score that still has room, in a zone that the job's constraints allow.
     pub(super) fn best(
         &mut self,
         request: &PlacementRequest,
@@ -77,7 +81,7 @@
             }
             let Some(&b) = list.get(*next) else { continue };
             let bin = &snapshot.bins[b];
-            if request.cares_for_zones() && !request.zone_allows(bin.zone) {
+            if request.is_zone_sensitive() && !request.zone_allows(bin.zone) {
                 continue;
             }
             let value = score(bin);
@@ -88,7 +92,7 @@
         best.map(|(_, b)| b)
     }
 
-    /// A bin that was opened for the job comes first in its zone.
+    /// Puts a newly added bin before the others of its zone.
     pub(super) fn put_first(&mut self, bin: usize, zone: usize) {
         let list = zone.min(self.lists.len() - 1);
         let next = self.next[list];
@@ -97,9 +101,10 @@
 }
 
 impl Scheduler {
+    /// The placement request of a job; `None` for an unknown job.
     pub(super) fn request(&self, id: &JobId) -> Option<PlacementRequest> {
         let job = self.jobs.get(id)?;
-        let kinds: Vec<bool> = self.kinds_of(&job.spec).collect();
+        let allowed_types: Vec<bool> = self.types_holding(&job.spec).collect();
         let mut request = PlacementRequest {
             id: id.clone(),
             spec: job.spec.clone(),
@@ -107,13 +112,13 @@
             image: job.image,
             team: self.team_index(&job.spec.team),
             zone: job.spec.zone.as_ref().map(|z| self.cfg.zone_index(z)),
-            choices: kinds.iter().filter(|fits| **fits).count(),
-            kinds,
+            type_choices: allowed_types.iter().filter(|fits| **fits).count(),
+            allowed_types,
             is_crash_looping: job.is_crash_looping(self.tuning.suspect_after),
-            spare_ordinary: false,
+            spare_on_demand: false,
             zones: vec![0; self.cfg.zones.len() + 1],
         };
-        if request.cares_for_zones() {
+        if request.is_zone_sensitive() {
             for (machine, _) in job.attempts.values().flatten() {
                 if let Some(m) = self.machines.get(machine) {
                     request.zones[self.cfg.zone_index(&m.zone)] += 1;
@@ -123,8 +128,8 @@
         Some(request)
     }
 
-    /// Which types hold a task of the job, by their place in the catalog.
-    fn kinds_of(&self, spec: &JobSpec) -> impl Iterator<Item = bool> {
+    /// Whether each type of the catalog is allowed for the job and holds a task of it.
+    fn types_holding(&self, spec: &JobSpec) -> impl Iterator<Item = bool> {
         let task = Resources::of_task(spec);
         self.types.iter().map(move |t| {
             spec.types
@@ -134,36 +139,37 @@
         })
     }
 
-    /// Types that some of the waiting work has no alternative to.
-    pub(super) fn fragmentation(&self, waiting: &[Turn]) -> Fragmentation {
-        let mut fragmentation = Fragmentation::none(self.types.len());
-        for job in waiting.iter().filter_map(|t| self.jobs.get(&t.id)) {
+    /// Types that are the only choice of some waiting job.
+    pub(super) fn fragmentation(&self, queue: &[QueueItem]) -> Fragmentation {
+        let mut fragmentation = Fragmentation::new(self.types.len());
+        for job in queue.iter().filter_map(|item| self.jobs.get(&item.job)) {
             fragmentation.add(
-                self.kinds_of(&job.spec)
+                self.types_holding(&job.spec)
                     .enumerate()
                     .filter(|(_, fits)| *fits)
-                    .map(|(kind, _)| kind),
+                    .map(|(type_index, _)| type_index),
             );
         }
         fragmentation
     }
 
-    /// The job may use this machine.
-    pub(super) fn allowed(&self, request: &PlacementRequest, bin: &Bin) -> bool {
-        request.kinds[bin.kind]
+    /// Filter: the job may use this machine, room and zone balance aside.
+    pub(super) fn passes_filters(&self, request: &PlacementRequest, bin: &Bin) -> bool {
+        request.allowed_types[bin.type_index]
             && request.zone.is_none_or(|z| z == bin.zone)
             && (request.spec.spot || !bin.spot)
-            && !(request.spare_ordinary && !bin.spot && bin.empty)
-            && !(bin.returning && request.spec.priority == Priority::Production)
-            && (request.is_crash_looping || !bin.failed || !self.failed_on(bin, &request.id))
+            && !(request.spare_on_demand && !bin.spot && bin.empty)
+            && !(bin.partitioned && request.spec.priority == Priority::Production)
+            && (request.is_crash_looping || !bin.has_failures || !self.failed_on(bin, &request.id))
     }
 
-    pub(super) fn failed_on(&self, bin: &Bin, job: &JobId) -> bool {
+    /// Some task of the job failed on the machine.
+    fn failed_on(&self, bin: &Bin, job: &JobId) -> bool {
         let machine = bin.machine.as_ref().and_then(|m| self.machines.get(m));
         machine.is_some_and(|m| m.failed_jobs.contains(job))
     }
 
-    /// All bins that have room for a task of the job, best first.
+    /// Filters and scores the open bins: those with room for a task of the job, in `zone` only if it is given.
     pub(super) fn candidates(
         &self,
         request: &PlacementRequest,
@@ -171,7 +177,7 @@
         zone: Option<usize>,
     ) -> Candidates {
         self.add_visited(snapshot.open.len());
-        let zones = if request.cares_for_zones() {
+        let zones = if request.is_zone_sensitive() {
             self.cfg.zones.len() + 1
         } else {
             1
@@ -181,7 +187,7 @@
             let b = &snapshot.bins[i];
             if request.task.fits_in(&b.free)
                 && zone.is_none_or(|z| z == b.zone)
-                && self.allowed(request, b)
+                && self.passes_filters(request, b)
             {
                 scored[b.zone.min(zones - 1)].push((snapshot.score(request, b), i));
             }
--- a/crates/hopyoke-scheduler/src/placement/reservation.rs
+++ b/crates/hopyoke-scheduler/src/placement/reservation.rs
@@ -1,30 +1,30 @@
-//! Room that is kept for work that needs much at once, against work that would fit into it now.
+//! Reservations: room held for gangs, against work that would fit into it now.
 
 use hopyoke_types::Micros;
 
-/// Nobody is kept from room for longer than this. Users count a job that waits 90 s beside room as given up; what is
-/// left of that is for a plan that comes late, and for the start.
-const LONGEST: Micros = Micros::from_secs(60);
+/// No work is kept from reserved room for longer than this. Users count a job that waits 90 s beside free room as
+/// failed; the rest is left for a late cycle and for the start.
+const MAX_RESERVATION: Micros = Micros::from_secs(60);
 
-/// Says when room is kept and when it is not.
+/// Decides in which placement cycles room is reserved.
 ///
-/// A gang needs room to collect: on machines, and in its team's limit. While it does, lesser work is kept off
-/// pieces that it would fit into. How long that takes is not known (what runs there may take its time, a
-/// machine may never come up, and the gang may be larger than any zone), so it is bounded: every so often one plan
-/// keeps nothing, and whoever has waited beside room takes it. In between pieces collect as before, so a gang begins if
-/// the work that it waits for ends within that time.
+/// A gang needs room to accumulate: on machines, and in its team's limit. Meanwhile other work is kept from room that it
+/// would fit into. How long that takes is unknown (running tasks may take long, a machine may never come up, and the
+/// gang may be larger than any zone), so it is bounded: every `MAX_RESERVATION` one cycle reserves nothing, and work
+/// that has waited beside the room gets it. In between room accumulates, so that a gang begins if the work that it
+/// waits for ends within that time.
 #[derive(Debug, Clone, Default)]
 pub struct Reservations {
-    lent_at: Micros,
+    last_suspended_at: Micros,
 }
 
 impl Reservations {
-    /// Whether the plan that is made now keeps room for anybody.
-    pub fn keeps(&mut self, now: Micros) -> bool {
-        let keeps = now < self.lent_at + LONGEST;
-        if !keeps {
-            self.lent_at = now;
+    /// Whether the cycle at `now` reserves room.
+    pub fn should_reserve(&mut self, now: Micros) -> bool {
+        let should_reserve = now < self.last_suspended_at + MAX_RESERVATION;
+        if !should_reserve {
+            self.last_suspended_at = now;
         }
-        keeps
+        should_reserve
     }
 }
--- a/crates/hopyoke-scheduler/src/placement/snapshot.rs
+++ b/crates/hopyoke-scheduler/src/placement/snapshot.rs
@@ -1,169 +1,208 @@
-//! What one plan sees and changes: bins (machines, real or yet to be rented), offers, use by team.
+//! The cluster as one placement cycle sees it: machines as bins, instance offers, and use of teams' limits.
+//!
+//! Reservations of the cycle are made in the snapshot; the ledger changes only when tasks are bound.
 
+use super::queue::QueueItem;
 use super::request::PlacementRequest;
-use super::{Start, TaskKey};
+use super::{Binding, TaskKey};
 use crate::Scheduler;
 use crate::autoscale::provisioning::ProvisioningState;
-use crate::autoscale::scale_out::Offer;
-use crate::ledger::{ImageKey, MachinePhase};
+use crate::autoscale::scale_out::{Demand, Offer};
+use crate::ledger::{ImageKey, Machine, MachinePhase};
 use crate::placement::fragmentation::Fragmentation;
 use crate::resources::{Resources, Team};
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::{JobId, MachineId, Micros};
 use std::collections::BTreeMap;
+use std::ops::Range;
 use tracing::debug;
 
-/// A worker lists each attempt, ended ones until they are recorded, in some 90 characters, and a report may
-/// have 64 KiB. (Guards against a report that no node takes, and so a session that lapses: large machines
-/// full of tiny tasks; scenario tiny_tasks.)
-const MOST_REPORTED: usize = 560;
+/// Attempts that one machine may hold, ended ones included. An agent lists each attempt in about 90 characters until
+/// its end is recorded, and a heartbeat may have 64 KiB. (Guards against a heartbeat that no node accepts, so that the
+/// lease expires: large machines full of tiny tasks; scenario tiny_tasks.)
+const MAX_REPORTED_ATTEMPTS: usize = 560;
 
-/// A machine, real or yet to be rented, in a plan.
+/// A machine, or an instance yet to be requested.
 pub(super) struct Bin {
+    /// `None`: no machine yet.
     pub(super) machine: Option<MachineId>,
     /// Tasks can be started on it now.
     pub(super) ready: bool,
-    /// Its type: a place in the catalog.
-    pub(super) kind: usize,
-    /// Its zone: a place in the settings' list, or just past it.
+    /// Index of its type in the catalog.
+    pub(super) type_index: usize,
+    /// Index of its zone in the settings; one past the last for an unknown zone.
     pub(super) zone: usize,
     pub(super) spot: bool,
     pub(super) free: Resources,
+    /// It has no live attempt.
     pub(super) empty: bool,
-    /// Attempts that its worker's report still has room for.
-    pub(super) reportable: usize,
-    /// Replicas on it, which stay long.
+    /// Attempts that its agent's heartbeat still has room for.
+    pub(super) report_capacity: usize,
+    /// Replicas of services on it, which stay long.
     pub(super) replicas: u32,
-    /// What its tasks will free that have been told to go at once.
+    /// Resources of attempts whose immediate stop is commanded.
     pub(super) freeing: Resources,
-    /// What could be freed for production work.
+    /// Resources of attempts that production work may preempt.
     pub(super) preemptible: Resources,
-    /// Where its images stand in the plan's list.
-    pub(super) images: (u32, u32),
-    /// The image of the task that this plan put on it last.
-    pub(super) latest: Option<ImageKey>,
-    /// Some job's tasks failed on it.
-    pub(super) failed: bool,
-    /// It is cut off and may be back: production work does not wait for that.
-    pub(super) returning: bool,
-    /// The plan counts on it.
-    pub(super) wanted: bool,
-    /// Room that is kept for a gang, and for how many seconds nobody will miss it.
-    pub(super) lent: Option<(Resources, f64)>,
+    /// Its images, as a range of the snapshot's list.
+    pub(super) images: Range<usize>,
+    /// The image of the task that this cycle reserved room for last.
+    pub(super) last_image: Option<ImageKey>,
+    /// Tasks of some job failed on it.
+    pub(super) has_failures: bool,
+    /// Its lease expired while its zone is partitioned, and it may be back: production work does not wait for that.
+    pub(super) partitioned: bool,
+    /// This cycle counts on it: it must not be scaled in.
+    pub(super) reserved: bool,
+    /// Room reserved for a gang that short tasks may use until then.
+    pub(super) backfill_room: Option<BackfillRoom>,
 }
 
-/// A kind of machine that the cloud sells, as seen by one plan.
-pub(super) struct OfferView {
+/// Room reserved for a gang that can't begin yet.
+#[derive(Clone, Copy)]
+pub(super) struct BackfillRoom {
+    pub(super) free: Resources,
+    /// Seconds until the gang is expected to have all its room.
+    pub(super) available_s: f64,
+}
+
+/// A kind of instance that the cloud sells.
+pub(super) struct InstanceOffer {
     pub(super) offer: Offer,
-    pub(super) kind: usize,
+    /// Index of its type in the catalog.
+    pub(super) type_index: usize,
+    /// Index of its zone in the settings.
     pub(super) zone: usize,
     pub(super) spot: bool,
-    /// Price with what speaks against it: a zone that holds much of the fleet, a long boot.
+    /// Price, raised for a zone that holds much of the fleet and for long provisioning.
     pub(super) cost: f64,
 }
 
-/// A plan in the making.
+/// Room that running tasks are expected to free before a new instance could be ready.
+pub(super) struct ExpectedRoom {
+    pub(super) type_index: usize,
+    pub(super) zone: usize,
+    pub(super) spot: bool,
+    pub(super) room: Resources,
+}
+
+/// The first task of a starving array, placed before the array's regular turn.
+#[derive(Clone, Copy)]
+pub(super) struct EarlyStart {
+    pub(super) index: u32,
+    pub(super) zone: usize,
+}
+
+/// The cluster during one cycle, with the cycle's reservations and results.
 pub(super) struct ClusterSnapshot {
     pub(super) bins: Vec<Bin>,
-    /// Bins that had room for the smallest waiting task, and all new ones.
+    /// Indices of bins that had room for the smallest waiting task, and of all new ones.
     pub(super) open: Vec<usize>,
+    /// Images of all machines; see [`Bin::images`].
     pub(super) images: Vec<ImageKey>,
-    /// What a machine of each type offers.
-    pub(super) kinds: Vec<Resources>,
-    pub(super) offers: Vec<OfferView>,
+    /// Capacity of a machine of each type in the catalog.
+    pub(super) type_resources: Vec<Resources>,
+    pub(super) offers: Vec<InstanceOffer>,
+    /// Instances to be requested, by index of `offers`.
     pub(super) demand: Vec<u32>,
-    /// Use by team.
+    /// Resources charged to each team, by its index in the settings.
     pub(super) used: Vec<Resources>,
-    /// Some live attempt is of a job that the ledger doesn't know.
+    /// Some live allocation is orphaned: the ledger doesn't know its job.
     pub(super) orphaned: bool,
-    /// Room is kept for gangs that need it to collect; now and then a plan keeps none.
-    pub(super) keeps_room: bool,
-    pub(super) starts: Vec<Start>,
-    /// Of arrays that this plan lets begin before their turn, the task that starts and its zone.
-    pub(super) begun: BTreeMap<JobId, (u32, usize)>,
-    /// Tasks to be stopped for more important ones.
+    /// Room is reserved for gangs; now and then a cycle reserves none.
+    pub(super) reservations_enabled: bool,
+    pub(super) bindings: Vec<Binding>,
+    pub(super) early_starts: BTreeMap<JobId, EarlyStart>,
+    /// Attempts to be stopped for production work.
     pub(super) victims: Vec<(MachineId, TaskKey)>,
     /// Gangs that have reserved machines.
     pub(super) reservations: usize,
-    /// Tasks looked at by the search for room by preemption.
+    /// Searches for room by preemption.
     pub(super) preempt_searches: usize,
-    /// Bins with room that may be lent.
-    pub(super) lending: Vec<usize>,
-    /// Room that running tasks will most likely have made before a machine could boot; `None`: not
-    /// looked up yet.
-    pub(super) soon: Option<Vec<Soon>>,
-    /// Kinds of machine that some of the waiting work has no alternative to.
+    /// Indices of bins with backfill room.
+    pub(super) backfill_bins: Vec<usize>,
+    /// `None`: not estimated yet.
+    pub(super) expected_room: Option<Vec<ExpectedRoom>>,
     pub(super) fragmentation: Fragmentation,
 }
 
-/// Room that is about to be free.
-pub(super) struct Soon {
-    pub(super) kind: usize,
-    pub(super) zone: usize,
-    pub(super) spot: bool,
-    pub(super) room: Resources,
+/// What a reservation changes in a bin; see [`Bin::restore`].
+pub(super) struct BinState {
+    free: Resources,
+    empty: bool,
+    report_capacity: usize,
+    replicas: u32,
+    last_image: Option<ImageKey>,
+    reserved: bool,
 }
 
-/// What of a bin a gang's try changes.
-pub(super) type Before = (Resources, bool, usize, u32, Option<ImageKey>, bool);
+/// Machines of one kind, for the log line about the fleet's use.
+#[derive(Default)]
+struct Usage {
+    machines: u32,
+    gpus: f64,
+    free_gpus: f64,
+}
 
 impl Bin {
-    pub(super) fn rented(kind: usize, zone: usize, spot: bool, total: Resources) -> Bin {
+    /// An instance that has not been provisioned yet, with all of its capacity free.
+    pub(super) fn requested(type_index: usize, zone: usize, spot: bool, total: Resources) -> Bin {
         Bin {
             machine: None,
             ready: false,
-            kind,
+            type_index,
             zone,
             spot,
             free: total,
             empty: true,
-            reportable: MOST_REPORTED,
+            report_capacity: MAX_REPORTED_ATTEMPTS,
             replicas: 0,
             freeing: Resources::default(),
             preemptible: Resources::default(),
-            images: (0, 0),
-            latest: None,
-            failed: false,
-            returning: false,
-            wanted: false,
-            lent: None,
+            images: 0..0,
+            last_image: None,
+            has_failures: false,
+            partitioned: false,
+            reserved: false,
+            backfill_room: None,
         }
     }
 
-    pub(super) fn before(&self) -> Before {
-        (
-            self.free,
-            self.empty,
-            self.reportable,
-            self.replicas,
-            self.latest,
-            self.wanted,
-        )
+    /// What a reservation would change, to undo it.
+    pub(super) fn state(&self) -> BinState {
+        BinState {
+            free: self.free,
+            empty: self.empty,
+            report_capacity: self.report_capacity,
+            replicas: self.replicas,
+            last_image: self.last_image,
+            reserved: self.reserved,
+        }
     }
 
-    pub(super) fn restore(&mut self, before: Before) {
-        (
-            self.free,
-            self.empty,
-            self.reportable,
-            self.replicas,
-            self.latest,
-            self.wanted,
-        ) = before;
+    /// Undoes reservations made since `state` was taken.
+    pub(super) fn restore(&mut self, state: BinState) {
+        self.free = state.free;
+        self.empty = state.empty;
+        self.report_capacity = state.report_capacity;
+        self.replicas = state.replicas;
+        self.last_image = state.last_image;
+        self.reserved = state.reserved;
     }
 }
 
 impl ClusterSnapshot {
+    /// The machine has the image or fetches it, tasks of this cycle included.
     pub(super) fn has_image(&self, bin: &Bin, image: ImageKey) -> bool {
-        bin.latest == Some(image) || self.had_image(bin, image)
+        bin.last_image == Some(image) || self.had_image_before_cycle(bin, image)
     }
 
-    /// It has the image, or fetches it, without what this plan starts.
-    pub(super) fn had_image(&self, bin: &Bin, image: ImageKey) -> bool {
-        let (first, end) = bin.images;
-        self.images[first as usize..end as usize].contains(&image)
+    /// As [`ClusterSnapshot::has_image`], without what this cycle starts.
+    pub(super) fn had_image_before_cycle(&self, bin: &Bin, image: ImageKey) -> bool {
+        self.images[bin.images.clone()].contains(&image)
     }
 
+    /// Scores a bin for a task of the job; the highest is the best.
     pub(super) fn score(&self, request: &PlacementRequest, bin: &Bin) -> f64 {
         let mut score = 0.0;
         if bin.ready {
@@ -172,20 +211,23 @@
         if self.has_image(bin, request.image) {
             score += 100.0;
         }
-        // Work that may use spot machines leaves the ordinary ones to work that may not.
+        // Work that may use spot machines leaves on-demand ones to work that may not.
         if bin.spot {
             score += 50.0;
         }
         if !bin.empty {
             score += 20.0;
         }
-        // Work that has a choice leaves room to work that has none.
-        if self.fragmentation.avoids(bin.kind, request.choices) {
+        // Work that can run on several types leaves this one to work that can't.
+        if self
+            .fragmentation
+            .avoids(bin.type_index, request.type_choices)
+        {
             score -= 60.0;
         }
         if request.spec.kind == JobKind::Service {
-            // Replicas stay long: packed together they leave whole machines to gangs, and to be
-            // returned. Spread over zones, one zone's end takes few of a job's.
+            // Replicas stay long: packed together they leave whole machines to gangs and to scale-in. Spread over
+            // zones, the loss of one zone takes few of a job's.
             if bin.replicas > 0 {
                 score += 70.0;
             }
@@ -195,39 +237,46 @@
         score - (bin.free.gpus - request.task.gpus) - (bin.free.cpus - request.task.cpus) / 16.0
     }
 
-    /// Says how the fleet is used once this plan's tasks run; for finding out what is paid in vain.
-    pub(super) fn tell(&self) {
-        let sum = |f: &dyn Fn(&&Bin) -> bool| {
-            let bins = self.bins.iter().filter(f);
-            bins.fold((0u32, 0.0, 0.0), |s, b| {
-                (s.0 + 1, s.1 + self.kinds[b.kind].gpus, s.2 + b.free.gpus)
+    /// Logs the use of the fleet once this cycle's tasks run, to show what is paid for in vain.
+    pub(super) fn log_usage(&self) {
+        let sum = |filter: &dyn Fn(&&Bin) -> bool| {
+            let bins = self.bins.iter().filter(filter);
+            bins.fold(Usage::default(), |sum, b| Usage {
+                machines: sum.machines + 1,
+                gpus: sum.gpus + self.type_resources[b.type_index].gpus,
+                free_gpus: sum.free_gpus + b.free.gpus,
             })
         };
         let (ready, idle) = (sum(&|b| b.ready), sum(&|b| b.ready && b.empty));
-        let coming = sum(&|b| !b.ready && b.machine.is_some());
+        let provisioning = sum(&|b| !b.ready && b.machine.is_some());
         let planned = sum(&|b| b.machine.is_none());
         debug!(
-            ready = ready.0,
-            ready_gpus = ready.1,
-            ready_free = ready.2,
-            idle = idle.0,
-            idle_gpus = idle.1,
-            coming = coming.0,
-            coming_gpus = coming.1,
-            coming_free = coming.2,
-            planned = planned.0,
-            planned_gpus = planned.1,
-            planned_free = planned.2,
-            "fleet"
+            ready = ready.machines,
+            ready_gpus = ready.gpus,
+            ready_free = ready.free_gpus,
+            idle = idle.machines,
+            idle_gpus = idle.gpus,
+            provisioning = provisioning.machines,
+            provisioning_gpus = provisioning.gpus,
+            provisioning_free = provisioning.free_gpus,
+            planned = planned.machines,
+            planned_gpus = planned.gpus,
+            planned_free = planned.free_gpus,
+            "fleet usage"
         );
     }
 
-    /// Charges `n` tasks to their team unless that exceeds its limit.
-    pub(super) fn charge(&mut self, request: &PlacementRequest, n: u32, teams: &[Team]) -> bool {
+    /// Charges `count` tasks to their team; false, with nothing charged, if that exceeds its limit.
+    pub(super) fn charge(
+        &mut self,
+        request: &PlacementRequest,
+        count: u32,
+        teams: &[Team],
+    ) -> bool {
         let Some(team) = request.team else {
             return false;
         };
-        let sum = self.used[team] + request.task.times(f64::from(n));
+        let sum = self.used[team] + request.task.times(f64::from(count));
         if !teams[team].allows(&sum) {
             return false;
         }
@@ -235,14 +284,15 @@
         true
     }
 
-    pub(super) fn refund(&mut self, request: &PlacementRequest, n: u32) {
+    /// Takes back a charge of `count` tasks.
+    pub(super) fn refund(&mut self, request: &PlacementRequest, count: u32) {
         if let Some(team) = request.team {
-            self.used[team] = self.used[team] - request.task.times(f64::from(n));
+            self.used[team] = self.used[team] - request.task.times(f64::from(count));
         }
     }
 
-    /// What was taken on machines that are up, for a gang whose others still boot, is free for others.
-    pub(super) fn lend_ready(&mut self, request: &PlacementRequest, bins: &[usize]) {
+    /// Releases room reserved on ready machines for a gang whose other machines are still being provisioned.
+    pub(super) fn release_ready(&mut self, request: &PlacementRequest, bins: &[usize]) {
         for &bin in bins {
             let b = &mut self.bins[bin];
             if b.ready {
@@ -252,24 +302,86 @@
         self.refund(request, bins.len() as u32);
     }
 
-    pub(super) fn take(&mut self, bin: usize, request: &mut PlacementRequest) {
+    /// Reserves room for one task of the job.
+    pub(super) fn reserve(&mut self, bin: usize, request: &mut PlacementRequest) {
         let b = &mut self.bins[bin];
         b.free = b.free - request.task;
         b.empty = false;
-        b.reportable = b.reportable.saturating_sub(1);
-        if b.reportable == 0 {
+        b.report_capacity = b.report_capacity.saturating_sub(1);
+        if b.report_capacity == 0 {
             b.free = Resources::default();
         }
         b.replicas += u32::from(request.spec.kind == JobKind::Service);
-        b.latest = Some(request.image);
-        b.wanted = true;
+        b.last_image = Some(request.image);
+        b.reserved = true;
         request.zones[b.zone] += 1;
     }
+
+    /// Instances to be requested, and machines that must stay.
+    pub(super) fn into_demand(self) -> Demand {
+        let offers = self
+            .offers
+            .into_iter()
+            .zip(self.demand)
+            .filter(|(_, count)| *count > 0);
+        Demand {
+            offers: offers.map(|(o, count)| (o.offer, count)).collect(),
+            reserved_machines: self
+                .bins
+                .into_iter()
+                .filter(|b| b.reserved)
+                .filter_map(|b| b.machine)
+                .collect(),
+        }
+    }
 }
 
 impl Scheduler {
-    pub(super) fn fill_bins(&mut self, snapshot: &mut ClusterSnapshot, now: Micros) {
-        let quiet = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(2);
+    /// The cluster as it is now, before any reservation of this cycle.
+    pub(super) fn take_snapshot(&mut self, queue: &[QueueItem], now: Micros) -> ClusterSnapshot {
+        let mut snapshot = ClusterSnapshot {
+            bins: Vec::with_capacity(self.machines.len() + 64),
+            open: Vec::new(),
+            images: Vec::new(),
+            type_resources: self.types.iter().map(Resources::of_type).collect(),
+            offers: self.offers(now),
+            demand: Vec::new(),
+            used: vec![Resources::default(); self.cfg.teams.len()],
+            orphaned: false,
+            reservations_enabled: self.reservations.should_reserve(now),
+            bindings: Vec::new(),
+            early_starts: BTreeMap::new(),
+            victims: Vec::new(),
+            reservations: 0,
+            preempt_searches: 0,
+            backfill_bins: Vec::new(),
+            expected_room: None,
+            fragmentation: self.fragmentation(queue),
+        };
+        snapshot.demand = vec![0; snapshot.offers.len()];
+        self.add_machines(&mut snapshot, now);
+        self.add_pending_scale_outs(&mut snapshot);
+        // Bins without room even for the smallest waiting task are not searched again.
+        let smallest_task = queue
+            .iter()
+            .filter_map(|item| self.jobs.get(&item.job))
+            .map(|j| j.task)
+            .reduce(|a, b| Resources {
+                cpus: a.cpus.min(b.cpus),
+                gpus: a.gpus.min(b.gpus),
+                memory_gb: a.memory_gb.min(b.memory_gb),
+            });
+        if let Some(smallest_task) = smallest_task {
+            snapshot.open = (0..snapshot.bins.len())
+                .filter(|&i| smallest_task.fits_in(&snapshot.bins[i].free))
+                .collect();
+        }
+        snapshot
+    }
+
+    /// Charges all live attempts to their teams, and adds the machines that may get tasks.
+    fn add_machines(&mut self, snapshot: &mut ClusterSnapshot, now: Micros) {
+        let heartbeat_timeout = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(2);
         let Scheduler {
             machines,
             cfg,
@@ -284,62 +396,71 @@
                 let used = &mut snapshot.used[usize::from(*team)];
                 *used = *used + *amounts;
             }
-            let fresh = m.phase == MachinePhase::Up && now < m.last_seen + quiet;
-            if (m.phase == MachinePhase::Up && !fresh)
-                || m.deleting
-                || m.faulty
-                || m.slow
-                || (m.phase == MachinePhase::Provisioning
-                    && m.provisioning != ProvisioningState::Awaited)
-                || m.preemption_notice_at.is_some()
-                || now < m.no_placement_before
-            {
+            let fresh = m.phase == MachinePhase::Up && now < m.last_seen + heartbeat_timeout;
+            if (m.phase == MachinePhase::Up && !fresh) || !may_get_tasks(m, now) {
                 continue;
             }
-            let Some(kind) = types.iter().position(|t| t.name == m.machine_type) else {
+            let Some(type_index) = types.iter().position(|t| t.name == m.machine_type) else {
                 continue;
             };
             let Some(load) = m.cached_load() else {
                 continue;
             };
-            let reportable = MOST_REPORTED.saturating_sub(m.allocations().len());
-            let first = snapshot.images.len() as u32;
+            let report_capacity = MAX_REPORTED_ATTEMPTS.saturating_sub(m.allocations().len());
+            let first_image = snapshot.images.len();
             snapshot.images.extend_from_slice(&load.images);
             snapshot.bins.push(Bin {
                 machine: Some(m.id.clone()),
                 ready: fresh && m.is_registered && m.is_reconciled(*token),
-                kind,
+                type_index,
                 zone: cfg.zone_index(&m.zone),
                 spot: m.spot,
-                free: if reportable > 0 {
-                    snapshot.kinds[kind] - load.used
+                free: if report_capacity > 0 {
+                    snapshot.type_resources[type_index] - load.used
                 } else {
                     Resources::default()
                 },
                 empty: load.live == 0,
-                reportable,
+                report_capacity,
                 replicas: load.replicas,
                 freeing: load.freeing,
                 preemptible: load.preemptible,
-                images: (first, snapshot.images.len() as u32),
-                latest: None,
-                failed: !m.failed_jobs.is_empty(),
-                // Its lease has lapsed, but its zone is cut off and it may be back.
-                returning: m.phase == MachinePhase::Lost,
-                wanted: false,
-                lent: None,
+                images: first_image..snapshot.images.len(),
+                last_image: None,
+                has_failures: !m.failed_jobs.is_empty(),
+                partitioned: m.phase == MachinePhase::Lost,
+                reserved: false,
+                backfill_room: None,
             });
         }
-        // Machines that are being rented right now.
-        for (offer, n) in self.pending_scale_outs.open() {
-            if let Some(kind) = self.types.iter().position(|t| t.name == offer.machine_type) {
+    }
+
+    /// Adds the instances that are being requested right now.
+    fn add_pending_scale_outs(&self, snapshot: &mut ClusterSnapshot) {
+        for (offer, count) in self.pending_scale_outs.open() {
+            if let Some(type_index) = self.types.iter().position(|t| t.name == offer.machine_type) {
                 let zone = self.cfg.zone_index(&offer.zone);
-                for _ in 0..n {
-                    snapshot
-                        .bins
-                        .push(Bin::rented(kind, zone, offer.spot, snapshot.kinds[kind]));
+                for _ in 0..count {
+                    snapshot.bins.push(Bin::requested(
+                        type_index,
+                        zone,
+                        offer.spot,
+                        snapshot.type_resources[type_index],
+                    ));
                 }
             }
         }
     }
 }
+
+/// Nothing known of the machine speaks against new tasks on it.
+fn may_get_tasks(m: &Machine, now: Micros) -> bool {
+    let is_provisioning_overdue =
+        m.phase == MachinePhase::Provisioning && m.provisioning != ProvisioningState::Awaited;
+    !(m.deleting
+        || m.faulty
+        || m.slow
+        || is_provisioning_overdue
+        || m.preemption_notice_at.is_some()
+        || now < m.no_placement_before)
+}
--- a/crates/hopyoke-scheduler/src/placement/stop_finished.rs
+++ b/crates/hopyoke-scheduler/src/placement/stop_finished.rs
@@ -5,12 +5,67 @@
 use hopyoke_types::{Attempt, JobId, MachineId};
 use std::collections::BTreeSet;
 
+/// A stop command to be given.
+struct StopRequest {
+    machine: MachineId,
+    job: JobId,
+    index: u32,
+    attempt: Attempt,
+    /// Seconds for a checkpoint; 0: at once.
+    grace_s: f64,
+}
+
 impl Scheduler {
-    /// Gangs that lost a task after they started, or that are to move, must end altogether first;
-    /// services leave machines that are about to be taken.
+    /// Stops gangs that lost a task after they started or that must move, as a whole; and replicas on machines that
+    /// are faulty or have a preemption notice.
     pub(crate) fn stop_finished(&mut self) {
-        let mut stops: Vec<(MachineId, JobId, u32, Attempt, f64)> = Vec::new();
-        let mut moving: BTreeSet<JobId> = BTreeSet::new();
+        let (mut stops, moving_gangs) = self.evictions();
+        for (id, job) in self.jobs.iter_mut().filter(|(_, j)| j.is_gang()) {
+            let placed = job.attempts.len() as u32;
+            if placed == 0 {
+                job.gang_failing = false;
+                job.gang_started = false;
+                continue;
+            }
+            if job.gang_started && placed < job.spec.tasks {
+                job.gang_failing = true;
+            }
+            let is_moving = moving_gangs.contains(id);
+            for (&index, attempts) in &job.attempts {
+                for (machine, attempt) in attempts {
+                    let grace_s = if job.gang_failing || *attempt != job.start_attempt {
+                        0.0
+                    } else if is_moving {
+                        // Graceful: all tasks are stopped together and may write a checkpoint.
+                        job.spec.save_s + 1.0
+                    } else {
+                        continue;
+                    };
+                    stops.push(StopRequest {
+                        machine: machine.clone(),
+                        job: id.clone(),
+                        index,
+                        attempt: *attempt,
+                        grace_s,
+                    });
+                }
+            }
+        }
+        for stop in stops {
+            self.stop_allocation(
+                &stop.machine,
+                &stop.job,
+                stop.index,
+                stop.attempt,
+                stop.grace_s,
+            );
+        }
+    }
+
+    /// Replicas to be stopped and gangs to be moved, for their machines are faulty or about to be preempted.
+    fn evictions(&self) -> (Vec<StopRequest>, BTreeSet<JobId>) {
+        let mut stops = Vec::new();
+        let mut moving_gangs = BTreeSet::new();
         for m in self
             .machines
             .values()
@@ -21,52 +76,20 @@
                     continue;
                 };
                 match job.spec.kind {
-                    JobKind::Service => {
-                        stops.push((
-                            m.id.clone(),
-                            task.job.clone(),
-                            task.index,
-                            *attempt,
-                            job.spec.save_s,
-                        ));
-                    }
+                    JobKind::Service => stops.push(StopRequest {
+                        machine: m.id.clone(),
+                        job: task.job.clone(),
+                        index: task.index,
+                        attempt: *attempt,
+                        grace_s: job.spec.save_s,
+                    }),
                     JobKind::Gang => {
-                        moving.insert(task.job.clone());
+                        moving_gangs.insert(task.job.clone());
                     }
                     JobKind::Array => {}
                 }
             }
         }
-        for (id, job) in self.jobs.iter_mut().filter(|(_, j)| j.is_gang()) {
-            let placed = job.attempts.len() as u32;
-            if placed == 0 {
-                job.gang_failing = false;
-                job.gang_started = false;
-                continue;
-            }
-            if job.gang_started && placed < job.spec.tasks {
-                job.gang_failing = true;
-            }
-            let moved = moving.contains(id);
-            for (&index, attempts) in &job.attempts {
-                for (m, attempt) in attempts {
-                    if job.gang_failing || *attempt != job.start_attempt {
-                        stops.push((m.clone(), id.clone(), index, *attempt, 0.0));
-                    } else if moved {
-                        // Orderly stop: all are told at once and may save.
-                        stops.push((
-                            m.clone(),
-                            id.clone(),
-                            index,
-                            *attempt,
-                            job.spec.save_s + 1.0,
-                        ));
-                    }
-                }
-            }
-        }
-        for (machine, job, index, attempt, grace) in stops {
-            self.stop_allocation(&machine, &job, index, attempt, grace);
-        }
+        (stops, moving_gangs)
     }
 }
--- a/crates/hopyoke-scheduler/src/placement/tasks.rs
+++ b/crates/hopyoke-scheduler/src/placement/tasks.rs
@@ -1,20 +1,40 @@
-//! Arrays and services: each task gets a place for itself.
+//! Placement of arrays and services: each task by itself.
 
-use super::Start;
-use super::snapshot::ClusterSnapshot;
+use super::Binding;
+use super::request::{Candidates, PlacementRequest};
+use super::snapshot::{ClusterSnapshot, EarlyStart};
 use crate::Scheduler;
-use crate::ledger::WaitReason;
+use crate::ledger::{Job, WaitReason};
 use crate::reconcile::restart_check::RestartDecision;
 use hopyoke_protocol::user::Priority;
 use hopyoke_types::{JobId, Micros};
 
-/// In all so many times a job's window may be under way. What is ahead of the window takes room that is
-/// there; no machine is rented for it, and nothing is stopped.
-const AHEAD: usize = 4;
+/// A job may have this many times its window of tasks placed, all in all. Tasks ahead of the window use free room only:
+/// no instance is requested for them, and nothing is preempted.
+const AHEAD_FACTOR: usize = 4;
+
+/// Unplaced tasks of a job that may be started, by index.
+#[derive(Default)]
+struct StartableTasks {
+    in_window: Vec<u32>,
+    /// Tasks beyond the window; see [`AHEAD_FACTOR`].
+    ahead: Vec<u32>,
+    /// Attempts of some task are not accounted for yet.
+    has_unknown: bool,
+}
+
+/// What came of placing one task.
+enum TaskOutcome {
+    Placed,
+    /// Running tasks are expected to make room for it shortly.
+    RoomExpected,
+    /// Neither this task nor later ones of the job can be placed.
+    Blocked(WaitReason),
+}
 
 impl Scheduler {
-    /// Arrays and services: each task for itself.
-    pub(super) fn place_each(
+    /// Places the tasks of an array or a service. Returns why the job still waits, if it does.
+    pub(super) fn place_tasks(
         &mut self,
         id: &JobId,
         snapshot: &mut ClusterSnapshot,
@@ -23,121 +43,166 @@
         let (Some(mut request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
             return None;
         };
-        let begun = snapshot.begun.get(id).copied();
-        if let Some((_, zone)) = begun {
-            request.zones[zone] += 1;
-        }
-        let (mut unknown, mut soon) = (false, false);
-        let mut startable = Vec::new();
-        let mut ahead = Vec::new();
-        let window = self.cfg.window() as usize;
-        let far = job.done.first_missing().saturating_add(self.cfg.span());
-        let most_ahead = (AHEAD * window).saturating_sub(job.attempts.len());
-        for (n, index) in job.done.missing(job.spec.tasks).enumerate() {
-            if n >= window && (index >= far || ahead.len() >= most_ahead) {
-                break;
-            }
-            match self.check(job, index) {
-                _ if begun.is_some_and(|(first, _)| first == index) => {}
-                RestartDecision::Restart if n >= window => ahead.push(index),
-                RestartDecision::Restart => startable.push(index),
-                RestartDecision::Unknown => unknown = true,
-                RestartDecision::Reconnect | RestartDecision::AcceptResult => {}
-            }
+        let early_start = snapshot.early_starts.get(id).copied();
+        if let Some(early) = early_start {
+            request.zones[early.zone] += 1;
         }
+        let mut tasks = self.startable_tasks(job, early_start);
         if request.is_crash_looping {
-            // It failed on several machines: one task at a time shows whether it still does, on room that
-            // is there. Nothing is rented or stopped for it. (Guards against arrays with a mistake that
-            // fill the fleet again after each backoff; scenario failing_array_tried_singly.)
-            ahead = startable
+            // One task at a time shows whether it still fails, on free room: nothing is requested or preempted for it.
+            // (Guards against arrays with a mistake that fill the fleet again after each backoff; scenario
+            // mistaken_array.)
+            tasks.ahead = tasks
+                .in_window
                 .drain(..)
                 .take(usize::from(job.attempts.is_empty()))
                 .collect();
         }
-        let mut left = startable.len() as u32;
-        // A zone rule must not be broken by tasks that nobody has reported yet.
-        if unknown && (request.spec.spread || request.spec.one_zone) {
+        // A zone constraint must not be broken by tasks that nobody has reported yet.
+        if tasks.has_unknown && (request.spec.spread || request.spec.one_zone) {
             return Some(WaitReason::Reconciliation);
         }
-        request.spare_ordinary = snapshot.keeps_room
+        request.spare_on_demand = snapshot.reservations_enabled
             && request.spec.spot
             && snapshot
                 .best_offer(&request, None, 1)
                 .is_some_and(|o| snapshot.offers[o].spot);
         let mut candidates = self.candidates(&request, snapshot, None);
-        let production = request.spec.priority == Priority::Production;
-        for index in startable {
+        let mut is_room_expected = false;
+        let mut remaining = tasks.in_window.len() as u32;
+        for index in tasks.in_window {
             if !snapshot.charge(&request, 1, &self.cfg.teams) {
                 return Some(WaitReason::TeamLimit);
             }
-            let found = candidates.best(&request, snapshot, |b| snapshot.score(&request, b));
-            let bin = match found {
-                Some(bin) if snapshot.bins[bin].ready => bin,
-                _ => {
-                    if production && let Some(zone) = self.preempt(&request, snapshot, now) {
-                        request.zones[zone] += 1;
-                        left -= 1;
-                        continue;
-                    }
-                    if self.tuning.use_for_backfill
-                        && let Some((bin, image)) = self.borrow_room(&request, snapshot)
-                    {
-                        left -= 1;
-                        self.start_on(bin, id, index, image, snapshot, now);
-                        continue;
-                    }
-                    match found {
-                        Some(bin) => bin,
-                        None if self.tuning.use_for_demand
-                            && self.room_soon(&request, snapshot, now) =>
-                        {
-                            // Its room is on its way: it is looked for again then.
-                            snapshot.refund(&request, 1);
-                            left -= 1;
-                            soon = true;
-                            continue;
-                        }
-                        None => match snapshot.open_new(&request, None, left) {
-                            Some(bin) => {
-                                candidates.put_first(bin, snapshot.bins[bin].zone);
-                                bin
-                            }
-                            None => {
-                                snapshot.refund(&request, 1);
-                                return Some(WaitReason::Machines);
-                            }
-                        },
-                    }
-                }
-            };
-            left -= 1;
-            let image = snapshot.has_image(&snapshot.bins[bin], request.image);
-            snapshot.take(bin, &mut request);
-            if snapshot.bins[bin].ready {
-                self.start_on(bin, id, index, image, snapshot, now);
+            match self.place_task(
+                index,
+                remaining,
+                &mut request,
+                &mut candidates,
+                snapshot,
+                now,
+            ) {
+                TaskOutcome::Placed => {}
+                TaskOutcome::RoomExpected => is_room_expected = true,
+                TaskOutcome::Blocked(reason) => return Some(reason),
+            }
+            remaining -= 1;
+        }
+        for index in tasks.ahead {
+            if !self.place_on_free_room(index, &mut request, &mut candidates, snapshot, now) {
+                break;
             }
         }
-        for index in ahead {
-            let bin = candidates
-                .best(&request, snapshot, |b| snapshot.score(&request, b))
-                .filter(|b| snapshot.bins[*b].ready);
-            let Some(bin) = bin.filter(|_| snapshot.charge(&request, 1, &self.cfg.teams)) else {
+        if request.is_crash_looping {
+            Some(WaitReason::SingleTaskTrial)
+        } else if tasks.has_unknown {
+            Some(WaitReason::Reconciliation)
+        } else {
+            is_room_expected.then_some(WaitReason::EndingTasks)
+        }
+    }
+
+    /// The tasks without an attempt that may be started, lowest index first.
+    fn startable_tasks(&self, job: &Job, early_start: Option<EarlyStart>) -> StartableTasks {
+        let mut tasks = StartableTasks::default();
+        let window = self.cfg.window() as usize;
+        let span_end = job.done.first_missing().saturating_add(self.cfg.span());
+        let max_ahead = (AHEAD_FACTOR * window).saturating_sub(job.attempts.len());
+        for (n, index) in job.done.missing(job.spec.tasks).enumerate() {
+            if n >= window && (index >= span_end || tasks.ahead.len() >= max_ahead) {
                 break;
-            };
-            let image = snapshot.has_image(&snapshot.bins[bin], request.image);
-            snapshot.take(bin, &mut request);
-            self.start_on(bin, id, index, image, snapshot, now);
+            }
+            match self.check(job, index) {
+                _ if early_start.is_some_and(|early| early.index == index) => {}
+                RestartDecision::Restart if n >= window => tasks.ahead.push(index),
+                RestartDecision::Restart => tasks.in_window.push(index),
+                RestartDecision::Unknown => tasks.has_unknown = true,
+                RestartDecision::Reconnect | RestartDecision::AcceptResult => {}
+            }
         }
-        match (unknown, soon) {
-            _ if request.is_crash_looping => Some(WaitReason::SingleTaskTrial),
-            (true, _) => Some(WaitReason::Reconciliation),
-            (_, true) => Some(WaitReason::EndingTasks),
-            _ => None,
+        tasks
+    }
+
+    /// Places one task that is charged to its team: on a ready machine, by preemption, as backfill, on a machine that
+    /// is being provisioned, or on an instance to be requested, in this order. `remaining` counts the job's tasks from
+    /// this one on.
+    fn place_task(
+        &mut self,
+        index: u32,
+        remaining: u32,
+        request: &mut PlacementRequest,
+        candidates: &mut Candidates,
+        snapshot: &mut ClusterSnapshot,
+        now: Micros,
+    ) -> TaskOutcome {
+        let best = candidates.best(request, snapshot, |b| snapshot.score(request, b));
+        if best.is_none_or(|bin| !snapshot.bins[bin].ready) {
+            if request.spec.priority == Priority::Production
+                && let Some(zone) = self.preempt(request, snapshot, now)
+            {
+                request.zones[zone] += 1;
+                return TaskOutcome::Placed;
+            }
+            if self.tuning.use_for_backfill
+                && let Some((bin, has_image)) = self.backfill(request, snapshot)
+            {
+                self.bind_later(bin, &request.id, index, has_image, snapshot, now);
+                return TaskOutcome::Placed;
+            }
+        }
+        let bin = match best {
+            Some(bin) => bin,
+            None if self.tuning.use_for_demand
+                && self.claim_expected_room(request, snapshot, now) =>
+            {
+                snapshot.refund(request, 1);
+                return TaskOutcome::RoomExpected;
+            }
+            None => {
+                let Some(bin) = snapshot.reserve_new_instance(request, None, remaining) else {
+                    snapshot.refund(request, 1);
+                    return TaskOutcome::Blocked(WaitReason::Machines);
+                };
+                candidates.put_first(bin, snapshot.bins[bin].zone);
+                bin
+            }
+        };
+        let has_image = snapshot.has_image(&snapshot.bins[bin], request.image);
+        snapshot.reserve(bin, request);
+        if snapshot.bins[bin].ready {
+            self.bind_later(bin, &request.id, index, has_image, snapshot, now);
         }
+        TaskOutcome::Placed
+    }
+
+    /// Places one task if a ready machine has room and the team's limit allows it; false if not.
+    fn place_on_free_room(
+        &mut self,
+        index: u32,
+        request: &mut PlacementRequest,
+        candidates: &mut Candidates,
+        snapshot: &mut ClusterSnapshot,
+        now: Micros,
+    ) -> bool {
+        let bin = candidates
+            .best(request, snapshot, |b| snapshot.score(request, b))
+            .filter(|b| snapshot.bins[*b].ready);
+        let Some(bin) = bin.filter(|_| snapshot.charge(request, 1, &self.cfg.teams)) else {
+            return false;
+        };
+        let has_image = snapshot.has_image(&snapshot.bins[bin], request.image);
+        snapshot.reserve(bin, request);
+        self.bind_later(bin, &request.id, index, has_image, snapshot, now);
+        true
     }
 
-    /// Lets an array that is overdue begin, with one task on room that is there: nothing is rented or stopped for it.
-    pub(super) fn place_first(&mut self, id: &JobId, snapshot: &mut ClusterSnapshot, now: Micros) {
+    /// Places the first task of a starving array on free room: nothing is requested or preempted for it.
+    pub(super) fn place_first_task(
+        &mut self,
+        id: &JobId,
+        snapshot: &mut ClusterSnapshot,
+        now: Micros,
+    ) {
         let (Some(mut request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
             return;
         };
@@ -145,7 +210,7 @@
         if request.is_crash_looping || self.check(job, index) != RestartDecision::Restart {
             return;
         }
-        // Most that are overdue wait for their team's limit: no bins are looked at for them.
+        // Most starving arrays wait for their team's limit: no bins are searched for them.
         if !snapshot.charge(&request, 1, &self.cfg.teams) {
             return;
         }
@@ -156,32 +221,33 @@
         let Some(bin) = bin else {
             return snapshot.refund(&request, 1);
         };
-        let image = snapshot.has_image(&snapshot.bins[bin], request.image);
-        snapshot.take(bin, &mut request);
+        let has_image = snapshot.has_image(&snapshot.bins[bin], request.image);
+        snapshot.reserve(bin, &mut request);
+        let zone = snapshot.bins[bin].zone;
         snapshot
-            .begun
-            .insert(id.clone(), (index, snapshot.bins[bin].zone));
-        self.start_on(bin, id, index, image, snapshot, now);
+            .early_starts
+            .insert(id.clone(), EarlyStart { index, zone });
+        self.bind_later(bin, id, index, has_image, snapshot, now);
     }
 
-    /// Has the plan start a task in a bin for which room was taken.
-    fn start_on(
+    /// Notes a binding for the end of the cycle; room is reserved already.
+    fn bind_later(
         &mut self,
         bin: usize,
         job: &JobId,
         index: u32,
-        image: bool,
+        has_image: bool,
         snapshot: &mut ClusterSnapshot,
         now: Micros,
     ) {
         if let Some(machine) = snapshot.bins[bin].machine.clone() {
             let attempt = self.new_attempt(now);
-            snapshot.starts.push(Start {
+            snapshot.bindings.push(Binding {
                 job: job.clone(),
                 index,
                 machine,
                 attempt,
-                image,
+                has_image,
             });
         }
     }
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -154,8 +154,11 @@
         let nominal = self.boot_time(machine_type);
         if nominal > Micros::ZERO {
             let in_boots = |t: Micros| t.as_secs_f64() / nominal.as_secs_f64();
-            self.provisioning_estimator
-                .came_up(machine_type, in_boots(took), in_boots(now));
+            self.provisioning_estimator.record_provisioned(
+                machine_type,
+                in_boots(took),
+                in_boots(now),
+            );
         }
     }
 
--- a/crates/hopyoke-scheduler/src/reconcile/job_records.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/job_records.rs
@@ -25,7 +25,7 @@
                 self.adopt_allocations(&id, &spec);
             }
             Some(job) if mod_revision > job.mod_revision => {
-                let done = record.done.tidy(job.spec.tasks);
+                let done = record.done.normalized(job.spec.tasks);
                 job.done.merge(&done);
                 job.recorded = done;
                 job.recorded_start_attempt = record.start_attempt;
--- a/crates/hopyoke-scheduler/src/resources.rs
+++ b/crates/hopyoke-scheduler/src/resources.rs
@@ -1,21 +1,27 @@
-//! What tasks take and machines offer.
+//! Resources of tasks and machines, teams' limits, and the check that a job can run at all.
 
 use hopyoke_protocol::cloud::MachineType;
-use hopyoke_protocol::user::JobSpec;
+use hopyoke_protocol::user::{JobKind, JobSpec};
 use std::collections::BTreeSet;
 use std::ops::{Add, Sub};
 
-/// Sums of decimal amounts may miss by this much.
+/// Tolerance for the rounding of sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
 
+/// Amounts of each kind of resource; not negative, but for differences.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
+    /// CPU cores.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
+    /// What one task of the job takes.
+    #[must_use]
     pub fn of_task(s: &JobSpec) -> Resources {
         Resources {
             cpus: s.cpus,
@@ -24,6 +30,8 @@
         }
     }
 
+    /// Capacity of a machine of this type.
+    #[must_use]
     pub fn of_type(t: &MachineType) -> Resources {
         Resources {
             cpus: t.cpus,
@@ -32,6 +40,8 @@
         }
     }
 
+    /// Each amount multiplied by `n`.
+    #[must_use]
     pub fn times(self, n: f64) -> Resources {
         Resources {
             cpus: self.cpus * n,
@@ -40,24 +50,27 @@
         }
     }
 
+    /// No amount is larger than in `room`.
+    #[must_use]
     pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + EPSILON
             && self.gpus <= room.gpus + EPSILON
             && self.memory_gb <= room.memory_gb + EPSILON
     }
 
-    /// How many of `task` go into this.
+    /// Number of tasks of this size that fit, at most 1,000,000.
+    #[must_use]
     pub fn holds(&self, task: &Resources) -> u32 {
-        let of = |room: f64, one: f64| {
+        let count = |room: f64, one: f64| {
             if one > 0.0 {
                 ((room + EPSILON) / one).floor().max(0.0)
             } else {
                 f64::MAX
             }
         };
-        let n = of(self.cpus, task.cpus)
-            .min(of(self.gpus, task.gpus))
-            .min(of(self.memory_gb, task.memory_gb));
+        let n = count(self.cpus, task.cpus)
+            .min(count(self.gpus, task.gpus))
+            .min(count(self.memory_gb, task.memory_gb));
         n.min(1e6) as u32
     }
 }
@@ -84,25 +97,32 @@
     }
 }
 
-/// A team's guarantee and limit.
+/// A team's guarantee (fair share) and limit (quota); 0: none is set.
 #[derive(Debug, Clone, Default)]
 pub struct Team {
+    /// Its name in the settings.
     pub name: String,
+    /// Guaranteed CPU cores.
     pub cpus: f64,
+    /// Limit of CPU cores.
     pub cpus_max: f64,
+    /// Guaranteed GPUs.
     pub gpus: f64,
+    /// Limit of GPUs.
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// A limit of 0 means that none is set.
+    /// Use of this size is within the limit. Memory has no limit.
+    #[must_use]
     pub fn allows(&self, used: &Resources) -> bool {
         (self.cpus_max <= 0.0 || used.cpus <= self.cpus_max + EPSILON)
             && (self.gpus_max <= 0.0 || used.gpus <= self.gpus_max + EPSILON)
     }
 
-    /// True if work of this size is within the guarantee. A resource without a guarantee counts
-    /// only if the team has a guarantee of no resource at all.
+    /// Use of this size is within the guarantee. A resource without a guarantee is not counted, unless the team has no
+    /// guarantee at all: then nothing is within it.
+    #[must_use]
     pub fn guarantees(&self, used: &Resources) -> bool {
         if self.cpus <= 0.0 && self.gpus <= 0.0 {
             return false;
@@ -112,64 +132,70 @@
     }
 }
 
-/// Why a job can never run, if so. Every node decides this by itself when it accepts a job.
-pub fn never_runs(
+/// Why a job can never run, in words for its user; `None` if it can. Every node decides this when it accepts a job.
+#[must_use]
+pub fn unschedulable_reason(
     spec: &JobSpec,
     types: &[MachineType],
     zones: &[String],
     teams: &[Team],
 ) -> Option<String> {
-    use hopyoke_protocol::user::JobKind;
     let Some(team) = teams.iter().find(|t| t.name == spec.team) else {
         return Some(format!("crew: no team is named '{}'", spec.team));
     };
     let task = Resources::of_task(spec);
-    let allowed = |t: &&MachineType| {
-        spec.types
-            .as_ref()
-            .is_none_or(|names| names.contains(&t.name))
-    };
-    let zone_ok = |t: &MachineType| match &spec.zone {
-        Some(z) => t.zones.is_empty() && zones.contains(z) || t.zones.contains(z),
-        None => true,
-    };
-    if !types
+    let usable: Vec<&MachineType> = types
         .iter()
-        .filter(allowed)
-        .any(|t| task.fits_in(&Resources::of_type(t)) && zone_ok(t))
-    {
+        .filter(|t| is_allowed_type(spec, t))
+        .filter(|t| task.fits_in(&Resources::of_type(t)) && is_in_allowed_zone(spec, t, zones))
+        .collect();
+    if usable.is_empty() {
         return Some("a task fits no allowed machine type".into());
     }
-    let tasks = if spec.kind == JobKind::Array {
+    // Tasks of arrays can run one after another; those of gangs and services must all run at once.
+    let concurrent_tasks = if spec.kind == JobKind::Array {
         1.0
     } else {
         f64::from(spec.tasks)
     };
-    if !team.allows(&task.times(tasks)) {
+    if !team.allows(&task.times(concurrent_tasks)) {
         return Some(format!(
             "the job needs more than the limit of team '{}'",
             team.name
         ));
     }
-    // At most half of the tasks may be in one zone, given where the others are. An array's can run one after
-    // another; those of gangs and services must all have places at once.
     if spec.kind != JobKind::Array && spec.spread && spec.tasks > 1 {
-        if spec.one_zone {
-            return Some("together: its tasks must be apart as well".into());
-        }
-        let fits = |t: &&MachineType| task.fits_in(&Resources::of_type(t)) && zone_ok(t);
-        let usable = types.iter().filter(allowed).filter(fits);
-        let usable = usable.flat_map(|t| {
-            if t.zones.is_empty() {
-                zones
-            } else {
-                &t.zones[..]
-            }
-        });
-        let usable = usable.filter(|z| spec.zone.as_ref().is_none_or(|only| only == *z));
-        if usable.collect::<BTreeSet<_>>().len() == 1 {
-            return Some("apart: only one zone has machines for its tasks".into());
-        }
+        return spread_conflict(spec, &usable, zones);
     }
     None
 }
+
+fn is_allowed_type(spec: &JobSpec, t: &MachineType) -> bool {
+    let names = spec.types.as_ref();
+    names.is_none_or(|names| names.contains(&t.name))
+}
+
+/// The type is offered in the zone that the job asks for, if it does.
+fn is_in_allowed_zone(spec: &JobSpec, t: &MachineType, zones: &[String]) -> bool {
+    match &spec.zone {
+        Some(zone) => t.zones.is_empty() && zones.contains(zone) || t.zones.contains(zone),
+        None => true,
+    }
+}
+
+/// Why tasks that must all run at once can't be spread: at most half of them may be in one zone.
+fn spread_conflict(spec: &JobSpec, usable: &[&MachineType], zones: &[String]) -> Option<String> {
+    if spec.one_zone {
+        return Some("together: its tasks must be apart as well".into());
+    }
+    let zones_of = |t: &&MachineType| -> BTreeSet<String> {
+        let offered = if t.zones.is_empty() { zones } else { &t.zones };
+        offered.iter().cloned().collect()
+    };
+    let usable_zones: BTreeSet<String> = usable
+        .iter()
+        .flat_map(zones_of)
+        .filter(|z| spec.zone.as_ref().is_none_or(|only| only == z))
+        .collect();
+    (usable_zones.len() == 1).then(|| "apart: only one zone has machines for its tasks".into())
+}
--- a/crates/hopyoke-scheduler/src/task_ranges.rs
+++ b/crates/hopyoke-scheduler/src/task_ranges.rs
@@ -7,15 +7,16 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
+/// A set of task numbers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TaskRanges(Vec<(u32, u32)>);
 
-/// A range takes at most so many characters in a record.
+/// Characters that a range takes in a record, at most.
 pub(crate) const RANGE_CHARS: usize = 14;
-/// The first missing number and the colon, beside the bits.
-const TEXT_EXTRA: usize = 16;
-/// No job has more tasks; larger numbers come from outside and are dropped.
-const MOST: u32 = 100_000;
+/// Characters beside the bits in the text form, at most: the first missing number and the colon.
+const TEXT_OVERHEAD: usize = 16;
+/// No job has more tasks; a text with larger numbers is malformed.
+const MAX_TASKS: u32 = 100_000;
 
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
@@ -26,7 +27,7 @@
 
 impl Serialize for TaskRanges {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        if self.text_chars() < self.0.len() * RANGE_CHARS {
+        if self.text_len() < self.0.len() * RANGE_CHARS {
             return Form::Text(self.to_text()).serialize(s);
         }
         self.0.serialize(s)
@@ -37,27 +38,29 @@
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<TaskRanges, D::Error> {
         match Form::deserialize(d)? {
             Form::List(parts) => Ok(TaskRanges(parts)),
-            Form::Text(text) => TaskRanges::of_text(&text)
+            Form::Text(text) => TaskRanges::from_text(&text)
                 .ok_or_else(|| serde::de::Error::custom("malformed set of task numbers")),
         }
     }
 }
 
 impl TaskRanges {
-    /// The first number that is missing.
+    /// The lowest number that is not in the set.
+    #[must_use]
     pub fn first_missing(&self) -> u32 {
         self.0.first().filter(|p| p.0 == 0).map_or(0, |p| p.1 + 1)
     }
 
-    /// At most so many characters in a record.
-    pub fn chars(&self) -> usize {
-        (self.0.len() * RANGE_CHARS).min(self.text_chars())
+    /// Upper bound of its length in a record, in characters.
+    #[must_use]
+    pub fn max_encoded_len(&self) -> usize {
+        (self.0.len() * RANGE_CHARS).min(self.text_len())
     }
 
-    fn text_chars(&self) -> usize {
+    fn text_len(&self) -> usize {
         let last = self.0.last().map_or(0, |p| p.1 + 1);
         let bits = last.saturating_sub(self.first_missing()) as usize;
-        TEXT_EXTRA + bits.div_ceil(8).div_ceil(3) * 4
+        TEXT_OVERHEAD + bits.div_ceil(8).div_ceil(3) * 4
     }
 
     fn to_text(&self) -> String {
@@ -72,13 +75,13 @@
         format!("{first}:{}", STANDARD_NO_PAD.encode(bytes))
     }
 
-    fn of_text(text: &str) -> Option<TaskRanges> {
+    fn from_text(text: &str) -> Option<TaskRanges> {
         let (first, bits) = text.split_once(':')?;
-        let first: u32 = first.parse().ok().filter(|f| *f <= MOST)?;
+        let first: u32 = first.parse().ok().filter(|f| *f <= MAX_TASKS)?;
         let bytes = STANDARD_NO_PAD
             .decode(bits)
             .ok()
-            .filter(|b| b.len() <= MOST as usize / 8 + 1)?;
+            .filter(|b| b.len() <= MAX_TASKS as usize / 8 + 1)?;
         let mut out = TaskRanges::all(first);
         let set = |x: &u32| bytes[(x / 8) as usize] >> (x % 8) & 1 == 1;
         for x in (0..bytes.len() as u32 * 8).filter(set) {
@@ -86,9 +89,9 @@
         }
         Some(out)
     }
-}
 
-impl TaskRanges {
+    /// The numbers below `n`.
+    #[must_use]
     pub fn all(n: u32) -> TaskRanges {
         if n == 0 {
             TaskRanges::default()
@@ -97,8 +100,9 @@
         }
     }
 
-    /// Sorts and merges what was read from outside; drops what lies beyond `n`.
-    pub fn tidy(self, n: u32) -> TaskRanges {
+    /// Sorts and merges ranges that were read from outside; drops those that end beyond `n`.
+    #[must_use]
+    pub fn normalized(self, n: u32) -> TaskRanges {
         let mut parts: Vec<_> = self
             .0
             .into_iter()
@@ -115,12 +119,14 @@
         TaskRanges(out)
     }
 
+    /// `x` is in the set.
+    #[must_use]
     pub fn contains(&self, x: u32) -> bool {
         let i = self.0.partition_point(|&(_, b)| b < x);
         self.0.get(i).is_some_and(|&(a, _)| a <= x)
     }
 
-    /// Adds `x`; true if it was not there.
+    /// Adds `x`; true if it was not in the set.
     pub fn insert(&mut self, x: u32) -> bool {
         let i = self.0.partition_point(|&(_, b)| b < x);
         if self.0.get(i).is_some_and(|&(a, _)| a <= x) {
@@ -140,6 +146,7 @@
         true
     }
 
+    /// Adds all numbers of `other`.
     pub fn merge(&mut self, other: &TaskRanges) {
         for &(a, b) in &other.0 {
             for x in a..=b {
@@ -148,12 +155,15 @@
         }
     }
 
-    /// How many numbers are in the set.
+    /// Number of task numbers in the set.
+    #[must_use]
     pub fn count(&self) -> u32 {
         self.0.iter().map(|&(a, b)| b - a + 1).sum()
     }
 
-    pub fn parts(&self) -> usize {
+    /// Number of ranges without gaps.
+    #[must_use]
+    pub fn range_count(&self) -> usize {
         self.0.len()
     }
 
--- a/crates/hopyoke-scheduler/src/tuning.rs
+++ b/crates/hopyoke-scheduler/src/tuning.rs
@@ -1,53 +1,80 @@
-//! What operators may tune. None of it is read by code that keeps a rule; what each setting does,
-//! and which range is safe, is said in `hopyoke-policy`'s `defaults.policy`.
+//! Settings that operators may tune. No code that keeps a rule reads them.
+//!
+//! The fields have the names of the settings in the operators' policy file; their safe ranges are declared in
+//! `hopyoke-policy`'s `defaults.policy`.
 
 use hopyoke_types::Micros;
 
-/// The tuning in force. The defaults are those that the built-in policy file declares.
+/// The tuning in force. The defaults are those of the built-in policy file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tuning {
+    /// Idle time after which a machine is scaled in.
     pub idle_return: Micros,
-    /// Ordinary machines kept idle while production work arrives.
+    /// On-demand machines kept idle while production work arrives.
     pub keep_ready: usize,
+    /// Time after its last job for which production work counts as arriving.
     pub keep_ready_for: Micros,
-    /// In boot times of the machine's type.
+    /// Age at which provisioning counts as failed, in nominal boot times of the type.
     pub boot_patience: f64,
+    /// Scale-out requests open at once, each for another offer.
     pub rent_requests: usize,
+    /// Pause before an offer that was refused for lack of capacity is requested again; doubled up to fourfold.
     pub refusal_pause: Micros,
-    /// A fraction of the price.
+    /// Surcharge for a zone that holds the whole fleet, as a fraction of the price.
     pub zone_burden: f64,
-    /// A fraction of the node's processor share.
+    /// Share of the node's processor time for placement cycles, 0 to 1.
     pub plan_share: f64,
+    /// Minimum time between two placement cycles.
     pub plan_gap_least: Micros,
+    /// Maximum time between two placement cycles while changes are pending.
     pub plan_gap_most: Micros,
+    /// Gangs for which one cycle reserves machines, at most.
     pub gang_reservations: usize,
+    /// Searches for room by preemption in one cycle, at most.
     pub preempt_searches: usize,
-    /// A fraction of all replicas' time.
+    /// Share of all replicas' time that moves may take, 0 to 1.
     pub move_share: f64,
+    /// Interruption of a moved replica whose image is on the target.
     pub move_cost: Micros,
+    /// Time for which a replica must have run before it is moved.
     pub move_settled: Micros,
+    /// Machines that one search for machines to drain considers, at most.
     pub drain_looks: usize,
+    /// First back-off of a job that fails on several machines; doubled up to four times.
     pub job_backoff: Micros,
+    /// Machines on which a job must have failed to count as crash-looping.
     pub suspect_after: usize,
-    /// Backoffs after which a step of a workflow is given up.
+    /// Back-offs after which a crash-looping step of a workflow is given up.
     pub step_patience: usize,
+    /// Time without new tasks on a machine on which a task failed.
     pub machine_pause: Micros,
+    /// Jobs that must have failed on a machine before it counts as faulty.
     pub faulty_after: usize,
+    /// Batching delay of results while write capacity is ample.
     pub gather_least: Micros,
+    /// Batching delay of results while half of the write rate is free.
     pub gather: Micros,
+    /// Batching delay of results otherwise.
     pub gather_most: Micros,
     /// Run times are learned.
     pub learn: bool,
+    /// Classes of work whose run times are kept, at most.
     pub learn_classes: usize,
-    /// A fraction of the state service's write rate.
+    /// Share of the state service's writes for learned run times, 0 to 1.
     pub learn_write_share: f64,
-    /// Runs after which an old one counts for a third.
+    /// Number of newer runs after which a run counts for a third.
     pub learn_memory: f64,
+    /// Learned run times weigh the choice of preemption victims.
     pub use_for_victims: bool,
+    /// Learned run times allow backfill of reserved machines.
     pub use_for_backfill: bool,
+    /// No instance is requested where running tasks are expected to make room in time.
     pub use_for_demand: bool,
+    /// Jobs with deadlines are ordered by their latest start.
     pub use_for_deadlines: bool,
+    /// Machines that run tasks slower than learned get no new ones.
     pub use_for_slow_machines: bool,
+    /// Ratio to the learned run time from which a machine counts as slow.
     pub slow_factor: f64,
 }
 
--- a/crates/hopyoke-scheduler/tests/fragmentation.rs
+++ b/crates/hopyoke-scheduler/tests/fragmentation.rs
@@ -1,10 +1,10 @@
-//! What has a choice gives way to what has none.
+//! Work with a choice of types leaves a type to work that depends on it.
 
 use hopyoke_scheduler::placement::fragmentation::Fragmentation;
 
 #[test]
-fn only_what_has_no_alternative_makes_a_niche() {
-    let mut n = Fragmentation::none(3);
+fn a_type_without_alternative_is_avoided() {
+    let mut n = Fragmentation::new(3);
     n.add([0, 1].into_iter());
     n.add([].into_iter());
     n.add([7].into_iter());
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn who_has_no_choice_either_does_not_give_way() {
-    let mut n = Fragmentation::none(2);
+fn work_with_a_single_type_avoids_nothing() {
+    let mut n = Fragmentation::new(2);
     n.add([1].into_iter());
     assert!(!n.avoids(1, 1));
     assert!(!n.avoids(9, 2));
--- a/crates/hopyoke-scheduler/tests/task_ranges.rs
+++ b/crates/hopyoke-scheduler/tests/task_ranges.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn nonsense_is_an_error() {
+fn malformed_text_is_an_error() {
     for text in [
         "",
         "1",
@@ -50,7 +50,7 @@
     fn what_is_written_is_read(numbers in prop::collection::btree_set(0u32..3_000, 0..800), first in 0u32..97_000) {
         let r = of((0..first).chain(numbers.iter().map(|x| x + first)));
         let bytes = encode(&r);
-        prop_assert!(bytes.len() <= r.chars() + 8);
+        prop_assert!(bytes.len() <= r.max_encoded_len() + 8);
         prop_assert_eq!(decode::<TaskRanges>(&bytes).ok(), Some(r));
     }
 }
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -4,7 +4,7 @@
 use super::kv_store::{Entry, Mutation, Value};
 use super::{Host, Simulation};
 use hopyoke_protocol::user::{JobSpec, JobState};
-use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
+use hopyoke_scheduler::{EndRecord, JobRecord, unschedulable_reason};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -314,7 +314,7 @@
             Some(Err(_)) => return reply(self, Answer::Malformed),
         };
         if !flow
-            && never_runs(
+            && unschedulable_reason(
                 &spec,
                 &self.machine_types,
                 &self.config.zones,
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -10,7 +10,7 @@
 use hopyoke_event_loop::http::{Method, Request, Response};
 use hopyoke_protocol::state::Stored;
 use hopyoke_protocol::user::{JobSpec, JobState, JobStatusResponse};
-use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
+use hopyoke_scheduler::{EndRecord, JobRecord, unschedulable_reason};
 use hopyoke_types::JobId;
 use hopyoke_types::Micros;
 use serde::Serialize;
@@ -164,7 +164,7 @@
 
 /// `leadership`: that of this node, if it leads: its scheduler may know the job's running tasks.
 fn unfinished(leadership: Option<&Leadership>, id: &JobId, record: Option<JobRecord>) -> Response {
-    let done = record.map_or(0, |r| r.done.tidy(r.spec.tasks).count());
+    let done = record.map_or(0, |r| r.done.normalized(r.spec.tasks).count());
     let mut answer = JobStatusResponse {
         id: id.as_str(),
         state: JobState::Queued,
@@ -238,7 +238,7 @@
         if types.is_empty() {
             return unavailable("the machine types are not known yet");
         }
-        never_runs(&spec, &types, &node.config.zones, &node.config.teams)
+        unschedulable_reason(&spec, &types, &node.config.zones, &node.config.teams)
     };
     let id = spec.id.clone();
     let result = match never_runs_reason {
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -16,7 +16,7 @@
 use crate::workflows::runner::{Value, head_of, pages_of, plan_of};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, Mutation, Stored};
-use hopyoke_scheduler::{JobRecord, never_runs};
+use hopyoke_scheduler::{JobRecord, unschedulable_reason};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
     Head, OnError, Plan, PlanPage, RunId, RunState, StepNo, StepState, job_id, job_prefix, parts_of,
@@ -192,7 +192,9 @@
         let Some(spec) = plan.spec(StepNo(i as u32), JobId::new("req-0")) else {
             continue;
         };
-        if let Some(why) = never_runs(&spec, &types, &node.config.zones, &node.config.teams) {
+        if let Some(why) =
+            unschedulable_reason(&spec, &types, &node.config.zones, &node.config.teams)
+        {
             return refuse(422, format!("step {}: {why}", step.path));
         }
     }
--- a/crates/hopyoke/src/workflows/runner.rs
+++ b/crates/hopyoke/src/workflows/runner.rs
@@ -12,7 +12,7 @@
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, KeyValue, Mutation, Stored, WatchResponse};
 use hopyoke_protocol::user::{JobSpec, JobState};
-use hopyoke_scheduler::{EndRecord, JobRecord, never_runs};
+use hopyoke_scheduler::{EndRecord, JobRecord, unschedulable_reason};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
     Action, Head, JobEnd, JobOutcome, Plan, PlanPage, RESERVED_JOB_PREFIX, RunClaim, RunId,
@@ -546,7 +546,7 @@
         if types.is_empty() {
             return Ok(JobOutcome::Later(Micros::from_secs(1)));
         }
-        never_runs(spec, &types, &node.config.zones, &node.config.teams)
+        unschedulable_reason(spec, &types, &node.config.zones, &node.config.teams)
     };
     if let Some(why) = never {
         // An accepted job stays accepted, whatever the catalog says now.
--- a/crates/hopyoke/tests/checks/mod.rs
+++ b/crates/hopyoke/tests/checks/mod.rs
@@ -4,7 +4,7 @@
 use hopyoke_event_loop::{self as runtime, CancellationToken, TcpListener, TcpStream};
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::JobSpec;
-use hopyoke_scheduler::{Team, never_runs};
+use hopyoke_scheduler::{Team, unschedulable_reason};
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
 use serde_json::Value;
@@ -111,7 +111,7 @@
     ];
     let got = match JobSpec::parse(&body) {
         Err(e) => format!("400 {e}"),
-        Ok(spec) => match never_runs(&spec, &types, &["a".into(), "b".into()], &teams) {
+        Ok(spec) => match unschedulable_reason(&spec, &types, &["a".into(), "b".into()], &teams) {
             Some(why) => format!("422 {why}"),
             None => "ok".into(),
         },
