--- a/crates/hopyoke-admission/src/rate_share.rs
+++ b/crates/hopyoke-admission/src/rate_share.rs
@@ -47,7 +47,7 @@
 ///
 /// A loan counts from when it was requested at the borrower, and from the answer at the lender, which is later:
 /// messages that are lost, delayed, repeated or reordered never let both spend the same rate. Only the leader's
-/// demand can rise before its peers learn of it: for [`VALIDITY`] at the most, together they may then exceed the limit
+/// demand can rise before its peers learn of it: for `VALIDITY` at the most, together they may then exceed the limit
 /// by up to half of it, which the service refuses.
 #[derive(Debug, Clone)]
 pub struct RateShare {
--- a/crates/hopyoke-scheduler/src/placement/mod.rs
+++ b/crates/hopyoke-scheduler/src/placement/mod.rs
@@ -1,6 +1,6 @@
 //! Placement inside the leased shards, and the demand for machines that follows from it.
 //!
-//! Each cycle starts from a new [`ClusterSnapshot`] and takes the waiting jobs in queue order. For each job it
+//! Each cycle starts from a new `ClusterSnapshot` and takes the waiting jobs in queue order. For each job it
 //! *filters* the machines that its constraints allow, *scores* them, *reserves* room in the snapshot (on machines
 //! that are up, then on those being provisioned, then on instances yet to be requested) and, for production work,
 //! *preempts* tasks of arrays. So room that an important job waits for is not given to a lesser one. At the end the
--- a/crates/hopyoke/src/agents/mod.rs
+++ b/crates/hopyoke/src/agents/mod.rs
@@ -1,4 +1,4 @@
 //! Agents (the workers of the protocol): their heartbeats, and commands pushed to them.
 
-pub mod heartbeats;
-pub mod pushed_commands;
+pub(crate) mod heartbeats;
+pub(crate) mod pushed_commands;
--- a/crates/hopyoke/src/api/admission.rs
+++ b/crates/hopyoke/src/api/admission.rs
@@ -13,7 +13,7 @@
 use std::cell::RefCell;
 
 /// Decides which submissions this node admits, and shares its queue and its rate with its peers.
-pub struct AdmissionController {
+pub(crate) struct AdmissionController {
     decisions: RefCell<Decisions>,
     teams: Vec<String>,
 }
--- a/crates/hopyoke/src/api/mod.rs
+++ b/crates/hopyoke/src/api/mod.rs
@@ -1,4 +1,4 @@
 //! The users' interface: jobs, and admission control for new work.
 
-pub mod admission;
-pub mod jobs;
+pub(crate) mod admission;
+pub(crate) mod jobs;
--- a/crates/hopyoke/src/peers/heartbeat_relay.rs
+++ b/crates/hopyoke/src/peers/heartbeat_relay.rs
@@ -19,7 +19,7 @@
 
 /// Heartbeats on their way to the leader.
 #[derive(Default)]
-pub struct HeartbeatRelay {
+pub(crate) struct HeartbeatRelay {
     batcher: RefCell<HeartbeatBatcher>,
     /// Notified when a call may be due.
     wakeup: Notify,
--- a/crates/hopyoke/src/store/client.rs
+++ b/crates/hopyoke/src/store/client.rs
@@ -132,7 +132,7 @@
                 Err(wait) => wait,
             };
             if priority == RequestPriority::Accepts || now + wait > deadline {
-                return Err(StateError::InsufficientResources);
+                return Err(StateError::RateLimited);
             }
             runtime::sleep(wait + Micros::from_millis(rand::random_range(1..=10))).await;
         }
@@ -179,7 +179,7 @@
 ///
 /// # Errors
 ///
-/// Its requests fail with [`StateError::InsufficientResources`] or [`StateError::Refused`] if they were certainly not
+/// Its requests fail with [`StateError::RateLimited`] or [`StateError::Refused`] if they were certainly not
 /// executed, with [`StateError::Unknown`] if no answer came in time, and with [`StateError::Malformed`] if the answer
 /// can't be decoded.
 #[derive(Clone, Copy)]
--- a/crates/hopyoke/src/store/error.rs
+++ b/crates/hopyoke/src/store/error.rs
@@ -8,7 +8,7 @@
     Refused(u16),
     /// Not sent: this node's share of the store's rate is used up by requests of the same or higher priority.
     #[error("this node's share of the request rate is used up")]
-    InsufficientResources,
+    RateLimited,
     /// It may have been executed, or may yet be.
     #[error("no answer")]
     Unknown,
@@ -23,9 +23,6 @@
 impl StateError {
     /// The request was certainly not executed, and never will be.
     pub(crate) fn is_refusal(&self) -> bool {
-        matches!(
-            self,
-            StateError::Refused(_) | StateError::InsufficientResources
-        )
+        matches!(self, StateError::Refused(_) | StateError::RateLimited)
     }
 }
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -47,7 +47,7 @@
     Err(Refusal::Status(status, why.into()))
 }
 
-pub async fn answer(node: &Rc<Node>, request: FlowRequest) -> FlowAnswer {
+pub(crate) async fn answer(node: &Rc<Node>, request: FlowRequest) -> FlowAnswer {
     let Some(flows) = &node.flows else {
         return failed(
             501,
@@ -203,6 +203,10 @@
 
 /// Writes a plan's pages, at the pace that runs may take. Pages that are there already are left: so
 /// a repeated call goes on from where the last one stopped.
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split with the rest of this module, see docs/ROADMAP.md"
+)]
 async fn write_plan(node: &Node, flows: &Flows, run: RunId, pages: &[PlanPage]) -> Answer<()> {
     let until = runtime::now() + WRITING;
     let there = node
@@ -308,6 +312,10 @@
     }
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split with the rest of this module, see docs/ROADMAP.md"
+)]
 async fn get(node: &Node, flows: &Flows, q: RunQuestion) -> Answer {
     let run = run_id(q.run)?;
     let Some((head, _)) = head_of(node, run).await? else {
@@ -385,6 +393,10 @@
 }
 
 /// Runs by id: unfinished and ended ones together.
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split with the rest of this module, see docs/ROADMAP.md"
+)]
 async fn list(node: &Node, flows: &Flows, l: RunList) -> Answer {
     let most = l.most.clamp(1, MOST_LISTED) as usize;
     let mut after = RunId::folded(l.after);
@@ -502,6 +514,10 @@
 }
 
 /// A new run that goes on from what a failed one had done. The old one stays as it ended.
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split with the rest of this module, see docs/ROADMAP.md"
+)]
 async fn resume(node: &Node, flows: &Flows, r: ResumeRun) -> Answer {
     let (old, run) = (run_id(r.run)?, run_id(r.new_run)?);
     let Some((head, _)) = head_of(node, old).await? else {
--- a/crates/hopyoke/src/workflows/mod.rs
+++ b/crates/hopyoke/src/workflows/mod.rs
@@ -1,4 +1,4 @@
 //! Runs of workflows: clients' calls, and their execution.
 
-pub mod calls;
-pub mod runner;
+pub(crate) mod calls;
+pub(crate) mod runner;
--- a/crates/hopyoke/src/workflows/runner.rs
+++ b/crates/hopyoke/src/workflows/runner.rs
@@ -41,7 +41,7 @@
 }
 
 /// Starts the routines, if this node takes part.
-pub fn start(node: &Rc<Node>) {
+pub(crate) fn start(node: &Rc<Node>) {
     if node.flows.is_some() {
         runtime::spawn_until(node.cancel.clone(), keep_lease_alive(node.clone()));
         runtime::spawn_until(node.cancel.clone(), watch_runs(node.clone()));
@@ -275,6 +275,10 @@
     }
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split with the rest of this module, see docs/ROADMAP.md"
+)]
 async fn execute(node: &Rc<Node>, action: Action) {
     let flows = of(node);
     match &action {
@@ -364,7 +368,7 @@
 
 fn not_known(e: &StateError) -> JobOutcome {
     match e {
-        StateError::Refused(_) | StateError::InsufficientResources => {
+        StateError::Refused(_) | StateError::RateLimited => {
             JobOutcome::Later(Micros::from_millis(500))
         }
         _ => JobOutcome::Unknown,
--- a/crates/hopyoke/tests/checks/mod.rs
+++ b/crates/hopyoke/tests/checks/mod.rs
@@ -42,7 +42,7 @@
 }
 
 /// The statements of this file, by their first word.
-pub fn statement(word: &str, line: &str) -> Option<Result<(), String>> {
+pub(crate) fn statement(word: &str, line: &str) -> Option<Result<(), String>> {
     Some(match word {
         "input" => input(line),
         "settings" => settings(line),
@@ -53,6 +53,10 @@
 
 /// `input PATCH -> ok | 400 FIELD | 422 WORD`: a good submission with these fields changed.
 /// `input hex BYTES -> ...`: a body byte by byte.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one statement of the scenario language, its catalog beside it"
+)]
 fn input(line: &str) -> Result<(), String> {
     let (left, right) = line
         .trim_start_matches("input")
