--- a/crates/hopyoke-emulator/src/cluster.rs
+++ b/crates/hopyoke-emulator/src/cluster.rs
@@ -13,6 +13,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Child, Command, Stdio};
 use std::rc::Rc;
+use std::sync::atomic::{AtomicU32, Ordering};
 
 /// A running cluster. Its controllers are killed when it is dropped.
 pub struct Cluster {
@@ -32,12 +33,37 @@
     cancel: CancellationToken,
 }
 
-/// Addresses that were free a moment ago; another process may take one before a controller does.
+/// Ports for controllers, below the range from which operating systems choose by themselves: no listener on port 0 and no
+/// outgoing connection, of this cluster or another, can take one between the check here and a controller's bind.
+const CONTROLLER_PORTS: std::ops::Range<u16> = 20_000..32_000;
+
+/// How far apart the first ports of two processes with neighbouring ids are.
+const PORTS_BETWEEN_PROCESSES: u32 = 97;
+
+/// Counts the ports tried by this process, so that none is given to two clusters.
+static PORTS_TRIED: AtomicU32 = AtomicU32::new(0);
+
+/// Addresses that are free now, each given out once by this process. Processes start at different ports.
 fn free_addresses(count: usize) -> io::Result<Vec<SocketAddr>> {
-    let listeners: io::Result<Vec<TcpListener>> = (0..count)
-        .map(|_| TcpListener::bind("127.0.0.1:0"))
-        .collect();
-    listeners?.iter().map(TcpListener::local_addr).collect()
+    let ports = u32::from(CONTROLLER_PORTS.end - CONTROLLER_PORTS.start);
+    let first = std::process::id().wrapping_mul(PORTS_BETWEEN_PROCESSES);
+    let mut addresses = Vec::with_capacity(count);
+    for _ in 0..ports {
+        if addresses.len() == count {
+            return Ok(addresses);
+        }
+        let tried = PORTS_TRIED.fetch_add(1, Ordering::Relaxed);
+        let offset = first.wrapping_add(tried) % ports;
+        let port = CONTROLLER_PORTS.start + offset as u16;
+        let address = SocketAddr::from(([127, 0, 0, 1], port));
+        if TcpListener::bind(address).is_ok() {
+            addresses.push(address);
+        }
+    }
+    Err(io::Error::new(
+        io::ErrorKind::AddrInUse,
+        "no free ports for controllers",
+    ))
 }
 
 /// The only machine type that the cloud offers.
