--- a/crates/hopyoke-scheduler/src/audit.rs
+++ b/crates/hopyoke-scheduler/src/audit.rs
@@ -19,7 +19,7 @@
 
     fn audit_machine(&self, m: &Machine, faults: &mut Vec<String>) {
         if let Some(kept) = m.cached_load()
-            && *kept != m.count(&self.cfg.teams)
+            && *kept != m.compute_load(&self.cfg.teams)
         {
             faults.push(format!("sums of {} are stale: {kept:?}", m.id));
         }
--- a/crates/hopyoke-scheduler/src/autoscale/inventory.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/inventory.rs
@@ -39,7 +39,7 @@
             });
             if !known {
                 m.requested_at = now - age;
-                m.has_known_age = true;
+                m.is_request_time_known = true;
                 self.plan_schedule.request();
                 info!(machine = %l.id, zone = %l.zone, spot = l.spot, "found an unknown machine");
             }
--- a/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
@@ -73,8 +73,9 @@
             let never_up = is_never_up(m, boot, tuning, now);
             let idle =
                 m.idle_since.is_some_and(|t| now >= t + tuning.idle_return) && !is_reconciling;
-            let faulty = m.faulty && !m.has_live();
-            let mut unneeded = (idle || (m.slow && m.allocations().is_empty())) && !m.has_live();
+            let faulty = m.faulty && !m.has_live_attempts();
+            let mut unneeded =
+                (idle || (m.slow && m.allocations().is_empty())) && !m.has_live_attempts();
             if unneeded && !m.spot && !m.deleting && !m.slow {
                 if keeps_ready && idle_ordinary <= tuning.keep_ready {
                     unneeded = false;
@@ -83,7 +84,7 @@
             }
             if !m.deleting && (never_up || unneeded || faulty) {
                 m.deleting = true;
-                if never_up && m.has_known_age && boot > Micros::ZERO {
+                if never_up && m.is_request_time_known && boot > Micros::ZERO {
                     let in_boots = |t: Micros| t.as_secs_f64() / boot.as_secs_f64();
                     self.provisioning_estimator.record_abandoned(
                         &m.machine_type,
--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -157,7 +157,7 @@
                         Machine::new(id, o.machine_type.clone(), o.zone.clone(), o.spot, now)
                     });
                     m.created_by_this_leader = true;
-                    m.has_known_age = true;
+                    m.is_request_time_known = true;
                 }
             }
             ScaleOutOutcome::NoCapacity => {
@@ -199,10 +199,9 @@
             ..
         } = self;
         let mut booting: BTreeMap<&str, (f64, Vec<f64>, Vec<&mut Machine>)> = BTreeMap::new();
-        for m in machines
-            .values_mut()
-            .filter(|m| m.phase == MachinePhase::Provisioning && m.has_known_age && !m.deleting)
-        {
+        for m in machines.values_mut().filter(|m| {
+            m.phase == MachinePhase::Provisioning && m.is_request_time_known && !m.deleting
+        }) {
             let Some(t) = types
                 .iter()
                 .find(|t| t.name == m.machine_type && t.boot_s > 0.0)
--- a/crates/hopyoke-scheduler/src/ledger/allocation.rs
+++ b/crates/hopyoke-scheduler/src/ledger/allocation.rs
@@ -15,13 +15,13 @@
     /// gone, even when its job is over. `None`: a job that the ledger doesn't know.
     pub spec: Option<Rc<JobSpec>>,
     /// The start command went out with the response to this heartbeat (epoch, sequence).
-    pub offered: Option<(u64, u64)>,
+    pub start_sent_with: Option<(u64, u64)>,
     /// A pushed start command is under way.
     pub push_in_flight: bool,
     /// A pushed start command got no answer: it may be executed at any later time of this epoch.
     pub outcome_unknown: bool,
     /// It is to be stopped.
-    pub stop: Option<Stop>,
+    pub stop: Option<StopRequest>,
     /// When it was commanded, or first seen.
     pub since: Micros,
     /// When it was first seen running.
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AllocationState {
     /// Commanded; no heartbeat has shown it yet.
-    Sent,
+    Unconfirmed,
     /// Its agent reports it in this state.
     Live(TaskState),
     /// It has exited; its agent still lists it until that is acknowledged.
@@ -41,7 +41,7 @@
 
 /// A stop that was decided.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Stop {
+pub struct StopRequest {
     /// Seconds in which the task may save its progress; 0: it is killed at once.
     pub grace_s: f64,
 }
@@ -52,7 +52,7 @@
         Allocation {
             state,
             spec,
-            offered: None,
+            start_sent_with: None,
             push_in_flight: false,
             outcome_unknown: false,
             stop: None,
--- a/crates/hopyoke-scheduler/src/ledger/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -28,8 +28,8 @@
     #[serde(default, rename = "marks_start")]
     pub has_start_marker: bool,
     /// It is a step of a workflow's run, and no user's. Its id is not for users.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub flow: bool,
+    #[serde(default, rename = "flow", skip_serializing_if = "is_false")]
+    pub is_workflow_step: bool,
 }
 
 fn is_false(b: &bool) -> bool {
@@ -45,14 +45,14 @@
             done: TaskRanges::default(),
             start_attempt: Attempt::default(),
             has_start_marker: true,
-            flow: false,
+            is_workflow_step: false,
         }
     }
 
     /// The record of a step's job.
-    pub fn of_flow(spec: JobSpec, accepted_us: u64) -> JobRecord {
+    pub fn for_workflow_step(spec: JobSpec, accepted_us: u64) -> JobRecord {
         JobRecord {
-            flow: true,
+            is_workflow_step: true,
             ..JobRecord::accepted(spec, accepted_us)
         }
     }
@@ -72,8 +72,8 @@
     #[serde(default)]
     pub done: u32,
     /// It was a step of a workflow's run.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub flow: bool,
+    #[serde(default, rename = "flow", skip_serializing_if = "is_false")]
+    pub is_workflow_step: bool,
     /// A step's job that kept failing: it was cancelled by the scheduler.
     #[serde(default, skip_serializing_if = "is_false")]
     pub given_up: bool,
@@ -85,7 +85,7 @@
         EndRecord {
             state,
             done,
-            flow: false,
+            is_workflow_step: false,
             given_up: false,
         }
     }
@@ -108,13 +108,13 @@
     /// As in the record.
     pub has_start_marker: bool,
     /// It is a step of a workflow's run.
-    pub flow: bool,
+    pub is_workflow_step: bool,
     /// It kept failing and its end is to be recorded.
     pub given_up: bool,
     /// Tasks that are done.
     pub done: TaskRanges,
     /// What the record says is done: only this may be acknowledged to agents.
-    pub recorded: TaskRanges,
+    pub recorded_done: TaskRanges,
     /// Attempt of the current gang placement, or of another job's first start.
     pub start_attempt: Attempt,
     /// What the record says of it.
@@ -124,17 +124,17 @@
     /// The current gang placement is being stopped: all its tasks must be gone before the next.
     pub gang_failing: bool,
     /// A run of it was cut short and may have saved progress.
-    pub resumed: bool,
+    pub may_have_checkpoint: bool,
     /// Attempts by task, with their machines: from their command until their proven exit.
     pub attempts: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
     /// Machines on which a task of this job failed since one last succeeded.
     pub failed_on: BTreeSet<MachineId>,
     /// How often in a row it was held back for failing on several machines.
-    pub backoffs: u32,
+    pub backoff_count: u32,
     /// Not to be started before this.
     pub backoff_until: Micros,
     /// A write of its record is under way.
-    pub writing: bool,
+    pub write_in_flight: bool,
     /// First seen by this leader.
     pub first_seen_at: Micros,
     /// Why its tasks wait, for operators; `None`: none waits.
@@ -155,20 +155,20 @@
             mod_revision,
             inherited,
             has_start_marker: record.has_start_marker,
-            flow: record.flow,
+            is_workflow_step: record.is_workflow_step,
             given_up: false,
-            recorded: done.clone(),
+            recorded_done: done.clone(),
             done,
             start_attempt: record.start_attempt,
             recorded_start_attempt: record.start_attempt,
             gang_started: false,
             gang_failing: false,
-            resumed: false,
+            may_have_checkpoint: false,
             attempts: BTreeMap::new(),
             failed_on: BTreeSet::new(),
-            backoffs: 0,
+            backoff_count: 0,
             backoff_until: Micros::ZERO,
-            writing: false,
+            write_in_flight: false,
             first_seen_at: now,
             wait_reason: Some(WaitReason::FirstPlacement),
             last_wait_reason: None,
@@ -184,7 +184,7 @@
             done: self.done.clone(),
             start_attempt: self.start_attempt,
             has_start_marker: self.has_start_marker,
-            flow: self.flow,
+            is_workflow_step: self.is_workflow_step,
         }
     }
 
@@ -215,20 +215,20 @@
     }
 
     /// Its end is to be recorded.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.is_done() || self.given_up
     }
 
     /// Something about it is not recorded yet.
     pub fn needs_write(&self) -> bool {
-        !self.writing
-            && (self.done != self.recorded
+        !self.write_in_flight
+            && (self.done != self.recorded_done
                 || self.start_attempt != self.recorded_start_attempt
                 || self.given_up)
     }
 
     /// How it ended.
-    pub fn end(&self) -> EndRecord {
+    pub fn end_record(&self) -> EndRecord {
         let state = if self.is_done() {
             JobState::Done
         } else {
@@ -236,7 +236,7 @@
         };
         let given_up = self.given_up && !self.is_done();
         EndRecord {
-            flow: self.flow,
+            is_workflow_step: self.is_workflow_step,
             given_up,
             ..EndRecord::new(state, self.done.count().min(self.spec.tasks))
         }
@@ -244,7 +244,7 @@
 
     /// The record says that this attempt may be started. (A new leader takes a job without a
     /// recorded start for one that nobody has started. Guards `ran_twice`.)
-    pub fn may_start(&self, attempt: Attempt) -> bool {
+    pub fn is_start_recorded(&self, attempt: Attempt) -> bool {
         if self.is_gang() {
             self.recorded_start_attempt >= attempt
         } else {
--- a/crates/hopyoke-scheduler/src/ledger/machine.rs
+++ b/crates/hopyoke-scheduler/src/ledger/machine.rs
@@ -29,17 +29,17 @@
     /// What live attempts take.
     pub used: Resources,
     /// Live attempts.
-    pub live: u32,
+    pub live_attempts: u32,
     /// Replicas of services among them, which stay long.
-    pub replicas: u32,
+    pub service_replicas: u32,
     /// What attempts take that are being killed.
     pub freeing: Resources,
     /// What tasks of arrays below production priority take that are not being stopped.
     pub preemptible: Resources,
     /// A live attempt of a job that the ledger doesn't know.
-    pub orphaned: bool,
+    pub has_orphans: bool,
     /// What live attempts take, by team (an index into the settings' list).
-    pub teams: Vec<(u16, Resources)>,
+    pub used_by_team: Vec<(u16, Resources)>,
     /// Images that it has or fetches.
     pub images: Vec<ImageKey>,
 }
@@ -89,10 +89,10 @@
     load: Option<Load>,
     /// Most recently used last.
     images: Vec<(ImageKey, f64)>,
-    /// When the cloud was asked for it; see `has_known_age`.
+    /// When the cloud was asked for it; see `is_request_time_known`.
     pub requested_at: Micros,
     /// When it was requested is known: from the cloud's answer, or its list.
-    pub has_known_age: bool,
+    pub is_request_time_known: bool,
     /// Whether it is still expected to come up.
     pub provisioning: ProvisioningState,
     /// Since when nothing has been on it.
@@ -120,9 +120,9 @@
     /// The latest push to it got no answer, and no heartbeat has come since.
     pub unreachable: bool,
     /// Pushed commands are under way.
-    pub push_open: bool,
+    pub push_in_flight: bool,
     /// The push under way is a probe.
-    pub probing: bool,
+    pub probe_in_flight: bool,
     /// When the latest probe was sent.
     pub probed_at: Micros,
     /// No commands are pushed before this.
@@ -157,7 +157,7 @@
             load: None,
             images: Vec::new(),
             requested_at: now,
-            has_known_age: false,
+            is_request_time_known: false,
             provisioning: ProvisioningState::Awaited,
             idle_since: None,
             failed_jobs: BTreeSet::new(),
@@ -171,8 +171,8 @@
             deletion_requested: false,
             presumed_deleted: false,
             unreachable: false,
-            push_open: false,
-            probing: false,
+            push_in_flight: false,
+            probe_in_flight: false,
             probed_at: Micros::ZERO,
             push_retry_at: Micros::ZERO,
         }
@@ -204,20 +204,20 @@
     /// The sums over its allocations.
     pub fn load(&mut self, teams: &[crate::Team]) -> &Load {
         if self.load.is_none() {
-            self.load = Some(self.count(teams));
+            self.load = Some(self.compute_load(teams));
         }
         self.load.get_or_insert_default()
     }
 
     /// The sums, counted anew; `None` from [`Machine::cached_load`] means that they will be.
-    pub fn count(&self, teams: &[crate::Team]) -> Load {
+    pub fn compute_load(&self, teams: &[crate::Team]) -> Load {
         let mut load = Load {
             images: self.images.iter().map(|(i, _)| *i).collect(),
             ..Load::default()
         };
         for allocation in self.allocations.values() {
             let Some(spec) = &allocation.spec else {
-                load.orphaned |= allocation.is_live();
+                load.has_orphans |= allocation.is_live();
                 continue;
             };
             let image = ImageKey::of(&spec.image);
@@ -229,8 +229,8 @@
             }
             let amounts = allocation.resources();
             load.used = load.used + amounts;
-            load.live += 1;
-            load.replicas += u32::from(spec.kind == JobKind::Service);
+            load.live_attempts += 1;
+            load.service_replicas += u32::from(spec.kind == JobKind::Service);
             if allocation.stop.is_some_and(|s| s.grace_s == 0.0) {
                 load.freeing = load.freeing + amounts;
             }
@@ -243,9 +243,9 @@
             // A team that the settings do not name has no limit to be charged against.
             if let Some(team) = teams.iter().position(|t| t.name == spec.team) {
                 let team = team as u16;
-                match load.teams.iter_mut().find(|(t, _)| *t == team) {
+                match load.used_by_team.iter_mut().find(|(t, _)| *t == team) {
                     Some((_, sum)) => *sum = *sum + amounts,
-                    None => load.teams.push((team, amounts)),
+                    None => load.used_by_team.push((team, amounts)),
                 }
             }
         }
@@ -258,7 +258,7 @@
     }
 
     /// Some attempt on it has not ended, as far as is known.
-    pub fn has_live(&self) -> bool {
+    pub fn has_live_attempts(&self) -> bool {
         self.allocations.values().any(Allocation::is_live)
     }
 
--- a/crates/hopyoke-scheduler/src/ledger/mod.rs
+++ b/crates/hopyoke-scheduler/src/ledger/mod.rs
@@ -5,7 +5,7 @@
 mod machine;
 mod wait_reason;
 
-pub(crate) use allocation::Stop;
+pub(crate) use allocation::StopRequest;
 pub use allocation::{Allocation, AllocationState};
 pub use job::{EndRecord, Job, JobRecord};
 pub(crate) use machine::ImageKey;
--- a/crates/hopyoke-scheduler/src/persist/batch.rs
+++ b/crates/hopyoke-scheduler/src/persist/batch.rs
@@ -37,7 +37,7 @@
         page: Option<RegistryPage>,
     },
     /// Drop a page of the machine registry whatever it holds.
-    DropPage {
+    DeletePage {
         /// Below `fleet/`.
         key: String,
     },
@@ -78,11 +78,11 @@
         pages: Vec<String>,
     },
     /// The grant of the shards is gone: another node leads.
-    Deposed,
+    LeadershipLost,
     /// Certainly not executed.
-    Refused,
+    NotApplied,
     /// It may have been executed, or may yet be.
-    Unknown,
+    OutcomeUnknown,
 }
 
 /// A page of the machine registry, under `fleet/KEY`.
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -14,7 +14,7 @@
     refilled_at: Micros,
     retry_not_before: Micros,
     /// New work waits to be recorded by other nodes as well: what can wait leaves them room.
-    admission_pressed: bool,
+    admission_saturated: bool,
     /// Changes that may be spent meanwhile on what can wait.
     deferrable_budget: f64,
     /// Pages of the machine registry are not rewritten for removals alone before this.
@@ -34,7 +34,7 @@
             budget: cfg.write_rps / 2.0,
             refilled_at: now,
             retry_not_before: Micros::ZERO,
-            admission_pressed: false,
+            admission_saturated: false,
             deferrable_budget: 0.0,
             removals_not_before: Micros::ZERO,
         }
@@ -99,8 +99,8 @@
     }
 
     /// New work finds no room at the nodes' admission control, or finds it again.
-    pub fn set_admission_pressed(&mut self, admission_pressed: bool) {
-        self.writes.admission_pressed = admission_pressed;
+    pub fn set_admission_saturated(&mut self, admission_saturated: bool) {
+        self.writes.admission_saturated = admission_saturated;
     }
 
     /// Records wait for the rate at which they may be written.
@@ -163,13 +163,13 @@
         let (jobs, tuning, machines) = (&self.jobs, &self.tuning, &self.machines);
         let is_up = |m: &MachineId| machines.get(m).is_some_and(|m| m.phase == MachinePhase::Up);
         let (is_ample, is_fair) = (w.budget >= max_budget * 0.75, w.budget >= max_budget * 0.5);
-        let (admission_pressed, deferrable_budget) =
-            (w.admission_pressed, &mut w.deferrable_budget);
+        let (admission_saturated, deferrable_budget) =
+            (w.admission_saturated, &mut w.deferrable_budget);
         w.due.retain(|id, since| {
             let Some(job) = jobs.get(id) else {
                 return false;
             };
-            if job.writing {
+            if job.write_in_flight {
                 return true;
             }
             if !job.needs_write() {
@@ -178,14 +178,14 @@
             let since = *since.get_or_insert(now);
             let rank = if job.start_attempt != job.recorded_start_attempt {
                 // Its first task can't start before a machine is up.
-                if admission_pressed && !job.attempts.values().flatten().any(|(m, _)| is_up(m)) {
+                if admission_saturated && !job.attempts.values().flatten().any(|(m, _)| is_up(m)) {
                     if *deferrable_budget < 1.0 {
                         return true;
                     }
                     *deferrable_budget -= 1.0;
                 }
                 WriteRank::Start
-            } else if job.is_over() {
+            } else if job.is_finished() {
                 WriteRank::End
             } else if (is_ample && now >= since + tuning.gather_least)
                 || (is_fair && now >= since + tuning.gather)
@@ -207,19 +207,19 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            let end = job.is_over();
+            let end = job.is_finished();
             let cost = if end { 2 } else { 1 };
             let size = 1500 + job.done.max_encoded_len();
             if !draft.has_room(cost, size) {
                 break;
             }
-            job.writing = true;
+            job.write_in_flight = true;
             self.writes.due.insert(id.clone(), None);
             let write = if end {
                 Write::End {
                     job: id,
                     mod_revision: job.mod_revision,
-                    end: job.end(),
+                    end: job.end_record(),
                 }
             } else {
                 Write::Update {
@@ -267,7 +267,7 @@
     }
 
     /// A batch went through at this revision, or did not.
-    pub fn batch_ended(
+    pub fn batch_completed(
         &mut self,
         batch: Batch,
         result: Result<ModRevision, BatchError>,
@@ -284,13 +284,13 @@
                     let Some(job) = self.jobs.get_mut(&id) else {
                         continue;
                     };
-                    job.writing = false;
+                    job.write_in_flight = false;
                     match &result {
                         Ok(mod_revision) => {
                             let first_start = job.recorded_start_attempt.0 == 0;
                             if *mod_revision > job.mod_revision {
                                 job.mod_revision = *mod_revision;
-                                job.recorded = record.done;
+                                job.recorded_done = record.done;
                                 job.recorded_start_attempt = record.start_attempt;
                             }
                             // It may start now; results are acknowledged with the next answers.
@@ -310,14 +310,14 @@
                     }
                     Err(e) => {
                         if let Some(job) = self.jobs.get_mut(&id) {
-                            job.writing = false;
+                            job.write_in_flight = false;
                         }
                         self.reload_after(&id, e);
                     }
                 },
                 Write::Page { key, page, .. } => self.page_ended(&key, page.as_ref(), &result),
                 Write::LearnedRunTimes { key, .. } => self.learned_written(key, result.is_ok()),
-                Write::DropPage { key } => {
+                Write::DeletePage { key } => {
                     if result.is_err() {
                         self.registry.refused(&key);
                     }
@@ -347,7 +347,7 @@
             Err(BatchError::Conflict { pages, .. }) if !changed_by_others(pages) => {
                 self.registry.refused(key)
             }
-            Err(BatchError::Refused) => self.registry.refused(key),
+            Err(BatchError::NotApplied) => self.registry.refused(key),
             Err(_) => {
                 let (counter, token) = (&mut self.counter, self.token);
                 self.registry
@@ -360,15 +360,15 @@
     fn reload_after(&mut self, id: &JobId, error: &BatchError) {
         let record_reloaded = match error {
             BatchError::Conflict { jobs, .. } => jobs.contains(id),
-            BatchError::Deposed => false,
-            BatchError::Refused => false,
-            BatchError::Unknown => true,
+            BatchError::LeadershipLost => false,
+            BatchError::NotApplied => false,
+            BatchError::OutcomeUnknown => true,
         };
         if let Some(job) = self.jobs.get_mut(id)
             && record_reloaded
         {
             // No further write of it before its record has been read.
-            job.writing = true;
+            job.write_in_flight = true;
             self.actions
                 .push_back(Action::ReloadRecord { job: id.clone() });
         }
@@ -382,7 +382,7 @@
         now: Micros,
     ) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.writing = false;
+            job.write_in_flight = false;
         }
         match record {
             Some((record, mod_revision)) => self.job_record_changed(id, record, mod_revision, now),
--- a/crates/hopyoke-scheduler/src/persist/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -13,7 +13,7 @@
 struct Page {
     content: RegistryPage,
     mod_revision: ModRevision,
-    writing: bool,
+    write_in_flight: bool,
     /// Machines were added that the state service does not know of.
     added: bool,
     /// Machines were removed that it still names.
@@ -53,7 +53,7 @@
             Page {
                 content,
                 mod_revision,
-                writing: false,
+                write_in_flight: false,
                 added: false,
                 removed: false,
             },
@@ -122,7 +122,7 @@
                 let page = Page {
                     content,
                     mod_revision: ModRevision(0),
-                    writing: false,
+                    write_in_flight: false,
                     added: true,
                     removed: false,
                 };
@@ -147,11 +147,11 @@
     }
 
     pub(crate) fn has_additions(&self) -> bool {
-        !self.pending.is_empty() || self.pages.values().any(|p| p.added && !p.writing)
+        !self.pending.is_empty() || self.pages.values().any(|p| p.added && !p.write_in_flight)
     }
 
     pub(crate) fn has_removals(&self) -> bool {
-        !self.drops.is_empty() || self.pages.values().any(|p| p.removed && !p.writing)
+        !self.drops.is_empty() || self.pages.values().any(|p| p.removed && !p.write_in_flight)
     }
 
     /// The next page to be written: one with additions, or else one with removals if they are
@@ -162,11 +162,11 @@
             && !self.pages.values().any(|p| p.added)
             && let Some(key) = self.drops.pop()
         {
-            return Some(Write::DropPage { key });
+            return Some(Write::DeletePage { key });
         }
-        let due = |p: &&mut Page| !p.writing && (p.added || (removals && p.removed));
+        let due = |p: &&mut Page| !p.write_in_flight && (p.added || (removals && p.removed));
         let (key, page) = self.pages.iter_mut().find(|(_, p)| due(p))?;
-        page.writing = true;
+        page.write_in_flight = true;
         (page.added, page.removed) = (false, false);
         let content = (!page.content.machines.is_empty()).then(|| page.content.clone());
         Some(Write::Page {
@@ -186,7 +186,7 @@
         let Some(page) = self.pages.get_mut(key) else {
             return Vec::new();
         };
-        page.writing = false;
+        page.write_in_flight = false;
         page.mod_revision = if content.is_some() {
             mod_revision
         } else {
@@ -209,7 +209,7 @@
     /// A write certainly did not happen.
     pub(crate) fn refused(&mut self, key: &str) {
         if let Some(page) = self.pages.get_mut(key) {
-            page.writing = false;
+            page.write_in_flight = false;
             page.added = true;
         } else {
             self.drops.push(key.to_owned());
@@ -222,7 +222,7 @@
         let Some(old) = self.pages.get_mut(key) else {
             return self.drops.push(key.to_owned());
         };
-        old.writing = false;
+        old.write_in_flight = false;
         let content = old.content.clone();
         let new = new_key();
         for m in content.machines.keys() {
@@ -233,7 +233,7 @@
             let page = Page {
                 content,
                 mod_revision: ModRevision(0),
-                writing: false,
+                write_in_flight: false,
                 added: true,
                 removed: false,
             };
--- a/crates/hopyoke-scheduler/src/placement/defragment.rs
+++ b/crates/hopyoke-scheduler/src/placement/defragment.rs
@@ -161,7 +161,7 @@
     fn drainable_replicas(&self, m: &Machine, now: Micros) -> Option<Vec<TaskKey>> {
         let min_run = self.tuning.move_settled;
         let load = m.cached_load()?;
-        if load.live == 0 || load.live != load.replicas {
+        if load.live_attempts == 0 || load.live_attempts != load.service_replicas {
             return None;
         }
         let may_move = |s: &Allocation| {
--- a/crates/hopyoke-scheduler/src/placement/gang.rs
+++ b/crates/hopyoke-scheduler/src/placement/gang.rs
@@ -132,7 +132,7 @@
         }
         missing
             .iter()
-            .any(|&i| self.check(job, i) != RestartDecision::Restart)
+            .any(|&i| self.restart_decision(job, i) != RestartDecision::Restart)
             .then_some(WaitReason::Reconciliation)
     }
 
--- a/crates/hopyoke-scheduler/src/placement/mod.rs
+++ b/crates/hopyoke-scheduler/src/placement/mod.rs
@@ -148,7 +148,7 @@
             job: binding.job,
             index: binding.index,
         };
-        let allocation = Allocation::new(AllocationState::Sent, Some(spec), now);
+        let allocation = Allocation::new(AllocationState::Unconfirmed, Some(spec), now);
         m.allocations_mut()
             .insert((task.clone(), binding.attempt), allocation);
         m.idle_since = None;
--- a/crates/hopyoke-scheduler/src/placement/snapshot.rs
+++ b/crates/hopyoke-scheduler/src/placement/snapshot.rs
@@ -391,8 +391,8 @@
         } = self;
         for m in machines.values_mut() {
             let load = m.load(&cfg.teams);
-            snapshot.orphaned |= load.orphaned;
-            for (team, amounts) in &load.teams {
+            snapshot.orphaned |= load.has_orphans;
+            for (team, amounts) in &load.used_by_team {
                 let used = &mut snapshot.used[usize::from(*team)];
                 *used = *used + *amounts;
             }
@@ -420,9 +420,9 @@
                 } else {
                     Resources::default()
                 },
-                empty: load.live == 0,
+                empty: load.live_attempts == 0,
                 report_capacity,
-                replicas: load.replicas,
+                replicas: load.service_replicas,
                 freeing: load.freeing,
                 preemptible: load.preemptible,
                 images: first_image..snapshot.images.len(),
--- a/crates/hopyoke-scheduler/src/placement/tasks.rs
+++ b/crates/hopyoke-scheduler/src/placement/tasks.rs
@@ -112,7 +112,7 @@
             if n >= window && (index >= span_end || tasks.ahead.len() >= max_ahead) {
                 break;
             }
-            match self.check(job, index) {
+            match self.restart_decision(job, index) {
                 _ if early_start.is_some_and(|early| early.index == index) => {}
                 RestartDecision::Restart if n >= window => tasks.ahead.push(index),
                 RestartDecision::Restart => tasks.in_window.push(index),
@@ -207,7 +207,8 @@
             return;
         };
         let index = job.done.first_missing();
-        if request.is_crash_looping || self.check(job, index) != RestartDecision::Restart {
+        if request.is_crash_looping || self.restart_decision(job, index) != RestartDecision::Restart
+        {
             return;
         }
         // Most starving arrays wait for their team's limit: no bins are searched for them.
--- a/crates/hopyoke-scheduler/src/reconcile/attempts.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts in the ledger: which machine has, or may have, which attempt of a task.
 
 use crate::Scheduler;
-use crate::ledger::{AllocationState, Job, Machine, Stop};
+use crate::ledger::{AllocationState, Job, Machine, StopRequest};
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_run_times::RunOutcome;
 use hopyoke_types::{Attempt, JobId, MachineId, TaskId};
@@ -96,8 +96,8 @@
         let Some(allocation) = m.allocations().get(&key) else {
             return;
         };
-        if allocation.state == AllocationState::Sent
-            && allocation.offered.is_none()
+        if allocation.state == AllocationState::Unconfirmed
+            && allocation.start_sent_with.is_none()
             && !allocation.push_in_flight
             && !allocation.outcome_unknown
         {
@@ -105,7 +105,7 @@
             self.plan_schedule.request();
             return self.remove_attempt(id, &key.0, attempt);
         }
-        let stop = Stop { grace_s };
+        let stop = StopRequest { grace_s };
         // A stop is only ever made harsher.
         if allocation.is_live()
             && allocation.stop.is_none_or(|s| grace_s < s.grace_s)
--- a/crates/hopyoke-scheduler/src/reconcile/commands.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/commands.rs
@@ -40,13 +40,13 @@
                         others.push(Command::Acknowledge { task, attempt });
                     }
                 }
-                AllocationState::Sent if allocation.stop.is_some() => {
+                AllocationState::Unconfirmed if allocation.stop.is_some() => {
                     stops.extend(stop_unconfirmed_start(allocation, name, attempt, now));
                 }
-                AllocationState::Sent => {
-                    if has_room && may_start && job.is_none_or(|j| j.may_start(attempt)) {
+                AllocationState::Unconfirmed => {
+                    if has_room && may_start && job.is_none_or(|j| j.is_start_recorded(attempt)) {
                         match answers {
-                            Some(a) => allocation.offered = Some(a),
+                            Some(a) => allocation.start_sent_with = Some(a),
                             None => allocation.push_in_flight = true,
                         }
                         let task = name;
@@ -82,7 +82,7 @@
             if m.phase != MachinePhase::Up || !m.is_reconciled(self.token) || m.address.is_none() {
                 continue;
             }
-            if m.push_open {
+            if m.push_in_flight {
                 // Its answer makes the commands due again.
                 continue;
             }
@@ -99,7 +99,7 @@
                     .iter()
                     .any(|o| !matches!(o, Command::Acknowledge { .. }))
             {
-                m.push_open = true;
+                m.push_in_flight = true;
                 self.actions.push_back(Action::PushCommands {
                     machine: id,
                     address,
@@ -121,15 +121,15 @@
     ) {
         self.end_probe(machine);
         if let Some(m) = self.machines.get_mut(machine) {
-            m.push_open = false;
+            m.push_in_flight = false;
             let answered = heartbeat.map(|r| (r.epoch, r.sequence));
             for (_, allocation) in m.allocations_in_flight().filter(|(_, s)| s.push_in_flight) {
                 allocation.push_in_flight = false;
                 match answered {
                     // Its heartbeat can't be read: what was started is unknown until another shows it.
                     None => allocation.outcome_unknown |= executed,
-                    Some(_) if executed && allocation.offered < answered => {
-                        allocation.offered = answered
+                    Some(_) if executed && allocation.start_sent_with < answered => {
+                        allocation.start_sent_with = answered
                     }
                     Some(_) => {}
                 }
@@ -162,7 +162,7 @@
     pub fn push_failed(&mut self, machine: &MachineId, maybe_sent: bool, now: Micros) {
         self.end_probe(machine);
         if let Some(m) = self.machines.get_mut(machine) {
-            m.push_open = false;
+            m.push_in_flight = false;
             m.push_retry_at = now + Micros::from_secs(3);
             m.unreachable = true;
             if self.reconciliation.is_active() && !m.is_reconciled(self.token) {
@@ -187,7 +187,7 @@
 ) -> bool {
     let is_recorded = match job {
         Some(j) if why == ExitReason::Done && j.spec.kind != JobKind::Service => {
-            j.recorded.contains(index)
+            j.recorded_done.contains(index)
         }
         _ => true,
     };
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -101,7 +101,7 @@
         }
         let is_new_epoch = heartbeat.epoch > m.epoch;
         let is_back = m.phase != MachinePhase::Up;
-        let provisioned_after = (m.phase == MachinePhase::Provisioning && m.has_known_age)
+        let provisioned_after = (m.phase == MachinePhase::Provisioning && m.is_request_time_known)
             .then_some(now - m.requested_at);
         let was_reconciled = m.is_reconciled(self.token);
         m.epoch = heartbeat.epoch;
--- a/crates/hopyoke-scheduler/src/reconcile/job_records.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/job_records.rs
@@ -27,7 +27,7 @@
             Some(job) if mod_revision > job.mod_revision => {
                 let done = record.done.normalized(job.spec.tasks);
                 job.done.merge(&done);
-                job.recorded = done;
+                job.recorded_done = done;
                 job.recorded_start_attempt = record.start_attempt;
                 job.mod_revision = mod_revision;
                 self.writes.mark_dirty(&id);
--- a/crates/hopyoke-scheduler/src/reconcile/probes.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/probes.rs
@@ -45,12 +45,12 @@
             let Some(address) = m.address.filter(|_| needs_probe) else {
                 continue;
             };
-            if m.push_open || now < m.push_retry_at {
+            if m.push_in_flight || now < m.push_retry_at {
                 self.probes.push(id);
                 continue;
             }
-            m.push_open = true;
-            m.probing = true;
+            m.push_in_flight = true;
+            m.probe_in_flight = true;
             m.probed_at = now;
             self.probes.open += 1;
             // Most machines are in their first epoch; the refusal tells of another.
@@ -70,7 +70,7 @@
 
     pub(crate) fn end_probe(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id)
-            && std::mem::take(&mut m.probing)
+            && std::mem::take(&mut m.probe_in_flight)
         {
             self.probes.open -= 1;
         }
--- a/crates/hopyoke-scheduler/src/reconcile/restart_check.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/restart_check.rs
@@ -18,7 +18,7 @@
 
 impl Scheduler {
     /// What is to be done about task `index` of a job.
-    pub fn check(&self, job: &Job, index: u32) -> RestartDecision {
+    pub fn restart_decision(&self, job: &Job, index: u32) -> RestartDecision {
         if job.done.contains(index) {
             RestartDecision::AcceptResult
         } else if job.attempts.get(&index).is_some_and(|p| !p.is_empty()) {
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -162,7 +162,7 @@
                     job.done.insert(task.index);
                 }
                 job.failed_on.clear();
-                job.backoffs = 0;
+                job.backoff_count = 0;
                 let (image, gb) = (job.image, job.spec.image_gb);
                 self.writes.mark_dirty(&task.job);
                 if let Some(m) = self.machines.get_mut(id) {
@@ -212,13 +212,13 @@
         }
         if bad_job && now >= job.backoff_until {
             // Jobs that fail everywhere are started anew ever more rarely.
-            let wait = self.tuning.job_backoff.times(1 << job.backoffs.min(4));
-            job.backoffs += 1;
+            let wait = self.tuning.job_backoff.times(1 << job.backoff_count.min(4));
+            job.backoff_count += 1;
             job.backoff_until = now + wait;
             let machines = job.failed_on.len();
             info!(job = %task.job, machines, wait_s = wait.as_secs_f64(), "backoff: job fails on several machines");
             // Nobody watches a step as a user watches a job: its run is to hear that it failed.
-            if job.flow && job.backoffs as usize > self.tuning.step_patience {
+            if job.is_workflow_step && job.backoff_count as usize > self.tuning.step_patience {
                 info!(job = %task.job, "given up");
                 job.given_up = true;
                 self.writes.mark_dirty(&task.job);
@@ -259,11 +259,11 @@
             .filter(|(_, s)| match s.state {
                 // One heartbeat is in flight at a time, so a newer heartbeat shows whether the commands
                 // that answered an older one were executed. A answer to a push may overtake them.
-                AllocationState::Sent => {
+                AllocationState::Unconfirmed => {
                     hello
                         && !s.push_in_flight
                         && !s.outcome_unknown
-                        && s.offered.is_some_and(|o| o < now_id)
+                        && s.start_sent_with.is_some_and(|o| o < now_id)
                 }
                 _ => true,
             })
--- a/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
@@ -182,8 +182,9 @@
             return None;
         }
         let is_overloaded = self.is_receive_overloaded(now);
-        let has_timed_out =
-            |m: &Machine| m.unreachable || (m.probing && now >= m.probed_at + PROBE_TIMEOUT);
+        let has_timed_out = |m: &Machine| {
+            m.unreachable || (m.probe_in_flight && now >= m.probed_at + PROBE_TIMEOUT)
+        };
         let unreconciled: Vec<&&Machine> = watched
             .iter()
             .filter(|m| self.reconciliation.is_active() && self.is_unreconciled(m))
--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -296,7 +296,7 @@
         );
         let has_not_begun = matches!(
             allocation.state,
-            AllocationState::Sent | AllocationState::Live(TaskState::Fetching)
+            AllocationState::Unconfirmed | AllocationState::Live(TaskState::Fetching)
         );
         let (run, ran_s) = match self.learned.learner.remaining(&key, now) {
             Some(found) => found,
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -187,7 +187,7 @@
             .undated_runs
             .iter()
             .any(|(t, a, _)| *t == key && *a == attempt);
-        if job.resumed
+        if job.may_have_checkpoint
             || job.spec.kind == JobKind::Service
             || (job.is_gang() && job.is_done())
             || seen
@@ -218,7 +218,7 @@
         let (key, machines) = match spec.kind {
             JobKind::Service => return,
             // What is left of saved work says nothing about the whole.
-            _ if job.resumed => return,
+            _ if job.may_have_checkpoint => return,
             JobKind::Array => ((task.clone(), attempt), vec![id.clone()]),
             JobKind::Gang if attempt != job.start_attempt => return,
             JobKind::Gang => {
@@ -296,7 +296,7 @@
         );
         if end != RunOutcome::Done && job.spec.checkpoint_s > 0.0 && self.learned.learner.runs(&key)
         {
-            job.resumed = true;
+            job.may_have_checkpoint = true;
         }
         let Some(ran_s) = self.learned.learner.ended(&key, end, now) else {
             return;
--- a/crates/hopyoke-scheduler/tests/frozen_forms.rs
+++ b/crates/hopyoke-scheduler/tests/frozen_forms.rs
@@ -83,7 +83,10 @@
         id: JobId::new("req-90410000000070000300"),
         ..array(4)
     };
-    assert_stored("job-record-flow", &JobRecord::of_flow(step, ACCEPTED_US));
+    assert_stored(
+        "job-record-flow",
+        &JobRecord::for_workflow_step(step, ACCEPTED_US),
+    );
 }
 
 /// Without `done`, `term`, `marks_start` and `flow`; and with several ranges as a list.
@@ -95,7 +98,7 @@
         done: TaskRanges::default(),
         start_attempt: Attempt(0),
         has_start_marker: false,
-        flow: false,
+        is_workflow_step: false,
     };
     assert!(older.may_have_started());
     assert_read_as("job-record-older", &older);
@@ -124,12 +127,12 @@
     assert_stored(
         "end-record-flow",
         &EndRecord {
-            flow: true,
+            is_workflow_step: true,
             ..EndRecord::new(JobState::Done, 4)
         },
     );
     let given_up = EndRecord {
-        flow: true,
+        is_workflow_step: true,
         given_up: true,
         ..EndRecord::new(JobState::Cancelled, 3)
     };
--- a/crates/hopyoke-scheduler/tests/pushed_commands.rs
+++ b/crates/hopyoke-scheduler/tests/pushed_commands.rs
@@ -105,7 +105,7 @@
     scheduler.push_answered(&machine, true, None, at + Micros::from_secs(1));
     scheduler.job_removed(&job, at + Micros::from_secs(2));
     assert!(
-        scheduler.machines[&machine].has_live(),
+        scheduler.machines[&machine].has_live_attempts(),
         "its place is free though it may run"
     );
 }
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -314,7 +314,7 @@
             }
             let at = w.time_of_day(i).0;
             let record = if is_workflow_step {
-                JobRecord::of_flow(spec, at)
+                JobRecord::for_workflow_step(spec, at)
             } else {
                 JobRecord::accepted(spec, at)
             };
@@ -343,7 +343,7 @@
                 return reply(w, found.answer());
             };
             let end = EndRecord {
-                flow: record.flow,
+                is_workflow_step: record.is_workflow_step,
                 ..EndRecord::new(JobState::Cancelled, record.done.count())
             };
             w.send(Host::Node(i), Host::KvStore, move |w| {
--- a/crates/hopyoke-simulator/src/node/commands.rs
+++ b/crates/hopyoke-simulator/src/node/commands.rs
@@ -49,7 +49,7 @@
                 && l.scheduler
                     .machines
                     .get(&machine)
-                    .is_some_and(|x| x.push_open && x.epoch.max(1) == epoch)
+                    .is_some_and(|x| x.push_in_flight && x.epoch.max(1) == epoch)
             {
                 l.scheduler.push_failed(&machine, true, now);
             }
--- a/crates/hopyoke-simulator/src/node/persist.rs
+++ b/crates/hopyoke-simulator/src/node/persist.rs
@@ -68,7 +68,7 @@
                 Value::Learned(page.clone()),
                 None,
             )),
-            Write::DropPage { key } => mutations.push(Mutation::Delete(format!("fleet/{key}"))),
+            Write::DeletePage { key } => mutations.push(Mutation::Delete(format!("fleet/{key}"))),
         }
     }
 }
@@ -76,7 +76,7 @@
 /// Why a batch failed whose compares on these keys did not hold.
 fn conflict(keys: &[String]) -> BatchError {
     if keys.iter().any(|k| k == "leader") {
-        return BatchError::Deposed;
+        return BatchError::LeadershipLost;
     }
     let jobs = keys
         .iter()
@@ -112,7 +112,7 @@
         self.send(Host::Node(i), Host::KvStore, move |w| {
             let refused = w.store_rejects(i) || !w.store_accepts(changes);
             let result = if refused {
-                Err(BatchError::Refused)
+                Err(BatchError::NotApplied)
             } else {
                 let Some(result) = w.transact(&transaction.compares, transaction.mutations) else {
                     return;
@@ -134,7 +134,7 @@
                 if w.alive(i, process) {
                     w.store_timed_out(i, RequestKind::Write, sent);
                 }
-                w.batch_completed(i, process, late, Err(BatchError::Unknown));
+                w.batch_completed(i, process, late, Err(BatchError::OutcomeUnknown));
             }
         });
     }
@@ -151,7 +151,7 @@
         let Some(l) = self.leadership(i, process) else {
             return;
         };
-        if result == Err(BatchError::Deposed) {
+        if result == Err(BatchError::LeadershipLost) {
             self.nodes[i].leadership = None;
             return self.campaign(i, process, false);
         }
@@ -165,7 +165,7 @@
                 _ => None,
             });
         let ends: Vec<(JobId, JobState)> = ends.collect();
-        l.scheduler.batch_ended(batch, result, now);
+        l.scheduler.batch_completed(batch, result, now);
         self.nodes[i].terminal_states.extend(ends);
         self.run_scheduler(i, process);
     }
--- a/crates/hopyoke-simulator/src/node/scheduling.rs
+++ b/crates/hopyoke-simulator/src/node/scheduling.rs
@@ -67,7 +67,7 @@
         while let Some(action) = self.scheduler.next_action() {
             actions.push(action);
         }
-        self.scheduler.set_admission_pressed(inputs.is_pressed);
+        self.scheduler.set_admission_saturated(inputs.is_pressed);
         let batch = if self.batch_in_flight {
             None
         } else {
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -337,7 +337,11 @@
     deadline: RequestDeadline,
 ) -> Result<Response, StateError> {
     let id = spec.id.clone();
-    if let Some(end) = node.terminal_states.get(&id).filter(|e| !e.flow) {
+    if let Some(end) = node
+        .terminal_states
+        .get(&id)
+        .filter(|e| !e.is_workflow_step)
+    {
         return Ok(finished(&id, end));
     }
     if let Err(after) = node.admission.admit(node, &spec) {
--- a/crates/hopyoke/src/leadership/record_writer.rs
+++ b/crates/hopyoke/src/leadership/record_writer.rs
@@ -25,7 +25,7 @@
         let token = leadership.scheduler.borrow().token;
         node.admission.changes_written(batch.changes());
         let result = commit(&node, token, &batch).await;
-        if result == Err(BatchError::Deposed) {
+        if result == Err(BatchError::LeadershipLost) {
             // Only the comparison of the leader key can have failed: another node leads.
             warn!(
                 token = token.0,
@@ -40,14 +40,14 @@
         leadership
             .scheduler
             .borrow_mut()
-            .batch_ended(batch, result, runtime::now());
+            .batch_completed(batch, result, runtime::now());
         leadership.wakeup.notify();
     }
 }
 
 fn next_batch(node: &Node, leadership: &Leadership) -> Option<Batch> {
     let mut scheduler = leadership.scheduler.borrow_mut();
-    scheduler.set_admission_pressed(node.admission.is_overloaded());
+    scheduler.set_admission_saturated(node.admission.is_overloaded());
     leadership
         .lease_is_valid()
         .then(|| scheduler.next_batch(runtime::now()))
@@ -142,7 +142,7 @@
             Write::LearnedRunTimes { key, page } => {
                 self.put(run_times_key(*key), RecordValue::RunTimes(page));
             }
-            Write::DropPage { key } => self.delete(registry_page_key(key)),
+            Write::DeletePage { key } => self.delete(registry_page_key(key)),
         }
     }
 
@@ -167,8 +167,8 @@
 ///
 /// # Errors
 ///
-/// [`BatchError::Deposed`] if the leader key does not carry our token, [`BatchError::Conflict`] if records have
-/// changed, [`BatchError::Refused`] if it was certainly not executed, else [`BatchError::Unknown`].
+/// [`BatchError::LeadershipLost`] if the leader key does not carry our token, [`BatchError::Conflict`] if records have
+/// changed, [`BatchError::NotApplied`] if it was certainly not executed, else [`BatchError::OutcomeUnknown`].
 async fn commit(
     node: &Node,
     token: FencingToken,
@@ -190,7 +190,7 @@
 /// What the keys whose comparison failed say about the batch.
 fn conflict_of(keys: &[String]) -> BatchError {
     if keys.iter().any(|k| k == LEADER) {
-        return BatchError::Deposed;
+        return BatchError::LeadershipLost;
     }
     let jobs: Vec<JobId> = keys.iter().filter_map(|k| job_id_of(k)).collect();
     let pages = keys
@@ -204,8 +204,8 @@
 fn batch_error_of(error: &StateError) -> BatchError {
     if error.is_refusal() {
         debug!(error = %error, "records not written");
-        BatchError::Refused
+        BatchError::NotApplied
     } else {
-        BatchError::Unknown
+        BatchError::OutcomeUnknown
     }
 }
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -212,7 +212,7 @@
     /// The job is unfinished by this leader's scheduler, and its end is not being recorded.
     pub(crate) fn has_unfinished(&self, id: &JobId) -> bool {
         let scheduler = self.scheduler.borrow();
-        scheduler.jobs.get(id).is_some_and(|job| !job.is_over())
+        scheduler.jobs.get(id).is_some_and(|job| !job.is_finished())
     }
 
     /// Runs a step of the scheduler that may make a plan, and reports to it what the plan cost: the time between
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -211,7 +211,7 @@
         let outcome_unknown = job
             .done
             .missing(job.spec.tasks)
-            .filter(|&task| scheduler.check(job, task) == RestartDecision::Unknown);
+            .filter(|&task| scheduler.restart_decision(job, task) == RestartDecision::Unknown);
         write!(
             out,
             "job {id} team {} tasks {} done {} placed {} running {} unknown {}",
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -34,8 +34,8 @@
     /// The job is a step of a workflow's run.
     pub(crate) fn is_workflow_step(&self) -> bool {
         match self {
-            Lookup::Unfinished(Stored::Value(record), _) => record.flow,
-            Lookup::Finished(end) => end.flow,
+            Lookup::Unfinished(Stored::Value(record), _) => record.is_workflow_step,
+            Lookup::Finished(end) => end.is_workflow_step,
             _ => false,
         }
     }
@@ -272,7 +272,7 @@
         };
         let done_tasks = record.as_ref().map_or(0, |r| r.done.count());
         let end = EndRecord {
-            flow: record.is_some_and(|r| r.flow),
+            is_workflow_step: record.is_some_and(|r| r.is_workflow_step),
             ..EndRecord::new(JobState::Cancelled, done_tasks)
         };
         let compares = vec![
--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -76,7 +76,9 @@
             job,
         } => {
             let outcome = match records::cancel(node, node.store.cancelling(), job).await {
-                Ok(Some(Lookup::Finished(end))) if end.flow => JobOutcome::Ended(job_end_of(end)),
+                Ok(Some(Lookup::Finished(end))) if end.is_workflow_step => {
+                    JobOutcome::Ended(job_end_of(end))
+                }
                 Ok(Some(Lookup::Missing)) => JobOutcome::Missing,
                 Ok(Some(Lookup::Finished(_))) => JobOutcome::Taken,
                 Ok(_) => JobOutcome::Unknown,
@@ -191,7 +193,7 @@
             },
         );
     }
-    let record = JobRecord::of_flow(spec.clone(), runtime::time_of_day().0);
+    let record = JobRecord::for_workflow_step(spec.clone(), runtime::time_of_day().0);
     let more = vec![
         Compare {
             key: workflow_holder_key(run),
@@ -218,8 +220,8 @@
 
 fn outcome_of_lookup(found: &Lookup) -> JobOutcome {
     match found {
-        Lookup::Finished(end) if end.flow => JobOutcome::Ended(job_end_of(*end)),
-        Lookup::Unfinished(Stored::Value(r), _) if r.flow => JobOutcome::Known,
+        Lookup::Finished(end) if end.is_workflow_step => JobOutcome::Ended(job_end_of(*end)),
+        Lookup::Unfinished(Stored::Value(r), _) if r.is_workflow_step => JobOutcome::Known,
         Lookup::Missing | Lookup::Unreadable | Lookup::Unfinished(Stored::Unreadable(_), _) => {
             JobOutcome::Unknown
         }
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -348,7 +348,7 @@
             .pairs;
         let ours = jobs
             .iter()
-            .filter(|p| matches!(&p.value, Stored::Value(r) if r.flow));
+            .filter(|p| matches!(&p.value, Stored::Value(r) if r.is_workflow_step));
         submitted.extend(ours.filter_map(|p| Some(parts_of(&job_id_of(&p.key)?)?.1)));
     }
     let done = marks.iter().filter(|m| m.0 == StepState::Done).count() as u32;
--- a/crates/hopyoke/src/workflows/records.rs
+++ b/crates/hopyoke/src/workflows/records.rs
@@ -131,12 +131,17 @@
         pages,
         jobs: jobs
             .iter()
-            .filter_map(|p| Some((id(&p.key)?, matches!(&p.value, Stored::Value(r) if r.flow))))
+            .filter_map(|p| {
+                Some((
+                    id(&p.key)?,
+                    matches!(&p.value, Stored::Value(r) if r.is_workflow_step),
+                ))
+            })
             .collect(),
         ends: ends
             .iter()
             .filter_map(|p| match &p.value {
-                Stored::Value(e) => Some((id(&p.key)?, job_end_of(*e), e.flow)),
+                Stored::Value(e) => Some((id(&p.key)?, job_end_of(*e), e.is_workflow_step)),
                 Stored::Unreadable(_) => None,
             })
             .collect(),
--- a/crates/hopyoke/src/workflows/watches.rs
+++ b/crates/hopyoke/src/workflows/watches.rs
@@ -164,7 +164,7 @@
                 for e in events.events {
                     if let (Some(key), Some(Stored::Value(end))) = (e.put, e.value)
                         && let Some(job) = key.strip_prefix("end/").and_then(JobId::parse)
-                        && end.flow
+                        && end.is_workflow_step
                     {
                         engine.job_ended(&job, job_end_of(end), now);
                     }
