--- a/crates/hopyoke-scheduler/src/ledger/allocation.rs
+++ b/crates/hopyoke-scheduler/src/ledger/allocation.rs
@@ -1,4 +1,4 @@
-//! Attempts of tasks on machines.
+//! Allocations: task attempts on machines.
 
 use crate::resources::Resources;
 use hopyoke_protocol::user::JobSpec;
@@ -6,48 +6,49 @@
 use hopyoke_types::Micros;
 use std::rc::Rc;
 
-/// An attempt on a machine, from its start command until the agent no longer lists it.
+/// A task attempt on a machine, from the decision to start it until its agent no longer lists it.
 #[derive(Debug, Clone)]
 pub struct Allocation {
-    /// How far it has come.
+    /// Lifecycle state, as far as this leader knows.
     pub state: AllocationState,
-    /// What it takes and of which job, kept here because it must be charged until it is proven
-    /// gone, even when its job is over. `None`: a job that the ledger doesn't know.
+    /// Spec of its job. Kept here because its resources stay charged until the attempt is proven
+    /// gone, even after its job has left the ledger. `None` if the ledger does not know the job.
     pub spec: Option<Rc<JobSpec>>,
-    /// The start command went out with the response to this heartbeat (epoch, sequence).
+    /// Latest heartbeat (epoch, sequence) whose response carried the start command, or that the agent
+    /// sent in answer to a pushed start. `None` if no such command is known to have been delivered.
     pub start_sent_with: Option<(u64, u64)>,
-    /// A pushed start command is under way.
+    /// A pushed start command awaits its answer.
     pub push_in_flight: bool,
-    /// A pushed start command got no answer: it may be executed at any later time of this epoch.
+    /// A pushed start command got no answer: the agent may still execute it at any time in this epoch.
     pub outcome_unknown: bool,
-    /// It is to be stopped.
+    /// The stop that was requested, if any.
     pub stop: Option<StopRequest>,
-    /// When it was commanded, or first seen.
+    /// When the attempt was created by this leader, or first reported to it.
     pub since: Micros,
-    /// When it was first seen running.
+    /// When a heartbeat first reported it as running.
     pub running_since: Option<Micros>,
 }
 
-/// How far an attempt has come.
+/// Lifecycle state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AllocationState {
-    /// Commanded; no heartbeat has shown it yet.
+    /// Start requested; no heartbeat has confirmed it yet.
     Unconfirmed,
-    /// Its agent reports it in this state.
+    /// Reported by its agent in this state.
     Live(TaskState),
-    /// It has exited; its agent still lists it until that is acknowledged.
+    /// Exited; its agent lists it until the exit is acknowledged.
     Ended(ExitReason),
 }
 
-/// A stop that was decided.
+/// A requested stop of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StopRequest {
-    /// Seconds in which the task may save its progress; 0: it is killed at once.
+    /// Grace period in seconds, in which the task may save a checkpoint; 0 kills it at once.
     pub grace_s: f64,
 }
 
 impl Allocation {
-    /// An attempt that was commanded or first seen at `now`.
+    /// Creates an allocation that was requested, or first reported, at `now`.
     pub fn new(state: AllocationState, spec: Option<Rc<JobSpec>>, now: Micros) -> Allocation {
         Allocation {
             state,
@@ -61,12 +62,12 @@
         }
     }
 
-    /// It has not ended, as far as is known.
+    /// Returns true unless the attempt is known to have exited.
     pub fn is_live(&self) -> bool {
         !matches!(self.state, AllocationState::Ended(_))
     }
 
-    /// The resources that it takes; none if its job is unknown.
+    /// Returns the resources that it holds; zero if its job is unknown.
     pub fn resources(&self) -> Resources {
         self.spec
             .as_ref()
--- a/crates/hopyoke-scheduler/src/ledger/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -1,4 +1,4 @@
-//! A job in the leader's ledger, and its record in the state service.
+//! Unfinished jobs in the leader's ledger, and job records in the key-value store.
 
 use crate::ledger::{ImageKey, WaitReason};
 use crate::resources::Resources;
@@ -10,24 +10,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The record of an unfinished job, under `job/ID`. It outlives every attempt and every leader.
+/// Stored record of an unfinished job, under `job/ID`. It persists across attempts and leaders.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What the user asked for.
+    /// Spec as submitted.
     pub spec: Rc<JobSpec>,
-    /// Time of day at which it was accepted, in microseconds.
+    /// Wall-clock time of acceptance, in microseconds since the Unix epoch.
     pub accepted_us: u64,
-    /// Tasks that are done.
+    /// Completed tasks.
     #[serde(default)]
     pub done: TaskRanges,
-    /// The attempt of the latest gang placement, or of another job's first start; 0: none.
+    /// For a gang, the attempt of its latest placement; for other jobs, that of their first start. 0 if
+    /// there is none.
     #[serde(default, rename = "term")]
     pub start_attempt: Attempt,
-    /// `start_attempt` is written before the first start of any job, not of gangs alone. Records of
-    /// earlier versions lack this.
+    /// True if `start_attempt` is written before the first start of the job whatever its kind. Records
+    /// of earlier versions lack this field: they have the attempt for gangs only.
     #[serde(default, rename = "marks_start")]
     pub has_start_marker: bool,
-    /// It is a step of a workflow's run, and no user's. Its id is not for users.
+    /// True for the job of a workflow step. It was not submitted by a user, and users don't see its id.
     #[serde(default, rename = "flow", skip_serializing_if = "is_false")]
     pub is_workflow_step: bool,
 }
@@ -37,7 +38,7 @@
 }
 
 impl JobRecord {
-    /// The record of a job that was accepted just now.
+    /// Creates the record of a newly accepted job.
     pub fn accepted(spec: JobSpec, accepted_us: u64) -> JobRecord {
         JobRecord {
             spec: Rc::new(spec),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The record of a step's job.
+    /// Creates the record of a newly accepted job of a workflow step.
     pub fn for_workflow_step(spec: JobSpec, accepted_us: u64) -> JobRecord {
         JobRecord {
             is_workflow_step: true,
@@ -57,30 +58,30 @@
         }
     }
 
-    /// Some leader may have commanded an agent to start one of its tasks.
+    /// Returns true if some leader may have sent a start command for one of its tasks.
     pub fn may_have_started(&self) -> bool {
         self.start_attempt.0 != 0 || !self.has_start_marker
     }
 }
 
-/// The record of a finished job, under `end/ID`; kept for good.
+/// Stored record of a finished job, under `end/ID`. It is never deleted.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct EndRecord {
-    /// How it ended.
+    /// Final state.
     pub state: JobState,
-    /// Tasks that were done.
+    /// Number of completed tasks.
     #[serde(default)]
     pub done: u32,
-    /// It was a step of a workflow's run.
+    /// True for the job of a workflow step.
     #[serde(default, rename = "flow", skip_serializing_if = "is_false")]
     pub is_workflow_step: bool,
-    /// A step's job that kept failing: it was cancelled by the scheduler.
+    /// True if the scheduler cancelled a workflow step's job because it kept failing.
     #[serde(default, skip_serializing_if = "is_false")]
     pub given_up: bool,
 }
 
 impl EndRecord {
-    /// How a job ended, with so many tasks done.
+    /// Creates the record of a user's job that ended in `state` with `done` completed tasks.
     pub fn new(state: JobState, done: u32) -> EndRecord {
         EndRecord {
             state,
@@ -93,58 +94,58 @@
 
 /// An unfinished job in the ledger.
 pub struct Job {
-    /// What the user asked for.
+    /// Spec as submitted.
     pub spec: Rc<JobSpec>,
-    /// What one task takes.
+    /// Resources of one task.
     pub task: Resources,
-    /// The image of its tasks.
+    /// Image of its tasks.
     pub image: ImageKey,
-    /// Time of day at which it was accepted, in microseconds.
+    /// Wall-clock time of acceptance, in microseconds since the Unix epoch.
     pub accepted_us: u64,
-    /// Of the record as last seen.
+    /// Revision of the record as last read or written.
     pub mod_revision: ModRevision,
-    /// A stale leaseholder may have started its tasks.
+    /// An earlier leader may have started its tasks.
     pub inherited: bool,
-    /// As in the record.
+    /// See [`JobRecord::has_start_marker`].
     pub has_start_marker: bool,
-    /// It is a step of a workflow's run.
+    /// True for the job of a workflow step.
     pub is_workflow_step: bool,
-    /// It kept failing and its end is to be recorded.
+    /// It kept failing and is cancelled by the scheduler; its end record is yet to be written.
     pub given_up: bool,
-    /// Tasks that are done.
+    /// Completed tasks.
     pub done: TaskRanges,
-    /// What the record says is done: only this may be acknowledged to agents.
+    /// Completed tasks according to the stored record. Only these may be acknowledged to agents.
     pub recorded_done: TaskRanges,
-    /// Attempt of the current gang placement, or of another job's first start.
+    /// For a gang, the attempt of its current placement; for other jobs, that of their first start.
     pub start_attempt: Attempt,
-    /// What the record says of it.
+    /// `start_attempt` according to the stored record.
     pub recorded_start_attempt: Attempt,
-    /// Some task of the current gang placement has been seen running.
+    /// A task of the current gang placement has been reported as running.
     pub gang_started: bool,
-    /// The current gang placement is being stopped: all its tasks must be gone before the next.
+    /// The current gang placement is being stopped: all its tasks must have exited before the next.
     pub gang_failing: bool,
-    /// A run of it was cut short and may have saved progress.
+    /// An attempt ended early and may have saved a checkpoint.
     pub may_have_checkpoint: bool,
-    /// Attempts by task, with their machines: from their command until their proven exit.
+    /// Attempts by task index, with their machines, from the decision to start until the proven exit.
     pub attempts: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
-    /// Machines on which a task of this job failed since one last succeeded.
+    /// Machines on which a task of this job failed since one last completed.
     pub failed_on: BTreeSet<MachineId>,
-    /// How often in a row it was held back for failing on several machines.
+    /// Consecutive backoffs for failing on several machines.
     pub backoff_count: u32,
-    /// Not to be started before this.
+    /// No task is started before this time.
     pub backoff_until: Micros,
-    /// A write of its record is under way.
+    /// A write or reload of its record is in flight.
     pub write_in_flight: bool,
-    /// First seen by this leader.
+    /// When this leader first read its record.
     pub first_seen_at: Micros,
-    /// Why its tasks wait, for operators; `None`: none waits.
+    /// Why its tasks wait, shown to operators. `None` if none waits.
     pub wait_reason: Option<WaitReason>,
-    /// The latest reason for which they waited.
+    /// Most recent reason for which its tasks waited.
     pub last_wait_reason: Option<WaitReason>,
 }
 
 impl Job {
-    /// A job whose record has this revision. `inherited`: an earlier leader may have started it.
+    /// Creates a job from its record. `inherited` says that an earlier leader may have seen the record.
     pub fn new(record: JobRecord, mod_revision: ModRevision, inherited: bool, now: Micros) -> Job {
         let inherited = inherited && record.may_have_started();
         let done = record.done.normalized(record.spec.tasks);
@@ -176,7 +177,7 @@
         }
     }
 
-    /// The record to be written.
+    /// Returns the record to be stored.
     pub fn record(&self) -> JobRecord {
         JobRecord {
             spec: self.spec.clone(),
@@ -188,10 +189,11 @@
         }
     }
 
-    /// Tasks that are neither done nor have an attempt.
+    /// Returns the number of tasks that are neither completed nor have an attempt.
     pub fn unplaced_tasks(&self) -> u32 {
         let tasks = self.spec.tasks;
-        // Of a task that is done, or that the job never had, an agent may still report an attempt.
+        // Agents may still report attempts of completed tasks, or of task numbers that the job does not
+        // have.
         let beyond = self
             .attempts
             .last_key_value()
@@ -209,17 +211,17 @@
             .saturating_sub(placed as u32)
     }
 
-    /// All its tasks are done; never true of services.
+    /// Returns true if all tasks are completed; always false for services.
     pub fn is_done(&self) -> bool {
         self.spec.kind != JobKind::Service && self.done.count() == self.spec.tasks
     }
 
-    /// Its end is to be recorded.
+    /// Returns true if the end record is to be written.
     pub fn is_finished(&self) -> bool {
         self.is_done() || self.given_up
     }
 
-    /// Something about it is not recorded yet.
+    /// Returns true if the stored record is out of date and no write of it is in flight.
     pub fn needs_write(&self) -> bool {
         !self.write_in_flight
             && (self.done != self.recorded_done
@@ -227,7 +229,7 @@
                 || self.given_up)
     }
 
-    /// How it ended.
+    /// Returns the record of its end.
     pub fn end_record(&self) -> EndRecord {
         let state = if self.is_done() {
             JobState::Done
@@ -242,8 +244,8 @@
         }
     }
 
-    /// The record says that this attempt may be started. (A new leader takes a job without a
-    /// recorded start for one that nobody has started. Guards `ran_twice`.)
+    /// Returns true if the stored record permits the start of this attempt: a new leader assumes that a
+    /// job without a recorded start was never started. Guards the invariant `ran_twice`.
     pub fn is_start_recorded(&self, attempt: Attempt) -> bool {
         if self.is_gang() {
             self.recorded_start_attempt >= attempt
@@ -252,12 +254,13 @@
         }
     }
 
-    /// Its tasks failed on at least `after` machines: the fault is its own most likely.
+    /// Returns true if its tasks failed on at least `after` machines, so that the job itself is most
+    /// likely at fault.
     pub fn is_crash_looping(&self, after: usize) -> bool {
         self.failed_on.len() >= after
     }
 
-    /// Its tasks run all at once or not at all.
+    /// Returns true if its tasks are gang-scheduled: they run all at once or not at all.
     pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
--- a/crates/hopyoke-scheduler/src/ledger/machine.rs
+++ b/crates/hopyoke-scheduler/src/ledger/machine.rs
@@ -1,4 +1,4 @@
-//! Machines and what is known to be, or may be, on them.
+//! Machines in the ledger, and the allocations that are or may be on them.
 
 use super::allocation::Allocation;
 use crate::autoscale::provisioning::ProvisioningState;
@@ -9,12 +9,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A hash of an image's name. A collision only costs a worse choice of machine.
+/// Hash of an image's name. A collision only makes image locality scores less accurate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ImageKey(u64);
 
 impl ImageKey {
-    /// The key of an image.
+    /// Returns the key of an image.
     pub fn of(name: &str) -> ImageKey {
         let mut h = DefaultHasher::new();
         name.hash(&mut h);
@@ -22,115 +22,117 @@
     }
 }
 
-/// What is on a machine, summed up. Kept until the machine's allocations change, so that a plan need
-/// not visit every allocation of the fleet.
+/// Totals over a machine's allocations. Cached until they change, so that a scheduling cycle does not
+/// visit every allocation of the fleet.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Load {
-    /// What live attempts take.
+    /// Resources of live attempts.
     pub used: Resources,
-    /// Live attempts.
+    /// Number of live attempts.
     pub live_attempts: u32,
-    /// Replicas of services among them, which stay long.
+    /// Number of live attempts that are replicas of services.
     pub service_replicas: u32,
-    /// What attempts take that are being killed.
+    /// Resources of live attempts that are being stopped without a grace period.
     pub freeing: Resources,
-    /// What tasks of arrays below production priority take that are not being stopped.
+    /// Resources of live job array tasks below production priority that are not being stopped.
     pub preemptible: Resources,
-    /// A live attempt of a job that the ledger doesn't know.
+    /// Some live attempt belongs to a job that the ledger does not know.
     pub has_orphans: bool,
-    /// What live attempts take, by team (an index into the settings' list).
+    /// Resources of live attempts by team, as an index into the list of teams in the settings.
     pub used_by_team: Vec<(u16, Resources)>,
-    /// Images that it has or fetches.
+    /// Images that are cached, being pulled, or about to be pulled.
     pub images: Vec<ImageKey>,
 }
 
-/// Whether a machine reports.
+/// Lifecycle phase of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachinePhase {
-    /// Requested from the cloud; its agent has not reported yet.
+    /// Requested from the cloud; no heartbeat has arrived yet.
     Provisioning,
-    /// Its agent reports.
+    /// Its agent sends heartbeats.
     Up,
-    /// Its agent's lease has expired: everything on it is gone.
+    /// Its agent's lease has expired, so none of its tasks run any more.
     Lost,
 }
 
 /// A machine in the ledger.
 pub struct Machine {
-    /// Its id at the cloud.
+    /// Instance id, given by the cloud.
     pub id: MachineId,
-    /// Where its agent takes pushed commands; `None`: not known, or not an address.
+    /// Address at which its agent accepts pushed commands. `None` if it is unknown or malformed.
     pub address: Option<std::net::SocketAddr>,
-    /// Its type in the catalog.
+    /// Name of its type in the catalog.
     pub machine_type: String,
-    /// The zone that it is in.
+    /// Its zone.
     pub zone: String,
-    /// Whether the cloud may take it away.
+    /// True for a spot instance, which the cloud may preempt.
     pub spot: bool,
-    /// Whether it reports.
+    /// Lifecycle phase.
     pub phase: MachinePhase,
-    /// The agent's epoch in its newest heartbeat; 0: none yet.
+    /// Agent epoch of its newest heartbeat; 0 if there was none yet.
     pub epoch: u64,
-    /// The sequence number of its newest heartbeat.
+    /// Sequence number of its newest heartbeat.
     pub sequence: u64,
-    /// The highest fencing token that its agent has reported.
+    /// Highest fencing token that its agent has reported.
     pub token_seen: FencingToken,
-    /// Requested by this leader: no stale leaseholder can have commanded it.
+    /// Requested by this leader, so no earlier leader can have sent it commands.
     pub created_by_this_leader: bool,
-    /// Its epoch began after our grant: no stale leaseholder can have commanded it either.
+    /// Its epoch began after this leader's token was granted, so no earlier leader can have sent it
+    /// commands in this epoch.
     pub epoch_began_after_grant: bool,
-    /// When its newest heartbeat, or the answer to pushed commands, came.
+    /// When its newest status arrived, in a heartbeat or in the answer to a push.
     pub last_seen: Micros,
-    /// By then the epoch has ended, unless another of its heartbeats is answered.
+    /// Upper bound of the end of its agent's lease. By then its epoch has ended, unless a further
+    /// heartbeat is answered.
     pub lease_end: Micros,
-    /// When the cloud will take it away, as its preemption notice says.
+    /// When the cloud will preempt it, according to its preemption notice.
     pub preemption_notice_at: Option<Micros>,
     allocations: BTreeMap<(TaskId, Attempt), Allocation>,
     load: Option<Load>,
-    /// Most recently used last.
+    /// Cached images with their sizes in GB, most recently used last.
     images: Vec<(ImageKey, f64)>,
-    /// When the cloud was asked for it; see `is_request_time_known`.
+    /// When it was requested from the cloud. Valid only with `is_request_time_known`.
     pub requested_at: Micros,
-    /// When it was requested is known: from the cloud's answer, or its list.
+    /// `requested_at` is known from the cloud's response or its list of instances.
     pub is_request_time_known: bool,
-    /// Whether it is still expected to come up.
+    /// Whether it is still expected to finish provisioning.
     pub provisioning: ProvisioningState,
-    /// Since when nothing has been on it.
+    /// Since when it has had no allocations; `None` if it has some or is not up.
     pub idle_since: Option<Micros>,
-    /// Jobs whose tasks failed here since one last succeeded here.
+    /// Jobs whose tasks failed on it since a task last completed on it.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Tasks that failed on it since one last succeeded.
+    /// Number of tasks that failed on it since one last completed.
     pub failures: u32,
-    /// Judged faulty: nothing more is placed on it, and it is deleted.
+    /// Considered faulty: it gets no more tasks and is to be deleted.
     pub faulty: bool,
-    /// Far slower than its peers: nothing more is placed on it, and it is deleted once it is empty.
+    /// Much slower than its peers: it gets no more tasks and is deleted once it is empty.
     pub slow: bool,
-    /// A refused start: nothing is placed here before this.
+    /// No task is placed on it before this time, after a failed or refused start.
     pub no_placement_before: Micros,
-    /// It is on a page of the machine registry: it may hold tasks.
+    /// It is on a stored page of the machine registry. Only then may it hold tasks.
     pub is_registered: bool,
-    /// It was on a page when this leader read the registry.
+    /// It was on a page when this leader loaded the registry.
     pub inherited: bool,
-    /// It is to be deleted, or its deletion is under way.
+    /// It is to be deleted, or its deletion is in progress.
     pub deleting: bool,
-    /// The deletion is under way.
+    /// Its deletion has been requested from the cloud.
     pub deletion_requested: bool,
-    /// Overdue and no longer listed by the cloud: most likely gone.
+    /// Its heartbeats are overdue and the cloud no longer lists it, so it is most likely deleted.
     pub presumed_deleted: bool,
-    /// The latest push to it got no answer, and no heartbeat has come since.
+    /// The latest push to it failed, and no heartbeat has arrived since.
     pub unreachable: bool,
-    /// Pushed commands are under way.
+    /// A push awaits its answer.
     pub push_in_flight: bool,
-    /// The push under way is a probe.
+    /// The push in flight is a probe.
     pub probe_in_flight: bool,
     /// When the latest probe was sent.
     pub probed_at: Micros,
-    /// No commands are pushed before this.
+    /// No commands are pushed before this time.
     pub push_retry_at: Micros,
 }
 
 impl Machine {
-    /// A machine that is being provisioned, as far as is known.
+    /// Creates a machine that is being provisioned and is not registered.
     pub fn new(
         id: MachineId,
         machine_type: String,
@@ -178,30 +180,31 @@
         }
     }
 
-    /// Commands of stale leaseholders can no longer be executed on it.
+    /// Returns true if it can no longer execute commands of leaders before the one with `token`.
     pub fn is_reconciled(&self, token: FencingToken) -> bool {
         self.created_by_this_leader || self.epoch_began_after_grant || self.token_seen >= token
     }
 
-    /// The attempts on it.
+    /// Returns the attempts on it.
     pub fn allocations(&self) -> &BTreeMap<(TaskId, Attempt), Allocation> {
         &self.allocations
     }
 
-    /// The attempts on it, to be changed: the sums over them are counted anew when next needed.
+    /// Returns the attempts on it for modification. Invalidates the cached load.
     pub fn allocations_mut(&mut self) -> &mut BTreeMap<(TaskId, Attempt), Allocation> {
         self.load = None;
         &mut self.allocations
     }
 
-    /// The attempts on it, to note how far commands have come; only for what does not show in the sums.
+    /// Returns the attempts on it for updates of their command delivery state. Keeps the cached load, so
+    /// fields that enter the load must not be changed.
     pub(crate) fn allocations_in_flight(
         &mut self,
     ) -> impl Iterator<Item = (&(TaskId, Attempt), &mut Allocation)> {
         self.allocations.iter_mut()
     }
 
-    /// The sums over its allocations.
+    /// Returns the load of its allocations, recomputed if they have changed.
     pub fn load(&mut self, teams: &[crate::Team]) -> &Load {
         if self.load.is_none() {
             self.load = Some(self.compute_load(teams));
@@ -209,7 +212,7 @@
         self.load.get_or_insert_default()
     }
 
-    /// The sums, counted anew; `None` from [`Machine::cached_load`] means that they will be.
+    /// Computes the load from scratch, without the cache.
     pub fn compute_load(&self, teams: &[crate::Team]) -> Load {
         let mut load = Load {
             images: self.images.iter().map(|(i, _)| *i).collect(),
@@ -240,7 +243,7 @@
             {
                 load.preemptible = load.preemptible + amounts;
             }
-            // A team that the settings do not name has no limit to be charged against.
+            // A team that is not in the settings has no quota to be charged.
             if let Some(team) = teams.iter().position(|t| t.name == spec.team) {
                 let team = team as u16;
                 match load.used_by_team.iter_mut().find(|(t, _)| *t == team) {
@@ -252,17 +255,17 @@
         load
     }
 
-    /// The sums as kept, if no allocation has changed since they were counted.
+    /// Returns the cached load. `None` if allocations or images have changed since it was computed.
     pub fn cached_load(&self) -> Option<&Load> {
         self.load.as_ref()
     }
 
-    /// Some attempt on it has not ended, as far as is known.
+    /// Returns true if some attempt on it is not known to have exited.
     pub fn has_live_attempts(&self) -> bool {
         self.allocations.values().any(Allocation::is_live)
     }
 
-    /// Notes that an image is in the machine's cache of `capacity` GB.
+    /// Records the use of an image of `gb` GB, and evicts the least recently used ones beyond `capacity` GB.
     pub fn touch_image(&mut self, image: ImageKey, gb: f64, capacity: f64) {
         if self.images.last().is_some_and(|(i, _)| *i == image) {
             return;
--- a/crates/hopyoke-scheduler/src/ledger/mod.rs
+++ b/crates/hopyoke-scheduler/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The leader's ledger: jobs, machines, and the allocations of tasks on them.
+//! The leader's in-memory view of unfinished jobs, machines, and the task attempts allocated to them.
 
 mod allocation;
 mod job;
--- a/crates/hopyoke-scheduler/src/ledger/wait_reason.rs
+++ b/crates/hopyoke-scheduler/src/ledger/wait_reason.rs
@@ -1,38 +1,38 @@
-//! Why tasks of a job have no allocation.
+//! Reasons for which tasks of a job are not placed.
 
 use std::fmt;
 
-/// Why tasks of a job wait, as shown to operators.
+/// Why tasks of a job wait for placement, as shown to operators.
 ///
-/// `Display` gives the text of the status page and of the log; it completes "waits for ...".
+/// `Display` yields the text of the status page and of the log; it completes "waits for ...".
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum WaitReason {
-    /// No plan has considered the job yet.
+    /// No scheduling cycle has considered the job yet.
     FirstPlacement,
-    /// The job was given up; its terminal record is not written yet.
+    /// The scheduler cancelled the job because it kept failing; its end record is not written yet.
     EndRecord,
-    /// It is held outside staffed hours.
+    /// The job is held until staffed hours.
     StaffedHours,
-    /// It failed on several machines and is backed off.
+    /// The job failed on several machines and is in backoff.
     Backoff,
-    /// Reconciliation after a failover has not accounted for all earlier attempts.
+    /// Reconciliation after a failover has not yet accounted for all earlier attempts.
     Reconciliation,
-    /// Its team's limit of CPUs or GPUs is used up.
+    /// Its team's quota of CPUs or GPUs is exhausted.
     TeamLimit,
-    /// No machine has room, and no instance can be requested for it.
+    /// No machine has enough free resources, and no instance can be requested.
     Machines,
-    /// All its tasks have room, some of it on machines that are still being provisioned.
+    /// All its tasks fit, some of them on machines that are still being provisioned.
     Provisioning,
     /// Tasks of a gang's previous attempt have not exited yet.
     PreviousAttempt,
-    /// It is crash-looping: one task at a time is tried.
+    /// The job is crash-looping: one task at a time is tried.
     SingleTaskTrial,
-    /// Running tasks are expected to make room shortly.
+    /// Running tasks are expected to free enough resources shortly.
     EndingTasks,
 }
 
 impl WaitReason {
-    /// The text shown to operators.
+    /// Returns the text shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             WaitReason::FirstPlacement => "its first placement",
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -228,7 +228,7 @@
         page: Option<&RegistryPage>,
         now: Micros,
     ) {
-        for id in self.registry.read(key, mod_revision, page) {
+        for id in self.registry.load_page(key, mod_revision, page) {
             let Some(p) = page else { continue };
             let mut m = Machine::new(
                 id.clone(),
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -9,7 +9,7 @@
 
 pub(crate) struct Writes {
     /// Jobs that may have something to write, and since when that is known.
-    due: BTreeMap<JobId, Option<Micros>>,
+    dirty: BTreeMap<JobId, Option<Micros>>,
     budget: f64,
     refilled_at: Micros,
     retry_not_before: Micros,
@@ -30,7 +30,7 @@
 impl Writes {
     pub(crate) fn new(cfg: &SchedulerConfig, now: Micros) -> Writes {
         Writes {
-            due: BTreeMap::new(),
+            dirty: BTreeMap::new(),
             budget: cfg.write_rps / 2.0,
             refilled_at: now,
             retry_not_before: Micros::ZERO,
@@ -51,19 +51,19 @@
 
     /// The job's record may have to be written.
     pub(crate) fn mark_dirty(&mut self, job: &JobId) {
-        if !self.due.contains_key(job) {
-            self.due.insert(job.clone(), None);
+        if !self.dirty.contains_key(job) {
+            self.dirty.insert(job.clone(), None);
         }
     }
 
     pub(crate) fn is_dirty(&self, job: &JobId) -> bool {
-        self.due.contains_key(job)
+        self.dirty.contains_key(job)
     }
 }
 
 /// How urgent the write of a job's record is, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum WriteRank {
+enum WritePriority {
     /// A first start, or a gang's new placement, waits for it.
     Start,
     /// The job is over.
@@ -73,14 +73,14 @@
 }
 
 /// A batch in the making.
-struct Draft {
+struct BatchBuilder {
     writes: Vec<Write>,
     ops: usize,
     bytes: usize,
     max_ops: usize,
 }
 
-impl Draft {
+impl BatchBuilder {
     fn has_room(&self, ops: usize, bytes: usize) -> bool {
         self.ops + ops <= self.max_ops && self.bytes + bytes <= MAX_BATCH_BYTES
     }
@@ -95,7 +95,9 @@
 impl Scheduler {
     /// True if anything waits to be written.
     pub fn has_writes(&self) -> bool {
-        !self.writes.due.is_empty() || self.registry.has_additions() || self.registry.has_removals()
+        !self.writes.dirty.is_empty()
+            || self.registry.has_additions()
+            || self.registry.has_removals()
     }
 
     /// New work finds no room at the nodes' admission control, or finds it again.
@@ -116,7 +118,7 @@
         if now < self.writes.retry_not_before || self.writes.budget < 1.0 {
             return None;
         }
-        let mut draft = Draft {
+        let mut builder = BatchBuilder {
             writes: Vec::new(),
             ops: 0,
             bytes: 0,
@@ -124,48 +126,49 @@
         };
         // First starts come first: their tasks wait for it. Then machines, which wait for their first
         // task, then whatever completes, then what can be gathered.
-        let mut starts = self.ranked_jobs(max_budget, now);
-        let split = starts.partition_point(|(rank, _)| *rank == WriteRank::Start);
-        let rest = starts.split_off(split);
-        self.draft_jobs(&mut draft, starts);
-        self.draft_pages(&mut draft, false);
-        self.draft_jobs(&mut draft, rest);
+        let mut start_writes = self.ranked_jobs(max_budget, now);
+        let split = start_writes.partition_point(|(priority, _)| *priority == WritePriority::Start);
+        let rest = start_writes.split_off(split);
+        self.add_job_writes(&mut builder, start_writes);
+        self.add_registry_writes(&mut builder, false);
+        self.add_job_writes(&mut builder, rest);
         if now >= self.writes.removals_not_before
-            && draft.has_room(2, 0)
+            && builder.has_room(2, 0)
             && self.registry.has_removals()
         {
             self.writes.removals_not_before = now + Micros::from_millis(500);
-            self.draft_pages(&mut draft, true);
+            self.add_registry_writes(&mut builder, true);
         }
         // Learned run times come last, alone, and within their own share: nothing waits for them.
-        if draft.writes.is_empty()
+        if builder.writes.is_empty()
             && let Some((key, page)) = self.next_learned(now)
         {
-            draft.push(
+            builder.push(
                 Write::LearnedRunTimes { key, page },
                 1,
                 self.cfg.value_bytes,
             );
         }
-        if draft.writes.is_empty() {
+        if builder.writes.is_empty() {
             return None;
         }
-        self.writes.budget -= draft.ops as f64;
+        self.writes.budget -= builder.ops as f64;
         Some(Batch {
-            writes: draft.writes,
+            writes: builder.writes,
         })
     }
 
     /// Jobs whose records are to be written now, in the order in which they get room.
-    fn ranked_jobs(&mut self, max_budget: f64, now: Micros) -> Vec<(WriteRank, JobId)> {
+    fn ranked_jobs(&mut self, max_budget: f64, now: Micros) -> Vec<(WritePriority, JobId)> {
         let mut ranked = Vec::new();
         let w = &mut self.writes;
         let (jobs, tuning, machines) = (&self.jobs, &self.tuning, &self.machines);
         let is_up = |m: &MachineId| machines.get(m).is_some_and(|m| m.phase == MachinePhase::Up);
-        let (is_ample, is_fair) = (w.budget >= max_budget * 0.75, w.budget >= max_budget * 0.5);
+        let (is_budget_high, is_budget_moderate) =
+            (w.budget >= max_budget * 0.75, w.budget >= max_budget * 0.5);
         let (admission_saturated, deferrable_budget) =
             (w.admission_saturated, &mut w.deferrable_budget);
-        w.due.retain(|id, since| {
+        w.dirty.retain(|id, since| {
             let Some(job) = jobs.get(id) else {
                 return false;
             };
@@ -176,7 +179,7 @@
                 return false;
             }
             let since = *since.get_or_insert(now);
-            let rank = if job.start_attempt != job.recorded_start_attempt {
+            let priority = if job.start_attempt != job.recorded_start_attempt {
                 // Its first task can't start before a machine is up.
                 if admission_saturated && !job.attempts.values().flatten().any(|(m, _)| is_up(m)) {
                     if *deferrable_budget < 1.0 {
@@ -184,38 +187,38 @@
                     }
                     *deferrable_budget -= 1.0;
                 }
-                WriteRank::Start
+                WritePriority::Start
             } else if job.is_finished() {
-                WriteRank::End
-            } else if (is_ample && now >= since + tuning.gather_least)
-                || (is_fair && now >= since + tuning.gather)
+                WritePriority::End
+            } else if (is_budget_high && now >= since + tuning.gather_least)
+                || (is_budget_moderate && now >= since + tuning.gather)
                 || now >= since + tuning.gather_most
             {
-                WriteRank::Progress
+                WritePriority::Progress
             } else {
                 return true;
             };
-            ranked.push((rank, id.clone()));
+            ranked.push((priority, id.clone()));
             true
         });
         ranked.sort_unstable();
         ranked
     }
 
-    fn draft_jobs(&mut self, draft: &mut Draft, jobs: Vec<(WriteRank, JobId)>) {
+    fn add_job_writes(&mut self, builder: &mut BatchBuilder, jobs: Vec<(WritePriority, JobId)>) {
         for (_, id) in jobs {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            let end = job.is_finished();
-            let cost = if end { 2 } else { 1 };
+            let is_finished = job.is_finished();
+            let cost = if is_finished { 2 } else { 1 };
             let size = 1500 + job.done.max_encoded_len();
-            if !draft.has_room(cost, size) {
+            if !builder.has_room(cost, size) {
                 break;
             }
             job.write_in_flight = true;
-            self.writes.due.insert(id.clone(), None);
-            let write = if end {
+            self.writes.dirty.insert(id.clone(), None);
+            let write = if is_finished {
                 Write::End {
                     job: id,
                     mod_revision: job.mod_revision,
@@ -228,13 +231,13 @@
                     record: job.record(),
                 }
             };
-            draft.push(write, cost, size);
+            builder.push(write, cost, size);
         }
     }
 
     /// A machine is registered once its agent has reported, and before its first task: so the
     /// next leader waits for no machine that still boots.
-    fn draft_pages(&mut self, draft: &mut Draft, removals: bool) {
+    fn add_registry_writes(&mut self, builder: &mut BatchBuilder, removals: bool) {
         for id in self.registry.take_pending() {
             let Some(m) = self.machines.get(&id) else {
                 continue;
@@ -250,10 +253,10 @@
                     page_key(counter, token)
                 });
         }
-        while draft.has_room(1, self.cfg.value_bytes)
-            || (draft.writes.is_empty() && draft.max_ops >= 1)
+        while builder.has_room(1, self.cfg.value_bytes)
+            || (builder.writes.is_empty() && builder.max_ops >= 1)
         {
-            let Some(write) = self.registry.next(removals) else {
+            let Some(write) = self.registry.next_write(removals) else {
                 return;
             };
             let bytes = match &write {
@@ -262,7 +265,7 @@
                 } => page.bytes(),
                 _ => 0,
             };
-            draft.push(write, 1, bytes);
+            builder.push(write, 1, bytes);
         }
     }
 
@@ -287,20 +290,20 @@
                     job.write_in_flight = false;
                     match &result {
                         Ok(mod_revision) => {
-                            let first_start = job.recorded_start_attempt.0 == 0;
+                            let is_first_start = job.recorded_start_attempt.0 == 0;
                             if *mod_revision > job.mod_revision {
                                 job.mod_revision = *mod_revision;
                                 job.recorded_done = record.done;
                                 job.recorded_start_attempt = record.start_attempt;
                             }
                             // It may start now; results are acknowledged with the next answers.
-                            if first_start || job.is_gang() {
+                            if is_first_start || job.is_gang() {
                                 let attempts =
                                     job.attempts.values().flatten().map(|(m, _)| m.clone());
                                 self.commands_due.extend(attempts);
                             }
                         }
-                        Err(e) => self.reload_after(&id, e),
+                        Err(e) => self.reload_after_error(&id, e),
                     }
                 }
                 Write::End { job: id, .. } => match &result {
@@ -312,30 +315,32 @@
                         if let Some(job) = self.jobs.get_mut(&id) {
                             job.write_in_flight = false;
                         }
-                        self.reload_after(&id, e);
+                        self.reload_after_error(&id, e);
                     }
                 },
-                Write::Page { key, page, .. } => self.page_ended(&key, page.as_ref(), &result),
+                Write::Page { key, page, .. } => {
+                    self.page_write_completed(&key, page.as_ref(), &result)
+                }
                 Write::LearnedRunTimes { key, .. } => self.learned_written(key, result.is_ok()),
                 Write::DeletePage { key } => {
                     if result.is_err() {
-                        self.registry.refused(&key);
+                        self.registry.write_not_applied(&key);
                     }
                 }
             }
         }
     }
 
-    fn page_ended(
+    fn page_write_completed(
         &mut self,
         key: &str,
         page: Option<&RegistryPage>,
         result: &Result<ModRevision, BatchError>,
     ) {
-        let changed_by_others = |pages: &[String]| pages.iter().any(|p| p == key);
+        let has_conflict = |pages: &[String]| pages.iter().any(|p| p == key);
         match result {
             Ok(mod_revision) => {
-                for id in self.registry.written(key, *mod_revision, page) {
+                for id in self.registry.write_committed(key, *mod_revision, page) {
                     if let Some(m) = self.machines.get_mut(&id)
                         && !m.is_registered
                     {
@@ -344,28 +349,28 @@
                     }
                 }
             }
-            Err(BatchError::Conflict { pages, .. }) if !changed_by_others(pages) => {
-                self.registry.refused(key)
+            Err(BatchError::Conflict { pages, .. }) if !has_conflict(pages) => {
+                self.registry.write_not_applied(key)
             }
-            Err(BatchError::NotApplied) => self.registry.refused(key),
+            Err(BatchError::NotApplied) => self.registry.write_not_applied(key),
             Err(_) => {
                 let (counter, token) = (&mut self.counter, self.token);
                 self.registry
-                    .outcome_unknown(key, || page_key(counter, token));
+                    .write_outcome_unknown(key, || page_key(counter, token));
             }
         }
     }
 
     /// After a conflict, or without an answer, the record itself says what holds.
-    fn reload_after(&mut self, id: &JobId, error: &BatchError) {
-        let record_reloaded = match error {
+    fn reload_after_error(&mut self, id: &JobId, error: &BatchError) {
+        let must_reload = match error {
             BatchError::Conflict { jobs, .. } => jobs.contains(id),
             BatchError::LeadershipLost => false,
             BatchError::NotApplied => false,
             BatchError::OutcomeUnknown => true,
         };
         if let Some(job) = self.jobs.get_mut(id)
-            && record_reloaded
+            && must_reload
         {
             // No further write of it before its record has been read.
             job.write_in_flight = true;
--- a/crates/hopyoke-scheduler/src/persist/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -15,9 +15,9 @@
     mod_revision: ModRevision,
     write_in_flight: bool,
     /// Machines were added that the state service does not know of.
-    added: bool,
+    additions_pending: bool,
     /// Machines were removed that it still names.
-    removed: bool,
+    removals_pending: bool,
 }
 
 /// Which machine is on which page, and what of that is still to be written.
@@ -30,12 +30,12 @@
     /// Pages that can't be read: their machines are unknown.
     unreadable_pages: Vec<String>,
     /// Keys to be dropped.
-    drops: Vec<String>,
+    pending_deletes: Vec<String>,
 }
 
 impl MachineRegistry {
     /// Takes over a page; returns the machines on it.
-    pub(crate) fn read(
+    pub(crate) fn load_page(
         &mut self,
         key: String,
         mod_revision: ModRevision,
@@ -54,8 +54,8 @@
                 content,
                 mod_revision,
                 write_in_flight: false,
-                added: false,
-                removed: false,
+                additions_pending: false,
+                removals_pending: false,
             },
         );
         machines
@@ -72,7 +72,7 @@
 
     /// Reconciliation is over: unreadable pages name no machine that matters any more.
     pub(crate) fn reconciliation_ended(&mut self) {
-        self.drops.append(&mut self.unreadable_pages);
+        self.pending_deletes.append(&mut self.unreadable_pages);
     }
 
     pub(crate) fn contains(&self, id: &MachineId) -> bool {
@@ -108,7 +108,7 @@
         let key = match found {
             Some((key, page)) => {
                 page.content.machines.insert(id.clone(), address);
-                page.added = true;
+                page.additions_pending = true;
                 key.clone()
             }
             None => {
@@ -123,8 +123,8 @@
                     content,
                     mod_revision: ModRevision(0),
                     write_in_flight: false,
-                    added: true,
-                    removed: false,
+                    additions_pending: true,
+                    removals_pending: false,
                 };
                 self.pages.insert(key.clone(), page);
                 key
@@ -142,32 +142,42 @@
             .and_then(|key| self.pages.get_mut(&key))
         {
             page.content.machines.remove(id);
-            page.removed = true;
+            page.removals_pending = true;
         }
     }
 
     pub(crate) fn has_additions(&self) -> bool {
-        !self.pending.is_empty() || self.pages.values().any(|p| p.added && !p.write_in_flight)
+        !self.pending.is_empty()
+            || self
+                .pages
+                .values()
+                .any(|p| p.additions_pending && !p.write_in_flight)
     }
 
     pub(crate) fn has_removals(&self) -> bool {
-        !self.drops.is_empty() || self.pages.values().any(|p| p.removed && !p.write_in_flight)
+        !self.pending_deletes.is_empty()
+            || self
+                .pages
+                .values()
+                .any(|p| p.removals_pending && !p.write_in_flight)
     }
 
     /// The next page to be written: one with additions, or else one with removals if they are
     /// asked for. An empty page is dropped.
-    pub(crate) fn next(&mut self, removals: bool) -> Option<Write> {
+    pub(crate) fn next_write(&mut self, removals: bool) -> Option<Write> {
         // What a dropped page held must stand elsewhere first, or go there with the same write.
         if removals
-            && !self.pages.values().any(|p| p.added)
-            && let Some(key) = self.drops.pop()
+            && !self.pages.values().any(|p| p.additions_pending)
+            && let Some(key) = self.pending_deletes.pop()
         {
             return Some(Write::DeletePage { key });
         }
-        let due = |p: &&mut Page| !p.write_in_flight && (p.added || (removals && p.removed));
+        let due = |p: &&mut Page| {
+            !p.write_in_flight && (p.additions_pending || (removals && p.removals_pending))
+        };
         let (key, page) = self.pages.iter_mut().find(|(_, p)| due(p))?;
         page.write_in_flight = true;
-        (page.added, page.removed) = (false, false);
+        (page.additions_pending, page.removals_pending) = (false, false);
         let content = (!page.content.machines.is_empty()).then(|| page.content.clone());
         Some(Write::Page {
             key: key.clone(),
@@ -177,7 +187,7 @@
     }
 
     /// A write of a page went through; returns the machines that are now registered.
-    pub(crate) fn written(
+    pub(crate) fn write_committed(
         &mut self,
         key: &str,
         mod_revision: ModRevision,
@@ -207,20 +217,20 @@
     }
 
     /// A write certainly did not happen.
-    pub(crate) fn refused(&mut self, key: &str) {
+    pub(crate) fn write_not_applied(&mut self, key: &str) {
         if let Some(page) = self.pages.get_mut(key) {
             page.write_in_flight = false;
-            page.added = true;
+            page.additions_pending = true;
         } else {
-            self.drops.push(key.to_owned());
+            self.pending_deletes.push(key.to_owned());
         }
     }
 
     /// A write may have happened or may yet happen: its machines move to a new page, and the old
     /// one goes only once that stands.
-    pub(crate) fn outcome_unknown(&mut self, key: &str, new_key: impl FnOnce() -> String) {
+    pub(crate) fn write_outcome_unknown(&mut self, key: &str, new_key: impl FnOnce() -> String) {
         let Some(old) = self.pages.get_mut(key) else {
-            return self.drops.push(key.to_owned());
+            return self.pending_deletes.push(key.to_owned());
         };
         old.write_in_flight = false;
         let content = old.content.clone();
@@ -234,12 +244,12 @@
                 content,
                 mod_revision: ModRevision(0),
                 write_in_flight: false,
-                added: true,
-                removed: false,
+                additions_pending: true,
+                removals_pending: false,
             };
             self.pages.insert(new, page);
         }
         // Dropped with the removals, after all additions.
-        self.drops.push(key.to_owned());
+        self.pending_deletes.push(key.to_owned());
     }
 }
--- a/crates/hopyoke-scheduler/src/reconcile/attempts.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/attempts.rs
@@ -17,10 +17,10 @@
         // For all that we know they ran until it was last heard of.
         let last_seen_at = m.last_seen;
         self.commands_due.remove(id);
-        let mut held = 0;
+        let mut live_attempts = 0;
         for ((task, attempt), allocation) in allocations {
             if allocation.is_live() {
-                held += 1;
+                live_attempts += 1;
                 if allocation.running_since.is_some() {
                     self.run_ended(id, &task, attempt, RunOutcome::Cut, last_seen_at);
                 }
@@ -29,10 +29,10 @@
                 forget_attempt(job, &task, id, attempt);
             }
         }
-        if held > 0 {
+        if live_attempts > 0 {
             self.plan_schedule.request();
         }
-        held
+        live_attempts
     }
 
     /// A job appeared in the ledger of which agents have reported tasks already.
--- a/crates/hopyoke-scheduler/src/reconcile/commands.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/commands.rs
@@ -34,8 +34,8 @@
             // its heartbeat has room for, so all stops fit.
             let has_room = others.len() < MAX_COMMANDS_PER_RESPONSE;
             match allocation.state {
-                AllocationState::Ended(why) => {
-                    if has_room && may_acknowledge(allocation, why, job, task.index) {
+                AllocationState::Ended(exit_reason) => {
+                    if has_room && may_acknowledge(allocation, exit_reason, job, task.index) {
                         let task = name;
                         others.push(Command::Acknowledge { task, attempt });
                     }
@@ -181,12 +181,12 @@
 /// never: after the acknowledgement it would run again.
 fn may_acknowledge(
     allocation: &Allocation,
-    why: ExitReason,
+    exit_reason: ExitReason,
     job: Option<&Job>,
     index: u32,
 ) -> bool {
     let is_recorded = match job {
-        Some(j) if why == ExitReason::Done && j.spec.kind != JobKind::Service => {
+        Some(j) if exit_reason == ExitReason::Done && j.spec.kind != JobKind::Service => {
             j.recorded_done.contains(index)
         }
         _ => true,
--- a/crates/hopyoke-scheduler/src/reconcile/failover.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/failover.rs
@@ -52,12 +52,12 @@
             return;
         }
         let has_unreadable_pages = self.registry.has_unreadable_pages();
-        let open = self
+        let unreconciled = self
             .machines
             .values()
             .filter(|m| self.is_unreconciled(m))
             .count();
-        if open == 0
+        if unreconciled == 0
             && (!has_unreadable_pages
                 || now >= self.reconciliation.granted_at + self.cfg.lease_bound())
         {
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -132,7 +132,7 @@
         }
         self.merge_preemption_notice(heartbeat, now);
         if let Some(took) = provisioned_after {
-            self.note_provisioned(&heartbeat.machine_type, took, now);
+            self.record_provisioning_time(&heartbeat.machine_type, took, now);
         }
         Some(is_new_epoch)
     }
@@ -152,14 +152,14 @@
         m.preemption_notice_at = preemption_at;
     }
 
-    fn note_provisioned(&mut self, machine_type: &str, took: Micros, now: Micros) {
+    fn record_provisioning_time(&mut self, machine_type: &str, took: Micros, now: Micros) {
         let nominal = self.boot_time(machine_type);
         if nominal > Micros::ZERO {
-            let in_boots = |t: Micros| t.as_secs_f64() / nominal.as_secs_f64();
+            let in_boot_times = |t: Micros| t.as_secs_f64() / nominal.as_secs_f64();
             self.provisioning_estimator.record_provisioned(
                 machine_type,
-                in_boots(took),
-                in_boots(now),
+                in_boot_times(took),
+                in_boot_times(now),
             );
         }
     }
@@ -178,6 +178,6 @@
             self.merge_task(id, task, t, now);
         }
         listed.sort_unstable();
-        self.merge_absent(id, &listed, renews_lease, heartbeat, now);
+        self.remove_absent_attempts(id, &listed, renews_lease, heartbeat, now);
     }
 }
--- a/crates/hopyoke-scheduler/src/reconcile/probes.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/probes.rs
@@ -7,14 +7,14 @@
 
 /// Machines asked at the same time: each takes a socket, and silent ones hold theirs for the
 /// whole time limit, so there must be enough for the others to pass them.
-const MAX_OPEN_PROBES: usize = 96;
+const MAX_PROBES_IN_FLIGHT: usize = 96;
 
 /// Machines to be asked what runs on them.
 #[derive(Debug, Default)]
 pub(crate) struct FailoverProbes {
     queue: VecDeque<MachineId>,
     /// Probes under way.
-    open: usize,
+    in_flight: usize,
 }
 
 impl FailoverProbes {
@@ -52,7 +52,7 @@
             m.push_in_flight = true;
             m.probe_in_flight = true;
             m.probed_at = now;
-            self.probes.open += 1;
+            self.probes.in_flight += 1;
             // Most machines are in their first epoch; the refusal tells of another.
             let epoch = m.epoch.max(1);
             self.actions.push_back(Action::PushCommands {
@@ -65,14 +65,14 @@
     }
 
     pub(crate) fn can_probe(&self) -> bool {
-        !self.probes.queue.is_empty() && self.probes.open < MAX_OPEN_PROBES
+        !self.probes.queue.is_empty() && self.probes.in_flight < MAX_PROBES_IN_FLIGHT
     }
 
     pub(crate) fn end_probe(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id)
             && std::mem::take(&mut m.probe_in_flight)
         {
-            self.probes.open -= 1;
+            self.probes.in_flight -= 1;
         }
     }
 }
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -21,7 +21,9 @@
             self.adopt_reported_attempt(id, &key, t, now);
         }
         let state = match (t.state, t.exit_reason) {
-            (TaskState::Ended, why) => AllocationState::Ended(why.unwrap_or(ExitReason::Other)),
+            (TaskState::Ended, exit_reason) => {
+                AllocationState::Ended(exit_reason.unwrap_or(ExitReason::Other))
+            }
             (s, _) => AllocationState::Live(s),
         };
         let Some(m) = self.machines.get_mut(id) else {
@@ -44,13 +46,13 @@
             AllocationState::Live(TaskState::Running) => {
                 let first = allocation.running_since.is_none();
                 allocation.running_since.get_or_insert(now);
-                self.task_runs(id, &key.0, t.attempt);
+                self.task_running(id, &key.0, t.attempt);
                 if first {
                     self.run_began(id, &key.0, t.attempt, known, now);
                 }
             }
-            AllocationState::Ended(why) => {
-                let end = match why {
+            AllocationState::Ended(exit_reason) => {
+                let end = match exit_reason {
                     ExitReason::Done => RunOutcome::Done,
                     ExitReason::Stopped | ExitReason::GangPeersLost => RunOutcome::Cut,
                     _ => RunOutcome::Void,
@@ -59,7 +61,7 @@
                     self.run_found_ended(&key.0, t.attempt, now);
                 }
                 self.run_ended(id, &key.0, t.attempt, end, now);
-                self.task_ended(id, &key.0, t.attempt, why, now);
+                self.task_ended(id, &key.0, t.attempt, exit_reason, now);
             }
             _ => {}
         }
@@ -118,17 +120,17 @@
         }
     }
 
-    fn task_runs(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
+    fn task_running(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if job.is_gang() && attempt == job.start_attempt {
                 job.gang_started = true;
             }
             let (image, gb) = (job.image, job.spec.image_gb);
-            self.note_image(id, image, gb);
+            self.record_cached_image(id, image, gb);
         }
     }
 
-    fn note_image(&mut self, id: &MachineId, image: ImageKey, gb: f64) {
+    fn record_cached_image(&mut self, id: &MachineId, image: ImageKey, gb: f64) {
         let Some(m) = self.machines.get(id) else {
             return;
         };
@@ -146,14 +148,14 @@
         id: &MachineId,
         task: &TaskId,
         attempt: Attempt,
-        why: ExitReason,
+        exit_reason: ExitReason,
         now: Micros,
     ) {
         self.remove_attempt(id, task, attempt);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        match why {
+        match exit_reason {
             ExitReason::Done if job.spec.kind != JobKind::Service => {
                 if job.is_gang() {
                     // Gangs complete together.
@@ -169,7 +171,7 @@
                     m.failed_jobs.clear();
                     m.failures = 0;
                 }
-                self.note_image(id, image, gb);
+                self.record_cached_image(id, image, gb);
             }
             ExitReason::Error => self.task_failed(id, task, now),
             ExitReason::InsufficientResources | ExitReason::Busy => {
@@ -177,7 +179,7 @@
                 if let Some(m) = self.machines.get_mut(id) {
                     m.no_placement_before = now + self.cfg.heartbeat_interval.times(2);
                 }
-                warn!(machine = %id, task = %task, why = ?why, "start refused");
+                warn!(machine = %id, task = %task, why = ?exit_reason, "start refused");
             }
             ExitReason::UnknownTask => {
                 job.backoff_until = now + Micros::from_secs(2);
@@ -188,7 +190,7 @@
         if let Some(job) = self.jobs.get_mut(&task.job)
             && job.is_gang()
             && attempt == job.start_attempt
-            && why != ExitReason::Done
+            && exit_reason != ExitReason::Done
         {
             job.gang_failing = true;
         }
@@ -201,8 +203,8 @@
             return;
         };
         job.failed_on.insert(id.clone());
-        let bad_job = job.is_crash_looping(self.tuning.suspect_after);
-        if bad_job {
+        let is_crash_looping = job.is_crash_looping(self.tuning.suspect_after);
+        if is_crash_looping {
             // Its failures so far speak against it, not against the machines.
             for m in &job.failed_on {
                 if let Some(m) = self.machines.get_mut(m) {
@@ -210,7 +212,7 @@
                 }
             }
         }
-        if bad_job && now >= job.backoff_until {
+        if is_crash_looping && now >= job.backoff_until {
             // Jobs that fail everywhere are started anew ever more rarely.
             let wait = self.tuning.job_backoff.times(1 << job.backoff_count.min(4));
             job.backoff_count += 1;
@@ -225,7 +227,7 @@
             }
         }
         if let Some(m) = self.machines.get_mut(id)
-            && !bad_job
+            && !is_crash_looping
         {
             m.failed_jobs.insert(task.job.clone());
             m.failures += 1;
@@ -240,18 +242,18 @@
 
     /// What the heartbeat does not list (`listed` is sorted) is gone, with one exception: a start that has not been
     /// proven to be unexecuted.
-    pub(crate) fn merge_absent(
+    pub(crate) fn remove_absent_attempts(
         &mut self,
         id: &MachineId,
         listed: &[(TaskId, Attempt)],
-        hello: bool,
+        renews_lease: bool,
         heartbeat: &Heartbeat,
         now: Micros,
     ) {
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        let now_id = (heartbeat.epoch, heartbeat.sequence);
+        let current = (heartbeat.epoch, heartbeat.sequence);
         let absent: Vec<(TaskId, Attempt)> = m
             .allocations()
             .iter()
@@ -260,10 +262,10 @@
                 // One heartbeat is in flight at a time, so a newer heartbeat shows whether the commands
                 // that answered an older one were executed. A answer to a push may overtake them.
                 AllocationState::Unconfirmed => {
-                    hello
+                    renews_lease
                         && !s.push_in_flight
                         && !s.outcome_unknown
-                        && s.start_sent_with.is_some_and(|o| o < now_id)
+                        && s.start_sent_with.is_some_and(|o| o < current)
                 }
                 _ => true,
             })
--- a/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
@@ -15,7 +15,7 @@
     /// Until then missing heartbeats are no evidence against machines.
     overloaded_until: Micros,
     /// When the last heartbeat of any machine was received.
-    heard_at: Micros,
+    last_heartbeat_at: Micros,
     /// After a time without any, machines are given until then to find this node again.
     contact_settled_at: Micros,
 }
@@ -24,7 +24,7 @@
     /// That of a leader elected at `now`.
     pub(crate) fn of_new_leader(now: Micros) -> ReceiveHealth {
         ReceiveHealth {
-            heard_at: now,
+            last_heartbeat_at: now,
             ..ReceiveHealth::default()
         }
     }
@@ -34,10 +34,10 @@
     /// to report: scenario unlisted_machines_kept_any_order.)
     pub(crate) fn heartbeat_received(&mut self, heartbeat_interval: Micros, now: Micros) {
         let two_intervals = heartbeat_interval.times(2);
-        if now > self.heard_at + two_intervals {
+        if now > self.last_heartbeat_at + two_intervals {
             self.contact_settled_at = now + two_intervals;
         }
-        self.heard_at = now;
+        self.last_heartbeat_at = now;
     }
 
     fn is_contact_settled(&self, now: Micros) -> bool {
@@ -255,7 +255,7 @@
             }
         }
         for id in expired {
-            let held = self.clear_allocations(&id);
+            let live_attempts = self.clear_allocations(&id);
             let partitioned = self
                 .machines
                 .get(&id)
@@ -264,7 +264,7 @@
                 m.phase = MachinePhase::Lost;
                 m.deleting |= !partitioned && !is_overloaded;
                 m.idle_since = None;
-                warn!(machine = %id, zone = %m.zone, spot = m.spot, tasks = held, epoch = m.epoch, "machine lost: its lease lapsed");
+                warn!(machine = %id, zone = %m.zone, spot = m.spot, tasks = live_attempts, epoch = m.epoch, "machine lost: its lease lapsed");
             }
             self.plan_schedule.request();
         }
