--- a/crates/hopyoke-scheduler/src/persist/batch.rs
+++ b/crates/hopyoke-scheduler/src/persist/batch.rs
@@ -1,4 +1,4 @@
-//! What is written to the state service: what the record writer and the machine registry share.
+//! Batches of writes to the key-value store, shared by the record writer and the machine registry.
 
 use crate::ledger::{EndRecord, JobRecord};
 use hopyoke_run_times::{Page, PageKey};
@@ -6,59 +6,59 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One write of a batch. Every batch is conditional on our grant as well.
+/// One write of a batch. Every batch is also conditional on this leader's fencing token.
 #[derive(Debug, Clone)]
 pub enum Write {
-    /// Replace the record, which must still have this revision.
+    /// Replaces a job's record if its revision is unchanged (compare-and-swap).
     Update {
         /// The job.
         job: JobId,
-        /// The revision that the value must still have.
+        /// Expected revision of the record.
         mod_revision: ModRevision,
-        /// Its new value.
+        /// New value.
         record: JobRecord,
     },
-    /// Move the record, which must still have this revision, to its final place.
+    /// Deletes a job's record if its revision is unchanged, and writes its end record.
     End {
         /// The job.
         job: JobId,
-        /// The revision that the value must still have.
+        /// Expected revision of the record.
         mod_revision: ModRevision,
-        /// The value at its final place.
+        /// The end record.
         end: EndRecord,
     },
-    /// Replace a page of the machine registry, which must still have this revision, or drop it.
+    /// Replaces or deletes a page of the machine registry if its revision is unchanged.
     Page {
-        /// Below `fleet/`.
+        /// Key of the page, without the prefix `fleet/`.
         key: String,
-        /// The revision that the value must still have.
+        /// Expected revision of the page.
         mod_revision: ModRevision,
-        /// The new value; `None`: the page is dropped.
+        /// New value. `None` deletes the page.
         page: Option<RegistryPage>,
     },
-    /// Drop a page of the machine registry whatever it holds.
+    /// Deletes a page of the machine registry unconditionally.
     DeletePage {
-        /// Below `fleet/`.
+        /// Key of the page, without the prefix `fleet/`.
         key: String,
     },
-    /// Replace a page of learned run times.
+    /// Replaces a page of learned run times.
     LearnedRunTimes {
-        /// Which page.
+        /// Key of the page.
         key: PageKey,
-        /// Its new value.
+        /// New value.
         page: Page,
     },
 }
 
-/// Writes that go through together or not at all.
+/// Writes that are applied atomically.
 #[derive(Debug, Clone)]
 pub struct Batch {
-    /// In the order of their urgency.
+    /// The writes, most urgent first.
     pub writes: Vec<Write>,
 }
 
 impl Batch {
-    /// Changes (puts and deletes) that it makes.
+    /// Returns the number of its puts and deletes.
     pub fn changes(&self) -> usize {
         self.writes
             .iter()
@@ -67,42 +67,42 @@
     }
 }
 
-/// Why a batch did not go through.
+/// Why a batch was not, or may not have been, applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BatchError {
-    /// The records of these jobs have changed meanwhile.
+    /// The revisions of these keys were not as expected; nothing was applied.
     Conflict {
-        /// Jobs whose records were not as expected.
+        /// Jobs whose records have changed.
         jobs: Vec<JobId>,
-        /// Keys of registry pages that were not as expected.
+        /// Keys of registry pages that have changed.
         pages: Vec<String>,
     },
-    /// The grant of the shards is gone: another node leads.
+    /// The fencing token is stale: another node leads. Nothing was applied.
     LeadershipLost,
-    /// Certainly not executed.
+    /// Certainly not applied.
     NotApplied,
-    /// It may have been executed, or may yet be.
+    /// It may have been applied, or may still be.
     OutcomeUnknown,
 }
 
-/// A page of the machine registry, under `fleet/KEY`.
+/// Page of the machine registry, stored under `fleet/KEY`. All its machines share type, zone and kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegistryPage {
-    /// The type that all machines on it have.
+    /// Machine type.
     pub machine_type: String,
-    /// The zone that all are in.
+    /// Zone.
     pub zone: String,
-    /// Whether all are spot instances.
+    /// True for spot instances.
     pub spot: bool,
-    /// With their agents' addresses, at which a new leader probes them.
+    /// Machines with the addresses of their agents, at which a new leader probes them.
     pub machines: BTreeMap<MachineId, String>,
 }
 
-/// An address with its port, quotes and separators: `"255.255.255.255:65535":,""`.
+/// Encoded size of a machine's address: IPv4 with port, plus the quotes and separators of its entry.
 pub(crate) const ADDRESS_BYTES: usize = 30;
 
 impl RegistryPage {
-    /// Bytes that it takes as a value, at the most.
+    /// Returns an upper bound of its encoded size in bytes.
     pub fn bytes(&self) -> usize {
         let names: usize = self
             .machines
--- a/crates/hopyoke-scheduler/src/persist/mod.rs
+++ b/crates/hopyoke-scheduler/src/persist/mod.rs
@@ -1,4 +1,4 @@
-//! State that outlives a leader: what is written to the state service, in batches.
+//! Persistence: batched writes of job records and of the machine registry to the key-value store.
 
 pub(crate) mod batch;
 pub(crate) mod records;
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -1,4 +1,5 @@
-//! What must be written to the state service, in batches within half of its write rate.
+//! Writes of job records, registry pages and learned run times to the key-value store, in batches that
+//! use at most half of the store's write rate.
 
 use super::batch::{Batch, BatchError, RegistryPage, Write};
 use crate::ledger::JobRecord;
@@ -7,24 +8,27 @@
 use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
 use std::collections::BTreeMap;
 
+/// Pending writes and the rate limit on them.
 pub(crate) struct Writes {
-    /// Jobs that may have something to write, and since when that is known.
+    /// Jobs whose records may have to be written, with the time from which the delay of gathered writes
+    /// counts; `None` until a batch first considers them.
     dirty: BTreeMap<JobId, Option<Micros>>,
+    /// Changes that may be written now (token bucket).
     budget: f64,
     refilled_at: Micros,
     retry_not_before: Micros,
-    /// New work waits to be recorded by other nodes as well: what can wait leaves them room.
+    /// The nodes' admission control rejects new jobs, so deferrable writes leave room for theirs.
     admission_saturated: bool,
-    /// Changes that may be spent meanwhile on what can wait.
+    /// Changes that deferrable writes may use while admission is saturated (token bucket).
     deferrable_budget: f64,
-    /// Pages of the machine registry are not rewritten for removals alone before this.
+    /// Pages of the machine registry are not rewritten for removals alone before this time.
     removals_not_before: Micros,
 }
 
-/// Of the leader's changes this much goes to what can wait while new work waits for the rest.
+/// Share of the leader's write rate that deferrable writes get while admission is saturated.
 const DEFERRABLE_SHARE: f64 = 0.3;
 
-/// Bodies are limited to 64 KiB; a batch stays well below.
+/// Largest size of a batch, well below the limit of 64 KiB on request bodies.
 const MAX_BATCH_BYTES: usize = 40 * 1024;
 
 impl Writes {
@@ -40,7 +44,7 @@
         }
     }
 
-    /// Adds what was earned since the last call, at `rate` changes per second.
+    /// Refills the budgets for the time since the last call, at `rate` changes per second.
     fn refill(&mut self, rate: f64, max_budget: f64, now: Micros) {
         let earned_s = (now - self.refilled_at).as_secs_f64();
         self.budget = (self.budget + rate * earned_s).min(max_budget);
@@ -49,7 +53,7 @@
         self.refilled_at = now;
     }
 
-    /// The job's record may have to be written.
+    /// Marks a job whose record may have to be written.
     pub(crate) fn mark_dirty(&mut self, job: &JobId) {
         if !self.dirty.contains_key(job) {
             self.dirty.insert(job.clone(), None);
@@ -61,18 +65,18 @@
     }
 }
 
-/// How urgent the write of a job's record is, most urgent first.
+/// Priority of the write of a job's record, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum WritePriority {
-    /// A first start, or a gang's new placement, waits for it.
+    /// A first start, or a gang's new placement, waits for the write.
     Start,
-    /// The job is over.
+    /// The job has finished.
     End,
-    /// Tasks that are done; such writes can be gathered.
+    /// Completed tasks; several completions are gathered into one write.
     Progress,
 }
 
-/// A batch in the making.
+/// A batch under construction, within the limits on its operations and bytes.
 struct BatchBuilder {
     writes: Vec<Write>,
     ops: usize,
@@ -93,24 +97,25 @@
 }
 
 impl Scheduler {
-    /// True if anything waits to be written.
+    /// Returns true if a write may be pending.
     pub fn has_writes(&self) -> bool {
         !self.writes.dirty.is_empty()
             || self.registry.has_additions()
             || self.registry.has_removals()
     }
 
-    /// New work finds no room at the nodes' admission control, or finds it again.
+    /// Sets whether the nodes' admission control rejects new jobs.
     pub fn set_admission_saturated(&mut self, admission_saturated: bool) {
         self.writes.admission_saturated = admission_saturated;
     }
 
-    /// Records wait for the rate at which they may be written.
+    /// Returns true if writes are pending that the rate limit delays.
     pub fn is_write_rate_limited(&self) -> bool {
         self.writes.budget < 1.0 && self.has_writes()
     }
 
-    /// The next batch of writes, if some are due and the rate allows it.
+    /// Returns the next batch of writes. `None` if none is due, or the rate limit or the delay after an
+    /// error forbids it.
     pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
         let rate = self.cfg.write_rps / 2.0;
         let max_budget = rate.max(4.0);
@@ -124,8 +129,8 @@
             bytes: 0,
             max_ops: (self.writes.budget as usize).min(self.cfg.txn_ops),
         };
-        // First starts come first: their tasks wait for it. Then machines, which wait for their first
-        // task, then whatever completes, then what can be gathered.
+        // Order: starts, for which tasks wait; additions to the registry, for which machines wait before
+        // their first task; ends; gathered progress.
         let mut start_writes = self.ranked_jobs(max_budget, now);
         let split = start_writes.partition_point(|(priority, _)| *priority == WritePriority::Start);
         let rest = start_writes.split_off(split);
@@ -139,7 +144,8 @@
             self.writes.removals_not_before = now + Micros::from_millis(500);
             self.add_registry_writes(&mut builder, true);
         }
-        // Learned run times come last, alone, and within their own share: nothing waits for them.
+        // Learned run times come last, in a batch of their own and at their own rate: nothing waits for
+        // them.
         if builder.writes.is_empty()
             && let Some((key, page)) = self.next_learned(now)
         {
@@ -158,7 +164,7 @@
         })
     }
 
-    /// Jobs whose records are to be written now, in the order in which they get room.
+    /// Returns the jobs whose records are to be written now, by priority. Forgets jobs that need no write.
     fn ranked_jobs(&mut self, max_budget: f64, now: Micros) -> Vec<(WritePriority, JobId)> {
         let mut ranked = Vec::new();
         let w = &mut self.writes;
@@ -180,7 +186,7 @@
             }
             let since = *since.get_or_insert(now);
             let priority = if job.start_attempt != job.recorded_start_attempt {
-                // Its first task can't start before a machine is up.
+                // Deferrable: no task can start before one of its machines is up.
                 if admission_saturated && !job.attempts.values().flatten().any(|(m, _)| is_up(m)) {
                     if *deferrable_budget < 1.0 {
                         return true;
@@ -235,8 +241,8 @@
         }
     }
 
-    /// A machine is registered once its agent has reported, and before its first task: so the
-    /// next leader waits for no machine that still boots.
+    /// Adds writes of registry pages. A machine is registered after its first heartbeat and before its
+    /// first task, so that a new leader does not wait for machines that are still booting.
     fn add_registry_writes(&mut self, builder: &mut BatchBuilder, removals: bool) {
         for id in self.registry.take_pending() {
             let Some(m) = self.machines.get(&id) else {
@@ -269,7 +275,7 @@
         }
     }
 
-    /// A batch went through at this revision, or did not.
+    /// Handles the outcome of a batch: the revision at which it was applied, or the error.
     pub fn batch_completed(
         &mut self,
         batch: Batch,
@@ -296,7 +302,8 @@
                                 job.recorded_done = record.done;
                                 job.recorded_start_attempt = record.start_attempt;
                             }
-                            // It may start now; results are acknowledged with the next answers.
+                            // Its tasks may start now. Acknowledgements can wait for the next heartbeat
+                            // responses.
                             if is_first_start || job.is_gang() {
                                 let attempts =
                                     job.attempts.values().flatten().map(|(m, _)| m.clone());
@@ -308,7 +315,7 @@
                 }
                 Write::End { job: id, .. } => match &result {
                     Ok(_) => {
-                        tracing::debug!(job = %id, "over");
+                        tracing::debug!(job = %id, "job finished");
                         self.job_removed(&id, now);
                     }
                     Err(e) => {
@@ -361,7 +368,7 @@
         }
     }
 
-    /// After a conflict, or without an answer, the record itself says what holds.
+    /// Requests a reload of the job's record after a conflict on it or a write of unknown outcome.
     fn reload_after_error(&mut self, id: &JobId, error: &BatchError) {
         let must_reload = match error {
             BatchError::Conflict { jobs, .. } => jobs.contains(id),
@@ -372,14 +379,14 @@
         if let Some(job) = self.jobs.get_mut(id)
             && must_reload
         {
-            // No further write of it before its record has been read.
+            // Blocks further writes of the record until it has been reloaded.
             job.write_in_flight = true;
             self.actions
                 .push_back(Action::ReloadRecord { job: id.clone() });
         }
     }
 
-    /// The answer to [`Action::ReloadRecord`]; `None`: the record is gone.
+    /// Handles the result of [`Action::ReloadRecord`]. `None` if the record no longer exists.
     pub fn record_reloaded(
         &mut self,
         id: JobId,
@@ -395,13 +402,13 @@
         }
     }
 
-    /// The record could not be read; it is tried again.
+    /// Handles a failed reload of a record: it is repeated.
     pub fn record_reload_failed(&mut self, id: JobId) {
         self.actions.push_back(Action::ReloadRecord { job: id });
     }
 }
 
-/// A key that no other page has had.
+/// Returns a key that no page has had before: it contains the fencing token and a counter.
 fn page_key(counter: &mut u64, token: FencingToken) -> String {
     *counter += 1;
     format!("{token}-{counter}")
--- a/crates/hopyoke-scheduler/src/persist/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -1,40 +1,42 @@
-//! The machine registry: which machines may hold tasks. A new leader reads it to know whom to wait for.
+//! The machine registry: the stored set of machines that may hold tasks. A new leader loads it to know
+//! which machines reconciliation must account for.
 //!
-//! Machines of one type, zone and kind share pages, so that a whole fleet is registered within a
-//! few writes. Each write of a page is conditional on the page's revision: a late one must not bring
-//! an older page back. (Guards `ran_twice`: a machine whose entry was lost would not be waited
-//! for.) A page whose write went unanswered is left behind for a new one.
+//! Machines of one type, zone and kind (spot or on-demand) share pages, so that a whole fleet is
+//! registered with few writes.
+//! Each write of a page is conditional on the page's revision, so that a delayed write can't restore an
+//! older page. Guards the invariant `ran_twice`: a new leader would not wait for a machine whose entry
+//! was lost. If the outcome of a page's write is unknown, its machines move to a page with a new key.
 
 use super::batch::{ADDRESS_BYTES, RegistryPage, Write};
 use hopyoke_types::{MachineId, ModRevision};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A page and how far its writes have come.
+/// A page and the state of its writes.
 struct Page {
     content: RegistryPage,
     mod_revision: ModRevision,
     write_in_flight: bool,
-    /// Machines were added that the state service does not know of.
+    /// Machines were added that no applied write contains.
     additions_pending: bool,
-    /// Machines were removed that it still names.
+    /// Machines were removed that the stored page may still contain.
     removals_pending: bool,
 }
 
-/// Which machine is on which page, and what of that is still to be written.
+/// The registry's pages, and the writes that they still need.
 #[derive(Default)]
 pub(crate) struct MachineRegistry {
     pages: BTreeMap<String, Page>,
     page_of: BTreeMap<MachineId, String>,
-    /// Machines that wait for a place on a page.
+    /// Machines that are to be added to a page.
     pending: BTreeSet<MachineId>,
-    /// Pages that can't be read: their machines are unknown.
+    /// Keys of pages that can't be decoded, so that their machines are unknown.
     unreadable_pages: Vec<String>,
-    /// Keys to be dropped.
+    /// Keys of pages that are to be deleted.
     pending_deletes: Vec<String>,
 }
 
 impl MachineRegistry {
-    /// Takes over a page; returns the machines on it.
+    /// Loads a stored page and returns its machines. `None` stands for a page that can't be decoded.
     pub(crate) fn load_page(
         &mut self,
         key: String,
@@ -65,12 +67,13 @@
         self.page_of.is_empty() && self.unreadable_pages.is_empty()
     }
 
-    /// Some page can't be read, so reconciliation can end by time alone.
+    /// Returns true if some page can't be decoded, so that reconciliation must wait for lease expiry.
     pub(crate) fn has_unreadable_pages(&self) -> bool {
         !self.unreadable_pages.is_empty()
     }
 
-    /// Reconciliation is over: unreadable pages name no machine that matters any more.
+    /// Schedules the deletion of unreadable pages: after reconciliation no unreported
+    /// task is left on their machines.
     pub(crate) fn reconciliation_ended(&mut self) {
         self.pending_deletes.append(&mut self.unreadable_pages);
     }
@@ -79,7 +82,7 @@
         self.page_of.contains_key(id)
     }
 
-    /// A machine is to be registered, unless it is already.
+    /// Requests the registration of a machine, unless it is on a page already.
     pub(crate) fn request_registration(&mut self, id: &MachineId) {
         if !self.page_of.contains_key(id) {
             self.pending.insert(id.clone());
@@ -90,7 +93,9 @@
         std::mem::take(&mut self.pending)
     }
 
-    /// Puts a machine on a page that has room for it.
+    /// Adds a machine to a page of its type, zone and kind with room for it, or to a new page.
+    ///
+    /// `kind` is (type, zone, spot); `value_bytes` is the largest value that the store accepts.
     pub(crate) fn add(
         &mut self,
         id: MachineId,
@@ -133,7 +138,7 @@
         self.page_of.insert(id, key);
     }
 
-    /// A machine is gone for certain.
+    /// Removes a machine that certainly no longer exists.
     pub(crate) fn remove(&mut self, id: &MachineId) {
         self.pending.remove(id);
         if let Some(page) = self
@@ -162,10 +167,10 @@
                 .any(|p| p.removals_pending && !p.write_in_flight)
     }
 
-    /// The next page to be written: one with additions, or else one with removals if they are
-    /// asked for. An empty page is dropped.
+    /// Returns the next write: of a page with additions or, if `removals` is set, of one with removals or
+    /// a delete. A page without machines is deleted.
     pub(crate) fn next_write(&mut self, removals: bool) -> Option<Write> {
-        // What a dropped page held must stand elsewhere first, or go there with the same write.
+        // A page is deleted only once its machines are stored on other pages, or in the same batch.
         if removals
             && !self.pages.values().any(|p| p.additions_pending)
             && let Some(key) = self.pending_deletes.pop()
@@ -186,7 +191,7 @@
         })
     }
 
-    /// A write of a page went through; returns the machines that are now registered.
+    /// Handles an applied write of a page. Returns the machines that are now registered.
     pub(crate) fn write_committed(
         &mut self,
         key: &str,
@@ -216,7 +221,7 @@
             .unwrap_or_default()
     }
 
-    /// A write certainly did not happen.
+    /// Handles a write that was certainly not applied: it is repeated.
     pub(crate) fn write_not_applied(&mut self, key: &str) {
         if let Some(page) = self.pages.get_mut(key) {
             page.write_in_flight = false;
@@ -226,8 +231,8 @@
         }
     }
 
-    /// A write may have happened or may yet happen: its machines move to a new page, and the old
-    /// one goes only once that stands.
+    /// Handles a write that may have been applied, or may still be: its machines move to a new page, and
+    /// the old page is deleted only after the new one is stored.
     pub(crate) fn write_outcome_unknown(&mut self, key: &str, new_key: impl FnOnce() -> String) {
         let Some(old) = self.pages.get_mut(key) else {
             return self.pending_deletes.push(key.to_owned());
@@ -249,7 +254,7 @@
             };
             self.pages.insert(new, page);
         }
-        // Dropped with the removals, after all additions.
+        // Deletes follow all additions, see `next_write`.
         self.pending_deletes.push(key.to_owned());
     }
 }
--- a/crates/hopyoke-scheduler/src/reconcile/attempts.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in the ledger: which machine has, or may have, which attempt of a task.
+//! Bookkeeping of attempts, which the ledger holds by machine (allocations) and by job.
 
 use crate::Scheduler;
 use crate::ledger::{AllocationState, Job, Machine, StopRequest};
@@ -8,13 +8,13 @@
 use std::rc::Rc;
 
 impl Scheduler {
-    /// Forgets all that was on a machine; returns how many attempts were live.
+    /// Removes all allocations of a machine, none of which exists any more. Returns the number of live ones.
     pub(crate) fn clear_allocations(&mut self, id: &MachineId) -> usize {
         let Some(m) = self.machines.get_mut(id) else {
             return 0;
         };
         let allocations = std::mem::take(m.allocations_mut());
-        // For all that we know they ran until it was last heard of.
+        // Running tasks are assumed to have run until the machine's last status.
         let last_seen_at = m.last_seen;
         self.commands_due.remove(id);
         let mut live_attempts = 0;
@@ -35,7 +35,7 @@
         live_attempts
     }
 
-    /// A job appeared in the ledger of which agents have reported tasks already.
+    /// Assigns allocations that agents reported before the job was in the ledger to the job.
     pub(crate) fn adopt_allocations(&mut self, id: &JobId, spec: &Rc<JobSpec>) {
         let mut found = Vec::new();
         let orphaned = |m: &Machine| {
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Has an attempt stopped. One that was never offered to the agent just goes.
+    /// Requests the stop of an attempt, with a grace period in seconds. An attempt whose start command was
+    /// never sent is removed at once.
     pub(crate) fn stop_allocation(
         &mut self,
         id: &MachineId,
@@ -106,7 +107,7 @@
             return self.remove_attempt(id, &key.0, attempt);
         }
         let stop = StopRequest { grace_s };
-        // A stop is only ever made harsher.
+        // A later stop may only shorten the grace period.
         if allocation.is_live()
             && allocation.stop.is_none_or(|s| grace_s < s.grace_s)
             && let Some(allocation) = m.allocations_mut().get_mut(&key)
--- a/crates/hopyoke-scheduler/src/reconcile/commands.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to agents: with heartbeat responses, or pushed at once.
+//! Commands to agents, in heartbeat responses or pushed.
 
 use crate::ledger::{Allocation, AllocationState, Job, MachinePhase};
 use crate::{Action, Scheduler};
@@ -6,12 +6,13 @@
 use hopyoke_protocol::worker::{Command, ExitReason, Heartbeat, TaskState};
 use hopyoke_types::{Attempt, MachineId, Micros};
 
-/// Starts and removals in one answer.
+/// Limit on starts and acknowledgements in one response or push.
 const MAX_COMMANDS_PER_RESPONSE: usize = 400;
 
 impl Scheduler {
-    /// The commands that bring a machine in line with the ledger; all of them can be repeated. `answers`: epoch and
-    /// sequence of the heartbeat that they answer; `None`: they are pushed.
+    /// Returns the commands that bring a machine in line with the ledger. All of them may be repeated.
+    ///
+    /// `answers` is the (epoch, sequence) of the heartbeat that they answer; `None` if they are pushed.
     pub(crate) fn commands_for(
         &mut self,
         id: &MachineId,
@@ -23,15 +24,15 @@
         };
         self.commands_due.remove(id);
         let may_start = m.is_registered && m.is_reconciled(self.token);
-        // Stops of work that is over come first and are never left for the next answer: this one renews the
-        // lease of whatever it does not stop. (Guards `ran_cancelled`.)
+        // Stops come first and are never deferred to the next response, as this one renews the lease of
+        // every task that it does not stop. Guards the invariant `ran_cancelled`.
         let mut stops = Vec::new();
         let mut others = Vec::new();
         for ((task, attempt), allocation) in m.allocations_in_flight() {
             let (name, attempt) = (task.to_string(), *attempt);
             let job = self.jobs.get(&task.job);
-            // Responses are bounded; the rest goes with the next. A machine holds no more attempts than
-            // its heartbeat has room for, so all stops fit.
+            // Other commands beyond the limit go with the next response. Stops need no limit: a machine
+            // holds no more attempts than fit into its heartbeat.
             let has_room = others.len() < MAX_COMMANDS_PER_RESPONSE;
             match allocation.state {
                 AllocationState::Ended(exit_reason) => {
@@ -70,20 +71,20 @@
         stops
     }
 
-    /// Sends new commands at once instead of with the answer to the next heartbeat. Results that are
-    /// merely to be forgotten can wait for that.
+    /// Pushes new commands instead of waiting for the next heartbeat. Acknowledgements alone are not
+    /// pushed.
     pub(crate) fn push_commands(&mut self, now: Micros) {
         let mut later = Vec::new();
         while let Some(id) = self.commands_due.pop_first() {
             let Some(m) = self.machines.get(&id) else {
                 continue;
             };
-            // Whatever is not up yet gets its commands with the answer to its first heartbeat.
+            // Other machines get their commands in the response to their next heartbeat.
             if m.phase != MachinePhase::Up || !m.is_reconciled(self.token) || m.address.is_none() {
                 continue;
             }
             if m.push_in_flight {
-                // Its answer makes the commands due again.
+                // The answer to that push marks the commands as due again.
                 continue;
             }
             if now < m.push_retry_at {
@@ -111,7 +112,8 @@
         self.commands_due.extend(later);
     }
 
-    /// An agent answered pushed commands (or refused them) with its heartbeat.
+    /// Handles an agent's answer to pushed commands, which carries its status. `executed` is false if it
+    /// refused them; `heartbeat` is `None` if its status can't be decoded.
     pub fn push_answered(
         &mut self,
         machine: &MachineId,
@@ -126,7 +128,7 @@
             for (_, allocation) in m.allocations_in_flight().filter(|(_, s)| s.push_in_flight) {
                 allocation.push_in_flight = false;
                 match answered {
-                    // Its heartbeat can't be read: what was started is unknown until another shows it.
+                    // Which starts were executed is unknown until a heartbeat lists them.
                     None => allocation.outcome_unknown |= executed,
                     Some(_) if executed && allocation.start_sent_with < answered => {
                         allocation.start_sent_with = answered
@@ -134,7 +136,7 @@
                     Some(_) => {}
                 }
             }
-            // A probe that met another epoch than we believed can be repeated at once.
+            // If the refusal was due to another epoch than expected, the push is repeated at once.
             if !executed && heartbeat.is_none_or(|r| r.epoch == m.epoch) {
                 m.push_retry_at = now + Micros::from_millis(500);
             }
@@ -144,7 +146,7 @@
         {
             self.merge_heartbeat(r, false, now);
         }
-        // The epoch was another than we believed; now we know it.
+        // The agent's epoch differed from the expected one, which is now known: probes it again.
         if self.reconciliation.is_active()
             && self
                 .machines
@@ -153,12 +155,12 @@
         {
             self.probes.push(machine.clone());
         }
-        // What changed meanwhile, or was refused, is still to be sent.
+        // Sends commands that were refused or became due since the push.
         self.commands_due.insert(machine.clone());
     }
 
-    /// Pushed commands got no answer. If they may have been sent they may be executed late, at any
-    /// time of the epoch.
+    /// Handles a push without an answer. If `maybe_sent`, its commands may be executed at any later time
+    /// in the agent's epoch.
     pub fn push_failed(&mut self, machine: &MachineId, maybe_sent: bool, now: Micros) {
         self.end_probe(machine);
         if let Some(m) = self.machines.get_mut(machine) {
@@ -177,8 +179,8 @@
     }
 }
 
-/// A result is acknowledged only once it is recorded, and an attempt whose start may yet be executed late
-/// never: after the acknowledgement it would run again.
+/// Returns true if the end of an attempt may be acknowledged: its result is stored, and its start can't be
+/// executed late. Agents forget acknowledged attempts, so a late start would run the attempt again.
 fn may_acknowledge(
     allocation: &Allocation,
     exit_reason: ExitReason,
@@ -194,8 +196,10 @@
     is_recorded && !allocation.outcome_unknown && !allocation.push_in_flight
 }
 
-/// Stops an attempt that no heartbeat has shown. Its start may be executed late unless the agent knows the attempt as
-/// stopped already, so after a while it is started and stopped in one response.
+/// Returns the commands that stop an attempt that no heartbeat has confirmed.
+///
+/// A late start of it takes effect unless the agent already lists the attempt as ended. So if its start's
+/// outcome is unknown for 5 s, it is started and stopped in the same response.
 fn stop_unconfirmed_start(
     allocation: &Allocation,
     task: String,
--- a/crates/hopyoke-scheduler/src/reconcile/failover.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/failover.rs
@@ -1,17 +1,17 @@
-//! Reconciliation after a failover: which machines may still execute commands of an earlier leader.
+//! Reconciliation after a failover: tracks which machines may still execute commands of earlier leaders.
 
 use crate::Scheduler;
 use crate::ledger::{Machine, MachinePhase};
 use hopyoke_types::Micros;
 use tracing::info;
 
-/// An agent takes an answer no later than this after it sent its heartbeat.
+/// Longest time after sending a heartbeat at which an agent accepts the response.
 const MAX_RESPONSE_DELAY: Micros = Micros::from_millis(4_010);
 
-/// The state of reconciliation after this leader's failover.
+/// State of the reconciliation that follows this leader's election.
 #[derive(Debug)]
 pub(crate) struct Reconciliation {
-    /// When this leader learned that its token was granted.
+    /// When this leader learned that its fencing token was granted.
     granted_at: Micros,
     is_active: bool,
 }
@@ -34,19 +34,19 @@
 }
 
 impl Scheduler {
-    /// True while tasks that nobody has reported may still be on a machine.
+    /// Returns true while a machine may hold tasks that no agent has reported to this leader.
     pub fn is_reconciling(&self) -> bool {
         self.reconciliation.is_active
     }
 
-    /// Reconciliation ends when every machine in the machine registry is accounted for: it reported after
-    /// having seen our token, its epoch has expired, or the cloud confirmed its deletion. Tasks
-    /// are only ever started on registered machines, so what nobody reported by then is nowhere.
-    /// (Guards `ran_twice` and `quota`.)
+    /// Ends reconciliation once every registered machine is accounted for: it sent a heartbeat after seeing
+    /// this leader's token, its lease has expired, or the cloud confirmed its deletion. Tasks are started
+    /// only on registered machines, so a task that is unreported by then runs nowhere. Guards the
+    /// invariants `ran_twice` and `quota`.
     ///
-    /// Time alone ends it only for machines on pages that can't be read: whoever we have answered
-    /// lives on, and an order of a stale leaseholder may have reached it between its heartbeat and our
-    /// answer. (Scenario reconciliation_outlasts_leases.)
+    /// Elapsed time alone accounts only for machines on pages that can't be decoded. A machine whose
+    /// heartbeat this leader answered keeps its lease, and a command of a stale leaseholder may have
+    /// reached it between its heartbeat and the response (scenario reconciliation_outlasts_leases).
     pub(crate) fn update_reconciliation(&mut self, now: Micros) {
         if !self.reconciliation.is_active {
             return;
@@ -67,24 +67,26 @@
             info!(
                 token = self.token.0,
                 after_ms = (now - self.reconciliation.granted_at).as_millis(),
-                "recovered"
+                "reconciliation finished"
             );
         }
     }
 
-    /// An stale leaseholder may have started something on it, and it has not shown yet that no more can come. What was
-    /// not in the machine registry when we read it has nothing of theirs: they start nothing on a machine before its page is
-    /// written for certain. (Scenario reconciliation_new_machines.)
+    /// Returns true if a stale leaseholder may have started tasks on the machine, and may still do so.
+    ///
+    /// A machine that was not in the registry when this leader loaded it holds no tasks of earlier leaders:
+    /// a leader starts tasks on a machine only after the write of its registry page is known to be applied
+    /// (scenario reconciliation_new_machines).
     pub(crate) fn is_unreconciled(&self, m: &Machine) -> bool {
         let may_hold =
             m.inherited || (self.registry.has_unreadable_pages() && m.phase == MachinePhase::Up);
         may_hold && m.phase != MachinePhase::Lost && !m.is_reconciled(self.token)
     }
 
-    /// A new heartbeat that still shows an older token, from now on, is of an epoch that began after our
-    /// grant: one that is older was over when its lease ran out unless it took an answer of ours, and
-    /// then it would show our token. No stale leaseholder can have commanded such an epoch.
-    /// (An answer counts for heartbeats sent up to [`MAX_RESPONSE_DELAY`] before it.)
+    /// Returns true once every agent epoch from before this leader's grant has either expired or accepted a
+    /// response of this leader. From then on a heartbeat with an older token is of an epoch that began
+    /// after the grant, so no stale leaseholder can have sent it commands. The bound includes
+    /// [`MAX_RESPONSE_DELAY`], as an agent accepts a response that long after sending its heartbeat.
     pub(crate) fn earlier_epochs_expired(&self, now: Micros) -> bool {
         now >= self.reconciliation.granted_at + self.cfg.lease_bound() + MAX_RESPONSE_DELAY
     }
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: they rebuild and update the ledger, and renew leases.
+//! Handling of heartbeats, which rebuild and update the ledger and renew agents' leases.
 
 use crate::Scheduler;
 use crate::ledger::{Machine, MachinePhase};
@@ -6,30 +6,31 @@
 use hopyoke_types::{FencingToken, Micros, TaskId};
 use tracing::{info, warn};
 
-/// The response to a heartbeat.
+/// Response to a heartbeat.
 #[derive(Debug, PartialEq)]
 pub struct HeartbeatReply {
-    /// The token of this leader.
+    /// Fencing token of this leader.
     pub token: FencingToken,
-    /// The heartbeat was newer than all before. One that is not says nothing about now.
+    /// False if the heartbeat was ignored: it was not newer than earlier ones, or its machine is deleted.
     pub fresh: bool,
-    /// What the agent is to do.
+    /// Commands to the agent.
     pub commands: Vec<Command>,
 }
 
 impl Scheduler {
-    /// A heartbeat came in; the response renews the agent's lease.
+    /// Handles a heartbeat. The response renews the agent's lease.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Micros) -> HeartbeatReply {
-        // A late heartbeat, or one of a machine that is gone, is answered without commands.
+        // An outdated heartbeat, or one of a deleted machine, is answered without commands.
         let fresh = self.merge_heartbeat(heartbeat, true, now);
         let lease_bound = self.cfg.lease_bound();
         let mut commands = Vec::new();
         if let Some(m) = self.machines.get_mut(&heartbeat.machine) {
-            // Counted from the answer, the agent counts from its earlier sending: we are never early.
+            // The agent counts its lease from the sending of the heartbeat, which is earlier, so the lease
+            // never outlasts this bound.
             m.lease_end = m.lease_end.max(now + lease_bound);
         }
         if fresh {
-            // Plan first, so that the commands go with this answer.
+            // Runs a due scheduling cycle first, so that its commands go with this response.
             if self.plan_schedule.is_requested_plan_due(now) {
                 self.run_due_work(now);
             }
@@ -46,8 +47,9 @@
         }
     }
 
-    /// Takes over what a heartbeat says if it is newer than all before; true if so. `renews_lease`: it was sent as a
-    /// heartbeat, not as the answer to pushed commands.
+    /// Merges a heartbeat into the ledger and returns true, or returns false if it is to be ignored.
+    ///
+    /// `renews_lease` is true for a heartbeat proper and false for the status in the answer to a push.
     pub(crate) fn merge_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -62,7 +64,7 @@
             if !renews_lease {
                 return false;
             }
-            // Created by an earlier leader, or by a scale-out whose answer was lost.
+            // Requested by an earlier leader, or by a scale-out request whose response was lost.
             let mut m = Machine::new(
                 id.clone(),
                 heartbeat.machine_type.clone(),
@@ -77,15 +79,15 @@
             return false;
         };
         if is_new_epoch {
-            // Everything of earlier epochs is gone, and so are commands pushed to them.
+            // The agent dropped all tasks of its earlier epoch, and refuses commands pushed to it.
             self.clear_allocations(id);
         }
         self.merge_tasks(heartbeat, renews_lease, now);
         true
     }
 
-    /// What a heartbeat says of the machine itself. `None`: it is not newer than all before; otherwise whether the
-    /// agent's epoch is new.
+    /// Merges the machine's own status, and returns whether the agent's epoch is new. `None` if the
+    /// heartbeat is not newer than the newest one so far.
     fn merge_machine_status(
         &mut self,
         heartbeat: &Heartbeat,
@@ -95,7 +97,7 @@
         let earlier_epochs_expired = self.earlier_epochs_expired(now);
         let id = &heartbeat.machine;
         let m = self.machines.get_mut(id)?;
-        // Heartbeats can arrive late: only the newest counts.
+        // Heartbeats may arrive out of order.
         if (heartbeat.epoch, heartbeat.sequence) <= (m.epoch, m.sequence) {
             return None;
         }
@@ -122,9 +124,9 @@
         m.spot = heartbeat.spot;
         m.phase = MachinePhase::Up;
         if is_new_epoch || (is_back && m.lease_end <= now) {
-            // An epoch has its whole lease from its beginning, and that may have been just now: the
-            // end that was counted is that of the epoch before. The answer to pushed commands tells of a
-            // new epoch as well as a heartbeat does. (Scenario epoch_learned_by_pushed_command.)
+            // A new epoch starts with a full lease and may have begun just now, while `lease_end` was that
+            // of the epoch before. Answers to pushes reveal new epochs too (scenario
+            // epoch_learned_by_pushed_command).
             m.lease_end = m.lease_end.max(now + self.cfg.lease_bound());
         }
         if is_back {
@@ -147,7 +149,7 @@
             .map(|s| now + Micros::from_secs_f64(s));
         if preemption_at.is_some() && m.preemption_notice_at.is_none() {
             self.plan_schedule.request();
-            info!(machine = %id, zone = %m.zone, in_s = heartbeat.preemption_notice_s, "notice: machine will be taken");
+            info!(machine = %id, zone = %m.zone, in_s = heartbeat.preemption_notice_s, "preemption notice received");
         }
         m.preemption_notice_at = preemption_at;
     }
@@ -171,7 +173,7 @@
         let mut listed = Vec::with_capacity(heartbeat.tasks.len());
         for t in &heartbeat.tasks {
             let Some(task) = TaskId::parse(&t.task) else {
-                warn!(machine = %id, task = %t.task, "heartbeat names a malformed task");
+                warn!(machine = %id, task = %t.task, "heartbeat lists a malformed task id");
                 continue;
             };
             listed.push((task.clone(), t.attempt));
--- a/crates/hopyoke-scheduler/src/reconcile/job_records.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/job_records.rs
@@ -1,11 +1,11 @@
-//! Job records as the state service has them: jobs enter and leave the ledger.
+//! Changes of stored job records, by which jobs enter and leave the ledger.
 
 use crate::Scheduler;
 use crate::ledger::{Job, JobRecord};
 use hopyoke_types::{JobId, Micros, ModRevision};
 
 impl Scheduler {
-    /// A job's record as the state service has it.
+    /// Merges a stored job record into the ledger. Ignores revisions that are already known.
     pub fn job_record_changed(
         &mut self,
         id: JobId,
@@ -16,8 +16,8 @@
         match self.jobs.get_mut(&id) {
             None if self.tombstones.is_outdated(&id, mod_revision) => return,
             None => {
-                // Whatever was first written after our grant can't have been started by a stale
-                // leaseholder: its lease was over before the grant was applied.
+                // The token is the revision of the grant, before which the earlier leader's lease had
+                // expired. It can't have started a job that was written later.
                 let inherited = mod_revision.0 <= self.token.0;
                 let job = Job::new(record, mod_revision, inherited, now);
                 let spec = job.spec.clone();
@@ -38,7 +38,8 @@
         self.plan_schedule.request();
     }
 
-    /// The job's record is gone: it was cancelled, or we recorded its end ourselves.
+    /// Removes a job whose record was deleted, by a cancellation or by the write of its end record, and
+    /// stops its attempts.
     pub fn job_removed(&mut self, id: &JobId, now: Micros) {
         self.tombstones.add(id, now);
         let Some(job) = self.jobs.remove(id) else {
@@ -52,13 +53,13 @@
         self.plan_schedule.request();
     }
 
-    /// All changes of jobs' records up to `revision` have been applied here; they came with the answer to a request
-    /// that was sent at `sent`.
+    /// Notes that all changes of job records up to `revision` have been applied. They came with the answer
+    /// to a request that was sent at `sent`.
     pub fn records_applied_to(&mut self, revision: ModRevision, sent: Micros) {
         self.tombstones.caught_up(revision, sent);
     }
 
-    /// All changes of jobs' records up to this revision are known here.
+    /// Returns the revision up to which all changes of job records have been applied.
     pub fn applied_revision(&self) -> ModRevision {
         self.tombstones.applied()
     }
--- a/crates/hopyoke-scheduler/src/reconcile/mod.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/mod.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of the ledger with what agents report, and with what an earlier leader left.
+//! Reconciliation of the ledger with agents' heartbeats and with the records that earlier leaders wrote.
 
 mod attempts;
 mod commands;
--- a/crates/hopyoke-scheduler/src/reconcile/probes.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/probes.rs
@@ -1,19 +1,19 @@
-//! Probes: after a failover registered machines are asked at once what runs on them.
+//! Probes: requests for the status of registered machines after a failover.
 
 use crate::ledger::MachinePhase;
 use crate::{Action, Scheduler};
 use hopyoke_types::{MachineId, Micros};
 use std::collections::VecDeque;
 
-/// Machines asked at the same time: each takes a socket, and silent ones hold theirs for the
-/// whole time limit, so there must be enough for the others to pass them.
+/// Limit on concurrent probes. Each takes a socket, and unresponsive machines hold theirs until the timeout,
+/// so the limit must leave enough for the others.
 const MAX_PROBES_IN_FLIGHT: usize = 96;
 
-/// Machines to be asked what runs on them.
+/// Queue of machines to be probed.
 #[derive(Debug, Default)]
 pub(crate) struct FailoverProbes {
     queue: VecDeque<MachineId>,
-    /// Probes under way.
+    /// Number of probes that await an answer.
     in_flight: usize,
 }
 
@@ -24,10 +24,11 @@
 }
 
 impl Scheduler {
-    /// After a failover, registered machines are asked at once what is on them, instead of waiting
-    /// until each finds us with a heartbeat: an empty push shows them our token, and its
-    /// answer is their report. (A machine that is known to have seen our token is accounted for.)
-    /// Machines that are overdue and no longer listed are asked too, before they are given up.
+    /// Probes registered machines that are not reconciled, instead of waiting for their heartbeats to reach
+    /// this leader. A probe is a push without commands: it passes on this leader's token, and the answer
+    /// carries the machine's status. Once a machine has seen the token it is accounted for.
+    ///
+    /// Machines that are presumed deleted are probed too, before they are removed.
     pub(crate) fn send_probes(&mut self, now: Micros) {
         for _ in 0..self.probes.queue.len() {
             if !self.can_probe() {
@@ -53,7 +54,7 @@
             m.probe_in_flight = true;
             m.probed_at = now;
             self.probes.in_flight += 1;
-            // Most machines are in their first epoch; the refusal tells of another.
+            // An unknown epoch is most likely the first; a refusal carries the actual one.
             let epoch = m.epoch.max(1);
             self.actions.push_back(Action::PushCommands {
                 machine: id,
--- a/crates/hopyoke-scheduler/src/reconcile/restart_check.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/restart_check.rs
@@ -1,23 +1,24 @@
-//! The three-way check before any start: the recorded previous attempt against agents' heartbeats.
+//! The check before any start of a task: compares the job's record, the attempts that agents reported, and
+//! the progress of reconciliation.
 
 use crate::Scheduler;
 use crate::ledger::Job;
 
-/// What is to be done about a task that is not recorded as done.
+/// What to do about a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestartDecision {
-    /// An attempt runs, or may: stay connected to it.
+    /// An attempt runs, or may run: keep it.
     Reconnect,
-    /// An agent reported it as done: take its result; nothing is started.
+    /// It is completed: keep its result and start nothing.
     AcceptResult,
-    /// Nobody has reported it, and not every machine that could run it is accounted for.
+    /// No agent has reported it, but a machine that is not yet accounted for may run it.
     Unknown,
-    /// No attempt is left anywhere: it may be started anew.
+    /// No attempt of it is left on any machine: it may be started.
     Restart,
 }
 
 impl Scheduler {
-    /// What is to be done about task `index` of a job.
+    /// Returns what to do about task `index` of a job.
     pub fn restart_decision(&self, job: &Job, index: u32) -> RestartDecision {
         if job.done.contains(index) {
             RestartDecision::AcceptResult
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat says of single tasks.
+//! Merging of the task statuses in a heartbeat.
 
 use super::attempts::forget_attempt;
 use crate::ledger::{Allocation, AllocationState, ImageKey};
@@ -10,7 +10,7 @@
 use tracing::{debug, info, warn};
 
 impl Scheduler {
-    /// Takes over what a heartbeat says of one attempt.
+    /// Merges the status of one attempt, as listed in a heartbeat, into the ledger.
     pub(crate) fn merge_task(&mut self, id: &MachineId, task: TaskId, t: &TaskStatus, now: Micros) {
         let key = (task, t.attempt);
         let known = self
@@ -39,7 +39,7 @@
             return;
         };
         allocation.state = state;
-        // Only an end makes room.
+        // Only an exit frees resources.
         self.plan_schedule
             .request_if(matches!(state, AllocationState::Ended(_)));
         match state {
@@ -71,7 +71,8 @@
         self.stop_if_held(id, &key.0.job, key.0.index, t.attempt, state);
     }
 
-    /// An attempt of an earlier leader, or one that was believed gone: the ledger reconnects to it.
+    /// Adds a reported attempt that the ledger does not have: one of an earlier leader, or one that was
+    /// taken to be gone.
     fn adopt_reported_attempt(
         &mut self,
         id: &MachineId,
@@ -86,17 +87,18 @@
         }
         self.add_attempt(id, &key.0, t.attempt);
         self.plan_schedule.request();
-        debug!(machine = %id, task = %key.0, attempt = t.attempt.0, state = ?t.state, "attempt found");
+        debug!(machine = %id, task = %key.0, attempt = t.attempt.0, state = ?t.state, "adopted reported attempt");
     }
 
-    /// Decides whether an attempt that an agent reported unasked may go on.
+    /// Decides whether an adopted attempt may continue, and stops it or its duplicates.
     fn reconcile_adopted_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            // Cancelled or done, or never accepted.
+            // The job is finished or cancelled, or was never accepted.
             return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
         };
-        // A later attempt was only started once all earlier ones were proven to be gone: if one is found beside it, an old
-        // report tells of that, and the later goes on. (Scenario stale_heartbeat_stops_nothing.)
+        // An attempt is started only after all earlier ones are proven to have exited. So an earlier one
+        // beside it comes from an outdated heartbeat, and the later one continues (scenario
+        // stale_heartbeat_stops_nothing).
         let attempts = job.attempts.get(&task.index).into_iter().flatten();
         let others: Vec<_> = attempts
             .filter(|(m, a)| m != id || *a != attempt)
@@ -107,7 +109,7 @@
             return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
         }
         if job.is_gang() {
-            // All tasks of a gang share their latest recorded attempt; others are being stopped.
+            // All tasks of a gang share one attempt; those of older attempts are stopped.
             if attempt > job.start_attempt {
                 job.start_attempt = attempt;
                 self.writes.mark_dirty(&task.job);
@@ -142,7 +144,7 @@
         }
     }
 
-    /// An attempt has ended, as its agent reports: its resources are free.
+    /// Handles the reported exit of an attempt, which frees its resources.
     fn task_ended(
         &mut self,
         id: &MachineId,
@@ -158,7 +160,7 @@
         match exit_reason {
             ExitReason::Done if job.spec.kind != JobKind::Service => {
                 if job.is_gang() {
-                    // Gangs complete together.
+                    // A gang completes as a whole.
                     job.done = TaskRanges::all(job.spec.tasks);
                 } else if task.index < job.spec.tasks {
                     job.done.insert(task.index);
@@ -175,7 +177,7 @@
             }
             ExitReason::Error => self.task_failed(id, task, now),
             ExitReason::InsufficientResources | ExitReason::Busy => {
-                // Our view of the machine was wrong: leave it alone until it has reported again.
+                // The ledger's view of the machine was wrong: wait for its next heartbeats.
                 if let Some(m) = self.machines.get_mut(id) {
                     m.no_placement_before = now + self.cfg.heartbeat_interval.times(2);
                 }
@@ -183,7 +185,7 @@
             }
             ExitReason::UnknownTask => {
                 job.backoff_until = now + Micros::from_secs(2);
-                warn!(machine = %id, task = %task, "start refused: the worker can't find the job");
+                warn!(machine = %id, task = %task, "start refused: the agent does not know the job or task");
             }
             _ => {}
         }
@@ -196,8 +198,8 @@
         }
     }
 
-    /// Errors on several machines speak against the job, errors of several jobs against the
-    /// machine.
+    /// Handles a failed task: failures on several machines are attributed to the job, failures of several
+    /// jobs to the machine.
     fn task_failed(&mut self, id: &MachineId, task: &TaskId, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -205,7 +207,7 @@
         job.failed_on.insert(id.clone());
         let is_crash_looping = job.is_crash_looping(self.tuning.suspect_after);
         if is_crash_looping {
-            // Its failures so far speak against it, not against the machines.
+            // Its earlier failures no longer count against the machines.
             for m in &job.failed_on {
                 if let Some(m) = self.machines.get_mut(m) {
                     m.failed_jobs.remove(&task.job);
@@ -213,15 +215,15 @@
             }
         }
         if is_crash_looping && now >= job.backoff_until {
-            // Jobs that fail everywhere are started anew ever more rarely.
+            // Exponential backoff.
             let wait = self.tuning.job_backoff.times(1 << job.backoff_count.min(4));
             job.backoff_count += 1;
             job.backoff_until = now + wait;
             let machines = job.failed_on.len();
-            info!(job = %task.job, machines, wait_s = wait.as_secs_f64(), "backoff: job fails on several machines");
-            // Nobody watches a step as a user watches a job: its run is to hear that it failed.
+            info!(job = %task.job, machines, wait_s = wait.as_secs_f64(), "job in backoff: its tasks fail on several machines");
+            // A workflow step has no user who would cancel it, so its workflow run is told of the failure.
             if job.is_workflow_step && job.backoff_count as usize > self.tuning.step_patience {
-                info!(job = %task.job, "given up");
+                info!(job = %task.job, "workflow step's job keeps failing: cancelling it");
                 job.given_up = true;
                 self.writes.mark_dirty(&task.job);
             }
@@ -231,17 +233,17 @@
         {
             m.failed_jobs.insert(task.job.clone());
             m.failures += 1;
-            // A faulty machine fails at once and so would draw the whole queue: pause it first.
+            // A faulty machine fails tasks at once, so without a pause it would attract the whole queue.
             m.no_placement_before = now + self.tuning.machine_pause;
             if m.failed_jobs.len() >= self.tuning.faulty_after && !m.faulty {
                 m.faulty = true;
-                info!(machine = %id, zone = %m.zone, failures = m.failures, "machine judged faulty");
+                info!(machine = %id, zone = %m.zone, failures = m.failures, "machine considered faulty");
             }
         }
     }
 
-    /// What the heartbeat does not list (`listed` is sorted) is gone, with one exception: a start that has not been
-    /// proven to be unexecuted.
+    /// Removes attempts that a heartbeat does not list, except those whose start may still be executed.
+    /// `listed` is sorted.
     pub(crate) fn remove_absent_attempts(
         &mut self,
         id: &MachineId,
@@ -259,8 +261,9 @@
             .iter()
             .filter(|(k, _)| listed.binary_search(k).is_err())
             .filter(|(_, s)| match s.state {
-                // One heartbeat is in flight at a time, so a newer heartbeat shows whether the commands
-                // that answered an older one were executed. A answer to a push may overtake them.
+                // An agent has one heartbeat in flight at a time, so a newer heartbeat shows whether the
+                // commands in the response to an older one were executed. The status in the answer to a
+                // push does not: it may overtake that response.
                 AllocationState::Unconfirmed => {
                     renews_lease
                         && !s.push_in_flight
--- a/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
@@ -1,27 +1,27 @@
-//! Machines that stopped reporting: partitioned zones, expired leases, machines to be given up.
+//! Machines without heartbeats: partitioned zones, lease expiry, and deletion of unresponsive machines.
 
 use crate::Scheduler;
 use crate::ledger::{Machine, MachinePhase};
 use hopyoke_types::{MachineId, Micros};
 use tracing::{info, warn};
 
-/// A machine that has not answered a question after a failover for so long, while nearly all others have, is
-/// taken not to: waiting for the whole time limit would hold up the fleet.
+/// A probe without an answer for this long counts as failed if nearly all other machines have answered. Waiting
+/// for the full timeout would delay the end of reconciliation.
 const PROBE_TIMEOUT: Micros = Micros::from_millis(1_200);
 
-/// Whether this node can take in the heartbeats that are sent to it.
+/// Whether this node can receive the heartbeats that are sent to it.
 #[derive(Debug, Default)]
 pub(crate) struct ReceiveHealth {
-    /// Until then missing heartbeats are no evidence against machines.
+    /// Until then missing heartbeats do not count against machines.
     overloaded_until: Micros,
-    /// When the last heartbeat of any machine was received.
+    /// When the latest heartbeat of any machine was received.
     last_heartbeat_at: Micros,
-    /// After a time without any, machines are given until then to find this node again.
+    /// Until then machines have time to find this node again after a period without any heartbeats.
     contact_settled_at: Micros,
 }
 
 impl ReceiveHealth {
-    /// That of a leader elected at `now`.
+    /// Creates the state of a leader elected at `now`.
     pub(crate) fn of_new_leader(now: Micros) -> ReceiveHealth {
         ReceiveHealth {
             last_heartbeat_at: now,
@@ -29,9 +29,9 @@
         }
     }
 
-    /// A heartbeat was received. The first one after a time in which no machine was heard at all says that this node was
-    /// cut off: what is known of the others' silence is from that time. (Guards against giving up machines that are about
-    /// to report: scenario unlisted_machines_kept_any_order.)
+    /// Records the receipt of a heartbeat. If it ends a period without heartbeats from any machine, this
+    /// node was partitioned, and the silence of the other machines dates from that period. Guards against
+    /// deleting machines that are about to report (scenario unlisted_machines_kept_any_order).
     pub(crate) fn heartbeat_received(&mut self, heartbeat_interval: Micros, now: Micros) {
         let two_intervals = heartbeat_interval.times(2);
         if now > self.last_heartbeat_at + two_intervals {
@@ -49,7 +49,8 @@
     }
 }
 
-/// Zones of which most machines fell silent together, by their index in the settings' list.
+/// Zones whose machines mostly stopped reporting together, by index into the list of zones in the settings;
+/// the last entry is for unknown zones.
 #[derive(Debug, Default)]
 pub(crate) struct PartitionedZones(Vec<bool>);
 
@@ -59,28 +60,27 @@
     }
 }
 
-/// What the fleet's heartbeats say of the cause of silence.
+/// What the fleet's heartbeats tell about the cause of missing ones.
 struct FleetReachability {
-    /// Most machines report: the silence of others is not this node's fault.
+    /// Most machines report, so the silence of others is not caused by this node.
     most_report: bool,
-    /// This node can't receive all heartbeats.
+    /// This node can't receive all heartbeats that are sent to it.
     is_overloaded: bool,
-    /// All unreconciled machines failed their probe, and they are few: the whole fleet's work waits for them, so a
-    /// new leader gives them up. Were they many, they might be partitioned or hang, and be back.
+    /// Few machines are unreconciled and all of them failed their probes. They delay the whole fleet, so
+    /// they are deleted. If there were many, they might be partitioned or hang, and come back.
     only_few_unreconciled: bool,
 }
 
 impl Scheduler {
-    /// Heartbeats can't all be received: this node is behind on its own processor, or has no room for
-    /// connections. Until two heartbeat intervals after the last such moment no machine is given up for
-    /// its silence, and none is requested in place of those whose heartbeats are lost. (Guards against a fleet
-    /// that is deleted and requested anew because its leader is overloaded: seen at four to six times
-    /// heirloomlane-fleet's size.)
+    /// Notes that this node can't receive all heartbeats, for lack of CPU time or connections. Until two
+    /// heartbeat intervals after the last call no machine is deleted for missing heartbeats, and none is
+    /// requested to replace it. Guards against deleting and replacing the fleet because the leader is
+    /// overloaded.
     pub fn set_receive_overloaded(&mut self, now: Micros) {
         if now >= self.receive_health.overloaded_until {
             info!(
                 machines = self.machines.len(),
-                "not all machines can be heard"
+                "overloaded: not all heartbeats can be received"
             );
         }
         self.receive_health.overloaded_until = now + self.cfg.heartbeat_interval.times(2);
@@ -90,8 +90,9 @@
         self.receive_health.is_overloaded(now)
     }
 
-    /// When most machines of a zone fall silent together, the zone is most likely cut off: they will
-    /// be back, and machines requested there now could not report either.
+    /// Detects partitioned zones: those in which at least half of the machines stopped reporting while
+    /// another zone reports. Their machines will come back, and new ones requested there could not report
+    /// either.
     pub(crate) fn detect_partitioned_zones(&mut self, now: Micros) {
         let zones = self.cfg.zones.len() + 1;
         let silent_after = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(1);
@@ -106,7 +107,7 @@
             *all += 1;
             *silent += usize::from(m.phase == MachinePhase::Lost || now >= since + silent_after);
         }
-        // Were all zones silent, the fault would be ours.
+        // If no zone reports, this node is the one that is partitioned.
         let some_zone_reports = machines_and_silent
             .iter()
             .any(|(all, silent)| *all > 0 && silent * 2 < *all);
@@ -116,7 +117,7 @@
             .collect();
         for (z, name) in self.cfg.zones.iter().enumerate() {
             if partitioned[z] != self.partitioned_zones.contains(z) {
-                info!(zone = %name, partitioned = partitioned[z], machines = machines_and_silent[z].0, silent = machines_and_silent[z].1, "zone silent");
+                info!(zone = %name, partitioned = partitioned[z], machines = machines_and_silent[z].0, silent = machines_and_silent[z].1, "zone partition state changed");
                 self.plan_schedule.request();
             }
         }
@@ -127,9 +128,9 @@
         self.partitioned_zones.contains(self.cfg.zone_index(zone))
     }
 
-    /// A machine that has fallen silent while most others report is given up: its deletion proves
-    /// that its tasks are gone, sooner than its lease's expiry would. Were it this node that is cut
-    /// off, most would be silent, and nothing is deleted.
+    /// Deletes machines that stopped reporting while most others report. The deletion proves that their
+    /// tasks are gone, sooner than lease expiry would. If this node is partitioned, most machines are
+    /// silent, and none is deleted.
     pub(crate) fn remove_unresponsive(&mut self, now: Micros) {
         let watched: Vec<&Machine> = self
             .machines
@@ -144,10 +145,10 @@
             .filter(|m| self.is_unresponsive(m, &fleet, now))
             .map(|m| m.id.clone())
             .collect();
-        // One that the cloud no longer lists is most likely gone: the list proves nothing, but the
-        // deletion does. It is probed first, and given up if it does not answer either, though most were silent:
-        // what was returned while the state service could not be written is still in the registry, and a new
-        // leader would wait for it until all leases had run out. (Scenario returned_in_outage.)
+        // A machine that the cloud no longer lists is most likely deleted, which the list does not prove but
+        // a deletion does. It is probed first, and deleted if it does not answer, even if most machines are
+        // silent. Machines deleted while the store could not be written are still registered, and a new
+        // leader would otherwise wait for them until all leases have expired (scenario returned_in_outage).
         let overdue_after = Micros(self.cfg.heartbeat_interval.0 * 5 / 4) + Micros::from_secs(1);
         let presumed_deleted: Vec<MachineId> = watched
             .iter()
@@ -166,12 +167,12 @@
             if let Some(m) = self.machines.get_mut(&id) {
                 m.deleting = true;
                 self.plan_schedule.request();
-                info!(machine = %id, zone = %m.zone, spot = m.spot, "machine silent: giving it up");
+                info!(machine = %id, zone = %m.zone, spot = m.spot, "machine unresponsive: deleting it");
             }
         }
     }
 
-    /// How much of the fleet reports; `None`: nobody, so nothing can be concluded.
+    /// Returns how much of the fleet reports. `None` if no machine does, so that nothing can be concluded.
     fn fleet_reachability(&self, watched: &[&Machine], now: Micros) -> Option<FleetReachability> {
         let reporting_within = self.cfg.heartbeat_interval.times(2);
         let reporting = watched
@@ -202,8 +203,8 @@
     fn is_unresponsive(&self, m: &Machine, fleet: &FleetReachability, now: Micros) -> bool {
         let silent_after = (self.cfg.heartbeat_interval.times(4)).max(Micros::from_secs(8));
         let unlisted_after = self.cfg.heartbeat_interval.times(2);
-        // After a failover, or a time in which we were not entitled to answer (scenario
-        // outage_short), agents need a moment to find us.
+        // After a failover, or a period in which this node was not entitled to respond (scenario
+        // outage_short), agents need a moment to find it.
         let since = m.last_seen.max(self.resumed_at + Micros::from_secs(1));
         let silent_for = now.saturating_sub(since);
         let is_last_unreconciled =
@@ -220,7 +221,7 @@
         is_last_unreconciled || is_silent || is_unlisted_and_silent
     }
 
-    /// The cloud's latest list does not name it.
+    /// Returns true if the cloud's latest list of instances does not contain the machine.
     fn is_unlisted(&self, m: &Machine) -> bool {
         self.inventory
             .listed
@@ -228,8 +229,8 @@
             .is_some_and(|l| !l.contains(&m.id))
     }
 
-    /// Epochs end by themselves when we have not answered for long enough; then everything on
-    /// the machine is gone. (Guards `ran_twice`: not a moment earlier.)
+    /// Marks machines as lost once their agent's lease has expired: the agent's epoch has ended and its tasks
+    /// are gone. Guards the invariant `ran_twice`: this must not happen before `lease_end`.
     pub(crate) fn expire_leases(&mut self, now: Micros) {
         let is_overloaded = self.is_receive_overloaded(now);
         let expired: Vec<MachineId> = self
@@ -240,7 +241,7 @@
             })
             .map(|m| m.id.clone())
             .collect();
-        // Machines of a zone that is cut off are kept for as long as new ones would take to boot.
+        // Lost machines of a partitioned zone are kept for as long as new ones would take to boot.
         let overdue_lost: Vec<MachineId> = self
             .machines
             .values()
@@ -264,7 +265,7 @@
                 m.phase = MachinePhase::Lost;
                 m.deleting |= !partitioned && !is_overloaded;
                 m.idle_since = None;
-                warn!(machine = %id, zone = %m.zone, spot = m.spot, tasks = live_attempts, epoch = m.epoch, "machine lost: its lease lapsed");
+                warn!(machine = %id, zone = %m.zone, spot = m.spot, tasks = live_attempts, epoch = m.epoch, "machine lost: lease expired");
             }
             self.plan_schedule.request();
         }
