--- a/crates/hopyoke-scheduler/src/ledger/allocation.rs
+++ b/crates/hopyoke-scheduler/src/ledger/allocation.rs
@@ -24,7 +24,7 @@
     /// The stop that was requested, if any.
     pub stop: Option<StopRequest>,
     /// When the attempt was created by this leader, or first reported to it.
-    pub since: Micros,
+    pub created_at: Micros,
     /// When a heartbeat first reported it as running.
     pub running_since: Option<Micros>,
 }
@@ -57,7 +57,7 @@
             push_in_flight: false,
             outcome_unknown: false,
             stop: None,
-            since: now,
+            created_at: now,
             running_since: None,
         }
     }
--- a/crates/hopyoke-scheduler/src/ledger/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -97,7 +97,7 @@
     /// Spec as submitted.
     pub spec: Rc<JobSpec>,
     /// Resources of one task.
-    pub task: Resources,
+    pub task_resources: Resources,
     /// Image of its tasks.
     pub image: ImageKey,
     /// Wall-clock time of acceptance, in microseconds since the Unix epoch.
@@ -150,7 +150,7 @@
         let inherited = inherited && record.may_have_started();
         let done = record.done.normalized(record.spec.tasks);
         Job {
-            task: Resources::of_task(&record.spec),
+            task_resources: Resources::of_task(&record.spec),
             image: ImageKey::of(&record.spec.image),
             accepted_us: record.accepted_us,
             mod_revision,
--- a/crates/hopyoke-scheduler/src/ledger/machine.rs
+++ b/crates/hopyoke-scheduler/src/ledger/machine.rs
@@ -82,8 +82,8 @@
     pub epoch_began_after_grant: bool,
     /// When its newest status arrived, in a heartbeat or in the answer to a push.
     pub last_seen: Micros,
-    /// Upper bound of the end of its agent's lease. By then its epoch has ended, unless a further
-    /// heartbeat is answered.
+    /// Upper bound of the end of its agent's lease; zero if the agent has no lease yet. By then its epoch
+    /// has ended, unless a further heartbeat is answered.
     pub lease_end: Micros,
     /// When the cloud will preempt it, according to its preemption notice.
     pub preemption_notice_at: Option<Micros>,
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -131,12 +131,12 @@
         };
         // Order: starts, for which tasks wait; additions to the registry, for which machines wait before
         // their first task; ends; gathered progress.
-        let mut start_writes = self.ranked_jobs(max_budget, now);
+        let mut start_writes = self.jobs_by_priority(max_budget, now);
         let split = start_writes.partition_point(|(priority, _)| *priority == WritePriority::Start);
-        let rest = start_writes.split_off(split);
+        let other_writes = start_writes.split_off(split);
         self.add_job_writes(&mut builder, start_writes);
         self.add_registry_writes(&mut builder, false);
-        self.add_job_writes(&mut builder, rest);
+        self.add_job_writes(&mut builder, other_writes);
         if now >= self.writes.removals_not_before
             && builder.has_room(2, 0)
             && self.registry.has_removals()
@@ -165,7 +165,7 @@
     }
 
     /// Returns the jobs whose records are to be written now, by priority. Forgets jobs that need no write.
-    fn ranked_jobs(&mut self, max_budget: f64, now: Micros) -> Vec<(WritePriority, JobId)> {
+    fn jobs_by_priority(&mut self, max_budget: f64, now: Micros) -> Vec<(WritePriority, JobId)> {
         let mut ranked = Vec::new();
         let w = &mut self.writes;
         let (jobs, tuning, machines) = (&self.jobs, &self.tuning, &self.machines);
--- a/crates/hopyoke-scheduler/src/persist/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -2,10 +2,10 @@
 //! which machines reconciliation must account for.
 //!
 //! Machines of one type, zone and kind (spot or on-demand) share pages, so that a whole fleet is
-//! registered with few writes.
-//! Each write of a page is conditional on the page's revision, so that a delayed write can't restore an
-//! older page. Guards the invariant `ran_twice`: a new leader would not wait for a machine whose entry
-//! was lost. If the outcome of a page's write is unknown, its machines move to a page with a new key.
+//! registered with few writes. Each write of a page is conditional on the page's revision, so that a
+//! delayed write can't restore an older page. Guards the invariant `ran_twice`: a new leader would not
+//! wait for a machine whose entry was lost. If the outcome of a page's write is unknown, its machines
+//! move to a page with a new key.
 
 use super::batch::{ADDRESS_BYTES, RegistryPage, Write};
 use hopyoke_types::{MachineId, ModRevision};
@@ -72,8 +72,8 @@
         !self.unreadable_pages.is_empty()
     }
 
-    /// Schedules the deletion of unreadable pages: after reconciliation no unreported
-    /// task is left on their machines.
+    /// Schedules the deletion of unreadable pages: after reconciliation no unreported task is left on
+    /// their machines.
     pub(crate) fn reconciliation_ended(&mut self) {
         self.pending_deletes.append(&mut self.unreadable_pages);
     }
--- a/crates/hopyoke-scheduler/src/placement/estimates.rs
+++ b/crates/hopyoke-scheduler/src/placement/estimates.rs
@@ -197,7 +197,7 @@
             };
             let lead_s = self.learned.learner.start_latency_s(&job.spec.class);
             let machine = self.machines.get(&binding.machine);
-            let Some(room) = machine.and_then(|m| self.room_on(m, job.task)) else {
+            let Some(room) = machine.and_then(|m| self.room_on(m, job.task_resources)) else {
                 continue;
             };
             let run_s = self.expected(&job.spec).distribution.quantile(0.9);
@@ -218,7 +218,7 @@
                 .filter(|(i, _)| only_index.is_none_or(|only| **i == only))
             {
                 let machines = attempts.iter().filter_map(|(id, _)| self.usable(id));
-                expected.extend(machines.filter_map(|m| self.room_on(m, job.task)));
+                expected.extend(machines.filter_map(|m| self.room_on(m, job.task_resources)));
             }
         }
         expected
--- a/crates/hopyoke-scheduler/src/placement/gang.rs
+++ b/crates/hopyoke-scheduler/src/placement/gang.rs
@@ -292,7 +292,7 @@
             |spec: &JobSpec| spec.kind == JobKind::Service && spec.team == request.spec.team;
         let services = self.jobs.values().filter(|j| is_service_of_team(&j.spec));
         let services = services.fold(Resources::default(), |sum, j| {
-            sum + j.task.times(j.attempts.len() as f64)
+            sum + j.task_resources.times(j.attempts.len() as f64)
         });
         let gang = request.task.times(f64::from(count));
         if self.cfg.teams[team].allows(&(services + gang)) {
--- a/crates/hopyoke-scheduler/src/placement/queue.rs
+++ b/crates/hopyoke-scheduler/src/placement/queue.rs
@@ -91,7 +91,7 @@
             let spec = &job.spec;
             let unfinished = f64::from(spec.tasks - job.done.count().min(spec.tasks));
             let within_guarantee = self.team_index(&spec.team).is_some_and(|t| {
-                claimed[t] = claimed[t] + job.task.times(unfinished);
+                claimed[t] = claimed[t] + job.task_resources.times(unfinished);
                 self.cfg.teams[t].guarantees(&claimed[t])
             });
             if job.unplaced_tasks() == 0 {
@@ -161,7 +161,7 @@
         let Some(team) = self.team(&job.spec.team) else {
             return false;
         };
-        let request = job.task.times(f64::from(job.unplaced_tasks()));
+        let request = job.task_resources.times(f64::from(job.unplaced_tasks()));
         let share = |request: f64, limit: f64| if limit > 0.0 { request / limit } else { 0.0 };
         let share = share(request.cpus, team.cpus_max).max(share(request.gpus, team.gpus_max));
         starvation::is_gang_starving(share, self.ago(job.accepted_us, now))
--- a/crates/hopyoke-scheduler/src/placement/request.rs
+++ b/crates/hopyoke-scheduler/src/placement/request.rs
@@ -108,7 +108,7 @@
         let mut request = PlacementRequest {
             id: id.clone(),
             spec: job.spec.clone(),
-            task: job.task,
+            task: job.task_resources,
             image: job.image,
             team: self.team_index(&job.spec.team),
             zone: job.spec.zone.as_ref().map(|z| self.cfg.zone_index(z)),
--- a/crates/hopyoke-scheduler/src/placement/snapshot.rs
+++ b/crates/hopyoke-scheduler/src/placement/snapshot.rs
@@ -365,7 +365,7 @@
         let smallest_task = queue
             .iter()
             .filter_map(|item| self.jobs.get(&item.job))
-            .map(|j| j.task)
+            .map(|j| j.task_resources)
             .reduce(|a, b| Resources {
                 cpus: a.cpus.min(b.cpus),
                 gpus: a.gpus.min(b.gpus),
--- a/crates/hopyoke-scheduler/src/reconcile/commands.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/commands.rs
@@ -198,8 +198,8 @@
 
 /// Returns the commands that stop an attempt that no heartbeat has confirmed.
 ///
-/// A late start of it takes effect unless the agent already lists the attempt as ended. So if its start's
-/// outcome is unknown for 5 s, it is started and stopped in the same response.
+/// A late start takes effect unless the agent already knows the attempt as stopped. So if the outcome of
+/// the start is unknown, after a while the attempt is started and stopped in the same response.
 fn stop_unconfirmed_start(
     allocation: &Allocation,
     task: String,
@@ -207,7 +207,7 @@
     now: Micros,
 ) -> impl Iterator<Item = Command> {
     let is_start_repeated =
-        allocation.outcome_unknown && now >= allocation.since + Micros::from_secs(5);
+        allocation.outcome_unknown && now >= allocation.created_at + Micros::from_secs(5);
     let start = is_start_repeated.then(|| Command::Start {
         task: task.clone(),
         attempt,
--- a/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
@@ -5,8 +5,8 @@
 use hopyoke_types::{MachineId, Micros};
 use tracing::{info, warn};
 
-/// A probe without an answer for this long counts as failed if nearly all other machines have answered. Waiting
-/// for the full timeout would delay the end of reconciliation.
+/// A probe without an answer for this long counts as failed if nearly all other machines have answered.
+/// Waiting for the full timeout would delay the end of reconciliation.
 const PROBE_TIMEOUT: Micros = Micros::from_millis(1_200);
 
 /// Whether this node can receive the heartbeats that are sent to it.
--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -303,7 +303,7 @@
             None if has_not_begun => (self.expected(spec).distribution, 0.0),
             None => (
                 self.expected(spec).distribution,
-                (now - allocation.since).as_secs_f64(),
+                (now - allocation.created_at).as_secs_f64(),
             ),
         };
         ReleasingTask {
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -246,7 +246,7 @@
             .machines
             .get(id)
             .and_then(|m| m.allocations().get(&(task.clone(), attempt)));
-        if let Some(since) = allocation.filter(|_| seen).map(|s| s.since) {
+        if let Some(since) = allocation.filter(|_| seen).map(|s| s.created_at) {
             self.learned
                 .learner
                 .observe_start_latency(&spec.class, (now - since).as_secs_f64());
