--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -294,7 +294,7 @@
         }
         if self.plan_schedule.is_due(now) {
             self.plan_schedule.begin(now);
-            self.stop_finished();
+            self.evict_disrupted_tasks();
             let demand = self.run_placement_cycle(now);
             self.scale_out(demand, now);
             self.scale_in(now);
--- a/crates/hopyoke-scheduler/src/placement/defragment.rs
+++ b/crates/hopyoke-scheduler/src/placement/defragment.rs
@@ -1,6 +1,6 @@
 //! Defragmentation: replicas are moved together, so that whole machines fall free.
 
-use super::TaskKey;
+use super::AttemptKey;
 use super::snapshot::{Bin, ClusterSnapshot};
 use crate::Scheduler;
 use crate::ledger::{Allocation, Machine};
@@ -11,16 +11,16 @@
 /// Time between two searches for machines to drain.
 const SEARCH_INTERVAL: Micros = Micros::from_secs(2);
 /// Seconds for which earned move time is kept.
-const MAX_EARNING_S: f64 = 20.0;
+const MAX_ACCRUAL_S: f64 = 20.0;
 /// A deployment with fewer replicas earns move time as if it had this many: about a move a minute.
-const MIN_EARNING_REPLICAS: u32 = 16;
+const MIN_ACCRUAL_REPLICAS: u32 = 16;
 /// Seconds added to the cost of one move in the budget's upper bound, for fetching an image.
 const FETCH_ALLOWANCE_S: f64 = 30.0;
 /// Download rate assumed at least, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 0.05;
 
 /// Machines that may give away or take replicas, the emptiest first.
-struct Hosts {
+struct ReplicaHosts {
     /// Indices of their bins.
     bins: Vec<usize>,
     /// Room that is left on each when the moves decided so far are done.
@@ -30,7 +30,7 @@
 /// The move of one replica to another host.
 struct ReplicaMove {
     machine: MachineId,
-    task: TaskKey,
+    task: AttemptKey,
     /// Seconds for a checkpoint.
     grace_s: f64,
     /// Index of the host that it is expected to go to.
@@ -39,7 +39,7 @@
 }
 
 /// Moves of replicas off one machine.
-struct Drain {
+struct DrainPlan {
     /// Seconds that the replicas are away, in all.
     cost_s: f64,
     moves: Vec<ReplicaMove>,
@@ -50,7 +50,7 @@
     /// gang, or be scaled in. A move interrupts the replica, so a small share of all replicas' time is the bound for
     /// moves. (Moving replicas to drain a machine is allowed.)
     pub(super) fn defragment(&mut self, snapshot: &ClusterSnapshot, now: Micros) {
-        self.earn_move_budget(snapshot, now);
+        self.accrue_move_budget(snapshot, now);
         if now < self.defragmentation.next_at || self.is_reconciling() {
             return;
         }
@@ -90,16 +90,16 @@
     }
 
     /// Adds what replicas have earned since the last cycle to the seconds that moves may cost.
-    fn earn_move_budget(&mut self, snapshot: &ClusterSnapshot, now: Micros) {
+    fn accrue_move_budget(&mut self, snapshot: &ClusterSnapshot, now: Micros) {
         let replicas: u32 = snapshot.bins.iter().map(|b| b.replicas).sum();
-        let earned = f64::from(replicas.max(MIN_EARNING_REPLICAS))
+        let accrued = f64::from(replicas.max(MIN_ACCRUAL_REPLICAS))
             * self.tuning.move_share
             * (now - self.defragmentation.credited_at).as_secs_f64();
         self.defragmentation.credited_at = now;
         // The bound is enough for one move at least.
-        let max = (f64::from(replicas) * self.tuning.move_share * MAX_EARNING_S)
+        let max = (f64::from(replicas) * self.tuning.move_share * MAX_ACCRUAL_S)
             .max(self.tuning.move_cost.as_secs_f64() + FETCH_ALLOWANCE_S);
-        self.defragmentation.budget_s = (self.defragmentation.budget_s + earned).min(max);
+        self.defragmentation.budget_s = (self.defragmentation.budget_s + accrued).min(max);
     }
 
     /// Finds another host for each of the replicas, until one has none; their room there is reserved in `hosts`.
@@ -107,34 +107,35 @@
         &self,
         source: usize,
         machine: &MachineId,
-        replicas: Vec<TaskKey>,
-        hosts: &mut Hosts,
+        replicas: Vec<AttemptKey>,
+        hosts: &mut ReplicaHosts,
         snapshot: &ClusterSnapshot,
-    ) -> Drain {
+    ) -> DrainPlan {
         let source_zone = snapshot.bins[hosts.bins[source]].zone;
-        let mut drain = Drain {
+        let mut drain = DrainPlan {
             cost_s: 0.0,
             moves: Vec::new(),
         };
         for task in replicas {
-            let Some(mut request) = self.request(&task.0.job) else {
+            let Some(mut request) = self.placement_request(&task.0.job) else {
                 break;
             };
-            request.zones[source_zone] = request.zones[source_zone].saturating_sub(1);
+            request.tasks_by_zone[source_zone] =
+                request.tasks_by_zone[source_zone].saturating_sub(1);
             let fits = |i: usize| {
                 let b = &snapshot.bins[hosts.bins[i]];
-                request.task.fits_in(&hosts.free[i])
+                request.task_resources.fits_in(&hosts.free[i])
                     && self.passes_filters(&request, b)
                     && request.zone_allows(b.zone)
             };
             let has_image =
                 |i: &usize| snapshot.has_image(&snapshot.bins[hosts.bins[*i]], request.image);
             // The fullest first. Each drained machine is one machine less, so that this comes to an end.
-            let fuller = || (source + 1..hosts.bins.len()).rev();
-            let Some(target) = fuller()
+            let fuller_hosts = || (source + 1..hosts.bins.len()).rev();
+            let Some(target) = fuller_hosts()
                 .filter(has_image)
                 .find(|&i| fits(i))
-                .or_else(|| fuller().find(|&i| fits(i)))
+                .or_else(|| fuller_hosts().find(|&i| fits(i)))
             else {
                 break;
             };
@@ -145,20 +146,20 @@
                 } else {
                     request.spec.image_gb / target_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
                 };
-            hosts.free[target] = hosts.free[target] - request.task;
+            hosts.free[target] = hosts.free[target] - request.task_resources;
             drain.moves.push(ReplicaMove {
                 machine: machine.clone(),
                 task,
                 grace_s: request.spec.save_s,
                 target,
-                resources: request.task,
+                resources: request.task_resources,
             });
         }
         drain
     }
 
     /// The replicas whose leaving would empty a machine, if it holds nothing else and all of them have run for a while.
-    fn drainable_replicas(&self, m: &Machine, now: Micros) -> Option<Vec<TaskKey>> {
+    fn drainable_replicas(&self, m: &Machine, now: Micros) -> Option<Vec<AttemptKey>> {
         let min_run = self.tuning.move_settled;
         let load = m.cached_load()?;
         if load.live == 0 || load.live != load.replicas {
@@ -175,25 +176,25 @@
 }
 
 /// Ready machines with replicas and free room, the emptiest first.
-fn replica_hosts(snapshot: &ClusterSnapshot) -> Hosts {
-    let usage = |b: &Bin| {
+fn replica_hosts(snapshot: &ClusterSnapshot) -> ReplicaHosts {
+    let utilization = |b: &Bin| {
         let total = snapshot.type_resources[b.type_index];
         1.0 - (b.free.gpus + b.free.cpus) / (total.gpus + total.cpus)
     };
-    let has_room = |b: &Bin| {
+    let has_free_capacity = |b: &Bin| {
         let has_gpus = snapshot.type_resources[b.type_index].gpus != 0.0;
         b.free.gpus > 0.0 || !has_gpus && b.free.cpus > 0.0
     };
-    let mut by_usage: Vec<(f64, usize)> = snapshot
+    let mut by_utilization: Vec<(f64, usize)> = snapshot
         .bins
         .iter()
         .enumerate()
-        .filter(|(_, b)| b.ready && b.replicas > 0 && has_room(b))
-        .map(|(i, b)| (usage(b), i))
+        .filter(|(_, b)| b.ready && b.replicas > 0 && has_free_capacity(b))
+        .map(|(i, b)| (utilization(b), i))
         .collect();
-    by_usage.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let bins: Vec<usize> = by_usage.into_iter().map(|(_, bin)| bin).collect();
-    Hosts {
+    by_utilization.sort_by(|a, b| a.0.total_cmp(&b.0));
+    let bins: Vec<usize> = by_utilization.into_iter().map(|(_, bin)| bin).collect();
+    ReplicaHosts {
         free: bins.iter().map(|&bin| snapshot.bins[bin].free).collect(),
         bins,
     }
--- a/crates/hopyoke-scheduler/src/placement/estimates.rs
+++ b/crates/hopyoke-scheduler/src/placement/estimates.rs
@@ -2,10 +2,10 @@
 //!
 //! Each use has a setting of its own. None decides a rule: what may be stopped, charged or placed is settled elsewhere.
 
-use super::TaskKey;
+use super::AttemptKey;
 use super::queue::QueueEntry;
 use super::request::PlacementRequest;
-use super::snapshot::{BackfillRoom, ClusterSnapshot, ExpectedRoom};
+use super::snapshot::{BackfillCapacity, ClusterSnapshot, ExpectedCapacity};
 use crate::Scheduler;
 use crate::ledger::{Allocation, Machine, MachinePhase};
 use crate::resources::Resources;
@@ -21,10 +21,10 @@
     pub(super) fn order_by_latest_start(&self, entries: &mut [QueueEntry]) {
         let mut from = 0;
         while from < entries.len() {
-            let importance = (entries[from].class, entries[from].priority);
+            let level = (entries[from].tier, entries[from].priority);
             let len = entries[from..]
                 .iter()
-                .take_while(|e| (e.class, e.priority) == importance)
+                .take_while(|e| (e.tier, e.priority) == level)
                 .count();
             let group = &mut entries[from..from + len];
             from += len;
@@ -51,19 +51,24 @@
     }
 
     /// Cost of stopping a task, in seconds: the time it has run; weighted up the nearer it is to its end.
-    pub(super) fn work_lost(&self, key: &TaskKey, allocation: &Allocation, now: Micros) -> f64 {
+    pub(super) fn lost_work_s(
+        &self,
+        key: &AttemptKey,
+        allocation: &Allocation,
+        now: Micros,
+    ) -> f64 {
         let ran = allocation
             .running_since
             .map_or(0.0, |t| (now - t).as_secs_f64());
         if !self.tuning.use_for_victims {
             return ran;
         }
-        let left = self.remaining_s(&key.0, key.1, 0.5, now).unwrap_or(ran);
-        ran * (1.0 + ran / (ran + left).max(1e-6))
+        let remaining_s = self.remaining_s(&key.0, key.1, 0.5, now).unwrap_or(ran);
+        ran * (1.0 + ran / (ran + remaining_s).max(1e-6))
     }
 
     /// Offers room that is reserved for a gang to backfill, until the gang's last machine is expected to be free.
-    pub(super) fn offer_backfill(
+    pub(super) fn allow_backfill(
         &self,
         reserved: &[usize],
         snapshot: &mut ClusterSnapshot,
@@ -81,20 +86,20 @@
             }
             for ((task, attempt), allocation) in m.allocations().iter().filter(|(_, s)| s.is_live())
             {
-                let left = match self.remaining_s(task, *attempt, 0.5, now) {
+                let remaining_s = match self.remaining_s(task, *attempt, 0.5, now) {
                     Some(s) => s,
                     None => allocation
                         .spec
                         .as_ref()
                         .map_or(0.0, |s| self.expected(s).distribution.quantile(0.5)),
                 };
-                available_s = available_s.max(left);
+                available_s = available_s.max(remaining_s);
             }
         }
         for &i in reserved {
             let bin = &mut snapshot.bins[i];
             if bin.ready && (bin.free.gpus > 0.0 || bin.free.cpus > 0.0) {
-                bin.backfill_room = Some(BackfillRoom {
+                bin.backfill_capacity = Some(BackfillCapacity {
                     free: bin.free,
                     available_s,
                 });
@@ -119,7 +124,7 @@
         let run_s = self.expected(&request.spec).distribution.quantile(0.9);
         let found = snapshot.backfill_bins.iter().copied().find_map(|i| {
             let bin = &snapshot.bins[i];
-            let room = bin.backfill_room?;
+            let capacity = bin.backfill_capacity?;
             let has_image = snapshot.has_image(bin, request.image);
             let fetch_gb_per_s = self.types[bin.type_index]
                 .fetch_gb_per_s
@@ -129,14 +134,14 @@
             } else {
                 request.spec.image_gb / fetch_gb_per_s
             };
-            (request.task.fits_in(&room.free)
-                && run_s + fetch_s <= room.available_s
+            (request.task_resources.fits_in(&capacity.free)
+                && run_s + fetch_s <= capacity.available_s
                 && self.passes_filters(request, bin))
             .then_some((i, has_image))
         })?;
         let bin = &mut snapshot.bins[found.0];
-        if let Some(room) = &mut bin.backfill_room {
-            room.free = room.free - request.task;
+        if let Some(capacity) = &mut bin.backfill_capacity {
+            capacity.free = capacity.free - request.task_resources;
         }
         bin.last_image = Some(request.image);
         Some(found)
@@ -144,7 +149,7 @@
 
     /// Reserves room for one more task that running tasks are expected to free before an instance requested now is
     /// ready; false if there is none.
-    pub(super) fn claim_expected_room(
+    pub(super) fn claim_expected_capacity(
         &self,
         request: &PlacementRequest,
         snapshot: &mut ClusterSnapshot,
@@ -153,7 +158,7 @@
         if request.spec.priority == Priority::Production || request.is_zone_sensitive() {
             return false;
         }
-        if snapshot.expected_room.is_none() {
+        if snapshot.expected_capacity.is_none() {
             let min_boot_s = self
                 .types
                 .iter()
@@ -164,45 +169,45 @@
             } else {
                 0.0
             });
-            snapshot.expected_room = Some(self.expected_room(snapshot, now, horizon));
+            snapshot.expected_capacity = Some(self.expected_capacity(snapshot, now, horizon));
         }
-        let Some(expected_room) = &mut snapshot.expected_room else {
+        let Some(expected_capacity) = &mut snapshot.expected_capacity else {
             return false;
         };
-        let fits = |e: &&mut ExpectedRoom| {
-            request.task.fits_in(&e.room)
-                && request.allowed_types[e.type_index]
+        let fits = |e: &&mut ExpectedCapacity| {
+            request.task_resources.fits_in(&e.resources)
+                && request.eligible_types[e.type_index]
                 && request.zone.is_none_or(|z| z == e.zone)
                 && (request.spec.spot || !e.spot)
         };
-        let Some(found) = expected_room.iter_mut().find(fits) else {
+        let Some(found) = expected_capacity.iter_mut().find(fits) else {
             return false;
         };
-        found.room = found.room - request.task;
+        found.resources = found.resources - request.task_resources;
         true
     }
 
     /// Room that is expected to be freed within `horizon`, by tasks that this cycle starts and by running ones.
-    fn expected_room(
+    fn expected_capacity(
         &self,
         snapshot: &ClusterSnapshot,
         now: Micros,
         horizon: Micros,
-    ) -> Vec<ExpectedRoom> {
+    ) -> Vec<ExpectedCapacity> {
         let mut expected = Vec::new();
         for binding in &snapshot.bindings {
             let job = self.jobs.get(&binding.job);
             let Some(job) = job.filter(|j| j.spec.kind == JobKind::Array) else {
                 continue;
             };
-            let lead_s = self.learned.learner.start_latency_s(&job.spec.class);
+            let start_latency_s = self.learned.learner.start_latency_s(&job.spec.class);
             let machine = self.machines.get(&binding.machine);
-            let Some(room) = machine.and_then(|m| self.room_on(m, job.task)) else {
+            let Some(capacity) = machine.and_then(|m| self.capacity_on(m, job.task)) else {
                 continue;
             };
             let run_s = self.expected(&job.spec).distribution.quantile(0.9);
-            if lead_s + run_s <= horizon.as_secs_f64() {
-                expected.push(room);
+            if start_latency_s + run_s <= horizon.as_secs_f64() {
+                expected.push(capacity);
             }
         }
         for (task, _) in self.learned.learner.ending_within(now, horizon) {
@@ -217,27 +222,29 @@
                 .iter()
                 .filter(|(i, _)| only_index.is_none_or(|only| **i == only))
             {
-                let machines = attempts.iter().filter_map(|(id, _)| self.usable(id));
-                expected.extend(machines.filter_map(|m| self.room_on(m, job.task)));
+                let machines = attempts
+                    .iter()
+                    .filter_map(|(id, _)| self.usable_machine(id));
+                expected.extend(machines.filter_map(|m| self.capacity_on(m, job.task)));
             }
         }
         expected
     }
 
     /// The machine, unless room that falls free on it is of no use.
-    fn usable(&self, id: &MachineId) -> Option<&Machine> {
+    fn usable_machine(&self, id: &MachineId) -> Option<&Machine> {
         let machine = self.machines.get(id);
         machine.filter(|m| !m.faulty && !m.slow && !m.deleting)
     }
 
     /// `None` if the catalog no longer has the machine's type.
-    fn room_on(&self, m: &Machine, room: Resources) -> Option<ExpectedRoom> {
+    fn capacity_on(&self, m: &Machine, resources: Resources) -> Option<ExpectedCapacity> {
         let type_index = self.types.iter().position(|t| t.name == m.machine_type)?;
-        Some(ExpectedRoom {
+        Some(ExpectedCapacity {
             type_index,
             zone: self.cfg.zone_index(&m.zone),
             spot: m.spot,
-            room,
+            resources,
         })
     }
 }
--- a/crates/hopyoke-scheduler/src/placement/stop_finished.rs
+++ b/crates/hopyoke-scheduler/src/placement/eviction.rs
@@ -18,7 +18,7 @@
 impl Scheduler {
     /// Stops gangs that lost a task after they started or that must move, as a whole; and replicas on machines that
     /// are faulty or have a preemption notice.
-    pub(crate) fn stop_finished(&mut self) {
+    pub(crate) fn evict_disrupted_tasks(&mut self) {
         let (mut stops, moving_gangs) = self.evictions();
         for (id, job) in self.jobs.iter_mut().filter(|(_, j)| j.is_gang()) {
             let placed = job.attempts.len() as u32;
--- a/crates/hopyoke-scheduler/src/placement/gang.rs
+++ b/crates/hopyoke-scheduler/src/placement/gang.rs
@@ -14,7 +14,7 @@
 
 /// Number of a gang's tasks that one zone has room for.
 #[derive(Clone, Copy, Default)]
-struct ZoneRoom {
+struct ZoneCapacity {
     /// On ready machines.
     ready: u32,
     total: u32,
@@ -33,7 +33,7 @@
 }
 
 /// Machines that together hold a gang, or as much of it as they can.
-struct GangHosts {
+struct GangHostSet {
     /// Tasks that fit into their capacity, up to the gang's size.
     total_tasks: u32,
     /// Tasks that fit into their free room.
@@ -44,7 +44,7 @@
 /// What a try to reserve room for a gang changed in the snapshot.
 struct Savepoint {
     bins: usize,
-    open: usize,
+    open_bins: usize,
     demand: Vec<u32>,
     /// Changed bins, in the order of the changes.
     changed: Vec<(usize, BinState)>,
@@ -54,7 +54,7 @@
     fn new(snapshot: &ClusterSnapshot) -> Savepoint {
         Savepoint {
             bins: snapshot.bins.len(),
-            open: snapshot.open.len(),
+            open_bins: snapshot.open_bins.len(),
             demand: snapshot.demand.clone(),
             changed: Vec::new(),
         }
@@ -65,7 +65,7 @@
             snapshot.bins[bin].restore(state);
         }
         snapshot.bins.truncate(self.bins);
-        snapshot.open.truncate(self.open);
+        snapshot.open_bins.truncate(self.open_bins);
         snapshot.demand = self.demand;
     }
 }
@@ -79,7 +79,7 @@
         snapshot: &mut ClusterSnapshot,
         now: Micros,
     ) -> Option<WaitReason> {
-        let (Some(request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
+        let (Some(request), Some(job)) = (self.placement_request(id), self.jobs.get(id)) else {
             return None;
         };
         let missing: Vec<u32> = (0..job.spec.tasks)
@@ -89,7 +89,7 @@
             return None;
         }
         let is_new = missing.len() == job.spec.tasks as usize;
-        if let Some(reason) = self.gang_hold_up(job, &missing, is_new) {
+        if let Some(reason) = self.gang_block_reason(job, &missing, is_new) {
             return Some(reason);
         }
         let count = missing.len() as u32;
@@ -125,7 +125,7 @@
     }
 
     /// Why the gang may not be placed now whatever room there is.
-    fn gang_hold_up(&self, job: &Job, missing: &[u32], is_new: bool) -> Option<WaitReason> {
+    fn gang_block_reason(&self, job: &Job, missing: &[u32], is_new: bool) -> Option<WaitReason> {
         // Tasks of the previous attempt stay until they exit: nothing new before that.
         if job.gang_failing || (job.gang_started && !is_new) {
             return Some(WaitReason::PreviousAttempt);
@@ -195,7 +195,7 @@
         count: u32,
     ) -> Option<Vec<usize>> {
         let zones: Vec<Option<usize>> = if request.spec.one_zone {
-            let zones = self.zones_by_room(request, snapshot, count);
+            let zones = self.zones_by_capacity(request, snapshot, count);
             zones.into_iter().map(Some).collect()
         } else {
             vec![None]
@@ -207,36 +207,36 @@
 
     /// Zones in the order in which a gang of one zone tries them: where all tasks can start now; among those where most
     /// have the image, for all tasks wait for the last one to fetch it.
-    fn zones_by_room(
+    fn zones_by_capacity(
         &self,
         request: &PlacementRequest,
         snapshot: &ClusterSnapshot,
         count: u32,
     ) -> Vec<usize> {
-        let mut rooms = vec![ZoneRoom::default(); self.cfg.zones.len()];
-        for &i in &snapshot.open {
+        let mut zone_capacities = vec![ZoneCapacity::default(); self.cfg.zones.len()];
+        for &i in &snapshot.open_bins {
             let b = &snapshot.bins[i];
-            let Some(room) = rooms.get_mut(b.zone) else {
+            let Some(capacity) = zone_capacities.get_mut(b.zone) else {
                 continue;
             };
-            let tasks = b.free.holds(&request.task);
+            let tasks = b.free.holds(&request.task_resources);
             if tasks > 0 && self.passes_filters(request, b) {
-                room.total += tasks;
+                capacity.total += tasks;
                 if b.ready {
-                    room.ready += tasks;
+                    capacity.ready += tasks;
                     if snapshot.has_image(b, request.image) {
-                        room.ready_with_image += tasks;
+                        capacity.ready_with_image += tasks;
                     }
                 }
             }
         }
-        let mut zones: Vec<usize> = (0..rooms.len()).collect();
+        let mut zones: Vec<usize> = (0..zone_capacities.len()).collect();
         zones.sort_by_key(|&z| {
-            let room = rooms[z];
+            let capacity = zone_capacities[z];
             Reverse((
-                room.ready.min(count),
-                room.total.min(count),
-                room.ready_with_image.min(count),
+                capacity.ready.min(count),
+                capacity.total.min(count),
+                capacity.ready_with_image.min(count),
             ))
         });
         zones
@@ -294,9 +294,9 @@
         let services = services.fold(Resources::default(), |sum, j| {
             sum + j.task.times(j.attempts.len() as f64)
         });
-        let gang = request.task.times(f64::from(count));
+        let gang = request.task_resources.times(f64::from(count));
         if self.cfg.teams[team].allows(&(services + gang)) {
-            snapshot.used[team] = snapshot.used[team] + gang;
+            snapshot.team_usage[team] = snapshot.team_usage[team] + gang;
         }
     }
 
@@ -310,14 +310,14 @@
         count: u32,
         now: Micros,
     ) {
-        if snapshot.reservations >= self.tuning.gang_reservations {
+        if snapshot.gang_reservations >= self.tuning.gang_reservations {
             return;
         }
-        snapshot.reservations += 1;
+        snapshot.gang_reservations += 1;
         self.add_visited(snapshot.bins.len());
-        let mut best: Option<GangHosts> = None;
+        let mut best: Option<GangHostSet> = None;
         for hosts in self.gang_hosts(request, snapshot) {
-            let hosts = roomiest_hosts(hosts, count);
+            let hosts = select_hosts(hosts, count);
             if best.as_ref().is_none_or(|b| {
                 (hosts.total_tasks, hosts.free_tasks) > (b.total_tasks, b.free_tasks)
             }) {
@@ -328,7 +328,7 @@
             && hosts.total_tasks >= count
         {
             if self.tuning.use_for_backfill {
-                self.offer_backfill(&hosts.bins, snapshot, now);
+                self.allow_backfill(&hosts.bins, snapshot, now);
             }
             for bin in hosts.bins {
                 snapshot.bins[bin].reserved = true;
@@ -346,7 +346,7 @@
         let capacities: Vec<u32> = snapshot
             .type_resources
             .iter()
-            .map(|capacity| capacity.holds(&request.task))
+            .map(|capacity| capacity.holds(&request.task_resources))
             .collect();
         let zones = if request.spec.one_zone {
             self.cfg.zones.len() + 1
@@ -358,7 +358,7 @@
             let total_tasks = capacities[b.type_index];
             if b.replicas == 0 && total_tasks > 0 && self.passes_filters(request, b) {
                 hosts[b.zone.min(zones - 1)].push(GangHost {
-                    free_tasks: b.free.holds(&request.task),
+                    free_tasks: b.free.holds(&request.task_resources),
                     total_tasks,
                     bin,
                 });
@@ -369,9 +369,9 @@
 }
 
 /// The hosts with most free room that together hold `count` tasks, or all hosts if they don't.
-fn roomiest_hosts(mut hosts: Vec<GangHost>, count: u32) -> GangHosts {
+fn select_hosts(mut hosts: Vec<GangHost>, count: u32) -> GangHostSet {
     hosts.sort_unstable_by_key(|h| Reverse((h.free_tasks, h.total_tasks)));
-    let mut chosen = GangHosts {
+    let mut chosen = GangHostSet {
         total_tasks: 0,
         free_tasks: 0,
         bins: Vec::new(),
--- a/crates/hopyoke-scheduler/src/placement/instance_offers.rs
+++ b/crates/hopyoke-scheduler/src/placement/instance_offers.rs
@@ -19,7 +19,7 @@
     ) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
         for (i, o) in self.offers.iter().enumerate() {
-            if !request.allowed_types[o.type_index]
+            if !request.eligible_types[o.type_index]
                 || (o.spot && !request.spec.spot)
                 || zone.is_some_and(|only| only != o.zone)
                 || request.zone.is_some_and(|only| only != o.zone)
@@ -27,20 +27,20 @@
             {
                 continue;
             }
-            let allocations = self.type_resources[o.type_index]
-                .holds(&request.task)
+            let tasks = self.type_resources[o.type_index]
+                .holds(&request.task_resources)
                 .min(remaining.max(1));
-            let avoided = self
-                .fragmentation
-                .avoids(o.type_index, request.type_choices);
+            let is_avoided = self
+                .sole_choice_types
+                .should_avoid(o.type_index, request.eligible_type_count);
             let cost = o.cost
-                * if avoided {
+                * if is_avoided {
                     SOLE_CHOICE_PRICE_FACTOR
                 } else {
                     1.0
                 }
-                / f64::from(allocations);
-            if allocations > 0 && best.is_none_or(|(c, _)| cost < c) {
+                / f64::from(tasks);
+            if tasks > 0 && best.is_none_or(|(c, _)| cost < c) {
                 best = Some((cost, i));
             }
         }
@@ -63,7 +63,7 @@
             o.spot,
             self.type_resources[o.type_index],
         ));
-        self.open.push(self.bins.len() - 1);
+        self.open_bins.push(self.bins.len() - 1);
         Some(self.bins.len() - 1)
     }
 }
@@ -75,7 +75,7 @@
         for m in self.machines.values() {
             machines_by_zone[self.cfg.zone_index(&m.zone)] += 1;
         }
-        let total = f64::from(machines_by_zone.iter().sum::<u32>().max(1));
+        let total_machines = f64::from(machines_by_zone.iter().sum::<u32>().max(1));
         let mut offers = Vec::new();
         for (type_index, t) in self.types.iter().enumerate() {
             let zones = if t.zones.is_empty() {
@@ -87,7 +87,7 @@
                 let zone = self.cfg.zone_index(z);
                 // Zones that hold less of the fleet are slightly preferred.
                 let cost_factor = 1.0
-                    + self.tuning.zone_burden * f64::from(machines_by_zone[zone]) / total
+                    + self.tuning.zone_burden * f64::from(machines_by_zone[zone]) / total_machines
                     + 0.001 * t.boot_s;
                 for spot in [true, false] {
                     let price = if spot { t.spot_price } else { t.price };
--- a/crates/hopyoke-scheduler/src/placement/mod.rs
+++ b/crates/hopyoke-scheduler/src/placement/mod.rs
@@ -19,7 +19,7 @@
 
 mod defragment;
 mod estimates;
-pub mod fragmentation;
+mod eviction;
 mod gang;
 mod instance_offers;
 mod preemption;
@@ -29,8 +29,8 @@
 mod request;
 pub mod reservation;
 mod snapshot;
+pub mod sole_choice;
 mod starvation;
-mod stop_finished;
 mod tasks;
 
 use crate::Scheduler;
@@ -46,7 +46,7 @@
 const FLEET_LOG_INTERVAL: Micros = Micros::from_secs(5);
 
 /// One attempt of one task.
-type TaskKey = (TaskId, Attempt);
+type AttemptKey = (TaskId, Attempt);
 
 /// A task that got room on a ready machine.
 struct Binding {
@@ -68,10 +68,10 @@
         let mut snapshot = self.take_snapshot(&queue, now);
         // An orphaned allocation may belong to any team: until it is gone (its stop is commanded) nothing that
         // counts against a limit is started.
-        let orphaned = snapshot.orphaned;
-        let unbounded = !self.charge_unreconciled(&mut snapshot);
+        let has_orphans = snapshot.has_orphans;
+        let is_usage_unbounded = !self.charge_unreconciled(&mut snapshot);
         for item in &queue {
-            self.place(item, orphaned || unbounded, &mut snapshot, now);
+            self.place_job(item, has_orphans || is_usage_unbounded, &mut snapshot, now);
         }
         if now >= self.next_fleet_log_at {
             self.next_fleet_log_at = now + FLEET_LOG_INTERVAL;
@@ -90,7 +90,7 @@
 
     /// Places one job and records why it still waits. While `is_usage_unknown`, the use of teams may be larger than
     /// the snapshot shows.
-    fn place(
+    fn place_job(
         &mut self,
         item: &QueueItem,
         is_usage_unknown: bool,
@@ -161,7 +161,7 @@
 
     /// Number of the job's tasks that run, as last reported; 0 for an unknown job.
     #[must_use]
-    pub fn running(&self, id: &JobId) -> u32 {
+    pub fn running_tasks(&self, id: &JobId) -> u32 {
         let Some(job) = self.jobs.get(id) else {
             return 0;
         };
--- a/crates/hopyoke-scheduler/src/placement/preemption.rs
+++ b/crates/hopyoke-scheduler/src/placement/preemption.rs
@@ -1,6 +1,6 @@
 //! Preemption: room for production work by stopping tasks of arrays.
 
-use super::TaskKey;
+use super::AttemptKey;
 use super::request::PlacementRequest;
 use super::snapshot::{Bin, ClusterSnapshot};
 use crate::Scheduler;
@@ -17,7 +17,7 @@
     /// Seconds of work lost, with what speaks against the machine.
     cost: f64,
     bin: usize,
-    victims: Vec<TaskKey>,
+    victims: Vec<AttemptKey>,
 }
 
 impl Scheduler {
@@ -37,9 +37,9 @@
         self.add_visited(snapshot.bins.len());
         let mut best: Option<Preemption> = None;
         for (i, bin) in snapshot.bins.iter().enumerate() {
-            let max_room = bin.free + bin.freeing + bin.preemptible;
+            let max_available = bin.free + bin.freeing + bin.preemptible;
             if !bin.ready
-                || !request.task.fits_in(&max_room)
+                || !request.task_resources.fits_in(&max_available)
                 || !self.passes_filters(request, bin)
                 || !request.zone_allows(bin.zone)
             {
@@ -53,11 +53,11 @@
             if best.as_ref().is_some_and(|b| image_cost >= b.cost) {
                 continue;
             }
-            let Some((victims, work_lost)) = self.select_victims(request, bin, snapshot, now)
+            let Some((victims, lost_work_s)) = self.select_victims(request, bin, snapshot, now)
             else {
                 continue;
             };
-            let cost = image_cost + work_lost;
+            let cost = image_cost + lost_work_s;
             if best.as_ref().is_none_or(|b| cost < b.cost) {
                 best = Some(Preemption {
                     cost,
@@ -76,9 +76,9 @@
         bin: &Bin,
         snapshot: &ClusterSnapshot,
         now: Micros,
-    ) -> Option<(Vec<TaskKey>, f64)> {
+    ) -> Option<(Vec<AttemptKey>, f64)> {
         let m = bin.machine.as_ref().and_then(|m| self.machines.get(m))?;
-        let mut candidates: Vec<(f64, &TaskKey, &Allocation)> = m
+        let mut candidates: Vec<(f64, &AttemptKey, &Allocation)> = m
             .allocations()
             .iter()
             .filter(|(k, s)| {
@@ -89,21 +89,24 @@
                     .as_ref()
                     .is_some_and(|v| v.kind == JobKind::Array && v.priority > request.spec.priority)
             })
-            .map(|(k, s)| (self.work_lost(k, s, now), k, s))
+            .map(|(k, s)| (self.lost_work_s(k, s, now), k, s))
             .collect();
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut room = bin.free + bin.freeing;
+        let mut available = bin.free + bin.freeing;
         let mut victims = Vec::new();
-        let mut work_lost = 0.0;
+        let mut lost_work_s = 0.0;
         for (lost_s, key, allocation) in candidates {
-            if request.task.fits_in(&room) {
+            if request.task_resources.fits_in(&available) {
                 break;
             }
-            room = room + allocation.resources();
-            work_lost += lost_s + 1.0;
+            available = available + allocation.resources();
+            lost_work_s += lost_s + 1.0;
             victims.push(key.clone());
         }
-        request.task.fits_in(&room).then_some((victims, work_lost))
+        request
+            .task_resources
+            .fits_in(&available)
+            .then_some((victims, lost_work_s))
     }
 
     /// Reserves the room of the victims and of what else is free or falls free on their machine. Returns its zone.
@@ -122,7 +125,7 @@
             .map(Allocation::resources);
         let freed = freed.fold(Resources::default(), |a, b| a + b);
         // Room that is reserved for this task is neither free nor freeing for others.
-        bin.freeing = bin.freeing + bin.free + freed - request.task;
+        bin.freeing = bin.freeing + bin.free + freed - request.task_resources;
         bin.preemptible = bin.preemptible - freed;
         bin.free = Resources::default();
         bin.reserved = true;
--- a/crates/hopyoke-scheduler/src/placement/queue.rs
+++ b/crates/hopyoke-scheduler/src/placement/queue.rs
@@ -9,15 +9,15 @@
 use std::collections::BTreeMap;
 
 /// Stands in place of the time of acceptance: before all others of the same importance.
-const STARVING_GANG: u64 = 0;
+const STARVING_GANG_ACCEPTED_US: u64 = 0;
 /// Stands in place of the time of acceptance: after starving gangs alone, which need their team's limit at once.
-const STARVING_ARRAY: u64 = 1;
+const STARVING_ARRAY_ACCEPTED_US: u64 = 1;
 
 /// A job's sort key in the queue; entries are ordered by their fields from first to last.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueEntry {
     /// Class of importance, the most important first: see `importance`.
-    pub(super) class: u8,
+    pub(super) tier: u8,
     pub(super) priority: Priority,
     /// Time of acceptance in microseconds, or one of the constants above.
     pub(super) accepted_us: u64,
@@ -34,14 +34,14 @@
 /// Jobs that change positions among themselves: of one team and class of work, with equal importance.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Tenant<'a> {
-    class: u8,
+    tier: u8,
     priority: Priority,
     team: &'a str,
     work_class: &'a str,
 }
 
 /// The class of importance; work within its team's guarantee comes right after production work.
-fn importance(priority: Priority, within_guarantee: bool) -> u8 {
+fn priority_tier(priority: Priority, within_guarantee: bool) -> u8 {
     match (priority, within_guarantee) {
         (Priority::Production, _) => 0,
         (_, true) => 1,
@@ -68,7 +68,7 @@
         entries
             .into_iter()
             .map(|entry| QueueItem {
-                first_task_only: entry.accepted_us == STARVING_ARRAY,
+                first_task_only: entry.accepted_us == STARVING_ARRAY_ACCEPTED_US,
                 job: entry.job,
             })
             .collect()
@@ -77,22 +77,22 @@
     /// Entries of all jobs with unplaced tasks, and the jobs without any that still have a wait reason. A team's
     /// guarantee is used up by its jobs in the order of their acceptance.
     fn queue_entries(&self, now: Micros) -> (Vec<QueueEntry>, Vec<JobId>) {
-        let mut by_age: Vec<(u64, &JobId)> = self
+        let mut by_acceptance: Vec<(u64, &JobId)> = self
             .jobs
             .iter()
             .map(|(id, j)| (j.accepted_us, id))
             .collect();
-        by_age.sort_unstable();
-        let mut claimed = vec![Resources::default(); self.cfg.teams.len()];
+        by_acceptance.sort_unstable();
+        let mut claimed_by_team = vec![Resources::default(); self.cfg.teams.len()];
         let mut entries = Vec::new();
         let mut placed_jobs = Vec::new();
-        for (accepted_us, id) in by_age {
+        for (accepted_us, id) in by_acceptance {
             let job = &self.jobs[id];
             let spec = &job.spec;
             let unfinished = f64::from(spec.tasks - job.done.count().min(spec.tasks));
             let within_guarantee = self.team_index(&spec.team).is_some_and(|t| {
-                claimed[t] = claimed[t] + job.task.times(unfinished);
-                self.cfg.teams[t].guarantees(&claimed[t])
+                claimed_by_team[t] = claimed_by_team[t] + job.task.times(unfinished);
+                self.cfg.teams[t].guarantees(&claimed_by_team[t])
             });
             if job.unplaced_tasks() == 0 {
                 if job.wait_reason.is_some() {
@@ -101,17 +101,17 @@
                 continue;
             }
             let entry = |accepted_us| QueueEntry {
-                class: importance(spec.priority, within_guarantee),
+                tier: priority_tier(spec.priority, within_guarantee),
                 priority: spec.priority,
                 accepted_us,
                 job: id.clone(),
             };
             if spec.kind == JobKind::Array && self.is_array_starving(job, now) {
-                entries.push(entry(STARVING_ARRAY));
+                entries.push(entry(STARVING_ARRAY_ACCEPTED_US));
             }
             let is_starving = job.is_gang() && self.is_gang_starving(job, now);
             entries.push(entry(if is_starving {
-                STARVING_GANG
+                STARVING_GANG_ACCEPTED_US
             } else {
                 accepted_us
             }));
@@ -126,15 +126,16 @@
         let mut tenants: BTreeMap<Tenant<'_>, usize> = BTreeMap::new();
         let (mut positions, mut waiting) = (Vec::new(), Vec::new());
         for (position, entry) in entries.iter().enumerate() {
-            let is_reordered =
-                |j: &&Job| j.spec.kind != JobKind::Service && entry.accepted_us > STARVING_ARRAY;
+            let is_reordered = |j: &&Job| {
+                j.spec.kind != JobKind::Service && entry.accepted_us > STARVING_ARRAY_ACCEPTED_US
+            };
             let Some(job) = self.jobs.get(&entry.job).filter(is_reordered) else {
                 continue;
             };
             let spec = &job.spec;
             let next = tenants.len();
             let tenant = Tenant {
-                class: entry.class,
+                tier: entry.tier,
                 priority: entry.priority,
                 team: &spec.team,
                 work_class: &spec.class,
--- a/crates/hopyoke-scheduler/src/placement/queue_order.rs
+++ b/crates/hopyoke-scheduler/src/placement/queue_order.rs
@@ -19,12 +19,12 @@
 }
 
 /// Added to every wait, so that a new job has a finite ratio.
-const MIN_WAIT: Micros = Micros::from_secs(10);
+const WAIT_OFFSET: Micros = Micros::from_secs(10);
 /// Jobs smaller than the tenant's largest job divided by this count as of that size.
 const SIZE_RANGE: f64 = 64.0;
 
 /// After this wait a job is no longer overtaken by newcomers of the same tenant, whatever their sizes.
-pub const MAX_OVERTAKING_WAIT: Micros = Micros(MIN_WAIT.0 * (SIZE_RANGE as u64 - 1));
+pub const MAX_OVERTAKING_WAIT: Micros = Micros(WAIT_OFFSET.0 * (SIZE_RANGE as u64 - 1));
 
 /// The order of the jobs: `order[i]` is the index of the job that gets the i-th position.
 ///
@@ -38,7 +38,7 @@
         positions.entry(job.tenant).or_default().push(i);
     }
     let mut order = vec![0; jobs.len()];
-    for own in positions.into_values() {
+    for own_positions in positions.into_values() {
         let work = |i: &usize| {
             if jobs[*i].work_s.is_finite() {
                 jobs[*i].work_s.max(0.0)
@@ -46,15 +46,15 @@
                 0.0
             }
         };
-        let largest = own.iter().map(work).fold(0.0, f64::max);
+        let largest = own_positions.iter().map(work).fold(0.0, f64::max);
         let min_work = (largest / SIZE_RANGE).max(f64::MIN_POSITIVE);
         let ratio = |i: &usize| {
-            let waited = (jobs[*i].waited + MIN_WAIT).as_secs_f64();
+            let waited = (jobs[*i].waited + WAIT_OFFSET).as_secs_f64();
             work(i).max(min_work) / waited
         };
-        let mut queue: Vec<(f64, usize)> = own.iter().map(|i| (ratio(i), *i)).collect();
+        let mut queue: Vec<(f64, usize)> = own_positions.iter().map(|i| (ratio(i), *i)).collect();
         queue.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (position, (_, job)) in own.into_iter().zip(queue) {
+        for (position, (_, job)) in own_positions.into_iter().zip(queue) {
             order[position] = job;
         }
     }
--- a/crates/hopyoke-scheduler/src/placement/quota.rs
+++ b/crates/hopyoke-scheduler/src/placement/quota.rs
@@ -36,7 +36,7 @@
             };
             capacity = capacity + Resources::of_type(t);
         }
-        for used in &mut snapshot.used {
+        for used in &mut snapshot.team_usage {
             *used = *used + capacity;
         }
         !self.registry.has_unreadable_pages()
--- a/crates/hopyoke-scheduler/src/placement/request.rs
+++ b/crates/hopyoke-scheduler/src/placement/request.rs
@@ -4,7 +4,7 @@
 use super::snapshot::{Bin, ClusterSnapshot};
 use crate::Scheduler;
 use crate::ledger::ImageKey;
-use crate::placement::fragmentation::Fragmentation;
+use crate::placement::sole_choice::SoleChoiceTypes;
 use crate::resources::Resources;
 use hopyoke_protocol::user::{JobKind, JobSpec, Priority};
 use hopyoke_types::JobId;
@@ -16,22 +16,22 @@
     pub(super) id: JobId,
     pub(super) spec: Rc<JobSpec>,
     /// Resources of one task.
-    pub(super) task: Resources,
+    pub(super) task_resources: Resources,
     pub(super) image: ImageKey,
     /// Index of its team in the settings; `None`: unknown team, whose work is never started.
     pub(super) team: Option<usize>,
     /// Index of the only zone allowed.
     pub(super) zone: Option<usize>,
     /// Whether each type of the catalog is allowed and large enough, by its index.
-    pub(super) allowed_types: Vec<bool>,
+    pub(super) eligible_types: Vec<bool>,
     /// Number of types that are allowed and large enough.
-    pub(super) type_choices: usize,
+    pub(super) eligible_type_count: usize,
     /// It failed on several machines, so that a machine on which it failed is not avoided.
     pub(super) is_crash_looping: bool,
     /// Spot machines are on offer: it leaves empty on-demand machines to work that needs them.
-    pub(super) spare_on_demand: bool,
+    pub(super) avoid_empty_on_demand: bool,
     /// Number of the job's placed tasks by zone index.
-    pub(super) zones: Vec<u32>,
+    pub(super) tasks_by_zone: Vec<u32>,
 }
 
 impl PlacementRequest {
@@ -39,7 +39,7 @@
     /// (Guards `wrong_place`.)
     pub(super) fn zone_allows(&self, zone: usize) -> bool {
         let has_task_elsewhere = || {
-            self.zones
+            self.tasks_by_zone
                 .iter()
                 .enumerate()
                 .any(|(z, &count)| count > 0 && z != zone)
@@ -47,7 +47,7 @@
         if self.spec.one_zone && has_task_elsewhere() {
             return false;
         }
-        !self.spec.spread || self.zones[zone] < self.spec.tasks.div_ceil(2)
+        !self.spec.spread || self.tasks_by_zone[zone] < self.spec.tasks.div_ceil(2)
     }
 
     /// Its candidates depend on the zones of its other tasks.
@@ -75,7 +75,7 @@
         for (list, next) in self.lists.iter().zip(&mut self.next) {
             while list
                 .get(*next)
-                .is_some_and(|&b| !request.task.fits_in(&snapshot.bins[b].free))
+                .is_some_and(|&b| !request.task_resources.fits_in(&snapshot.bins[b].free))
             {
                 *next += 1;
             }
@@ -102,26 +102,26 @@
 
 impl Scheduler {
     /// The placement request of a job; `None` for an unknown job.
-    pub(super) fn request(&self, id: &JobId) -> Option<PlacementRequest> {
+    pub(super) fn placement_request(&self, id: &JobId) -> Option<PlacementRequest> {
         let job = self.jobs.get(id)?;
-        let allowed_types: Vec<bool> = self.types_holding(&job.spec).collect();
+        let eligible_types: Vec<bool> = self.type_eligibility(&job.spec).collect();
         let mut request = PlacementRequest {
             id: id.clone(),
             spec: job.spec.clone(),
-            task: job.task,
+            task_resources: job.task,
             image: job.image,
             team: self.team_index(&job.spec.team),
             zone: job.spec.zone.as_ref().map(|z| self.cfg.zone_index(z)),
-            type_choices: allowed_types.iter().filter(|fits| **fits).count(),
-            allowed_types,
+            eligible_type_count: eligible_types.iter().filter(|fits| **fits).count(),
+            eligible_types,
             is_crash_looping: job.is_crash_looping(self.tuning.suspect_after),
-            spare_on_demand: false,
-            zones: vec![0; self.cfg.zones.len() + 1],
+            avoid_empty_on_demand: false,
+            tasks_by_zone: vec![0; self.cfg.zones.len() + 1],
         };
         if request.is_zone_sensitive() {
             for (machine, _) in job.attempts.values().flatten() {
                 if let Some(m) = self.machines.get(machine) {
-                    request.zones[self.cfg.zone_index(&m.zone)] += 1;
+                    request.tasks_by_zone[self.cfg.zone_index(&m.zone)] += 1;
                 }
             }
         }
@@ -129,7 +129,7 @@
     }
 
     /// Whether each type of the catalog is allowed for the job and holds a task of it.
-    fn types_holding(&self, spec: &JobSpec) -> impl Iterator<Item = bool> {
+    fn type_eligibility(&self, spec: &JobSpec) -> impl Iterator<Item = bool> {
         let task = Resources::of_task(spec);
         self.types.iter().map(move |t| {
             spec.types
@@ -140,25 +140,25 @@
     }
 
     /// Types that are the only choice of some waiting job.
-    pub(super) fn fragmentation(&self, queue: &[QueueItem]) -> Fragmentation {
-        let mut fragmentation = Fragmentation::new(self.types.len());
+    pub(super) fn sole_choice_types(&self, queue: &[QueueItem]) -> SoleChoiceTypes {
+        let mut sole_choice_types = SoleChoiceTypes::new(self.types.len());
         for job in queue.iter().filter_map(|item| self.jobs.get(&item.job)) {
-            fragmentation.add(
-                self.types_holding(&job.spec)
+            sole_choice_types.add(
+                self.type_eligibility(&job.spec)
                     .enumerate()
                     .filter(|(_, fits)| *fits)
                     .map(|(type_index, _)| type_index),
             );
         }
-        fragmentation
+        sole_choice_types
     }
 
     /// Filter: the job may use this machine, room and zone balance aside.
     pub(super) fn passes_filters(&self, request: &PlacementRequest, bin: &Bin) -> bool {
-        request.allowed_types[bin.type_index]
+        request.eligible_types[bin.type_index]
             && request.zone.is_none_or(|z| z == bin.zone)
             && (request.spec.spot || !bin.spot)
-            && !(request.spare_on_demand && !bin.spot && bin.empty)
+            && !(request.avoid_empty_on_demand && !bin.spot && bin.empty)
             && !(bin.partitioned && request.spec.priority == Priority::Production)
             && (request.is_crash_looping || !bin.has_failures || !self.failed_on(bin, &request.id))
     }
@@ -176,16 +176,16 @@
         snapshot: &ClusterSnapshot,
         zone: Option<usize>,
     ) -> Candidates {
-        self.add_visited(snapshot.open.len());
+        self.add_visited(snapshot.open_bins.len());
         let zones = if request.is_zone_sensitive() {
             self.cfg.zones.len() + 1
         } else {
             1
         };
         let mut scored: Vec<Vec<(f64, usize)>> = vec![Vec::new(); zones];
-        for &i in &snapshot.open {
+        for &i in &snapshot.open_bins {
             let b = &snapshot.bins[i];
-            if request.task.fits_in(&b.free)
+            if request.task_resources.fits_in(&b.free)
                 && zone.is_none_or(|z| z == b.zone)
                 && self.passes_filters(request, b)
             {
--- a/crates/hopyoke-scheduler/src/placement/reservation.rs
+++ b/crates/hopyoke-scheduler/src/placement/reservation.rs
@@ -4,7 +4,7 @@
 
 /// No work is kept from reserved room for longer than this. Users count a job that waits 90 s beside free room as
 /// failed; the rest is left for a late cycle and for the start.
-const MAX_RESERVATION: Micros = Micros::from_secs(60);
+const MAX_RESERVATION_TIME: Micros = Micros::from_secs(60);
 
 /// Decides in which placement cycles room is reserved.
 ///
@@ -21,7 +21,7 @@
 impl Reservations {
     /// Whether the cycle at `now` reserves room.
     pub fn should_reserve(&mut self, now: Micros) -> bool {
-        let should_reserve = now < self.last_suspended_at + MAX_RESERVATION;
+        let should_reserve = now < self.last_suspended_at + MAX_RESERVATION_TIME;
         if !should_reserve {
             self.last_suspended_at = now;
         }
--- a/crates/hopyoke-scheduler/src/placement/snapshot.rs
+++ b/crates/hopyoke-scheduler/src/placement/snapshot.rs
@@ -4,12 +4,12 @@
 
 use super::queue::QueueItem;
 use super::request::PlacementRequest;
-use super::{Binding, TaskKey};
+use super::{AttemptKey, Binding};
 use crate::Scheduler;
 use crate::autoscale::provisioning::ProvisioningState;
 use crate::autoscale::scale_out::{Demand, Offer};
 use crate::ledger::{ImageKey, Machine, MachinePhase};
-use crate::placement::fragmentation::Fragmentation;
+use crate::placement::sole_choice::SoleChoiceTypes;
 use crate::resources::{Resources, Team};
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::{JobId, MachineId, Micros};
@@ -37,7 +37,7 @@
     /// It has no live attempt.
     pub(super) empty: bool,
     /// Attempts that its agent's heartbeat still has room for.
-    pub(super) report_capacity: usize,
+    pub(super) heartbeat_capacity: usize,
     /// Replicas of services on it, which stay long.
     pub(super) replicas: u32,
     /// Resources of attempts whose immediate stop is commanded.
@@ -55,12 +55,12 @@
     /// This cycle counts on it: it must not be scaled in.
     pub(super) reserved: bool,
     /// Room reserved for a gang that short tasks may use until then.
-    pub(super) backfill_room: Option<BackfillRoom>,
+    pub(super) backfill_capacity: Option<BackfillCapacity>,
 }
 
 /// Room reserved for a gang that can't begin yet.
 #[derive(Clone, Copy)]
-pub(super) struct BackfillRoom {
+pub(super) struct BackfillCapacity {
     pub(super) free: Resources,
     /// Seconds until the gang is expected to have all its room.
     pub(super) available_s: f64,
@@ -79,11 +79,11 @@
 }
 
 /// Room that running tasks are expected to free before a new instance could be ready.
-pub(super) struct ExpectedRoom {
+pub(super) struct ExpectedCapacity {
     pub(super) type_index: usize,
     pub(super) zone: usize,
     pub(super) spot: bool,
-    pub(super) room: Resources,
+    pub(super) resources: Resources,
 }
 
 /// The first task of a starving array, placed before the array's regular turn.
@@ -97,7 +97,7 @@
 pub(super) struct ClusterSnapshot {
     pub(super) bins: Vec<Bin>,
     /// Indices of bins that had room for the smallest waiting task, and of all new ones.
-    pub(super) open: Vec<usize>,
+    pub(super) open_bins: Vec<usize>,
     /// Images of all machines; see [`Bin::images`].
     pub(super) images: Vec<ImageKey>,
     /// Capacity of a machine of each type in the catalog.
@@ -106,31 +106,31 @@
     /// Instances to be requested, by index of `offers`.
     pub(super) demand: Vec<u32>,
     /// Resources charged to each team, by its index in the settings.
-    pub(super) used: Vec<Resources>,
+    pub(super) team_usage: Vec<Resources>,
     /// Some live allocation is orphaned: the ledger doesn't know its job.
-    pub(super) orphaned: bool,
+    pub(super) has_orphans: bool,
     /// Room is reserved for gangs; now and then a cycle reserves none.
     pub(super) reservations_enabled: bool,
     pub(super) bindings: Vec<Binding>,
     pub(super) early_starts: BTreeMap<JobId, EarlyStart>,
     /// Attempts to be stopped for production work.
-    pub(super) victims: Vec<(MachineId, TaskKey)>,
+    pub(super) victims: Vec<(MachineId, AttemptKey)>,
     /// Gangs that have reserved machines.
-    pub(super) reservations: usize,
+    pub(super) gang_reservations: usize,
     /// Searches for room by preemption.
     pub(super) preempt_searches: usize,
     /// Indices of bins with backfill room.
     pub(super) backfill_bins: Vec<usize>,
     /// `None`: not estimated yet.
-    pub(super) expected_room: Option<Vec<ExpectedRoom>>,
-    pub(super) fragmentation: Fragmentation,
+    pub(super) expected_capacity: Option<Vec<ExpectedCapacity>>,
+    pub(super) sole_choice_types: SoleChoiceTypes,
 }
 
 /// What a reservation changes in a bin; see [`Bin::restore`].
 pub(super) struct BinState {
     free: Resources,
     empty: bool,
-    report_capacity: usize,
+    heartbeat_capacity: usize,
     replicas: u32,
     last_image: Option<ImageKey>,
     reserved: bool,
@@ -138,7 +138,7 @@
 
 /// Machines of one kind, for the log line about the fleet's use.
 #[derive(Default)]
-struct Usage {
+struct FleetUsage {
     machines: u32,
     gpus: f64,
     free_gpus: f64,
@@ -155,7 +155,7 @@
             spot,
             free: total,
             empty: true,
-            report_capacity: MAX_REPORTED_ATTEMPTS,
+            heartbeat_capacity: MAX_REPORTED_ATTEMPTS,
             replicas: 0,
             freeing: Resources::default(),
             preemptible: Resources::default(),
@@ -164,7 +164,7 @@
             has_failures: false,
             partitioned: false,
             reserved: false,
-            backfill_room: None,
+            backfill_capacity: None,
         }
     }
 
@@ -173,7 +173,7 @@
         BinState {
             free: self.free,
             empty: self.empty,
-            report_capacity: self.report_capacity,
+            heartbeat_capacity: self.heartbeat_capacity,
             replicas: self.replicas,
             last_image: self.last_image,
             reserved: self.reserved,
@@ -184,7 +184,7 @@
     pub(super) fn restore(&mut self, state: BinState) {
         self.free = state.free;
         self.empty = state.empty;
-        self.report_capacity = state.report_capacity;
+        self.heartbeat_capacity = state.heartbeat_capacity;
         self.replicas = state.replicas;
         self.last_image = state.last_image;
         self.reserved = state.reserved;
@@ -220,8 +220,8 @@
         }
         // Work that can run on several types leaves this one to work that can't.
         if self
-            .fragmentation
-            .avoids(bin.type_index, request.type_choices)
+            .sole_choice_types
+            .should_avoid(bin.type_index, request.eligible_type_count)
         {
             score -= 60.0;
         }
@@ -231,17 +231,19 @@
             if bin.replicas > 0 {
                 score += 70.0;
             }
-            score -= 30.0 * f64::from(request.zones[bin.zone]);
+            score -= 30.0 * f64::from(request.tasks_by_zone[bin.zone]);
         }
         // Best fit.
-        score - (bin.free.gpus - request.task.gpus) - (bin.free.cpus - request.task.cpus) / 16.0
+        score
+            - (bin.free.gpus - request.task_resources.gpus)
+            - (bin.free.cpus - request.task_resources.cpus) / 16.0
     }
 
     /// Logs the use of the fleet once this cycle's tasks run, to show what is paid for in vain.
     pub(super) fn log_usage(&self) {
         let sum = |filter: &dyn Fn(&&Bin) -> bool| {
             let bins = self.bins.iter().filter(filter);
-            bins.fold(Usage::default(), |sum, b| Usage {
+            bins.fold(FleetUsage::default(), |sum, b| FleetUsage {
                 machines: sum.machines + 1,
                 gpus: sum.gpus + self.type_resources[b.type_index].gpus,
                 free_gpus: sum.free_gpus + b.free.gpus,
@@ -276,18 +278,19 @@
         let Some(team) = request.team else {
             return false;
         };
-        let sum = self.used[team] + request.task.times(f64::from(count));
+        let sum = self.team_usage[team] + request.task_resources.times(f64::from(count));
         if !teams[team].allows(&sum) {
             return false;
         }
-        self.used[team] = sum;
+        self.team_usage[team] = sum;
         true
     }
 
     /// Takes back a charge of `count` tasks.
     pub(super) fn refund(&mut self, request: &PlacementRequest, count: u32) {
         if let Some(team) = request.team {
-            self.used[team] = self.used[team] - request.task.times(f64::from(count));
+            self.team_usage[team] =
+                self.team_usage[team] - request.task_resources.times(f64::from(count));
         }
     }
 
@@ -296,7 +299,7 @@
         for &bin in bins {
             let b = &mut self.bins[bin];
             if b.ready {
-                b.free = b.free + request.task;
+                b.free = b.free + request.task_resources;
             }
         }
         self.refund(request, bins.len() as u32);
@@ -305,16 +308,16 @@
     /// Reserves room for one task of the job.
     pub(super) fn reserve(&mut self, bin: usize, request: &mut PlacementRequest) {
         let b = &mut self.bins[bin];
-        b.free = b.free - request.task;
+        b.free = b.free - request.task_resources;
         b.empty = false;
-        b.report_capacity = b.report_capacity.saturating_sub(1);
-        if b.report_capacity == 0 {
+        b.heartbeat_capacity = b.heartbeat_capacity.saturating_sub(1);
+        if b.heartbeat_capacity == 0 {
             b.free = Resources::default();
         }
         b.replicas += u32::from(request.spec.kind == JobKind::Service);
         b.last_image = Some(request.image);
         b.reserved = true;
-        request.zones[b.zone] += 1;
+        request.tasks_by_zone[b.zone] += 1;
     }
 
     /// Instances to be requested, and machines that must stay.
@@ -341,22 +344,22 @@
     pub(super) fn take_snapshot(&mut self, queue: &[QueueItem], now: Micros) -> ClusterSnapshot {
         let mut snapshot = ClusterSnapshot {
             bins: Vec::with_capacity(self.machines.len() + 64),
-            open: Vec::new(),
+            open_bins: Vec::new(),
             images: Vec::new(),
             type_resources: self.types.iter().map(Resources::of_type).collect(),
             offers: self.offers(now),
             demand: Vec::new(),
-            used: vec![Resources::default(); self.cfg.teams.len()],
-            orphaned: false,
+            team_usage: vec![Resources::default(); self.cfg.teams.len()],
+            has_orphans: false,
             reservations_enabled: self.reservations.should_reserve(now),
             bindings: Vec::new(),
             early_starts: BTreeMap::new(),
             victims: Vec::new(),
-            reservations: 0,
+            gang_reservations: 0,
             preempt_searches: 0,
             backfill_bins: Vec::new(),
-            expected_room: None,
-            fragmentation: self.fragmentation(queue),
+            expected_capacity: None,
+            sole_choice_types: self.sole_choice_types(queue),
         };
         snapshot.demand = vec![0; snapshot.offers.len()];
         self.add_machines(&mut snapshot, now);
@@ -372,7 +375,7 @@
                 memory_gb: a.memory_gb.min(b.memory_gb),
             });
         if let Some(smallest_task) = smallest_task {
-            snapshot.open = (0..snapshot.bins.len())
+            snapshot.open_bins = (0..snapshot.bins.len())
                 .filter(|&i| smallest_task.fits_in(&snapshot.bins[i].free))
                 .collect();
         }
@@ -391,13 +394,13 @@
         } = self;
         for m in machines.values_mut() {
             let load = m.load(&cfg.teams);
-            snapshot.orphaned |= load.orphaned;
+            snapshot.has_orphans |= load.orphaned;
             for (team, amounts) in &load.teams {
-                let used = &mut snapshot.used[usize::from(*team)];
+                let used = &mut snapshot.team_usage[usize::from(*team)];
                 *used = *used + *amounts;
             }
             let fresh = m.phase == MachinePhase::Up && now < m.last_seen + heartbeat_timeout;
-            if (m.phase == MachinePhase::Up && !fresh) || !may_get_tasks(m, now) {
+            if (m.phase == MachinePhase::Up && !fresh) || !accepts_new_tasks(m, now) {
                 continue;
             }
             let Some(type_index) = types.iter().position(|t| t.name == m.machine_type) else {
@@ -406,7 +409,7 @@
             let Some(load) = m.cached_load() else {
                 continue;
             };
-            let report_capacity = MAX_REPORTED_ATTEMPTS.saturating_sub(m.allocations().len());
+            let heartbeat_capacity = MAX_REPORTED_ATTEMPTS.saturating_sub(m.allocations().len());
             let first_image = snapshot.images.len();
             snapshot.images.extend_from_slice(&load.images);
             snapshot.bins.push(Bin {
@@ -415,13 +418,13 @@
                 type_index,
                 zone: cfg.zone_index(&m.zone),
                 spot: m.spot,
-                free: if report_capacity > 0 {
+                free: if heartbeat_capacity > 0 {
                     snapshot.type_resources[type_index] - load.used
                 } else {
                     Resources::default()
                 },
                 empty: load.live == 0,
-                report_capacity,
+                heartbeat_capacity,
                 replicas: load.replicas,
                 freeing: load.freeing,
                 preemptible: load.preemptible,
@@ -430,7 +433,7 @@
                 has_failures: !m.failed_jobs.is_empty(),
                 partitioned: m.phase == MachinePhase::Lost,
                 reserved: false,
-                backfill_room: None,
+                backfill_capacity: None,
             });
         }
     }
@@ -454,7 +457,7 @@
 }
 
 /// Nothing known of the machine speaks against new tasks on it.
-fn may_get_tasks(m: &Machine, now: Micros) -> bool {
+fn accepts_new_tasks(m: &Machine, now: Micros) -> bool {
     let is_provisioning_overdue =
         m.phase == MachinePhase::Provisioning && m.provisioning != ProvisioningState::Awaited;
     !(m.deleting
--- a/crates/hopyoke-scheduler/src/placement/tasks.rs
+++ b/crates/hopyoke-scheduler/src/placement/tasks.rs
@@ -11,14 +11,14 @@
 
 /// A job may have this many times its window of tasks placed, all in all. Tasks ahead of the window use free room only:
 /// no instance is requested for them, and nothing is preempted.
-const AHEAD_FACTOR: usize = 4;
+const LOOKAHEAD_FACTOR: usize = 4;
 
 /// Unplaced tasks of a job that may be started, by index.
 #[derive(Default)]
 struct StartableTasks {
     in_window: Vec<u32>,
     /// Tasks beyond the window; see [`AHEAD_FACTOR`].
-    ahead: Vec<u32>,
+    lookahead: Vec<u32>,
     /// Attempts of some task are not accounted for yet.
     has_unknown: bool,
 }
@@ -27,7 +27,7 @@
 enum TaskOutcome {
     Placed,
     /// Running tasks are expected to make room for it shortly.
-    RoomExpected,
+    CapacityExpected,
     /// Neither this task nor later ones of the job can be placed.
     Blocked(WaitReason),
 }
@@ -40,19 +40,19 @@
         snapshot: &mut ClusterSnapshot,
         now: Micros,
     ) -> Option<WaitReason> {
-        let (Some(mut request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
+        let (Some(mut request), Some(job)) = (self.placement_request(id), self.jobs.get(id)) else {
             return None;
         };
         let early_start = snapshot.early_starts.get(id).copied();
         if let Some(early) = early_start {
-            request.zones[early.zone] += 1;
+            request.tasks_by_zone[early.zone] += 1;
         }
         let mut tasks = self.startable_tasks(job, early_start);
         if request.is_crash_looping {
             // One task at a time shows whether it still fails, on free room: nothing is requested or preempted for it.
             // (Guards against arrays with a mistake that fill the fleet again after each backoff; scenario
             // mistaken_array.)
-            tasks.ahead = tasks
+            tasks.lookahead = tasks
                 .in_window
                 .drain(..)
                 .take(usize::from(job.attempts.is_empty()))
@@ -62,13 +62,13 @@
         if tasks.has_unknown && (request.spec.spread || request.spec.one_zone) {
             return Some(WaitReason::Reconciliation);
         }
-        request.spare_on_demand = snapshot.reservations_enabled
+        request.avoid_empty_on_demand = snapshot.reservations_enabled
             && request.spec.spot
             && snapshot
                 .best_offer(&request, None, 1)
                 .is_some_and(|o| snapshot.offers[o].spot);
         let mut candidates = self.candidates(&request, snapshot, None);
-        let mut is_room_expected = false;
+        let mut is_capacity_expected = false;
         let mut remaining = tasks.in_window.len() as u32;
         for index in tasks.in_window {
             if !snapshot.charge(&request, 1, &self.cfg.teams) {
@@ -83,13 +83,13 @@
                 now,
             ) {
                 TaskOutcome::Placed => {}
-                TaskOutcome::RoomExpected => is_room_expected = true,
+                TaskOutcome::CapacityExpected => is_capacity_expected = true,
                 TaskOutcome::Blocked(reason) => return Some(reason),
             }
             remaining -= 1;
         }
-        for index in tasks.ahead {
-            if !self.place_on_free_room(index, &mut request, &mut candidates, snapshot, now) {
+        for index in tasks.lookahead {
+            if !self.place_on_free_capacity(index, &mut request, &mut candidates, snapshot, now) {
                 break;
             }
         }
@@ -98,7 +98,7 @@
         } else if tasks.has_unknown {
             Some(WaitReason::Reconciliation)
         } else {
-            is_room_expected.then_some(WaitReason::EndingTasks)
+            is_capacity_expected.then_some(WaitReason::EndingTasks)
         }
     }
 
@@ -107,14 +107,14 @@
         let mut tasks = StartableTasks::default();
         let window = self.cfg.window() as usize;
         let span_end = job.done.first_missing().saturating_add(self.cfg.span());
-        let max_ahead = (AHEAD_FACTOR * window).saturating_sub(job.attempts.len());
+        let max_lookahead = (LOOKAHEAD_FACTOR * window).saturating_sub(job.attempts.len());
         for (n, index) in job.done.missing(job.spec.tasks).enumerate() {
-            if n >= window && (index >= span_end || tasks.ahead.len() >= max_ahead) {
+            if n >= window && (index >= span_end || tasks.lookahead.len() >= max_lookahead) {
                 break;
             }
             match self.check(job, index) {
                 _ if early_start.is_some_and(|early| early.index == index) => {}
-                RestartDecision::Restart if n >= window => tasks.ahead.push(index),
+                RestartDecision::Restart if n >= window => tasks.lookahead.push(index),
                 RestartDecision::Restart => tasks.in_window.push(index),
                 RestartDecision::Unknown => tasks.has_unknown = true,
                 RestartDecision::Reconnect | RestartDecision::AcceptResult => {}
@@ -140,23 +140,23 @@
             if request.spec.priority == Priority::Production
                 && let Some(zone) = self.preempt(request, snapshot, now)
             {
-                request.zones[zone] += 1;
+                request.tasks_by_zone[zone] += 1;
                 return TaskOutcome::Placed;
             }
             if self.tuning.use_for_backfill
                 && let Some((bin, has_image)) = self.backfill(request, snapshot)
             {
-                self.bind_later(bin, &request.id, index, has_image, snapshot, now);
+                self.record_binding(bin, &request.id, index, has_image, snapshot, now);
                 return TaskOutcome::Placed;
             }
         }
         let bin = match best {
             Some(bin) => bin,
             None if self.tuning.use_for_demand
-                && self.claim_expected_room(request, snapshot, now) =>
+                && self.claim_expected_capacity(request, snapshot, now) =>
             {
                 snapshot.refund(request, 1);
-                return TaskOutcome::RoomExpected;
+                return TaskOutcome::CapacityExpected;
             }
             None => {
                 let Some(bin) = snapshot.reserve_new_instance(request, None, remaining) else {
@@ -170,13 +170,13 @@
         let has_image = snapshot.has_image(&snapshot.bins[bin], request.image);
         snapshot.reserve(bin, request);
         if snapshot.bins[bin].ready {
-            self.bind_later(bin, &request.id, index, has_image, snapshot, now);
+            self.record_binding(bin, &request.id, index, has_image, snapshot, now);
         }
         TaskOutcome::Placed
     }
 
     /// Places one task if a ready machine has room and the team's limit allows it; false if not.
-    fn place_on_free_room(
+    fn place_on_free_capacity(
         &mut self,
         index: u32,
         request: &mut PlacementRequest,
@@ -192,7 +192,7 @@
         };
         let has_image = snapshot.has_image(&snapshot.bins[bin], request.image);
         snapshot.reserve(bin, request);
-        self.bind_later(bin, &request.id, index, has_image, snapshot, now);
+        self.record_binding(bin, &request.id, index, has_image, snapshot, now);
         true
     }
 
@@ -203,7 +203,7 @@
         snapshot: &mut ClusterSnapshot,
         now: Micros,
     ) {
-        let (Some(mut request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
+        let (Some(mut request), Some(job)) = (self.placement_request(id), self.jobs.get(id)) else {
             return;
         };
         let index = job.done.first_missing();
@@ -227,11 +227,11 @@
         snapshot
             .early_starts
             .insert(id.clone(), EarlyStart { index, zone });
-        self.bind_later(bin, id, index, has_image, snapshot, now);
+        self.record_binding(bin, id, index, has_image, snapshot, now);
     }
 
     /// Notes a binding for the end of the cycle; room is reserved already.
-    fn bind_later(
+    fn record_binding(
         &mut self,
         bin: usize,
         job: &JobId,
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -218,7 +218,7 @@
     if let Some(scheduler) = leadership.map(|l| l.scheduler.borrow())
         && let Some(job) = scheduler.jobs.get(id)
     {
-        let running = scheduler.running(id);
+        let running = scheduler.running_tasks(id);
         answer.done = Some(job.done.count());
         answer.running = Some(running);
         if running > 0 {
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -219,7 +219,7 @@
             job.spec.tasks,
             job.done.count(),
             job.attempts.len(),
-            scheduler.running(id),
+            scheduler.running_tasks(id),
             outcome_unknown.count()
         )?;
         if let Ok(estimate) = scheduler.estimate_job_end(id, now) {
