--- a/crates/hopyoke-scheduler/src/placement/defragment.rs
+++ b/crates/hopyoke-scheduler/src/placement/defragment.rs
@@ -1,4 +1,4 @@
-//! Defragmentation: replicas are moved together, so that whole machines fall free.
+//! Defragmentation: migrates service replicas together so that whole machines become free.
 
 use super::AttemptKey;
 use super::snapshot::{Bin, ClusterSnapshot};
@@ -8,47 +8,50 @@
 use hopyoke_types::{MachineId, Micros};
 use tracing::info;
 
-/// Time between two searches for machines to drain.
+/// Interval between searches for machines to drain.
 const SEARCH_INTERVAL: Micros = Micros::from_secs(2);
-/// Seconds for which earned move time is kept.
+/// Maximum accrual time of the move budget, in seconds.
 const MAX_ACCRUAL_S: f64 = 20.0;
-/// A deployment with fewer replicas earns move time as if it had this many: about a move a minute.
+/// Minimum number of replicas for which the move budget accrues, so that small deployments can
+/// afford about one move a minute.
 const MIN_ACCRUAL_REPLICAS: u32 = 16;
-/// Seconds added to the cost of one move in the budget's upper bound, for fetching an image.
+/// Allowance in seconds for fetching an image, added to the budget's upper bound.
 const FETCH_ALLOWANCE_S: f64 = 30.0;
-/// Download rate assumed at least, in GB/s.
+/// Lower bound on the assumed image download rate, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 0.05;
 
-/// Machines that may give away or take replicas, the emptiest first.
+/// Machines that replicas may be moved off or onto, sorted by ascending utilization.
 struct ReplicaHosts {
-    /// Indices of their bins.
+    /// Indices of the machines' bins in the snapshot.
     bins: Vec<usize>,
-    /// Room that is left on each when the moves decided so far are done.
+    /// Free resources of each host once the moves planned so far are done.
     free: Vec<Resources>,
 }
 
-/// The move of one replica to another host.
+/// A planned migration of one replica to another host.
 struct ReplicaMove {
     machine: MachineId,
     task: AttemptKey,
-    /// Seconds for a checkpoint.
+    /// Grace period for writing a checkpoint, in seconds.
     grace_s: f64,
-    /// Index of the host that it is expected to go to.
+    /// Index in [`ReplicaHosts`] of the host that the replica is expected to move to.
     target: usize,
     resources: Resources,
 }
 
-/// Moves of replicas off one machine.
+/// The migrations that would empty one machine.
 struct DrainPlan {
-    /// Seconds that the replicas are away, in all.
+    /// Total expected downtime of the replicas, in seconds.
     cost_s: f64,
     moves: Vec<ReplicaMove>,
 }
 
 impl Scheduler {
-    /// Moves replicas off machines that hold little else than free room, to fuller ones: the machine can then hold a
-    /// gang, or be scaled in. A move interrupts the replica, so a small share of all replicas' time is the bound for
-    /// moves. (Moving replicas to drain a machine is allowed.)
+    /// Migrates replicas off underutilized machines to fuller ones, so that the emptied machines
+    /// can hold a gang or be scaled in.
+    ///
+    /// Draining a machine is a permitted reason to interrupt a replica. The downtime is limited to a
+    /// small share (`move_share`) of the run time of all replicas.
     pub(super) fn defragment(&mut self, snapshot: &ClusterSnapshot, now: Micros) {
         self.accrue_move_budget(snapshot, now);
         if now < self.defragmentation.next_at || self.is_reconciling() {
@@ -57,7 +60,8 @@
         self.defragmentation.next_at = now + SEARCH_INTERVAL;
         let mut hosts = replica_hosts(snapshot);
         let mut moves = Vec::new();
-        // Each search visits all hosts; machines that are not reached now are reached when others have been drained.
+        // A search visits every host, so the number of searches is limited. Hosts beyond the limit
+        // are considered once emptier ones have been drained.
         for source in 0..hosts.bins.len().min(self.tuning.drain_looks) {
             let bin = &snapshot.bins[hosts.bins[source]];
             let machine = bin.machine.as_ref();
@@ -73,7 +77,7 @@
                 && drain.cost_s <= self.defragmentation.budget_s
             {
                 self.defragmentation.budget_s -= drain.cost_s;
-                // Nothing is moved to a machine that is being drained.
+                // A machine that is being drained is no target for later moves.
                 hosts.free[source] = Resources::default();
                 moves.extend(drain.moves);
             } else {
@@ -89,20 +93,23 @@
         }
     }
 
-    /// Adds what replicas have earned since the last cycle to the seconds that moves may cost.
+    /// Credits the move budget for the time since the previous cycle.
     fn accrue_move_budget(&mut self, snapshot: &ClusterSnapshot, now: Micros) {
         let replicas: u32 = snapshot.bins.iter().map(|b| b.replicas).sum();
         let accrued = f64::from(replicas.max(MIN_ACCRUAL_REPLICAS))
             * self.tuning.move_share
             * (now - self.defragmentation.credited_at).as_secs_f64();
         self.defragmentation.credited_at = now;
-        // The bound is enough for one move at least.
+        // The cap always leaves enough for one move.
         let max = (f64::from(replicas) * self.tuning.move_share * MAX_ACCRUAL_S)
             .max(self.tuning.move_cost.as_secs_f64() + FETCH_ALLOWANCE_S);
         self.defragmentation.budget_s = (self.defragmentation.budget_s + accrued).min(max);
     }
 
-    /// Finds another host for each of the replicas, until one has none; their room there is reserved in `hosts`.
+    /// Selects another host for each replica and reserves its resources there in `hosts`.
+    ///
+    /// Stops at the first replica that fits no host; the returned plan is then incomplete, and the
+    /// caller must release its reservations.
     fn plan_drain(
         &self,
         source: usize,
@@ -130,7 +137,8 @@
             };
             let has_image =
                 |i: &usize| snapshot.has_image(&snapshot.bins[hosts.bins[*i]], request.image);
-            // The fullest first. Each drained machine is one machine less, so that this comes to an end.
+            // Only fuller hosts are targets, the fullest first. Every drain thus empties one more
+            // machine, and defragmentation terminates.
             let fuller_hosts = || (source + 1..hosts.bins.len()).rev();
             let Some(target) = fuller_hosts()
                 .filter(has_image)
@@ -158,7 +166,10 @@
         drain
     }
 
-    /// The replicas whose leaving would empty a machine, if it holds nothing else and all of them have run for a while.
+    /// Returns the live replicas of a machine if draining them would empty it.
+    ///
+    /// Returns `None` if the machine has other live attempts or none at all, or if a replica is
+    /// being stopped or has not run for `move_settled`.
     fn drainable_replicas(&self, m: &Machine, now: Micros) -> Option<Vec<AttemptKey>> {
         let min_run = self.tuning.move_settled;
         let load = m.cached_load()?;
@@ -175,7 +186,7 @@
     }
 }
 
-/// Ready machines with replicas and free room, the emptiest first.
+/// Returns the ready machines with replicas and free resources, sorted by ascending utilization.
 fn replica_hosts(snapshot: &ClusterSnapshot) -> ReplicaHosts {
     let utilization = |b: &Bin| {
         let total = snapshot.type_resources[b.type_index];
--- a/crates/hopyoke-scheduler/src/placement/estimates.rs
+++ b/crates/hopyoke-scheduler/src/placement/estimates.rs
@@ -1,6 +1,7 @@
 //! Uses of learned run times in placement.
 //!
-//! Each use has a setting of its own. None decides a rule: what may be stopped, charged or placed is settled elsewhere.
+//! Each use can be disabled by a setting of its own. Learned run times only guide choices: what may
+//! be stopped, charged or placed does not depend on them.
 
 use super::AttemptKey;
 use super::queue::QueueEntry;
@@ -12,12 +13,14 @@
 use hopyoke_protocol::user::{JobKind, Priority};
 use hopyoke_types::{MachineId, Micros};
 
-/// Download rate assumed at least, in GB/s.
+/// Lower bound on the assumed image download rate, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 0.05;
 
 impl Scheduler {
-    /// Jobs with a deadline change positions among themselves, within one importance, by their latest start. The set
-    /// of positions that they hold stays the same.
+    /// Reorders jobs with a deadline by their latest start time, among entries of the same tier and
+    /// priority.
+    ///
+    /// Jobs without a deadline keep their positions.
     pub(super) fn order_by_latest_start(&self, entries: &mut [QueueEntry]) {
         let mut from = 0;
         while from < entries.len() {
@@ -50,7 +53,10 @@
         }
     }
 
-    /// Cost of stopping a task, in seconds: the time it has run; weighted up the nearer it is to its end.
+    /// Returns the cost of stopping a task, in seconds of lost work.
+    ///
+    /// This is the time that the task has run. With `use_for_victims` it is weighted up the closer
+    /// the task is to its expected end.
     pub(super) fn lost_work_s(
         &self,
         key: &AttemptKey,
@@ -67,7 +73,8 @@
         ran * (1.0 + ran / (ran + remaining_s).max(1e-6))
     }
 
-    /// Offers room that is reserved for a gang to backfill, until the gang's last machine is expected to be free.
+    /// Opens the resources reserved for a gang to backfill, until the last of its machines is
+    /// expected to be free.
     pub(super) fn allow_backfill(
         &self,
         reserved: &[usize],
@@ -108,8 +115,11 @@
         }
     }
 
-    /// Reserves backfill room for a task of an array that will most likely end before the gang needs it. Returns the
-    /// bin, and whether it has the image.
+    /// Reserves backfill capacity for a task of an array that is likely to end before the gang
+    /// needs it.
+    ///
+    /// Returns the bin and whether it has the image. Returns `None` if no backfill capacity fits, or
+    /// if the job is no array or is zone-sensitive.
     pub(super) fn backfill(
         &self,
         request: &PlacementRequest,
@@ -147,8 +157,10 @@
         Some(found)
     }
 
-    /// Reserves room for one more task that running tasks are expected to free before an instance requested now is
-    /// ready; false if there is none.
+    /// Claims resources for one task that running tasks are expected to free before an instance
+    /// requested now would be ready.
+    ///
+    /// Returns false if there are none, or if the job is production work or zone-sensitive.
     pub(super) fn claim_expected_capacity(
         &self,
         request: &PlacementRequest,
@@ -187,7 +199,8 @@
         true
     }
 
-    /// Room that is expected to be freed within `horizon`, by tasks that this cycle starts and by running ones.
+    /// Returns the resources that running tasks, and tasks bound in this cycle, are expected to
+    /// free within `horizon`.
     fn expected_capacity(
         &self,
         snapshot: &ClusterSnapshot,
@@ -215,7 +228,7 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            // Tasks of a gang end together.
+            // All tasks of a gang end together, so that one of them stands for all.
             let only_index = (!job.is_gang()).then_some(task.index);
             for (_, attempts) in job
                 .attempts
@@ -231,13 +244,17 @@
         expected
     }
 
-    /// The machine, unless room that falls free on it is of no use.
+    /// Returns the machine if new tasks can use resources freed on it.
+    ///
+    /// Returns `None` for a machine that is unknown, faulty, slow or being deleted.
     fn usable_machine(&self, id: &MachineId) -> Option<&Machine> {
         let machine = self.machines.get(id);
         machine.filter(|m| !m.faulty && !m.slow && !m.deleting)
     }
 
-    /// `None` if the catalog no longer has the machine's type.
+    /// Describes resources that are expected to become free on the machine.
+    ///
+    /// Returns `None` if the catalog no longer has the machine's type.
     fn capacity_on(&self, m: &Machine, resources: Resources) -> Option<ExpectedCapacity> {
         let type_index = self.types.iter().position(|t| t.name == m.machine_type)?;
         Some(ExpectedCapacity {
--- a/crates/hopyoke-scheduler/src/placement/eviction.rs
+++ b/crates/hopyoke-scheduler/src/placement/eviction.rs
@@ -1,23 +1,27 @@
-//! Attempts that must end before anything else is placed.
+//! Eviction of tasks that are disrupted by failures, faulty machines or preemption notices of the
+//! cloud.
 
 use crate::Scheduler;
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::{Attempt, JobId, MachineId};
 use std::collections::BTreeSet;
 
-/// A stop command to be given.
+/// A stop command to be issued.
 struct StopRequest {
     machine: MachineId,
     job: JobId,
     index: u32,
     attempt: Attempt,
-    /// Seconds for a checkpoint; 0: at once.
+    /// Grace period for writing a checkpoint, in seconds; 0 stops the attempt immediately.
     grace_s: f64,
 }
 
 impl Scheduler {
-    /// Stops gangs that lost a task after they started or that must move, as a whole; and replicas on machines that
-    /// are faulty or have a preemption notice.
+    /// Stops gangs and service replicas that can't continue where they are.
+    ///
+    /// A gang is stopped as a whole if it lost a task after its start, or if one of its machines is
+    /// faulty or has a preemption notice. Replicas on such machines are stopped one by one.
+    /// Attempts of earlier gang placements are stopped as well.
     pub(crate) fn evict_disrupted_tasks(&mut self) {
         let (mut stops, moving_gangs) = self.evictions();
         for (id, job) in self.jobs.iter_mut().filter(|(_, j)| j.is_gang()) {
@@ -36,7 +40,8 @@
                     let grace_s = if job.gang_failing || *attempt != job.start_attempt {
                         0.0
                     } else if is_moving {
-                        // Graceful: all tasks are stopped together and may write a checkpoint.
+                        // All tasks are stopped together, with a grace period in which they may
+                        // write a checkpoint.
                         job.spec.save_s + 1.0
                     } else {
                         continue;
@@ -62,7 +67,8 @@
         }
     }
 
-    /// Replicas to be stopped and gangs to be moved, for their machines are faulty or about to be preempted.
+    /// Returns the stop requests for replicas, and the gangs to be moved, on machines that are
+    /// faulty or have a preemption notice.
     fn evictions(&self) -> (Vec<StopRequest>, BTreeSet<JobId>) {
         let mut stops = Vec::new();
         let mut moving_gangs = BTreeSet::new();
--- a/crates/hopyoke-scheduler/src/placement/gang.rs
+++ b/crates/hopyoke-scheduler/src/placement/gang.rs
@@ -1,4 +1,5 @@
-//! Gang scheduling: all tasks get room at once, or machines are reserved until they can.
+//! Gang scheduling: places all tasks of a gang at once, or reserves machines until that is
+//! possible.
 
 use super::Binding;
 use super::request::PlacementRequest;
@@ -12,41 +13,41 @@
 use std::cmp::Reverse;
 use tracing::debug;
 
-/// Number of a gang's tasks that one zone has room for.
+/// Number of a gang's tasks that fit into one zone.
 #[derive(Clone, Copy, Default)]
 struct ZoneCapacity {
-    /// On ready machines.
+    /// Tasks that fit onto ready machines.
     ready: u32,
     total: u32,
-    /// On ready machines that have the image.
+    /// Tasks that fit onto ready machines that have the image.
     ready_with_image: u32,
 }
 
-/// A machine that may be reserved for a gang.
+/// A machine that can be reserved for a gang.
 #[derive(Clone, Copy)]
 struct GangHost {
-    /// Tasks that fit into its free room.
+    /// Tasks that fit into its free resources.
     free_tasks: u32,
-    /// Tasks that fit into its capacity.
+    /// Tasks that fit into its total resources.
     total_tasks: u32,
     bin: usize,
 }
 
-/// Machines that together hold a gang, or as much of it as they can.
+/// A set of machines selected for a gang.
 struct GangHostSet {
-    /// Tasks that fit into their capacity, up to the gang's size.
+    /// Tasks that fit into their total resources, at most the gang's size.
     total_tasks: u32,
-    /// Tasks that fit into their free room.
+    /// Tasks that fit into their free resources.
     free_tasks: u32,
     bins: Vec<usize>,
 }
 
-/// What a try to reserve room for a gang changed in the snapshot.
+/// The snapshot's state before an attempt to reserve resources for a gang, used to roll back.
 struct Savepoint {
     bins: usize,
     open_bins: usize,
     demand: Vec<u32>,
-    /// Changed bins, in the order of the changes.
+    /// Modified bins with their previous states, in order of modification.
     changed: Vec<(usize, BinState)>,
 }
 
@@ -71,8 +72,10 @@
 }
 
 impl Scheduler {
-    /// Places a gang: all tasks at once, or the replacements that a gang which waits for its start lacks. Returns why
-    /// it still waits, if it does.
+    /// Places all tasks of a gang at once, or the missing tasks of a gang that is bound but has not
+    /// started.
+    ///
+    /// Returns the reason why the gang still waits, or `None` if it doesn't.
     pub(super) fn place_gang(
         &mut self,
         id: &JobId,
@@ -99,7 +102,7 @@
             }
             return Some(WaitReason::TeamLimit);
         }
-        // For a crash-looping gang no instance is requested and no machine is reserved.
+        // A crash-looping gang neither requests instances nor reserves machines.
         let offers = request
             .is_crash_looping
             .then(|| std::mem::take(&mut snapshot.offers));
@@ -124,9 +127,9 @@
         None
     }
 
-    /// Why the gang may not be placed now whatever room there is.
+    /// Returns the reason why the gang must not be placed now, irrespective of free resources.
     fn gang_block_reason(&self, job: &Job, missing: &[u32], is_new: bool) -> Option<WaitReason> {
-        // Tasks of the previous attempt stay until they exit: nothing new before that.
+        // No new attempt is placed until all tasks of the previous one have exited.
         if job.gang_failing || (job.gang_started && !is_new) {
             return Some(WaitReason::PreviousAttempt);
         }
@@ -136,8 +139,10 @@
             .then_some(WaitReason::Reconciliation)
     }
 
-    /// Binds the missing tasks to their machines. A new gang gets a new attempt, which its record names before any of
-    /// its tasks is commanded to start.
+    /// Binds the missing tasks to their machines.
+    ///
+    /// A new gang gets a new attempt. The job record must name this attempt before any of its tasks
+    /// is commanded to start.
     fn start_gang(
         &mut self,
         request: &PlacementRequest,
@@ -186,8 +191,10 @@
         }
     }
 
-    /// Reserves room for `count` tasks at once, in one zone if the job asks for it. Room on machines that are not
-    /// ready yet is reserved as well, so that it is kept for this gang. `None`, with nothing changed, if there is none.
+    /// Reserves resources for `count` tasks at once, within a single zone if the job requires it.
+    ///
+    /// Resources on machines that are not ready yet are reserved too, to keep them for this gang.
+    /// Returns `None` and leaves the snapshot unchanged if the tasks don't all fit.
     fn reserve_gang(
         &self,
         request: &PlacementRequest,
@@ -205,8 +212,11 @@
             .find_map(|zone| self.reserve_gang_in(zone, request, snapshot, count))
     }
 
-    /// Zones in the order in which a gang of one zone tries them: where all tasks can start now; among those where most
-    /// have the image, for all tasks wait for the last one to fetch it.
+    /// Returns the zones in the order in which a single-zone gang tries them.
+    ///
+    /// Zones where all tasks can start now come first. Among these, zones with more tasks on
+    /// machines that have the image are preferred, as a gang starts only when its last task has
+    /// fetched the image.
     fn zones_by_capacity(
         &self,
         request: &PlacementRequest,
@@ -242,7 +252,10 @@
         zones
     }
 
-    /// Reserves room for `count` tasks at once, in the given zone only if there is one; the bins, one for each task.
+    /// Reserves resources for `count` tasks at once, restricted to `zone` if given.
+    ///
+    /// Returns one bin per task. Returns `None` and leaves the snapshot unchanged if the tasks
+    /// don't all fit.
     fn reserve_gang_in(
         &self,
         zone: Option<usize>,
@@ -276,10 +289,13 @@
         None
     }
 
-    /// A gang held up by its team's limit holds later work of the team back (in cycles with reservations), so that what
-    /// ends makes room for it: without this, single tasks use every piece of the limit that falls free, and a gang that
-    /// needs much of it never begins. Not if the team's services, which don't end, leave it no room anyway.
-    /// (Scenario largest_begin.)
+    /// Reserves quota for a gang that exceeds its team's remaining limit, by charging it to the
+    /// team for the rest of the cycle.
+    ///
+    /// Without this, single tasks take each part of the limit as it is released, and a gang that
+    /// needs much of the limit never starts. Nothing is reserved if the team's services, which
+    /// don't end, leave too little of the limit for the gang. Only cycles with reservations call
+    /// this. (Scenario `largest_begin`.)
     fn reserve_quota(
         &self,
         request: &PlacementRequest,
@@ -300,9 +316,11 @@
         }
     }
 
-    /// Reserves the machines that will hold a gang which finds no room: without this, single tasks use all room that
-    /// falls free, and gangs starve. Machines without replicas, which stay long, are chosen; those with most free room
-    /// first, and in one zone if it must be.
+    /// Reserves machines for a gang that fits nowhere, within a single zone if the job requires it.
+    ///
+    /// Without this, single tasks take all resources as they are released, and gangs starve.
+    /// Machines with replicas are excluded because replicas are long-running; those with the most
+    /// free resources come first.
     fn reserve_machines(
         &self,
         request: &PlacementRequest,
@@ -337,7 +355,8 @@
         }
     }
 
-    /// Machines that may be reserved for a gang: one list per zone if it must be in one zone, else a single list.
+    /// Returns the machines that can be reserved for a gang: one list per zone if it must run in a
+    /// single zone, otherwise one list.
     fn gang_hosts(
         &self,
         request: &PlacementRequest,
@@ -368,7 +387,8 @@
     }
 }
 
-/// The hosts with most free room that together hold `count` tasks, or all hosts if they don't.
+/// Selects the hosts with the most free resources until `count` tasks fit into their total
+/// resources. Selects all hosts if they don't suffice.
 fn select_hosts(mut hosts: Vec<GangHost>, count: u32) -> GangHostSet {
     hosts.sort_unstable_by_key(|h| Reverse((h.free_tasks, h.total_tasks)));
     let mut chosen = GangHostSet {
--- a/crates/hopyoke-scheduler/src/placement/instance_offers.rs
+++ b/crates/hopyoke-scheduler/src/placement/instance_offers.rs
@@ -1,4 +1,4 @@
-//! Instances that can be requested from the cloud, and the cheapest offer for a job.
+//! Instance offers of the cloud, and selection of the cheapest one for a job.
 
 use super::request::PlacementRequest;
 use super::snapshot::{Bin, ClusterSnapshot, InstanceOffer};
@@ -6,11 +6,14 @@
 use crate::autoscale::scale_out::Offer;
 use hopyoke_types::Micros;
 
-/// Factor on the price of a type that is the only choice of other work.
+/// Price factor for a type that is the only choice of other waiting work.
 const SOLE_CHOICE_PRICE_FACTOR: f64 = 1.25;
 
 impl ClusterSnapshot {
-    /// Index of the offer with the lowest cost per task, of at most `remaining` tasks to place; in `zone` only if given.
+    /// Returns the index of the offer with the lowest cost per task, restricted to `zone` if given.
+    ///
+    /// At most `remaining` tasks share the cost of an instance. Returns `None` if no offer
+    /// satisfies the job's constraints.
     pub(super) fn best_offer(
         &self,
         request: &PlacementRequest,
@@ -47,7 +50,8 @@
         best.map(|(_, i)| i)
     }
 
-    /// Adds one more instance to the demand, for tasks of the job. Returns its bin.
+    /// Adds an instance for tasks of the job to the demand. Returns its bin, or `None` if no offer
+    /// satisfies the job's constraints.
     pub(super) fn reserve_new_instance(
         &mut self,
         request: &PlacementRequest,
@@ -69,7 +73,8 @@
 }
 
 impl Scheduler {
-    /// Offers of the catalog, without those that the cloud refused lately and those in partitioned zones.
+    /// Returns the catalog's offers, except those that the cloud refused recently and those in
+    /// partitioned zones.
     pub(super) fn offers(&self, now: Micros) -> Vec<InstanceOffer> {
         let mut machines_by_zone = vec![0u32; self.cfg.zones.len() + 1];
         for m in self.machines.values() {
@@ -85,7 +90,7 @@
             };
             for z in zones {
                 let zone = self.cfg.zone_index(z);
-                // Zones that hold less of the fleet are slightly preferred.
+                // Spreads the fleet over zones: a zone's cost grows with its share of the machines.
                 let cost_factor = 1.0
                     + self.tuning.zone_burden * f64::from(machines_by_zone[zone]) / total_machines
                     + 0.001 * t.boot_s;
--- a/crates/hopyoke-scheduler/src/placement/mod.rs
+++ b/crates/hopyoke-scheduler/src/placement/mod.rs
@@ -1,21 +1,25 @@
-//! Placement inside the leased shards, and the demand for machines that follows from it.
+//! Placement of tasks within the leased shards, and the resulting demand for machines.
 //!
-//! Each cycle starts from a new `ClusterSnapshot` and takes the waiting jobs in queue order. For each job it
-//! *filters* the machines that its constraints allow, *scores* them, *reserves* room in the snapshot (on machines
-//! that are up, then on those being provisioned, then on instances yet to be requested) and, for production work,
-//! *preempts* tasks of arrays. So room that an important job waits for is not given to a lesser one. At the end the
-//! tasks that got room on ready machines are bound, and what is missing becomes the autoscaler's demand.
+//! Each cycle takes a new `ClusterSnapshot` and processes the waiting jobs in queue order. For each
+//! job it *filters* the machines by the job's constraints, *scores* them, *reserves* resources in
+//! the snapshot (on machines that are up, then on those being provisioned, then on instances yet to
+//! be requested) and, for production work, *preempts* tasks of arrays. Resources reserved for a job
+//! are thus unavailable to jobs after it in the queue. At the end of the cycle the tasks with
+//! resources on ready machines are bound, and the instances still missing become the autoscaler's
+//! demand.
 //!
-//! The cost of a cycle grows with the waiting work, not with the fleet: load per machine is cached until an
-//! allocation changes, jobs without unplaced tasks are skipped, and machines are filtered and scored once per job,
-//! not once per task.
+//! The cost of a cycle grows with the waiting work and not with the fleet: the load of a machine is
+//! cached until one of its allocations changes, jobs without unplaced tasks are skipped, and
+//! machines are filtered and scored once per job instead of once per task.
 //!
 //! - `queue`, [`queue_order`], `starvation`: the order of the jobs.
-//! - `snapshot`, `instance_offers`: machines and instance offers as one cycle sees them.
-//! - `request`: one job's resource request, its constraints (filter) and its candidate machines (score).
-//! - `tasks`, `gang`, `preemption`: placement of arrays and services, of gangs, and of production work by preemption.
-//! - `quota`, [`reservation`], [`fragmentation`], `estimates`: what bounds or guides these.
-//! - `defragment`, `stop_finished`: attempts that are stopped for other reasons than preemption.
+//! - `snapshot`, `instance_offers`: machines and instance offers as seen by one cycle.
+//! - `request`: a job's resource request, its constraints (filter) and its candidate machines
+//!   (score).
+//! - `tasks`, `gang`, `preemption`: placement of arrays and services, of gangs, and of production
+//!   work by preemption.
+//! - `quota`, [`reservation`], [`sole_choice`], `estimates`: limits and hints for placement.
+//! - `defragment`, `eviction`: stopping of attempts for reasons other than preemption.
 
 mod defragment;
 mod estimates;
@@ -42,32 +46,33 @@
 use snapshot::ClusterSnapshot;
 use tracing::{debug, info};
 
-/// Time between two log lines about the fleet's use.
+/// Interval between log lines about fleet usage.
 const FLEET_LOG_INTERVAL: Micros = Micros::from_secs(5);
 
-/// One attempt of one task.
+/// Identifies one attempt of a task.
 type AttemptKey = (TaskId, Attempt);
 
-/// A task that got room on a ready machine.
+/// The assignment of a task to a ready machine.
 struct Binding {
     job: JobId,
     index: u32,
     machine: MachineId,
     attempt: Attempt,
-    /// The machine has the image, or fetches it.
+    /// Whether the machine has the image or is fetching it.
     has_image: bool,
 }
 
 impl Scheduler {
-    /// Runs one placement cycle: binds the tasks that have room now, and returns the demand for machines.
+    /// Runs one placement cycle: binds the tasks that fit onto ready machines, and returns the
+    /// demand for machines.
     pub(crate) fn run_placement_cycle(&mut self, now: Micros) -> Demand {
         self.plan_schedule.count_plan();
         self.add_visited(self.jobs.len() + 2 * self.machines.len());
         self.update_provisioning_states(now);
         let queue = self.queue(now);
         let mut snapshot = self.take_snapshot(&queue, now);
-        // An orphaned allocation may belong to any team: until it is gone (its stop is commanded) nothing that
-        // counts against a limit is started.
+        // An orphaned allocation may belong to any team. Until it is gone (its stop has been
+        // commanded), no task that counts against a limit is started.
         let has_orphans = snapshot.has_orphans;
         let is_usage_unbounded = !self.charge_unreconciled(&mut snapshot);
         for item in &queue {
@@ -88,8 +93,10 @@
         snapshot.into_demand()
     }
 
-    /// Places one job and records why it still waits. While `is_usage_unknown`, the use of teams may be larger than
-    /// the snapshot shows.
+    /// Places the tasks of one job and records why it still waits.
+    ///
+    /// If `is_usage_unknown`, teams may use more than the snapshot shows, and jobs of teams with a
+    /// limit are not placed.
     fn place_job(
         &mut self,
         item: &QueueItem,
@@ -123,13 +130,13 @@
         }
     }
 
-    /// Binds an attempt to its machine; the start command goes out with the next commands.
+    /// Binds an attempt to its machine. The start command is sent with the next batch of commands.
     fn bind(&mut self, binding: Binding, now: Micros) {
         let Some(job) = self.jobs.get_mut(&binding.job) else {
             return;
         };
         if job.start_attempt.0 == 0 {
-            // Its first start is recorded before it is commanded.
+            // The first start is written to the job record before it is commanded.
             job.start_attempt = binding.attempt;
             let waited_ms = (now - job.first_seen_at).as_millis();
             let (class, tasks, waited_for) = (
@@ -159,7 +166,7 @@
         self.add_attempt(&binding.machine, &task, binding.attempt);
     }
 
-    /// Number of the job's tasks that run, as last reported; 0 for an unknown job.
+    /// Returns the number of the job's tasks that run, as last reported. An unknown job has 0.
     #[must_use]
     pub fn running_tasks(&self, id: &JobId) -> u32 {
         let Some(job) = self.jobs.get(id) else {
--- a/crates/hopyoke-scheduler/src/placement/preemption.rs
+++ b/crates/hopyoke-scheduler/src/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: room for production work by stopping tasks of arrays.
+//! Preemption: makes room for production work by stopping tasks of arrays.
 
 use super::AttemptKey;
 use super::request::PlacementRequest;
@@ -9,21 +9,25 @@
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::Micros;
 
-/// Cost of a machine without the task's image, in seconds of lost work: more than any victims on one with it should cost.
-const MISSING_IMAGE_COST: f64 = 1000.0;
+/// Cost of fetching the task's image, in seconds of lost work. It outweighs the cost of the victims
+/// on a machine that has the image.
+const MISSING_IMAGE_COST_S: f64 = 1000.0;
 
-/// The preemptions that make room on one machine.
+/// The victims to preempt on one machine.
 struct Preemption {
-    /// Seconds of work lost, with what speaks against the machine.
-    cost: f64,
+    /// Total cost in seconds of lost work, including the cost of a missing image.
+    cost_s: f64,
     bin: usize,
     victims: Vec<AttemptKey>,
 }
 
 impl Scheduler {
-    /// Makes room for a production task on a ready machine by stopping tasks of arrays of lower priority: only those
-    /// are preempted, for arrays lose least. The room is reserved; the task starts once the victims have exited.
-    /// Returns the zone.
+    /// Reserves a ready machine's resources for a production task by preempting tasks of arrays of
+    /// lower priority.
+    ///
+    /// Only arrays are preempted, as they lose the least work. The task starts once the victims
+    /// have exited. Returns the machine's zone, or `None` if no preemption makes enough room or the
+    /// cycle's searches are used up.
     pub(super) fn preempt(
         &self,
         request: &PlacementRequest,
@@ -45,22 +49,22 @@
             {
                 continue;
             }
-            let image_cost = if snapshot.has_image(bin, request.image) {
+            let image_cost_s = if snapshot.has_image(bin, request.image) {
                 0.0
             } else {
-                MISSING_IMAGE_COST
+                MISSING_IMAGE_COST_S
             };
-            if best.as_ref().is_some_and(|b| image_cost >= b.cost) {
+            if best.as_ref().is_some_and(|b| image_cost_s >= b.cost_s) {
                 continue;
             }
             let Some((victims, lost_work_s)) = self.select_victims(request, bin, snapshot, now)
             else {
                 continue;
             };
-            let cost = image_cost + lost_work_s;
-            if best.as_ref().is_none_or(|b| cost < b.cost) {
+            let cost_s = image_cost_s + lost_work_s;
+            if best.as_ref().is_none_or(|b| cost_s < b.cost_s) {
                 best = Some(Preemption {
-                    cost,
+                    cost_s,
                     bin: i,
                     victims,
                 });
@@ -69,7 +73,10 @@
         self.reserve_by_preemption(request, best?, snapshot)
     }
 
-    /// The tasks on this machine that lose least and make enough room, with the seconds of work lost.
+    /// Selects the victims on one machine, those with the least lost work first, and sums up the
+    /// seconds of lost work.
+    ///
+    /// Returns `None` if preempting all candidates does not make enough room.
     fn select_victims(
         &self,
         request: &PlacementRequest,
@@ -109,7 +116,8 @@
             .then_some((victims, lost_work_s))
     }
 
-    /// Reserves the room of the victims and of what else is free or falls free on their machine. Returns its zone.
+    /// Reserves the victims' resources and all others that are free or being freed on their
+    /// machine. Returns the machine's zone.
     fn reserve_by_preemption(
         &self,
         request: &PlacementRequest,
@@ -124,7 +132,7 @@
             .filter_map(|k| self.machines.get(&machine)?.allocations().get(k))
             .map(Allocation::resources);
         let freed = freed.fold(Resources::default(), |a, b| a + b);
-        // Room that is reserved for this task is neither free nor freeing for others.
+        // Resources reserved for this task are neither free nor being freed for other tasks.
         bin.freeing = bin.freeing + bin.free + freed - request.task_resources;
         bin.preemptible = bin.preemptible - freed;
         bin.free = Resources::default();
--- a/crates/hopyoke-scheduler/src/placement/queue.rs
+++ b/crates/hopyoke-scheduler/src/placement/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one cycle: jobs with unplaced tasks, by class of importance, priority and age.
+//! The job queue of one cycle: jobs with unplaced tasks, ordered by tier, priority and age.
 
 use super::queue_order::{self, WaitingJob};
 use super::starvation;
@@ -8,30 +8,33 @@
 use hopyoke_types::{JobId, Micros};
 use std::collections::BTreeMap;
 
-/// Stands in place of the time of acceptance: before all others of the same importance.
+/// Substitute for the acceptance time of a starving gang, which sorts before all jobs of the same
+/// tier and priority.
 const STARVING_GANG_ACCEPTED_US: u64 = 0;
-/// Stands in place of the time of acceptance: after starving gangs alone, which need their team's limit at once.
+/// Substitute for the acceptance time of a starving array, which sorts directly after starving
+/// gangs: these need their team's limit all at once.
 const STARVING_ARRAY_ACCEPTED_US: u64 = 1;
 
-/// A job's sort key in the queue; entries are ordered by their fields from first to last.
+/// Sort key of a job in the queue, compared field by field.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueEntry {
-    /// Class of importance, the most important first: see `importance`.
+    /// Priority tier, 0 being the highest; see [`priority_tier`].
     pub(super) tier: u8,
     pub(super) priority: Priority,
-    /// Time of acceptance in microseconds, or one of the constants above.
+    /// Acceptance time in microseconds, or one of the substitutes for starving jobs.
     pub(super) accepted_us: u64,
     pub(super) job: JobId,
 }
 
-/// A job whose turn it is.
+/// A job to be placed, in queue order.
 pub(super) struct QueueItem {
     pub(super) job: JobId,
-    /// Only the first task of a starving array is placed; the array has another item at its regular position.
+    /// Whether to place only the first task of a starving array. The array has a second item at its
+    /// regular position.
     pub(super) first_task_only: bool,
 }
 
-/// Jobs that change positions among themselves: of one team and class of work, with equal importance.
+/// Key of jobs that may be reordered among each other: same team, class of work, tier and priority.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Tenant<'a> {
     tier: u8,
@@ -40,7 +43,8 @@
     work_class: &'a str,
 }
 
-/// The class of importance; work within its team's guarantee comes right after production work.
+/// Returns the priority tier. Work within its team's guarantee ranks directly after production
+/// work.
 fn priority_tier(priority: Priority, within_guarantee: bool) -> u8 {
     match (priority, within_guarantee) {
         (Priority::Production, _) => 0,
@@ -52,7 +56,8 @@
 }
 
 impl Scheduler {
-    /// Jobs with unplaced tasks, in the order in which they get room. Clears the wait reason of the others.
+    /// Returns the jobs with unplaced tasks in placement order, and clears the wait reason of all
+    /// others.
     pub(super) fn queue(&mut self, now: Micros) -> Vec<QueueItem> {
         let (mut entries, placed_jobs) = self.queue_entries(now);
         entries.sort_unstable();
@@ -74,8 +79,10 @@
             .collect()
     }
 
-    /// Entries of all jobs with unplaced tasks, and the jobs without any that still have a wait reason. A team's
-    /// guarantee is used up by its jobs in the order of their acceptance.
+    /// Returns the entries of all jobs with unplaced tasks, and the fully placed jobs that still
+    /// have a wait reason.
+    ///
+    /// A team's guarantee is allotted to its jobs in order of acceptance.
     fn queue_entries(&self, now: Micros) -> (Vec<QueueEntry>, Vec<JobId>) {
         let mut by_acceptance: Vec<(u64, &JobId)> = self
             .jobs
@@ -119,9 +126,11 @@
         (entries, placed_jobs)
     }
 
-    /// Arrays and gangs of one tenant change positions among themselves, so that most of them are served when the
-    /// tenant offers more than it can get. (Guards against a day on which less than half of a class ends although
-    /// its team's limit was used all day; scenario burst_mostly_served.)
+    /// Reorders the arrays and gangs of each tenant, so that most of them are served when the
+    /// tenant submits more work than its limit allows.
+    ///
+    /// Guards against days on which less than half of a class's jobs end although the team's limit
+    /// is fully used. (Scenario `burst_mostly_served`.)
     fn order_within_tenants(&self, entries: &mut [QueueEntry], now: Micros) {
         let mut tenants: BTreeMap<Tenant<'_>, usize> = BTreeMap::new();
         let (mut positions, mut waiting) = (Vec::new(), Vec::new());
@@ -157,7 +166,8 @@
         }
     }
 
-    /// A gang that regular queue order does not serve, for it needs much of its team's limit at once.
+    /// Returns whether the gang is starving because it needs a large part of its team's limit at
+    /// once.
     fn is_gang_starving(&self, job: &Job, now: Micros) -> bool {
         let Some(team) = self.team(&job.spec.team) else {
             return false;
@@ -168,8 +178,8 @@
         starvation::is_gang_starving(share, self.ago(job.accepted_us, now))
     }
 
-    /// An array without any started task that has waited so long that one task goes before all others of its
-    /// importance. (Scenario largest_arrays_begin.)
+    /// Returns whether no task of the array has started and it has waited long enough for one task
+    /// to go first. (Scenario `largest_arrays_begin`.)
     fn is_array_starving(&self, job: &Job, now: Micros) -> bool {
         let has_started = !job.attempts.is_empty() || job.done.count() > 0;
         !has_started && starvation::is_array_starving(self.ago(job.accepted_us, now))
--- a/crates/hopyoke-scheduler/src/placement/queue_order.rs
+++ b/crates/hopyoke-scheduler/src/placement/queue_order.rs
@@ -1,8 +1,9 @@
-//! The order of a tenant's own jobs: by their remaining work against their wait.
+//! The order of a tenant's jobs by the ratio of remaining work to waiting time.
 //!
-//! By age alone, a tenant that offers more than its limit allows has few jobs served: the large ones that came first hold
-//! all its room, and those behind them wait for longer than they would have run. By size alone the large ones would
-//! never run. The ratio of both serves most jobs, and bounds how long newcomers can overtake one that waits.
+//! When a tenant submits more than its limit allows, ordering by age serves few jobs: large early
+//! jobs occupy the whole limit while small ones wait longer than they would run. Ordering by size
+//! starves the large jobs. The ratio serves most jobs and bounds the time for which newer jobs can
+//! overtake an older one.
 
 use hopyoke_types::Micros;
 use std::collections::BTreeMap;
@@ -10,27 +11,31 @@
 /// A job with unplaced tasks.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WaitingJob<T> {
-    /// Only jobs of the same tenant change positions.
+    /// Key of the tenant. Only jobs of the same tenant are reordered.
     pub tenant: T,
-    /// Estimated task time of its unplaced tasks, in seconds; not negative, 0 if unknown.
+    /// Estimated run time of the unplaced tasks in seconds, summed over tasks. Not negative; 0 if
+    /// unknown.
     pub work_s: f64,
-    /// Time since its acceptance.
+    /// Time since the job was accepted.
     pub waited: Micros,
 }
 
-/// Added to every wait, so that a new job has a finite ratio.
+/// Offset added to every waiting time, so that the ratio of a new job is finite.
 const WAIT_OFFSET: Micros = Micros::from_secs(10);
-/// Jobs smaller than the tenant's largest job divided by this count as of that size.
+/// Ratio of the largest to the smallest job size that the order distinguishes; smaller jobs count
+/// as of the smallest size.
 const SIZE_RANGE: f64 = 64.0;
 
-/// After this wait a job is no longer overtaken by newcomers of the same tenant, whatever their sizes.
+/// Waiting time after which newer jobs of the same tenant no longer overtake a job, whatever their
+/// sizes.
 pub const MAX_OVERTAKING_WAIT: Micros = Micros(WAIT_OFFSET.0 * (SIZE_RANGE as u64 - 1));
 
-/// The order of the jobs: `order[i]` is the index of the job that gets the i-th position.
+/// Returns the order of the jobs: `order[i]` is the index of the job at position `i`.
 ///
-/// `jobs` are in order of age, or of what decides between tenants. The set of positions that a tenant's jobs hold stays
-/// the same; within it the job with the least work for its wait comes first, and among equals the earlier one. Work that
-/// is not a finite number counts as none.
+/// `jobs` must be sorted by age, or by whatever decides between tenants. Each tenant keeps the set
+/// of positions that its jobs hold. Within that set the job with the lowest ratio of work to
+/// waiting time comes first; ties keep their order. A value of `work_s` that is not finite counts
+/// as 0.
 #[must_use]
 pub fn order_within_tenants<T: Ord + Copy>(jobs: &[WaitingJob<T>]) -> Vec<usize> {
     let mut positions: BTreeMap<T, Vec<usize>> = BTreeMap::new();
--- a/crates/hopyoke-scheduler/src/placement/quota.rs
+++ b/crates/hopyoke-scheduler/src/placement/quota.rs
@@ -1,30 +1,33 @@
-//! Use of teams' limits.
+//! Team quotas: limit checks and usage.
 
 use super::snapshot::ClusterSnapshot;
 use crate::Scheduler;
 use crate::resources::{Resources, Team};
 
 impl Scheduler {
-    /// Unknown teams count as limited.
+    /// Returns whether the team has a limit. An unknown team counts as limited.
     pub(super) fn has_limit(&self, team: &str) -> bool {
         self.team(team)
             .is_none_or(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0)
     }
 
-    /// The team of this name, if the settings have it.
+    /// Returns the configured team of this name, or `None` if there is none.
     pub(crate) fn team(&self, name: &str) -> Option<&Team> {
         self.cfg.teams.iter().find(|t| t.name == name)
     }
 
-    /// The team's index in the settings.
+    /// Returns the team's index in the settings, or `None` if it is not configured.
     pub(super) fn team_index(&self, name: &str) -> Option<usize> {
         self.cfg.teams.iter().position(|t| t.name == name)
     }
 
-    /// During reconciliation, machines that have not reported may hold tasks of any team: of its unfinished jobs,
-    /// and of jobs that were cancelled under a previous leaseholder, which no record names any more. They hold no
-    /// more than the machines' capacity, for agents refuse what has no room; so that is charged to every team.
-    /// False if even that is not known. (Guards `quota`; scenario cancelled_before_failover_uses_quota.)
+    /// Charges the capacity of unreconciled machines to every team during reconciliation.
+    ///
+    /// Machines that have not reported yet may run tasks of any team. These may belong to
+    /// unfinished jobs, or to jobs that were cancelled under a previous leader and are no longer in
+    /// any record. Agents reject tasks that don't fit, so the machines' capacity is an upper bound.
+    /// Returns false if even this bound is unknown. Guards the invariant `quota`. (Scenario
+    /// `cancelled_before_failover_uses_quota`.)
     pub(super) fn charge_unreconciled(&self, snapshot: &mut ClusterSnapshot) -> bool {
         if !self.is_reconciling() {
             return true;
--- a/crates/hopyoke-scheduler/src/placement/request.rs
+++ b/crates/hopyoke-scheduler/src/placement/request.rs
@@ -1,4 +1,5 @@
-//! One job's placement request: resources, constraints (filter), and its candidate machines (score).
+//! Placement request of one job: its resources, constraints (filter) and candidate machines
+//! (score).
 
 use super::queue::QueueItem;
 use super::snapshot::{Bin, ClusterSnapshot};
@@ -10,7 +11,7 @@
 use hopyoke_types::JobId;
 use std::rc::Rc;
 
-/// Resources and constraints of one job's tasks.
+/// Resources and constraints of a job's tasks.
 #[derive(Clone)]
 pub(super) struct PlacementRequest {
     pub(super) id: JobId,
@@ -18,25 +19,29 @@
     /// Resources of one task.
     pub(super) task_resources: Resources,
     pub(super) image: ImageKey,
-    /// Index of its team in the settings; `None`: unknown team, whose work is never started.
+    /// Index of the team in the settings. `None` for an unknown team, whose work is never started.
     pub(super) team: Option<usize>,
-    /// Index of the only zone allowed.
+    /// Index of the only permitted zone. `None` if the job may use any zone.
     pub(super) zone: Option<usize>,
-    /// Whether each type of the catalog is allowed and large enough, by its index.
+    /// Whether each catalog type, by index, is permitted for the job and large enough for a task.
     pub(super) eligible_types: Vec<bool>,
-    /// Number of types that are allowed and large enough.
+    /// Number of eligible types.
     pub(super) eligible_type_count: usize,
-    /// It failed on several machines, so that a machine on which it failed is not avoided.
+    /// Whether the job failed on several machines. Such a job may return to machines on which it
+    /// failed.
     pub(super) is_crash_looping: bool,
-    /// Spot machines are on offer: it leaves empty on-demand machines to work that needs them.
+    /// Whether the job skips empty on-demand machines because spot instances are on offer, leaving
+    /// them to work that requires on-demand machines.
     pub(super) avoid_empty_on_demand: bool,
-    /// Number of the job's placed tasks by zone index.
+    /// Number of the job's placed tasks, by zone index.
     pub(super) tasks_by_zone: Vec<u32>,
 }
 
 impl PlacementRequest {
-    /// The job's zone constraints allow one more task in this zone, given where its others are.
-    /// (Guards `wrong_place`.)
+    /// Returns whether the job's zone constraints permit another task in this zone, given the zones
+    /// of its placed tasks.
+    ///
+    /// Guards the invariant `wrong_place`.
     pub(super) fn zone_allows(&self, zone: usize) -> bool {
         let has_task_elsewhere = || {
             self.tasks_by_zone
@@ -50,21 +55,23 @@
         !self.spec.spread || self.tasks_by_zone[zone] < self.spec.tasks.div_ceil(2)
     }
 
-    /// Its candidates depend on the zones of its other tasks.
+    /// Returns whether the choice of a machine depends on the zones of the job's other tasks.
     pub(super) fn is_zone_sensitive(&self) -> bool {
         self.spec.one_zone || self.spec.spread || self.spec.kind == JobKind::Service
     }
 }
 
-/// Bins that one job may use, best first; one list per zone for a zone-sensitive job, else a single list.
+/// Candidate bins of one job, sorted by descending score: one list per zone for a zone-sensitive
+/// job, otherwise one list.
 pub(super) struct Candidates {
     lists: Vec<Vec<usize>>,
-    /// The first position of each list that may still have room.
+    /// For each list, the position of the first bin that may still fit a task.
     next: Vec<usize>,
 }
 
 impl Candidates {
-    /// The bin with the highest score that still has room, in a zone that the job's constraints allow.
+    /// Returns the highest-scoring bin that still fits a task, in a zone that the job's constraints
+    /// permit.
     pub(super) fn best(
         &mut self,
         request: &PlacementRequest,
@@ -92,7 +99,7 @@
         best.map(|(_, b)| b)
     }
 
-    /// Puts a newly added bin before the others of its zone.
+    /// Inserts a newly added bin before the remaining candidates of its zone.
     pub(super) fn put_first(&mut self, bin: usize, zone: usize) {
         let list = zone.min(self.lists.len() - 1);
         let next = self.next[list];
@@ -101,7 +108,7 @@
 }
 
 impl Scheduler {
-    /// The placement request of a job; `None` for an unknown job.
+    /// Returns the placement request of a job, or `None` for an unknown job.
     pub(super) fn placement_request(&self, id: &JobId) -> Option<PlacementRequest> {
         let job = self.jobs.get(id)?;
         let eligible_types: Vec<bool> = self.type_eligibility(&job.spec).collect();
@@ -128,7 +135,8 @@
         Some(request)
     }
 
-    /// Whether each type of the catalog is allowed for the job and holds a task of it.
+    /// Returns for each catalog type whether it is permitted for the job and large enough for a
+    /// task.
     fn type_eligibility(&self, spec: &JobSpec) -> impl Iterator<Item = bool> {
         let task = Resources::of_task(spec);
         self.types.iter().map(move |t| {
@@ -139,7 +147,7 @@
         })
     }
 
-    /// Types that are the only choice of some waiting job.
+    /// Returns the types that are the only choice of some waiting job.
     pub(super) fn sole_choice_types(&self, queue: &[QueueItem]) -> SoleChoiceTypes {
         let mut sole_choice_types = SoleChoiceTypes::new(self.types.len());
         for job in queue.iter().filter_map(|item| self.jobs.get(&item.job)) {
@@ -153,7 +161,8 @@
         sole_choice_types
     }
 
-    /// Filter: the job may use this machine, room and zone balance aside.
+    /// Returns whether the job may use this machine, not considering free resources and zone
+    /// balance.
     pub(super) fn passes_filters(&self, request: &PlacementRequest, bin: &Bin) -> bool {
         request.eligible_types[bin.type_index]
             && request.zone.is_none_or(|z| z == bin.zone)
@@ -163,13 +172,13 @@
             && (request.is_crash_looping || !bin.has_failures || !self.failed_on(bin, &request.id))
     }
 
-    /// Some task of the job failed on the machine.
+    /// Returns whether a task of the job failed on the machine.
     fn failed_on(&self, bin: &Bin, job: &JobId) -> bool {
         let machine = bin.machine.as_ref().and_then(|m| self.machines.get(m));
         machine.is_some_and(|m| m.failed_jobs.contains(job))
     }
 
-    /// Filters and scores the open bins: those with room for a task of the job, in `zone` only if it is given.
+    /// Filters and scores the open bins that fit a task of the job, restricted to `zone` if given.
     pub(super) fn candidates(
         &self,
         request: &PlacementRequest,
--- a/crates/hopyoke-scheduler/src/placement/reservation.rs
+++ b/crates/hopyoke-scheduler/src/placement/reservation.rs
@@ -1,25 +1,25 @@
-//! Reservations: room held for gangs, against work that would fit into it now.
+//! Time limits on reservations of resources and quota for gangs.
 
 use hopyoke_types::Micros;
 
-/// No work is kept from reserved room for longer than this. Users count a job that waits 90 s beside free room as
-/// failed; the rest is left for a late cycle and for the start.
+/// Maximum time for which work is kept from reserved resources. Users treat a job that waits 90 s
+/// next to free resources as failed; the difference covers a late cycle and the start.
 const MAX_RESERVATION_TIME: Micros = Micros::from_secs(60);
 
-/// Decides in which placement cycles room is reserved.
+/// Decides which placement cycles reserve resources for gangs.
 ///
-/// A gang needs room to accumulate: on machines, and in its team's limit. Meanwhile other work is kept from room that it
-/// would fit into. How long that takes is unknown (running tasks may take long, a machine may never come up, and the
-/// gang may be larger than any zone), so it is bounded: every `MAX_RESERVATION` one cycle reserves nothing, and work
-/// that has waited beside the room gets it. In between room accumulates, so that a gang begins if the work that it
-/// waits for ends within that time.
+/// A gang needs free resources to accumulate, on machines and in its team's limit. In the meantime
+/// other work is kept from resources that would fit it. How long this takes is unknown: running
+/// tasks may take long, a machine may never come up, and the gang may be larger than any zone. So
+/// every `MAX_RESERVATION_TIME` one cycle reserves nothing, and other waiting work takes what is
+/// free. A gang starts if enough running work ends between two such cycles.
 #[derive(Debug, Clone, Default)]
 pub struct Reservations {
     last_suspended_at: Micros,
 }
 
 impl Reservations {
-    /// Whether the cycle at `now` reserves room.
+    /// Returns whether the cycle at `now` reserves resources. Records a cycle that does not.
     pub fn should_reserve(&mut self, now: Micros) -> bool {
         let should_reserve = now < self.last_suspended_at + MAX_RESERVATION_TIME;
         if !should_reserve {
--- a/crates/hopyoke-scheduler/src/placement/snapshot.rs
+++ b/crates/hopyoke-scheduler/src/placement/snapshot.rs
@@ -1,6 +1,7 @@
-//! The cluster as one placement cycle sees it: machines as bins, instance offers, and use of teams' limits.
+//! Snapshot of the cluster for one placement cycle: machines as bins, instance offers and team
+//! usage.
 //!
-//! Reservations of the cycle are made in the snapshot; the ledger changes only when tasks are bound.
+//! A cycle makes its reservations in the snapshot. The ledger changes only when tasks are bound.
 
 use super::queue::QueueItem;
 use super::request::PlacementRequest;
@@ -17,56 +18,59 @@
 use std::ops::Range;
 use tracing::debug;
 
-/// Attempts that one machine may hold, ended ones included. An agent lists each attempt in about 90 characters until
-/// its end is recorded, and a heartbeat may have 64 KiB. (Guards against a heartbeat that no node accepts, so that the
-/// lease expires: large machines full of tiny tasks; scenario tiny_tasks.)
+/// Maximum number of attempts per machine, including ended ones.
+///
+/// An agent lists each attempt in about 90 characters until its end is recorded, and a heartbeat is
+/// limited to 64 KiB. Guards against heartbeats that every node rejects as too large, which would
+/// let the machine's lease expire: large machines with many tiny tasks. (Scenario `tiny_tasks`.)
 const MAX_REPORTED_ATTEMPTS: usize = 560;
 
-/// A machine, or an instance yet to be requested.
+/// A machine, or an instance that is yet to be requested.
 pub(super) struct Bin {
-    /// `None`: no machine yet.
+    /// The machine's id. `None` for an instance that has not been requested or confirmed yet.
     pub(super) machine: Option<MachineId>,
-    /// Tasks can be started on it now.
+    /// Whether tasks can be started on it now.
     pub(super) ready: bool,
     /// Index of its type in the catalog.
     pub(super) type_index: usize,
-    /// Index of its zone in the settings; one past the last for an unknown zone.
+    /// Index of its zone in the settings. An unknown zone has the index after the last one.
     pub(super) zone: usize,
     pub(super) spot: bool,
     pub(super) free: Resources,
-    /// It has no live attempt.
+    /// Whether it has no live attempt.
     pub(super) empty: bool,
-    /// Attempts that its agent's heartbeat still has room for.
+    /// Number of further attempts that its agent's heartbeat can list.
     pub(super) heartbeat_capacity: usize,
-    /// Replicas of services on it, which stay long.
+    /// Number of service replicas on it.
     pub(super) replicas: u32,
-    /// Resources of attempts whose immediate stop is commanded.
+    /// Resources of attempts that are being stopped immediately.
     pub(super) freeing: Resources,
     /// Resources of attempts that production work may preempt.
     pub(super) preemptible: Resources,
-    /// Its images, as a range of the snapshot's list.
+    /// Range of its images in [`ClusterSnapshot::images`].
     pub(super) images: Range<usize>,
-    /// The image of the task that this cycle reserved room for last.
+    /// Image of the latest task that this cycle placed on it.
     pub(super) last_image: Option<ImageKey>,
-    /// Tasks of some job failed on it.
+    /// Whether tasks of some job failed on it.
     pub(super) has_failures: bool,
-    /// Its lease expired while its zone is partitioned, and it may be back: production work does not wait for that.
+    /// Whether its lease expired in a partitioned zone. It may come back, but production work
+    /// doesn't wait for it.
     pub(super) partitioned: bool,
-    /// This cycle counts on it: it must not be scaled in.
+    /// Whether this cycle relies on it, so that it must not be scaled in.
     pub(super) reserved: bool,
-    /// Room reserved for a gang that short tasks may use until then.
+    /// Resources reserved for a gang that short tasks may use in the meantime.
     pub(super) backfill_capacity: Option<BackfillCapacity>,
 }
 
-/// Room reserved for a gang that can't begin yet.
+/// Resources reserved for a gang that can't start yet.
 #[derive(Clone, Copy)]
 pub(super) struct BackfillCapacity {
     pub(super) free: Resources,
-    /// Seconds until the gang is expected to have all its room.
+    /// Seconds until all machines of the gang are expected to be free.
     pub(super) available_s: f64,
 }
 
-/// A kind of instance that the cloud sells.
+/// A machine type that the cloud offers in one zone, as spot or on-demand instance.
 pub(super) struct InstanceOffer {
     pub(super) offer: Offer,
     /// Index of its type in the catalog.
@@ -74,11 +78,11 @@
     /// Index of its zone in the settings.
     pub(super) zone: usize,
     pub(super) spot: bool,
-    /// Price, raised for a zone that holds much of the fleet and for long provisioning.
+    /// Price, increased by the zone's share of the fleet and by the type's boot time.
     pub(super) cost: f64,
 }
 
-/// Room that running tasks are expected to free before a new instance could be ready.
+/// Resources that running tasks are expected to free before a new instance would be ready.
 pub(super) struct ExpectedCapacity {
     pub(super) type_index: usize,
     pub(super) zone: usize,
@@ -86,47 +90,47 @@
     pub(super) resources: Resources,
 }
 
-/// The first task of a starving array, placed before the array's regular turn.
+/// The first task of a starving array, placed ahead of the array's regular position.
 #[derive(Clone, Copy)]
 pub(super) struct EarlyStart {
     pub(super) index: u32,
     pub(super) zone: usize,
 }
 
-/// The cluster during one cycle, with the cycle's reservations and results.
+/// The cluster during one cycle, including the cycle's reservations and results.
 pub(super) struct ClusterSnapshot {
     pub(super) bins: Vec<Bin>,
-    /// Indices of bins that had room for the smallest waiting task, and of all new ones.
+    /// Indices of bins that fit the smallest waiting task, and of all bins added during the cycle.
     pub(super) open_bins: Vec<usize>,
     /// Images of all machines; see [`Bin::images`].
     pub(super) images: Vec<ImageKey>,
-    /// Capacity of a machine of each type in the catalog.
+    /// Total resources of a machine of each catalog type.
     pub(super) type_resources: Vec<Resources>,
     pub(super) offers: Vec<InstanceOffer>,
-    /// Instances to be requested, by index of `offers`.
+    /// Number of instances to request, by index in `offers`.
     pub(super) demand: Vec<u32>,
-    /// Resources charged to each team, by its index in the settings.
+    /// Resources charged to each team, by index in the settings.
     pub(super) team_usage: Vec<Resources>,
-    /// Some live allocation is orphaned: the ledger doesn't know its job.
+    /// Whether some live allocation is orphaned, that is, its job is not in the ledger.
     pub(super) has_orphans: bool,
-    /// Room is reserved for gangs; now and then a cycle reserves none.
+    /// Whether this cycle reserves resources for gangs; see [`super::reservation::Reservations`].
     pub(super) reservations_enabled: bool,
     pub(super) bindings: Vec<Binding>,
     pub(super) early_starts: BTreeMap<JobId, EarlyStart>,
-    /// Attempts to be stopped for production work.
+    /// Attempts to be preempted for production work.
     pub(super) victims: Vec<(MachineId, AttemptKey)>,
-    /// Gangs that have reserved machines.
+    /// Number of gangs for which this cycle has reserved machines or searched for them.
     pub(super) gang_reservations: usize,
-    /// Searches for room by preemption.
+    /// Number of preemption searches so far.
     pub(super) preempt_searches: usize,
-    /// Indices of bins with backfill room.
+    /// Indices of bins with backfill capacity.
     pub(super) backfill_bins: Vec<usize>,
-    /// `None`: not estimated yet.
+    /// Resources expected to be freed. `None` until first needed.
     pub(super) expected_capacity: Option<Vec<ExpectedCapacity>>,
     pub(super) sole_choice_types: SoleChoiceTypes,
 }
 
-/// What a reservation changes in a bin; see [`Bin::restore`].
+/// The fields of a bin that a reservation modifies; see [`Bin::restore`].
 pub(super) struct BinState {
     free: Resources,
     empty: bool,
@@ -136,7 +140,7 @@
     reserved: bool,
 }
 
-/// Machines of one kind, for the log line about the fleet's use.
+/// Aggregate figures for a set of machines, for the fleet usage log line.
 #[derive(Default)]
 struct FleetUsage {
     machines: u32,
@@ -145,7 +149,7 @@
 }
 
 impl Bin {
-    /// An instance that has not been provisioned yet, with all of its capacity free.
+    /// Returns a bin for an instance that has not been provisioned yet, with all resources free.
     pub(super) fn requested(type_index: usize, zone: usize, spot: bool, total: Resources) -> Bin {
         Bin {
             machine: None,
@@ -168,7 +172,7 @@
         }
     }
 
-    /// What a reservation would change, to undo it.
+    /// Returns the fields that a reservation modifies, to undo it later.
     pub(super) fn state(&self) -> BinState {
         BinState {
             free: self.free,
@@ -180,7 +184,7 @@
         }
     }
 
-    /// Undoes reservations made since `state` was taken.
+    /// Undoes the reservations made since `state` was taken.
     pub(super) fn restore(&mut self, state: BinState) {
         self.free = state.free;
         self.empty = state.empty;
@@ -192,17 +196,18 @@
 }
 
 impl ClusterSnapshot {
-    /// The machine has the image or fetches it, tasks of this cycle included.
+    /// Returns whether the machine has the image or is fetching it, including for tasks placed in
+    /// this cycle.
     pub(super) fn has_image(&self, bin: &Bin, image: ImageKey) -> bool {
         bin.last_image == Some(image) || self.had_image_before_cycle(bin, image)
     }
 
-    /// As [`ClusterSnapshot::has_image`], without what this cycle starts.
+    /// Returns whether the machine had the image or was fetching it before this cycle.
     pub(super) fn had_image_before_cycle(&self, bin: &Bin, image: ImageKey) -> bool {
         self.images[bin.images.clone()].contains(&image)
     }
 
-    /// Scores a bin for a task of the job; the highest is the best.
+    /// Scores a bin for a task of the job; higher is better.
     pub(super) fn score(&self, request: &PlacementRequest, bin: &Bin) -> f64 {
         let mut score = 0.0;
         if bin.ready {
@@ -211,14 +216,14 @@
         if self.has_image(bin, request.image) {
             score += 100.0;
         }
-        // Work that may use spot machines leaves on-demand ones to work that may not.
+        // Leaves on-demand machines to work that must not run on spot machines.
         if bin.spot {
             score += 50.0;
         }
         if !bin.empty {
             score += 20.0;
         }
-        // Work that can run on several types leaves this one to work that can't.
+        // Leaves types that are the only choice of other work to that work.
         if self
             .sole_choice_types
             .should_avoid(bin.type_index, request.eligible_type_count)
@@ -226,20 +231,22 @@
             score -= 60.0;
         }
         if request.spec.kind == JobKind::Service {
-            // Replicas stay long: packed together they leave whole machines to gangs and to scale-in. Spread over
-            // zones, the loss of one zone takes few of a job's.
+            // Replicas are long-running. Packing them together keeps whole machines free for gangs
+            // and scale-in; spreading a job's replicas over zones limits the effect of a zone
+            // failure.
             if bin.replicas > 0 {
                 score += 70.0;
             }
             score -= 30.0 * f64::from(request.tasks_by_zone[bin.zone]);
         }
-        // Best fit.
+        // Best fit: prefers the least resources left over.
         score
             - (bin.free.gpus - request.task_resources.gpus)
             - (bin.free.cpus - request.task_resources.cpus) / 16.0
     }
 
-    /// Logs the use of the fleet once this cycle's tasks run, to show what is paid for in vain.
+    /// Logs fleet usage as it will be once this cycle's tasks run, to show idle capacity that is
+    /// paid for.
     pub(super) fn log_usage(&self) {
         let sum = |filter: &dyn Fn(&&Bin) -> bool| {
             let bins = self.bins.iter().filter(filter);
@@ -268,7 +275,8 @@
         );
     }
 
-    /// Charges `count` tasks to their team; false, with nothing charged, if that exceeds its limit.
+    /// Charges `count` tasks to their team. Returns false and charges nothing if this exceeds the
+    /// team's limit or the team is unknown.
     pub(super) fn charge(
         &mut self,
         request: &PlacementRequest,
@@ -286,7 +294,7 @@
         true
     }
 
-    /// Takes back a charge of `count` tasks.
+    /// Reverts a charge of `count` tasks.
     pub(super) fn refund(&mut self, request: &PlacementRequest, count: u32) {
         if let Some(team) = request.team {
             self.team_usage[team] =
@@ -294,7 +302,8 @@
         }
     }
 
-    /// Releases room reserved on ready machines for a gang whose other machines are still being provisioned.
+    /// Releases resources reserved on ready machines, and the charged quota, for a gang whose other
+    /// machines are still being provisioned.
     pub(super) fn release_ready(&mut self, request: &PlacementRequest, bins: &[usize]) {
         for &bin in bins {
             let b = &mut self.bins[bin];
@@ -305,7 +314,7 @@
         self.refund(request, bins.len() as u32);
     }
 
-    /// Reserves room for one task of the job.
+    /// Reserves resources for one task of the job.
     pub(super) fn reserve(&mut self, bin: usize, request: &mut PlacementRequest) {
         let b = &mut self.bins[bin];
         b.free = b.free - request.task_resources;
@@ -320,7 +329,7 @@
         request.tasks_by_zone[b.zone] += 1;
     }
 
-    /// Instances to be requested, and machines that must stay.
+    /// Returns the instances to request and the machines that must not be scaled in.
     pub(super) fn into_demand(self) -> Demand {
         let offers = self
             .offers
@@ -340,7 +349,7 @@
 }
 
 impl Scheduler {
-    /// The cluster as it is now, before any reservation of this cycle.
+    /// Takes a snapshot of the cluster without any reservations of this cycle.
     pub(super) fn take_snapshot(&mut self, queue: &[QueueItem], now: Micros) -> ClusterSnapshot {
         let mut snapshot = ClusterSnapshot {
             bins: Vec::with_capacity(self.machines.len() + 64),
@@ -364,7 +373,7 @@
         snapshot.demand = vec![0; snapshot.offers.len()];
         self.add_machines(&mut snapshot, now);
         self.add_pending_scale_outs(&mut snapshot);
-        // Bins without room even for the smallest waiting task are not searched again.
+        // Bins that can't fit even the smallest waiting task are excluded from all searches.
         let smallest_task = queue
             .iter()
             .filter_map(|item| self.jobs.get(&item.job))
@@ -382,7 +391,7 @@
         snapshot
     }
 
-    /// Charges all live attempts to their teams, and adds the machines that may get tasks.
+    /// Charges all live attempts to their teams, and adds the machines that accept tasks.
     fn add_machines(&mut self, snapshot: &mut ClusterSnapshot, now: Micros) {
         let heartbeat_timeout = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(2);
         let Scheduler {
@@ -438,7 +447,7 @@
         }
     }
 
-    /// Adds the instances that are being requested right now.
+    /// Adds the instances of scale-out requests that are in progress.
     fn add_pending_scale_outs(&self, snapshot: &mut ClusterSnapshot) {
         for (offer, count) in self.pending_scale_outs.open() {
             if let Some(type_index) = self.types.iter().position(|t| t.name == offer.machine_type) {
@@ -456,7 +465,7 @@
     }
 }
 
-/// Nothing known of the machine speaks against new tasks on it.
+/// Returns whether the machine's state permits new tasks, now or once it is up.
 fn accepts_new_tasks(m: &Machine, now: Micros) -> bool {
     let is_provisioning_overdue =
         m.phase == MachinePhase::Provisioning && m.provisioning != ProvisioningState::Awaited;
--- a/crates/hopyoke-scheduler/src/placement/sole_choice.rs
+++ b/crates/hopyoke-scheduler/src/placement/sole_choice.rs
@@ -1,16 +1,16 @@
-//! Machine types that some waiting work has no alternative to.
+//! Machine types that are the only choice of some waiting work.
 
-/// Types of a catalog, by index, that are the only choice of some waiting work.
+/// Catalog types, by index, that are the only choice of some waiting work.
 ///
-/// Work that can run on several types leaves them alone: of two types that suit it equally, the one that nothing else
-/// depends on costs the fleet less.
+/// Work that can run on several types avoids them: of two equally suitable types, the one that no
+/// other work depends on costs the fleet less.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SoleChoiceTypes {
     is_sole_choice: Vec<bool>,
 }
 
 impl SoleChoiceTypes {
-    /// No dependence yet, for a catalog of `types` types.
+    /// Returns an empty set for a catalog of `type_count` types.
     #[must_use]
     pub fn new(type_count: usize) -> SoleChoiceTypes {
         SoleChoiceTypes {
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Adds waiting work that can run on these types. Indices outside the catalog are ignored.
+    /// Records the eligible types of some waiting work. Indices outside the catalog are ignored.
     pub fn add(&mut self, eligible_types: impl Iterator<Item = usize>) {
         let mut eligible_types = eligible_types.filter(|t| *t < self.is_sole_choice.len());
         if let (Some(only), None) = (eligible_types.next(), eligible_types.next()) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Work that can run on `choices` types should leave this type alone.
+    /// Returns whether work with `eligible_type_count` eligible types should avoid this type.
     #[must_use]
     pub fn should_avoid(&self, type_index: usize, eligible_type_count: usize) -> bool {
         eligible_type_count > 1
@@ -37,7 +37,7 @@
                 .unwrap_or(false)
     }
 
-    /// Some type is the only choice of some work.
+    /// Returns whether any type is the only choice of some work.
     #[must_use]
     pub fn any(&self) -> bool {
         self.is_sole_choice.contains(&true)
--- a/crates/hopyoke-scheduler/src/placement/tasks.rs
+++ b/crates/hopyoke-scheduler/src/placement/tasks.rs
@@ -1,4 +1,4 @@
-//! Placement of arrays and services: each task by itself.
+//! Placement of arrays and services, one task at a time.
 
 use super::Binding;
 use super::request::{Candidates, PlacementRequest};
@@ -9,31 +9,32 @@
 use hopyoke_protocol::user::Priority;
 use hopyoke_types::{JobId, Micros};
 
-/// A job may have this many times its window of tasks placed, all in all. Tasks ahead of the window use free room only:
-/// no instance is requested for them, and nothing is preempted.
+/// Maximum number of placed tasks of a job, as a multiple of its window. Tasks beyond the window
+/// only use free resources: no instance is requested for them, and nothing is preempted.
 const LOOKAHEAD_FACTOR: usize = 4;
 
-/// Unplaced tasks of a job that may be started, by index.
+/// Indices of a job's unplaced tasks that may be started.
 #[derive(Default)]
 struct StartableTasks {
     in_window: Vec<u32>,
-    /// Tasks beyond the window; see [`AHEAD_FACTOR`].
+    /// Tasks beyond the window; see [`LOOKAHEAD_FACTOR`].
     lookahead: Vec<u32>,
-    /// Attempts of some task are not accounted for yet.
+    /// Whether some tasks may have attempts that are not reconciled yet.
     has_unknown: bool,
 }
 
-/// What came of placing one task.
+/// Result of placing one task.
 enum TaskOutcome {
     Placed,
-    /// Running tasks are expected to make room for it shortly.
+    /// Running tasks are expected to free resources for it shortly.
     CapacityExpected,
     /// Neither this task nor later ones of the job can be placed.
     Blocked(WaitReason),
 }
 
 impl Scheduler {
-    /// Places the tasks of an array or a service. Returns why the job still waits, if it does.
+    /// Places the tasks of an array or a service. Returns the reason why the job still waits, or
+    /// `None` if it doesn't.
     pub(super) fn place_tasks(
         &mut self,
         id: &JobId,
@@ -49,16 +50,17 @@
         }
         let mut tasks = self.startable_tasks(job, early_start);
         if request.is_crash_looping {
-            // One task at a time shows whether it still fails, on free room: nothing is requested or preempted for it.
-            // (Guards against arrays with a mistake that fill the fleet again after each backoff; scenario
-            // mistaken_array.)
+            // Probes whether the job still fails with one task at a time, on free resources only:
+            // nothing is requested or preempted for it. Guards against faulty arrays that fill the
+            // fleet again after each backoff. (Scenario `mistaken_array`.)
             tasks.lookahead = tasks
                 .in_window
                 .drain(..)
                 .take(usize::from(job.attempts.is_empty()))
                 .collect();
         }
-        // A zone constraint must not be broken by tasks that nobody has reported yet.
+        // Tasks that have not been reported yet count for zone constraints, but their zones are
+        // unknown.
         if tasks.has_unknown && (request.spec.spread || request.spec.one_zone) {
             return Some(WaitReason::Reconciliation);
         }
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The tasks without an attempt that may be started, lowest index first.
+    /// Returns the tasks without an attempt that may be started, in ascending order of index.
     fn startable_tasks(&self, job: &Job, early_start: Option<EarlyStart>) -> StartableTasks {
         let mut tasks = StartableTasks::default();
         let window = self.cfg.window() as usize;
@@ -123,9 +125,11 @@
         tasks
     }
 
-    /// Places one task that is charged to its team: on a ready machine, by preemption, as backfill, on a machine that
-    /// is being provisioned, or on an instance to be requested, in this order. `remaining` counts the job's tasks from
-    /// this one on.
+    /// Places one task that is already charged to its team.
+    ///
+    /// Tries, in this order, a ready machine, preemption, backfill, a machine that is being
+    /// provisioned, and an instance to be requested. `remaining` is the number of the job's tasks
+    /// to place, including this one.
     fn place_task(
         &mut self,
         index: u32,
@@ -175,7 +179,8 @@
         TaskOutcome::Placed
     }
 
-    /// Places one task if a ready machine has room and the team's limit allows it; false if not.
+    /// Places one task if it fits onto a ready machine and into the team's limit; returns false
+    /// otherwise.
     fn place_on_free_capacity(
         &mut self,
         index: u32,
@@ -196,7 +201,8 @@
         true
     }
 
-    /// Places the first task of a starving array on free room: nothing is requested or preempted for it.
+    /// Places the first task of a starving array on free resources. Nothing is requested or
+    /// preempted for it.
     pub(super) fn place_first_task(
         &mut self,
         id: &JobId,
@@ -210,7 +216,8 @@
         if request.is_crash_looping || self.check(job, index) != RestartDecision::Restart {
             return;
         }
-        // Most starving arrays wait for their team's limit: no bins are searched for them.
+        // Most starving arrays wait for their team's limit, so the limit is checked before bins are
+        // searched.
         if !snapshot.charge(&request, 1, &self.cfg.teams) {
             return;
         }
@@ -230,7 +237,8 @@
         self.record_binding(bin, id, index, has_image, snapshot, now);
     }
 
-    /// Notes a binding for the end of the cycle; room is reserved already.
+    /// Records a binding to be made at the end of the cycle. Its resources must be reserved
+    /// already.
     fn record_binding(
         &mut self,
         bin: usize,
