--- a/crates/hopyoke-scheduler/src/placement/instance_offers.rs
+++ b/crates/hopyoke-scheduler/src/placement/instance_offers.rs
@@ -1,4 +1,4 @@
-//! Instances that can be requested from the cloud, and the cheapest offer for a job.
+//! Instance offers of the cloud, and selection of the cheapest one for a job.
 
 use super::request::PlacementRequest;
 use super::snapshot::{Bin, ClusterSnapshot, InstanceOffer};
@@ -6,11 +6,14 @@
 use crate::autoscale::scale_out::Offer;
 use hopyoke_types::Micros;
 
-/// Factor on the price of a type that is the only choice of other work.
+/// Price factor for a type that is the only choice of other waiting work.
 const SOLE_CHOICE_PRICE_FACTOR: f64 = 1.25;
 
 impl ClusterSnapshot {
-    /// Index of the offer with the lowest cost per task, of at most `remaining` tasks to place; in `zone` only if given.
+    /// Returns the index of the offer with the lowest cost per task, restricted to `zone` if given.
+    ///
+    /// At most `remaining` tasks share the cost of an instance. Returns `None` if no offer
+    /// satisfies the job's constraints.
     pub(super) fn best_offer(
         &self,
         request: &PlacementRequest,
@@ -19,7 +22,7 @@
     ) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
         for (i, o) in self.offers.iter().enumerate() {
-            if !request.allowed_types[o.type_index]
+            if !request.eligible_types[o.type_index]
                 || (o.spot && !request.spec.spot)
                 || zone.is_some_and(|only| only != o.zone)
                 || request.zone.is_some_and(|only| only != o.zone)
@@ -27,27 +30,28 @@
             {
                 continue;
             }
-            let allocations = self.type_resources[o.type_index]
-                .holds(&request.task)
+            let tasks = self.type_resources[o.type_index]
+                .holds(&request.task_resources)
                 .min(remaining.max(1));
-            let avoided = self
-                .fragmentation
-                .avoids(o.type_index, request.type_choices);
+            let is_avoided = self
+                .sole_choice_types
+                .should_avoid(o.type_index, request.eligible_type_count);
             let cost = o.cost
-                * if avoided {
+                * if is_avoided {
                     SOLE_CHOICE_PRICE_FACTOR
                 } else {
                     1.0
                 }
-                / f64::from(allocations);
-            if allocations > 0 && best.is_none_or(|(c, _)| cost < c) {
+                / f64::from(tasks);
+            if tasks > 0 && best.is_none_or(|(c, _)| cost < c) {
                 best = Some((cost, i));
             }
         }
         best.map(|(_, i)| i)
     }
 
-    /// Adds one more instance to the demand, for tasks of the job. Returns its bin.
+    /// Adds an instance for tasks of the job to the demand. Returns its bin, or `None` if no offer
+    /// satisfies the job's constraints.
     pub(super) fn reserve_new_instance(
         &mut self,
         request: &PlacementRequest,
@@ -63,19 +67,20 @@
             o.spot,
             self.type_resources[o.type_index],
         ));
-        self.open.push(self.bins.len() - 1);
+        self.open_bins.push(self.bins.len() - 1);
         Some(self.bins.len() - 1)
     }
 }
 
 impl Scheduler {
-    /// Offers of the catalog, without those that the cloud refused lately and those in partitioned zones.
+    /// Returns the catalog's offers, except those that the cloud refused recently and those in
+    /// partitioned zones.
     pub(super) fn offers(&self, now: Micros) -> Vec<InstanceOffer> {
         let mut machines_by_zone = vec![0u32; self.cfg.zones.len() + 1];
         for m in self.machines.values() {
             machines_by_zone[self.cfg.zone_index(&m.zone)] += 1;
         }
-        let total = f64::from(machines_by_zone.iter().sum::<u32>().max(1));
+        let total_machines = f64::from(machines_by_zone.iter().sum::<u32>().max(1));
         let mut offers = Vec::new();
         for (type_index, t) in self.types.iter().enumerate() {
             let zones = if t.zones.is_empty() {
@@ -85,9 +90,9 @@
             };
             for z in zones {
                 let zone = self.cfg.zone_index(z);
-                // Zones that hold less of the fleet are slightly preferred.
+                // Spreads the fleet over zones: a zone's cost grows with its share of the machines.
                 let cost_factor = 1.0
-                    + self.tuning.zone_burden * f64::from(machines_by_zone[zone]) / total
+                    + self.tuning.zone_burden * f64::from(machines_by_zone[zone]) / total_machines
                     + 0.001 * t.boot_s;
                 for spot in [true, false] {
                     let price = if spot { t.spot_price } else { t.price };
--- a/crates/hopyoke-scheduler/src/placement/request.rs
+++ b/crates/hopyoke-scheduler/src/placement/request.rs
@@ -1,45 +1,50 @@
-//! One job's placement request: resources, constraints (filter), and its candidate machines (score).
+//! Placement request of one job: its resources, constraints (filter) and candidate machines
+//! (score).
 
 use super::queue::QueueItem;
 use super::snapshot::{Bin, ClusterSnapshot};
 use crate::Scheduler;
 use crate::ledger::ImageKey;
-use crate::placement::fragmentation::Fragmentation;
+use crate::placement::sole_choice::SoleChoiceTypes;
 use crate::resources::Resources;
 use hopyoke_protocol::user::{JobKind, JobSpec, Priority};
 use hopyoke_types::JobId;
 use std::rc::Rc;
 
-/// Resources and constraints of one job's tasks.
+/// Resources and constraints of a job's tasks.
 #[derive(Clone)]
 pub(super) struct PlacementRequest {
     pub(super) id: JobId,
     pub(super) spec: Rc<JobSpec>,
     /// Resources of one task.
-    pub(super) task: Resources,
+    pub(super) task_resources: Resources,
     pub(super) image: ImageKey,
-    /// Index of its team in the settings; `None`: unknown team, whose work is never started.
+    /// Index of the team in the settings. `None` for an unknown team, whose work is never started.
     pub(super) team: Option<usize>,
-    /// Index of the only zone allowed.
+    /// Index of the only permitted zone. `None` if the job may use any zone.
     pub(super) zone: Option<usize>,
-    /// Whether each type of the catalog is allowed and large enough, by its index.
-    pub(super) allowed_types: Vec<bool>,
-    /// Number of types that are allowed and large enough.
-    pub(super) type_choices: usize,
-    /// It failed on several machines, so that a machine on which it failed is not avoided.
+    /// Whether each catalog type, by index, is permitted for the job and large enough for a task.
+    pub(super) eligible_types: Vec<bool>,
+    /// Number of eligible types.
+    pub(super) eligible_type_count: usize,
+    /// Whether the job failed on several machines. Such a job may return to machines on which it
+    /// failed.
     pub(super) is_crash_looping: bool,
-    /// Spot machines are on offer: it leaves empty on-demand machines to work that needs them.
-    pub(super) spare_on_demand: bool,
-    /// Number of the job's placed tasks by zone index.
-    pub(super) zones: Vec<u32>,
+    /// Whether the job skips empty on-demand machines because spot instances are on offer, leaving
+    /// them to work that requires on-demand machines.
+    pub(super) avoid_empty_on_demand: bool,
+    /// Number of the job's placed tasks, by zone index.
+    pub(super) tasks_by_zone: Vec<u32>,
 }
 
 impl PlacementRequest {
-    /// The job's zone constraints allow one more task in this zone, given where its others are.
-    /// (Guards `wrong_place`.)
+    /// Returns whether the job's zone constraints permit another task in this zone, given the zones
+    /// of its placed tasks.
+    ///
+    /// Guards the invariant `wrong_place`.
     pub(super) fn zone_allows(&self, zone: usize) -> bool {
         let has_task_elsewhere = || {
-            self.zones
+            self.tasks_by_zone
                 .iter()
                 .enumerate()
                 .any(|(z, &count)| count > 0 && z != zone)
@@ -47,24 +52,26 @@
         if self.spec.one_zone && has_task_elsewhere() {
             return false;
         }
-        !self.spec.spread || self.zones[zone] < self.spec.tasks.div_ceil(2)
+        !self.spec.spread || self.tasks_by_zone[zone] < self.spec.tasks.div_ceil(2)
     }
 
-    /// Its candidates depend on the zones of its other tasks.
+    /// Returns whether the choice of a machine depends on the zones of the job's other tasks.
     pub(super) fn is_zone_sensitive(&self) -> bool {
         self.spec.one_zone || self.spec.spread || self.spec.kind == JobKind::Service
     }
 }
 
-/// Bins that one job may use, best first; one list per zone for a zone-sensitive job, else a single list.
+/// Candidate bins of one job, sorted by descending score: one list per zone for a zone-sensitive
+/// job, otherwise one list.
 pub(super) struct Candidates {
     lists: Vec<Vec<usize>>,
-    /// The first position of each list that may still have room.
+    /// For each list, the position of the first bin that may still fit a task.
     next: Vec<usize>,
 }
 
 impl Candidates {
-    /// The bin with the highest score that still has room, in a zone that the job's constraints allow.
+    /// Returns the highest-scoring bin that still fits a task, in a zone that the job's constraints
+    /// permit.
     pub(super) fn best(
         &mut self,
         request: &PlacementRequest,
@@ -75,7 +82,7 @@
         for (list, next) in self.lists.iter().zip(&mut self.next) {
             while list
                 .get(*next)
-                .is_some_and(|&b| !request.task.fits_in(&snapshot.bins[b].free))
+                .is_some_and(|&b| !request.task_resources.fits_in(&snapshot.bins[b].free))
             {
                 *next += 1;
             }
@@ -92,7 +99,7 @@
         best.map(|(_, b)| b)
     }
 
-    /// Puts a newly added bin before the others of its zone.
+    /// Inserts a newly added bin before the remaining candidates of its zone.
     pub(super) fn put_first(&mut self, bin: usize, zone: usize) {
         let list = zone.min(self.lists.len() - 1);
         let next = self.next[list];
@@ -101,35 +108,36 @@
 }
 
 impl Scheduler {
-    /// The placement request of a job; `None` for an unknown job.
-    pub(super) fn request(&self, id: &JobId) -> Option<PlacementRequest> {
+    /// Returns the placement request of a job, or `None` for an unknown job.
+    pub(super) fn placement_request(&self, id: &JobId) -> Option<PlacementRequest> {
         let job = self.jobs.get(id)?;
-        let allowed_types: Vec<bool> = self.types_holding(&job.spec).collect();
+        let eligible_types: Vec<bool> = self.type_eligibility(&job.spec).collect();
         let mut request = PlacementRequest {
             id: id.clone(),
             spec: job.spec.clone(),
-            task: job.task_resources,
+            task_resources: job.task_resources,
             image: job.image,
             team: self.team_index(&job.spec.team),
             zone: job.spec.zone.as_ref().map(|z| self.cfg.zone_index(z)),
-            type_choices: allowed_types.iter().filter(|fits| **fits).count(),
-            allowed_types,
+            eligible_type_count: eligible_types.iter().filter(|fits| **fits).count(),
+            eligible_types,
             is_crash_looping: job.is_crash_looping(self.tuning.suspect_after),
-            spare_on_demand: false,
-            zones: vec![0; self.cfg.zones.len() + 1],
+            avoid_empty_on_demand: false,
+            tasks_by_zone: vec![0; self.cfg.zones.len() + 1],
         };
         if request.is_zone_sensitive() {
             for (machine, _) in job.attempts.values().flatten() {
                 if let Some(m) = self.machines.get(machine) {
-                    request.zones[self.cfg.zone_index(&m.zone)] += 1;
+                    request.tasks_by_zone[self.cfg.zone_index(&m.zone)] += 1;
                 }
             }
         }
         Some(request)
     }
 
-    /// Whether each type of the catalog is allowed for the job and holds a task of it.
-    fn types_holding(&self, spec: &JobSpec) -> impl Iterator<Item = bool> {
+    /// Returns for each catalog type whether it is permitted for the job and large enough for a
+    /// task.
+    fn type_eligibility(&self, spec: &JobSpec) -> impl Iterator<Item = bool> {
         let task = Resources::of_task(spec);
         self.types.iter().map(move |t| {
             spec.types
@@ -139,53 +147,54 @@
         })
     }
 
-    /// Types that are the only choice of some waiting job.
-    pub(super) fn fragmentation(&self, queue: &[QueueItem]) -> Fragmentation {
-        let mut fragmentation = Fragmentation::new(self.types.len());
+    /// Returns the types that are the only choice of some waiting job.
+    pub(super) fn sole_choice_types(&self, queue: &[QueueItem]) -> SoleChoiceTypes {
+        let mut sole_choice_types = SoleChoiceTypes::new(self.types.len());
         for job in queue.iter().filter_map(|item| self.jobs.get(&item.job)) {
-            fragmentation.add(
-                self.types_holding(&job.spec)
+            sole_choice_types.add(
+                self.type_eligibility(&job.spec)
                     .enumerate()
                     .filter(|(_, fits)| *fits)
                     .map(|(type_index, _)| type_index),
             );
         }
-        fragmentation
+        sole_choice_types
     }
 
-    /// Filter: the job may use this machine, room and zone balance aside.
+    /// Returns whether the job may use this machine, not considering free resources and zone
+    /// balance.
     pub(super) fn passes_filters(&self, request: &PlacementRequest, bin: &Bin) -> bool {
-        request.allowed_types[bin.type_index]
+        request.eligible_types[bin.type_index]
             && request.zone.is_none_or(|z| z == bin.zone)
             && (request.spec.spot || !bin.spot)
-            && !(request.spare_on_demand && !bin.spot && bin.empty)
+            && !(request.avoid_empty_on_demand && !bin.spot && bin.empty)
             && !(bin.partitioned && request.spec.priority == Priority::Production)
             && (request.is_crash_looping || !bin.has_failures || !self.failed_on(bin, &request.id))
     }
 
-    /// Some task of the job failed on the machine.
+    /// Returns whether a task of the job failed on the machine.
     fn failed_on(&self, bin: &Bin, job: &JobId) -> bool {
         let machine = bin.machine.as_ref().and_then(|m| self.machines.get(m));
         machine.is_some_and(|m| m.failed_jobs.contains(job))
     }
 
-    /// Filters and scores the open bins: those with room for a task of the job, in `zone` only if it is given.
+    /// Filters and scores the open bins that fit a task of the job, restricted to `zone` if given.
     pub(super) fn candidates(
         &self,
         request: &PlacementRequest,
         snapshot: &ClusterSnapshot,
         zone: Option<usize>,
     ) -> Candidates {
-        self.add_visited(snapshot.open.len());
+        self.add_visited(snapshot.open_bins.len());
         let zones = if request.is_zone_sensitive() {
             self.cfg.zones.len() + 1
         } else {
             1
         };
         let mut scored: Vec<Vec<(f64, usize)>> = vec![Vec::new(); zones];
-        for &i in &snapshot.open {
+        for &i in &snapshot.open_bins {
             let b = &snapshot.bins[i];
-            if request.task.fits_in(&b.free)
+            if request.task_resources.fits_in(&b.free)
                 && zone.is_none_or(|z| z == b.zone)
                 && self.passes_filters(request, b)
             {
--- a/crates/hopyoke-scheduler/src/placement/snapshot.rs
+++ b/crates/hopyoke-scheduler/src/placement/snapshot.rs
@@ -1,15 +1,16 @@
-//! The cluster as one placement cycle sees it: machines as bins, instance offers, and use of teams' limits.
+//! Snapshot of the cluster for one placement cycle: machines as bins, instance offers and team
+//! usage.
 //!
-//! Reservations of the cycle are made in the snapshot; the ledger changes only when tasks are bound.
+//! A cycle makes its reservations in the snapshot. The ledger changes only when tasks are bound.
 
 use super::queue::QueueItem;
 use super::request::PlacementRequest;
-use super::{Binding, TaskKey};
+use super::{AttemptKey, Binding};
 use crate::Scheduler;
 use crate::autoscale::provisioning::ProvisioningState;
 use crate::autoscale::scale_out::{Demand, Offer};
 use crate::ledger::{ImageKey, Machine, MachinePhase};
-use crate::placement::fragmentation::Fragmentation;
+use crate::placement::sole_choice::SoleChoiceTypes;
 use crate::resources::{Resources, Team};
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::{JobId, MachineId, Micros};
@@ -17,56 +18,59 @@
 use std::ops::Range;
 use tracing::debug;
 
-/// Attempts that one machine may hold, ended ones included. An agent lists each attempt in about 90 characters until
-/// its end is recorded, and a heartbeat may have 64 KiB. (Guards against a heartbeat that no node accepts, so that the
-/// lease expires: large machines full of tiny tasks; scenario tiny_tasks.)
+/// Maximum number of attempts per machine, including ended ones.
+///
+/// An agent lists each attempt in about 90 characters until its end is recorded, and a heartbeat is
+/// limited to 64 KiB. Guards against heartbeats that every node rejects as too large, which would
+/// let the machine's lease expire: large machines with many tiny tasks. (Scenario `tiny_tasks`.)
 const MAX_REPORTED_ATTEMPTS: usize = 560;
 
-/// A machine, or an instance yet to be requested.
+/// A machine, or an instance that is yet to be requested.
 pub(super) struct Bin {
-    /// `None`: no machine yet.
+    /// The machine's id. `None` for an instance that has not been requested or confirmed yet.
     pub(super) machine: Option<MachineId>,
-    /// Tasks can be started on it now.
+    /// Whether tasks can be started on it now.
     pub(super) ready: bool,
     /// Index of its type in the catalog.
     pub(super) type_index: usize,
-    /// Index of its zone in the settings; one past the last for an unknown zone.
+    /// Index of its zone in the settings. An unknown zone has the index after the last one.
     pub(super) zone: usize,
     pub(super) spot: bool,
     pub(super) free: Resources,
-    /// It has no live attempt.
+    /// Whether it has no live attempt.
     pub(super) empty: bool,
-    /// Attempts that its agent's heartbeat still has room for.
-    pub(super) report_capacity: usize,
-    /// Replicas of services on it, which stay long.
+    /// Number of further attempts that its agent's heartbeat can list.
+    pub(super) heartbeat_capacity: usize,
+    /// Number of service replicas on it.
     pub(super) replicas: u32,
-    /// Resources of attempts whose immediate stop is commanded.
+    /// Resources of attempts that are being stopped immediately.
     pub(super) freeing: Resources,
     /// Resources of attempts that production work may preempt.
     pub(super) preemptible: Resources,
-    /// Its images, as a range of the snapshot's list.
+    /// Range of its images in [`ClusterSnapshot::images`].
     pub(super) images: Range<usize>,
-    /// The image of the task that this cycle reserved room for last.
+    /// Image of the latest task that this cycle placed on it.
     pub(super) last_image: Option<ImageKey>,
-    /// Tasks of some job failed on it.
+    /// Whether tasks of some job failed on it.
     pub(super) has_failures: bool,
-    /// Its lease expired while its zone is partitioned, and it may be back: production work does not wait for that.
+    /// Whether its lease expired in a partitioned zone. It may come back, but production work
+    /// doesn't wait for it.
     pub(super) partitioned: bool,
-    /// This cycle counts on it: it must not be scaled in.
+    /// Whether this cycle relies on it, so that it must not be scaled in.
     pub(super) reserved: bool,
-    /// Room reserved for a gang that short tasks may use until then.
-    pub(super) backfill_room: Option<BackfillRoom>,
+    /// Resources reserved for a gang that short tasks may use in the meantime.
+    pub(super) backfill_capacity: Option<BackfillCapacity>,
 }
 
-/// Room reserved for a gang that can't begin yet.
+/// Resources reserved for a gang that can't start yet.
 #[derive(Clone, Copy)]
-pub(super) struct BackfillRoom {
+pub(super) struct BackfillCapacity {
     pub(super) free: Resources,
-    /// Seconds until the gang is expected to have all its room.
+    /// Seconds until all machines of the gang are expected to be free.
     pub(super) available_s: f64,
 }
 
-/// A kind of instance that the cloud sells.
+/// A machine type that the cloud offers in one zone, as spot or on-demand instance.
 pub(super) struct InstanceOffer {
     pub(super) offer: Offer,
     /// Index of its type in the catalog.
@@ -74,78 +78,78 @@
     /// Index of its zone in the settings.
     pub(super) zone: usize,
     pub(super) spot: bool,
-    /// Price, raised for a zone that holds much of the fleet and for long provisioning.
+    /// Price, increased by the zone's share of the fleet and by the type's boot time.
     pub(super) cost: f64,
 }
 
-/// Room that running tasks are expected to free before a new instance could be ready.
-pub(super) struct ExpectedRoom {
+/// Resources that running tasks are expected to free before a new instance would be ready.
+pub(super) struct ExpectedCapacity {
     pub(super) type_index: usize,
     pub(super) zone: usize,
     pub(super) spot: bool,
-    pub(super) room: Resources,
+    pub(super) resources: Resources,
 }
 
-/// The first task of a starving array, placed before the array's regular turn.
+/// The first task of a starving array, placed ahead of the array's regular position.
 #[derive(Clone, Copy)]
 pub(super) struct EarlyStart {
     pub(super) index: u32,
     pub(super) zone: usize,
 }
 
-/// The cluster during one cycle, with the cycle's reservations and results.
+/// The cluster during one cycle, including the cycle's reservations and results.
 pub(super) struct ClusterSnapshot {
     pub(super) bins: Vec<Bin>,
-    /// Indices of bins that had room for the smallest waiting task, and of all new ones.
-    pub(super) open: Vec<usize>,
+    /// Indices of bins that fit the smallest waiting task, and of all bins added during the cycle.
+    pub(super) open_bins: Vec<usize>,
     /// Images of all machines; see [`Bin::images`].
     pub(super) images: Vec<ImageKey>,
-    /// Capacity of a machine of each type in the catalog.
+    /// Total resources of a machine of each catalog type.
     pub(super) type_resources: Vec<Resources>,
     pub(super) offers: Vec<InstanceOffer>,
-    /// Instances to be requested, by index of `offers`.
+    /// Number of instances to request, by index in `offers`.
     pub(super) demand: Vec<u32>,
-    /// Resources charged to each team, by its index in the settings.
-    pub(super) used: Vec<Resources>,
-    /// Some live allocation is orphaned: the ledger doesn't know its job.
-    pub(super) orphaned: bool,
-    /// Room is reserved for gangs; now and then a cycle reserves none.
+    /// Resources charged to each team, by index in the settings.
+    pub(super) team_usage: Vec<Resources>,
+    /// Whether some live allocation is orphaned, that is, its job is not in the ledger.
+    pub(super) has_orphans: bool,
+    /// Whether this cycle reserves resources for gangs; see [`super::reservation::Reservations`].
     pub(super) reservations_enabled: bool,
     pub(super) bindings: Vec<Binding>,
     pub(super) early_starts: BTreeMap<JobId, EarlyStart>,
-    /// Attempts to be stopped for production work.
-    pub(super) victims: Vec<(MachineId, TaskKey)>,
-    /// Gangs that have reserved machines.
-    pub(super) reservations: usize,
-    /// Searches for room by preemption.
+    /// Attempts to be preempted for production work.
+    pub(super) victims: Vec<(MachineId, AttemptKey)>,
+    /// Number of gangs for which this cycle has reserved machines or searched for them.
+    pub(super) gang_reservations: usize,
+    /// Number of preemption searches so far.
     pub(super) preempt_searches: usize,
-    /// Indices of bins with backfill room.
+    /// Indices of bins with backfill capacity.
     pub(super) backfill_bins: Vec<usize>,
-    /// `None`: not estimated yet.
-    pub(super) expected_room: Option<Vec<ExpectedRoom>>,
-    pub(super) fragmentation: Fragmentation,
+    /// Resources expected to be freed. `None` until first needed.
+    pub(super) expected_capacity: Option<Vec<ExpectedCapacity>>,
+    pub(super) sole_choice_types: SoleChoiceTypes,
 }
 
-/// What a reservation changes in a bin; see [`Bin::restore`].
+/// The fields of a bin that a reservation modifies; see [`Bin::restore`].
 pub(super) struct BinState {
     free: Resources,
     empty: bool,
-    report_capacity: usize,
+    heartbeat_capacity: usize,
     replicas: u32,
     last_image: Option<ImageKey>,
     reserved: bool,
 }
 
-/// Machines of one kind, for the log line about the fleet's use.
+/// Aggregate figures for a set of machines, for the fleet usage log line.
 #[derive(Default)]
-struct Usage {
+struct FleetUsage {
     machines: u32,
     gpus: f64,
     free_gpus: f64,
 }
 
 impl Bin {
-    /// An instance that has not been provisioned yet, with all of its capacity free.
+    /// Returns a bin for an instance that has not been provisioned yet, with all resources free.
     pub(super) fn requested(type_index: usize, zone: usize, spot: bool, total: Resources) -> Bin {
         Bin {
             machine: None,
@@ -155,7 +159,7 @@
             spot,
             free: total,
             empty: true,
-            report_capacity: MAX_REPORTED_ATTEMPTS,
+            heartbeat_capacity: MAX_REPORTED_ATTEMPTS,
             replicas: 0,
             freeing: Resources::default(),
             preemptible: Resources::default(),
@@ -164,27 +168,27 @@
             has_failures: false,
             partitioned: false,
             reserved: false,
-            backfill_room: None,
+            backfill_capacity: None,
         }
     }
 
-    /// What a reservation would change, to undo it.
+    /// Returns the fields that a reservation modifies, to undo it later.
     pub(super) fn state(&self) -> BinState {
         BinState {
             free: self.free,
             empty: self.empty,
-            report_capacity: self.report_capacity,
+            heartbeat_capacity: self.heartbeat_capacity,
             replicas: self.replicas,
             last_image: self.last_image,
             reserved: self.reserved,
         }
     }
 
-    /// Undoes reservations made since `state` was taken.
+    /// Undoes the reservations made since `state` was taken.
     pub(super) fn restore(&mut self, state: BinState) {
         self.free = state.free;
         self.empty = state.empty;
-        self.report_capacity = state.report_capacity;
+        self.heartbeat_capacity = state.heartbeat_capacity;
         self.replicas = state.replicas;
         self.last_image = state.last_image;
         self.reserved = state.reserved;
@@ -192,17 +196,18 @@
 }
 
 impl ClusterSnapshot {
-    /// The machine has the image or fetches it, tasks of this cycle included.
+    /// Returns whether the machine has the image or is fetching it, including for tasks placed in
+    /// this cycle.
     pub(super) fn has_image(&self, bin: &Bin, image: ImageKey) -> bool {
         bin.last_image == Some(image) || self.had_image_before_cycle(bin, image)
     }
 
-    /// As [`ClusterSnapshot::has_image`], without what this cycle starts.
+    /// Returns whether the machine had the image or was fetching it before this cycle.
     pub(super) fn had_image_before_cycle(&self, bin: &Bin, image: ImageKey) -> bool {
         self.images[bin.images.clone()].contains(&image)
     }
 
-    /// Scores a bin for a task of the job; the highest is the best.
+    /// Scores a bin for a task of the job; higher is better.
     pub(super) fn score(&self, request: &PlacementRequest, bin: &Bin) -> f64 {
         let mut score = 0.0;
         if bin.ready {
@@ -211,37 +216,41 @@
         if self.has_image(bin, request.image) {
             score += 100.0;
         }
-        // Work that may use spot machines leaves on-demand ones to work that may not.
+        // Leaves on-demand machines to work that must not run on spot machines.
         if bin.spot {
             score += 50.0;
         }
         if !bin.empty {
             score += 20.0;
         }
-        // Work that can run on several types leaves this one to work that can't.
+        // Leaves types that are the only choice of other work to that work.
         if self
-            .fragmentation
-            .avoids(bin.type_index, request.type_choices)
+            .sole_choice_types
+            .should_avoid(bin.type_index, request.eligible_type_count)
         {
             score -= 60.0;
         }
         if request.spec.kind == JobKind::Service {
-            // Replicas stay long: packed together they leave whole machines to gangs and to scale-in. Spread over
-            // zones, the loss of one zone takes few of a job's.
+            // Replicas are long-running. Packing them together keeps whole machines free for gangs
+            // and scale-in; spreading a job's replicas over zones limits the effect of a zone
+            // failure.
             if bin.replicas > 0 {
                 score += 70.0;
             }
-            score -= 30.0 * f64::from(request.zones[bin.zone]);
+            score -= 30.0 * f64::from(request.tasks_by_zone[bin.zone]);
         }
-        // Best fit.
-        score - (bin.free.gpus - request.task.gpus) - (bin.free.cpus - request.task.cpus) / 16.0
+        // Best fit: prefers the least resources left over.
+        score
+            - (bin.free.gpus - request.task_resources.gpus)
+            - (bin.free.cpus - request.task_resources.cpus) / 16.0
     }
 
-    /// Logs the use of the fleet once this cycle's tasks run, to show what is paid for in vain.
+    /// Logs fleet usage as it will be once this cycle's tasks run, to show idle capacity that is
+    /// paid for.
     pub(super) fn log_usage(&self) {
         let sum = |filter: &dyn Fn(&&Bin) -> bool| {
             let bins = self.bins.iter().filter(filter);
-            bins.fold(Usage::default(), |sum, b| Usage {
+            bins.fold(FleetUsage::default(), |sum, b| FleetUsage {
                 machines: sum.machines + 1,
                 gpus: sum.gpus + self.type_resources[b.type_index].gpus,
                 free_gpus: sum.free_gpus + b.free.gpus,
@@ -266,7 +275,8 @@
         );
     }
 
-    /// Charges `count` tasks to their team; false, with nothing charged, if that exceeds its limit.
+    /// Charges `count` tasks to their team. Returns false and charges nothing if this exceeds the
+    /// team's limit or the team is unknown.
     pub(super) fn charge(
         &mut self,
         request: &PlacementRequest,
@@ -276,48 +286,50 @@
         let Some(team) = request.team else {
             return false;
         };
-        let sum = self.used[team] + request.task.times(f64::from(count));
+        let sum = self.team_usage[team] + request.task_resources.times(f64::from(count));
         if !teams[team].allows(&sum) {
             return false;
         }
-        self.used[team] = sum;
+        self.team_usage[team] = sum;
         true
     }
 
-    /// Takes back a charge of `count` tasks.
+    /// Reverts a charge of `count` tasks.
     pub(super) fn refund(&mut self, request: &PlacementRequest, count: u32) {
         if let Some(team) = request.team {
-            self.used[team] = self.used[team] - request.task.times(f64::from(count));
+            self.team_usage[team] =
+                self.team_usage[team] - request.task_resources.times(f64::from(count));
         }
     }
 
-    /// Releases room reserved on ready machines for a gang whose other machines are still being provisioned.
+    /// Releases resources reserved on ready machines, and the charged quota, for a gang whose other
+    /// machines are still being provisioned.
     pub(super) fn release_ready(&mut self, request: &PlacementRequest, bins: &[usize]) {
         for &bin in bins {
             let b = &mut self.bins[bin];
             if b.ready {
-                b.free = b.free + request.task;
+                b.free = b.free + request.task_resources;
             }
         }
         self.refund(request, bins.len() as u32);
     }
 
-    /// Reserves room for one task of the job.
+    /// Reserves resources for one task of the job.
     pub(super) fn reserve(&mut self, bin: usize, request: &mut PlacementRequest) {
         let b = &mut self.bins[bin];
-        b.free = b.free - request.task;
+        b.free = b.free - request.task_resources;
         b.empty = false;
-        b.report_capacity = b.report_capacity.saturating_sub(1);
-        if b.report_capacity == 0 {
+        b.heartbeat_capacity = b.heartbeat_capacity.saturating_sub(1);
+        if b.heartbeat_capacity == 0 {
             b.free = Resources::default();
         }
         b.replicas += u32::from(request.spec.kind == JobKind::Service);
         b.last_image = Some(request.image);
         b.reserved = true;
-        request.zones[b.zone] += 1;
+        request.tasks_by_zone[b.zone] += 1;
     }
 
-    /// Instances to be requested, and machines that must stay.
+    /// Returns the instances to request and the machines that must not be scaled in.
     pub(super) fn into_demand(self) -> Demand {
         let offers = self
             .offers
@@ -337,31 +349,31 @@
 }
 
 impl Scheduler {
-    /// The cluster as it is now, before any reservation of this cycle.
+    /// Takes a snapshot of the cluster without any reservations of this cycle.
     pub(super) fn take_snapshot(&mut self, queue: &[QueueItem], now: Micros) -> ClusterSnapshot {
         let mut snapshot = ClusterSnapshot {
             bins: Vec::with_capacity(self.machines.len() + 64),
-            open: Vec::new(),
+            open_bins: Vec::new(),
             images: Vec::new(),
             type_resources: self.types.iter().map(Resources::of_type).collect(),
             offers: self.offers(now),
             demand: Vec::new(),
-            used: vec![Resources::default(); self.cfg.teams.len()],
-            orphaned: false,
+            team_usage: vec![Resources::default(); self.cfg.teams.len()],
+            has_orphans: false,
             reservations_enabled: self.reservations.should_reserve(now),
             bindings: Vec::new(),
             early_starts: BTreeMap::new(),
             victims: Vec::new(),
-            reservations: 0,
+            gang_reservations: 0,
             preempt_searches: 0,
             backfill_bins: Vec::new(),
-            expected_room: None,
-            fragmentation: self.fragmentation(queue),
+            expected_capacity: None,
+            sole_choice_types: self.sole_choice_types(queue),
         };
         snapshot.demand = vec![0; snapshot.offers.len()];
         self.add_machines(&mut snapshot, now);
         self.add_pending_scale_outs(&mut snapshot);
-        // Bins without room even for the smallest waiting task are not searched again.
+        // Bins that can't fit even the smallest waiting task are excluded from all searches.
         let smallest_task = queue
             .iter()
             .filter_map(|item| self.jobs.get(&item.job))
@@ -372,14 +384,14 @@
                 memory_gb: a.memory_gb.min(b.memory_gb),
             });
         if let Some(smallest_task) = smallest_task {
-            snapshot.open = (0..snapshot.bins.len())
+            snapshot.open_bins = (0..snapshot.bins.len())
                 .filter(|&i| smallest_task.fits_in(&snapshot.bins[i].free))
                 .collect();
         }
         snapshot
     }
 
-    /// Charges all live attempts to their teams, and adds the machines that may get tasks.
+    /// Charges all live attempts to their teams, and adds the machines that accept tasks.
     fn add_machines(&mut self, snapshot: &mut ClusterSnapshot, now: Micros) {
         let heartbeat_timeout = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(2);
         let Scheduler {
@@ -391,13 +403,13 @@
         } = self;
         for m in machines.values_mut() {
             let load = m.load(&cfg.teams);
-            snapshot.orphaned |= load.has_orphans;
+            snapshot.has_orphans |= load.has_orphans;
             for (team, amounts) in &load.used_by_team {
-                let used = &mut snapshot.used[usize::from(*team)];
+                let used = &mut snapshot.team_usage[usize::from(*team)];
                 *used = *used + *amounts;
             }
             let fresh = m.phase == MachinePhase::Up && now < m.last_seen + heartbeat_timeout;
-            if (m.phase == MachinePhase::Up && !fresh) || !may_get_tasks(m, now) {
+            if (m.phase == MachinePhase::Up && !fresh) || !accepts_new_tasks(m, now) {
                 continue;
             }
             let Some(type_index) = types.iter().position(|t| t.name == m.machine_type) else {
@@ -406,7 +418,7 @@
             let Some(load) = m.cached_load() else {
                 continue;
             };
-            let report_capacity = MAX_REPORTED_ATTEMPTS.saturating_sub(m.allocations().len());
+            let heartbeat_capacity = MAX_REPORTED_ATTEMPTS.saturating_sub(m.allocations().len());
             let first_image = snapshot.images.len();
             snapshot.images.extend_from_slice(&load.images);
             snapshot.bins.push(Bin {
@@ -415,13 +427,13 @@
                 type_index,
                 zone: cfg.zone_index(&m.zone),
                 spot: m.spot,
-                free: if report_capacity > 0 {
+                free: if heartbeat_capacity > 0 {
                     snapshot.type_resources[type_index] - load.used
                 } else {
                     Resources::default()
                 },
                 empty: load.live_attempts == 0,
-                report_capacity,
+                heartbeat_capacity,
                 replicas: load.service_replicas,
                 freeing: load.freeing,
                 preemptible: load.preemptible,
@@ -430,12 +442,12 @@
                 has_failures: !m.failed_jobs.is_empty(),
                 partitioned: m.phase == MachinePhase::Lost,
                 reserved: false,
-                backfill_room: None,
+                backfill_capacity: None,
             });
         }
     }
 
-    /// Adds the instances that are being requested right now.
+    /// Adds the instances of scale-out requests that are in progress.
     fn add_pending_scale_outs(&self, snapshot: &mut ClusterSnapshot) {
         for (offer, count) in self.pending_scale_outs.open() {
             if let Some(type_index) = self.types.iter().position(|t| t.name == offer.machine_type) {
@@ -453,8 +465,8 @@
     }
 }
 
-/// Nothing known of the machine speaks against new tasks on it.
-fn may_get_tasks(m: &Machine, now: Micros) -> bool {
+/// Returns whether the machine's state permits new tasks, now or once it is up.
+fn accepts_new_tasks(m: &Machine, now: Micros) -> bool {
     let is_provisioning_overdue =
         m.phase == MachinePhase::Provisioning && m.provisioning != ProvisioningState::Awaited;
     !(m.deleting
