--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -3,7 +3,7 @@
 use super::deadline::RequestDeadline;
 use crate::node::{Leadership, Node};
 use crate::store::client::{PrioritizedClient, TransactionOutcome};
-use crate::store::error::StateError;
+use crate::store::error::StoreError;
 use crate::store::records::{self, Lookup, lookup, lookup_ended};
 use hopyoke_admission::RetryAfter;
 use hopyoke_consistency::deadline::{FORWARD_TO_LEADER_TIMEOUT, leaders_share};
@@ -242,7 +242,7 @@
     }
 }
 
-async fn poll(node: &Node, id: &JobId, deadline: RequestDeadline) -> Result<Response, StateError> {
+async fn poll(node: &Node, id: &JobId, deadline: RequestDeadline) -> Result<Response, StoreError> {
     if let Some(end) = node.terminal_states.get(id) {
         return Ok(finished(id, end));
     }
@@ -279,14 +279,14 @@
     leadership: &Leadership,
     id: &JobId,
     deadline: RequestDeadline,
-) -> Result<Response, StateError> {
+) -> Result<Response, StoreError> {
     let is_confirmed = leadership.has_unfinished(id)
         && leadership.wait_until_confirmed(deadline.at()).await
         && leadership.has_unfinished(id);
     if is_confirmed {
         Ok(unfinished(Some(leadership), id, None))
     } else {
-        Err(StateError::DeadlineExceeded)
+        Err(StoreError::DeadlineExceeded)
     }
 }
 
@@ -335,7 +335,7 @@
     node: &Rc<Node>,
     spec: JobSpec,
     deadline: RequestDeadline,
-) -> Result<Response, StateError> {
+) -> Result<Response, StoreError> {
     let id = spec.id.clone();
     if let Some(end) = node.terminal_states.get(&id).filter(|e| !e.flow) {
         return Ok(finished(&id, end));
@@ -356,7 +356,7 @@
     let record = JobRecord::accepted(spec, runtime::time_of_day().0);
     let client = node.store.accepting().by(deadline.at());
     let end = match records::accept(node, client, record, Vec::new()).await {
-        Err(e @ StateError::DeadlineExceeded) => return Err(e),
+        Err(e @ StoreError::DeadlineExceeded) => return Err(e),
         Err(e) if e.is_refusal() && node.store.answers() => {
             return Ok(rejected(node.admission.reject(node, &id, &team)));
         }
@@ -389,7 +389,7 @@
     node: &Rc<Node>,
     id: &JobId,
     deadline: RequestDeadline,
-) -> Result<Response, StateError> {
+) -> Result<Response, StoreError> {
     let client = node.store.cancelling().by(deadline.at());
     Ok(match records::cancel(node, client, id).await? {
         Some(Lookup::Finished(end)) => finished(id, end),
--- a/crates/hopyoke/src/leadership/backoff.rs
+++ b/crates/hopyoke/src/leadership/backoff.rs
@@ -1,6 +1,6 @@
 //! Random delays and bounded retries of requests to the key-value store.
 
-use crate::store::error::StateError;
+use crate::store::error::StoreError;
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use tracing::debug;
@@ -18,7 +18,7 @@
 pub(super) async fn retry<T, F, G>(mut request: F) -> Option<T>
 where
     F: FnMut() -> G,
-    G: Future<Output = Result<T, StateError>>,
+    G: Future<Output = Result<T, StoreError>>,
 {
     for _ in 0..MAX_ATTEMPTS {
         match request().await {
--- a/crates/hopyoke/src/leadership/candidacy.rs
+++ b/crates/hopyoke/src/leadership/candidacy.rs
@@ -1,6 +1,6 @@
 //! What a node is doing about leadership, and why it does not lead.
 
-use crate::store::error::StateError;
+use crate::store::error::StoreError;
 use hopyoke_types::Micros;
 use std::fmt;
 
@@ -14,7 +14,7 @@
     /// Another node leads.
     Following(String),
     /// The leader key could not be read.
-    LeaderUnknown(StateError),
+    LeaderUnknown(StoreError),
     /// It refrains from campaigning, in microseconds of its monotonic clock: it supports a peer's lease, or its former
     /// process may, or it stepped down.
     Refraining {
@@ -24,7 +24,7 @@
     /// It campaigns.
     Campaigning,
     /// Its campaign failed.
-    CampaignFailed(StateError),
+    CampaignFailed(StoreError),
     /// Another node was faster, or holds the key.
     Defeated,
     /// Its campaign may still succeed: it releases the lease before it does anything else.
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -8,8 +8,8 @@
 use super::term::{self, HeldLease, TermEnd};
 use crate::node::Node;
 use crate::store::client::TransactionOutcome;
-use crate::store::error::StateError;
-use crate::store::keys::{LEADER, shard_key};
+use crate::store::error::StoreError;
+use crate::store::keys::{LEADER_KEY, shard_key};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, Mutation};
 use hopyoke_types::{FencingToken, Micros, ModRevision};
@@ -46,7 +46,7 @@
     /// Another node was faster.
     Defeated,
     /// The lease was not granted, or the write was refused.
-    Failed(StateError),
+    Failed(StoreError),
     /// No answer: the write may still be executed while this lease lives.
     OutcomeUnknown {
         lease: u64,
@@ -110,7 +110,7 @@
             .node
             .store
             .critical()
-            .get::<LeaseHolder>(LEADER)
+            .get::<LeaseHolder>(LEADER_KEY)
             .await
             .inspect_err(|e| {
                 debug!(error = %e, "leader key not read");
@@ -146,7 +146,7 @@
             .node
             .store
             .critical()
-            .watch::<LeaseHolder>(LEADER, observed.mod_revision.0.max(1), timeout)
+            .watch::<LeaseHolder>(LEADER_KEY, observed.mod_revision.0.max(1), timeout)
             .await;
         if watched.is_err() {
             runtime::sleep(Micros::from_millis(200) + jitter(Micros::from_millis(300))).await;
@@ -210,7 +210,7 @@
     let mutations = leader_mutations(node, identity, lease);
     let outcome = loop {
         let compares = vec![Compare {
-            key: LEADER.to_owned(),
+            key: LEADER_KEY.to_owned(),
             mod_revision: observed,
         }];
         // An answer that came after the lease's end would be worth nothing.
@@ -250,7 +250,7 @@
 
 fn leader_mutations(node: &Node, identity: &LeaseHolder, lease: u64) -> Vec<Mutation<LeaseHolder>> {
     let shard_keys = node.config.zones.iter().map(|zone| shard_key(zone));
-    std::iter::once(LEADER.to_owned())
+    std::iter::once(LEADER_KEY.to_owned())
         .chain(shard_keys)
         .map(|key| Mutation::Put {
             key,
--- a/crates/hopyoke/src/leadership/failover.rs
+++ b/crates/hopyoke/src/leadership/failover.rs
@@ -3,7 +3,7 @@
 use super::backoff::retry;
 use crate::node::Node;
 use crate::operations::{settings, staffed_hours};
-use crate::store::keys::{JOBS, REGISTRY};
+use crate::store::keys::{JOB_PREFIX, REGISTRY_PREFIX};
 use crate::store::watch::job_of;
 use futures_util::future::join;
 use hopyoke_event_loop as runtime;
@@ -28,8 +28,8 @@
     // Side by side, for the store may be slow: only this node writes pages from the grant on, so their order is of no
     // account.
     let (pages, jobs) = join(
-        retry(|| node.store.critical().list::<RegistryPage>(REGISTRY)),
-        retry(|| node.store.critical().list::<JobRecord>(JOBS)),
+        retry(|| node.store.critical().list::<RegistryPage>(REGISTRY_PREFIX)),
+        retry(|| node.store.critical().list::<JobRecord>(JOB_PREFIX)),
     )
     .await;
     let (pages, jobs) = (pages?, jobs?);
@@ -55,7 +55,7 @@
 fn registry_page_of(
     pair: KeyValue<RegistryPage>,
 ) -> Option<(String, ModRevision, Option<RegistryPage>)> {
-    let key = pair.key.strip_prefix(REGISTRY)?.to_owned();
+    let key = pair.key.strip_prefix(REGISTRY_PREFIX)?.to_owned();
     let page = pair.value.readable();
     if page.is_none() {
         warn!(page = %key, "registry page unreadable");
--- a/crates/hopyoke/src/leadership/keep_alive.rs
+++ b/crates/hopyoke/src/leadership/keep_alive.rs
@@ -1,7 +1,7 @@
 //! Renewal of the leader lease for as long as a term lasts.
 
 use crate::node::Node;
-use crate::store::error::StateError;
+use crate::store::error::StoreError;
 use hopyoke_admission::RequestPriority;
 use hopyoke_consistency::latency::RequestKind;
 use hopyoke_consistency::leader_lease::{LeaderLease, renewal_interval, renewal_repeat_interval};
@@ -91,7 +91,7 @@
         renewal.ended.notify();
     }
 
-    fn renewal_ended(&self, sent_at: Micros, result: Result<(), StateError>) -> RenewalOutcome {
+    fn renewal_ended(&self, sent_at: Micros, result: Result<(), StoreError>) -> RenewalOutcome {
         match result {
             Ok(()) => {
                 trace!(lease = self.lease, "leader lease renewed");
@@ -99,7 +99,7 @@
                 self.lease_changed.notify();
                 RenewalOutcome::Renewed
             }
-            Err(StateError::Gone) => {
+            Err(StoreError::Gone) => {
                 warn!(lease = self.lease, "leader lease gone");
                 self.cancel.cancel();
                 self.lease_changed.notify();
--- a/crates/hopyoke/src/leadership/record_writer.rs
+++ b/crates/hopyoke/src/leadership/record_writer.rs
@@ -4,8 +4,10 @@
 
 use crate::node::{Leadership, Node};
 use crate::store::client::TransactionOutcome;
-use crate::store::error::StateError;
-use crate::store::keys::{LEADER, REGISTRY, end_key, job_key, registry_page_key, run_times_key};
+use crate::store::error::StoreError;
+use crate::store::keys::{
+    LEADER_KEY, REGISTRY_PREFIX, end_key, job_key, registry_page_key, run_times_key,
+};
 use crate::store::watch::job_id_of;
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, Mutation};
@@ -102,7 +104,7 @@
             compares: Vec::new(),
             mutations: Vec::new(),
         };
-        transaction.compare(LEADER.to_owned(), ModRevision(token.0));
+        transaction.compare(LEADER_KEY.to_owned(), ModRevision(token.0));
         for write in &batch.writes {
             transaction.add(write);
         }
@@ -189,19 +191,19 @@
 
 /// What the keys whose comparison failed say about the batch.
 fn conflict_of(keys: &[String]) -> BatchError {
-    if keys.iter().any(|k| k == LEADER) {
+    if keys.iter().any(|k| k == LEADER_KEY) {
         return BatchError::Deposed;
     }
     let jobs: Vec<JobId> = keys.iter().filter_map(|k| job_id_of(k)).collect();
     let pages = keys
         .iter()
-        .filter_map(|k| k.strip_prefix(REGISTRY))
+        .filter_map(|k| k.strip_prefix(REGISTRY_PREFIX))
         .map(str::to_owned)
         .collect();
     BatchError::Conflict { jobs, pages }
 }
 
-fn batch_error_of(error: &StateError) -> BatchError {
+fn batch_error_of(error: &StoreError) -> BatchError {
     if error.is_refusal() {
         debug!(error = %error, "records not written");
         BatchError::Refused
--- a/crates/hopyoke/src/leadership/refresh.rs
+++ b/crates/hopyoke/src/leadership/refresh.rs
@@ -4,7 +4,7 @@
 use super::backoff::{jitter, retry};
 use crate::node::{Leadership, Node};
 use crate::operations::settings;
-use crate::store::keys::RUN_TIMES;
+use crate::store::keys::RUN_TIMES_PREFIX;
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use std::rc::Rc;
@@ -36,7 +36,7 @@
     let Some(pages) = retry(|| {
         node.store
             .background()
-            .list::<hopyoke_run_times::Page>(RUN_TIMES)
+            .list::<hopyoke_run_times::Page>(RUN_TIMES_PREFIX)
     })
     .await
     else {
@@ -44,7 +44,7 @@
     };
     let mut scheduler = leadership.scheduler.borrow_mut();
     for pair in pages.pairs {
-        if let Some(key) = pair.key.strip_prefix(RUN_TIMES) {
+        if let Some(key) = pair.key.strip_prefix(RUN_TIMES_PREFIX) {
             scheduler.run_times_loaded(key, pair.value.readable().as_ref());
         }
     }
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -4,8 +4,8 @@
 use crate::operations::settings;
 use crate::peers::client::proto::{StaffedAnswer, StaffedRequest};
 use crate::store::client::TransactionOutcome;
-use crate::store::error::StateError;
-use crate::store::keys::STAFFED_HOURS;
+use crate::store::error::StoreError;
+use crate::store::keys::STAFFED_HOURS_KEY;
 use hopyoke_calendar::{StaffedHours, StaffingOverride};
 use hopyoke_event_loop as runtime;
 use hopyoke_policy::Figures;
@@ -47,12 +47,12 @@
     })
 }
 
-async fn read_override(node: &Node) -> Result<(Option<StaffingOverride>, ModRevision), StateError> {
+async fn read_override(node: &Node) -> Result<(Option<StaffingOverride>, ModRevision), StoreError> {
     Ok(
         match node
             .store
             .background()
-            .get::<StaffingOverride>(STAFFED_HOURS)
+            .get::<StaffingOverride>(STAFFED_HOURS_KEY)
             .await?
         {
             Some((Stored::Value(s), mod_revision)) => (Some(s), mod_revision),
@@ -97,7 +97,7 @@
     }
 }
 
-fn unavailable(e: StateError) -> String {
+fn unavailable(e: StoreError) -> String {
     format!("the state service did not answer: {e}")
 }
 
@@ -143,16 +143,16 @@
 ) -> Result<(), String> {
     let change = match new_override {
         Some(new_override) => Mutation::Put {
-            key: STAFFED_HOURS.to_owned(),
+            key: STAFFED_HOURS_KEY.to_owned(),
             value: new_override.clone(),
             lease: None,
         },
         None => Mutation::Delete {
-            key: STAFFED_HOURS.to_owned(),
+            key: STAFFED_HOURS_KEY.to_owned(),
         },
     };
     let condition = Compare {
-        key: STAFFED_HOURS.to_owned(),
+        key: STAFFED_HOURS_KEY.to_owned(),
         mod_revision,
     };
     match node
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -116,7 +116,7 @@
             let _ = node
                 .store
                 .background()
-                .get::<serde::de::IgnoredAny>(crate::store::keys::LEADER)
+                .get::<serde::de::IgnoredAny>(crate::store::keys::LEADER_KEY)
                 .await;
         }
         runtime::sleep(interval).await;
--- a/crates/hopyoke/src/store/client.rs
+++ b/crates/hopyoke/src/store/client.rs
@@ -1,6 +1,6 @@
 //! Client of the key-value store: typed requests, each of a priority, within this node's share of the store's rate.
 
-use super::error::StateError;
+use super::error::StoreError;
 use super::timeouts::RequestTimeouts;
 use hopyoke_admission::{RateLimiter, RequestPriority, SharedLimit};
 use hopyoke_consistency::deadline::must_read_side_by_side;
@@ -168,7 +168,7 @@
         &self,
         priority: RequestPriority,
         deadline: Option<Micros>,
-    ) -> Result<(), StateError> {
+    ) -> Result<(), StoreError> {
         let longest = runtime::now() + MAX_RATE_WAIT;
         let deadline = deadline.map_or(longest, |d| d.min(longest));
         loop {
@@ -178,7 +178,7 @@
                 Err(wait) => wait,
             };
             if priority == RequestPriority::Accepts || now + wait > deadline {
-                return Err(StateError::RateLimited);
+                return Err(StoreError::RateLimited);
             }
             runtime::sleep(wait + Micros::from_millis(rand::random_range(1..=10))).await;
         }
@@ -191,7 +191,7 @@
         priority: RequestPriority,
         request: Request<'_>,
         deadline: Option<Micros>,
-    ) -> Result<Response, StateError> {
+    ) -> Result<Response, StoreError> {
         self.wait_for_rate(priority, deadline).await?;
         let client = if priority == RequestPriority::Critical {
             &self.critical_client
@@ -213,7 +213,7 @@
             self.last_failure_at.set(now);
         }
         match result {
-            Ok(r) if matches!(r.status, 429 | 503) => Err(StateError::Refused(r.status)),
+            Ok(r) if matches!(r.status, 429 | 503) => Err(StoreError::Refused(r.status)),
             Ok(r) => {
                 self.last_answer_at.set(now);
                 if request.is_measured {
@@ -221,12 +221,12 @@
                 }
                 Ok(r)
             }
-            Err(ClientError::NotSent(_)) => Err(StateError::Refused(0)),
+            Err(ClientError::NotSent(_)) => Err(StoreError::Refused(0)),
             Err(ClientError::Unknown) => {
                 if !is_given_up && now >= sent_at + timeout {
                     self.timeouts.timed_out(request.kind, priority, sent_at);
                 }
-                Err(StateError::Unknown)
+                Err(StoreError::Unknown)
             }
         }
     }
@@ -248,9 +248,9 @@
 ///
 /// # Errors
 ///
-/// Its requests fail with [`StateError::RateLimited`], [`StateError::DeadlineExceeded`] or [`StateError::Refused`] if they
-/// were certainly not executed, with [`StateError::Unknown`] if no answer came in time, and with
-/// [`StateError::Malformed`] if the answer can't be decoded.
+/// Its requests fail with [`StoreError::RateLimited`], [`StoreError::DeadlineExceeded`] or [`StoreError::Refused`] if they
+/// were certainly not executed, with [`StoreError::Unknown`] if no answer came in time, and with
+/// [`StoreError::Malformed`] if the answer can't be decoded.
 #[derive(Clone, Copy)]
 pub(crate) struct PrioritizedClient<'a> {
     store: &'a KvClient,
@@ -295,7 +295,7 @@
         method: Method,
         path: &str,
         body: &[u8],
-    ) -> Result<Response, StateError> {
+    ) -> Result<Response, StoreError> {
         let timeout = self.store.timeouts.timeout(kind, self.priority);
         let request = Request {
             kind,
@@ -309,18 +309,18 @@
     }
 
     /// Sends a request, unless by the measured latency its answer would come too late for its user.
-    async fn send_request(self, request: Request<'_>) -> Result<Response, StateError> {
+    async fn send_request(self, request: Request<'_>) -> Result<Response, StoreError> {
         if let Some(deadline) = self.deadline {
             let latency = self.store.timeouts.expected(request.kind);
             if runtime::now() + latency.unwrap_or_default() >= deadline {
-                return Err(StateError::DeadlineExceeded);
+                return Err(StoreError::DeadlineExceeded);
             }
         }
         self.store.send(self.priority, request, self.deadline).await
     }
 
     /// Reads the value under a key.
-    pub(crate) async fn get<T: DeserializeOwned>(self, key: &str) -> Result<Found<T>, StateError> {
+    pub(crate) async fn get<T: DeserializeOwned>(self, key: &str) -> Result<Found<T>, StoreError> {
         Ok(self.read(key).await?.found())
     }
 
@@ -329,7 +329,7 @@
     pub(crate) async fn read<T: DeserializeOwned>(
         self,
         key: &str,
-    ) -> Result<KeyRead<T>, StateError> {
+    ) -> Result<KeyRead<T>, StoreError> {
         let path = format!("/kv/{key}");
         let r = self
             .send(RequestKind::Read, Method::Get, &path, &[])
@@ -343,7 +343,7 @@
                 let absent: KeyAbsent = decode_body(&r)?;
                 Ok(KeyRead::Absent(ModRevision(absent.revision)))
             }
-            s => Err(StateError::Refused(s)),
+            s => Err(StoreError::Refused(s)),
         }
     }
 
@@ -351,7 +351,7 @@
     pub(crate) async fn list<T: DeserializeOwned>(
         self,
         prefix: &str,
-    ) -> Result<Listing<T>, StateError> {
+    ) -> Result<Listing<T>, StoreError> {
         let mut pairs: Vec<KeyValue<T>> = Vec::new();
         let mut revision = None;
         loop {
@@ -370,7 +370,7 @@
         self,
         prefix: &str,
         after: Option<&str>,
-    ) -> Result<KeyValuePage<T>, StateError> {
+    ) -> Result<KeyValuePage<T>, StoreError> {
         let mut retries = 0;
         loop {
             match self.page(prefix, after, PAGE_SIZE).await {
@@ -390,7 +390,7 @@
         prefix: &str,
         after: Option<&str>,
         max_pairs: u32,
-    ) -> Result<KeyValuePage<T>, StateError> {
+    ) -> Result<KeyValuePage<T>, StoreError> {
         let after = after.map_or(String::new(), |key| format!("&since={key}"));
         let path = format!("/kv?under={prefix}{after}&most={max_pairs}");
         let timeout = self
@@ -407,7 +407,7 @@
         };
         let r = self.send_request(request).await?;
         if r.status != 200 {
-            return Err(StateError::Refused(r.status));
+            return Err(StoreError::Refused(r.status));
         }
         decode_body(&r)
     }
@@ -417,7 +417,7 @@
         self,
         compares: Vec<Compare>,
         mutations: Vec<Mutation<V>>,
-    ) -> Result<TransactionOutcome, StateError> {
+    ) -> Result<TransactionOutcome, StoreError> {
         let body = encode(&Transaction {
             compares,
             mutations,
@@ -432,12 +432,12 @@
             409 => Ok(TransactionOutcome::Failed(
                 decode_body::<CompareFailed>(&r)?.failed,
             )),
-            s => Err(StateError::Refused(s)),
+            s => Err(StoreError::Refused(s)),
         }
     }
 
     /// Grants a lease; its id.
-    pub(crate) async fn grant(self, ttl: Micros) -> Result<u64, StateError> {
+    pub(crate) async fn grant(self, ttl: Micros) -> Result<u64, StoreError> {
         let body = encode(&LeaseGrantRequest {
             ttl_ms: ttl.as_millis(),
         });
@@ -446,7 +446,7 @@
             .await?;
         match r.status {
             200 | 201 => Ok(decode_body::<LeaseGrantResponse>(&r)?.lease),
-            s => Err(StateError::Refused(s)),
+            s => Err(StoreError::Refused(s)),
         }
     }
 
@@ -454,8 +454,8 @@
     ///
     /// # Errors
     ///
-    /// [`StateError::Gone`] if it has expired or was released.
-    pub(crate) async fn renew(self, lease: u64) -> Result<(), StateError> {
+    /// [`StoreError::Gone`] if it has expired or was released.
+    pub(crate) async fn renew(self, lease: u64) -> Result<(), StoreError> {
         let timeout = self
             .store
             .timeouts
@@ -467,8 +467,8 @@
     ///
     /// # Errors
     ///
-    /// [`StateError::Gone`] if it has expired or was released.
-    pub(crate) async fn renew_within(self, lease: u64, timeout: Micros) -> Result<(), StateError> {
+    /// [`StoreError::Gone`] if it has expired or was released.
+    pub(crate) async fn renew_within(self, lease: u64, timeout: Micros) -> Result<(), StoreError> {
         let path = format!("/holds/{lease}/renew");
         let request = Request {
             kind: RequestKind::Lease,
@@ -481,20 +481,20 @@
         let r = self.send_request(request).await?;
         match r.status {
             200..=299 => Ok(()),
-            404 => Err(StateError::Gone),
-            s => Err(StateError::Refused(s)),
+            404 => Err(StoreError::Gone),
+            s => Err(StoreError::Refused(s)),
         }
     }
 
     /// Releases a lease; `Ok` means that it is certainly gone.
-    pub(crate) async fn release(self, lease: u64) -> Result<(), StateError> {
+    pub(crate) async fn release(self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/holds/{lease}");
         let r = self
             .send(RequestKind::Lease, Method::Delete, &path, &[])
             .await?;
         match r.status {
             200..=299 | 404 => Ok(()),
-            s => Err(StateError::Refused(s)),
+            s => Err(StoreError::Refused(s)),
         }
     }
 
@@ -502,13 +502,13 @@
     ///
     /// # Errors
     ///
-    /// [`StateError::Gone`] if the store no longer has the changes since then.
+    /// [`StoreError::Gone`] if the store no longer has the changes since then.
     pub(crate) async fn watch<T: DeserializeOwned>(
         self,
         prefix: &str,
         since: u64,
         wait: Micros,
-    ) -> Result<WatchResponse<T>, StateError> {
+    ) -> Result<WatchResponse<T>, StoreError> {
         let path = format!(
             "/changes?under={prefix}&since={since}&wait_ms={}",
             wait.as_millis()
@@ -541,15 +541,15 @@
                 }
                 Ok(changes)
             }
-            410 => Err(StateError::Gone),
-            s => Err(StateError::Refused(s)),
+            410 => Err(StoreError::Gone),
+            s => Err(StoreError::Refused(s)),
         }
     }
 }
 
-fn decode_body<T: DeserializeOwned>(r: &Response) -> Result<T, StateError> {
+fn decode_body<T: DeserializeOwned>(r: &Response) -> Result<T, StoreError> {
     decode(&r.body).map_err(|e| {
         warn!(error = %e, "answer of the key-value store unreadable");
-        StateError::Malformed(e.to_string())
+        StoreError::Malformed(e.to_string())
     })
 }
--- a/crates/hopyoke/src/store/error.rs
+++ b/crates/hopyoke/src/store/error.rs
@@ -2,7 +2,7 @@
 
 /// Why a request to the key-value store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum StateError {
+pub(crate) enum StoreError {
     /// Certainly not executed. The HTTP status, or 0 if the request was not sent.
     #[error("refused ({0})")]
     Refused(u16),
@@ -23,12 +23,12 @@
     Malformed(String),
 }
 
-impl StateError {
+impl StoreError {
     /// The request was certainly not executed, and never will be.
     pub(crate) fn is_refusal(&self) -> bool {
         matches!(
             self,
-            StateError::Refused(_) | StateError::RateLimited | StateError::DeadlineExceeded
+            StoreError::Refused(_) | StoreError::RateLimited | StoreError::DeadlineExceeded
         )
     }
 }
--- a/crates/hopyoke/src/store/keys.rs
+++ b/crates/hopyoke/src/store/keys.rs
@@ -20,27 +20,27 @@
 use hopyoke_workflow::RunId;
 
 /// The leader; see [`crate::leadership::election`].
-pub(crate) const LEADER: &str = "leader";
+pub(crate) const LEADER_KEY: &str = "leader";
 /// Unfinished jobs.
-pub(crate) const JOBS: &str = "job/";
+pub(crate) const JOB_PREFIX: &str = "job/";
 /// Pages of the machine registry.
-pub(crate) const REGISTRY: &str = "fleet/";
+pub(crate) const REGISTRY_PREFIX: &str = "fleet/";
 /// Learned run times.
-pub(crate) const RUN_TIMES: &str = "learn/";
+pub(crate) const RUN_TIMES_PREFIX: &str = "learn/";
 /// The operators' override of staffed hours.
-pub(crate) const STAFFED_HOURS: &str = "staffed";
+pub(crate) const STAFFED_HOURS_KEY: &str = "staffed";
 /// Unfinished runs of workflows and the nodes that execute them.
-pub(crate) const WORKFLOWS: &str = "flow/";
+pub(crate) const WORKFLOW_PREFIX: &str = "flow/";
 /// Unfinished runs of workflows.
-pub(crate) const WORKFLOW_HEADS: &str = "flow/head/";
+pub(crate) const WORKFLOW_HEAD_PREFIX: &str = "flow/head/";
 /// Nodes that execute runs of workflows.
-pub(crate) const WORKFLOW_HOLDERS: &str = "flow/hold/";
+pub(crate) const WORKFLOW_CLAIM_PREFIX: &str = "flow/hold/";
 /// Finished runs of workflows.
-pub(crate) const WORKFLOW_ENDS: &str = "flowend/";
+pub(crate) const WORKFLOW_END_PREFIX: &str = "flowend/";
 
 /// An unfinished job.
 pub(crate) fn job_key(id: &JobId) -> String {
-    format!("{JOBS}{id}")
+    format!("{JOB_PREFIX}{id}")
 }
 
 /// A finished job.
@@ -50,12 +50,12 @@
 
 /// A page of the machine registry.
 pub(crate) fn registry_page_key(page: &str) -> String {
-    format!("{REGISTRY}{page}")
+    format!("{REGISTRY_PREFIX}{page}")
 }
 
 /// A page of learned run times.
 pub(crate) fn run_times_key(page: PageKey) -> String {
-    format!("{RUN_TIMES}{page}")
+    format!("{RUN_TIMES_PREFIX}{page}")
 }
 
 /// The holder of a zone's shard of machines.
@@ -65,17 +65,17 @@
 
 /// A run that is not over.
 pub(crate) fn workflow_head_key(run: RunId) -> String {
-    format!("{WORKFLOW_HEADS}{run}")
+    format!("{WORKFLOW_HEAD_PREFIX}{run}")
 }
 
 /// The node that executes a run.
-pub(crate) fn workflow_holder_key(run: RunId) -> String {
-    format!("{WORKFLOW_HOLDERS}{run}")
+pub(crate) fn workflow_claim_key(run: RunId) -> String {
+    format!("{WORKFLOW_CLAIM_PREFIX}{run}")
 }
 
 /// A run that is over.
 pub(crate) fn workflow_end_key(run: RunId) -> String {
-    format!("{WORKFLOW_ENDS}{run}")
+    format!("{WORKFLOW_END_PREFIX}{run}")
 }
 
 /// All pages of a run's plan, which follow in the order of their keys.
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -1,8 +1,8 @@
 //! Jobs' records in the key-value store, as any node reads and changes them.
 
 use super::client::{KeyRead, PrioritizedClient, TransactionOutcome};
-use super::error::StateError;
-use super::keys::{LEADER, end_key, job_key};
+use super::error::StoreError;
+use super::keys::{LEADER_KEY, end_key, job_key};
 use crate::node::Node;
 use futures_util::future::join;
 use hopyoke_event_loop as runtime;
@@ -70,7 +70,7 @@
         match node
             .store
             .critical()
-            .page::<serde::de::IgnoredAny>(LEADER, None, 1)
+            .page::<serde::de::IgnoredAny>(LEADER_KEY, None, 1)
             .await
         {
             Ok(page) => {
@@ -96,7 +96,7 @@
     node: &Node,
     client: PrioritizedClient<'_>,
     id: &JobId,
-) -> Result<Lookup, StateError> {
+) -> Result<Lookup, StoreError> {
     if let Some(end) = node.terminal_states.get(id) {
         return Ok(Lookup::Finished(end));
     }
@@ -119,7 +119,7 @@
     node: &Node,
     client: PrioritizedClient<'_>,
     id: &JobId,
-) -> Result<Lookup, StateError> {
+) -> Result<Lookup, StoreError> {
     let (job_key, end_key) = (job_key(id), end_key(id));
     let (unfinished, end) = join(
         client.read::<JobRecord>(&job_key),
@@ -149,7 +149,7 @@
     node: &Node,
     client: PrioritizedClient<'_>,
     id: &JobId,
-) -> Result<Lookup, StateError> {
+) -> Result<Lookup, StoreError> {
     Ok(match client.get::<EndRecord>(&end_key(id)).await? {
         Some((end, mod_revision)) => final_record_read(node, id, end, mod_revision),
         None => Lookup::Missing,
@@ -207,7 +207,7 @@
     node: &Node,
     client: PrioritizedClient<'_>,
     id: &JobId,
-) -> Result<Lookup, StateError> {
+) -> Result<Lookup, StoreError> {
     if let Some((Stored::Value(end), mod_revision)) = client.get::<EndRecord>(&end_key(id)).await? {
         terminal_state_known(node, id, end, mod_revision);
         return Ok(Lookup::Finished(end));
@@ -221,13 +221,13 @@
 ///
 /// # Errors
 ///
-/// The store's; after [`StateError::Unknown`] the record may have been written.
+/// The store's; after [`StoreError::Unknown`] the record may have been written.
 pub(crate) async fn accept(
     node: &Rc<Node>,
     client: PrioritizedClient<'_>,
     record: JobRecord,
     preconditions: Vec<Compare>,
-) -> Result<TransactionOutcome, StateError> {
+) -> Result<TransactionOutcome, StoreError> {
     let id = record.spec.id.clone();
     let mut compares = vec![
         Compare {
@@ -256,12 +256,12 @@
 ///
 /// # Errors
 ///
-/// The store's; after [`StateError::Unknown`] the job may have been cancelled.
+/// The store's; after [`StoreError::Unknown`] the job may have been cancelled.
 pub(crate) async fn cancel(
     node: &Rc<Node>,
     client: PrioritizedClient<'_>,
     id: &JobId,
-) -> Result<Option<Lookup>, StateError> {
+) -> Result<Option<Lookup>, StoreError> {
     let deadline = client
         .deadline()
         .unwrap_or(runtime::now() + MAX_CANCEL_TIME);
--- a/crates/hopyoke/src/store/watch.rs
+++ b/crates/hopyoke/src/store/watch.rs
@@ -1,8 +1,8 @@
 //! Keeps the leader's scheduler up to date with the jobs' records: by a watch, and by queries for reads that wait.
 
 use super::client::Listing;
-use super::error::StateError;
-use super::keys::JOBS;
+use super::error::StoreError;
+use super::keys::JOB_PREFIX;
 use crate::node::{Leadership, Node};
 use hopyoke_consistency::read_index::ReadQuery;
 use hopyoke_event_loop as runtime;
@@ -31,14 +31,14 @@
             .borrow()
             .watch_wait(latency, WATCH_TIMEOUT);
         let result: Result<WatchResponse<JobRecord>, _> =
-            node.store.records().watch(JOBS, since, wait).await;
+            node.store.records().watch(JOB_PREFIX, since, wait).await;
         match result {
             Ok(changes) => {
                 apply_changes(&leadership, changes, sent_at);
                 // While much changes each answer comes at once: several changes share a request.
                 runtime::sleep_until(sent_at + MIN_WATCH_INTERVAL).await;
             }
-            Err(StateError::Gone) => match node.store.records().list(JOBS).await {
+            Err(StoreError::Gone) => match node.store.records().list(JOB_PREFIX).await {
                 Ok(listing) => apply_listing(&leadership, listing, sent_at),
                 Err(_) => runtime::sleep(Micros::from_millis(300)).await,
             },
@@ -68,10 +68,10 @@
     let reads = &leadership.waiting_reads;
     let sent_at = runtime::now();
     let since = leadership.scheduler.borrow().applied_revision().0;
-    let result: Result<WatchResponse<JobRecord>, StateError> = node
+    let result: Result<WatchResponse<JobRecord>, StoreError> = node
         .store
         .records()
-        .watch(JOBS, since.max(1), Micros::ZERO)
+        .watch(JOB_PREFIX, since.max(1), Micros::ZERO)
         .await;
     match result {
         Ok(changes) => {
@@ -158,7 +158,7 @@
 
 /// The job, its record and the record's revision; `None` if the record is unreadable.
 pub(crate) fn job_of(pair: KeyValue<JobRecord>) -> Option<(JobId, JobRecord, ModRevision)> {
-    let id = JobId::parse(pair.key.strip_prefix(JOBS)?)?;
+    let id = JobId::parse(pair.key.strip_prefix(JOB_PREFIX)?)?;
     match pair.value {
         Stored::Value(record) => Some((id, record, pair.mod_revision)),
         Stored::Unreadable(_) => {
@@ -171,5 +171,5 @@
 
 /// The job whose unfinished record a key is.
 pub(crate) fn job_id_of(key: &str) -> Option<JobId> {
-    JobId::parse(key.strip_prefix(JOBS)?)
+    JobId::parse(key.strip_prefix(JOB_PREFIX)?)
 }
--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -5,9 +5,9 @@
 use super::watches::job_end_of;
 use crate::node::Node;
 use crate::store::client::TransactionOutcome;
-use crate::store::error::StateError;
+use crate::store::error::StoreError;
 use crate::store::keys::{
-    workflow_end_key, workflow_head_key, workflow_holder_key, workflow_page_key,
+    workflow_claim_key, workflow_end_key, workflow_head_key, workflow_page_key,
 };
 use crate::store::records::{self, Lookup, lookup};
 use hopyoke_event_loop as runtime;
@@ -110,9 +110,9 @@
     }
 }
 
-fn outcome_of_error(e: &StateError) -> JobOutcome {
+fn outcome_of_error(e: &StoreError) -> JobOutcome {
     match e {
-        StateError::Refused(_) | StateError::RateLimited => {
+        StoreError::Refused(_) | StoreError::RateLimited => {
             JobOutcome::Later(Micros::from_millis(500))
         }
         _ => JobOutcome::Unknown,
@@ -127,7 +127,7 @@
         node: node.settings.node.clone(),
         lease,
     };
-    let key = workflow_holder_key(run);
+    let key = workflow_claim_key(run);
     // A run that is over is not claimed: its head must still be there.
     let head = match node
         .store
@@ -174,7 +174,7 @@
     spec: &JobSpec,
     grant: ModRevision,
     head: ModRevision,
-) -> Result<JobOutcome, StateError> {
+) -> Result<JobOutcome, StoreError> {
     let never = {
         let types = node.catalog.borrow();
         if types.is_empty() {
@@ -194,7 +194,7 @@
     let record = JobRecord::of_flow(spec.clone(), runtime::time_of_day().0);
     let more = vec![
         Compare {
-            key: workflow_holder_key(run),
+            key: workflow_claim_key(run),
             mod_revision: grant,
         },
         Compare {
@@ -236,7 +236,7 @@
     release: bool,
 ) -> WriteOutcome {
     let mut conditions = vec![Compare {
-        key: workflow_holder_key(run),
+        key: workflow_claim_key(run),
         mod_revision: grant,
     }];
     let mut changes = Vec::new();
@@ -275,7 +275,7 @@
     }
     if release {
         changes.push(Mutation::Delete {
-            key: workflow_holder_key(run),
+            key: workflow_claim_key(run),
         });
     }
     match node.store.background().txn(conditions, changes).await {
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -7,10 +7,10 @@
     FlowAnswer, FlowRequest, ResumeRun, RunInfo, RunList, RunQuestion, StepInfo, SubmitRun,
 };
 use crate::store::client::TransactionOutcome;
-use crate::store::error::StateError;
+use crate::store::error::StoreError;
 use crate::store::keys::{
-    WORKFLOW_ENDS, WORKFLOW_HEADS, workflow_end_key, workflow_head_key, workflow_page_key,
-    workflow_plan_key, workflow_plan_prefix,
+    WORKFLOW_END_PREFIX, WORKFLOW_HEAD_PREFIX, workflow_end_key, workflow_head_key,
+    workflow_page_key, workflow_plan_key, workflow_plan_prefix,
 };
 use crate::store::watch::job_id_of;
 use crate::workflows::records::{Value, head_of, pages_of, plan_of};
@@ -38,7 +38,7 @@
     #[error("{1}")]
     Status(u32, String),
     #[error("the state service did not answer: {0}")]
-    State(#[from] StateError),
+    State(#[from] StoreError),
 }
 
 type Answer<T = FlowAnswer> = Result<T, Refusal>;
@@ -406,7 +406,7 @@
         let mut found: Vec<(RunId, Head)> = Vec::new();
         let mut limit = None;
         let mut more = false;
-        for prefix in [WORKFLOW_HEADS, WORKFLOW_ENDS] {
+        for prefix in [WORKFLOW_HEAD_PREFIX, WORKFLOW_END_PREFIX] {
             let since = format!("{prefix}{after}");
             let page = node
                 .store
--- a/crates/hopyoke/src/workflows/records.rs
+++ b/crates/hopyoke/src/workflows/records.rs
@@ -1,9 +1,9 @@
 //! Records of runs in the key-value store, as any node reads them.
 
 use crate::node::Node;
-use crate::store::error::StateError;
+use crate::store::error::StoreError;
 use crate::store::keys::{
-    workflow_end_key, workflow_head_key, workflow_holder_key, workflow_page_prefix,
+    workflow_claim_key, workflow_end_key, workflow_head_key, workflow_page_prefix,
     workflow_plan_prefix,
 };
 use crate::workflows::watches::job_end_of;
@@ -28,13 +28,13 @@
 pub(crate) async fn head_of(
     node: &Node,
     run: RunId,
-) -> Result<Option<(Head, ModRevision)>, StateError> {
+) -> Result<Option<(Head, ModRevision)>, StoreError> {
     for key in [workflow_head_key(run), workflow_end_key(run)] {
         match node.store.background().get::<Head>(&key).await? {
             Some((Stored::Value(head), mod_revision)) => return Ok(Some((head, mod_revision))),
             Some((Stored::Unreadable(_), _)) => {
                 warn!(%run, "unreadable head");
-                return Err(StateError::Malformed("a run's head".into()));
+                return Err(StoreError::Malformed("a run's head".into()));
             }
             None => {}
         }
@@ -46,7 +46,7 @@
 pub(crate) async fn pages_of(
     node: &Node,
     run: RunId,
-) -> Result<Vec<(u32, ModRevision, StepPage)>, StateError> {
+) -> Result<Vec<(u32, ModRevision, StepPage)>, StoreError> {
     let prefix = workflow_page_prefix(run);
     let pairs = node
         .store
@@ -71,7 +71,7 @@
     node: &Node,
     run: RunId,
     head: &Head,
-) -> Result<Option<Plan>, StateError> {
+) -> Result<Option<Plan>, StoreError> {
     let pairs = node
         .store
         .background()
@@ -89,11 +89,11 @@
     node: &Node,
     run: RunId,
     plan: bool,
-) -> Result<Option<RunRecords>, StateError> {
+) -> Result<Option<RunRecords>, StoreError> {
     let grant = node
         .store
         .background()
-        .get::<RunClaim>(&workflow_holder_key(run))
+        .get::<RunClaim>(&workflow_claim_key(run))
         .await?
         .map(|(_, mod_revision)| mod_revision);
     let Some((head, head_revision)) = head_of(node, run).await? else {
--- a/crates/hopyoke/src/workflows/runner.rs
+++ b/crates/hopyoke/src/workflows/runner.rs
@@ -3,7 +3,7 @@
 use super::actions::execute;
 use super::watches::{watch_ends, watch_runs};
 use crate::node::{Flows, Node};
-use crate::store::error::StateError;
+use crate::store::error::StoreError;
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use std::rc::Rc;
@@ -68,7 +68,7 @@
             },
             Some(lease) => match node.store.critical().renew(lease).await {
                 Ok(()) => {}
-                Err(StateError::Gone) => {
+                Err(StoreError::Gone) => {
                     warn!("the lease on which this node carries runs is gone");
                     flows.lease.set(None);
                     flows.engine.borrow_mut().lease_lost(runtime::now());
--- a/crates/hopyoke/src/workflows/watches.rs
+++ b/crates/hopyoke/src/workflows/watches.rs
@@ -3,8 +3,8 @@
 use super::records::Value;
 use super::runner::flows_of;
 use crate::node::Node;
-use crate::store::error::StateError;
-use crate::store::keys::{WORKFLOW_HEADS, WORKFLOW_HOLDERS, WORKFLOWS};
+use crate::store::error::StoreError;
+use crate::store::keys::{WORKFLOW_CLAIM_PREFIX, WORKFLOW_HEAD_PREFIX, WORKFLOW_PREFIX};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{KeyValue, Stored, WatchResponse};
 use hopyoke_protocol::user::JobState;
@@ -29,7 +29,7 @@
     let mut since = None;
     loop {
         let Some(from) = since else {
-            match node.store.background().list::<Value>(WORKFLOWS).await {
+            match node.store.background().list::<Value>(WORKFLOW_PREFIX).await {
                 Ok(listing) => {
                     records_listed(&node, listing.pairs, ModRevision(listing.revision));
                     since = Some(listing.revision);
@@ -44,7 +44,7 @@
         let result: Result<WatchResponse<Value>, _> = node
             .store
             .background()
-            .watch(WORKFLOWS, from, WATCH_WAIT)
+            .watch(WORKFLOW_PREFIX, from, WATCH_WAIT)
             .await;
         match result {
             Ok(events) => {
@@ -61,7 +61,7 @@
                     flows.wakeup.notify();
                 }
             }
-            Err(StateError::Gone) => since = None,
+            Err(StoreError::Gone) => since = None,
             Err(e) => {
                 debug!(error = %e, "watch of runs failed");
                 runtime::sleep(Micros::from_millis(300)).await;
@@ -76,12 +76,12 @@
     let mut engine = flows_of(node).engine.borrow_mut();
     match value {
         Value::Head(head) => {
-            if let Some(run) = run_of(key, WORKFLOW_HEADS) {
+            if let Some(run) = run_of(key, WORKFLOW_HEAD_PREFIX) {
                 engine.head_changed(run, *head, mod_revision, now);
             }
         }
         Value::RunClaim(hold) => {
-            if let Some(run) = run_of(key, WORKFLOW_HOLDERS) {
+            if let Some(run) = run_of(key, WORKFLOW_CLAIM_PREFIX) {
                 engine.claim_changed(run, &hold.node, mod_revision, now);
             }
         }
@@ -92,9 +92,9 @@
 /// A run's head or its holder is gone.
 fn record_deleted(node: &Node, key: &str, mod_revision: ModRevision) {
     let mut engine = flows_of(node).engine.borrow_mut();
-    if let Some(run) = run_of(key, WORKFLOW_HOLDERS) {
+    if let Some(run) = run_of(key, WORKFLOW_CLAIM_PREFIX) {
         engine.claim_deleted(run, mod_revision, runtime::now());
-    } else if let Some(run) = run_of(key, WORKFLOW_HEADS) {
+    } else if let Some(run) = run_of(key, WORKFLOW_HEAD_PREFIX) {
         engine.head_deleted(run, mod_revision);
     }
 }
@@ -104,8 +104,8 @@
     let mut heads = BTreeSet::new();
     let mut holds = BTreeSet::new();
     for p in pairs {
-        heads.extend(run_of(&p.key, WORKFLOW_HEADS));
-        holds.extend(run_of(&p.key, WORKFLOW_HOLDERS));
+        heads.extend(run_of(&p.key, WORKFLOW_HEAD_PREFIX));
+        holds.extend(run_of(&p.key, WORKFLOW_CLAIM_PREFIX));
         match p.value {
             Stored::Value(v) => record_changed(node, &p.key, v, p.mod_revision),
             Stored::Unreadable(_) => warn!(key = %p.key, "unreadable record of a run"),
@@ -172,7 +172,7 @@
                 drop(engine);
                 flows.wakeup.notify();
             }
-            Err(StateError::Gone) => since = None,
+            Err(StoreError::Gone) => since = None,
             Err(_) => runtime::sleep(Micros::from_millis(300)).await,
         }
     }
