--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -58,8 +58,8 @@
 /// all stay healthy: users need not be routed back afterwards.
 fn is_isolated(node: &Node) -> bool {
     let min_silence = Micros::from_secs(3);
-    !node.store.answers()
-        && runtime::now() > node.store.last_answer_at() + min_silence
+    !node.store.is_responding()
+        && runtime::now() > node.store.last_response_at() + min_silence
         && node.peers.any_that_reaches_store().is_some()
 }
 
@@ -94,14 +94,15 @@
     {
         return r;
     }
-    if !node.store.answers()
+    if !node.store.is_responding()
         && let Some(r) = peers_answer(node, request, deadline).await
     {
         return r;
     }
     // Known not to answer: reported at once rather than after another timeout. The connection is closed, so that the
     // user's next attempt can reach another node.
-    if !node.store.answers() && runtime::now() > node.store.last_answer_at() + Micros::from_secs(1)
+    if !node.store.is_responding()
+        && runtime::now() > node.store.last_response_at() + Micros::from_secs(1)
     {
         return unavailable("the state service does not answer this node").closing();
     }
@@ -109,7 +110,7 @@
     // Rejected submissions are not forwarded: the peers have no more capacity.
     if own.status == 503
         && request.method == Method::Post
-        && !node.store.answers()
+        && !node.store.is_responding()
         && let Some(r) = peers_answer(node, request, deadline).await
     {
         return r;
@@ -128,7 +129,7 @@
     if !client.leads() {
         return None;
     }
-    let latency = node.store.timeouts.expected_of_slowest();
+    let latency = node.store.timeouts.max_expected_latency();
     // The leader answers many polls with one read of its own; this node would need two reads for each.
     if client.is_busy() {
         let is_slow = latency > FORWARD_TO_LEADER_TIMEOUT;
@@ -246,7 +247,7 @@
     if let Some(end) = node.terminal_states.get(id) {
         return Ok(finished(id, end));
     }
-    let client = node.store.polling().by(deadline.at());
+    let client = node.store.polls().with_deadline(deadline.at());
     if let Some(leadership) = node.leadership()
         && !must_look_up(&leadership, client, id)
     {
@@ -292,12 +293,12 @@
 
 /// The job is most likely over, and there is no time for a query first and its records then: they are read at once.
 fn must_look_up(leadership: &Leadership, client: PrioritizedClient<'_>, id: &JobId) -> bool {
-    !leadership.scheduler.borrow().jobs.contains_key(id) && client.must_read_side_by_side()
+    !leadership.scheduler.borrow().jobs.contains_key(id) && client.must_read_concurrently()
 }
 
 /// By the measured latency the next query's answer comes before the deadline.
 fn has_time_for_query(node: &Node, deadline: RequestDeadline) -> bool {
-    let latency = node.store.timeouts.expected(RequestKind::Watch);
+    let latency = node.store.timeouts.expected_latency(RequestKind::Watch);
     latency.unwrap_or_default() + READ_BATCH_DELAY < deadline.remaining()
 }
 
@@ -314,7 +315,7 @@
         unschedulable_reason(&spec, &types, &node.config.zones, &node.config.teams)
     };
     let id = spec.id.clone();
-    let client = node.store.accepting().by(deadline.at());
+    let client = node.store.submissions().with_deadline(deadline.at());
     let result = match never_runs_reason {
         // An accepted job stays accepted, whatever the catalog says now.
         Some(reason) => match lookup(node, client, &id).await {
@@ -354,10 +355,10 @@
     }
     let team = spec.team.clone();
     let record = JobRecord::accepted(spec, runtime::time_of_day().0);
-    let client = node.store.accepting().by(deadline.at());
+    let client = node.store.submissions().with_deadline(deadline.at());
     let end = match records::accept(node, client, record, Vec::new()).await {
         Err(e @ StoreError::DeadlineExceeded) => return Err(e),
-        Err(e) if e.is_refusal() && node.store.answers() => {
+        Err(e) if e.is_refusal() && node.store.is_responding() => {
             return Ok(rejected(node.admission.reject(node, &id, &team)));
         }
         end => end?,
@@ -390,7 +391,7 @@
     id: &JobId,
     deadline: RequestDeadline,
 ) -> Result<Response, StoreError> {
-    let client = node.store.cancelling().by(deadline.at());
+    let client = node.store.cancellations().with_deadline(deadline.at());
     Ok(match records::cancel(node, client, id).await? {
         Some(Lookup::Finished(end)) => finished(id, end),
         Some(found) => answer(node, id, found),
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -214,7 +214,7 @@
             mod_revision: observed,
         }];
         // An answer that came after the lease's end would be worth nothing.
-        let client = node.store.critical().by(valid_until);
+        let client = node.store.critical().with_deadline(valid_until);
         match client.txn(compares, mutations.clone()).await {
             // Certainly not executed: the same lease serves the next attempt, while half of it is left.
             Err(e) if e.is_refusal() && runtime::now() < valid_until - Micros(ttl.0 / 2) => {
--- a/crates/hopyoke/src/leadership/keep_alive.rs
+++ b/crates/hopyoke/src/leadership/keep_alive.rs
@@ -81,7 +81,11 @@
         let result = match runtime::timeout(timeout, answer.as_mut()).await {
             Ok(result) => result,
             Err(_) => {
-                store.answer_is_overdue(RequestKind::Lease, RequestPriority::Critical, sent_at);
+                store.record_overdue_response(
+                    RequestKind::Lease,
+                    RequestPriority::Critical,
+                    sent_at,
+                );
                 answer.await
             }
         };
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -157,7 +157,7 @@
     };
     match node
         .store
-        .cancelling()
+        .cancellations()
         .txn(vec![condition], vec![change])
         .await
         .map_err(unavailable)?
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -46,17 +46,17 @@
     writeln!(
         out,
         "leader {leader} state_answers {}",
-        node.store.answers()
+        node.store.is_responding()
     )?;
     writeln!(out, "candidacy {}", node.candidacy.borrow())?;
     write_store_latency(out, node)?;
     write_admission(out, node)?;
     for priority in RequestPriority::ALL {
-        let (sent, held_back) = node.store.counts(priority);
+        let (sent, held_back) = node.store.request_counts(priority);
         writeln!(
             out,
             "state requests {priority:?} sent {sent} held_back {held_back} timed_out {}",
-            node.store.timeouts.count(priority)
+            node.store.timeouts.timeout_count(priority)
         )?;
     }
     let (relayed, refused) = node.heartbeat_relay.counts();
@@ -81,7 +81,7 @@
     let timeouts = &node.store.timeouts;
     writeln!(out, "state slow {}", timeouts.is_slow())?;
     for kind in RequestKind::ALL {
-        let latency = timeouts.smoothed(kind);
+        let latency = timeouts.smoothed_latency(kind);
         let latency = latency.map_or("unknown".into(), |l| format!("{:.3} s", l.as_secs_f64()));
         let timeout = timeouts.timeout(kind, RequestPriority::Critical);
         writeln!(
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -50,7 +50,7 @@
     Greeting {
         node: node.settings.node.clone(),
         process: node.lease_support.process,
-        store_reachable: node.store.answers(),
+        store_reachable: node.store.is_responding(),
         token,
         applied_revision,
         open: load.open,
@@ -170,7 +170,7 @@
     loop {
         exchange_greetings(&node, peer).await;
         // Lease support is short: it is requested again well before it expires.
-        let pause = match (node.store.answers(), node.admission.is_overloaded()) {
+        let pause = match (node.store.is_responding(), node.admission.is_overloaded()) {
             (true, false) => 1000,
             (false, false) => 600,
             (_, true) => 400,
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -112,7 +112,7 @@
 async fn probe_store(node: Rc<Node>) {
     let interval = Micros::from_secs(1);
     loop {
-        if runtime::now() > node.store.last_answer_at() + interval {
+        if runtime::now() > node.store.last_response_at() + interval {
             let _ = node
                 .store
                 .background()
--- a/crates/hopyoke/src/store/client.rs
+++ b/crates/hopyoke/src/store/client.rs
@@ -29,7 +29,7 @@
 }
 
 /// A value with the revision of its last change; `None` if the key is absent.
-pub(crate) type Found<T> = Option<(Stored<T>, ModRevision)>;
+pub(crate) type VersionedValue<T> = Option<(Stored<T>, ModRevision)>;
 
 /// All pairs under a prefix.
 pub(crate) struct Listing<T> {
@@ -48,7 +48,7 @@
 }
 
 impl<T> KeyRead<T> {
-    fn found(self) -> Found<T> {
+    fn into_versioned(self) -> VersionedValue<T> {
         match self {
             KeyRead::Present(value, mod_revision) => Some((value, mod_revision)),
             KeyRead::Absent(_) => None,
@@ -58,7 +58,7 @@
 
 /// The body of a 404 to a read of a key.
 #[derive(Deserialize)]
-struct KeyAbsent {
+struct KeyNotFound {
     #[serde(rename = "tide")]
     revision: u64,
 }
@@ -71,7 +71,7 @@
     rate_limiter: RefCell<RateLimiter>,
     /// How long answers are waited for.
     pub(crate) timeouts: RequestTimeouts,
-    last_answer_at: Cell<Micros>,
+    last_response_at: Cell<Micros>,
     last_failure_at: Cell<Micros>,
 }
 
@@ -82,7 +82,7 @@
 /// A page that was not received is requested again this often, instead of all pages.
 const MAX_PAGE_RETRIES: u32 = 8;
 /// How long a request may wait for this node's share of the store's rate.
-const MAX_RATE_WAIT: Micros = Micros::from_millis(900);
+const MAX_RATE_LIMIT_WAIT: Micros = Micros::from_millis(900);
 
 impl KvClient {
     /// `requests`: what the store accepts per second from all nodes, and how many nodes there are. `leader_ttl`: the
@@ -93,35 +93,35 @@
             critical_client: Client::new(addr),
             rate_limiter: RefCell::new(RateLimiter::new(requests, runtime::now())),
             timeouts: RequestTimeouts::new(leader_ttl),
-            last_answer_at: Cell::new(Micros::ZERO),
+            last_response_at: Cell::new(Micros::ZERO),
             last_failure_at: Cell::new(Micros::ZERO),
         }
     }
 
     /// When the store last answered other than by a refusal.
-    pub(crate) fn last_answer_at(&self) -> Micros {
-        self.last_answer_at.get()
+    pub(crate) fn last_response_at(&self) -> Micros {
+        self.last_response_at.get()
     }
 
     /// The store answers, as far as is known: the last request that ended was not a failure.
-    pub(crate) fn answers(&self) -> bool {
-        self.last_answer_at.get() > self.last_failure_at.get()
+    pub(crate) fn is_responding(&self) -> bool {
+        self.last_response_at.get() > self.last_failure_at.get()
     }
 
     /// A request that was sent at `sent_at`, and is still waited for, has had no answer for its timeout: until one comes the
     /// store counts as silent.
-    pub(crate) fn answer_is_overdue(
+    pub(crate) fn record_overdue_response(
         &self,
         kind: RequestKind,
         priority: RequestPriority,
         sent_at: Micros,
     ) {
         self.last_failure_at.set(runtime::now());
-        self.timeouts.timed_out(kind, priority, sent_at);
+        self.timeouts.record_timeout(kind, priority, sent_at);
     }
 
     /// Requests of a priority that were sent and held back, for operators.
-    pub(crate) fn counts(&self, priority: RequestPriority) -> (u64, u64) {
+    pub(crate) fn request_counts(&self, priority: RequestPriority) -> (u64, u64) {
         self.rate_limiter.borrow().counts(priority)
     }
 
@@ -144,17 +144,17 @@
     }
 
     /// For cancellations.
-    pub(crate) fn cancelling(&self) -> PrioritizedClient<'_> {
+    pub(crate) fn cancellations(&self) -> PrioritizedClient<'_> {
         self.with_priority(RequestPriority::Cancels)
     }
 
     /// For status requests.
-    pub(crate) fn polling(&self) -> PrioritizedClient<'_> {
+    pub(crate) fn polls(&self) -> PrioritizedClient<'_> {
         self.with_priority(RequestPriority::Polls)
     }
 
     /// For submissions. Never waits for the rate limit: such a user is refused at once.
-    pub(crate) fn accepting(&self) -> PrioritizedClient<'_> {
+    pub(crate) fn submissions(&self) -> PrioritizedClient<'_> {
         self.with_priority(RequestPriority::Accepts)
     }
 
@@ -164,12 +164,12 @@
     }
 
     /// Waits until this node's share of the rate has room for a request.
-    async fn wait_for_rate(
+    async fn wait_for_rate_limit(
         &self,
         priority: RequestPriority,
         deadline: Option<Micros>,
     ) -> Result<(), StoreError> {
-        let longest = runtime::now() + MAX_RATE_WAIT;
+        let longest = runtime::now() + MAX_RATE_LIMIT_WAIT;
         let deadline = deadline.map_or(longest, |d| d.min(longest));
         loop {
             let now = runtime::now();
@@ -192,7 +192,7 @@
         request: Request<'_>,
         deadline: Option<Micros>,
     ) -> Result<Response, StoreError> {
-        self.wait_for_rate(priority, deadline).await?;
+        self.wait_for_rate_limit(priority, deadline).await?;
         let client = if priority == RequestPriority::Critical {
             &self.critical_client
         } else {
@@ -206,25 +206,26 @@
             .await;
         let now = runtime::now();
         // A request that was given up for its user's deadline says nothing about the store.
-        let is_given_up = matches!(&result, Err(ClientError::Unknown))
+        let is_abandoned = matches!(&result, Err(ClientError::Unknown))
             && now >= sent_at + limit
             && limit < timeout;
-        if !is_given_up && !matches!(&result, Ok(r) if r.status != 503) {
+        if !is_abandoned && !matches!(&result, Ok(r) if r.status != 503) {
             self.last_failure_at.set(now);
         }
         match result {
             Ok(r) if matches!(r.status, 429 | 503) => Err(StoreError::Refused(r.status)),
             Ok(r) => {
-                self.last_answer_at.set(now);
+                self.last_response_at.set(now);
                 if request.is_measured {
-                    self.timeouts.answered(request.kind, now - sent_at);
+                    self.timeouts.record_response(request.kind, now - sent_at);
                 }
                 Ok(r)
             }
             Err(ClientError::NotSent(_)) => Err(StoreError::Refused(0)),
             Err(ClientError::Unknown) => {
-                if !is_given_up && now >= sent_at + timeout {
-                    self.timeouts.timed_out(request.kind, priority, sent_at);
+                if !is_abandoned && now >= sent_at + timeout {
+                    self.timeouts
+                        .record_timeout(request.kind, priority, sent_at);
                 }
                 Err(StoreError::Unknown)
             }
@@ -261,7 +262,7 @@
 
 impl PrioritizedClient<'_> {
     /// The same for a user's request, all of whose requests to the store must be answered by `deadline`.
-    pub(crate) fn by(self, deadline: Micros) -> Self {
+    pub(crate) fn with_deadline(self, deadline: Micros) -> Self {
         PrioritizedClient {
             deadline: Some(deadline),
             ..self
@@ -275,12 +276,12 @@
 
     /// The measured latency leaves no time for two reads in turn before the deadline, and this node's share of the
     /// rate has room for two at once.
-    pub(crate) fn must_read_side_by_side(self) -> bool {
+    pub(crate) fn must_read_concurrently(self) -> bool {
         let now = runtime::now();
         let Some(deadline) = self.deadline else {
             return false;
         };
-        let latency = self.store.timeouts.expected(RequestKind::Read);
+        let latency = self.store.timeouts.expected_latency(RequestKind::Read);
         must_read_side_by_side(latency, deadline - now)
             && self
                 .store
@@ -311,7 +312,7 @@
     /// Sends a request, unless by the measured latency its answer would come too late for its user.
     async fn send_request(self, request: Request<'_>) -> Result<Response, StoreError> {
         if let Some(deadline) = self.deadline {
-            let latency = self.store.timeouts.expected(request.kind);
+            let latency = self.store.timeouts.expected_latency(request.kind);
             if runtime::now() + latency.unwrap_or_default() >= deadline {
                 return Err(StoreError::DeadlineExceeded);
             }
@@ -320,8 +321,11 @@
     }
 
     /// Reads the value under a key.
-    pub(crate) async fn get<T: DeserializeOwned>(self, key: &str) -> Result<Found<T>, StoreError> {
-        Ok(self.read(key).await?.found())
+    pub(crate) async fn get<T: DeserializeOwned>(
+        self,
+        key: &str,
+    ) -> Result<VersionedValue<T>, StoreError> {
+        Ok(self.read(key).await?.into_versioned())
     }
 
     /// Reads the value under a key, or the revision as of which there is none. An absence without a revision is
@@ -340,7 +344,7 @@
                 Ok(KeyRead::Present(pair.value, pair.mod_revision))
             }
             404 => {
-                let absent: KeyAbsent = decode_body(&r)?;
+                let absent: KeyNotFound = decode_body(&r)?;
                 Ok(KeyRead::Absent(ModRevision(absent.revision)))
             }
             s => Err(StoreError::Refused(s)),
@@ -356,7 +360,7 @@
         let mut revision = None;
         loop {
             let after = pairs.last().map(|p| p.key.as_str());
-            let page = self.page_with_retries(prefix, after).await?;
+            let page = self.read_page_with_retries(prefix, after).await?;
             let revision = *revision.get_or_insert(page.revision);
             let has_more = page.more && !page.pairs.is_empty();
             pairs.extend(page.pairs);
@@ -366,14 +370,14 @@
         }
     }
 
-    async fn page_with_retries<T: DeserializeOwned>(
+    async fn read_page_with_retries<T: DeserializeOwned>(
         self,
         prefix: &str,
         after: Option<&str>,
     ) -> Result<KeyValuePage<T>, StoreError> {
         let mut retries = 0;
         loop {
-            match self.page(prefix, after, PAGE_SIZE).await {
+            match self.read_page(prefix, after, PAGE_SIZE).await {
                 Err(e) if retries < MAX_PAGE_RETRIES => {
                     debug!(error = %e, prefix, "page not read");
                     retries += 1;
@@ -385,7 +389,7 @@
     }
 
     /// Reads one page of at most `max_pairs` pairs under a prefix, from after a key on.
-    pub(crate) async fn page<T: DeserializeOwned>(
+    pub(crate) async fn read_page<T: DeserializeOwned>(
         self,
         prefix: &str,
         after: Option<&str>,
@@ -534,10 +538,10 @@
                 if changes.events.is_empty() && elapsed >= wait {
                     self.store
                         .timeouts
-                        .answered(RequestKind::Watch, elapsed - wait);
+                        .record_response(RequestKind::Watch, elapsed - wait);
                 } else {
                     // The store has waited for the change, nobody knows how long.
-                    self.store.timeouts.watch_answered_within(elapsed);
+                    self.store.timeouts.record_watch_response(elapsed);
                 }
                 Ok(changes)
             }
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -70,7 +70,7 @@
         match node
             .store
             .critical()
-            .page::<serde::de::IgnoredAny>(LEADER_KEY, None, 1)
+            .read_page::<serde::de::IgnoredAny>(LEADER_KEY, None, 1)
             .await
         {
             Ok(page) => {
@@ -100,7 +100,7 @@
     if let Some(end) = node.terminal_states.get(id) {
         return Ok(Lookup::Finished(end));
     }
-    if client.must_read_side_by_side() {
+    if client.must_read_concurrently() {
         return lookup_side_by_side(node, client, id).await;
     }
     if let Some((record, mod_revision)) = client.get::<JobRecord>(&job_key(id)).await? {
@@ -191,7 +191,7 @@
     }
     let (node, id) = (node.clone(), id.clone());
     runtime::spawn_until(node.cancel.clone(), async move {
-        if let Err(e) = lookup(&node, node.store.polling(), &id).await {
+        if let Err(e) = lookup(&node, node.store.polls(), &id).await {
             debug!(job = %id, error = %e, "job not read in the background");
         }
         node.background_lookups.0.borrow_mut().remove(&id);
--- a/crates/hopyoke/src/store/timeouts.rs
+++ b/crates/hopyoke/src/store/timeouts.rs
@@ -15,7 +15,7 @@
     latency: RefCell<StoreLatency>,
     policy: TimeoutPolicy,
     /// Requests without an answer in time, by priority.
-    counts: [Cell<u64>; RequestPriority::ALL.len()],
+    timeout_counts: [Cell<u64>; RequestPriority::ALL.len()],
 }
 
 impl RequestTimeouts {
@@ -24,7 +24,7 @@
         RequestTimeouts {
             latency: RefCell::default(),
             policy: TimeoutPolicy::new(leader_ttl, JOB_WATCH_WAIT),
-            counts: Default::default(),
+            timeout_counts: Default::default(),
         }
     }
 
@@ -35,12 +35,12 @@
     }
 
     /// The latency to expect of a request that is sent now; `None` if none was measured lately.
-    pub(crate) fn expected(&self, kind: RequestKind) -> Option<Micros> {
+    pub(crate) fn expected_latency(&self, kind: RequestKind) -> Option<Micros> {
         self.latency.borrow().expected(kind, runtime::now())
     }
 
     /// The longest latency to expect of a request of any kind that is sent now; zero if none was measured lately.
-    pub(crate) fn expected_of_slowest(&self) -> Micros {
+    pub(crate) fn max_expected_latency(&self) -> Micros {
         self.latency
             .borrow()
             .expected_of_slowest(runtime::now())
@@ -48,13 +48,13 @@
     }
 
     /// The smoothed latency of a kind of requests, for operators.
-    pub(crate) fn smoothed(&self, kind: RequestKind) -> Option<Micros> {
+    pub(crate) fn smoothed_latency(&self, kind: RequestKind) -> Option<Micros> {
         self.latency.borrow().of(kind).smoothed()
     }
 
     /// Requests of a priority without an answer in time, for operators.
-    pub(crate) fn count(&self, priority: RequestPriority) -> u64 {
-        self.counts[priority as usize].get()
+    pub(crate) fn timeout_count(&self, priority: RequestPriority) -> u64 {
+        self.timeout_counts[priority as usize].get()
     }
 
     /// The store counts as slow.
@@ -63,7 +63,7 @@
     }
 
     /// A request was answered.
-    pub(crate) fn answered(&self, kind: RequestKind, latency: Micros) {
+    pub(crate) fn record_response(&self, kind: RequestKind, latency: Micros) {
         self.latency
             .borrow_mut()
             .answered(kind, latency, runtime::now());
@@ -71,15 +71,20 @@
     }
 
     /// A watch was answered after this, of which the store may have waited a part for changes.
-    pub(crate) fn watch_answered_within(&self, latency: Micros) {
+    pub(crate) fn record_watch_response(&self, latency: Micros) {
         self.latency
             .borrow_mut()
             .answered_within(RequestKind::Watch, latency, runtime::now());
     }
 
     /// A request had no answer within its timeout.
-    pub(crate) fn timed_out(&self, kind: RequestKind, priority: RequestPriority, sent_at: Micros) {
-        let count = &self.counts[priority as usize];
+    pub(crate) fn record_timeout(
+        &self,
+        kind: RequestKind,
+        priority: RequestPriority,
+        sent_at: Micros,
+    ) {
+        let count = &self.timeout_counts[priority as usize];
         count.set(count.get() + 1);
         self.latency
             .borrow_mut()
@@ -92,7 +97,7 @@
         let Some(change) = change else {
             return;
         };
-        let latency_ms = self.smoothed(kind).map(Micros::as_millis);
+        let latency_ms = self.smoothed_latency(kind).map(Micros::as_millis);
         let timeout_ms = self.timeout(kind, RequestPriority::Critical).as_millis();
         match change {
             SpeedChange::Slow => warn!(?kind, latency_ms, timeout_ms, "key-value store is slow"),
--- a/crates/hopyoke/src/store/watch.rs
+++ b/crates/hopyoke/src/store/watch.rs
@@ -25,7 +25,7 @@
     loop {
         let sent_at = runtime::now();
         let since = leadership.scheduler.borrow().applied_revision().0;
-        let latency = node.store.timeouts.expected_of_slowest();
+        let latency = node.store.timeouts.max_expected_latency();
         let wait = leadership
             .leader_lease
             .borrow()
--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -75,7 +75,7 @@
             step,
             job,
         } => {
-            let outcome = match records::cancel(node, node.store.cancelling(), job).await {
+            let outcome = match records::cancel(node, node.store.cancellations(), job).await {
                 Ok(Some(Lookup::Finished(end))) if end.flow => JobOutcome::Ended(job_end_of(end)),
                 Ok(Some(Lookup::Missing)) => JobOutcome::Missing,
                 Ok(Some(Lookup::Finished(_))) => JobOutcome::Taken,
@@ -203,7 +203,7 @@
         },
     ];
     Ok(
-        match records::accept(node, node.store.accepting(), record, more).await? {
+        match records::accept(node, node.store.submissions(), record, more).await? {
             TransactionOutcome::Applied(_) => JobOutcome::Accepted,
             // The three-way check: what does the job's own record say?
             TransactionOutcome::Failed(_) => {
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -411,7 +411,7 @@
             let page = node
                 .store
                 .background()
-                .page::<Head>(prefix, Some(&since), MOST_LISTED)
+                .read_page::<Head>(prefix, Some(&since), MOST_LISTED)
                 .await?;
             let last = page
                 .pairs
--- a/crates/hopyoke/src/workflows/watches.rs
+++ b/crates/hopyoke/src/workflows/watches.rs
@@ -137,7 +137,7 @@
             None => match node
                 .store
                 .background()
-                .page::<EndRecord>(&prefix, None, 1)
+                .read_page::<EndRecord>(&prefix, None, 1)
                 .await
             {
                 Ok(page) => {
