--- a/crates/hopyoke/src/store/client.rs
+++ b/crates/hopyoke/src/store/client.rs
@@ -122,7 +122,7 @@
         self.timeouts.record_timeout(kind, priority, sent_at);
     }
 
-    /// Returns the numbers of requests of a priority that were sent and that were delayed by the rate limiter.
+    /// Returns how often the rate limiter admitted and how often it refused a request of a priority.
     pub(crate) fn request_counts(&self, priority: RequestPriority) -> (u64, u64) {
         self.rate_limiter.borrow().counts(priority)
     }
