--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -3,8 +3,8 @@
 use super::deadline::RequestDeadline;
 use crate::node::{Leadership, Node};
 use crate::store::client::{PrioritizedClient, TransactionOutcome};
-use crate::store::error::StateError;
-use crate::store::records::{self, Lookup, lookup, lookup_ended};
+use crate::store::error::StoreError;
+use crate::store::records::{self, Lookup, lookup, lookup_finished};
 use hopyoke_admission::RetryAfter;
 use hopyoke_consistency::deadline::{FORWARD_TO_LEADER_TIMEOUT, leaders_share};
 use hopyoke_consistency::latency::RequestKind;
@@ -58,8 +58,8 @@
 /// all stay healthy: users need not be routed back afterwards.
 fn is_isolated(node: &Node) -> bool {
     let min_silence = Micros::from_secs(3);
-    !node.store.answers()
-        && runtime::now() > node.store.last_answer_at() + min_silence
+    !node.store.is_responding()
+        && runtime::now() > node.store.last_response_at() + min_silence
         && node.peers.any_that_reaches_store().is_some()
 }
 
@@ -94,14 +94,15 @@
     {
         return r;
     }
-    if !node.store.answers()
+    if !node.store.is_responding()
         && let Some(r) = peers_answer(node, request, deadline).await
     {
         return r;
     }
     // Known not to answer: reported at once rather than after another timeout. The connection is closed, so that the
     // user's next attempt can reach another node.
-    if !node.store.answers() && runtime::now() > node.store.last_answer_at() + Micros::from_secs(1)
+    if !node.store.is_responding()
+        && runtime::now() > node.store.last_response_at() + Micros::from_secs(1)
     {
         return unavailable("the state service does not answer this node").closing();
     }
@@ -109,7 +110,7 @@
     // Rejected submissions are not forwarded: the peers have no more capacity.
     if own.status == 503
         && request.method == Method::Post
-        && !node.store.answers()
+        && !node.store.is_responding()
         && let Some(r) = peers_answer(node, request, deadline).await
     {
         return r;
@@ -128,7 +129,7 @@
     if !client.leads() {
         return None;
     }
-    let latency = node.store.timeouts.expected_of_slowest();
+    let latency = node.store.timeouts.max_expected_latency();
     // The leader answers many polls with one read of its own; this node would need two reads for each.
     if client.is_busy() {
         let is_slow = latency > FORWARD_TO_LEADER_TIMEOUT;
@@ -181,7 +182,7 @@
     let answer = if verb == Method::Get {
         let answer = poll(node, &id, deadline).await;
         if answer.is_err() {
-            records::look_up_in_background(node, &id);
+            records::spawn_background_lookup(node, &id);
         }
         answer
     } else {
@@ -238,15 +239,15 @@
             unfinished(node.leadership().as_deref(), id, record.readable())
         }
         Lookup::Unreadable => unavailable("the job's record can't be read"),
-        Lookup::Missing => problem(404, "no such job"),
+        Lookup::NotFound => problem(404, "no such job"),
     }
 }
 
-async fn poll(node: &Node, id: &JobId, deadline: RequestDeadline) -> Result<Response, StateError> {
+async fn poll(node: &Node, id: &JobId, deadline: RequestDeadline) -> Result<Response, StoreError> {
     if let Some(end) = node.terminal_states.get(id) {
         return Ok(finished(id, end));
     }
-    let client = node.store.polling().by(deadline.at());
+    let client = node.store.polls().with_deadline(deadline.at());
     if let Some(leadership) = node.leadership()
         && !must_look_up(&leadership, client, id)
     {
@@ -263,7 +264,7 @@
                 return Ok(finished(id, end));
             }
             // It has ended, or was never accepted, or its record is malformed: its records tell.
-            return Ok(answer(node, id, lookup_ended(node, client, id).await?));
+            return Ok(answer(node, id, lookup_finished(node, client, id).await?));
         }
         if !leadership.cancel.is_cancelled() {
             // More reads would not help: the store is overloaded or unreachable. The user polls again.
@@ -279,25 +280,25 @@
     leadership: &Leadership,
     id: &JobId,
     deadline: RequestDeadline,
-) -> Result<Response, StateError> {
+) -> Result<Response, StoreError> {
     let is_confirmed = leadership.has_unfinished(id)
         && leadership.wait_until_confirmed(deadline.at()).await
         && leadership.has_unfinished(id);
     if is_confirmed {
         Ok(unfinished(Some(leadership), id, None))
     } else {
-        Err(StateError::DeadlineExceeded)
+        Err(StoreError::DeadlineExceeded)
     }
 }
 
 /// The job is most likely over, and there is no time for a query first and its records then: they are read at once.
 fn must_look_up(leadership: &Leadership, client: PrioritizedClient<'_>, id: &JobId) -> bool {
-    !leadership.scheduler.borrow().jobs.contains_key(id) && client.must_read_side_by_side()
+    !leadership.scheduler.borrow().jobs.contains_key(id) && client.must_read_concurrently()
 }
 
 /// By the measured latency the next query's answer comes before the deadline.
 fn has_time_for_query(node: &Node, deadline: RequestDeadline) -> bool {
-    let latency = node.store.timeouts.expected(RequestKind::Watch);
+    let latency = node.store.timeouts.expected_latency(RequestKind::Watch);
     latency.unwrap_or_default() + READ_BATCH_DELAY < deadline.remaining()
 }
 
@@ -314,11 +315,11 @@
         unschedulable_reason(&spec, &types, &node.config.zones, &node.config.teams)
     };
     let id = spec.id.clone();
-    let client = node.store.accepting().by(deadline.at());
+    let client = node.store.submissions().with_deadline(deadline.at());
     let result = match never_runs_reason {
         // An accepted job stays accepted, whatever the catalog says now.
         Some(reason) => match lookup(node, client, &id).await {
-            Ok(Lookup::Missing) => Ok(problem(422, &reason)),
+            Ok(Lookup::NotFound) => Ok(problem(422, &reason)),
             Ok(found) => Ok(answer(node, &id, found)),
             Err(e) => Err(e),
         },
@@ -335,7 +336,7 @@
     node: &Rc<Node>,
     spec: JobSpec,
     deadline: RequestDeadline,
-) -> Result<Response, StateError> {
+) -> Result<Response, StoreError> {
     let id = spec.id.clone();
     if let Some(end) = node
         .terminal_states
@@ -358,10 +359,10 @@
     }
     let team = spec.team.clone();
     let record = JobRecord::accepted(spec, runtime::time_of_day().0);
-    let client = node.store.accepting().by(deadline.at());
-    let end = match records::accept(node, client, record, Vec::new()).await {
-        Err(e @ StateError::DeadlineExceeded) => return Err(e),
-        Err(e) if e.is_refusal() && node.store.answers() => {
+    let client = node.store.submissions().with_deadline(deadline.at());
+    let end = match records::create(node, client, record, Vec::new()).await {
+        Err(e @ StoreError::DeadlineExceeded) => return Err(e),
+        Err(e) if e.is_refusal() && node.store.is_responding() => {
             return Ok(rejected(node.admission.reject(node, &id, &team)));
         }
         end => end?,
@@ -379,7 +380,7 @@
         }
         TransactionOutcome::Failed(_) => match lookup(node, client, &id).await? {
             // A record cannot vanish: the user is to retry.
-            Lookup::Missing => Ok(unavailable("the job's record changed meanwhile")),
+            Lookup::NotFound => Ok(unavailable("the job's record changed meanwhile")),
             found if found.is_workflow_step() => {
                 Ok(problem(422, "the id is that of a workflow's step"))
             }
@@ -393,8 +394,8 @@
     node: &Rc<Node>,
     id: &JobId,
     deadline: RequestDeadline,
-) -> Result<Response, StateError> {
-    let client = node.store.cancelling().by(deadline.at());
+) -> Result<Response, StoreError> {
+    let client = node.store.cancellations().with_deadline(deadline.at());
     Ok(match records::cancel(node, client, id).await? {
         Some(Lookup::Finished(end)) => finished(id, end),
         Some(found) => answer(node, id, found),
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -112,11 +112,11 @@
 async fn probe_store(node: Rc<Node>) {
     let interval = Micros::from_secs(1);
     loop {
-        if runtime::now() > node.store.last_answer_at() + interval {
+        if runtime::now() > node.store.last_response_at() + interval {
             let _ = node
                 .store
                 .background()
-                .get::<serde::de::IgnoredAny>(crate::store::keys::LEADER)
+                .get::<serde::de::IgnoredAny>(crate::store::keys::LEADER_KEY)
                 .await;
         }
         runtime::sleep(interval).await;
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -1,8 +1,8 @@
-//! Jobs' records in the key-value store, as any node reads and changes them.
+//! Reads and changes of job records in the key-value store, on any node.
 
 use super::client::{KeyRead, PrioritizedClient, TransactionOutcome};
-use super::error::StateError;
-use super::keys::{LEADER, end_key, job_key};
+use super::error::StoreError;
+use super::keys::{LEADER_KEY, end_key, job_key};
 use crate::node::Node;
 use futures_util::future::join;
 use hopyoke_event_loop as runtime;
@@ -15,23 +15,23 @@
 use std::rc::Rc;
 use tracing::{debug, warn};
 
-/// How long a cancellation for which no user waits is tried again while the job's record keeps changing.
+/// How long a cancellation without a deadline is retried while the job's record keeps changing.
 const MAX_CANCEL_TIME: Micros = Micros::from_secs(2);
 
-/// A job's record, unfinished or final.
+/// Result of looking up a job's record.
 pub(crate) enum Lookup {
-    /// The record of an unfinished job, with the revision of its last change.
+    /// Record of an unfinished job, with the revision of its last change.
     Unfinished(Stored<JobRecord>, ModRevision),
-    /// The record of a finished job.
+    /// Terminal record of a finished job.
     Finished(EndRecord),
-    /// The job is finished, but its final record can't be decoded.
+    /// The job is finished, but its terminal record cannot be decoded.
     Unreadable,
-    /// There is no such job.
-    Missing,
+    /// The job does not exist.
+    NotFound,
 }
 
 impl Lookup {
-    /// The job is a step of a workflow's run.
+    /// Returns whether the job is a step of a workflow run.
     pub(crate) fn is_workflow_step(&self) -> bool {
         match self {
             Lookup::Unfinished(Stored::Value(record), _) => record.is_workflow_step,
@@ -41,12 +41,13 @@
     }
 }
 
-/// Notes that a job's final record was written or read here, whoever wrote it (the answer to a transaction can be
-/// lost, and the user's repeated request finds what it did): from now on users may be told of it. Before that a
-/// cancellation is logged for leaders that may not receive it, and this node's own scheduler drops the job.
-/// (Guards `ran_cancelled`: a leader that outlives an outage would keep its tasks alive. Scenarios
-/// leader_rejected_then_outage_responses_lost, leader_rejected_then_outage_leader_reads.)
-fn terminal_state_known(node: &Node, id: &JobId, end: EndRecord, mod_revision: ModRevision) {
+/// Records a job's terminal state that this node has written or read; users may be told of it from now on.
+///
+/// Before that, a cancellation is appended to the cancellation log for leaders that may not receive it, and the job is
+/// removed from this node's own scheduler. This applies whoever wrote the record: the response to the cancelling
+/// transaction can be lost, and the user's repeated request then finds its result. Guards the invariant
+/// `ran_cancelled`: a leader that outlives an outage of the store would otherwise keep the job's tasks running.
+fn record_terminal_state(node: &Node, id: &JobId, end: EndRecord, mod_revision: ModRevision) {
     if end.state == JobState::Cancelled {
         node.lease_support
             .cancellation_log
@@ -60,17 +61,17 @@
             leadership.wakeup.notify();
         }
     }
-    node.terminal_states.add(id, end);
+    node.terminal_states.insert(id, end);
 }
 
-/// Bounds the cancellations that former processes of this node may have acknowledged: none became final after a
-/// revision that this process has read.
+/// Reads a revision of the store at process start. Every cancellation that a previous process of this node acknowledged
+/// was committed at or before this revision, so the cancellation log is complete from it on.
 pub(crate) async fn read_start_revision(node: Rc<Node>) {
     loop {
         match node
             .store
             .critical()
-            .page::<serde::de::IgnoredAny>(LEADER, None, 1)
+            .read_page::<serde::de::IgnoredAny>(LEADER_KEY, None, 1)
             .await
         {
             Ok(page) => {
@@ -80,46 +81,47 @@
                     .borrow_mut()
                     .started_before(ModRevision(page.revision));
             }
-            Err(e) => debug!(error = %e, "revision at start not read"),
+            Err(e) => debug!(error = %e, "store revision at process start not read"),
         }
         runtime::sleep(Micros::from_millis(rand::random_range(400..=800))).await;
     }
 }
 
-/// Reads a job's record. A record only ever moves from `job/` to `end/`, so reading in this order
-/// can't miss it; only then is it truly missing. (Guards `forgotten` and `invented`.)
+/// Reads a job's record. A record only ever moves from `job/` to `end/`, so reading the two keys in this order cannot
+/// miss it: the job does not exist only if neither read finds it. Guards the invariants `forgotten` and `invented`.
 ///
 /// # Errors
 ///
-/// The store's, if a read failed.
+/// Returns the store's error if a read failed.
 pub(crate) async fn lookup(
     node: &Node,
     client: PrioritizedClient<'_>,
     id: &JobId,
-) -> Result<Lookup, StateError> {
+) -> Result<Lookup, StoreError> {
     if let Some(end) = node.terminal_states.get(id) {
         return Ok(Lookup::Finished(end));
     }
-    if client.must_read_side_by_side() {
-        return lookup_side_by_side(node, client, id).await;
+    if client.must_read_concurrently() {
+        return lookup_concurrently(node, client, id).await;
     }
     if let Some((record, mod_revision)) = client.get::<JobRecord>(&job_key(id)).await? {
         return Ok(Lookup::Unfinished(record, mod_revision));
     }
-    lookup_final(node, client, id).await
+    lookup_terminal(node, client, id).await
 }
 
-/// Reads both records at once, where the store's latency leaves no time for one after the other.
+/// Reads both keys of a job concurrently, if the store's latency leaves no time for sequential reads.
 ///
-/// What is found is as good as a read of its own, and began after the request arrived. That neither is there proves the
-/// job missing only if `end/` was read at a revision that is not older than that of `job/`: had the job existed as of the
-/// latter, it would be under `end/` by then, and it never leaves it. Else it may have moved between the two reads, and
-/// `end/` is read again. (Guards `forgotten`, `invented` and `went_back`.)
-async fn lookup_side_by_side(
+/// A record that is found is as valid as one from a single read, as both reads began after the request arrived. If both
+/// keys are absent, the job does not exist only if `end/` was read at a revision not older than that of the `job/`
+/// read: a job that existed as of the latter revision would be under `end/` by then, which it never leaves. Otherwise
+/// the record may have moved between the two reads, and `end/` is read again. Guards the invariants `forgotten`,
+/// `invented` and `went_back`.
+async fn lookup_concurrently(
     node: &Node,
     client: PrioritizedClient<'_>,
     id: &JobId,
-) -> Result<Lookup, StateError> {
+) -> Result<Lookup, StoreError> {
     let (job_key, end_key) = (job_key(id), end_key(id));
     let (unfinished, end) = join(
         client.read::<JobRecord>(&job_key),
@@ -128,7 +130,7 @@
     .await;
     let end = match end {
         Ok(KeyRead::Present(end, mod_revision)) => {
-            return Ok(final_record_read(node, id, end, mod_revision));
+            return Ok(handle_terminal_record(node, id, end, mod_revision));
         }
         absent_or_failed => absent_or_failed,
     };
@@ -139,24 +141,24 @@
         KeyRead::Absent(revision) => revision,
     };
     match end? {
-        KeyRead::Absent(revision) if revision >= absent_as_of => Ok(Lookup::Missing),
-        _ => lookup_final(node, client, id).await,
+        KeyRead::Absent(revision) if revision >= absent_as_of => Ok(Lookup::NotFound),
+        _ => lookup_terminal(node, client, id).await,
     }
 }
 
-/// Reads the final record of a job that is not unfinished.
-async fn lookup_final(
+/// Reads the terminal record of a job that has no unfinished record.
+async fn lookup_terminal(
     node: &Node,
     client: PrioritizedClient<'_>,
     id: &JobId,
-) -> Result<Lookup, StateError> {
+) -> Result<Lookup, StoreError> {
     Ok(match client.get::<EndRecord>(&end_key(id)).await? {
-        Some((end, mod_revision)) => final_record_read(node, id, end, mod_revision),
-        None => Lookup::Missing,
+        Some((end, mod_revision)) => handle_terminal_record(node, id, end, mod_revision),
+        None => Lookup::NotFound,
     })
 }
 
-fn final_record_read(
+fn handle_terminal_record(
     node: &Node,
     id: &JobId,
     end: Stored<EndRecord>,
@@ -164,26 +166,26 @@
 ) -> Lookup {
     match end {
         Stored::Value(end) => {
-            terminal_state_known(node, id, end, mod_revision);
+            record_terminal_state(node, id, end, mod_revision);
             Lookup::Finished(end)
         }
         Stored::Unreadable(_) => {
-            warn!(job = %id, "final record unreadable");
+            warn!(job = %id, "cannot decode terminal record");
             Lookup::Unreadable
         }
     }
 }
 
-/// Lookups in the background at once: their users ask again every few seconds.
+/// Maximum number of concurrent background lookups; further ones are dropped, as clients repeat their polls.
 const MAX_BACKGROUND_LOOKUPS: usize = 32;
 
-/// Jobs whose records are being read though their users no longer wait.
+/// Jobs whose records are still being read although their users no longer wait.
 #[derive(Default)]
 pub(crate) struct BackgroundLookups(RefCell<BTreeSet<JobId>>);
 
-/// Goes on reading a job's record after its user's deadline: a final state is remembered, and answers the next poll
-/// however slow the store is. (Guards `forgotten`: test finished_jobs_are_answered_for_under_a_store_too_slow_for_polls.)
-pub(crate) fn look_up_in_background(node: &Rc<Node>, id: &JobId) {
+/// Reads a job's record in the background after its user's deadline. A terminal state is cached and answers the next
+/// poll, however slow the store is. Guards the invariant `forgotten`.
+pub(crate) fn spawn_background_lookup(node: &Rc<Node>, id: &JobId) {
     let lookups = &node.background_lookups.0;
     let is_full = lookups.borrow().len() >= MAX_BACKGROUND_LOOKUPS;
     if is_full || !lookups.borrow_mut().insert(id.clone()) {
@@ -191,43 +193,43 @@
     }
     let (node, id) = (node.clone(), id.clone());
     runtime::spawn_until(node.cancel.clone(), async move {
-        if let Err(e) = lookup(&node, node.store.polling(), &id).await {
-            debug!(job = %id, error = %e, "job not read in the background");
+        if let Err(e) = lookup(&node, node.store.polls(), &id).await {
+            debug!(job = %id, error = %e, "background lookup of job failed");
         }
         node.background_lookups.0.borrow_mut().remove(&id);
     });
 }
 
-/// Reads the record of a job that is known not to be among the unfinished ones, so most likely over.
+/// Reads the record of a job that is unknown to the scheduler and therefore most likely finished.
 ///
 /// # Errors
 ///
-/// The store's, if a read failed.
-pub(crate) async fn lookup_ended(
+/// Returns the store's error if a read failed.
+pub(crate) async fn lookup_finished(
     node: &Node,
     client: PrioritizedClient<'_>,
     id: &JobId,
-) -> Result<Lookup, StateError> {
+) -> Result<Lookup, StoreError> {
     if let Some((Stored::Value(end), mod_revision)) = client.get::<EndRecord>(&end_key(id)).await? {
-        terminal_state_known(node, id, end, mod_revision);
+        record_terminal_state(node, id, end, mod_revision);
         return Ok(Lookup::Finished(end));
     }
-    // Only a full lookup proves that it is missing: an unfinished record that can't be decoded is in no
-    // scheduler.
+    // Only a full lookup shows that the job does not exist: an unfinished record that cannot be decoded is unknown to
+    // the scheduler.
     lookup(node, client, id).await
 }
 
-/// Writes the record of a new job, on the condition that there is none, and on `preconditions`.
+/// Writes the record of a new job, on condition that the job has no record yet and that `preconditions` hold.
 ///
 /// # Errors
 ///
-/// The store's; after [`StateError::Unknown`] the record may have been written.
-pub(crate) async fn accept(
+/// Returns the store's error; after [`StoreError::Unknown`] the record may have been written.
+pub(crate) async fn create(
     node: &Rc<Node>,
     client: PrioritizedClient<'_>,
     record: JobRecord,
     preconditions: Vec<Compare>,
-) -> Result<TransactionOutcome, StateError> {
+) -> Result<TransactionOutcome, StoreError> {
     let id = record.spec.id.clone();
     let mut compares = vec![
         Compare {
@@ -252,16 +254,17 @@
     Ok(outcome)
 }
 
-/// Cancels a job: its record moves to its final key. What it is afterwards; `None` if its record keeps changing.
+/// Cancels a job by replacing its record with a terminal one, and returns the resulting record. Returns `None` if the
+/// record kept changing until the deadline.
 ///
 /// # Errors
 ///
-/// The store's; after [`StateError::Unknown`] the job may have been cancelled.
+/// Returns the store's error; after [`StoreError::Unknown`] the job may have been cancelled.
 pub(crate) async fn cancel(
     node: &Rc<Node>,
     client: PrioritizedClient<'_>,
     id: &JobId,
-) -> Result<Option<Lookup>, StateError> {
+) -> Result<Option<Lookup>, StoreError> {
     let deadline = client
         .deadline()
         .unwrap_or(runtime::now() + MAX_CANCEL_TIME);
@@ -295,18 +298,18 @@
         ];
         match client.txn(compares, mutations).await? {
             TransactionOutcome::Applied(mod_revision) => {
-                terminal_state_known(node, id, end, mod_revision);
+                record_terminal_state(node, id, end, mod_revision);
                 notify_leader(node, id);
                 return Ok(Some(Lookup::Finished(end)));
             }
-            // Its record changed meanwhile, by the leader's progress most likely.
+            // The record has changed since it was read, most likely by progress that the leader recorded.
             TransactionOutcome::Failed(_) if runtime::now() < deadline => {}
             TransactionOutcome::Failed(_) => return Ok(None),
         }
     }
 }
 
-/// Notifies the leader, in the background, that a job was accepted or cancelled here.
+/// Notifies the leader, in the background, that a job was submitted or cancelled through this node.
 fn notify_leader(node: &Rc<Node>, id: &JobId) {
     if node.leadership().is_some() {
         return;
--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -5,9 +5,9 @@
 use super::watches::job_end_of;
 use crate::node::Node;
 use crate::store::client::TransactionOutcome;
-use crate::store::error::StateError;
+use crate::store::error::StoreError;
 use crate::store::keys::{
-    workflow_end_key, workflow_head_key, workflow_holder_key, workflow_page_key,
+    workflow_claim_key, workflow_end_key, workflow_head_key, workflow_page_key,
 };
 use crate::store::records::{self, Lookup, lookup};
 use hopyoke_event_loop as runtime;
@@ -75,11 +75,11 @@
             step,
             job,
         } => {
-            let outcome = match records::cancel(node, node.store.cancelling(), job).await {
+            let outcome = match records::cancel(node, node.store.cancellations(), job).await {
                 Ok(Some(Lookup::Finished(end))) if end.is_workflow_step => {
                     JobOutcome::Ended(job_end_of(end))
                 }
-                Ok(Some(Lookup::Missing)) => JobOutcome::Missing,
+                Ok(Some(Lookup::NotFound)) => JobOutcome::Missing,
                 Ok(Some(Lookup::Finished(_))) => JobOutcome::Taken,
                 Ok(_) => JobOutcome::Unknown,
                 Err(e) => outcome_of_error(&e),
@@ -112,9 +112,9 @@
     }
 }
 
-fn outcome_of_error(e: &StateError) -> JobOutcome {
+fn outcome_of_error(e: &StoreError) -> JobOutcome {
     match e {
-        StateError::Refused(_) | StateError::RateLimited => {
+        StoreError::Refused(_) | StoreError::RateLimited => {
             JobOutcome::Later(Micros::from_millis(500))
         }
         _ => JobOutcome::Unknown,
@@ -129,7 +129,7 @@
         node: node.settings.node.clone(),
         lease,
     };
-    let key = workflow_holder_key(run);
+    let key = workflow_claim_key(run);
     // A run that is over is not claimed: its head must still be there.
     let head = match node
         .store
@@ -176,7 +176,7 @@
     spec: &JobSpec,
     grant: ModRevision,
     head: ModRevision,
-) -> Result<JobOutcome, StateError> {
+) -> Result<JobOutcome, StoreError> {
     let never = {
         let types = node.catalog.borrow();
         if types.is_empty() {
@@ -188,7 +188,7 @@
         // An accepted job stays accepted, whatever the catalog says now.
         return Ok(
             match lookup(node, node.store.background(), &spec.id).await? {
-                Lookup::Missing => JobOutcome::Never(why),
+                Lookup::NotFound => JobOutcome::Never(why),
                 found => outcome_of_lookup(&found),
             },
         );
@@ -196,7 +196,7 @@
     let record = JobRecord::for_workflow_step(spec.clone(), runtime::time_of_day().0);
     let more = vec![
         Compare {
-            key: workflow_holder_key(run),
+            key: workflow_claim_key(run),
             mod_revision: grant,
         },
         Compare {
@@ -205,12 +205,12 @@
         },
     ];
     Ok(
-        match records::accept(node, node.store.accepting(), record, more).await? {
+        match records::create(node, node.store.submissions(), record, more).await? {
             TransactionOutcome::Applied(_) => JobOutcome::Accepted,
             // The three-way check: what does the job's own record say?
             TransactionOutcome::Failed(_) => {
                 match lookup(node, node.store.background(), &spec.id).await? {
-                    Lookup::Missing => JobOutcome::Stale,
+                    Lookup::NotFound => JobOutcome::Stale,
                     found => outcome_of_lookup(&found),
                 }
             }
@@ -222,7 +222,7 @@
     match found {
         Lookup::Finished(end) if end.is_workflow_step => JobOutcome::Ended(job_end_of(*end)),
         Lookup::Unfinished(Stored::Value(r), _) if r.is_workflow_step => JobOutcome::Known,
-        Lookup::Missing | Lookup::Unreadable | Lookup::Unfinished(Stored::Unreadable(_), _) => {
+        Lookup::NotFound | Lookup::Unreadable | Lookup::Unfinished(Stored::Unreadable(_), _) => {
             JobOutcome::Unknown
         }
         _ => JobOutcome::Taken,
@@ -238,7 +238,7 @@
     release: bool,
 ) -> WriteOutcome {
     let mut conditions = vec![Compare {
-        key: workflow_holder_key(run),
+        key: workflow_claim_key(run),
         mod_revision: grant,
     }];
     let mut changes = Vec::new();
@@ -277,7 +277,7 @@
     }
     if release {
         changes.push(Mutation::Delete {
-            key: workflow_holder_key(run),
+            key: workflow_claim_key(run),
         });
     }
     match node.store.background().txn(conditions, changes).await {
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -7,12 +7,12 @@
     FlowAnswer, FlowRequest, ResumeRun, RunInfo, RunList, RunQuestion, StepInfo, SubmitRun,
 };
 use crate::store::client::TransactionOutcome;
-use crate::store::error::StateError;
+use crate::store::error::StoreError;
 use crate::store::keys::{
-    WORKFLOW_ENDS, WORKFLOW_HEADS, workflow_end_key, workflow_head_key, workflow_page_key,
-    workflow_plan_key, workflow_plan_prefix,
+    WORKFLOW_END_PREFIX, WORKFLOW_HEAD_PREFIX, workflow_end_key, workflow_head_key,
+    workflow_page_key, workflow_plan_key, workflow_plan_prefix,
 };
-use crate::store::watch::job_id_of;
+use crate::store::watch::job_id_from_key;
 use crate::workflows::records::{Value, head_of, pages_of, plan_of};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, Mutation, Stored};
@@ -38,7 +38,7 @@
     #[error("{1}")]
     Status(u32, String),
     #[error("the state service did not answer: {0}")]
-    State(#[from] StateError),
+    State(#[from] StoreError),
 }
 
 type Answer<T = FlowAnswer> = Result<T, Refusal>;
@@ -349,7 +349,7 @@
         let ours = jobs
             .iter()
             .filter(|p| matches!(&p.value, Stored::Value(r) if r.is_workflow_step));
-        submitted.extend(ours.filter_map(|p| Some(parts_of(&job_id_of(&p.key)?)?.1)));
+        submitted.extend(ours.filter_map(|p| Some(parts_of(&job_id_from_key(&p.key)?)?.1)));
     }
     let done = marks.iter().filter(|m| m.0 == StepState::Done).count() as u32;
     let word = |step: StepNo, mod_revision: StepState| match mod_revision {
@@ -406,12 +406,12 @@
         let mut found: Vec<(RunId, Head)> = Vec::new();
         let mut limit = None;
         let mut more = false;
-        for prefix in [WORKFLOW_HEADS, WORKFLOW_ENDS] {
+        for prefix in [WORKFLOW_HEAD_PREFIX, WORKFLOW_END_PREFIX] {
             let since = format!("{prefix}{after}");
             let page = node
                 .store
                 .background()
-                .page::<Head>(prefix, Some(&since), MOST_LISTED)
+                .read_page::<Head>(prefix, Some(&since), MOST_LISTED)
                 .await?;
             let last = page
                 .pairs
