--- a/crates/hopyoke-scheduler/src/ledger/mod.rs
+++ b/crates/hopyoke-scheduler/src/ledger/mod.rs
@@ -1,11 +1,11 @@
-//! The leader's ledger: jobs, machines, and the allocations of tasks on them.
+//! The leader's in-memory view of unfinished jobs, machines, and the task attempts allocated to them.
 
 mod allocation;
 mod job;
 mod machine;
 mod wait_reason;
 
-pub(crate) use allocation::Stop;
+pub(crate) use allocation::StopRequest;
 pub use allocation::{Allocation, AllocationState};
 pub use job::{EndRecord, Job, JobRecord};
 pub(crate) use machine::ImageKey;
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -228,7 +228,7 @@
         page: Option<&RegistryPage>,
         now: Micros,
     ) {
-        for id in self.registry.read(key, mod_revision, page) {
+        for id in self.registry.load_page(key, mod_revision, page) {
             let Some(p) = page else { continue };
             let mut m = Machine::new(
                 id.clone(),
@@ -294,7 +294,7 @@
         }
         if self.plan_schedule.is_due(now) {
             self.plan_schedule.begin(now);
-            self.stop_finished();
+            self.evict_disrupted_tasks();
             let demand = self.run_placement_cycle(now);
             self.scale_out(demand, now);
             self.scale_in(now);
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -1,4 +1,5 @@
-//! What must be written to the state service, in batches within half of its write rate.
+//! Writes of job records, registry pages and learned run times to the key-value store, in batches that
+//! use at most half of the store's write rate.
 
 use super::batch::{Batch, BatchError, RegistryPage, Write};
 use crate::ledger::JobRecord;
@@ -7,40 +8,43 @@
 use hopyoke_types::{FencingToken, JobId, MachineId, ModRevision};
 use std::collections::BTreeMap;
 
+/// Pending writes and the rate limit on them.
 pub(crate) struct Writes {
-    /// Jobs that may have something to write, and since when that is known.
-    due: BTreeMap<JobId, Option<Micros>>,
+    /// Jobs whose records may have to be written, with the time from which the delay of gathered writes
+    /// counts; `None` until a batch first considers them.
+    dirty: BTreeMap<JobId, Option<Micros>>,
+    /// Changes that may be written now (token bucket).
     budget: f64,
     refilled_at: Micros,
     retry_not_before: Micros,
-    /// New work waits to be recorded by other nodes as well: what can wait leaves them room.
-    admission_pressed: bool,
-    /// Changes that may be spent meanwhile on what can wait.
+    /// The nodes' admission control rejects new jobs, so deferrable writes leave room for theirs.
+    admission_saturated: bool,
+    /// Changes that deferrable writes may use while admission is saturated (token bucket).
     deferrable_budget: f64,
-    /// Pages of the machine registry are not rewritten for removals alone before this.
+    /// Pages of the machine registry are not rewritten for removals alone before this time.
     removals_not_before: Micros,
 }
 
-/// Of the leader's changes this much goes to what can wait while new work waits for the rest.
+/// Share of the leader's write rate that deferrable writes get while admission is saturated.
 const DEFERRABLE_SHARE: f64 = 0.3;
 
-/// Bodies are limited to 64 KiB; a batch stays well below.
+/// Largest size of a batch, well below the limit of 64 KiB on request bodies.
 const MAX_BATCH_BYTES: usize = 40 * 1024;
 
 impl Writes {
     pub(crate) fn new(cfg: &SchedulerConfig, now: Micros) -> Writes {
         Writes {
-            due: BTreeMap::new(),
+            dirty: BTreeMap::new(),
             budget: cfg.write_rps / 2.0,
             refilled_at: now,
             retry_not_before: Micros::ZERO,
-            admission_pressed: false,
+            admission_saturated: false,
             deferrable_budget: 0.0,
             removals_not_before: Micros::ZERO,
         }
     }
 
-    /// Adds what was earned since the last call, at `rate` changes per second.
+    /// Refills the budgets for the time since the last call, at `rate` changes per second.
     fn refill(&mut self, rate: f64, max_budget: f64, now: Micros) {
         let earned_s = (now - self.refilled_at).as_secs_f64();
         self.budget = (self.budget + rate * earned_s).min(max_budget);
@@ -49,38 +53,38 @@
         self.refilled_at = now;
     }
 
-    /// The job's record may have to be written.
+    /// Marks a job whose record may have to be written.
     pub(crate) fn mark_dirty(&mut self, job: &JobId) {
-        if !self.due.contains_key(job) {
-            self.due.insert(job.clone(), None);
+        if !self.dirty.contains_key(job) {
+            self.dirty.insert(job.clone(), None);
         }
     }
 
     pub(crate) fn is_dirty(&self, job: &JobId) -> bool {
-        self.due.contains_key(job)
+        self.dirty.contains_key(job)
     }
 }
 
-/// How urgent the write of a job's record is, most urgent first.
+/// Priority of the write of a job's record, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum WriteRank {
-    /// A first start, or a gang's new placement, waits for it.
+enum WritePriority {
+    /// A first start, or a gang's new placement, waits for the write.
     Start,
-    /// The job is over.
+    /// The job has finished.
     End,
-    /// Tasks that are done; such writes can be gathered.
+    /// Completed tasks; several completions are gathered into one write.
     Progress,
 }
 
-/// A batch in the making.
-struct Draft {
+/// A batch under construction, within the limits on its operations and bytes.
+struct BatchBuilder {
     writes: Vec<Write>,
     ops: usize,
     bytes: usize,
     max_ops: usize,
 }
 
-impl Draft {
+impl BatchBuilder {
     fn has_room(&self, ops: usize, bytes: usize) -> bool {
         self.ops + ops <= self.max_ops && self.bytes + bytes <= MAX_BATCH_BYTES
     }
@@ -93,22 +97,25 @@
 }
 
 impl Scheduler {
-    /// True if anything waits to be written.
+    /// Returns true if a write may be pending.
     pub fn has_writes(&self) -> bool {
-        !self.writes.due.is_empty() || self.registry.has_additions() || self.registry.has_removals()
+        !self.writes.dirty.is_empty()
+            || self.registry.has_additions()
+            || self.registry.has_removals()
     }
 
-    /// New work finds no room at the nodes' admission control, or finds it again.
-    pub fn set_admission_pressed(&mut self, admission_pressed: bool) {
-        self.writes.admission_pressed = admission_pressed;
+    /// Sets whether the nodes' admission control rejects new jobs.
+    pub fn set_admission_saturated(&mut self, admission_saturated: bool) {
+        self.writes.admission_saturated = admission_saturated;
     }
 
-    /// Records wait for the rate at which they may be written.
+    /// Returns true if writes are pending that the rate limit delays.
     pub fn is_write_rate_limited(&self) -> bool {
         self.writes.budget < 1.0 && self.has_writes()
     }
 
-    /// The next batch of writes, if some are due and the rate allows it.
+    /// Returns the next batch of writes. `None` if none is due, or the rate limit or the delay after an
+    /// error forbids it.
     pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
         let rate = self.cfg.write_rps / 2.0;
         let max_budget = rate.max(4.0);
@@ -116,110 +123,112 @@
         if now < self.writes.retry_not_before || self.writes.budget < 1.0 {
             return None;
         }
-        let mut draft = Draft {
+        let mut builder = BatchBuilder {
             writes: Vec::new(),
             ops: 0,
             bytes: 0,
             max_ops: (self.writes.budget as usize).min(self.cfg.txn_ops),
         };
-        // First starts come first: their tasks wait for it. Then machines, which wait for their first
-        // task, then whatever completes, then what can be gathered.
-        let mut starts = self.ranked_jobs(max_budget, now);
-        let split = starts.partition_point(|(rank, _)| *rank == WriteRank::Start);
-        let rest = starts.split_off(split);
-        self.draft_jobs(&mut draft, starts);
-        self.draft_pages(&mut draft, false);
-        self.draft_jobs(&mut draft, rest);
+        // Order: starts, for which tasks wait; additions to the registry, for which machines wait before
+        // their first task; ends; gathered progress.
+        let mut start_writes = self.jobs_by_priority(max_budget, now);
+        let split = start_writes.partition_point(|(priority, _)| *priority == WritePriority::Start);
+        let other_writes = start_writes.split_off(split);
+        self.add_job_writes(&mut builder, start_writes);
+        self.add_registry_writes(&mut builder, false);
+        self.add_job_writes(&mut builder, other_writes);
         if now >= self.writes.removals_not_before
-            && draft.has_room(2, 0)
+            && builder.has_room(2, 0)
             && self.registry.has_removals()
         {
             self.writes.removals_not_before = now + Micros::from_millis(500);
-            self.draft_pages(&mut draft, true);
+            self.add_registry_writes(&mut builder, true);
         }
-        // Learned run times come last, alone, and within their own share: nothing waits for them.
-        if draft.writes.is_empty()
+        // Learned run times come last, in a batch of their own and at their own rate: nothing waits for
+        // them.
+        if builder.writes.is_empty()
             && let Some((key, page)) = self.next_learned(now)
         {
-            draft.push(
+            builder.push(
                 Write::LearnedRunTimes { key, page },
                 1,
                 self.cfg.value_bytes,
             );
         }
-        if draft.writes.is_empty() {
+        if builder.writes.is_empty() {
             return None;
         }
-        self.writes.budget -= draft.ops as f64;
+        self.writes.budget -= builder.ops as f64;
         Some(Batch {
-            writes: draft.writes,
+            writes: builder.writes,
         })
     }
 
-    /// Jobs whose records are to be written now, in the order in which they get room.
-    fn ranked_jobs(&mut self, max_budget: f64, now: Micros) -> Vec<(WriteRank, JobId)> {
+    /// Returns the jobs whose records are to be written now, by priority. Forgets jobs that need no write.
+    fn jobs_by_priority(&mut self, max_budget: f64, now: Micros) -> Vec<(WritePriority, JobId)> {
         let mut ranked = Vec::new();
         let w = &mut self.writes;
         let (jobs, tuning, machines) = (&self.jobs, &self.tuning, &self.machines);
         let is_up = |m: &MachineId| machines.get(m).is_some_and(|m| m.phase == MachinePhase::Up);
-        let (is_ample, is_fair) = (w.budget >= max_budget * 0.75, w.budget >= max_budget * 0.5);
-        let (admission_pressed, deferrable_budget) =
-            (w.admission_pressed, &mut w.deferrable_budget);
-        w.due.retain(|id, since| {
+        let (is_budget_high, is_budget_moderate) =
+            (w.budget >= max_budget * 0.75, w.budget >= max_budget * 0.5);
+        let (admission_saturated, deferrable_budget) =
+            (w.admission_saturated, &mut w.deferrable_budget);
+        w.dirty.retain(|id, since| {
             let Some(job) = jobs.get(id) else {
                 return false;
             };
-            if job.writing {
+            if job.write_in_flight {
                 return true;
             }
             if !job.needs_write() {
                 return false;
             }
             let since = *since.get_or_insert(now);
-            let rank = if job.start_attempt != job.recorded_start_attempt {
-                // Its first task can't start before a machine is up.
-                if admission_pressed && !job.attempts.values().flatten().any(|(m, _)| is_up(m)) {
+            let priority = if job.start_attempt != job.recorded_start_attempt {
+                // Deferrable: no task can start before one of its machines is up.
+                if admission_saturated && !job.attempts.values().flatten().any(|(m, _)| is_up(m)) {
                     if *deferrable_budget < 1.0 {
                         return true;
                     }
                     *deferrable_budget -= 1.0;
                 }
-                WriteRank::Start
-            } else if job.is_over() {
-                WriteRank::End
-            } else if (is_ample && now >= since + tuning.gather_least)
-                || (is_fair && now >= since + tuning.gather)
+                WritePriority::Start
+            } else if job.is_finished() {
+                WritePriority::End
+            } else if (is_budget_high && now >= since + tuning.gather_least)
+                || (is_budget_moderate && now >= since + tuning.gather)
                 || now >= since + tuning.gather_most
             {
-                WriteRank::Progress
+                WritePriority::Progress
             } else {
                 return true;
             };
-            ranked.push((rank, id.clone()));
+            ranked.push((priority, id.clone()));
             true
         });
         ranked.sort_unstable();
         ranked
     }
 
-    fn draft_jobs(&mut self, draft: &mut Draft, jobs: Vec<(WriteRank, JobId)>) {
+    fn add_job_writes(&mut self, builder: &mut BatchBuilder, jobs: Vec<(WritePriority, JobId)>) {
         for (_, id) in jobs {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            let end = job.is_over();
-            let cost = if end { 2 } else { 1 };
+            let is_finished = job.is_finished();
+            let cost = if is_finished { 2 } else { 1 };
             let size = 1500 + job.done.max_encoded_len();
-            if !draft.has_room(cost, size) {
+            if !builder.has_room(cost, size) {
                 break;
             }
-            job.writing = true;
-            self.writes.due.insert(id.clone(), None);
-            let write = if end {
+            job.write_in_flight = true;
+            self.writes.dirty.insert(id.clone(), None);
+            let write = if is_finished {
                 Write::End {
                     job: id,
                     mod_revision: job.mod_revision,
-                    end: job.end(),
+                    end: job.end_record(),
                 }
             } else {
                 Write::Update {
@@ -228,13 +237,13 @@
                     record: job.record(),
                 }
             };
-            draft.push(write, cost, size);
+            builder.push(write, cost, size);
         }
     }
 
-    /// A machine is registered once its agent has reported, and before its first task: so the
-    /// next leader waits for no machine that still boots.
-    fn draft_pages(&mut self, draft: &mut Draft, removals: bool) {
+    /// Adds writes of registry pages. A machine is registered after its first heartbeat and before its
+    /// first task, so that a new leader does not wait for machines that are still booting.
+    fn add_registry_writes(&mut self, builder: &mut BatchBuilder, removals: bool) {
         for id in self.registry.take_pending() {
             let Some(m) = self.machines.get(&id) else {
                 continue;
@@ -250,10 +259,10 @@
                     page_key(counter, token)
                 });
         }
-        while draft.has_room(1, self.cfg.value_bytes)
-            || (draft.writes.is_empty() && draft.max_ops >= 1)
+        while builder.has_room(1, self.cfg.value_bytes)
+            || (builder.writes.is_empty() && builder.max_ops >= 1)
         {
-            let Some(write) = self.registry.next(removals) else {
+            let Some(write) = self.registry.next_write(removals) else {
                 return;
             };
             let bytes = match &write {
@@ -262,12 +271,12 @@
                 } => page.bytes(),
                 _ => 0,
             };
-            draft.push(write, 1, bytes);
+            builder.push(write, 1, bytes);
         }
     }
 
-    /// A batch went through at this revision, or did not.
-    pub fn batch_ended(
+    /// Handles the outcome of a batch: the revision at which it was applied, or the error.
+    pub fn batch_completed(
         &mut self,
         batch: Batch,
         result: Result<ModRevision, BatchError>,
@@ -284,58 +293,61 @@
                     let Some(job) = self.jobs.get_mut(&id) else {
                         continue;
                     };
-                    job.writing = false;
+                    job.write_in_flight = false;
                     match &result {
                         Ok(mod_revision) => {
-                            let first_start = job.recorded_start_attempt.0 == 0;
+                            let is_first_start = job.recorded_start_attempt.0 == 0;
                             if *mod_revision > job.mod_revision {
                                 job.mod_revision = *mod_revision;
-                                job.recorded = record.done;
+                                job.recorded_done = record.done;
                                 job.recorded_start_attempt = record.start_attempt;
                             }
-                            // It may start now; results are acknowledged with the next answers.
-                            if first_start || job.is_gang() {
+                            // Its tasks may start now. Acknowledgements can wait for the next heartbeat
+                            // responses.
+                            if is_first_start || job.is_gang() {
                                 let attempts =
                                     job.attempts.values().flatten().map(|(m, _)| m.clone());
                                 self.commands_due.extend(attempts);
                             }
                         }
-                        Err(e) => self.reload_after(&id, e),
+                        Err(e) => self.reload_after_error(&id, e),
                     }
                 }
                 Write::End { job: id, .. } => match &result {
                     Ok(_) => {
-                        tracing::debug!(job = %id, "over");
+                        tracing::debug!(job = %id, "job finished");
                         self.job_removed(&id, now);
                     }
                     Err(e) => {
                         if let Some(job) = self.jobs.get_mut(&id) {
-                            job.writing = false;
+                            job.write_in_flight = false;
                         }
-                        self.reload_after(&id, e);
+                        self.reload_after_error(&id, e);
                     }
                 },
-                Write::Page { key, page, .. } => self.page_ended(&key, page.as_ref(), &result),
+                Write::Page { key, page, .. } => {
+                    self.page_write_completed(&key, page.as_ref(), &result)
+                }
                 Write::LearnedRunTimes { key, .. } => self.learned_written(key, result.is_ok()),
-                Write::DropPage { key } => {
+                Write::DeletePage { key } => {
                     if result.is_err() {
-                        self.registry.refused(&key);
+                        self.registry.write_not_applied(&key);
                     }
                 }
             }
         }
     }
 
-    fn page_ended(
+    fn page_write_completed(
         &mut self,
         key: &str,
         page: Option<&RegistryPage>,
         result: &Result<ModRevision, BatchError>,
     ) {
-        let changed_by_others = |pages: &[String]| pages.iter().any(|p| p == key);
+        let has_conflict = |pages: &[String]| pages.iter().any(|p| p == key);
         match result {
             Ok(mod_revision) => {
-                for id in self.registry.written(key, *mod_revision, page) {
+                for id in self.registry.write_committed(key, *mod_revision, page) {
                     if let Some(m) = self.machines.get_mut(&id)
                         && !m.is_registered
                     {
@@ -344,37 +356,37 @@
                     }
                 }
             }
-            Err(BatchError::Conflict { pages, .. }) if !changed_by_others(pages) => {
-                self.registry.refused(key)
+            Err(BatchError::Conflict { pages, .. }) if !has_conflict(pages) => {
+                self.registry.write_not_applied(key)
             }
-            Err(BatchError::Refused) => self.registry.refused(key),
+            Err(BatchError::NotApplied) => self.registry.write_not_applied(key),
             Err(_) => {
                 let (counter, token) = (&mut self.counter, self.token);
                 self.registry
-                    .outcome_unknown(key, || page_key(counter, token));
+                    .write_outcome_unknown(key, || page_key(counter, token));
             }
         }
     }
 
-    /// After a conflict, or without an answer, the record itself says what holds.
-    fn reload_after(&mut self, id: &JobId, error: &BatchError) {
-        let record_reloaded = match error {
+    /// Requests a reload of the job's record after a conflict on it or a write of unknown outcome.
+    fn reload_after_error(&mut self, id: &JobId, error: &BatchError) {
+        let must_reload = match error {
             BatchError::Conflict { jobs, .. } => jobs.contains(id),
-            BatchError::Deposed => false,
-            BatchError::Refused => false,
-            BatchError::Unknown => true,
+            BatchError::LeadershipLost => false,
+            BatchError::NotApplied => false,
+            BatchError::OutcomeUnknown => true,
         };
         if let Some(job) = self.jobs.get_mut(id)
-            && record_reloaded
+            && must_reload
         {
-            // No further write of it before its record has been read.
-            job.writing = true;
+            // Blocks further writes of the record until it has been reloaded.
+            job.write_in_flight = true;
             self.actions
                 .push_back(Action::ReloadRecord { job: id.clone() });
         }
     }
 
-    /// The answer to [`Action::ReloadRecord`]; `None`: the record is gone.
+    /// Handles the result of [`Action::ReloadRecord`]. `None` if the record no longer exists.
     pub fn record_reloaded(
         &mut self,
         id: JobId,
@@ -382,7 +394,7 @@
         now: Micros,
     ) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.writing = false;
+            job.write_in_flight = false;
         }
         match record {
             Some((record, mod_revision)) => self.job_record_changed(id, record, mod_revision, now),
@@ -390,13 +402,13 @@
         }
     }
 
-    /// The record could not be read; it is tried again.
+    /// Handles a failed reload of a record: it is repeated.
     pub fn record_reload_failed(&mut self, id: JobId) {
         self.actions.push_back(Action::ReloadRecord { job: id });
     }
 }
 
-/// A key that no other page has had.
+/// Returns a key that no page has had before: it contains the fencing token and a counter.
 fn page_key(counter: &mut u64, token: FencingToken) -> String {
     *counter += 1;
     format!("{token}-{counter}")
--- a/crates/hopyoke-scheduler/src/placement/preemption.rs
+++ b/crates/hopyoke-scheduler/src/placement/preemption.rs
@@ -1,6 +1,6 @@
-//! Preemption: room for production work by stopping tasks of arrays.
+//! Preemption: makes room for production work by stopping tasks of arrays.
 
-use super::TaskKey;
+use super::AttemptKey;
 use super::request::PlacementRequest;
 use super::snapshot::{Bin, ClusterSnapshot};
 use crate::Scheduler;
@@ -9,21 +9,25 @@
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::Micros;
 
-/// Cost of a machine without the task's image, in seconds of lost work: more than any victims on one with it should cost.
-const MISSING_IMAGE_COST: f64 = 1000.0;
+/// Cost of fetching the task's image, in seconds of lost work. It outweighs the cost of the victims
+/// on a machine that has the image.
+const MISSING_IMAGE_COST_S: f64 = 1000.0;
 
-/// The preemptions that make room on one machine.
+/// The victims to preempt on one machine.
 struct Preemption {
-    /// Seconds of work lost, with what speaks against the machine.
-    cost: f64,
+    /// Total cost in seconds of lost work, including the cost of a missing image.
+    cost_s: f64,
     bin: usize,
-    victims: Vec<TaskKey>,
+    victims: Vec<AttemptKey>,
 }
 
 impl Scheduler {
-    /// Makes room for a production task on a ready machine by stopping tasks of arrays of lower priority: only those
-    /// are preempted, for arrays lose least. The room is reserved; the task starts once the victims have exited.
-    /// Returns the zone.
+    /// Reserves a ready machine's resources for a production task by preempting tasks of arrays of
+    /// lower priority.
+    ///
+    /// Only arrays are preempted, as they lose the least work. The task starts once the victims
+    /// have exited. Returns the machine's zone, or `None` if no preemption makes enough room or the
+    /// cycle's searches are used up.
     pub(super) fn preempt(
         &self,
         request: &PlacementRequest,
@@ -37,30 +41,30 @@
         self.add_visited(snapshot.bins.len());
         let mut best: Option<Preemption> = None;
         for (i, bin) in snapshot.bins.iter().enumerate() {
-            let max_room = bin.free + bin.freeing + bin.preemptible;
+            let max_available = bin.free + bin.freeing + bin.preemptible;
             if !bin.ready
-                || !request.task.fits_in(&max_room)
+                || !request.task_resources.fits_in(&max_available)
                 || !self.passes_filters(request, bin)
                 || !request.zone_allows(bin.zone)
             {
                 continue;
             }
-            let image_cost = if snapshot.has_image(bin, request.image) {
+            let image_cost_s = if snapshot.has_image(bin, request.image) {
                 0.0
             } else {
-                MISSING_IMAGE_COST
+                MISSING_IMAGE_COST_S
             };
-            if best.as_ref().is_some_and(|b| image_cost >= b.cost) {
+            if best.as_ref().is_some_and(|b| image_cost_s >= b.cost_s) {
                 continue;
             }
-            let Some((victims, work_lost)) = self.select_victims(request, bin, snapshot, now)
+            let Some((victims, lost_work_s)) = self.select_victims(request, bin, snapshot, now)
             else {
                 continue;
             };
-            let cost = image_cost + work_lost;
-            if best.as_ref().is_none_or(|b| cost < b.cost) {
+            let cost_s = image_cost_s + lost_work_s;
+            if best.as_ref().is_none_or(|b| cost_s < b.cost_s) {
                 best = Some(Preemption {
-                    cost,
+                    cost_s,
                     bin: i,
                     victims,
                 });
@@ -69,16 +73,19 @@
         self.reserve_by_preemption(request, best?, snapshot)
     }
 
-    /// The tasks on this machine that lose least and make enough room, with the seconds of work lost.
+    /// Selects the victims on one machine, those with the least lost work first, and sums up the
+    /// seconds of lost work.
+    ///
+    /// Returns `None` if preempting all candidates does not make enough room.
     fn select_victims(
         &self,
         request: &PlacementRequest,
         bin: &Bin,
         snapshot: &ClusterSnapshot,
         now: Micros,
-    ) -> Option<(Vec<TaskKey>, f64)> {
+    ) -> Option<(Vec<AttemptKey>, f64)> {
         let m = bin.machine.as_ref().and_then(|m| self.machines.get(m))?;
-        let mut candidates: Vec<(f64, &TaskKey, &Allocation)> = m
+        let mut candidates: Vec<(f64, &AttemptKey, &Allocation)> = m
             .allocations()
             .iter()
             .filter(|(k, s)| {
@@ -89,24 +96,28 @@
                     .as_ref()
                     .is_some_and(|v| v.kind == JobKind::Array && v.priority > request.spec.priority)
             })
-            .map(|(k, s)| (self.work_lost(k, s, now), k, s))
+            .map(|(k, s)| (self.lost_work_s(k, s, now), k, s))
             .collect();
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut room = bin.free + bin.freeing;
+        let mut available = bin.free + bin.freeing;
         let mut victims = Vec::new();
-        let mut work_lost = 0.0;
+        let mut lost_work_s = 0.0;
         for (lost_s, key, allocation) in candidates {
-            if request.task.fits_in(&room) {
+            if request.task_resources.fits_in(&available) {
                 break;
             }
-            room = room + allocation.resources();
-            work_lost += lost_s + 1.0;
+            available = available + allocation.resources();
+            lost_work_s += lost_s + 1.0;
             victims.push(key.clone());
         }
-        request.task.fits_in(&room).then_some((victims, work_lost))
+        request
+            .task_resources
+            .fits_in(&available)
+            .then_some((victims, lost_work_s))
     }
 
-    /// Reserves the room of the victims and of what else is free or falls free on their machine. Returns its zone.
+    /// Reserves the victims' resources and all others that are free or being freed on their
+    /// machine. Returns the machine's zone.
     fn reserve_by_preemption(
         &self,
         request: &PlacementRequest,
@@ -121,8 +132,8 @@
             .filter_map(|k| self.machines.get(&machine)?.allocations().get(k))
             .map(Allocation::resources);
         let freed = freed.fold(Resources::default(), |a, b| a + b);
-        // Room that is reserved for this task is neither free nor freeing for others.
-        bin.freeing = bin.freeing + bin.free + freed - request.task;
+        // Resources reserved for this task are neither free nor being freed for other tasks.
+        bin.freeing = bin.freeing + bin.free + freed - request.task_resources;
         bin.preemptible = bin.preemptible - freed;
         bin.free = Resources::default();
         bin.reserved = true;
--- a/crates/hopyoke-scheduler/src/placement/tasks.rs
+++ b/crates/hopyoke-scheduler/src/placement/tasks.rs
@@ -1,4 +1,4 @@
-//! Placement of arrays and services: each task by itself.
+//! Placement of arrays and services, one task at a time.
 
 use super::Binding;
 use super::request::{Candidates, PlacementRequest};
@@ -9,66 +9,68 @@
 use hopyoke_protocol::user::Priority;
 use hopyoke_types::{JobId, Micros};
 
-/// A job may have this many times its window of tasks placed, all in all. Tasks ahead of the window use free room only:
-/// no instance is requested for them, and nothing is preempted.
-const AHEAD_FACTOR: usize = 4;
+/// Maximum number of placed tasks of a job, as a multiple of its window. Tasks beyond the window
+/// only use free resources: no instance is requested for them, and nothing is preempted.
+const LOOKAHEAD_FACTOR: usize = 4;
 
-/// Unplaced tasks of a job that may be started, by index.
+/// Indices of a job's unplaced tasks that may be started.
 #[derive(Default)]
 struct StartableTasks {
     in_window: Vec<u32>,
-    /// Tasks beyond the window; see [`AHEAD_FACTOR`].
-    ahead: Vec<u32>,
-    /// Attempts of some task are not accounted for yet.
+    /// Tasks beyond the window; see [`LOOKAHEAD_FACTOR`].
+    lookahead: Vec<u32>,
+    /// Whether some tasks may have attempts that are not reconciled yet.
     has_unknown: bool,
 }
 
-/// What came of placing one task.
+/// Result of placing one task.
 enum TaskOutcome {
     Placed,
-    /// Running tasks are expected to make room for it shortly.
-    RoomExpected,
+    /// Running tasks are expected to free resources for it shortly.
+    CapacityExpected,
     /// Neither this task nor later ones of the job can be placed.
     Blocked(WaitReason),
 }
 
 impl Scheduler {
-    /// Places the tasks of an array or a service. Returns why the job still waits, if it does.
+    /// Places the tasks of an array or a service. Returns the reason why the job still waits, or
+    /// `None` if it doesn't.
     pub(super) fn place_tasks(
         &mut self,
         id: &JobId,
         snapshot: &mut ClusterSnapshot,
         now: Micros,
     ) -> Option<WaitReason> {
-        let (Some(mut request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
+        let (Some(mut request), Some(job)) = (self.placement_request(id), self.jobs.get(id)) else {
             return None;
         };
         let early_start = snapshot.early_starts.get(id).copied();
         if let Some(early) = early_start {
-            request.zones[early.zone] += 1;
+            request.tasks_by_zone[early.zone] += 1;
         }
         let mut tasks = self.startable_tasks(job, early_start);
         if request.is_crash_looping {
-            // One task at a time shows whether it still fails, on free room: nothing is requested or preempted for it.
-            // (Guards against arrays with a mistake that fill the fleet again after each backoff; scenario
-            // mistaken_array.)
-            tasks.ahead = tasks
+            // Probes whether the job still fails with one task at a time, on free resources only:
+            // nothing is requested or preempted for it. Guards against faulty arrays that fill the
+            // fleet again after each backoff. (Scenario `mistaken_array`.)
+            tasks.lookahead = tasks
                 .in_window
                 .drain(..)
                 .take(usize::from(job.attempts.is_empty()))
                 .collect();
         }
-        // A zone constraint must not be broken by tasks that nobody has reported yet.
+        // Tasks that have not been reported yet count for zone constraints, but their zones are
+        // unknown.
         if tasks.has_unknown && (request.spec.spread || request.spec.one_zone) {
             return Some(WaitReason::Reconciliation);
         }
-        request.spare_on_demand = snapshot.reservations_enabled
+        request.avoid_empty_on_demand = snapshot.reservations_enabled
             && request.spec.spot
             && snapshot
                 .best_offer(&request, None, 1)
                 .is_some_and(|o| snapshot.offers[o].spot);
         let mut candidates = self.candidates(&request, snapshot, None);
-        let mut is_room_expected = false;
+        let mut is_capacity_expected = false;
         let mut remaining = tasks.in_window.len() as u32;
         for index in tasks.in_window {
             if !snapshot.charge(&request, 1, &self.cfg.teams) {
@@ -83,13 +85,13 @@
                 now,
             ) {
                 TaskOutcome::Placed => {}
-                TaskOutcome::RoomExpected => is_room_expected = true,
+                TaskOutcome::CapacityExpected => is_capacity_expected = true,
                 TaskOutcome::Blocked(reason) => return Some(reason),
             }
             remaining -= 1;
         }
-        for index in tasks.ahead {
-            if !self.place_on_free_room(index, &mut request, &mut candidates, snapshot, now) {
+        for index in tasks.lookahead {
+            if !self.place_on_free_capacity(index, &mut request, &mut candidates, snapshot, now) {
                 break;
             }
         }
@@ -98,23 +100,23 @@
         } else if tasks.has_unknown {
             Some(WaitReason::Reconciliation)
         } else {
-            is_room_expected.then_some(WaitReason::EndingTasks)
+            is_capacity_expected.then_some(WaitReason::EndingTasks)
         }
     }
 
-    /// The tasks without an attempt that may be started, lowest index first.
+    /// Returns the tasks without an attempt that may be started, in ascending order of index.
     fn startable_tasks(&self, job: &Job, early_start: Option<EarlyStart>) -> StartableTasks {
         let mut tasks = StartableTasks::default();
         let window = self.cfg.window() as usize;
         let span_end = job.done.first_missing().saturating_add(self.cfg.span());
-        let max_ahead = (AHEAD_FACTOR * window).saturating_sub(job.attempts.len());
+        let max_lookahead = (LOOKAHEAD_FACTOR * window).saturating_sub(job.attempts.len());
         for (n, index) in job.done.missing(job.spec.tasks).enumerate() {
-            if n >= window && (index >= span_end || tasks.ahead.len() >= max_ahead) {
+            if n >= window && (index >= span_end || tasks.lookahead.len() >= max_lookahead) {
                 break;
             }
-            match self.check(job, index) {
+            match self.restart_decision(job, index) {
                 _ if early_start.is_some_and(|early| early.index == index) => {}
-                RestartDecision::Restart if n >= window => tasks.ahead.push(index),
+                RestartDecision::Restart if n >= window => tasks.lookahead.push(index),
                 RestartDecision::Restart => tasks.in_window.push(index),
                 RestartDecision::Unknown => tasks.has_unknown = true,
                 RestartDecision::Reconnect | RestartDecision::AcceptResult => {}
@@ -123,9 +125,11 @@
         tasks
     }
 
-    /// Places one task that is charged to its team: on a ready machine, by preemption, as backfill, on a machine that
-    /// is being provisioned, or on an instance to be requested, in this order. `remaining` counts the job's tasks from
-    /// this one on.
+    /// Places one task that is already charged to its team.
+    ///
+    /// Tries, in this order, a ready machine, preemption, backfill, a machine that is being
+    /// provisioned, and an instance to be requested. `remaining` is the number of the job's tasks
+    /// to place, including this one.
     fn place_task(
         &mut self,
         index: u32,
@@ -140,23 +144,23 @@
             if request.spec.priority == Priority::Production
                 && let Some(zone) = self.preempt(request, snapshot, now)
             {
-                request.zones[zone] += 1;
+                request.tasks_by_zone[zone] += 1;
                 return TaskOutcome::Placed;
             }
             if self.tuning.use_for_backfill
                 && let Some((bin, has_image)) = self.backfill(request, snapshot)
             {
-                self.bind_later(bin, &request.id, index, has_image, snapshot, now);
+                self.record_binding(bin, &request.id, index, has_image, snapshot, now);
                 return TaskOutcome::Placed;
             }
         }
         let bin = match best {
             Some(bin) => bin,
             None if self.tuning.use_for_demand
-                && self.claim_expected_room(request, snapshot, now) =>
+                && self.claim_expected_capacity(request, snapshot, now) =>
             {
                 snapshot.refund(request, 1);
-                return TaskOutcome::RoomExpected;
+                return TaskOutcome::CapacityExpected;
             }
             None => {
                 let Some(bin) = snapshot.reserve_new_instance(request, None, remaining) else {
@@ -170,13 +174,14 @@
         let has_image = snapshot.has_image(&snapshot.bins[bin], request.image);
         snapshot.reserve(bin, request);
         if snapshot.bins[bin].ready {
-            self.bind_later(bin, &request.id, index, has_image, snapshot, now);
+            self.record_binding(bin, &request.id, index, has_image, snapshot, now);
         }
         TaskOutcome::Placed
     }
 
-    /// Places one task if a ready machine has room and the team's limit allows it; false if not.
-    fn place_on_free_room(
+    /// Places one task if it fits onto a ready machine and into the team's limit; returns false
+    /// otherwise.
+    fn place_on_free_capacity(
         &mut self,
         index: u32,
         request: &mut PlacementRequest,
@@ -192,25 +197,28 @@
         };
         let has_image = snapshot.has_image(&snapshot.bins[bin], request.image);
         snapshot.reserve(bin, request);
-        self.bind_later(bin, &request.id, index, has_image, snapshot, now);
+        self.record_binding(bin, &request.id, index, has_image, snapshot, now);
         true
     }
 
-    /// Places the first task of a starving array on free room: nothing is requested or preempted for it.
+    /// Places the first task of a starving array on free resources. Nothing is requested or
+    /// preempted for it.
     pub(super) fn place_first_task(
         &mut self,
         id: &JobId,
         snapshot: &mut ClusterSnapshot,
         now: Micros,
     ) {
-        let (Some(mut request), Some(job)) = (self.request(id), self.jobs.get(id)) else {
+        let (Some(mut request), Some(job)) = (self.placement_request(id), self.jobs.get(id)) else {
             return;
         };
         let index = job.done.first_missing();
-        if request.is_crash_looping || self.check(job, index) != RestartDecision::Restart {
+        if request.is_crash_looping || self.restart_decision(job, index) != RestartDecision::Restart
+        {
             return;
         }
-        // Most starving arrays wait for their team's limit: no bins are searched for them.
+        // Most starving arrays wait for their team's limit, so the limit is checked before bins are
+        // searched.
         if !snapshot.charge(&request, 1, &self.cfg.teams) {
             return;
         }
@@ -227,11 +235,12 @@
         snapshot
             .early_starts
             .insert(id.clone(), EarlyStart { index, zone });
-        self.bind_later(bin, id, index, has_image, snapshot, now);
+        self.record_binding(bin, id, index, has_image, snapshot, now);
     }
 
-    /// Notes a binding for the end of the cycle; room is reserved already.
-    fn bind_later(
+    /// Records a binding to be made at the end of the cycle. Its resources must be reserved
+    /// already.
+    fn record_binding(
         &mut self,
         bin: usize,
         job: &JobId,
--- a/crates/hopyoke-scheduler/src/reconcile/probes.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/probes.rs
@@ -1,20 +1,20 @@
-//! Probes: after a failover registered machines are asked at once what runs on them.
+//! Probes: requests for the status of registered machines after a failover.
 
 use crate::ledger::MachinePhase;
 use crate::{Action, Scheduler};
 use hopyoke_types::{MachineId, Micros};
 use std::collections::VecDeque;
 
-/// Machines asked at the same time: each takes a socket, and silent ones hold theirs for the
-/// whole time limit, so there must be enough for the others to pass them.
-const MAX_OPEN_PROBES: usize = 96;
+/// Limit on concurrent probes. Each takes a socket, and unresponsive machines hold theirs until the timeout,
+/// so the limit must leave enough for the others.
+const MAX_PROBES_IN_FLIGHT: usize = 96;
 
-/// Machines to be asked what runs on them.
+/// Queue of machines to be probed.
 #[derive(Debug, Default)]
 pub(crate) struct FailoverProbes {
     queue: VecDeque<MachineId>,
-    /// Probes under way.
-    open: usize,
+    /// Number of probes that await an answer.
+    in_flight: usize,
 }
 
 impl FailoverProbes {
@@ -24,10 +24,11 @@
 }
 
 impl Scheduler {
-    /// After a failover, registered machines are asked at once what is on them, instead of waiting
-    /// until each finds us with a heartbeat: an empty push shows them our token, and its
-    /// answer is their report. (A machine that is known to have seen our token is accounted for.)
-    /// Machines that are overdue and no longer listed are asked too, before they are given up.
+    /// Probes registered machines that are not reconciled, instead of waiting for their heartbeats to reach
+    /// this leader. A probe is a push without commands: it passes on this leader's token, and the answer
+    /// carries the machine's status. Once a machine has seen the token it is accounted for.
+    ///
+    /// Machines that are presumed deleted are probed too, before they are removed.
     pub(crate) fn send_probes(&mut self, now: Micros) {
         for _ in 0..self.probes.queue.len() {
             if !self.can_probe() {
@@ -45,15 +46,15 @@
             let Some(address) = m.address.filter(|_| needs_probe) else {
                 continue;
             };
-            if m.push_open || now < m.push_retry_at {
+            if m.push_in_flight || now < m.push_retry_at {
                 self.probes.push(id);
                 continue;
             }
-            m.push_open = true;
-            m.probing = true;
+            m.push_in_flight = true;
+            m.probe_in_flight = true;
             m.probed_at = now;
-            self.probes.open += 1;
-            // Most machines are in their first epoch; the refusal tells of another.
+            self.probes.in_flight += 1;
+            // An unknown epoch is most likely the first; a refusal carries the actual one.
             let epoch = m.epoch.max(1);
             self.actions.push_back(Action::PushCommands {
                 machine: id,
@@ -65,14 +66,14 @@
     }
 
     pub(crate) fn can_probe(&self) -> bool {
-        !self.probes.queue.is_empty() && self.probes.open < MAX_OPEN_PROBES
+        !self.probes.queue.is_empty() && self.probes.in_flight < MAX_PROBES_IN_FLIGHT
     }
 
     pub(crate) fn end_probe(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id)
-            && std::mem::take(&mut m.probing)
+            && std::mem::take(&mut m.probe_in_flight)
         {
-            self.probes.open -= 1;
+            self.probes.in_flight -= 1;
         }
     }
 }
--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -296,14 +296,14 @@
         );
         let has_not_begun = matches!(
             allocation.state,
-            AllocationState::Sent | AllocationState::Live(TaskState::Fetching)
+            AllocationState::Unconfirmed | AllocationState::Live(TaskState::Fetching)
         );
         let (run, ran_s) = match self.learned.learner.remaining(&key, now) {
             Some(found) => found,
             None if has_not_begun => (self.expected(spec).distribution, 0.0),
             None => (
                 self.expected(spec).distribution,
-                (now - allocation.since).as_secs_f64(),
+                (now - allocation.created_at).as_secs_f64(),
             ),
         };
         ReleasingTask {
--- a/crates/hopyoke/src/leadership/record_writer.rs
+++ b/crates/hopyoke/src/leadership/record_writer.rs
@@ -1,12 +1,15 @@
 //! Writes the scheduler's batches of records, each as one compare-and-swap transaction.
 //!
-//! Every transaction compares the leader key with the fencing token, so that late writes of a stale leaseholder fail.
+//! Every transaction compares the leader key's revision with the fencing token, so that late writes of a previous
+//! leader fail.
 
 use crate::node::{Leadership, Node};
 use crate::store::client::TransactionOutcome;
-use crate::store::error::StateError;
-use crate::store::keys::{LEADER, REGISTRY, end_key, job_key, registry_page_key, run_times_key};
-use crate::store::watch::job_id_of;
+use crate::store::error::StoreError;
+use crate::store::keys::{
+    LEADER_KEY, REGISTRY_PREFIX, end_key, job_key, registry_page_key, run_times_key,
+};
+use crate::store::watch::job_id_from_key;
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, Mutation};
 use hopyoke_scheduler::{Batch, BatchError, EndRecord, JobRecord, RegistryPage, Write};
@@ -15,7 +18,7 @@
 use std::rc::Rc;
 use tracing::{debug, warn};
 
-/// Writes one batch at a time until the term ends or a write shows that another node leads.
+/// Writes one batch at a time until the term ends or a write fails because another node leads.
 pub(super) async fn run(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
         let Some(batch) = next_batch(&node, &leadership) else {
@@ -25,11 +28,11 @@
         let token = leadership.scheduler.borrow().token;
         node.admission.changes_written(batch.changes());
         let result = commit(&node, token, &batch).await;
-        if result == Err(BatchError::Deposed) {
-            // Only the comparison of the leader key can have failed: another node leads.
+        if result == Err(BatchError::LeadershipLost) {
+            // The comparison of the leader key failed: another node leads.
             warn!(
                 token = token.0,
-                "stale leaseholder: record write fenced off"
+                "record write rejected: fencing token is stale"
             );
             leadership.cancel.cancel();
             return;
@@ -40,21 +43,21 @@
         leadership
             .scheduler
             .borrow_mut()
-            .batch_ended(batch, result, runtime::now());
+            .batch_completed(batch, result, runtime::now());
         leadership.wakeup.notify();
     }
 }
 
 fn next_batch(node: &Node, leadership: &Leadership) -> Option<Batch> {
     let mut scheduler = leadership.scheduler.borrow_mut();
-    scheduler.set_admission_pressed(node.admission.is_overloaded());
+    scheduler.set_admission_saturated(node.admission.is_overloaded());
     leadership
         .lease_is_valid()
         .then(|| scheduler.next_batch(runtime::now()))
         .flatten()
 }
 
-/// Waits for something to write, at most 50 ms if writes are pending that may not be sent yet, else 1 s.
+/// Waits for new writes: at most 50 ms if there are writes that may not be sent yet, otherwise at most 1 s.
 async fn wait_for_writes(node: &Node, leadership: &Leadership) {
     let has_writes = leadership.scheduler.borrow().has_writes();
     if leadership.scheduler.borrow().is_write_rate_limited() {
@@ -71,16 +74,16 @@
         .await;
 }
 
-/// Status requests for these jobs need no read of the store.
+/// Caches the terminal states of a committed batch, so that status requests for these jobs need no read of the store.
 fn cache_terminal_states(node: &Node, batch: &Batch) {
     for write in &batch.writes {
         if let Write::End { job, end, .. } = write {
-            node.terminal_states.add(job, *end);
+            node.terminal_states.insert(job, *end);
         }
     }
 }
 
-/// A record of any kind, as stored.
+/// Stored form of any kind of record.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum RecordValue<'a> {
@@ -90,7 +93,7 @@
     RunTimes(&'a hopyoke_run_times::Page),
 }
 
-/// A batch as a transaction on the key-value store.
+/// Batch of records as a transaction of the key-value store.
 struct BatchTransaction<'a> {
     compares: Vec<Compare>,
     mutations: Vec<Mutation<RecordValue<'a>>>,
@@ -102,7 +105,7 @@
             compares: Vec::new(),
             mutations: Vec::new(),
         };
-        transaction.compare(LEADER.to_owned(), ModRevision(token.0));
+        transaction.compare(LEADER_KEY.to_owned(), ModRevision(token.0));
         for write in &batch.writes {
             transaction.add(write);
         }
@@ -142,7 +145,7 @@
             Write::LearnedRunTimes { key, page } => {
                 self.put(run_times_key(*key), RecordValue::RunTimes(page));
             }
-            Write::DropPage { key } => self.delete(registry_page_key(key)),
+            Write::DeletePage { key } => self.delete(registry_page_key(key)),
         }
     }
 
@@ -163,12 +166,13 @@
     }
 }
 
-/// Commits a batch; the revision of its write.
+/// Commits a batch and returns the revision of its write.
 ///
 /// # Errors
 ///
-/// [`BatchError::Deposed`] if the leader key does not carry our token, [`BatchError::Conflict`] if records have
-/// changed, [`BatchError::Refused`] if it was certainly not executed, else [`BatchError::Unknown`].
+/// Returns [`BatchError::LeadershipLost`] if the leader key's revision is not `token`, [`BatchError::Conflict`] if records
+/// have changed, [`BatchError::NotApplied`] if the transaction was certainly not executed, and [`BatchError::OutcomeUnknown`]
+/// otherwise.
 async fn commit(
     node: &Node,
     token: FencingToken,
@@ -182,30 +186,30 @@
         .await;
     match outcome {
         Ok(TransactionOutcome::Applied(mod_revision)) => Ok(mod_revision),
-        Ok(TransactionOutcome::Failed(keys)) => Err(conflict_of(&keys)),
-        Err(e) => Err(batch_error_of(&e)),
+        Ok(TransactionOutcome::Failed(keys)) => Err(classify_conflict(&keys)),
+        Err(e) => Err(classify_error(&e)),
     }
 }
 
-/// What the keys whose comparison failed say about the batch.
-fn conflict_of(keys: &[String]) -> BatchError {
-    if keys.iter().any(|k| k == LEADER) {
-        return BatchError::Deposed;
+/// Maps the keys whose comparison failed to the error of the batch.
+fn classify_conflict(keys: &[String]) -> BatchError {
+    if keys.iter().any(|k| k == LEADER_KEY) {
+        return BatchError::LeadershipLost;
     }
-    let jobs: Vec<JobId> = keys.iter().filter_map(|k| job_id_of(k)).collect();
+    let jobs: Vec<JobId> = keys.iter().filter_map(|k| job_id_from_key(k)).collect();
     let pages = keys
         .iter()
-        .filter_map(|k| k.strip_prefix(REGISTRY))
+        .filter_map(|k| k.strip_prefix(REGISTRY_PREFIX))
         .map(str::to_owned)
         .collect();
     BatchError::Conflict { jobs, pages }
 }
 
-fn batch_error_of(error: &StateError) -> BatchError {
+fn classify_error(error: &StoreError) -> BatchError {
     if error.is_refusal() {
-        debug!(error = %error, "records not written");
-        BatchError::Refused
+        debug!(error = %error, "batch of records not written");
+        BatchError::NotApplied
     } else {
-        BatchError::Unknown
+        BatchError::OutcomeUnknown
     }
 }
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -46,17 +46,17 @@
     writeln!(
         out,
         "leader {leader} state_answers {}",
-        node.store.answers()
+        node.store.is_responding()
     )?;
     writeln!(out, "candidacy {}", node.candidacy.borrow())?;
     write_store_latency(out, node)?;
     write_admission(out, node)?;
     for priority in RequestPriority::ALL {
-        let (sent, held_back) = node.store.counts(priority);
+        let (sent, held_back) = node.store.request_counts(priority);
         writeln!(
             out,
             "state requests {priority:?} sent {sent} held_back {held_back} timed_out {}",
-            node.store.timeouts.count(priority)
+            node.store.timeouts.timeout_count(priority)
         )?;
     }
     let (relayed, refused) = node.heartbeat_relay.counts();
@@ -81,7 +81,7 @@
     let timeouts = &node.store.timeouts;
     writeln!(out, "state slow {}", timeouts.is_slow())?;
     for kind in RequestKind::ALL {
-        let latency = timeouts.smoothed(kind);
+        let latency = timeouts.smoothed_latency(kind);
         let latency = latency.map_or("unknown".into(), |l| format!("{:.3} s", l.as_secs_f64()));
         let timeout = timeouts.timeout(kind, RequestPriority::Critical);
         writeln!(
@@ -211,7 +211,7 @@
         let outcome_unknown = job
             .done
             .missing(job.spec.tasks)
-            .filter(|&task| scheduler.check(job, task) == RestartDecision::Unknown);
+            .filter(|&task| scheduler.restart_decision(job, task) == RestartDecision::Unknown);
         write!(
             out,
             "job {id} team {} tasks {} done {} placed {} running {} unknown {}",
@@ -219,7 +219,7 @@
             job.spec.tasks,
             job.done.count(),
             job.attempts.len(),
-            scheduler.running(id),
+            scheduler.running_tasks(id),
             outcome_unknown.count()
         )?;
         if let Ok(estimate) = scheduler.estimate_job_end(id, now) {
