--- a/crates/hopyoke-scheduler/src/config.rs
+++ b/crates/hopyoke-scheduler/src/config.rs
@@ -35,7 +35,7 @@
 impl SchedulerConfig {
     /// The part of the settings that the scheduler uses.
     pub fn of(s: &Settings) -> SchedulerConfig {
-        let f = &s.facts;
+        let f = &s.platform;
         SchedulerConfig {
             zones: f.zones.clone(),
             teams: f
@@ -43,20 +43,20 @@
                 .iter()
                 .map(|t| Team {
                     name: t.name.clone(),
-                    cpus: t.cpus,
-                    cpus_max: t.cpus_max,
-                    gpus: t.gpus,
-                    gpus_max: t.gpus_max,
+                    cpus: t.guaranteed_cpus,
+                    cpus_max: t.max_cpus,
+                    gpus: t.guaranteed_gpus,
+                    gpus_max: t.max_gpus,
                 })
                 .collect(),
-            heartbeat_interval: Micros::from_secs_f64(f.workers.report_s),
-            lease: Micros::from_secs_f64(f.workers.lease_s),
-            gang_wait: Micros::from_secs_f64(f.workers.gang_wait_s),
-            gang_peer: Micros::from_secs_f64(f.workers.gang_peer_s),
+            heartbeat_interval: Micros::from_secs_f64(f.agents.heartbeat_interval_s),
+            lease: Micros::from_secs_f64(f.agents.lease_s),
+            gang_wait: Micros::from_secs_f64(f.agents.gang_wait_s),
+            gang_peer: Micros::from_secs_f64(f.agents.gang_loss_detection_s),
             list_lag: Micros::from_secs_f64(f.cloud.list_lag_s),
-            value_bytes: (f.state.value_kb * 1024.0) as usize,
-            txn_ops: f.state.txn_ops as usize,
-            write_rps: f.state.write_rps,
+            value_bytes: (f.store.max_value_kib * 1024.0) as usize,
+            txn_ops: f.store.max_txn_mutations as usize,
+            write_rps: f.store.max_writes_per_s,
             margin: Micros::from_millis(500),
         }
     }
--- a/crates/hopyoke-settings/src/check.rs
+++ b/crates/hopyoke-settings/src/check.rs
@@ -1,53 +1,53 @@
 //! Ranges of the settings. All faults are found, not only the first.
 
-use crate::{Facts, LEASE_DRIFT, Settings, Team};
+use crate::{LEASE_DRIFT, PlatformSettings, Settings, Team};
 use std::fmt;
 
 /// A field that is out of range.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SettingFault {
+pub struct InvalidField {
     /// The field, by its path in the file.
     pub field: String,
     /// What it must be.
     pub reason: &'static str,
 }
 
-impl fmt::Display for SettingFault {
+impl fmt::Display for InvalidField {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.field, self.reason)
     }
 }
 
 /// Every field that is out of range.
-pub(crate) fn faults(settings: &Settings) -> Vec<SettingFault> {
-    let mut check = Check::default();
-    let facts = &settings.facts;
-    check.node(settings);
-    check.positive_amounts(facts);
-    check.bounds(facts);
-    for (i, team) in facts.teams.iter().enumerate() {
-        check.team(i, team);
+pub(crate) fn invalid_fields(settings: &Settings) -> Vec<InvalidField> {
+    let mut validator = Validator::default();
+    let platform = &settings.platform;
+    validator.node_settings(settings);
+    validator.positive_amounts(platform);
+    validator.limits(platform);
+    for (i, team) in platform.teams.iter().enumerate() {
+        validator.team(i, team);
     }
-    check.faults
+    validator.invalid_fields
 }
 
 #[derive(Default)]
-struct Check {
-    faults: Vec<SettingFault>,
+struct Validator {
+    invalid_fields: Vec<InvalidField>,
 }
 
-impl Check {
+impl Validator {
     fn require(&mut self, holds: bool, field: &str, reason: &'static str) {
         if !holds {
-            self.faults.push(SettingFault {
+            self.invalid_fields.push(InvalidField {
                 field: field.to_owned(),
                 reason,
             });
         }
     }
 
-    fn node(&mut self, s: &Settings) {
-        let f = &s.facts;
+    fn node_settings(&mut self, s: &Settings) {
+        let f = &s.platform;
         self.require(!s.node.is_empty(), "node", "must not be empty");
         self.require(!s.zone.is_empty(), "zone", "must not be empty");
         self.require(
@@ -63,18 +63,18 @@
         );
     }
 
-    fn positive_amounts(&mut self, f: &Facts) {
+    fn positive_amounts(&mut self, f: &PlatformSettings) {
         for (field, value) in [
-            ("facts.workers.report_s", f.workers.report_s),
-            ("facts.workers.lease_s", f.workers.lease_s),
-            ("facts.workers.gang_wait_s", f.workers.gang_wait_s),
-            ("facts.workers.gang_peer_s", f.workers.gang_peer_s),
-            ("facts.workers.cancel_s", f.workers.cancel_s),
-            ("facts.state.rps", f.state.rps),
-            ("facts.state.write_rps", f.state.write_rps),
-            ("facts.cloud.rps", f.cloud.rps),
-            ("facts.machine_limits.cores", f.limits.cpu_share),
-            ("facts.machine_limits.mem_mb", f.limits.memory_mb),
+            ("facts.workers.report_s", f.agents.heartbeat_interval_s),
+            ("facts.workers.lease_s", f.agents.lease_s),
+            ("facts.workers.gang_wait_s", f.agents.gang_wait_s),
+            ("facts.workers.gang_peer_s", f.agents.gang_loss_detection_s),
+            ("facts.workers.cancel_s", f.agents.cancellation_bound_s),
+            ("facts.state.rps", f.store.max_requests_per_s),
+            ("facts.state.write_rps", f.store.max_writes_per_s),
+            ("facts.cloud.rps", f.cloud.max_requests_per_s),
+            ("facts.machine_limits.cores", f.limits.cpu_cores),
+            ("facts.machine_limits.mem_mb", f.limits.memory_mib),
         ] {
             self.require(
                 value.is_finite() && value > 0.0 && value < 1e9,
@@ -84,7 +84,7 @@
         }
     }
 
-    fn bounds(&mut self, f: &Facts) {
+    fn limits(&mut self, f: &PlatformSettings) {
         self.require(
             f.cloud.list_lag_s >= 0.0,
             "facts.cloud.list_lag_s",
@@ -96,12 +96,12 @@
             "must be at least 0",
         );
         self.require(
-            f.state.value_kb >= 4.0,
+            f.store.max_value_kib >= 4.0,
             "facts.state.value_kb",
             "must be at least 4: a job's record needs it",
         );
         self.require(
-            f.state.txn_ops >= 4,
+            f.store.max_txn_mutations >= 4,
             "facts.state.txn_ops",
             "must be at least 4",
         );
@@ -112,7 +112,7 @@
         );
         // With this `cancellation_bound` holds: the leader's lease takes a third of what is left.
         self.require(
-            f.workers.cancel_s > f.workers.lease_s * LEASE_DRIFT + 5.0,
+            f.agents.cancellation_bound_s > f.agents.lease_s * LEASE_DRIFT + 5.0,
             "facts.workers.cancel_s",
             "must exceed lease_s by over 5 s: a cancelled task may live until its worker's lease lapses",
         );
@@ -125,10 +125,10 @@
             "must not be empty",
         );
         for (field, amount) in [
-            ("cpus", t.cpus),
-            ("cpus_max", t.cpus_max),
-            ("gpus", t.gpus),
-            ("gpus_max", t.gpus_max),
+            ("cpus", t.guaranteed_cpus),
+            ("cpus_max", t.max_cpus),
+            ("gpus", t.guaranteed_gpus),
+            ("gpus_max", t.max_gpus),
         ] {
             self.require(
                 amount.is_finite() && amount >= 0.0,
--- a/crates/hopyoke-settings/src/lib.rs
+++ b/crates/hopyoke-settings/src/lib.rs
@@ -5,7 +5,7 @@
 
 mod check;
 
-pub use check::SettingFault;
+pub use check::InvalidField;
 
 use hopyoke_types::Micros;
 use serde::Deserialize;
@@ -31,7 +31,8 @@
     /// Services that this node calls.
     pub endpoints: Endpoints,
     /// What holds for the whole platform.
-    pub facts: Facts,
+    #[serde(rename = "facts")]
+    pub platform: PlatformSettings,
 }
 
 /// Another node.
@@ -52,12 +53,13 @@
     /// The cloud provider's API.
     pub cloud: SocketAddr,
     /// The key-value store.
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub store: SocketAddr,
 }
 
 /// What holds for the whole platform.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Facts {
+pub struct PlatformSettings {
     /// Number of nodes, at least 1.
     pub nodes: u32,
     /// All zones, at least one.
@@ -72,9 +74,11 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Timings of agents.
-    pub workers: AgentTimings,
+    #[serde(rename = "workers")]
+    pub agents: AgentTimings,
     /// Limits of the key-value store.
-    pub state: StateLimits,
+    #[serde(rename = "state")]
+    pub store: StoreLimits,
     /// Limits of the cloud's API.
     pub cloud: CloudLimits,
     /// What a node may take of its machine.
@@ -88,17 +92,17 @@
     /// Its name.
     pub name: String,
     /// CPUs guaranteed.
-    #[serde(default)]
-    pub cpus: f64,
+    #[serde(rename = "cpus", default)]
+    pub guaranteed_cpus: f64,
     /// Most CPUs.
-    #[serde(default)]
-    pub cpus_max: f64,
+    #[serde(rename = "cpus_max", default)]
+    pub max_cpus: f64,
     /// GPUs guaranteed.
-    #[serde(default)]
-    pub gpus: f64,
+    #[serde(rename = "gpus", default)]
+    pub guaranteed_gpus: f64,
     /// Most GPUs.
-    #[serde(default)]
-    pub gpus_max: f64,
+    #[serde(rename = "gpus_max", default)]
+    pub max_gpus: f64,
 }
 
 /// A service-level objective.
@@ -121,35 +125,43 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct AgentTimings {
     /// Heartbeat interval, in seconds.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// An agent kills its tasks when its last answered heartbeat is older than this, in seconds.
     pub lease_s: f64,
     /// How long a gang's task waits for the others, in seconds.
     pub gang_wait_s: f64,
     /// How soon a gang's tasks notice that one of them is lost, in seconds.
-    pub gang_peer_s: f64,
+    #[serde(rename = "gang_peer_s")]
+    pub gang_loss_detection_s: f64,
     /// Within this time of a confirmed cancellation all tasks of the job must be gone, in seconds.
-    pub cancel_s: f64,
+    #[serde(rename = "cancel_s")]
+    pub cancellation_bound_s: f64,
 }
 
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Copy, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests per second, over all nodes.
-    pub rps: f64,
+    #[serde(rename = "rps")]
+    pub max_requests_per_s: f64,
     /// Mutations per second, over all nodes.
-    pub write_rps: f64,
+    #[serde(rename = "write_rps")]
+    pub max_writes_per_s: f64,
     /// Largest value, in KiB; at least 4.
-    pub value_kb: f64,
+    #[serde(rename = "value_kb")]
+    pub max_value_kib: f64,
     /// Most mutations of one transaction; at least 4.
-    pub txn_ops: u32,
+    #[serde(rename = "txn_ops")]
+    pub max_txn_mutations: u32,
 }
 
 /// Limits of the cloud's API.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct CloudLimits {
     /// Requests per second, over all nodes.
-    pub rps: f64,
+    #[serde(rename = "rps")]
+    pub max_requests_per_s: f64,
     /// How far the list of machines may lag behind, in seconds.
     pub list_lag_s: f64,
 }
@@ -159,10 +171,10 @@
 pub struct MachineLimits {
     /// CPU cores.
     #[serde(rename = "cores")]
-    pub cpu_share: f64,
+    pub cpu_cores: f64,
     /// Memory, in MiB.
     #[serde(rename = "mem_mb")]
-    pub memory_mb: f64,
+    pub memory_mib: f64,
     /// Open connections; at least 32.
     pub max_connections: usize,
 }
@@ -206,19 +218,19 @@
     },
     /// The file is no TOML, or lacks a field or has one of the wrong type.
     #[error("{path}: {error}")]
-    Form {
+    Parse {
         /// The file.
         path: String,
         /// Where and why.
         error: Box<toml::de::Error>,
     },
     /// Fields are out of range; displayed one a line.
-    #[error("{}", faults.iter().map(|f| format!("{path}: {f}")).collect::<Vec<_>>().join("\n"))]
+    #[error("{}", invalid_fields.iter().map(|f| format!("{path}: {f}")).collect::<Vec<_>>().join("\n"))]
     Invalid {
         /// The file.
         path: String,
         /// Every field at fault, in the order of checking.
-        faults: Vec<SettingFault>,
+        invalid_fields: Vec<InvalidField>,
     },
 }
 
@@ -241,17 +253,17 @@
     /// # Errors
     /// The text is no TOML of this form, or fields are out of range.
     pub fn parse(name: &str, text: &str) -> Result<Settings, SettingsError> {
-        let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::Form {
+        let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::Parse {
             path: name.to_owned(),
             error: Box::new(error),
         })?;
-        let faults = check::faults(&settings);
-        if faults.is_empty() {
+        let invalid_fields = check::invalid_fields(&settings);
+        if invalid_fields.is_empty() {
             Ok(settings)
         } else {
             Err(SettingsError::Invalid {
                 path: name.to_owned(),
-                faults,
+                invalid_fields,
             })
         }
     }
@@ -260,8 +272,8 @@
     pub fn cancellation_bound(&self) -> CancellationBound {
         CancellationBound {
             watch_wait: JOB_WATCH_WAIT,
-            leader_lease: self.leader_ttl(),
-            agent_lease: Micros::from_secs_f64(self.facts.workers.lease_s).with_drift(),
+            leader_lease: self.leader_lease_ttl(),
+            agent_lease: Micros::from_secs_f64(self.platform.agents.lease_s).with_drift(),
             margin: Micros::from_millis(500),
         }
     }
@@ -269,9 +281,10 @@
     /// Time to live of a leader's lease in the key-value store. Its latest expiry plus an agent's
     /// lease must fit in `cancel_s`: a leader that no longer receives cancellations keeps agents
     /// alive for at most that long.
-    pub fn leader_ttl(&self) -> Micros {
-        let w = &self.facts.workers;
-        let slack_s = w.cancel_s - w.lease_s * LEASE_DRIFT - JOB_WATCH_WAIT.as_secs_f64();
+    pub fn leader_lease_ttl(&self) -> Micros {
+        let w = &self.platform.agents;
+        let slack_s =
+            w.cancellation_bound_s - w.lease_s * LEASE_DRIFT - JOB_WATCH_WAIT.as_secs_f64();
         Micros::from_secs_f64((slack_s / 3.0).clamp(1.0, 6.0))
     }
 }
--- a/crates/hopyoke-settings/tests/frozen_forms.rs
+++ b/crates/hopyoke-settings/tests/frozen_forms.rs
@@ -31,19 +31,27 @@
         ]
     );
     assert_eq!(s.endpoints.cloud.to_string(), "127.0.0.1:8443");
-    assert_eq!(s.endpoints.state.to_string(), "127.0.0.1:2379");
+    assert_eq!(s.endpoints.store.to_string(), "127.0.0.1:2379");
 }
 
 #[test]
 fn a_full_file_of_facts() {
     let s = load("full.toml");
-    let f = &s.facts;
+    let f = &s.platform;
     assert_eq!((f.nodes, f.clock_skew_ms), (3, 250.5));
     assert_eq!(f.zones, ["east", "west", "north"]);
     let teams: Vec<_> = f
         .teams
         .iter()
-        .map(|t| (t.name.as_str(), t.cpus, t.cpus_max, t.gpus, t.gpus_max))
+        .map(|t| {
+            (
+                t.name.as_str(),
+                t.guaranteed_cpus,
+                t.max_cpus,
+                t.guaranteed_gpus,
+                t.max_gpus,
+            )
+        })
         .collect();
     assert_eq!(
         teams,
@@ -65,27 +73,32 @@
         ]
     );
 
-    let w = f.workers;
+    let w = f.agents;
     assert_eq!(
         (
-            w.report_s,
+            w.heartbeat_interval_s,
             w.lease_s,
             w.gang_wait_s,
-            w.gang_peer_s,
-            w.cancel_s
+            w.gang_loss_detection_s,
+            w.cancellation_bound_s
         ),
         (2.0, 14.0, 50.0, 6.0, 34.0)
     );
-    let state = f.state;
+    let store = f.store;
     assert_eq!(
-        (state.rps, state.write_rps, state.value_kb, state.txn_ops),
+        (
+            store.max_requests_per_s,
+            store.max_writes_per_s,
+            store.max_value_kib,
+            store.max_txn_mutations
+        ),
         (150.0, 25.0, 8.0, 16)
     );
-    assert_eq!((f.cloud.rps, f.cloud.list_lag_s), (5.0, 4.0));
+    assert_eq!((f.cloud.max_requests_per_s, f.cloud.list_lag_s), (5.0, 4.0));
     assert_eq!(
         (
-            f.limits.cpu_share,
-            f.limits.memory_mb,
+            f.limits.cpu_cores,
+            f.limits.memory_mib,
             f.limits.max_connections
         ),
         (0.1, 56.0, 1500)
@@ -97,9 +110,13 @@
 fn a_least_file() {
     let s = load("least.toml");
     assert_eq!(
-        (s.peers.len(), s.facts.teams.len(), s.facts.objectives.len()),
+        (
+            s.peers.len(),
+            s.platform.teams.len(),
+            s.platform.objectives.len()
+        ),
         (0, 0, 0)
     );
-    assert_eq!(s.facts.clock_skew_ms, 0.0);
-    assert_eq!(s.facts.nodes, 1);
+    assert_eq!(s.platform.clock_skew_ms, 0.0);
+    assert_eq!(s.platform.nodes, 1);
 }
--- a/crates/hopyoke/src/leadership/actions.rs
+++ b/crates/hopyoke/src/leadership/actions.rs
@@ -21,7 +21,7 @@
 /// Runs the scheduler whenever it is due or notified, and starts a task for each of its actions.
 pub(super) async fn run(node: Rc<Node>, leadership: Rc<Leadership>) {
     let command_pusher = Rc::new(CommandPusher::new(
-        node.settings.facts.limits.max_connections,
+        node.settings.platform.limits.max_connections,
     ));
     loop {
         let mut next_tick_at = runtime::now() + LEASE_CHECK_INTERVAL;
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -196,7 +196,7 @@
 /// Tries to write this node to the leader key and to every shard's key, on a new lease. The revision of that
 /// write is the fencing token.
 async fn acquire(node: &Rc<Node>, identity: &LeaseHolder, observed: ModRevision) -> Acquisition {
-    let ttl = node.settings.leader_ttl();
+    let ttl = node.settings.leader_lease_ttl();
     let sent_at = runtime::now();
     let lease = match node.store.critical().grant(ttl).await {
         Ok(lease) => lease,
--- a/crates/hopyoke/src/leadership/keep_alive.rs
+++ b/crates/hopyoke/src/leadership/keep_alive.rs
@@ -46,7 +46,7 @@
     /// for would prolong the lease of a leader that must not act, while nobody else can lead. (Tests
     /// a_slow_state_service_keeps_its_leader, a_slow_store_leaves_no_gap_in_the_entitlement.)
     pub(super) async fn run(self) {
-        let ttl = self.node.settings.leader_ttl();
+        let ttl = self.node.settings.leader_lease_ttl();
         let keep_alive = Rc::new(self);
         loop {
             let sent_at = runtime::now();
@@ -76,7 +76,7 @@
         let timeout = store
             .timeouts
             .timeout(RequestKind::Lease, RequestPriority::Critical);
-        let ttl = self.node.settings.leader_ttl();
+        let ttl = self.node.settings.leader_lease_ttl();
         let mut answer = std::pin::pin!(store.critical().renew_within(self.lease, ttl));
         let result = match runtime::timeout(timeout, answer.as_mut()).await {
             Ok(result) => result,
--- a/crates/hopyoke/src/leadership/term.rs
+++ b/crates/hopyoke/src/leadership/term.rs
@@ -69,7 +69,7 @@
         let granted_at = runtime::now();
         let leader_lease = Rc::new(RefCell::new(LeaderLease::new(
             held.valid_until,
-            node.settings.leader_ttl(),
+            node.settings.leader_lease_ttl(),
             WATCH_TIMEOUT,
             node.peers.all().len(),
         )));
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -270,7 +270,7 @@
 
 /// The latency of the key-value store that these settings can bear.
 fn election_limit(settings: &Settings) -> String {
-    let ttl = settings.leader_ttl();
+    let ttl = settings.leader_lease_ttl();
     format!(
         "a leader can be elected while the key-value store answers within {:.2} s: half of the leader lease's {:.2} s",
         max_election_latency(ttl).as_secs_f64(),
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -85,7 +85,7 @@
             limits,
             &settings.node,
             nodes,
-            settings.facts.state.txn_ops as usize,
+            settings.platform.store.max_txn_mutations as usize,
             rand::random(),
             runtime::now(),
         );
@@ -156,7 +156,7 @@
             leader_lease,
             heartbeat_monitor: RefCell::new(HeartbeatMonitor::new(
                 node.config.heartbeat_interval,
-                node.settings.facts.nodes,
+                node.settings.platform.nodes,
                 now,
             )),
             wakeup: Notify::default(),
@@ -168,7 +168,7 @@
             plan_cost: PlanCost {
                 spent: Cell::new(Micros::ZERO),
                 since: Cell::new(now),
-                cpu_share: node.settings.facts.limits.cpu_share,
+                cpu_share: node.settings.platform.limits.cpu_cores,
             },
         }
     }
@@ -240,7 +240,8 @@
             } else {
                 1.0
             };
-            let share = node.settings.facts.limits.cpu_share * scheduler.tuning.plan_share * part;
+            let share =
+                node.settings.platform.limits.cpu_cores * scheduler.tuning.plan_share * part;
             scheduler.plan_cost(cost, share);
         }
         result
@@ -253,21 +254,24 @@
         let flows = flow_limits.map(|limits| Flows::new(&settings, limits));
         let limit = |per_second| SharedLimit {
             per_second,
-            nodes: settings.facts.nodes,
+            nodes: settings.platform.nodes,
         };
         Node {
             flows,
             config: SchedulerConfig::of(&settings),
             store: KvClient::new(
-                settings.endpoints.state,
-                limit(settings.facts.state.rps),
-                settings.leader_ttl(),
+                settings.endpoints.store,
+                limit(settings.platform.store.max_requests_per_s),
+                settings.leader_lease_ttl(),
             ),
             admission: AdmissionController::new(
-                limit(settings.facts.state.write_rps),
+                limit(settings.platform.store.max_writes_per_s),
                 &SchedulerConfig::of(&settings).teams,
             ),
-            cloud: CloudClient::new(settings.endpoints.cloud, settings.facts.cloud.rps),
+            cloud: CloudClient::new(
+                settings.endpoints.cloud,
+                settings.platform.cloud.max_requests_per_s,
+            ),
             catalog: RefCell::default(),
             leader: RefCell::default(),
             leadership: RefCell::default(),
@@ -294,7 +298,7 @@
     /// How many connections users and agents may have open: the rest of the sockets is for the key-value store, the
     /// cloud, commands pushed to agents, and peers.
     pub(crate) fn max_open_connections(&self) -> u64 {
-        self.settings.facts.limits.max_connections as u64 * 3 / 4
+        self.settings.platform.limits.max_connections as u64 * 3 / 4
     }
 
     /// Notes where this node stands in elections.
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -71,15 +71,15 @@
 
 /// What the execution of workflows may use of this node and of the key-value store.
 pub(crate) fn flow_limits(v: &Values, settings: &Settings) -> Limits {
-    let facts = &settings.facts;
-    let nodes = f64::from(facts.nodes.max(1));
+    let platform = &settings.platform;
+    let nodes = f64::from(platform.nodes.max(1));
     Limits {
         max_run_steps_in_flight: v.count("flow_steps"),
         max_team_steps_in_flight: v.count("flow_team_steps"),
         max_owned_runs: v.count("flow_runs"),
         max_owned_steps: v.count("flow_steps_carried"),
-        max_writes_per_s: facts.state.write_rps * v.share("flow_write_share") / nodes,
-        max_reads_per_s: facts.state.rps * v.share("flow_read_share") / nodes,
+        max_writes_per_s: platform.store.max_writes_per_s * v.share("flow_write_share") / nodes,
+        max_reads_per_s: platform.store.max_requests_per_s * v.share("flow_read_share") / nodes,
         write_batch_delay: v.duration("flow_gather"),
         ..Limits::default()
     }
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -22,7 +22,7 @@
 /// The staffed hours by the node's settings; `None`: no work is held outside of them.
 fn hours(node: &Node) -> Option<StaffedHours> {
     let values = node.policy.evaluate(&Figures::default());
-    let skew = Micros::from_secs_f64(node.settings.facts.clock_skew_ms / 1e3);
+    let skew = Micros::from_secs_f64(node.settings.platform.clock_skew_ms / 1e3);
     match settings::hours_of(&values, skew) {
         Ok(h) => h,
         Err(e) => {
