--- a/crates/hopyoke-cwl/src/expand.rs
+++ b/crates/hopyoke-cwl/src/expand.rs
@@ -860,8 +860,8 @@
             spread: s.spread,
             spot: s.spot,
             estimate_s: s.estimate_s,
-            checkpoint_s: s.checkpoint_s,
-            save_s: s.save_s,
+            checkpoint_interval_s: s.checkpoint_s,
+            checkpoint_save_s: s.save_s,
             deadline_s: s.deadline_s,
         };
         let key = serde_json::to_string(&spec).unwrap_or_default();
--- a/crates/hopyoke-experiments/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -232,8 +232,8 @@
         spread: false,
         spot: false,
         estimate_s: run.estimate_s,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     };
     JobGroundTruth {
--- a/crates/hopyoke-protocol/src/user.rs
+++ b/crates/hopyoke-protocol/src/user.rs
@@ -92,10 +92,10 @@
     pub estimate_s: f64,
     /// Progress between checkpoints, in seconds; 0: the tasks never save.
     #[serde(rename = "logbook_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a stopped task needs to save its checkpoint, in seconds.
     #[serde(rename = "stow_s")]
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     /// Time from submission until the job should be done, in seconds; `None`: no deadline.
     #[serde(rename = "ashore_s", default)]
     pub deadline_s: Option<f64>,
@@ -123,8 +123,8 @@
             spread: false,
             spot: false,
             estimate_s: 10.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            checkpoint_interval_s: 0.0,
+            checkpoint_save_s: 0.0,
             deadline_s: None,
         }
     }
--- a/crates/hopyoke-protocol/src/user/submission.rs
+++ b/crates/hopyoke-protocol/src/user/submission.rs
@@ -9,7 +9,7 @@
 /// The most tasks that a job may have.
 pub const MAX_TASKS: u32 = 100_000;
 /// The longest name of a class, team, image, zone or instance type, in bytes.
-const MAX_NAME: usize = 200;
+const MAX_NAME_BYTES: usize = 200;
 /// The most instance types that a job may list.
 const MAX_TYPES: usize = 64;
 /// The largest amount or duration.
@@ -25,15 +25,15 @@
     NotAMap,
     /// The id has not the form of job ids.
     #[error("id: must be 'req-' followed by digits")]
-    Id,
+    InvalidId,
     /// A name is empty or too long.
-    #[error("{field}: must be 1 to {} bytes long", MAX_NAME)]
+    #[error("{field}: must be 1 to {} bytes long", MAX_NAME_BYTES)]
     NameLength {
         /// Name of the field on the wire.
         field: &'static str,
     },
     /// The zone's name is too long.
-    #[error("basin: must be at most {} bytes long", MAX_NAME)]
+    #[error("basin: must be at most {} bytes long", MAX_NAME_BYTES)]
     ZoneLength,
     /// No task, or too many.
     #[error("oars: must be 1 to {}", MAX_TASKS)]
@@ -48,7 +48,11 @@
         field: &'static str,
     },
     /// Too many instance types, or a name that is too long.
-    #[error("rigs: at most {} names of at most {} bytes", MAX_TYPES, MAX_NAME)]
+    #[error(
+        "rigs: at most {} names of at most {} bytes",
+        MAX_TYPES,
+        MAX_NAME_BYTES
+    )]
     MachineTypes,
     /// The whole spec is too long to be stored.
     #[error("rigs: the job's description is too long to be kept")]
@@ -86,7 +90,7 @@
         if !matches!(body.first(), Some(0x80..=0x8f | 0xde | 0xdf)) {
             return Err(SubmissionError::NotAMap);
         }
-        let spec: JobSpec = decode(body).map_err(|e| name_field(&e.to_string(), body))?;
+        let spec: JobSpec = decode(body).map_err(|e| find_invalid_field(&e.to_string(), body))?;
         spec.check().map(|()| spec)
     }
 
@@ -96,18 +100,18 @@
     /// The field at fault, and what it must be.
     pub fn check(&self) -> Result<(), SubmissionError> {
         if JobId::parse(self.id.as_str()).is_none() {
-            return Err(SubmissionError::Id);
+            return Err(SubmissionError::InvalidId);
         }
         for (field, text) in [
             ("berth", &self.class),
             ("crew", &self.team),
             ("cargo", &self.image),
         ] {
-            if text.is_empty() || text.len() > MAX_NAME {
+            if text.is_empty() || text.len() > MAX_NAME_BYTES {
                 return Err(SubmissionError::NameLength { field });
             }
         }
-        if self.zone.as_ref().is_some_and(|z| z.len() > MAX_NAME) {
+        if self.zone.as_ref().is_some_and(|z| z.len() > MAX_NAME_BYTES) {
             return Err(SubmissionError::ZoneLength);
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
@@ -119,8 +123,8 @@
             ("mem_gb", self.memory_gb),
             ("pull_gb", self.image_gb),
             ("voyage_s", self.estimate_s),
-            ("logbook_s", self.checkpoint_s),
-            ("stow_s", self.save_s),
+            ("logbook_s", self.checkpoint_interval_s),
+            ("stow_s", self.checkpoint_save_s),
             ("ashore_s", self.deadline_s.unwrap_or(0.0)),
         ];
         for (field, amount) in amounts {
@@ -129,7 +133,7 @@
             }
         }
         if let Some(types) = &self.types
-            && (types.len() > MAX_TYPES || types.iter().any(|t| t.len() > MAX_NAME))
+            && (types.len() > MAX_TYPES || types.iter().any(|t| t.len() > MAX_NAME_BYTES))
         {
             return Err(SubmissionError::MachineTypes);
         }
@@ -143,36 +147,36 @@
 /// The type of a field's value, whatever the field.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 #[serde(untagged)]
-enum Shape {
+enum ValueType {
     Bool(bool),
     Number(f64),
-    Text(DiscardedText),
+    Text(IgnoredText),
     Other(serde::de::IgnoredAny),
 }
 
-impl Shape {
+impl ValueType {
     fn name(self) -> &'static str {
         match self {
-            Shape::Bool(_) => "boolean",
-            Shape::Number(_) => "number",
-            Shape::Text(_) => "text",
-            Shape::Other(_) => "other",
+            ValueType::Bool(_) => "boolean",
+            ValueType::Number(_) => "number",
+            ValueType::Text(_) => "text",
+            ValueType::Other(_) => "other",
         }
     }
 }
 
 /// A text of which only the type matters.
 #[derive(Clone, Copy, PartialEq)]
-struct DiscardedText;
+struct IgnoredText;
 
-impl<'de> Deserialize<'de> for DiscardedText {
+impl<'de> Deserialize<'de> for IgnoredText {
     fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        String::deserialize(d).map(|_| DiscardedText)
+        String::deserialize(d).map(|_| IgnoredText)
     }
 }
 
 /// The type that a required field must have.
-fn expected_shape(field: &str) -> Option<&'static str> {
+fn expected_type(field: &str) -> Option<&'static str> {
     match field {
         "id" | "berth" | "crew" | "hull" | "rank" | "cargo" => Some("text"),
         "oars" | "cpus" | "cards" | "mem_gb" | "pull_gb" | "voyage_s" | "logbook_s" | "stow_s" => {
@@ -185,14 +189,14 @@
 
 /// The decoder names a missing field but not one of the wrong type: find that one by decoding
 /// the known fields one by one.
-fn name_field(error: &str, body: &[u8]) -> SubmissionError {
+fn find_invalid_field(error: &str, body: &[u8]) -> SubmissionError {
     let undecodable = || SubmissionError::Undecodable(error.to_owned());
-    let Ok(shapes) = decode::<BTreeMap<String, Shape>>(body) else {
+    let Ok(types) = decode::<BTreeMap<String, ValueType>>(body) else {
         return undecodable();
     };
-    for (field, shape) in &shapes {
-        if let Some(expected) = expected_shape(field)
-            && expected != shape.name()
+    for (field, value_type) in &types {
+        if let Some(expected) = expected_type(field)
+            && expected != value_type.name()
         {
             return SubmissionError::WrongType {
                 field: field.clone(),
@@ -200,7 +204,7 @@
             };
         }
     }
-    if let Some(Shape::Number(n)) = shapes.get("oars")
+    if let Some(ValueType::Number(n)) = types.get("oars")
         && (n.fract() != 0.0 || *n < 0.0 || *n > f64::from(MAX_TASKS))
     {
         return SubmissionError::TaskCountNotWhole;
@@ -212,7 +216,7 @@
         } else {
             "rank"
         };
-        if shapes.contains_key(field) {
+        if types.contains_key(field) {
             return SubmissionError::UnknownVariant {
                 field,
                 error: error.to_owned(),
@@ -221,7 +225,7 @@
     }
     let has_optional = ["rigs", "basin", "ashore_s"]
         .iter()
-        .any(|field| shapes.contains_key(*field));
+        .any(|field| types.contains_key(*field));
     if has_optional && !error.contains("missing field") {
         return SubmissionError::OptionalField(error.to_owned());
     }
--- a/crates/hopyoke-protocol/src/worker.rs
+++ b/crates/hopyoke-protocol/src/worker.rs
@@ -133,7 +133,7 @@
         /// The attempt to stop.
         #[serde(rename = "launch")]
         attempt: Attempt,
-        /// Grace period in seconds; it saves only if this is at least the job's `save_s`.
+        /// Grace period in seconds; it saves only if this is at least the job's `checkpoint_save_s`.
         #[serde(rename = "slack_s")]
         grace_s: f64,
     },
@@ -179,5 +179,5 @@
 pub struct HeartbeatRedirect<'a> {
     /// Name of that node; `None`: the agent tries the next one it knows.
     #[serde(rename = "harbormaster", skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<&'a str>,
+    pub target: Option<&'a str>,
 }
--- a/crates/hopyoke-protocol/tests/frozen_forms.rs
+++ b/crates/hopyoke-protocol/tests/frozen_forms.rs
@@ -40,8 +40,8 @@
         spread: false,
         spot: true,
         estimate_s: 1800.0,
-        checkpoint_s: 300.0,
-        save_s: 15.0,
+        checkpoint_interval_s: 300.0,
+        checkpoint_save_s: 15.0,
         deadline_s: Some(7200.0),
     }
 }
@@ -268,10 +268,10 @@
     assert_written(
         "redirect",
         &HeartbeatRedirect {
-            report_to: Some("10.0.0.2:8080"),
+            target: Some("10.0.0.2:8080"),
         },
     );
-    assert_written("redirect-nowhere", &HeartbeatRedirect { report_to: None });
+    assert_written("redirect-nowhere", &HeartbeatRedirect { target: None });
 }
 
 #[test]
--- a/crates/hopyoke-scheduler/src/placement/defragment.rs
+++ b/crates/hopyoke-scheduler/src/placement/defragment.rs
@@ -149,7 +149,7 @@
             drain.moves.push(ReplicaMove {
                 machine: machine.clone(),
                 task,
-                grace_s: request.spec.save_s,
+                grace_s: request.spec.checkpoint_save_s,
                 target,
                 resources: request.task,
             });
--- a/crates/hopyoke-scheduler/src/placement/stop_finished.rs
+++ b/crates/hopyoke-scheduler/src/placement/stop_finished.rs
@@ -37,7 +37,7 @@
                         0.0
                     } else if is_moving {
                         // Graceful: all tasks are stopped together and may write a checkpoint.
-                        job.spec.save_s + 1.0
+                        job.spec.checkpoint_save_s + 1.0
                     } else {
                         continue;
                     };
@@ -81,7 +81,7 @@
                         job: task.job.clone(),
                         index: task.index,
                         attempt: *attempt,
-                        grace_s: job.spec.save_s,
+                        grace_s: job.spec.checkpoint_save_s,
                     }),
                     JobKind::Gang => {
                         moving_gangs.insert(task.job.clone());
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -294,7 +294,9 @@
             },
             attempt,
         );
-        if end != RunOutcome::Done && job.spec.checkpoint_s > 0.0 && self.learned.learner.runs(&key)
+        if end != RunOutcome::Done
+            && job.spec.checkpoint_interval_s > 0.0
+            && self.learned.learner.runs(&key)
         {
             job.resumed = true;
         }
--- a/crates/hopyoke-scheduler/src/staffed_hours.rs
+++ b/crates/hopyoke-scheduler/src/staffed_hours.rs
@@ -147,7 +147,7 @@
                 // All tasks of a gang are stopped at once and may save.
                 let grace_s = match (begun, drain) {
                     (false, _) => 0.0,
-                    (true, true) => job.spec.save_s + 1.0,
+                    (true, true) => job.spec.checkpoint_save_s + 1.0,
                     (true, false) => continue,
                 };
                 stops.push(PendingStop {
--- a/crates/hopyoke-scheduler/tests/frozen_forms.rs
+++ b/crates/hopyoke-scheduler/tests/frozen_forms.rs
@@ -32,8 +32,8 @@
         spread: false,
         spot: true,
         estimate_s: 1800.0,
-        checkpoint_s: 300.0,
-        save_s: 15.0,
+        checkpoint_interval_s: 300.0,
+        checkpoint_save_s: 15.0,
         deadline_s: Some(7200.0),
     }
 }
--- a/crates/hopyoke-simulator/src/agent/tasks.rs
+++ b/crates/hopyoke-simulator/src/agent/tasks.rs
@@ -268,8 +268,9 @@
         let Some(t) = self.live(id, epoch, &key) else {
             return;
         };
-        let saves =
-            t.state == TaskState::Running && spec.checkpoint_s > 0.0 && grace_s >= spec.save_s;
+        let saves = t.state == TaskState::Running
+            && spec.checkpoint_interval_s > 0.0
+            && grace_s >= spec.checkpoint_save_s;
         if t.state == TaskState::Saving && grace_s > 0.0 {
             return;
         }
@@ -280,18 +281,22 @@
         let progress = self.now - self.machines[id].tasks[&key].started;
         let me = id.clone();
         self.schedule_heartbeat(id);
-        self.on_machine(id, Micros::from_secs_f64(spec.save_s), move |w| {
-            if w.live(&me, epoch, &key)
-                .is_none_or(|t| t.state != TaskState::Saving)
-            {
-                return;
-            }
-            let whole = w.members(&key.0.job, key.1).len() as u32 == spec.tasks;
-            if whole && let Some(job) = w.jobs.get_mut(&key.0.job) {
-                job.checkpointed = (job.checkpointed + progress).min(job.run_time);
-            }
-            w.exit(&me, &key, ExitReason::Stopped, whole);
-        });
+        self.on_machine(
+            id,
+            Micros::from_secs_f64(spec.checkpoint_save_s),
+            move |w| {
+                if w.live(&me, epoch, &key)
+                    .is_none_or(|t| t.state != TaskState::Saving)
+                {
+                    return;
+                }
+                let whole = w.members(&key.0.job, key.1).len() as u32 == spec.tasks;
+                if whole && let Some(job) = w.jobs.get_mut(&key.0.job) {
+                    job.checkpointed = (job.checkpointed + progress).min(job.run_time);
+                }
+                w.exit(&me, &key, ExitReason::Stopped, whole);
+            },
+        );
     }
 
     /// Ends a task.
--- a/crates/hopyoke-simulator/src/scenario/workload.rs
+++ b/crates/hopyoke-simulator/src/scenario/workload.rs
@@ -134,8 +134,8 @@
         } else {
             run * get("owner", 1.0)
         },
-        checkpoint_s: get("checkpoint", 0.0),
-        save_s: get("save", 0.0),
+        checkpoint_interval_s: get("checkpoint", 0.0),
+        checkpoint_save_s: get("save", 0.0),
         deadline_s: pairs.get("deadline").map(|v| number(v)),
     };
     JobGroundTruth {
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -84,7 +84,7 @@
 }
 
 fn redirect(target: Option<&str>) -> Response {
-    Response::of(421, &HeartbeatRedirect { report_to: target })
+    Response::of(421, &HeartbeatRedirect { target })
 }
 
 /// Serves a heartbeat that another node relayed; an empty response: it is not answered.
