--- a/crates/hopyoke-calendar/src/calendar.rs
+++ b/crates/hopyoke-calendar/src/calendar.rs
@@ -9,16 +9,16 @@
 
 /// Whether staff is on duty, and until when that holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Window {
+pub struct StaffingWindow {
     /// Staff is on duty.
     pub staffed: bool,
     /// Wall clock in microseconds since 1970; `None`: for more than a year.
     pub until: Option<Micros>,
 }
 
-impl Window {
+impl StaffingWindow {
     /// Nobody is on duty, with no known end.
-    const UNSTAFFED: Window = Window {
+    const UNSTAFFED: StaffingWindow = StaffingWindow {
         staffed: false,
         until: None,
     };
@@ -33,24 +33,24 @@
 
 impl Shift {
     /// What this shift says at `now`; `None` if it is over or empty.
-    fn window_at(self, now: i64) -> Option<Window> {
+    fn window_at(self, now: i64) -> Option<StaffingWindow> {
         if self.start >= self.end || self.end <= now {
             None
         } else if self.start <= now {
-            Some(Window {
+            Some(StaffingWindow {
                 staffed: true,
-                until: micros(self.end),
+                until: to_micros(self.end),
             })
         } else {
-            Some(Window {
+            Some(StaffingWindow {
                 staffed: false,
-                until: micros(self.start),
+                until: to_micros(self.start),
             })
         }
     }
 }
 
-fn micros(instant: i64) -> Option<Micros> {
+fn to_micros(instant: i64) -> Option<Micros> {
     Some(Micros(instant.max(0) as u64))
 }
 
@@ -80,12 +80,12 @@
 
 type Week = [Vec<(u32, u32)>; 7];
 
-const DAYS: [&str; 7] = ["Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"];
+const DAY_NAMES: [&str; 7] = ["Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"];
 /// How far ahead the end of a window is searched.
-const AHEAD_DAYS: i64 = 400;
+const MAX_LOOKAHEAD_DAYS: i64 = 400;
 const MICROS_PER_DAY: i64 = 86_400_000_000;
 
-fn error(setting: &'static str, part: &str, reason: &'static str) -> CalendarError {
+fn setting_error(setting: &'static str, part: &str, reason: &'static str) -> CalendarError {
     CalendarError {
         setting,
         part: part.to_owned(),
@@ -101,7 +101,7 @@
     /// The setting and the part at fault.
     pub fn parse(hours: &str, zone: &str, holidays: &str) -> Result<Calendar, CalendarError> {
         let tz = TimeZone::get(zone)
-            .map_err(|_| error("hours_zone", zone, "no IANA time zone has this name"))?;
+            .map_err(|_| setting_error("hours_zone", zone, "no IANA time zone has this name"))?;
         let week = parse_week(hours)?;
         let holidays = parse_holidays(holidays)?;
         Ok(Calendar {
@@ -155,23 +155,28 @@
         out
     }
 
-    /// Whether a wall clock time lies in staffed hours that begin `late` after their time and end
-    /// `early` before it, and until when.
-    pub fn at(&self, time_of_day: Micros, late: Micros, early: Micros) -> Window {
-        let (late, early) = (late.0 as i64, early.0 as i64);
+    /// Whether a wall clock time lies in staffed hours that begin `start_delay` after their time and end
+    /// `end_advance` before it, and until when.
+    pub fn window_at(
+        &self,
+        time_of_day: Micros,
+        start_delay: Micros,
+        end_advance: Micros,
+    ) -> StaffingWindow {
+        let (start_delay, end_advance) = (start_delay.0 as i64, end_advance.0 as i64);
         let Ok(now) = i64::try_from(time_of_day.0) else {
-            return Window::UNSTAFFED;
+            return StaffingWindow::UNSTAFFED;
         };
         let Some(first_day) = self.day_before_yesterday(now) else {
-            return Window::UNSTAFFED;
+            return StaffingWindow::UNSTAFFED;
         };
         let narrowed = |shift: Shift| Shift {
-            start: shift.start + late,
-            end: shift.end - early,
+            start: shift.start + start_delay,
+            end: shift.end - end_advance,
         };
         // Shifts that touch are one.
         let mut merged: Option<Shift> = None;
-        for day in 0..AHEAD_DAYS {
+        for day in 0..MAX_LOOKAHEAD_DAYS {
             let Ok(date) = first_day.checked_add(Span::new().days(day)) else {
                 break;
             };
@@ -188,11 +193,13 @@
             }
         }
         let Some(last) = merged else {
-            return Window::UNSTAFFED;
+            return StaffingWindow::UNSTAFFED;
         };
-        let mut window = narrowed(last).window_at(now).unwrap_or(Window::UNSTAFFED);
+        let mut window = narrowed(last)
+            .window_at(now)
+            .unwrap_or(StaffingWindow::UNSTAFFED);
         // It may go on beyond the days that were searched.
-        if window.staffed && last.end > now + (AHEAD_DAYS - 10) * MICROS_PER_DAY {
+        if window.staffed && last.end > now + (MAX_LOOKAHEAD_DAYS - 10) * MICROS_PER_DAY {
             window.until = None;
         }
         window
@@ -206,7 +213,7 @@
     }
 
     /// A wall clock time as local time, such as `Mon 2026-03-30 08:00`; empty if it is out of range.
-    pub fn local(&self, time_of_day: Micros) -> String {
+    pub fn format_local(&self, time_of_day: Micros) -> String {
         let stamp = i64::try_from(time_of_day.0)
             .ok()
             .and_then(|t| Timestamp::from_microsecond(t).ok());
@@ -225,12 +232,12 @@
     for part in hours.split(';').map(str::trim).filter(|p| !p.is_empty()) {
         let (days, times) = part
             .split_once(' ')
-            .ok_or_else(|| error("hours", part, "must be as in Mon-Fri 08:00-18:00"))?;
-        let spans: Result<Vec<(u32, u32)>, CalendarError> =
-            times.split_whitespace().map(span).collect();
-        let spans = spans?;
-        for day in days_of(days)? {
-            week[day].extend(spans.iter().copied());
+            .ok_or_else(|| setting_error("hours", part, "must be as in Mon-Fri 08:00-18:00"))?;
+        let time_ranges: Result<Vec<(u32, u32)>, CalendarError> =
+            times.split_whitespace().map(parse_time_range).collect();
+        let time_ranges = time_ranges?;
+        for day in parse_days(days)? {
+            week[day].extend(time_ranges.iter().copied());
         }
     }
     Ok(week)
@@ -252,7 +259,7 @@
             _ => None,
         };
         date.ok_or_else(|| {
-            error(
+            setting_error(
                 "holidays",
                 word,
                 "must be a date, YYYY-MM-DD, or MM-DD for each year",
@@ -263,18 +270,19 @@
 }
 
 /// `Mon`, `Mon-Fri` or `Sat,Sun`, as indices in the week.
-fn days_of(text: &str) -> Result<Vec<usize>, CalendarError> {
-    let wrong = |part: &str| {
-        error(
+fn parse_days(text: &str) -> Result<Vec<usize>, CalendarError> {
+    let invalid = |part: &str| {
+        setting_error(
             "hours",
             part,
             "must be a day such as Mon, or Mon-Fri, or Sat,Sun",
         )
     };
     let day = |name: &str| {
-        DAYS.iter()
+        DAY_NAMES
+            .iter()
             .position(|d| d.eq_ignore_ascii_case(name))
-            .ok_or_else(|| wrong(name))
+            .ok_or_else(|| invalid(name))
     };
     let mut out = Vec::new();
     for part in text.split(',') {
@@ -290,8 +298,8 @@
 }
 
 /// `08:00-18:00` as seconds of the day; the end may be 24:00.
-fn span(text: &str) -> Result<(u32, u32), CalendarError> {
-    let wrong = || error("hours", text, "must be two times, as in 08:00-18:00");
+fn parse_time_range(text: &str) -> Result<(u32, u32), CalendarError> {
+    let invalid = || setting_error("hours", text, "must be two times, as in 08:00-18:00");
     let second = |t: &str| -> Option<u32> {
         let numbers: Option<Vec<u32>> = t.split(':').map(|n| n.parse().ok()).collect();
         let (h, m, s) = match numbers?.as_slice() {
@@ -302,9 +310,9 @@
         let total = h.checked_mul(3600)?.checked_add(m * 60 + s)?;
         (m < 60 && s < 60 && total <= 86_400).then_some(total)
     };
-    let (a, b) = text.split_once('-').ok_or_else(wrong)?;
+    let (a, b) = text.split_once('-').ok_or_else(invalid)?;
     match (second(a), second(b)) {
         (Some(a), Some(b)) if a < 86_400 => Ok((a, b)),
-        _ => Err(wrong()),
+        _ => Err(invalid()),
     }
 }
--- a/crates/hopyoke-calendar/src/hold.rs
+++ b/crates/hopyoke-calendar/src/hold.rs
@@ -23,7 +23,7 @@
         let mut clauses = Vec::new();
         for clause in text.split(';').map(str::trim).filter(|c| !c.is_empty()) {
             let conditions: Result<Vec<Condition>, CalendarError> =
-                clause.split_whitespace().map(condition).collect();
+                clause.split_whitespace().map(parse_condition).collect();
             clauses.push(conditions?);
         }
         Ok(HoldSelector(clauses))
@@ -41,7 +41,7 @@
     }
 }
 
-fn condition(text: &str) -> Result<Condition, CalendarError> {
+fn parse_condition(text: &str) -> Result<Condition, CalendarError> {
     let error = |reason| CalendarError {
         setting: "held",
         part: text.to_owned(),
--- a/crates/hopyoke-calendar/src/lib.rs
+++ b/crates/hopyoke-calendar/src/lib.rs
@@ -8,7 +8,7 @@
 mod calendar;
 mod hold;
 
-pub use calendar::{Calendar, Window};
+pub use calendar::{Calendar, StaffingWindow};
 pub use hold::HoldSelector;
 
 use hopyoke_protocol::user::JobSpec;
@@ -33,9 +33,11 @@
     /// Staff is on duty.
     pub staffed: bool,
     /// Wall clock time of its expiry, in microseconds since 1970.
-    pub until_us: u64,
+    #[serde(rename = "until_us")]
+    pub expires_at_us: u64,
     /// The operator who set it.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub operator: String,
 }
 
 /// All that decides whether a job is held.
@@ -44,45 +46,48 @@
     /// The regular staffed hours.
     pub calendar: Calendar,
     /// Jobs that are held outside of them.
-    pub held: HoldSelector,
+    pub hold_selector: HoldSelector,
     /// Held jobs that run are stopped when staffed hours end, with time to save.
     pub drain: bool,
     /// Bound on the error of nodes' wall clocks.
-    pub skew: Micros,
+    pub max_clock_skew: Micros,
     /// No held job is placed this long before staffed hours end: its start command may still be in flight.
-    pub margin: Micros,
+    pub placement_margin: Micros,
     /// The operators' override, if there is one.
     pub staffing_override: Option<StaffingOverride>,
 }
 
 impl StaffedHours {
     /// Whether staff is on duty at a time of this node's wall clock, and until when that holds.
-    pub fn at(&self, time_of_day: Micros) -> Window {
+    pub fn window_at(&self, time_of_day: Micros) -> StaffingWindow {
         if let Some(s) = &self.staffing_override {
             // Staffed ends early, unstaffed ends late: holding a job is the safe side.
             let until = if s.staffed {
-                Micros(s.until_us) - self.skew - self.margin
+                Micros(s.expires_at_us) - self.max_clock_skew - self.placement_margin
             } else {
-                Micros(s.until_us) + self.skew
+                Micros(s.expires_at_us) + self.max_clock_skew
             };
             if time_of_day < until {
-                return Window {
+                return StaffingWindow {
                     staffed: s.staffed,
                     until: Some(until),
                 };
             }
         }
-        self.calendar
-            .at(time_of_day, self.skew, self.skew + self.margin)
+        self.calendar.window_at(
+            time_of_day,
+            self.max_clock_skew,
+            self.max_clock_skew + self.placement_margin,
+        )
     }
 
     /// Whether this job is held outside staffed hours.
     pub fn holds(&self, spec: &JobSpec) -> bool {
-        self.held.matches(spec)
+        self.hold_selector.matches(spec)
     }
 
     /// A wall clock time as local time of the calendar's zone, such as `Mon 2026-03-30 08:00`.
-    pub fn local(&self, time_of_day: Micros) -> String {
-        self.calendar.local(time_of_day)
+    pub fn format_local(&self, time_of_day: Micros) -> String {
+        self.calendar.format_local(time_of_day)
     }
 }
--- a/crates/hopyoke-calendar/tests/cases.rs
+++ b/crates/hopyoke-calendar/tests/cases.rs
@@ -7,7 +7,7 @@
 //! fault ZONE | HOURS | HOLIDAYS | TEXT     it is refused, with this text
 //! ```
 
-use hopyoke_calendar::{Calendar, HoldSelector, StaffedHours, StaffingOverride, Window};
+use hopyoke_calendar::{Calendar, HoldSelector, StaffedHours, StaffingOverride, StaffingWindow};
 use hopyoke_types::Micros;
 use jiff::Timestamp;
 use proptest::prelude::*;
@@ -20,10 +20,10 @@
 fn hours(calendar: Calendar, skew: Micros) -> StaffedHours {
     StaffedHours {
         calendar,
-        held: HoldSelector::default(),
+        hold_selector: HoldSelector::default(),
         drain: false,
-        skew,
-        margin: Micros::ZERO,
+        max_clock_skew: skew,
+        placement_margin: Micros::ZERO,
         staffing_override: None,
     }
 }
@@ -59,15 +59,15 @@
         }
         "skew" => {
             let c = current.as_mut().expect("a calendar");
-            c.skew = Micros::from_secs_f64(rest.parse().expect("seconds"));
+            c.max_clock_skew = Micros::from_secs_f64(rest.parse().expect("seconds"));
             Ok(())
         }
         "switch" => {
             let c = current.as_mut().expect("a calendar");
             c.staffing_override = (columns[0] != "none").then(|| StaffingOverride {
                 staffed: columns[0] == "on",
-                until_us: time(columns[2]).0,
-                by: "test".into(),
+                expires_at_us: time(columns[2]).0,
+                operator: "test".into(),
             });
             Ok(())
         }
@@ -83,11 +83,11 @@
 
 /// `TIME staffed|unstaffed until TIME|ever`.
 fn expect_window(hours: &StaffedHours, columns: &[&str]) -> Result<(), String> {
-    let expected = Window {
+    let expected = StaffingWindow {
         staffed: columns[1] == "staffed",
         until: (columns[3] != "ever").then(|| time(columns[3])),
     };
-    let got = hours.at(time(columns[0]));
+    let got = hours.window_at(time(columns[0]));
     if got == expected {
         return Ok(());
     }
@@ -114,12 +114,12 @@
         let text = format!("{days} {:02}:{:02}-{:02}:{:02}", from / 60, from % 60, to / 60, to % 60);
         let h = hours(Calendar::parse(&text, zone, "12-25").expect("sound"), Micros::from_secs(skew));
         let now = Micros::from_secs(at);
-        let w = h.at(now);
+        let w = h.window_at(now);
         let Some(until) = w.until else { return Ok(()) };
         prop_assert!(until > now);
         let between = Micros(now.0 + ((until.0 - now.0 - 1) as f64 * step) as u64);
-        prop_assert_eq!(h.at(between), w);
-        prop_assert_eq!(h.at(until).staffed, !w.staffed);
+        prop_assert_eq!(h.window_at(between), w);
+        prop_assert_eq!(h.window_at(until).staffed, !w.staffed);
     }
 
     /// With a bound on clocks, no clock within it is staffed when the true time is not.
@@ -127,11 +127,11 @@
     fn skew_is_safe(at in 1_700_000_000u64..1_900_000_000, off in -250_000i64..=250_000) {
         let calendar = Calendar::parse("Mon-Fri 08:00-18:00", "Europe/London", "").expect("sound");
         let (safe, truth) = (hours(calendar.clone(), Micros(250_000)), hours(calendar, Micros::ZERO));
-        for edge in [truth.at(Micros::from_secs(at)).until.expect("a change"), Micros::from_secs(at)] {
+        for edge in [truth.window_at(Micros::from_secs(at)).until.expect("a change"), Micros::from_secs(at)] {
             for near in [-260_000i64, -100, 0, 100, 260_000] {
                 let t = (edge.0 as i64 + near) as u64;
                 let clock = (t as i64 + off) as u64;
-                prop_assert!(!safe.at(Micros(clock)).staffed || truth.at(Micros(t)).staffed);
+                prop_assert!(!safe.window_at(Micros(clock)).staffed || truth.window_at(Micros(t)).staffed);
             }
         }
     }
--- a/crates/hopyoke-calendar/tests/frozen_forms.rs
+++ b/crates/hopyoke-calendar/tests/frozen_forms.rs
@@ -10,15 +10,15 @@
 fn switches() {
     let on = StaffingOverride {
         staffed: true,
-        until_us: 1_700_000_000_000_000,
-        by: "ana".into(),
+        expires_at_us: 1_700_000_000_000_000,
+        operator: "ana".into(),
     };
     assert_stored("switch-on", &on);
     assert_stored(
         "switch-off",
         &StaffingOverride {
             staffed: false,
-            by: "ben".into(),
+            operator: "ben".into(),
             ..on
         },
     );
--- a/crates/hopyoke-scheduler/src/staffed_hours.rs
+++ b/crates/hopyoke-scheduler/src/staffed_hours.rs
@@ -5,7 +5,7 @@
 
 use crate::Scheduler;
 use crate::ledger::{AllocationState, Job};
-use hopyoke_calendar::{StaffedHours, StaffingOverride, Window};
+use hopyoke_calendar::{StaffedHours, StaffingOverride, StaffingWindow};
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
@@ -18,7 +18,7 @@
     /// A moment of the steady clock and the time of day then; noted often, for clocks drift apart.
     clock: (Micros, Micros),
     /// When the window was looked up, by time of day, and the window.
-    window: Option<(Micros, Window)>,
+    window: Option<(Micros, StaffingWindow)>,
 }
 
 /// An attempt that is to be stopped.
@@ -71,12 +71,12 @@
         if valid {
             return;
         }
-        let window = hours.at(time_of_day);
+        let window = hours.window_at(time_of_day);
         let was = s.window.replace((time_of_day, window));
         if was.is_none_or(|(_, w)| w.staffed != window.staffed) {
             let until = window
                 .until
-                .map_or_else(|| "further notice".to_owned(), |u| hours.local(u));
+                .map_or_else(|| "further notice".to_owned(), |u| hours.format_local(u));
             info!(staffed = window.staffed, until, "hours");
             self.plan_schedule.request();
             if !window.staffed {
@@ -102,7 +102,7 @@
         Some(
             window
                 .until
-                .map_or_else(|| "further notice".to_owned(), |u| hours.local(u)),
+                .map_or_else(|| "further notice".to_owned(), |u| hours.format_local(u)),
         )
     }
 
--- a/crates/hopyoke-simulator/src/invariants/task_start.rs
+++ b/crates/hopyoke-simulator/src/invariants/task_start.rs
@@ -63,12 +63,12 @@
             return;
         };
         let truth = StaffedHours {
-            skew: Micros::ZERO,
-            margin: Micros::ZERO,
+            max_clock_skew: Micros::ZERO,
+            placement_margin: Micros::ZERO,
             ..hours.clone()
         };
         let spec = &self.jobs[&task.job].spec;
-        if truth.holds(spec) && !truth.at(START_TIME_OF_DAY + self.now).staffed {
+        if truth.holds(spec) && !truth.window_at(START_TIME_OF_DAY + self.now).staffed {
             self.record_violation(
                 "unstaffed",
                 format!("{task} starts on {id} while nobody is there"),
--- a/crates/hopyoke-simulator/src/scenario/setup.rs
+++ b/crates/hopyoke-simulator/src/scenario/setup.rs
@@ -147,10 +147,10 @@
     let calendar = Calendar::parse(&format!("Thu {}", spans.join(" ")), "UTC", "");
     Ok(StaffedHours {
         calendar: calendar.map_err(|e| e.to_string())?,
-        held: HoldSelector::parse(&held.replace('+', " ")).map_err(|e| e.to_string())?,
+        hold_selector: HoldSelector::parse(&held.replace('+', " ")).map_err(|e| e.to_string())?,
         drain,
-        skew: Micros::from_millis(250),
-        margin: Micros::from_secs(2),
+        max_clock_skew: Micros::from_millis(250),
+        placement_margin: Micros::from_secs(2),
         staffing_override: None,
     })
 }
--- a/crates/hopyoke-simulator/src/scenario/workload.rs
+++ b/crates/hopyoke-simulator/src/scenario/workload.rs
@@ -74,8 +74,8 @@
     let (staffed, until) = (next_word(words) == "on", seconds(next_word(words)));
     let switch = Some(StaffingOverride {
         staffed,
-        until_us: (START_TIME_OF_DAY + until).0,
-        by: "operator".into(),
+        expires_at_us: (START_TIME_OF_DAY + until).0,
+        operator: "operator".into(),
     });
     if let Some(hours) = &mut w.hours {
         hours.staffing_override.clone_from(&switch);
--- a/crates/hopyoke-simulator/src/simulation.rs
+++ b/crates/hopyoke-simulator/src/simulation.rs
@@ -192,7 +192,7 @@
 
     /// The time of day by a node's clock: off by as much as the hours' bound allows, each another way.
     pub(crate) fn time_of_day(&self, node: usize) -> Micros {
-        let skew = self.hours.as_ref().map_or(0, |h| h.skew.0);
+        let skew = self.hours.as_ref().map_or(0, |h| h.max_clock_skew.0);
         Micros(START_TIME_OF_DAY.0 + self.now.0 + skew * node as u64) - Micros(skew)
     }
 
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -60,10 +60,10 @@
 pub fn hours_of(v: &Values, skew: Micros) -> Result<Option<StaffedHours>, CalendarError> {
     let hours = StaffedHours {
         calendar: Calendar::parse(v.text("hours"), v.text("hours_zone"), v.text("holidays"))?,
-        held: HoldSelector::parse(v.text("held"))?,
+        hold_selector: HoldSelector::parse(v.text("held"))?,
         drain: v.boolean("hold_drain"),
-        margin: v.duration("hold_margin"),
-        skew,
+        placement_margin: v.duration("hold_margin"),
+        max_clock_skew: skew,
         staffing_override: None,
     };
     Ok(v.boolean("hold").then_some(hours))
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -38,8 +38,8 @@
 pub(crate) fn initial(node: &Node) -> Option<StaffedHours> {
     let not_staffed = StaffingOverride {
         staffed: false,
-        until_us: u64::MAX / 4,
-        by: "nobody yet".into(),
+        expires_at_us: u64::MAX / 4,
+        operator: "nobody yet".into(),
     };
     hours(node).map(|h| StaffedHours {
         staffing_override: Some(not_staffed),
@@ -114,11 +114,11 @@
         }
         state @ ("on" | "off") => {
             let until = now + Micros::from_secs(request.span_s);
-            let by = request.by.chars().take(80).collect();
+            let operator = request.by.chars().take(80).collect();
             Some(StaffingOverride {
                 staffed: state == "on",
-                until_us: until.0,
-                by,
+                expires_at_us: until.0,
+                operator,
             })
         }
         other => return Err(format!("'{other}' is not on, off, auto or show")),
@@ -171,14 +171,14 @@
 
 /// Whether the hours are staffed now, until when, and by whose override.
 fn describe(hours: StaffedHours, now: Micros) -> String {
-    let window = hours.at(now);
+    let window = hours.window_at(now);
     let until = window
         .until
-        .map_or_else(|| "further notice".to_owned(), |u| hours.local(u));
+        .map_or_else(|| "further notice".to_owned(), |u| hours.format_local(u));
     let by = hours
         .staffing_override
-        .filter(|s| s.until_us > now.0)
-        .map(|s| s.by);
+        .filter(|s| s.expires_at_us > now.0)
+        .map(|s| s.operator);
     let by = by.map_or(String::new(), |by| {
         if by.is_empty() {
             ", by an operator".into()
