--- a/crates/hopyoke-cwl/src/expand.rs
+++ b/crates/hopyoke-cwl/src/expand.rs
@@ -854,7 +854,7 @@
             memory_gb: ram / 1024.0,
             image: image.to_owned(),
             image_gb: s.image_gb,
-            types: s.machine_types.clone(),
+            machine_types: s.machine_types.clone(),
             zone: s.zone.clone(),
             one_zone: s.one_zone,
             spread: s.spread,
--- a/crates/hopyoke-emulator/src/agent.rs
+++ b/crates/hopyoke-emulator/src/agent.rs
@@ -138,7 +138,7 @@
             attempt: *attempt,
             state: t.state,
             exit_reason: t.exit_reason,
-            saved: false,
+            checkpoint_saved: false,
         });
         Heartbeat {
             machine: self.machine.id.clone(),
--- a/crates/hopyoke-emulator/tests/concurrent_reads/users.rs
+++ b/crates/hopyoke-emulator/tests/concurrent_reads/users.rs
@@ -59,7 +59,7 @@
         let id = JobId::new(&format!("req-{number:06}"));
         let spec = JobSpec {
             estimate_s,
-            ..JobSpec::plain(id.clone(), "steady", "crew", "img")
+            ..JobSpec::with_defaults(id.clone(), "steady", "crew", "img")
         };
         Rc::new(Job {
             id,
--- a/crates/hopyoke-experiments/src/flows.rs
+++ b/crates/hopyoke-experiments/src/flows.rs
@@ -24,7 +24,7 @@
 const TASK_S: f64 = 0.2;
 
 fn spec(id: JobId, tasks: u32) -> JobSpec {
-    let plain = JobSpec::plain(id, "step", "crew", "img");
+    let plain = JobSpec::with_defaults(id, "step", "crew", "img");
     JobSpec {
         tasks,
         image_gb: 0.1,
--- a/crates/hopyoke-experiments/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -226,7 +226,7 @@
         memory_gb: 1.0,
         image: "img-1".into(),
         image_gb: 0.0,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
--- a/crates/hopyoke-protocol/src/state.rs
+++ b/crates/hopyoke-protocol/src/state.rs
@@ -17,7 +17,7 @@
 
 impl<T> Stored<T> {
     /// The value, or `None` if it could not be read.
-    pub fn readable(self) -> Option<T> {
+    pub fn decoded(self) -> Option<T> {
         match self {
             Stored::Value(v) => Some(v),
             Stored::Unreadable(_) => None,
--- a/crates/hopyoke-protocol/src/user.rs
+++ b/crates/hopyoke-protocol/src/user.rs
@@ -74,7 +74,7 @@
     pub image_gb: f64,
     /// Instance types allowed, at most 64; `None`: any.
     #[serde(rename = "rigs", default)]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The one zone allowed; `None`: any.
     #[serde(rename = "basin", default)]
     pub zone: Option<String>,
@@ -104,7 +104,7 @@
 impl JobSpec {
     /// An array of one task that takes one CPU and 1 GB, runs anywhere but on spot machines, and has
     /// nothing special about it.
-    pub fn plain(id: JobId, class: &str, team: &str, image: &str) -> JobSpec {
+    pub fn with_defaults(id: JobId, class: &str, team: &str, image: &str) -> JobSpec {
         JobSpec {
             id,
             class: class.to_owned(),
@@ -117,7 +117,7 @@
             memory_gb: 1.0,
             image: image.to_owned(),
             image_gb: 1.0,
-            types: None,
+            machine_types: None,
             zone: None,
             one_zone: false,
             spread: false,
--- a/crates/hopyoke-protocol/src/user/submission.rs
+++ b/crates/hopyoke-protocol/src/user/submission.rs
@@ -132,7 +132,7 @@
                 return Err(SubmissionError::Amount { field });
             }
         }
-        if let Some(types) = &self.types
+        if let Some(types) = &self.machine_types
             && (types.len() > MAX_TYPES || types.iter().any(|t| t.len() > MAX_NAME_BYTES))
         {
             return Err(SubmissionError::MachineTypes);
--- a/crates/hopyoke-protocol/src/worker.rs
+++ b/crates/hopyoke-protocol/src/worker.rs
@@ -55,7 +55,7 @@
     pub exit_reason: Option<ExitReason>,
     /// Whether a stopped task saved its checkpoint.
     #[serde(rename = "kept", default, skip_serializing_if = "std::ops::Not::not")]
-    pub saved: bool,
+    pub checkpoint_saved: bool,
 }
 
 /// Lifecycle of a task's attempt on its machine.
--- a/crates/hopyoke-protocol/tests/frozen/mod.rs
+++ b/crates/hopyoke-protocol/tests/frozen/mod.rs
@@ -61,7 +61,7 @@
 pub(crate) fn assert_stored<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     assert_round_trip(name, value);
     let stored: T = read::<Stored<T>>(name)
-        .readable()
+        .decoded()
         .unwrap_or_else(|| panic!("{name}: unreadable"));
     assert_bytes(name, &encode(&stored));
 }
@@ -69,7 +69,7 @@
 /// A fixture of an earlier form is read as `value`, which is written otherwise today.
 pub(crate) fn assert_read_as<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     let stored: T = read::<Stored<T>>(name)
-        .readable()
+        .decoded()
         .unwrap_or_else(|| panic!("{name}: unreadable"));
     assert_eq!(
         encode(&stored),
--- a/crates/hopyoke-protocol/tests/frozen_forms.rs
+++ b/crates/hopyoke-protocol/tests/frozen_forms.rs
@@ -34,7 +34,7 @@
         memory_gb: 24.25,
         image: "registry/train:7".into(),
         image_gb: 6.5,
-        types: Some(vec!["g2".into(), "g4".into()]),
+        machine_types: Some(vec!["g2".into(), "g4".into()]),
         zone: Some("east".into()),
         one_zone: true,
         spread: false,
@@ -49,7 +49,7 @@
 fn plain_spec() -> JobSpec {
     JobSpec {
         spread: true,
-        ..JobSpec::plain(JobId::new("req-7"), "lint", "tools", "registry/lint:1")
+        ..JobSpec::with_defaults(JobId::new("req-7"), "lint", "tools", "registry/lint:1")
     }
 }
 
@@ -178,12 +178,12 @@
 
 #[test]
 fn heartbeats() {
-    let task = |task: &str, attempt, state, exit_reason, saved| TaskStatus {
+    let task = |task: &str, attempt, state, exit_reason, checkpoint_saved| TaskStatus {
         task: task.into(),
         attempt: Attempt(attempt),
         state,
         exit_reason,
-        saved,
+        checkpoint_saved,
     };
     let full = Heartbeat {
         machine: MachineId::new("m-17"),
@@ -399,7 +399,7 @@
         (pair.key.as_str(), pair.mod_revision),
         ("", ModRevision(77))
     );
-    assert_eq!(pair.value.readable(), Some(full_spec()));
+    assert_eq!(pair.value.decoded(), Some(full_spec()));
 
     let page: KeyValuePage<String> = read("page");
     assert!(page.more);
@@ -407,7 +407,7 @@
     let pairs: Vec<_> = page
         .pairs
         .into_iter()
-        .map(|p| (p.key, p.value.readable(), p.mod_revision))
+        .map(|p| (p.key, p.value.decoded(), p.mod_revision))
         .collect();
     assert_eq!(
         pairs[0],
--- a/crates/hopyoke-scheduler/src/placement/request.rs
+++ b/crates/hopyoke-scheduler/src/placement/request.rs
@@ -132,7 +132,7 @@
     fn types_holding(&self, spec: &JobSpec) -> impl Iterator<Item = bool> {
         let task = Resources::of_task(spec);
         self.types.iter().map(move |t| {
-            spec.types
+            spec.machine_types
                 .as_ref()
                 .is_none_or(|names| names.contains(&t.name))
                 && task.fits_in(&Resources::of_type(t))
--- a/crates/hopyoke-scheduler/src/resources.rs
+++ b/crates/hopyoke-scheduler/src/resources.rs
@@ -171,7 +171,7 @@
 }
 
 fn is_allowed_type(spec: &JobSpec, t: &MachineType) -> bool {
-    let names = spec.types.as_ref();
+    let names = spec.machine_types.as_ref();
     names.is_none_or(|names| names.contains(&t.name))
 }
 
--- a/crates/hopyoke-scheduler/tests/frozen_forms.rs
+++ b/crates/hopyoke-scheduler/tests/frozen_forms.rs
@@ -26,7 +26,7 @@
         memory_gb: 24.25,
         image: "registry/train:7".into(),
         image_gb: 6.5,
-        types: Some(vec!["g2".into(), "g4".into()]),
+        machine_types: Some(vec!["g2".into(), "g4".into()]),
         zone: Some("east".into()),
         one_zone: true,
         spread: false,
@@ -41,7 +41,7 @@
 fn array(tasks: u32) -> JobSpec {
     JobSpec {
         tasks,
-        ..JobSpec::plain(JobId::new("req-7"), "lint", "tools", "registry/lint:1")
+        ..JobSpec::with_defaults(JobId::new("req-7"), "lint", "tools", "registry/lint:1")
     }
 }
 
--- a/crates/hopyoke-scheduler/tests/pushed_commands.rs
+++ b/crates/hopyoke-scheduler/tests/pushed_commands.rs
@@ -47,7 +47,7 @@
         gpus: 1.0,
         memory_gb: 20.0,
         image_gb: 2.0,
-        ..JobSpec::plain(JobId::new("req-1"), "any", "crew", "img-1")
+        ..JobSpec::with_defaults(JobId::new("req-1"), "any", "crew", "img-1")
     }
 }
 
--- a/crates/hopyoke-simulator/src/agent/mod.rs
+++ b/crates/hopyoke-simulator/src/agent/mod.rs
@@ -126,7 +126,7 @@
                 attempt: *attempt,
                 state: t.state,
                 exit_reason: t.why,
-                saved: t.saved,
+                checkpoint_saved: t.saved,
             })
             .collect();
         Heartbeat {
--- a/crates/hopyoke-simulator/src/ground_truth.rs
+++ b/crates/hopyoke-simulator/src/ground_truth.rs
@@ -48,7 +48,7 @@
     /// A job of one plain task that nobody has submitted yet.
     pub fn new(id: JobId) -> JobGroundTruth {
         JobGroundTruth {
-            spec: Rc::new(JobSpec::plain(id, "c", "crew", "img-1")),
+            spec: Rc::new(JobSpec::with_defaults(id, "c", "crew", "img-1")),
             run_time: Micros::from_secs(10),
             always_fails: false,
             is_workflow_step: false,
--- a/crates/hopyoke-simulator/src/invariants/schedulable.rs
+++ b/crates/hopyoke-simulator/src/invariants/schedulable.rs
@@ -131,7 +131,10 @@
         }
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
         for r in &usage.free {
-            let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&r.kind))
+            let allowed = spec
+                .machine_types
+                .as_ref()
+                .is_none_or(|t| t.contains(&r.kind))
                 && spec.zone.as_ref().is_none_or(|z| *z == r.zone)
                 && (spec.spot || !r.spot);
             if allowed {
--- a/crates/hopyoke-simulator/src/invariants/task_start.rs
+++ b/crates/hopyoke-simulator/src/invariants/task_start.rs
@@ -45,7 +45,10 @@
         let in_zone = siblings()
             .filter(|(o, _, _)| self.machines[o].zone == zone)
             .count();
-        let types_ok = spec.types.as_ref().is_none_or(|t| t.contains(&kind));
+        let types_ok = spec
+            .machine_types
+            .as_ref()
+            .is_none_or(|t| t.contains(&kind));
         let zone_ok = spec.zone.as_ref().is_none_or(|z| *z == zone);
         let together = !spec.one_zone || in_zone == siblings().count();
         let apart = !spec.spread || in_zone < spec.tasks.div_ceil(2) as usize;
--- a/crates/hopyoke-simulator/src/scenario/workload.rs
+++ b/crates/hopyoke-simulator/src/scenario/workload.rs
@@ -124,7 +124,7 @@
         memory_gb: get("mem", 20.0),
         image: pairs.get("image").unwrap_or(&"img-1").to_string(),
         image_gb: get("image_gb", 2.0),
-        types: None,
+        machine_types: None,
         zone: pairs.get("zone").map(|z| (*z).to_string()),
         one_zone: yes("together"),
         spread: yes("apart"),
--- a/crates/hopyoke-simulator/src/users.rs
+++ b/crates/hopyoke-simulator/src/users.rs
@@ -315,11 +315,11 @@
             .find(|t| t.gpus_max > 0.0)
             .cloned()
             .unwrap_or_default();
-        let mut spec = JobSpec::plain(id.clone(), "c", &team.name, "img-1");
+        let mut spec = JobSpec::with_defaults(id.clone(), "c", &team.name, "img-1");
         let mut lacks = None;
         match self.random(0, 9) {
             0 => spec.cpus = 1e6,
-            1 => spec.types = Some(vec!["none".to_owned()]),
+            1 => spec.machine_types = Some(vec!["none".to_owned()]),
             2 => spec.zone = Some("nowhere".to_owned()),
             3 => spec.team = "nobody".to_owned(),
             4 => {
--- a/crates/hopyoke-wes/tests/loopback.rs
+++ b/crates/hopyoke-wes/tests/loopback.rs
@@ -101,7 +101,7 @@
 }
 
 fn spec(id: &str, class: &str, tasks: u32, estimate_s: f64) -> JobSpec {
-    let plain = JobSpec::plain(JobId::new(id), class, "crew", "ledger");
+    let plain = JobSpec::with_defaults(JobId::new(id), class, "crew", "ledger");
     JobSpec {
         tasks,
         cpus: 4.0,
--- a/crates/hopyoke-workflow/benches/engine.rs
+++ b/crates/hopyoke-workflow/benches/engine.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 fn plan(steps: u32) -> Plan {
-    let shape = JobSpec::plain(JobId::new("req-0"), "convert", "crew", "img");
+    let shape = JobSpec::with_defaults(JobId::new("req-0"), "convert", "crew", "img");
     // Chains of ten, beside each other.
     let after = |i: u32| {
         if i.is_multiple_of(10) {
--- a/crates/hopyoke-workflow/tests/frozen_forms.rs
+++ b/crates/hopyoke-workflow/tests/frozen_forms.rs
@@ -24,7 +24,7 @@
         tasks,
     };
     Plan {
-        shapes: vec![JobSpec::plain(
+        shapes: vec![JobSpec::with_defaults(
             JobId::new("req-0"),
             "convert",
             "vision",
--- a/crates/hopyoke-workflow/tests/properties.rs
+++ b/crates/hopyoke-workflow/tests/properties.rs
@@ -68,7 +68,7 @@
 }
 
 fn shape() -> JobSpec {
-    JobSpec::plain(JobId::new("req-0"), "convert", "crew", "img")
+    JobSpec::with_defaults(JobId::new("req-0"), "convert", "crew", "img")
 }
 
 fn plan_of(g: &Graph) -> Plan {
--- a/crates/hopyoke-workflow/tests/scenarios.rs
+++ b/crates/hopyoke-workflow/tests/scenarios.rs
@@ -40,7 +40,7 @@
 }
 
 fn shape(team: &str) -> JobSpec {
-    JobSpec::plain(JobId::new("req-0"), "convert", team, "img")
+    JobSpec::with_defaults(JobId::new("req-0"), "convert", team, "img")
 }
 
 /// `NAME[<DEP,DEP...][=FATE][*COUNT]`
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -235,7 +235,7 @@
             if matches!(record, Stored::Unreadable(_)) {
                 warn!(job = %id, "malformed job record");
             }
-            unfinished(node.leadership().as_deref(), id, record.readable())
+            unfinished(node.leadership().as_deref(), id, record.decoded())
         }
         Lookup::Unreadable => unavailable("the job's record can't be read"),
         Lookup::Missing => problem(404, "no such job"),
--- a/crates/hopyoke/src/leadership/actions.rs
+++ b/crates/hopyoke/src/leadership/actions.rs
@@ -151,7 +151,7 @@
             return;
         };
         let reloaded = match found {
-            Some((value, mod_revision)) => match value.readable() {
+            Some((value, mod_revision)) => match value.decoded() {
                 Some(record) => Some((record, mod_revision)),
                 None => {
                     warn!(job = %job, "job record unreadable");
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -119,7 +119,7 @@
             .ok()?;
         let observed = match found {
             Some((value, mod_revision)) => ObservedLeader {
-                holder: value.readable(),
+                holder: value.decoded(),
                 mod_revision,
             },
             None => {
--- a/crates/hopyoke/src/leadership/failover.rs
+++ b/crates/hopyoke/src/leadership/failover.rs
@@ -56,7 +56,7 @@
     pair: KeyValue<RegistryPage>,
 ) -> Option<(String, ModRevision, Option<RegistryPage>)> {
     let key = pair.key.strip_prefix(REGISTRY)?.to_owned();
-    let page = pair.value.readable();
+    let page = pair.value.decoded();
     if page.is_none() {
         warn!(page = %key, "registry page unreadable");
     }
--- a/crates/hopyoke/src/leadership/refresh.rs
+++ b/crates/hopyoke/src/leadership/refresh.rs
@@ -45,7 +45,7 @@
     let mut scheduler = leadership.scheduler.borrow_mut();
     for pair in pages.pairs {
         if let Some(key) = pair.key.strip_prefix(RUN_TIMES) {
-            scheduler.run_times_loaded(key, pair.value.readable().as_ref());
+            scheduler.run_times_loaded(key, pair.value.decoded().as_ref());
         }
     }
 }
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -267,7 +267,7 @@
         .unwrap_or(runtime::now() + MAX_CANCEL_TIME);
     loop {
         let (record, mod_revision) = match lookup(node, client, id).await? {
-            Lookup::Unfinished(record, mod_revision) => (record.readable(), mod_revision),
+            Lookup::Unfinished(record, mod_revision) => (record.decoded(), mod_revision),
             found => return Ok(Some(found)),
         };
         let done_tasks = record.as_ref().map_or(0, |r| r.done.count());
--- a/crates/hopyoke/src/workflows/records.rs
+++ b/crates/hopyoke/src/workflows/records.rs
@@ -60,7 +60,7 @@
         Some((
             number,
             p.mod_revision,
-            p.value.readable().unwrap_or_default(),
+            p.value.decoded().unwrap_or_default(),
         ))
     };
     Ok(pairs.into_iter().filter_map(page).collect())
@@ -78,7 +78,7 @@
         .list::<PlanPage>(&workflow_plan_prefix(head.plan_of.unwrap_or(run)))
         .await?
         .pairs;
-    let pages: Option<Vec<PlanPage>> = pairs.into_iter().map(|p| p.value.readable()).collect();
+    let pages: Option<Vec<PlanPage>> = pairs.into_iter().map(|p| p.value.decoded()).collect();
     Ok(pages
         .filter(|p| p.len() == head.plan_pages as usize)
         .map(Plan::from_pages))
