--- a/crates/hopyoke-types/src/ids.rs
+++ b/crates/hopyoke-types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers and counters, each a type of its own.
+//! Newtypes for identifiers and counters.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -11,12 +11,12 @@
         pub struct $name(Rc<str>);
 
         impl $name {
-            /// An id of this text, which is not checked.
+            /// Creates an id from `text` without validating it.
             pub fn new(text: &str) -> $name {
                 $name(Rc::from(text))
             }
 
-            /// The id as text.
+            /// Returns the id as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -45,16 +45,16 @@
 }
 
 text_id!(
-    /// A job, named by its user.
+    /// Id of a job, chosen by its user.
     JobId
 );
 text_id!(
-    /// A machine, named by the cloud.
+    /// Id of a machine, assigned by the cloud provider.
     MachineId
 );
 
 impl JobId {
-    /// The id if it has the form that every job's id has, `req-` and 1 to 20 digits; else `None`.
+    /// Parses a job id: `req-` followed by 1 to 20 digits. Returns `None` if `text` does not have this form.
     pub fn parse(text: &str) -> Option<JobId> {
         let digits = text.strip_prefix("req-")?;
         let is_valid =
@@ -63,17 +63,17 @@
     }
 }
 
-/// One task of a job.
+/// Id of one task of a job.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
-    /// Its job.
+    /// Job that the task belongs to.
     pub job: JobId,
-    /// Its place in the job, from 0.
+    /// Index of the task within the job, starting at 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads the form `JOB/INDEX`; `None` if the text does not have it.
+    /// Parses the form `JOB/INDEX`. Returns `None` if `text` does not have it.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskId {
@@ -89,7 +89,7 @@
     }
 }
 
-macro_rules! number {
+macro_rules! counter {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -104,16 +104,16 @@
     };
 }
 
-number!(
-    /// A leader's fencing token: agents and the key-value store reject commands and writes of a stale leaseholder,
-    /// whose token is lower.
+counter!(
+    /// Fencing token of a leader. Agents reject commands, and the key-value store rejects writes, of a stale
+    /// leaseholder, whose token is lower.
     FencingToken
 );
-number!(
-    /// One start of a task; for a gang, of all its tasks together.
+counter!(
+    /// Number of an attempt to run a task. All tasks of a gang start together and share an attempt.
     Attempt
 );
-number!(
-    /// The revision of the key-value store at which a key was last changed; 0 if the key is absent.
+counter!(
+    /// Revision of the key-value store at which a key was last modified; 0 if the key does not exist.
     ModRevision
 );
--- a/crates/hopyoke-types/src/lib.rs
+++ b/crates/hopyoke-types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, counters and times that all packages of hopyoke share. It depends on none of them.
+//! Identifiers, counters and times shared by all hopyoke crates. This crate depends on no other hopyoke crate.
 
 mod ids;
 mod time;
