--- a/crates/hopyoke-calendar/src/calendar.rs
+++ b/crates/hopyoke-calendar/src/calendar.rs
@@ -1,4 +1,4 @@
-//! A week of staffed hours in a time zone, without its holidays.
+//! Weekly calendar of staffed hours in a time zone, less holidays.
 
 use crate::CalendarError;
 use hopyoke_types::Micros;
@@ -7,24 +7,24 @@
 use jiff::{Span, Timestamp};
 use std::collections::BTreeSet;
 
-/// Whether staff is on duty, and until when that holds.
+/// Whether staff is on duty, and how long that holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StaffingWindow {
-    /// Staff is on duty.
+    /// Whether staff is on duty.
     pub staffed: bool,
-    /// Wall clock in microseconds since 1970; `None`: for more than a year.
+    /// Wall clock time of the next change, in microseconds since the Unix epoch. `None` if there is none within a year.
     pub until: Option<Micros>,
 }
 
 impl StaffingWindow {
-    /// Nobody is on duty, with no known end.
+    /// Unstaffed with no known end.
     const UNSTAFFED: StaffingWindow = StaffingWindow {
         staffed: false,
         until: None,
     };
 }
 
-/// Staffed time between two instants, in microseconds since 1970.
+/// Staffed interval from `start` to `end` (exclusive), in microseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Shift {
     start: i64,
@@ -32,7 +32,7 @@
 }
 
 impl Shift {
-    /// What this shift says at `now`; `None` if it is over or empty.
+    /// Returns the window at `now` if this is the next shift, or `None` if the shift is over or empty.
     fn window_at(self, now: i64) -> Option<StaffingWindow> {
         if self.start >= self.end || self.end <= now {
             None
@@ -54,21 +54,21 @@
     Some(Micros(instant.max(0) as u64))
 }
 
-/// Staffed hours of a week, in local time: across a change to or from daylight saving time they keep
-/// their numbers; a local time that the change skips counts as the one that comes in its place.
+/// Weekly staffed hours in local time. They keep their local times across changes of daylight saving time. A local time
+/// that such a change skips is shifted by the length of the gap; one that it repeats means the first occurrence.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Calendar {
     zone: TimeZone,
-    /// From Monday on: start and end in seconds of the day; an end at or before its start is on the next day.
+    /// Per day from Monday on: start and end, in seconds of the day. An end at or before its start is on the next day.
     week: Week,
     holidays: Holidays,
 }
 
 #[derive(Debug, Clone, PartialEq, Default)]
 struct Holidays {
-    /// Holidays of one year.
+    /// Holidays on one date of one year.
     dates: BTreeSet<Date>,
-    /// Month and day of those of each year.
+    /// Month and day of the holidays that recur each year.
     yearly: BTreeSet<(i8, i8)>,
 }
 
@@ -81,7 +81,7 @@
 type Week = [Vec<(u32, u32)>; 7];
 
 const DAY_NAMES: [&str; 7] = ["Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"];
-/// How far ahead the end of a window is searched.
+/// Number of days that are searched for the end of a window.
 const MAX_LOOKAHEAD_DAYS: i64 = 400;
 const MICROS_PER_DAY: i64 = 86_400_000_000;
 
@@ -94,11 +94,11 @@
 }
 
 impl Calendar {
-    /// Reads staffed hours such as `Mon-Fri 08:00-18:00; Sat 09:00-12:00`, an IANA time zone, and
-    /// holidays such as `2026-12-24 12-25` (each year without a year).
+    /// Parses staffed hours such as `Mon-Fri 08:00-18:00; Sat 09:00-12:00`, the name of an IANA time zone, and holidays
+    /// such as `2026-12-24 12-25`. A holiday without a year recurs each year.
     ///
     /// # Errors
-    /// The setting and the part at fault.
+    /// Returns the invalid setting and the part of it that is malformed.
     pub fn parse(hours: &str, zone: &str, holidays: &str) -> Result<Calendar, CalendarError> {
         let tz = TimeZone::get(zone)
             .map_err(|_| setting_error("hours_zone", zone, "no IANA time zone has this name"))?;
@@ -111,7 +111,8 @@
         })
     }
 
-    /// A local time of a date as microseconds since 1970; `None` if it is out of range.
+    /// Converts a local time, in seconds of the day of `date`, to microseconds since the Unix epoch. Returns `None` if
+    /// it is out of range.
     fn instant(&self, date: Date, second: u32) -> Option<i64> {
         let (days, second) = (second / 86_400, second % 86_400);
         let date = date.checked_add(Span::new().days(i64::from(days))).ok()?;
@@ -126,7 +127,7 @@
         )
     }
 
-    /// Shifts that begin on a day, in order.
+    /// Returns the shifts that begin on a local date, in order.
     fn shifts(&self, date: Date) -> Vec<Shift> {
         if self.holidays.contains(date) {
             return Vec::new();
@@ -155,16 +156,16 @@
         out
     }
 
-    /// Whether a wall clock time lies in staffed hours that begin `start_delay` after their time and end
-    /// `end_advance` before it, and until when.
+    /// Returns whether a wall clock time is in staffed hours, and until when that holds. Staffed hours count from
+    /// `start_delay` after their start to `end_advance` before their end.
     pub fn window_at(
         &self,
-        time_of_day: Micros,
+        wall_time: Micros,
         start_delay: Micros,
         end_advance: Micros,
     ) -> StaffingWindow {
         let (start_delay, end_advance) = (start_delay.0 as i64, end_advance.0 as i64);
-        let Ok(now) = i64::try_from(time_of_day.0) else {
+        let Ok(now) = i64::try_from(wall_time.0) else {
             return StaffingWindow::UNSTAFFED;
         };
         let Some(first_day) = self.day_before_yesterday(now) else {
@@ -174,7 +175,7 @@
             start: shift.start + start_delay,
             end: shift.end - end_advance,
         };
-        // Shifts that touch are one.
+        // Overlapping and adjacent shifts are merged before they are narrowed, which would else open gaps between them.
         let mut merged: Option<Shift> = None;
         for day in 0..MAX_LOOKAHEAD_DAYS {
             let Ok(date) = first_day.checked_add(Span::new().days(day)) else {
@@ -198,26 +199,28 @@
         let mut window = narrowed(last)
             .window_at(now)
             .unwrap_or(StaffingWindow::UNSTAFFED);
-        // It may go on beyond the days that were searched.
+        // The window may extend beyond the days that were searched.
         if window.staffed && last.end > now + (MAX_LOOKAHEAD_DAYS - 10) * MICROS_PER_DAY {
             window.until = None;
         }
         window
     }
 
-    /// The local date two days before an instant: a shift of that day may still be open.
+    /// Returns the local date two days before an instant, as a shift that began on that day may still be open. Returns
+    /// `None` if it is out of range.
     fn day_before_yesterday(&self, now: i64) -> Option<Date> {
-        let stamp = Timestamp::from_microsecond(now).ok()?;
-        let today = self.zone.to_datetime(stamp).date();
+        let timestamp = Timestamp::from_microsecond(now).ok()?;
+        let today = self.zone.to_datetime(timestamp).date();
         today.checked_sub(Span::new().days(2)).ok()
     }
 
-    /// A wall clock time as local time, such as `Mon 2026-03-30 08:00`; empty if it is out of range.
-    pub fn format_local(&self, time_of_day: Micros) -> String {
-        let stamp = i64::try_from(time_of_day.0)
+    /// Formats a wall clock time as local time, such as `Mon 2026-03-30 08:00`. Returns an empty string if it is out of
+    /// range.
+    pub fn format_local(&self, wall_time: Micros) -> String {
+        let timestamp = i64::try_from(wall_time.0)
             .ok()
             .and_then(|t| Timestamp::from_microsecond(t).ok());
-        stamp.map_or_else(String::new, |s| {
+        timestamp.map_or_else(String::new, |s| {
             self.zone
                 .to_datetime(s)
                 .strftime("%a %Y-%m-%d %H:%M")
@@ -226,13 +229,13 @@
     }
 }
 
-/// Staffed hours by day of the week.
+/// Parses staffed hours, by day of the week.
 fn parse_week(hours: &str) -> Result<Week, CalendarError> {
     let mut week: Week = Default::default();
     for part in hours.split(';').map(str::trim).filter(|p| !p.is_empty()) {
-        let (days, times) = part
-            .split_once(' ')
-            .ok_or_else(|| setting_error("hours", part, "must be as in Mon-Fri 08:00-18:00"))?;
+        let (days, times) = part.split_once(' ').ok_or_else(|| {
+            setting_error("hours", part, "must have the form Mon-Fri 08:00-18:00")
+        })?;
         let time_ranges: Result<Vec<(u32, u32)>, CalendarError> =
             times.split_whitespace().map(parse_time_range).collect();
         let time_ranges = time_ranges?;
@@ -243,16 +246,16 @@
     Ok(week)
 }
 
-/// Dates, and days of each year.
+/// Parses holidays: dates, and days that recur each year.
 fn parse_holidays(text: &str) -> Result<Holidays, CalendarError> {
     let mut holidays = Holidays::default();
-    for word in text.split([' ', ',']).filter(|w| !w.is_empty()) {
-        let numbers: Option<Vec<i16>> = word.split('-').map(|n| n.parse().ok()).collect();
+    for item in text.split([' ', ',']).filter(|w| !w.is_empty()) {
+        let numbers: Option<Vec<i16>> = item.split('-').map(|n| n.parse().ok()).collect();
         let date = match numbers.as_deref() {
             Some(&[y, m, d]) => Date::new(y, m as i8, d as i8)
                 .ok()
                 .map(|d| holidays.dates.insert(d)),
-            // 2024 had a 29th of February.
+            // Validated against a leap year, so that 02-29 is accepted.
             Some(&[m, d]) => Date::new(2024, m as i8, d as i8)
                 .ok()
                 .map(|d| holidays.yearly.insert((d.month(), d.day()))),
@@ -261,7 +264,7 @@
         date.ok_or_else(|| {
             setting_error(
                 "holidays",
-                word,
+                item,
                 "must be a date, YYYY-MM-DD, or MM-DD for each year",
             )
         })?;
@@ -269,7 +272,7 @@
     Ok(holidays)
 }
 
-/// `Mon`, `Mon-Fri` or `Sat,Sun`, as indices in the week.
+/// Parses days such as `Mon`, `Mon-Fri` or `Sat,Sun` to indices in the week, 0 for Monday.
 fn parse_days(text: &str) -> Result<Vec<usize>, CalendarError> {
     let invalid = |part: &str| {
         setting_error(
@@ -297,7 +300,7 @@
     Ok(out)
 }
 
-/// `08:00-18:00` as seconds of the day; the end may be 24:00.
+/// Parses times such as `08:00-18:00` to seconds of the day. The end may be `24:00`.
 fn parse_time_range(text: &str) -> Result<(u32, u32), CalendarError> {
     let invalid = || setting_error("hours", text, "must be two times, as in 08:00-18:00");
     let second = |t: &str| -> Option<u32> {
--- a/crates/hopyoke-calendar/src/hold.rs
+++ b/crates/hopyoke-calendar/src/hold.rs
@@ -1,9 +1,9 @@
-//! Which jobs are held outside staffed hours.
+//! Selection of the jobs that are held outside staffed hours.
 
 use crate::CalendarError;
 use hopyoke_protocol::user::{JobSpec, Priority};
 
-/// Selects the jobs that are held outside staffed hours: those that meet all conditions of one clause.
+/// Selects the jobs that are held outside staffed hours: those that meet all conditions of at least one clause.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct HoldSelector(Vec<Vec<Condition>>);
 
@@ -15,10 +15,10 @@
 }
 
 impl HoldSelector {
-    /// Reads clauses such as `team=fleet priority=standard|best_effort; class=facegroup`.
+    /// Parses clauses such as `team=fleet priority=standard|best_effort; class=facegroup`.
     ///
     /// # Errors
-    /// The part at fault.
+    /// Returns the part that is malformed or has an unknown key or priority.
     pub fn parse(text: &str) -> Result<HoldSelector, CalendarError> {
         let mut clauses = Vec::new();
         for clause in text.split(';').map(str::trim).filter(|c| !c.is_empty()) {
@@ -29,7 +29,7 @@
         Ok(HoldSelector(clauses))
     }
 
-    /// Whether the job is held.
+    /// Returns whether the job meets all conditions of at least one clause.
     pub fn matches(&self, spec: &JobSpec) -> bool {
         self.0.iter().any(|clause| {
             clause.iter().all(|c| match c {
@@ -52,7 +52,7 @@
         .ok_or_else(|| error("must be class=, team= or priority="))?;
     let names: Vec<String> = values.split('|').map(str::to_owned).collect();
     if names.iter().any(String::is_empty) {
-        return Err(error("a name is empty"));
+        return Err(error("names must not be empty"));
     }
     match key {
         "class" => Ok(Condition::Class(names)),
@@ -67,7 +67,7 @@
             };
             let list: Option<Vec<Priority>> = names.iter().map(by_name).collect();
             list.map(Condition::Priority)
-                .ok_or_else(|| error("a priority is prod, high, standard or best_effort"))
+                .ok_or_else(|| error("priority must be prod, high, standard or best_effort"))
         }
         _ => Err(error("must be class=, team= or priority=")),
     }
--- a/crates/hopyoke-calendar/src/lib.rs
+++ b/crates/hopyoke-calendar/src/lib.rs
@@ -1,9 +1,9 @@
-//! Staffed hours, without any I/O: a calendar, the jobs that are held outside of it, and the override
-//! that an operator may set for a while.
+//! Staffed hours: a weekly calendar, a selector of the jobs that are held outside of it, and an operator's temporary
+//! override. Performs no I/O.
 //!
-//! Wall clock times are microseconds since 1970 and may be off by a known bound (the settings'
-//! `skew_ms`): staffed hours begin that much later and end that much earlier, so that held jobs are
-//! never placed outside of true staffed hours, whichever node's clock decides.
+//! Wall clock times are microseconds since the Unix epoch. Clocks may be off by a known bound (`skew_ms` in the
+//! settings): staffed hours begin that much later and end that much earlier, so that no held job is placed outside of
+//! true staffed hours, whichever node's clock decides.
 
 mod calendar;
 mod hold;
@@ -15,59 +15,60 @@
 use hopyoke_types::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A setting of the calendar that cannot be used.
+/// An invalid calendar setting.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{setting}: '{part}': {reason}")]
 pub struct CalendarError {
-    /// The setting, by its name.
+    /// Name of the setting.
     pub setting: &'static str,
-    /// The part of its text at fault.
+    /// Part of the value that is invalid.
     pub part: String,
-    /// What it must be.
+    /// Reason why it is invalid.
     pub reason: &'static str,
 }
 
-/// An operator's override of the calendar, until it expires. Stored in the key-value store.
+/// An operator's temporary override of the calendar. Stored in the key-value store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StaffingOverride {
-    /// Staff is on duty.
+    /// Whether staff is on duty.
     pub staffed: bool,
-    /// Wall clock time of its expiry, in microseconds since 1970.
+    /// Wall clock time at which the override expires, in microseconds since the Unix epoch.
     #[serde(rename = "until_us")]
     pub expires_at_us: u64,
-    /// The operator who set it.
+    /// Name of the operator who set it.
     #[serde(rename = "by")]
     pub operator: String,
 }
 
-/// All that decides whether a job is held.
+/// Calendar, selector and override that together decide whether a job is held.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StaffedHours {
-    /// The regular staffed hours.
+    /// Regular staffed hours.
     pub calendar: Calendar,
-    /// Jobs that are held outside of them.
+    /// Selects the jobs that are held outside staffed hours.
     pub hold_selector: HoldSelector,
-    /// Held jobs that run are stopped when staffed hours end, with time to save.
+    /// Whether running tasks of held jobs are stopped when staffed hours end, with time to save a checkpoint.
     pub drain: bool,
-    /// Bound on the error of nodes' wall clocks.
+    /// Upper bound on the error of any node's wall clock.
     pub max_clock_skew: Micros,
-    /// No held job is placed this long before staffed hours end: its start command may still be in flight.
+    /// Held jobs are no longer placed when staffed hours end within this time, as a start command may still be in
+    /// flight.
     pub placement_margin: Micros,
-    /// The operators' override, if there is one.
+    /// Operator's override, if one is set.
     pub staffing_override: Option<StaffingOverride>,
 }
 
 impl StaffedHours {
-    /// Whether staff is on duty at a time of this node's wall clock, and until when that holds.
-    pub fn window_at(&self, time_of_day: Micros) -> StaffingWindow {
+    /// Returns whether staff is on duty at a time of this node's wall clock, and until when that holds.
+    pub fn window_at(&self, wall_time: Micros) -> StaffingWindow {
         if let Some(s) = &self.staffing_override {
-            // Staffed ends early, unstaffed ends late: holding a job is the safe side.
+            // A staffed override ends early and an unstaffed one late: in doubt, a job is held.
             let until = if s.staffed {
                 Micros(s.expires_at_us) - self.max_clock_skew - self.placement_margin
             } else {
                 Micros(s.expires_at_us) + self.max_clock_skew
             };
-            if time_of_day < until {
+            if wall_time < until {
                 return StaffingWindow {
                     staffed: s.staffed,
                     until: Some(until),
@@ -75,19 +76,20 @@
             }
         }
         self.calendar.window_at(
-            time_of_day,
+            wall_time,
             self.max_clock_skew,
             self.max_clock_skew + self.placement_margin,
         )
     }
 
-    /// Whether this job is held outside staffed hours.
+    /// Returns whether the job is held outside staffed hours.
     pub fn holds(&self, spec: &JobSpec) -> bool {
         self.hold_selector.matches(spec)
     }
 
-    /// A wall clock time as local time of the calendar's zone, such as `Mon 2026-03-30 08:00`.
-    pub fn format_local(&self, time_of_day: Micros) -> String {
-        self.calendar.format_local(time_of_day)
+    /// Formats a wall clock time in the calendar's time zone, such as `Mon 2026-03-30 08:00`. Returns an empty string
+    /// if it is out of range.
+    pub fn format_local(&self, wall_time: Micros) -> String {
+        self.calendar.format_local(wall_time)
     }
 }
--- a/crates/hopyoke-calendar/tests/cases.rs
+++ b/crates/hopyoke-calendar/tests/cases.rs
@@ -1,10 +1,11 @@
-//! The one runner of calendar cases, `tests/cases.txt`.
+//! Runs the calendar cases of `tests/cases.txt`, and property tests of staffed hours.
 //!
 //! ```text
-//! calendar ZONE | HOURS | HOLIDAYS         what the following lines are about
-//! skew SECONDS
-//! at 2026-03-29T08:00:00+01:00 staffed until 2026-03-29T18:00:00+01:00
-//! fault ZONE | HOURS | HOLIDAYS | TEXT     it is refused, with this text
+//! calendar ZONE | HOURS | HOLIDAYS         calendar that the following lines use
+//! skew SECONDS                             bound on the clocks' error
+//! override on|off until TIME               operator's override; `override none` removes it
+//! at TIME staffed|unstaffed until TIME     expected window; `until forever` if it does not end
+//! invalid ZONE | HOURS | HOLIDAYS | TEXT   parsing fails with an error that contains TEXT
 //! ```
 
 use hopyoke_calendar::{Calendar, HoldSelector, StaffedHours, StaffingOverride, StaffingWindow};
@@ -17,7 +18,7 @@
     Micros(t.as_microsecond() as u64)
 }
 
-fn hours(calendar: Calendar, skew: Micros) -> StaffedHours {
+fn staffed_hours(calendar: Calendar, skew: Micros) -> StaffedHours {
     StaffedHours {
         calendar,
         hold_selector: HoldSelector::default(),
@@ -39,7 +40,7 @@
             continue;
         };
         count += 1;
-        if let Err(e) = statement(&mut current, verb, rest) {
+        if let Err(e) = run_statement(&mut current, verb, rest) {
             failed += 1;
             println!("FAIL line {n}: `{line}`: {e}");
         }
@@ -48,13 +49,16 @@
     assert_eq!(failed, 0, "cases failed");
 }
 
-fn statement(current: &mut Option<StaffedHours>, verb: &str, rest: &str) -> Result<(), String> {
+fn run_statement(current: &mut Option<StaffedHours>, verb: &str, rest: &str) -> Result<(), String> {
     let parts: Vec<&str> = rest.split('|').map(str::trim).collect();
     let columns: Vec<&str> = rest.split(' ').collect();
     match verb {
         "calendar" => {
             let calendar = Calendar::parse(parts[1], parts[0], parts[2]);
-            *current = Some(hours(calendar.map_err(|e| e.to_string())?, Micros::ZERO));
+            *current = Some(staffed_hours(
+                calendar.map_err(|e| e.to_string())?,
+                Micros::ZERO,
+            ));
             Ok(())
         }
         "skew" => {
@@ -62,7 +66,7 @@
             c.max_clock_skew = Micros::from_secs_f64(rest.parse().expect("seconds"));
             Ok(())
         }
-        "switch" => {
+        "override" => {
             let c = current.as_mut().expect("a calendar");
             c.staffing_override = (columns[0] != "none").then(|| StaffingOverride {
                 staffed: columns[0] == "on",
@@ -72,8 +76,8 @@
             Ok(())
         }
         "at" => expect_window(current.as_ref().expect("a calendar"), &columns),
-        "fault" => match Calendar::parse(parts[1], parts[0], parts[2]) {
-            Ok(_) => Err("it is taken".into()),
+        "invalid" => match Calendar::parse(parts[1], parts[0], parts[2]) {
+            Ok(_) => Err("the calendar was accepted".into()),
             Err(e) if e.to_string().contains(parts[3]) => Ok(()),
             Err(e) => Err(e.to_string()),
         },
@@ -81,11 +85,11 @@
     }
 }
 
-/// `TIME staffed|unstaffed until TIME|ever`.
+/// Checks `TIME staffed|unstaffed until TIME|forever`.
 fn expect_window(hours: &StaffedHours, columns: &[&str]) -> Result<(), String> {
     let expected = StaffingWindow {
         staffed: columns[1] == "staffed",
-        until: (columns[3] != "ever").then(|| time(columns[3])),
+        until: (columns[3] != "forever").then(|| time(columns[3])),
     };
     let got = hours.window_at(time(columns[0]));
     if got == expected {
@@ -102,9 +106,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// What `until` says holds up to then, and changes there.
+    /// A window stays the same until its end and changes there.
     #[test]
-    fn windows_hold_and_end(
+    fn windows_last_until_their_end(
         zone in prop::sample::select(vec!["UTC", "Europe/London", "America/New_York", "Australia/Lord_Howe", "Asia/Kathmandu"]),
         from in 0u32..1440, length in 1u32..1440, days in prop::sample::select(vec!["Mon-Fri", "Sat,Sun", "Mon-Sun", "Wed"]),
         at in 1_700_000_000u64..1_900_000_000, skew in 0u64..5, step in 0.0f64..1.0,
@@ -112,26 +116,26 @@
         let to = (from + length) % 1440;
         prop_assume!(to != from);
         let text = format!("{days} {:02}:{:02}-{:02}:{:02}", from / 60, from % 60, to / 60, to % 60);
-        let h = hours(Calendar::parse(&text, zone, "12-25").expect("sound"), Micros::from_secs(skew));
+        let hours = staffed_hours(Calendar::parse(&text, zone, "12-25").expect("a valid calendar"), Micros::from_secs(skew));
         let now = Micros::from_secs(at);
-        let w = h.window_at(now);
-        let Some(until) = w.until else { return Ok(()) };
+        let window = hours.window_at(now);
+        let Some(until) = window.until else { return Ok(()) };
         prop_assert!(until > now);
         let between = Micros(now.0 + ((until.0 - now.0 - 1) as f64 * step) as u64);
-        prop_assert_eq!(h.window_at(between), w);
-        prop_assert_eq!(h.window_at(until).staffed, !w.staffed);
+        prop_assert_eq!(hours.window_at(between), window);
+        prop_assert_eq!(hours.window_at(until).staffed, !window.staffed);
     }
 
-    /// With a bound on clocks, no clock within it is staffed when the true time is not.
+    /// No clock within the bound on skew reports staffed hours while the true time is unstaffed.
     #[test]
-    fn skew_is_safe(at in 1_700_000_000u64..1_900_000_000, off in -250_000i64..=250_000) {
-        let calendar = Calendar::parse("Mon-Fri 08:00-18:00", "Europe/London", "").expect("sound");
-        let (safe, truth) = (hours(calendar.clone(), Micros(250_000)), hours(calendar, Micros::ZERO));
+    fn skewed_clocks_never_extend_staffed_hours(at in 1_700_000_000u64..1_900_000_000, off in -250_000i64..=250_000) {
+        let calendar = Calendar::parse("Mon-Fri 08:00-18:00", "Europe/London", "").expect("a valid calendar");
+        let (skewed, truth) = (staffed_hours(calendar.clone(), Micros(250_000)), staffed_hours(calendar, Micros::ZERO));
         for edge in [truth.window_at(Micros::from_secs(at)).until.expect("a change"), Micros::from_secs(at)] {
             for near in [-260_000i64, -100, 0, 100, 260_000] {
                 let t = (edge.0 as i64 + near) as u64;
                 let clock = (t as i64 + off) as u64;
-                prop_assert!(!safe.window_at(Micros(clock)).staffed || truth.window_at(Micros(t)).staffed);
+                prop_assert!(!skewed.window_at(Micros(clock)).staffed || truth.window_at(Micros(t)).staffed);
             }
         }
     }
--- a/crates/hopyoke-calendar/tests/frozen_forms.rs
+++ b/crates/hopyoke-calendar/tests/frozen_forms.rs
@@ -1,4 +1,4 @@
-//! The operators' word on staffed hours, under `staffed` in the state service, keeps its bytes.
+//! The stored encoding of staffing overrides (key `staffed` of the key-value store) does not change.
 
 #[path = "../../hopyoke-protocol/tests/frozen/mod.rs"]
 mod frozen;
@@ -7,7 +7,7 @@
 use hopyoke_calendar::StaffingOverride;
 
 #[test]
-fn switches() {
+fn staffing_overrides() {
     let on = StaffingOverride {
         staffed: true,
         expires_at_us: 1_700_000_000_000_000,
