--- a/crates/hopyoke-protocol/src/cloud.rs
+++ b/crates/hopyoke-protocol/src/cloud.rs
@@ -1,12 +1,12 @@
-//! The cloud provider's API: instance catalog, scale-out, deletion and the list of machines.
+//! Messages of the cloud provider's API: instance catalog, scale-out, deletion and list of machines.
 
 use hopyoke_types::MachineId;
 use serde::{Deserialize, Serialize};
 
-/// Instance types on offer, with current prices.
+/// Catalog of the instance types on offer, with current prices.
 #[derive(Debug, Deserialize)]
 pub struct Catalog {
-    /// All instance types.
+    /// Instance types on offer.
     #[serde(rename = "rigs")]
     pub types: Vec<MachineType>,
 }
@@ -28,12 +28,12 @@
     /// Size of the image cache, in gigabytes.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Nominal rate of image pulls, in gigabytes per second, shared by concurrent pulls.
+    /// Nominal bandwidth of image pulls, in gigabytes per second, shared by concurrent pulls.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
     /// On-demand price per hour.
     pub price: f64,
-    /// Current spot price per hour; 0 if the provider names none.
+    /// Current spot price per hour; 0 if the provider quotes none.
     #[serde(default)]
     pub spot_price: f64,
     /// Nominal provisioning time, in seconds.
@@ -44,38 +44,38 @@
     pub zones: Vec<String>,
 }
 
-/// A request for new machines. Idempotent: one that was granted is answered alike when repeated.
+/// Request for new machines. Idempotent: repeating a granted request returns the same response.
 #[derive(Debug, Serialize)]
 pub struct ScaleOutRequest<'a> {
-    /// Idempotency key, unique over all nodes and all time.
+    /// Idempotency key, never reused by any node.
     #[serde(rename = "charter")]
     pub request: &'a str,
     /// Name of the instance type.
     #[serde(rename = "rig")]
     pub machine_type: &'a str,
-    /// Zone of the machines.
+    /// Zone in which to create the machines.
     #[serde(rename = "basin")]
     pub zone: &'a str,
-    /// Spot instead of on-demand.
+    /// Whether to request spot machines instead of on-demand ones.
     #[serde(rename = "driftboats")]
     pub spot: bool,
-    /// Machines wanted, 1 to 50; fewer may be granted.
+    /// Number of machines wanted, 1 to 50. The provider may grant fewer.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Names of machines: those that a scale-out granted, or those to delete (at most 100).
+/// Machines that a scale-out granted, or machines to delete (at most 100).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The machines.
+    /// Names of the machines.
     #[serde(rename = "vessels")]
     pub machines: Vec<MachineId>,
 }
 
-/// One page of the list of machines, in order of creation. The list lags behind the truth.
+/// One page of the list of machines, in order of creation. The list is eventually consistent.
 #[derive(Debug, Deserialize)]
 pub struct MachineList {
-    /// The machines of this page.
+    /// Machines of this page.
     #[serde(rename = "vessels")]
     pub machines: Vec<ListedMachine>,
     /// Whether further pages follow.
@@ -83,44 +83,44 @@
     pub more: bool,
 }
 
-/// A machine as the provider lists it.
+/// Entry for one machine in the list of machines.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ListedMachine {
-    /// Its name, given by the provider.
+    /// Name of the machine, assigned by the provider.
     pub id: MachineId,
-    /// Address of its agent, as `host:port`, once it is known.
+    /// Address of the agent, as `host:port`. `None` until it is known.
     #[serde(default)]
     pub address: Option<String>,
-    /// Name of its instance type.
+    /// Name of the instance type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "basin")]
     pub zone: String,
-    /// Spot instead of on-demand.
+    /// Whether this is a spot machine.
     #[serde(rename = "driftboats", default)]
     pub spot: bool,
-    /// Where it stands in its lifecycle.
+    /// Lifecycle state of the machine.
     #[serde(rename = "bearing")]
     pub state: ListedMachineState,
-    /// Seconds since its scale-out request, as of the moment that the list describes.
+    /// Seconds since the scale-out request, as of the time of the list's snapshot.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
 
-/// Lifecycle of a listed machine.
+/// Lifecycle state of a listed machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub enum ListedMachineState {
-    /// Being provisioned; charged.
+    /// Being provisioned. Charged.
     #[serde(rename = "booting")]
     Booting,
-    /// Up, as far as the provider knows.
+    /// Running, as far as the provider knows.
     #[serde(rename = "running")]
     Running,
-    /// Stopped by itself; no longer charged, listed until it is deleted.
+    /// Failed or shut down by itself. No longer charged, but listed until it is deleted.
     #[serde(rename = "failed")]
     Failed,
-    /// A state that this version does not know.
+    /// Any state that this version does not know.
     #[serde(other)]
     Other,
 }
--- a/crates/hopyoke-protocol/src/state.rs
+++ b/crates/hopyoke-protocol/src/state.rs
@@ -1,22 +1,23 @@
-//! The key-value store's API: reads, compare-and-swap transactions, leases and watches. Values are opaque here.
+//! Messages of the key-value store's API: reads, compare-and-swap transactions, leases and watches. The types are
+//! generic over the values.
 
 use hopyoke_types::ModRevision;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// A value as it stands in the store. One that cannot be read as `T` is kept as [`Stored::Unreadable`]:
-/// it is logged, never fatal and never taken for a missing key.
+/// Value read from the store. A value that does not decode as `T` becomes [`Stored::Unreadable`], so that it neither
+/// fails the whole response nor passes for a missing key.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(untagged, bound = "T: DeserializeOwned")]
 pub enum Stored<T> {
-    /// The value, decoded.
+    /// Decoded value.
     Value(T),
-    /// Bytes that are no `T`.
+    /// Value that does not decode as `T`.
     Unreadable(serde::de::IgnoredAny),
 }
 
 impl<T> Stored<T> {
-    /// The value, or `None` if it could not be read.
+    /// Returns the decoded value, or `None` if it is unreadable.
     pub fn decoded(self) -> Option<T> {
         match self {
             Stored::Value(v) => Some(v),
@@ -25,17 +26,17 @@
     }
 }
 
-/// A key with its value.
+/// Key with its value.
 #[derive(Debug, Deserialize)]
 #[serde(bound = "T: DeserializeOwned")]
 pub struct KeyValue<T> {
-    /// The key; empty if the store left it out because the request named it.
+    /// Key. Empty if the store omits it, as it does when the request names a single key.
     #[serde(default)]
     pub key: String,
-    /// Its value.
+    /// Value of the key.
     #[serde(rename = "v")]
     pub value: Stored<T>,
-    /// Revision of the key's last change.
+    /// Revision at which the key was last modified.
     #[serde(rename = "mark")]
     pub mod_revision: ModRevision,
 }
@@ -44,71 +45,71 @@
 #[derive(Debug, Deserialize)]
 #[serde(bound = "T: DeserializeOwned")]
 pub struct KeyValuePage<T> {
-    /// The page's keys.
+    /// Keys of this page with their values.
     pub pairs: Vec<KeyValue<T>>,
     /// Whether further pages follow.
     #[serde(default)]
     pub more: bool,
-    /// Revision of the store at which the page was read.
+    /// Store revision at which the page was read.
     #[serde(rename = "tide")]
     pub revision: u64,
 }
 
-/// A transaction's condition: the key's modification revision is still this one.
+/// Condition of a transaction: the key has this modification revision.
 #[derive(Debug, Clone, Serialize)]
 pub struct Compare {
-    /// The key to compare.
+    /// Key to compare.
     pub key: String,
-    /// Revision that the key must have; 0: the key must not exist.
+    /// Modification revision that the key must have; 0 if the key must not exist.
     #[serde(rename = "mark")]
     pub mod_revision: ModRevision,
 }
 
-/// A transaction's change of one key.
+/// Change of one key in a transaction.
 #[derive(Debug, Clone, Serialize)]
 #[serde(untagged, bound = "V: Serialize")]
 pub enum Mutation<V> {
     /// Writes a key.
     Put {
-        /// The key to write.
+        /// Key to write.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// New value of the key.
         #[serde(rename = "v")]
         value: V,
-        /// Lease with which the key expires; `None` detaches it from any lease.
+        /// Lease that the key is attached to. `None` detaches the key from any lease.
         #[serde(rename = "tether", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// The key to delete.
+        /// Key to delete.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
-/// A compare-and-swap transaction: all mutations are applied if all compares hold, else none.
+/// Compare-and-swap transaction: all mutations are applied if all compares succeed, else none is.
 #[derive(Debug, Serialize)]
 #[serde(bound = "V: Serialize")]
 pub struct Transaction<V> {
-    /// Conditions.
+    /// Conditions that must all hold.
     #[serde(rename = "when")]
     pub compares: Vec<Compare>,
-    /// Changes; empty for a transaction that only compares.
+    /// Changes to apply. Empty for a transaction that only compares.
     #[serde(rename = "apply")]
     pub mutations: Vec<Mutation<V>>,
 }
 
-/// Answer to a transaction that was applied.
+/// Response to a transaction that was applied.
 #[derive(Debug, Deserialize)]
 pub struct TransactionResponse {
-    /// Revision of the store after the transaction; every key that it wrote has it.
+    /// Store revision after the transaction. It is the modification revision of every key that the transaction wrote.
     #[serde(rename = "tide")]
     pub revision: u64,
 }
 
-/// Answer to a transaction whose compares did not all hold.
+/// Response to a transaction of which at least one compare failed.
 #[derive(Debug, Deserialize)]
 pub struct CompareFailed {
     /// Keys whose compares failed.
@@ -116,44 +117,44 @@
     pub failed: Vec<String>,
 }
 
-/// A request for a lease.
+/// Request for a lease.
 #[derive(Debug, Serialize)]
 pub struct LeaseGrantRequest {
-    /// Time to live without renewal, in milliseconds, 100 to 600,000.
+    /// Time to live without renewal, in milliseconds: 100 to 600,000.
     pub ttl_ms: u64,
 }
 
-/// A granted lease.
+/// Response to a [`LeaseGrantRequest`].
 #[derive(Debug, Deserialize)]
 pub struct LeaseGrantResponse {
-    /// Its number, by which keys are attached and the lease is renewed.
+    /// Id of the lease, for attaching keys and renewing it.
     #[serde(rename = "tether")]
     pub lease: u64,
 }
 
-/// Answer to a watch: all changes under a prefix after a revision, in the order of revisions.
+/// Response to a watch: all changes under a prefix after a revision, in order of revision.
 #[derive(Debug, Deserialize)]
 #[serde(bound = "T: DeserializeOwned")]
 pub struct WatchResponse<T> {
-    /// Revision up to which the answer is complete; the next watch continues from it.
+    /// Revision up to which the response is complete. The next watch continues from it.
     #[serde(rename = "tide")]
     pub revision: u64,
-    /// The changes; empty if the wait ran out.
+    /// Changes. Empty if the watch timed out.
     #[serde(default)]
     pub events: Vec<WatchEvent<T>>,
 }
 
-/// One change: exactly one of `put` and `deleted` is set.
+/// Change of one key. Exactly one of `put` and `deleted` is set.
 #[derive(Debug, Deserialize)]
 #[serde(bound = "T: DeserializeOwned")]
 pub struct WatchEvent<T> {
-    /// The key that was written.
+    /// Key that was written.
     #[serde(rename = "write", default)]
     pub put: Option<String>,
-    /// The key that was deleted.
+    /// Key that was deleted.
     #[serde(rename = "drop", default)]
     pub deleted: Option<String>,
-    /// The value written.
+    /// Value that was written. `None` for a deletion.
     #[serde(rename = "v", default = "none")]
     pub value: Option<Stored<T>>,
     /// Revision of the change.
@@ -161,7 +162,7 @@
     pub mod_revision: ModRevision,
 }
 
-// `serde(default)` alone would ask for `T: Default`.
+// `serde(default)` without a function requires `T: Default`.
 fn none<T>() -> Option<T> {
     None
 }
--- a/crates/hopyoke-protocol/src/user.rs
+++ b/crates/hopyoke-protocol/src/user.rs
@@ -1,4 +1,4 @@
-//! The users' API: job submissions and the status of jobs.
+//! Messages of the user API: job submissions and job status.
 
 mod submission;
 
@@ -7,13 +7,13 @@
 use hopyoke_types::JobId;
 use serde::{Deserialize, Serialize};
 
-/// How a job's tasks belong together.
+/// How the tasks of a job are run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Job array: independent tasks, each runs to completion.
+    /// Job array: independent tasks that each run to completion.
     #[serde(rename = "array")]
     Array,
-    /// Gang: all tasks run at the same time, or none.
+    /// Gang: all tasks run at the same time, or none does.
     #[serde(rename = "group")]
     Gang,
     /// Service: replicas that run until the job is cancelled.
@@ -21,89 +21,89 @@
     Service,
 }
 
-/// Ordered from the most to the least important.
+/// Priority of a job, ordered from highest to lowest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Production work.
+    /// Production.
     #[serde(rename = "prod")]
     Production,
     /// Above normal.
     #[serde(rename = "high")]
     High,
-    /// The default.
+    /// Normal.
     #[serde(rename = "standard")]
     Normal,
-    /// Best effort.
+    /// Best effort, below normal.
     #[serde(rename = "best_effort")]
     Low,
 }
 
-/// A job as its user describes it. [`JobSpec::parse`] gives the ranges of its fields.
+/// Specification of a job, as submitted by its user. [`JobSpec::check`] validates the ranges of the fields.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique id, chosen by the user; it makes submissions idempotent.
+    /// Unique id, chosen by the user. It is the idempotency key of the submission.
     pub id: JobId,
-    /// Class of similar jobs, by which objectives are set and run times learned; 1 to 200 bytes.
+    /// Class of similar jobs, for which objectives are set and run times learned; 1 to 200 bytes.
     #[serde(rename = "berth")]
     pub class: String,
-    /// Team whose quota counts; 1 to 200 bytes.
+    /// Team whose quota the job counts against; 1 to 200 bytes.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Array, gang or service.
+    /// Kind of the job: array, gang or service.
     #[serde(rename = "hull")]
     pub kind: JobKind,
-    /// Priority, for queue order and preemption.
+    /// Priority, which determines queue order and preemption.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks, 1 to [`MAX_TASKS`]; they are numbered from 0.
+    /// Number of tasks, 1 to [`MAX_TASKS`]. Their indices start at 0.
     #[serde(rename = "oars")]
     pub tasks: u32,
-    /// CPUs of each task.
+    /// CPUs per task.
     pub cpus: f64,
-    /// GPUs of each task.
+    /// GPUs per task.
     #[serde(rename = "cards")]
     pub gpus: f64,
-    /// Memory of each task, in gigabytes.
+    /// Memory per task, in gigabytes.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
-    /// Image that a machine must hold before a task can start; 1 to 200 bytes.
+    /// Image that must be on the machine before a task can start; 1 to 200 bytes.
     #[serde(rename = "cargo")]
     pub image: String,
     /// Size of the image, in gigabytes.
     #[serde(rename = "pull_gb")]
     pub image_gb: f64,
-    /// Instance types allowed, at most 64; `None`: any.
+    /// Instance types that are allowed, at most 64. `None` allows all.
     #[serde(rename = "rigs", default)]
     pub machine_types: Option<Vec<String>>,
-    /// The one zone allowed; `None`: any.
+    /// Zone in which all tasks must run, at most 200 bytes. `None` allows all zones.
     #[serde(rename = "basin", default)]
     pub zone: Option<String>,
-    /// Affinity: all tasks run in the same zone.
+    /// Zone affinity: all tasks must run in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// Anti-affinity: no zone holds more than half of the tasks, rounded up.
+    /// Zone anti-affinity: no zone may hold more than half of the tasks, rounded up.
     #[serde(rename = "apart")]
     pub spread: bool,
     /// Whether spot machines are allowed.
     #[serde(rename = "driftboats")]
     pub spot: bool,
-    /// Owner's estimate of a task's run time without the image's pull, in seconds; 0 for services.
+    /// User's estimate of a task's run time, without the image pull, in seconds; 0 for services.
     #[serde(rename = "voyage_s")]
     pub estimate_s: f64,
-    /// Progress between checkpoints, in seconds; 0: the tasks never save.
+    /// Checkpoint interval, in seconds; 0 if the tasks save no checkpoints.
     #[serde(rename = "logbook_s")]
     pub checkpoint_interval_s: f64,
-    /// Time that a stopped task needs to save its checkpoint, in seconds.
+    /// Time that a stopping task needs to save a checkpoint, in seconds.
     #[serde(rename = "stow_s")]
     pub checkpoint_save_s: f64,
-    /// Time from submission until the job should be done, in seconds; `None`: no deadline.
+    /// Deadline, in seconds after submission. `None` if there is no deadline.
     #[serde(rename = "ashore_s", default)]
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// An array of one task that takes one CPU and 1 GB, runs anywhere but on spot machines, and has
-    /// nothing special about it.
+    /// Returns a job array of one task with 1 CPU and 1 GB of memory, normal priority, no deadline, no checkpoints and
+    /// no placement constraints except that spot machines are not allowed.
     pub fn with_defaults(id: JobId, class: &str, team: &str, image: &str) -> JobSpec {
         JobSpec {
             id,
@@ -130,13 +130,13 @@
     }
 }
 
-/// A job's state as users see it.
+/// State of a job as reported to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Accepted; no task runs.
+    /// Accepted, and no task is running.
     #[serde(rename = "pending")]
     Queued,
-    /// At least one task runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
     /// All tasks are done. Terminal.
@@ -147,18 +147,18 @@
     Cancelled,
 }
 
-/// The answer to a submission, a query or a cancellation.
+/// Response to a submission, query or cancellation.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobStatusResponse<'a> {
-    /// The job.
+    /// Id of the job.
     pub id: &'a str,
-    /// Its state.
+    /// State of the job.
     #[serde(rename = "bearing")]
     pub state: JobState,
-    /// Tasks that are done; for display.
+    /// Number of tasks that are done. Informational.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks that run; for display.
+    /// Number of running tasks. Informational.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/crates/hopyoke-protocol/src/user/submission.rs
+++ b/crates/hopyoke-protocol/src/user/submission.rs
@@ -1,4 +1,4 @@
-//! Reading and checking submissions. Errors name fields as users know them, by their names on the wire.
+//! Decoding and validation of submissions. Errors refer to fields by their names on the wire, which users know.
 
 use super::JobSpec;
 use crate::{decode, encode};
@@ -6,24 +6,24 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// The most tasks that a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// The longest name of a class, team, image, zone or instance type, in bytes.
+/// Maximum length of the name of a class, team, image, zone or instance type.
 const MAX_NAME_BYTES: usize = 200;
-/// The most instance types that a job may list.
+/// Maximum number of instance types that a job may list.
 const MAX_TYPES: usize = 64;
-/// The largest amount or duration.
+/// Maximum of each resource amount and duration.
 const MAX_AMOUNT: f64 = 1e12;
-/// A spec and what is recorded beside it share one value; this is the spec's part of it.
+/// Maximum size of an encoded spec. The rest of the job record shares one value of the key-value store with it.
 const MAX_SPEC_BYTES: usize = 3 * 1024;
 
-/// Why a submission is malformed. The text goes to the user.
+/// Why a submission is rejected. The message is returned to the user.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
-    /// The body is no MessagePack map.
+    /// The body is not a MessagePack map.
     #[error("the body must be a MessagePack map")]
     NotAMap,
-    /// The id has not the form of job ids.
+    /// The id is not a well-formed job id.
     #[error("id: must be 'req-' followed by digits")]
     InvalidId,
     /// A name is empty or too long.
@@ -32,29 +32,29 @@
         /// Name of the field on the wire.
         field: &'static str,
     },
-    /// The zone's name is too long.
+    /// The name of the zone is too long.
     #[error("basin: must be at most {} bytes long", MAX_NAME_BYTES)]
     ZoneLength,
-    /// No task, or too many.
+    /// The number of tasks is 0 or too large.
     #[error("oars: must be 1 to {}", MAX_TASKS)]
     TaskCount,
-    /// The number of tasks is negative, too large or not whole.
+    /// The number of tasks is negative, too large or not an integer.
     #[error("oars: must be a whole number from 1 to {}", MAX_TASKS)]
     TaskCountNotWhole,
-    /// An amount or duration is negative, too large or not a number.
+    /// A resource amount or duration is negative, too large or not a number.
     #[error("{field}: must be a finite amount of at least 0")]
     Amount {
         /// Name of the field on the wire.
         field: &'static str,
     },
-    /// Too many instance types, or a name that is too long.
+    /// There are too many instance types, or the name of one is too long.
     #[error(
         "rigs: at most {} names of at most {} bytes",
         MAX_TYPES,
         MAX_NAME_BYTES
     )]
     MachineTypes,
-    /// The whole spec is too long to be stored.
+    /// The encoded spec is too large to be stored.
     #[error("rigs: the job's description is too long to be kept")]
     SpecTooLong,
     /// A field has a value of the wrong type.
@@ -62,30 +62,30 @@
     WrongType {
         /// Name of the field on the wire.
         field: String,
-        /// The type that it must have.
+        /// Type that the field must have.
         expected: &'static str,
     },
-    /// A kind or priority that does not exist.
+    /// The job kind or priority is unknown.
     #[error("{field}: {error}")]
     UnknownVariant {
         /// Name of the field on the wire.
         field: &'static str,
-        /// The decoder's message, which lists the variants.
+        /// Message of the decoder, which lists the variants.
         error: String,
     },
-    /// One of the optional fields has a value of the wrong type; the decoder does not say which.
+    /// An optional field has a value of the wrong type. The decoder does not say which one.
     #[error("{0} (rigs, basin or ashore_s)")]
     OptionalField(String),
-    /// Any other fault of the body, such as a missing field, in the decoder's words.
+    /// Any other error, such as a missing field, with the message of the decoder.
     #[error("{0}")]
     Undecodable(String),
 }
 
 impl JobSpec {
-    /// Reads a submission and checks every field's range.
+    /// Decodes a submission and validates the range of every field.
     ///
     /// # Errors
-    /// The field at fault, and what it must be.
+    /// Returns the first invalid field and its requirement.
     pub fn parse(body: &[u8]) -> Result<JobSpec, SubmissionError> {
         if !matches!(body.first(), Some(0x80..=0x8f | 0xde | 0xdf)) {
             return Err(SubmissionError::NotAMap);
@@ -94,10 +94,10 @@
         spec.check().map(|()| spec)
     }
 
-    /// Checks every field's range.
+    /// Validates the range of every field.
     ///
     /// # Errors
-    /// The field at fault, and what it must be.
+    /// Returns the first invalid field and its requirement.
     pub fn check(&self) -> Result<(), SubmissionError> {
         if JobId::parse(self.id.as_str()).is_none() {
             return Err(SubmissionError::InvalidId);
@@ -144,7 +144,7 @@
     }
 }
 
-/// The type of a field's value, whatever the field.
+/// Type of a field's value.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 #[serde(untagged)]
 enum ValueType {
@@ -165,7 +165,7 @@
     }
 }
 
-/// A text of which only the type matters.
+/// Accepts any text and discards it.
 #[derive(Clone, Copy, PartialEq)]
 struct IgnoredText;
 
@@ -175,7 +175,7 @@
     }
 }
 
-/// The type that a required field must have.
+/// Returns the type that a required field must have, or `None` for any other field.
 fn expected_type(field: &str) -> Option<&'static str> {
     match field {
         "id" | "berth" | "crew" | "hull" | "rank" | "cargo" => Some("text"),
@@ -187,8 +187,8 @@
     }
 }
 
-/// The decoder names a missing field but not one of the wrong type: find that one by decoding
-/// the known fields one by one.
+/// Finds the field that made decoding fail. The decoder names a missing field but not one of the wrong type, so the
+/// body is decoded again as a map of value types.
 fn find_invalid_field(error: &str, body: &[u8]) -> SubmissionError {
     let undecodable = || SubmissionError::Undecodable(error.to_owned());
     let Ok(types) = decode::<BTreeMap<String, ValueType>>(body) else {
@@ -210,7 +210,7 @@
         return SubmissionError::TaskCountNotWhole;
     }
     if error.contains("unknown variant") {
-        // The message lists the variants, and only kinds have this one.
+        // The message lists the valid variants, and `group` is one of the job kinds only.
         let field = if error.contains("group") {
             "hull"
         } else {
--- a/crates/hopyoke-protocol/src/worker.rs
+++ b/crates/hopyoke-protocol/src/worker.rs
@@ -1,84 +1,84 @@
-//! Heartbeats of agents and commands of controllers.
+//! Messages between agents and controllers: heartbeats and commands.
 
 use hopyoke_types::{Attempt, FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 
-/// An agent's heartbeat with the status of its machine and tasks. Of two, the one with the larger
-/// (`epoch`, `sequence`) is the newer.
+/// Heartbeat of an agent, with the status of its machine and tasks. Heartbeats of a machine are ordered by
+/// (`epoch`, `sequence`).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine's name, given by the cloud.
+    /// Name of the machine, assigned by the cloud provider.
     #[serde(rename = "vessel")]
     pub machine: MachineId,
-    /// Address of the agent for pushed commands, as `host:port`.
+    /// Address at which the agent accepts pushed commands, as `host:port`.
     pub address: String,
-    /// Name of the machine's instance type.
+    /// Name of the instance type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     #[serde(rename = "basin")]
     pub zone: String,
-    /// Spot instead of on-demand.
+    /// Whether this is a spot machine.
     #[serde(rename = "driftboats", default)]
     pub spot: bool,
-    /// Agent epoch: from 1, increased each time that the agent's lease expires and it drops its tasks.
+    /// Agent epoch: starts at 1 and increases each time that the agent's lease expires and it drops its tasks.
     #[serde(rename = "watch")]
     pub epoch: u64,
-    /// Heartbeat sequence number within the epoch.
+    /// Sequence number of the heartbeat within the epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest fencing token that the agent has seen; 0 at first.
+    /// Highest fencing token that the agent has seen; 0 if it has seen none.
     #[serde(rename = "helm", default)]
     pub token: FencingToken,
-    /// Seconds until the cloud preempts the machine, if it gave notice.
+    /// Seconds until the cloud provider preempts the machine. `None` if it has given no notice.
     #[serde(rename = "recall_s", default)]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks on the machine; ended ones until they are acknowledged.
+    /// All task attempts on the machine. Ended ones are included until they are acknowledged.
     #[serde(rename = "oars", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// The status of one attempt of a task.
+/// Status of one attempt of a task.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task, as `JOB/INDEX`.
+    /// Task, as `JOB/INDEX`.
     #[serde(rename = "oar")]
     pub task: String,
-    /// Its attempt.
+    /// Number of the attempt.
     #[serde(rename = "launch")]
     pub attempt: Attempt,
-    /// Where the attempt stands in its lifecycle.
+    /// Lifecycle state of the attempt.
     #[serde(rename = "bearing")]
     pub state: TaskState,
-    /// Why it ended; only with [`TaskState::Ended`].
+    /// Why the attempt ended. Set only with [`TaskState::Ended`].
     #[serde(rename = "wreck", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Whether a stopped task saved its checkpoint.
+    /// Whether the attempt saved a checkpoint when it was stopped.
     #[serde(rename = "kept", default, skip_serializing_if = "std::ops::Not::not")]
     pub checkpoint_saved: bool,
 }
 
-/// Lifecycle of a task's attempt on its machine.
+/// Lifecycle state of an attempt on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Its image is being pulled.
+    /// Pulling its image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Waits for the other tasks of its gang.
+    /// Waiting for the other tasks of its gang.
     #[serde(rename = "waiting")]
     Waiting,
     /// Running.
     #[serde(rename = "running")]
     Running,
-    /// Told to stop, and saving its checkpoint.
+    /// Stopping, and saving its checkpoint.
     #[serde(rename = "saving")]
     Saving,
-    /// Ended; see [`TaskStatus::exit_reason`].
+    /// Ended for the [`TaskStatus::exit_reason`].
     #[serde(rename = "ended")]
     Ended,
 }
 
-/// Why a task's attempt ended.
+/// Why an attempt of a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
     /// Completed.
@@ -90,94 +90,95 @@
     /// Another task of its running gang was lost.
     #[serde(rename = "mates_gone")]
     GangPeersLost,
-    /// Its gang did not assemble in time.
+    /// Not all tasks of its gang were ready in time.
     #[serde(rename = "incomplete")]
     Incomplete,
-    /// Failed, by fault of the machine or of the job.
+    /// Failed, because of the machine or of the job.
     #[serde(rename = "error")]
     Error,
-    /// Start refused: the machine's free resources do not suffice.
+    /// Start refused: the machine has insufficient free resources.
     #[serde(rename = "no_room")]
     InsufficientResources,
     /// Start refused: another attempt of the task is on the machine.
     #[serde(rename = "busy")]
     Busy,
-    /// Start refused: no such job or task has been submitted.
+    /// Start refused: the job or task has never been submitted.
     #[serde(rename = "no_such")]
     UnknownTask,
-    /// A reason that this version does not know: the task is over and not done.
+    /// Any reason that this version does not know. The attempt has ended without completing.
     #[serde(other)]
     Other,
 }
 
-/// A command to an agent. All are idempotent, but for a start after the attempt was acknowledged.
+/// Command to an agent. All commands are idempotent, except that a start that is repeated after its attempt was
+/// acknowledged runs the attempt again.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "order")]
 pub enum Command {
-    /// Start an attempt.
+    /// Starts an attempt.
     #[serde(rename = "run")]
     Start {
-        /// The task, as `JOB/INDEX`.
+        /// Task, as `JOB/INDEX`.
         #[serde(rename = "oar")]
         task: String,
-        /// The attempt to start.
+        /// Attempt to start.
         #[serde(rename = "launch")]
         attempt: Attempt,
     },
-    /// Stop an attempt, with time to save its checkpoint.
+    /// Stops an attempt, with a grace period in which it may save a checkpoint.
     #[serde(rename = "halt")]
     Stop {
-        /// The task, as `JOB/INDEX`.
+        /// Task, as `JOB/INDEX`.
         #[serde(rename = "oar")]
         task: String,
-        /// The attempt to stop.
+        /// Attempt to stop.
         #[serde(rename = "launch")]
         attempt: Attempt,
-        /// Grace period in seconds; it saves only if this is at least the job's `checkpoint_save_s`.
+        /// Grace period, in seconds. A checkpoint is saved only if this is at least the job's `checkpoint_save_s`.
         #[serde(rename = "slack_s")]
         grace_s: f64,
     },
-    /// Drop an ended attempt from heartbeats. The agent does not remember it afterwards.
+    /// Acknowledges the end of an attempt. The agent drops it from its heartbeats and keeps no memory of it.
     #[serde(rename = "reap")]
     Acknowledge {
-        /// The task, as `JOB/INDEX`.
+        /// Task, as `JOB/INDEX`.
         #[serde(rename = "oar")]
         task: String,
-        /// The attempt that ended.
+        /// Attempt that ended.
         #[serde(rename = "launch")]
         attempt: Attempt,
     },
 }
 
-/// The answer to a heartbeat. It renews the agent's lease unless its token is stale.
+/// Response to a heartbeat. Renews the agent's lease unless its token is stale.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The leader's fencing token; the agent drops an answer with a lower one than it has seen.
+    /// Fencing token of the leader. The agent ignores a response with a lower token than it has seen.
     #[serde(rename = "helm")]
     pub token: FencingToken,
-    /// Commands, executed in this order.
+    /// Commands, in the order of execution.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands pushed to an agent outside of a heartbeat. They do not renew its lease.
+/// Commands pushed to an agent outside of heartbeat responses. They do not renew its lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PushedCommands {
-    /// The leader's fencing token; the agent refuses a lower one than it has seen.
+    /// Fencing token of the leader. The agent rejects commands with a lower token than it has seen.
     #[serde(rename = "helm")]
     pub token: FencingToken,
-    /// Agent epoch that the commands are meant for; the agent refuses those for another.
+    /// Agent epoch that the commands are for. The agent rejects commands for any other epoch.
     #[serde(rename = "watch")]
     pub epoch: u64,
-    /// Commands, executed in this order.
+    /// Commands, in the order of execution.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Redirects an agent to the node that takes its heartbeats.
+/// Redirect of an agent to the node that handles its heartbeats.
 #[derive(Debug, Serialize)]
 pub struct HeartbeatRedirect<'a> {
-    /// Name of that node; `None`: the agent tries the next one it knows.
+    /// Name of that node. If `None`, the agent tries the next node that it knows.
     #[serde(rename = "harbormaster", skip_serializing_if = "Option::is_none")]
     pub target: Option<&'a str>,
 }
--- a/crates/hopyoke-protocol/tests/frozen/mod.rs
+++ b/crates/hopyoke-protocol/tests/frozen/mod.rs
@@ -1,14 +1,14 @@
-//! Reading and comparing fixtures: bytes as lowercase hex under `tests/forms` of the package under test.
-//! Tests of other packages include this file by its path. Nothing here writes a fixture.
+//! Helpers for comparing encodings with fixtures, which are lowercase hex files in `tests/forms` of the package under
+//! test. Tests of other packages include this file by its path. Fixtures are never written by tests.
 
-#![allow(dead_code, reason = "each package uses a part of it")]
+#![allow(dead_code, reason = "no package uses all helpers")]
 
 use hopyoke_protocol::state::Stored;
 use hopyoke_protocol::{decode, encode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The bytes of `tests/forms/NAME.hex`.
+/// Returns the bytes of `tests/forms/NAME.hex`.
 pub(crate) fn bytes(name: &str) -> Vec<u8> {
     let digits: Vec<u8> = text(&format!("{name}.hex"))
         .bytes()
@@ -25,39 +25,39 @@
         .collect()
 }
 
-/// The text of `tests/forms/FILE`.
+/// Returns the text of `tests/forms/FILE`.
 pub(crate) fn text(file: &str) -> String {
     let path = format!("{}/tests/forms/{file}", env!("CARGO_MANIFEST_DIR"));
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path}: {e}"))
 }
 
-/// Compares bytes with a fixture; a difference is shown as hex.
+/// Asserts that the bytes equal a fixture, and shows a difference as hex.
 pub(crate) fn assert_bytes(name: &str, got: &[u8]) {
     let hex = |b: &[u8]| b.iter().map(|x| format!("{x:02x}")).collect::<String>();
     assert_eq!(
         hex(got),
         hex(&bytes(name)),
-        "{name}: other bytes than before"
+        "{name}: encoding differs from the fixture"
     );
 }
 
-/// Reads a fixture as MessagePack.
+/// Decodes a fixture.
 pub(crate) fn read<T: DeserializeOwned>(name: &str) -> T {
     decode(&bytes(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-/// Writing `value` gives the fixture.
+/// Asserts that `value` encodes to the fixture.
 pub(crate) fn assert_written<T: Serialize>(name: &str, value: &T) {
     assert_bytes(name, &encode(value));
 }
 
-/// Writing `value` gives the fixture; reading the fixture gives what is written as the same bytes.
+/// Asserts that `value` encodes to the fixture, and that the decoded fixture encodes to the same bytes.
 pub(crate) fn assert_round_trip<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     assert_written(name, value);
     assert_bytes(name, &encode(&read::<T>(name)));
 }
 
-/// The same for a value of the state service, which nodes read as [`Stored`].
+/// Asserts the same for a value of the key-value store, which nodes decode as [`Stored`].
 pub(crate) fn assert_stored<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     assert_round_trip(name, value);
     let stored: T = read::<Stored<T>>(name)
@@ -66,7 +66,7 @@
     assert_bytes(name, &encode(&stored));
 }
 
-/// A fixture of an earlier form is read as `value`, which is written otherwise today.
+/// Asserts that a fixture of an earlier encoding decodes as `value`, whose current encoding differs.
 pub(crate) fn assert_read_as<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     let stored: T = read::<Stored<T>>(name)
         .decoded()
@@ -74,6 +74,6 @@
     assert_eq!(
         encode(&stored),
         encode(value),
-        "{name}: read as another value"
+        "{name}: decoded as another value"
     );
 }
--- a/crates/hopyoke-protocol/tests/frozen_forms.rs
+++ b/crates/hopyoke-protocol/tests/frozen_forms.rs
@@ -1,6 +1,5 @@
-//! The messages of all protocols keep their bytes: fixtures written by an earlier version are read and written
-//! again byte for byte. A message that is only read is compared field by field; one that is only written is
-//! compared as bytes.
+//! Wire compatibility of all protocols: messages encode to the bytes of fixtures that an earlier version wrote, and
+//! decode from them. Messages that are only decoded are compared field by field.
 
 mod frozen;
 
@@ -20,7 +19,7 @@
 };
 use hopyoke_types::{Attempt, FencingToken, JobId, MachineId, ModRevision};
 
-/// A job whose every field differs from every other and from its default.
+/// Returns a job with distinct and non-default values where possible, so that swapped fields are noticed.
 fn full_spec() -> JobSpec {
     JobSpec {
         id: JobId::new("req-41"),
@@ -46,7 +45,7 @@
     }
 }
 
-fn plain_spec() -> JobSpec {
+fn default_spec() -> JobSpec {
     JobSpec {
         spread: true,
         ..JobSpec::with_defaults(JobId::new("req-7"), "lint", "tools", "registry/lint:1")
@@ -57,13 +56,16 @@
 fn job_specs() {
     for (name, spec) in [
         ("job-spec-full", full_spec()),
-        ("job-spec-plain", plain_spec()),
+        ("job-spec-plain", default_spec()),
     ] {
         assert_round_trip(name, &spec);
         assert_eq!(JobSpec::parse(&bytes(name)), Ok(spec), "{name}");
     }
-    // Users may leave the optional fields out instead of sending nil.
-    assert_eq!(JobSpec::parse(&bytes("job-spec-absent")), Ok(plain_spec()));
+    // Users may omit optional fields instead of sending nil.
+    assert_eq!(
+        JobSpec::parse(&bytes("job-spec-absent")),
+        Ok(default_spec())
+    );
 }
 
 #[test]
@@ -168,11 +170,11 @@
     ];
     for (name, response) in cases {
         assert_written(name, &response);
-        // It borrows its id from the bytes.
-        let old = bytes(name);
-        let again: JobStatusResponse<'_> =
-            rmp_serde::from_slice(&old).unwrap_or_else(|e| panic!("{name}: {e}"));
-        assert_bytes(name, &encode(&again));
+        // The response borrows its id from the encoded bytes.
+        let encoded = bytes(name);
+        let decoded: JobStatusResponse<'_> =
+            rmp_serde::from_slice(&encoded).unwrap_or_else(|e| panic!("{name}: {e}"));
+        assert_bytes(name, &encode(&decoded));
     }
 }
 
@@ -222,7 +224,7 @@
     };
     assert_round_trip("report-full", &full);
     assert_round_trip("report-idle", &idle);
-    // A worker that has just booted leaves out what has a default.
+    // A newly booted agent omits fields that have a default.
     assert_eq!(encode(&read::<Heartbeat>("report-absent")), encode(&idle));
 }
 
@@ -288,7 +290,7 @@
         boot_s: 45.0,
         zones: vec!["east".into(), "west".into()],
     };
-    let least = MachineType {
+    let minimal = MachineType {
         name: "c1".into(),
         cpus: 1.0,
         gpus: 0.0,
@@ -301,16 +303,16 @@
         zones: Vec::new(),
     };
     assert_round_trip("machine-type", &full);
-    // The second lacks all that has a default.
-    assert_eq!(read::<Catalog>("catalog").types, [full, least]);
-    let rent = ScaleOutRequest {
+    // The second type of the catalog omits all fields that have a default.
+    assert_eq!(read::<Catalog>("catalog").types, [full, minimal]);
+    let scale_out = ScaleOutRequest {
         request: "r-5-1",
         machine_type: "g4",
         zone: "east",
         spot: true,
         count: 3,
     };
-    assert_written("rent", &rent);
+    assert_written("rent", &scale_out);
     assert_round_trip(
         "machines",
         &MachineNames {
@@ -323,7 +325,7 @@
 fn machine_lists() {
     let list: MachineList = read("machine-list");
     assert!(list.more);
-    let [full, least] = &list.machines[..] else {
+    let [full, minimal] = &list.machines[..] else {
         panic!("two machines: {list:?}")
     };
     assert_eq!(full.id, MachineId::new("m-17"));
@@ -336,13 +338,17 @@
         (full.state, full.age_s),
         (ListedMachineState::Running, 77.5)
     );
-    assert_eq!((least.id.as_str(), &least.address), ("m-18", &None));
+    assert_eq!((minimal.id.as_str(), &minimal.address), ("m-18", &None));
     assert_eq!(
-        (least.machine_type.as_str(), least.zone.as_str(), least.spot),
+        (
+            minimal.machine_type.as_str(),
+            minimal.zone.as_str(),
+            minimal.spot
+        ),
         ("c1", "west", false)
     );
     assert_eq!(
-        (least.state, least.age_s),
+        (minimal.state, minimal.age_s),
         (ListedMachineState::Booting, 0.0)
     );
     let last: MachineList = read("machine-list-last");
@@ -350,8 +356,8 @@
 }
 
 #[test]
-fn state_requests() {
-    let when = |key: &str, mod_revision| Compare {
+fn key_value_store_requests() {
+    let compare = |key: &str, mod_revision| Compare {
         key: key.into(),
         mod_revision: ModRevision(mod_revision),
     };
@@ -363,7 +369,7 @@
     assert_written(
         "txn",
         &Transaction {
-            compares: vec![when("leader", 900), when("job/req-41", 0)],
+            compares: vec![compare("leader", 900), compare("job/req-41", 0)],
             mutations: vec![
                 put("end/req-41", None),
                 put("leader", Some(31)),
@@ -384,7 +390,7 @@
 }
 
 #[test]
-fn state_answers() {
+fn key_value_store_responses() {
     assert_eq!(read::<TransactionResponse>("applied").revision, 901);
     assert_eq!(
         read::<CompareFailed>("failed").failed,
@@ -393,7 +399,7 @@
     assert!(read::<CompareFailed>("failed-absent").failed.is_empty());
     assert_eq!(read::<LeaseGrantResponse>("granted").lease, 31);
 
-    // Asked by key, the answer has none.
+    // The response to a read of a single key omits the key.
     let pair: KeyValue<JobSpec> = read("pair");
     assert_eq!(
         (pair.key.as_str(), pair.mod_revision),
@@ -413,15 +419,15 @@
         pairs[0],
         ("job/req-41".into(), Some("kept".into()), ModRevision(77))
     );
-    // A value of another type is no fault of the page.
+    // A value of another type does not make the page undecodable.
     assert_eq!(pairs[1], ("job/req-42".into(), None, ModRevision(78)));
     let last: KeyValuePage<String> = read("page-last");
     assert!(last.pairs.is_empty() && !last.more);
     assert_eq!(last.revision, 951);
 
-    let news: WatchResponse<String> = read("events");
-    assert_eq!((news.revision, news.events.len()), (960, 3));
-    let [put, drop, strange] = &news.events[..] else {
+    let response: WatchResponse<String> = read("events");
+    assert_eq!((response.revision, response.events.len()), (960, 3));
+    let [put, deletion, unreadable] = &response.events[..] else {
         unreachable!("three events")
     };
     assert_eq!(
@@ -433,15 +439,19 @@
         "{put:?}"
     );
     assert_eq!(
-        (&drop.put, drop.deleted.as_deref(), drop.mod_revision),
+        (
+            &deletion.put,
+            deletion.deleted.as_deref(),
+            deletion.mod_revision
+        ),
         (&None, Some("job/req-42"), ModRevision(959))
     );
-    assert!(drop.value.is_none(), "{drop:?}");
+    assert!(deletion.value.is_none(), "{deletion:?}");
     assert!(
-        matches!(&strange.value, Some(Stored::Unreadable(_))),
-        "{strange:?}"
+        matches!(&unreadable.value, Some(Stored::Unreadable(_))),
+        "{unreadable:?}"
     );
-    let none: WatchResponse<String> = read("events-none");
-    assert!(none.events.is_empty());
-    assert_eq!(none.revision, 961);
+    let empty: WatchResponse<String> = read("events-none");
+    assert!(empty.events.is_empty());
+    assert_eq!(empty.revision, 961);
 }
