--- a/crates/hopyoke-settings/src/check.rs
+++ b/crates/hopyoke-settings/src/check.rs
@@ -1,14 +1,14 @@
-//! Ranges of the settings. All faults are found, not only the first.
+//! Validation of settings. Finds all invalid fields, not only the first.
 
 use crate::{LEASE_DRIFT, PlatformSettings, Settings, Team};
 use std::fmt;
 
-/// A field that is out of range.
+/// Field that is out of range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidField {
-    /// The field, by its path in the file.
+    /// Path of the field in the file.
     pub field: String,
-    /// What it must be.
+    /// Requirement that the field does not meet.
     pub reason: &'static str,
 }
 
@@ -18,12 +18,12 @@
     }
 }
 
-/// Every field that is out of range.
+/// Returns all fields that are out of range.
 pub(crate) fn invalid_fields(settings: &Settings) -> Vec<InvalidField> {
     let mut validator = Validator::default();
     let platform = &settings.platform;
     validator.node_settings(settings);
-    validator.positive_amounts(platform);
+    validator.positive_values(platform);
     validator.limits(platform);
     for (i, team) in platform.teams.iter().enumerate() {
         validator.team(i, team);
@@ -37,8 +37,8 @@
 }
 
 impl Validator {
-    fn require(&mut self, holds: bool, field: &str, reason: &'static str) {
-        if !holds {
+    fn require(&mut self, valid: bool, field: &str, reason: &'static str) {
+        if !valid {
             self.invalid_fields.push(InvalidField {
                 field: field.to_owned(),
                 reason,
@@ -63,7 +63,7 @@
         );
     }
 
-    fn positive_amounts(&mut self, f: &PlatformSettings) {
+    fn positive_values(&mut self, f: &PlatformSettings) {
         for (field, value) in [
             ("facts.workers.report_s", f.agents.heartbeat_interval_s),
             ("facts.workers.lease_s", f.agents.lease_s),
@@ -79,7 +79,7 @@
             self.require(
                 value.is_finite() && value > 0.0 && value < 1e9,
                 field,
-                "must be above 0",
+                "must be above 0 and below 1e9",
             );
         }
     }
@@ -98,7 +98,7 @@
         self.require(
             f.store.max_value_kib >= 4.0,
             "facts.state.value_kb",
-            "must be at least 4: a job's record needs it",
+            "must be at least 4, to hold a job record",
         );
         self.require(
             f.store.max_txn_mutations >= 4,
@@ -110,11 +110,12 @@
             "facts.machine_limits.max_connections",
             "must be at least 32",
         );
-        // With this `cancellation_bound` holds: the leader's lease takes a third of what is left.
+        // Ensures that the terms of `cancellation_bound` fit in `cancel_s`: the leader's lease is a third of what the
+        // agent's lease and the watch leave of it.
         self.require(
             f.agents.cancellation_bound_s > f.agents.lease_s * LEASE_DRIFT + 5.0,
             "facts.workers.cancel_s",
-            "must exceed lease_s by over 5 s: a cancelled task may live until its worker's lease lapses",
+            "must exceed lease_s by over 5 s: cancelled tasks may run until their agent's lease expires",
         );
     }
 
--- a/crates/hopyoke-settings/src/lib.rs
+++ b/crates/hopyoke-settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's settings file: read, checked, and every fault reported with field and reason.
+//! Settings file of the platform: loading and validation. All invalid fields are reported at once, each with a reason.
 //!
-//! Rust names follow the field's terms; the names in the file stand here as serde renames.
-//! Durations end in `_s` (seconds) or `_ms` (milliseconds).
+//! Names in the file that differ from the names in the code are declared here as serde renames. Names of durations end
+//! in `_s` (seconds) or `_ms` (milliseconds).
 
 mod check;
 
@@ -12,42 +12,42 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// All settings of one node.
+/// Settings of one node.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// This node's name.
+    /// Name of this node.
     pub node: String,
-    /// This node's zone.
+    /// Zone of this node.
     pub zone: String,
-    /// Where users, agents and health checks are served.
+    /// Address that serves users, agents and health checks.
     #[serde(rename = "serve_on")]
     pub listen: SocketAddr,
-    /// Where peers and operators are served.
+    /// Address that serves peers and operators.
     #[serde(rename = "mesh_addr")]
     pub mesh_listen: SocketAddr,
-    /// The other nodes.
+    /// Other nodes.
     #[serde(rename = "others", default)]
     pub peers: Vec<Peer>,
-    /// Services that this node calls.
+    /// Endpoints of the services that this node calls.
     pub endpoints: Endpoints,
-    /// What holds for the whole platform.
+    /// Settings that are the same on all nodes.
     #[serde(rename = "facts")]
     pub platform: PlatformSettings,
 }
 
-/// Another node.
+/// Another node of the platform.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the node.
     pub node: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Where it serves peers.
+    /// Address at which it serves peers.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
 
-/// Services that a node calls.
+/// Endpoints of the services that a node calls.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
     /// The cloud provider's API.
@@ -57,17 +57,17 @@
     pub store: SocketAddr,
 }
 
-/// What holds for the whole platform.
+/// Settings that are the same on all nodes.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PlatformSettings {
     /// Number of nodes, at least 1.
     pub nodes: u32,
-    /// All zones, at least one.
+    /// Names of all zones, at least one.
     pub zones: Vec<String>,
-    /// Bound on the error of nodes' wall clocks, in milliseconds.
+    /// Upper bound on the error of any node's wall clock, in milliseconds.
     #[serde(rename = "skew_ms", default)]
     pub clock_skew_ms: f64,
-    /// Teams and their quotas.
+    /// Teams with their quotas.
     #[serde(default)]
     pub teams: Vec<Team>,
     /// Service-level objectives.
@@ -79,62 +79,62 @@
     /// Limits of the key-value store.
     #[serde(rename = "state")]
     pub store: StoreLimits,
-    /// Limits of the cloud's API.
+    /// Limits of the cloud provider's API.
     pub cloud: CloudLimits,
-    /// What a node may take of its machine.
+    /// Resource limits of a node on its machine.
     #[serde(rename = "machine_limits")]
     pub limits: MachineLimits,
 }
 
-/// A team's quota: what it is guaranteed, and the most that it may use.
+/// Quota of a team: what it is guaranteed and what it may use at most.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// CPUs guaranteed.
+    /// Number of CPUs guaranteed.
     #[serde(rename = "cpus", default)]
     pub guaranteed_cpus: f64,
-    /// Most CPUs.
+    /// Maximum number of CPUs; 0 for no limit.
     #[serde(rename = "cpus_max", default)]
     pub max_cpus: f64,
-    /// GPUs guaranteed.
+    /// Number of GPUs guaranteed.
     #[serde(rename = "gpus", default)]
     pub guaranteed_gpus: f64,
-    /// Most GPUs.
+    /// Maximum number of GPUs; 0 for no limit.
     #[serde(rename = "gpus_max", default)]
     pub max_gpus: f64,
 }
 
-/// A service-level objective.
+/// Service-level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is measured.
+    /// Kind of measurement.
     pub kind: String,
-    /// Class of jobs that it is about; `None`: all.
+    /// Job class to which it applies. `None` applies to all.
     #[serde(default)]
     pub class: Option<String>,
-    /// Bound in seconds.
+    /// Bound of the measured time, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Share of cases that must keep the bound, 0 to 1.
+    /// Fraction of cases that must be within the bound, 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
-/// Timings of agents and their tasks, all above 0.
+/// Timings of agents and their tasks. All must be positive.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct AgentTimings {
     /// Heartbeat interval, in seconds.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// An agent kills its tasks when its last answered heartbeat is older than this, in seconds.
+    /// Lease of an agent: it kills its tasks when its last acknowledged heartbeat is older than this, in seconds.
     pub lease_s: f64,
-    /// How long a gang's task waits for the others, in seconds.
+    /// Time that a task of a gang waits for the others to be ready, in seconds.
     pub gang_wait_s: f64,
-    /// How soon a gang's tasks notice that one of them is lost, in seconds.
+    /// Time in which the tasks of a gang detect the loss of one of them, in seconds.
     #[serde(rename = "gang_peer_s")]
     pub gang_loss_detection_s: f64,
-    /// Within this time of a confirmed cancellation all tasks of the job must be gone, in seconds.
+    /// Time after a confirmed cancellation in which all tasks of the job must have ended, in seconds.
     #[serde(rename = "cancel_s")]
     pub cancellation_bound_s: f64,
 }
@@ -142,103 +142,105 @@
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct StoreLimits {
-    /// Requests per second, over all nodes.
+    /// Maximum requests per second of all nodes together.
     #[serde(rename = "rps")]
     pub max_requests_per_s: f64,
-    /// Mutations per second, over all nodes.
+    /// Maximum mutations per second of all nodes together.
     #[serde(rename = "write_rps")]
     pub max_writes_per_s: f64,
-    /// Largest value, in KiB; at least 4.
+    /// Maximum size of a value, in KiB; at least 4.
     #[serde(rename = "value_kb")]
     pub max_value_kib: f64,
-    /// Most mutations of one transaction; at least 4.
+    /// Maximum number of mutations in a transaction; at least 4.
     #[serde(rename = "txn_ops")]
     pub max_txn_mutations: u32,
 }
 
-/// Limits of the cloud's API.
+/// Limits of the cloud provider's API.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second, over all nodes.
+    /// Maximum requests per second of all nodes together.
     #[serde(rename = "rps")]
     pub max_requests_per_s: f64,
-    /// How far the list of machines may lag behind, in seconds.
+    /// Maximum staleness of the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What a node may take of its machine.
+/// Resource limits of a node on its machine.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct MachineLimits {
-    /// CPU cores.
+    /// CPU cores, may be fractional.
     #[serde(rename = "cores")]
     pub cpu_cores: f64,
     /// Memory, in MiB.
     #[serde(rename = "mem_mb")]
     pub memory_mib: f64,
-    /// Open connections; at least 32.
+    /// Maximum number of open connections; at least 32.
     pub max_connections: usize,
 }
 
-/// Longest wait of the leader's watch of jobs' records: its response covers what was confirmed before it was sent.
-pub const JOB_WATCH_WAIT: Micros = Micros::from_secs(2);
+/// Timeout of the leader's watch of job records. A response covers all changes that were confirmed before the store
+/// sent it.
+pub const JOB_WATCH_TIMEOUT: Micros = Micros::from_secs(2);
 
-/// Upper bound on how much longer a lease lasts by another machine's clock.
+/// Upper bound on the factor by which a lease lasts longer by another machine's clock.
 pub(crate) const LEASE_DRIFT: f64 = 1.002;
 
-/// How long a task of a cancelled job can live, as a sum of terms; docs/DESIGN.md has the argument.
+/// Upper bound on how long a task of a cancelled job can run, as a sum of terms. See docs/DESIGN.md for the derivation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CancellationBound {
-    /// The last response to the leader's watch is no older than this when the next request is sent.
-    pub watch_wait: Micros,
-    /// Without a response a leader acts for this long; lease support (2 s) lasts no longer than both terms.
+    /// Maximum age of the last response to the leader's watch when the next request is sent.
+    pub watch_timeout: Micros,
+    /// Time that a leader keeps acting without a response. The lease support of peers (2 s) never outlasts this term
+    /// and the one before together.
     pub leader_lease: Micros,
-    /// Tasks that the leader's last response kept alive run until their agent's lease expires.
+    /// Time until the lease of an agent expires, during which tasks run on after the leader's last heartbeat response.
     pub agent_lease: Micros,
-    /// A response in flight.
+    /// Allowance for a response in flight.
     pub margin: Micros,
 }
 
 impl CancellationBound {
-    /// The sum of all terms.
+    /// Returns the sum of all terms.
     pub fn total(&self) -> Micros {
-        self.watch_wait + self.leader_lease + self.agent_lease + self.margin
+        self.watch_timeout + self.leader_lease + self.agent_lease + self.margin
     }
 }
 
-/// Why settings can't be used.
+/// Why settings are rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{path}: cannot be read: {error}")]
     Read {
-        /// The file.
+        /// Name of the file.
         path: String,
-        /// What the system says.
+        /// Cause of the failure.
         error: std::io::Error,
     },
-    /// The file is no TOML, or lacks a field or has one of the wrong type.
+    /// The file is not valid TOML, lacks a field or has a field of the wrong type.
     #[error("{path}: {error}")]
     Parse {
-        /// The file.
+        /// Name of the file.
         path: String,
-        /// Where and why.
+        /// Position and cause.
         error: Box<toml::de::Error>,
     },
-    /// Fields are out of range; displayed one a line.
+    /// Fields are out of range. Displayed one per line.
     #[error("{}", invalid_fields.iter().map(|f| format!("{path}: {f}")).collect::<Vec<_>>().join("\n"))]
     Invalid {
-        /// The file.
+        /// Name of the file.
         path: String,
-        /// Every field at fault, in the order of checking.
+        /// All invalid fields, in the order of validation.
         invalid_fields: Vec<InvalidField>,
     },
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Loads and validates a settings file.
     ///
     /// # Errors
-    /// The file cannot be read, or [`Settings::parse`] refuses it.
+    /// Fails if the file cannot be read or [`Settings::parse`] rejects it.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Read {
@@ -248,10 +250,10 @@
         Settings::parse(&name, &text)
     }
 
-    /// Reads and checks settings; `name` stands for the file in errors.
+    /// Parses and validates settings. `name` is the name of the file in errors.
     ///
     /// # Errors
-    /// The text is no TOML of this form, or fields are out of range.
+    /// Fails if the text is not valid TOML, lacks a field, or has fields of the wrong type or out of range.
     pub fn parse(name: &str, text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::Parse {
             path: name.to_owned(),
@@ -268,23 +270,24 @@
         }
     }
 
-    /// From a cancellation's confirmation until the job's last task is gone: the terms of the bound.
+    /// Returns the bound on the time from the confirmation of a cancellation to the end of the job's last task.
     pub fn cancellation_bound(&self) -> CancellationBound {
         CancellationBound {
-            watch_wait: JOB_WATCH_WAIT,
+            watch_timeout: JOB_WATCH_TIMEOUT,
             leader_lease: self.leader_lease_ttl(),
             agent_lease: Micros::from_secs_f64(self.platform.agents.lease_s).with_drift(),
             margin: Micros::from_millis(500),
         }
     }
 
-    /// Time to live of a leader's lease in the key-value store. Its latest expiry plus an agent's
-    /// lease must fit in `cancel_s`: a leader that no longer receives cancellations keeps agents
-    /// alive for at most that long.
+    /// Returns the time to live of the leader's lease in the key-value store. A leader that no longer receives
+    /// cancellations renews agents' leases until its own lease expires, so that its latest expiry plus an agent's lease
+    /// must fit in `cancel_s`.
     pub fn leader_lease_ttl(&self) -> Micros {
-        let w = &self.platform.agents;
-        let slack_s =
-            w.cancellation_bound_s - w.lease_s * LEASE_DRIFT - JOB_WATCH_WAIT.as_secs_f64();
+        let agents = &self.platform.agents;
+        let slack_s = agents.cancellation_bound_s
+            - agents.lease_s * LEASE_DRIFT
+            - JOB_WATCH_TIMEOUT.as_secs_f64();
         Micros::from_secs_f64((slack_s / 3.0).clamp(1.0, 6.0))
     }
 }
--- a/crates/hopyoke-settings/tests/bound.rs
+++ b/crates/hopyoke-settings/tests/bound.rs
@@ -1,17 +1,17 @@
-//! Settings that pass the check keep the bound on cancellations.
+//! For all settings that validation accepts, the cancellation bound fits in `cancel_s`.
 
 use hopyoke_settings::Settings;
 
-const GOOD: &str = include_str!("../../hopyoke/tests/checks/settings.toml");
+const VALID_SETTINGS: &str = include_str!("../../hopyoke/tests/checks/settings.toml");
 
 #[test]
-fn accepted_settings_keep_the_bound() {
+fn cancellation_bound_fits_in_accepted_settings() {
     let mut accepted = 0;
     for lease_ds in (1..1200).step_by(7) {
-        for more_ds in (1..300).step_by(3) {
+        for extra_ds in (1..300).step_by(3) {
             let lease = f64::from(lease_ds) / 10.0;
-            let cancel = lease + f64::from(more_ds) / 10.0;
-            let text = GOOD.replace("lease_s = 14.0", &format!("lease_s = {lease:?}"));
+            let cancel = lease + f64::from(extra_ds) / 10.0;
+            let text = VALID_SETTINGS.replace("lease_s = 14.0", &format!("lease_s = {lease:?}"));
             let text = text.replace("cancel_s = 34.0", &format!("cancel_s = {cancel:?}"));
             let Ok(settings) = Settings::parse("bound", &text) else {
                 continue;
@@ -20,7 +20,7 @@
             let total = settings.cancellation_bound().total().as_secs_f64();
             assert!(
                 total <= cancel,
-                "lease {lease}, cancel {cancel}: a task may live for {total}"
+                "lease {lease}, cancel {cancel}: a task may run for {total} s"
             );
         }
     }
--- a/crates/hopyoke-settings/tests/frozen_forms.rs
+++ b/crates/hopyoke-settings/tests/frozen_forms.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file keeps its names: every field of a full example is read as it was.
+//! Compatibility of the settings file: every field of a complete file is read under its name.
 
 use hopyoke_settings::Settings;
 use std::path::Path;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_full_file() {
+fn complete_node_settings() {
     let s = load("full.toml");
     assert_eq!((s.node.as_str(), s.zone.as_str()), ("node-1", "east"));
     assert_eq!(
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn a_full_file_of_facts() {
+fn complete_platform_settings() {
     let s = load("full.toml");
-    let f = &s.platform;
-    assert_eq!((f.nodes, f.clock_skew_ms), (3, 250.5));
-    assert_eq!(f.zones, ["east", "west", "north"]);
-    let teams: Vec<_> = f
+    let platform = &s.platform;
+    assert_eq!((platform.nodes, platform.clock_skew_ms), (3, 250.5));
+    assert_eq!(platform.zones, ["east", "west", "north"]);
+    let teams: Vec<_> = platform
         .teams
         .iter()
         .map(|t| {
@@ -60,7 +60,7 @@
             ("tools", 0.0, 0.0, 0.0, 0.0)
         ]
     );
-    let objectives: Vec<_> = f
+    let objectives: Vec<_> = platform
         .objectives
         .iter()
         .map(|o| (o.kind.as_str(), o.class.as_deref(), o.within_s, o.share))
@@ -73,18 +73,18 @@
         ]
     );
 
-    let w = f.agents;
+    let agents = platform.agents;
     assert_eq!(
         (
-            w.heartbeat_interval_s,
-            w.lease_s,
-            w.gang_wait_s,
-            w.gang_loss_detection_s,
-            w.cancellation_bound_s
+            agents.heartbeat_interval_s,
+            agents.lease_s,
+            agents.gang_wait_s,
+            agents.gang_loss_detection_s,
+            agents.cancellation_bound_s
         ),
         (2.0, 14.0, 50.0, 6.0, 34.0)
     );
-    let store = f.store;
+    let store = platform.store;
     assert_eq!(
         (
             store.max_requests_per_s,
@@ -94,20 +94,23 @@
         ),
         (150.0, 25.0, 8.0, 16)
     );
-    assert_eq!((f.cloud.max_requests_per_s, f.cloud.list_lag_s), (5.0, 4.0));
+    assert_eq!(
+        (platform.cloud.max_requests_per_s, platform.cloud.list_lag_s),
+        (5.0, 4.0)
+    );
     assert_eq!(
         (
-            f.limits.cpu_cores,
-            f.limits.memory_mib,
-            f.limits.max_connections
+            platform.limits.cpu_cores,
+            platform.limits.memory_mib,
+            platform.limits.max_connections
         ),
         (0.1, 56.0, 1500)
     );
 }
 
-/// What has a default may be left out.
+/// Fields with a default may be omitted.
 #[test]
-fn a_least_file() {
+fn minimal_settings() {
     let s = load("least.toml");
     assert_eq!(
         (
--- a/crates/hopyoke/src/store/timeouts.rs
+++ b/crates/hopyoke/src/store/timeouts.rs
@@ -5,7 +5,7 @@
     Purpose, RequestKind, SpeedChange, StoreLatency, TimeoutPolicy,
 };
 use hopyoke_event_loop as runtime;
-use hopyoke_settings::JOB_WATCH_WAIT;
+use hopyoke_settings::JOB_WATCH_TIMEOUT;
 use hopyoke_types::Micros;
 use std::cell::{Cell, RefCell};
 use tracing::warn;
@@ -23,7 +23,7 @@
     pub(crate) fn new(leader_ttl: Micros) -> RequestTimeouts {
         RequestTimeouts {
             latency: RefCell::default(),
-            policy: TimeoutPolicy::new(leader_ttl, JOB_WATCH_WAIT),
+            policy: TimeoutPolicy::new(leader_ttl, JOB_WATCH_TIMEOUT),
             counts: Default::default(),
         }
     }
--- a/crates/hopyoke/src/store/watch.rs
+++ b/crates/hopyoke/src/store/watch.rs
@@ -15,7 +15,7 @@
 
 /// How long the store may wait for changes before it answers the leader's watch: so long a cancellation can stay
 /// unknown if an answer is lost.
-pub(crate) const WATCH_TIMEOUT: Micros = hopyoke_settings::JOB_WATCH_WAIT;
+pub(crate) const WATCH_TIMEOUT: Micros = hopyoke_settings::JOB_WATCH_TIMEOUT;
 
 /// The shortest interval between two watches.
 const MIN_WATCH_INTERVAL: Micros = Micros::from_millis(80);
