--- a/crates/hopyoke-protocol/src/user/submission.rs
+++ b/crates/hopyoke-protocol/src/user/submission.rs
@@ -11,7 +11,7 @@
 /// Maximum length of the name of a class, team, image, zone or instance type.
 const MAX_NAME_BYTES: usize = 200;
 /// Maximum number of instance types that a job may list.
-const MAX_TYPES: usize = 64;
+const MAX_MACHINE_TYPES: usize = 64;
 /// Maximum of each resource amount and duration.
 const MAX_AMOUNT: f64 = 1e12;
 /// Maximum size of an encoded spec. The rest of the job record shares one value of the key-value store with it.
@@ -50,7 +50,7 @@
     /// There are too many instance types, or the name of one is too long.
     #[error(
         "rigs: at most {} names of at most {} bytes",
-        MAX_TYPES,
+        MAX_MACHINE_TYPES,
         MAX_NAME_BYTES
     )]
     MachineTypes,
@@ -133,7 +133,7 @@
             }
         }
         if let Some(types) = &self.machine_types
-            && (types.len() > MAX_TYPES || types.iter().any(|t| t.len() > MAX_NAME_BYTES))
+            && (types.len() > MAX_MACHINE_TYPES || types.iter().any(|t| t.len() > MAX_NAME_BYTES))
         {
             return Err(SubmissionError::MachineTypes);
         }
--- a/crates/hopyoke-settings/tests/frozen_forms.rs
+++ b/crates/hopyoke-settings/tests/frozen_forms.rs
@@ -35,6 +35,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one comparison per field")]
 fn complete_platform_settings() {
     let s = load("full.toml");
     let platform = &s.platform;
