--- a/crates/hopyoke-cwl/src/expand.rs
+++ b/crates/hopyoke-cwl/src/expand.rs
@@ -854,14 +854,14 @@
             memory_gb: ram / 1024.0,
             image: image.to_owned(),
             image_gb: s.image_gb,
-            types: s.machine_types.clone(),
+            machine_types: s.machine_types.clone(),
             zone: s.zone.clone(),
             one_zone: s.one_zone,
             spread: s.spread,
             spot: s.spot,
             estimate_s: s.estimate_s,
-            checkpoint_s: s.checkpoint_s,
-            save_s: s.save_s,
+            checkpoint_interval_s: s.checkpoint_s,
+            checkpoint_save_s: s.save_s,
             deadline_s: s.deadline_s,
         };
         let key = serde_json::to_string(&spec).unwrap_or_default();
--- a/crates/hopyoke-scheduler/src/placement/eviction.rs
+++ b/crates/hopyoke-scheduler/src/placement/eviction.rs
@@ -42,7 +42,7 @@
                     } else if is_moving {
                         // All tasks are stopped together, with a grace period in which they may
                         // write a checkpoint.
-                        job.spec.save_s + 1.0
+                        job.spec.checkpoint_save_s + 1.0
                     } else {
                         continue;
                     };
@@ -87,7 +87,7 @@
                         job: task.job.clone(),
                         index: task.index,
                         attempt: *attempt,
-                        grace_s: job.spec.save_s,
+                        grace_s: job.spec.checkpoint_save_s,
                     }),
                     JobKind::Gang => {
                         moving_gangs.insert(task.job.clone());
--- a/crates/hopyoke-simulator/src/invariants/task_start.rs
+++ b/crates/hopyoke-simulator/src/invariants/task_start.rs
@@ -45,7 +45,10 @@
         let in_zone = siblings()
             .filter(|(o, _, _)| self.machines[o].zone == zone)
             .count();
-        let types_ok = spec.types.as_ref().is_none_or(|t| t.contains(&kind));
+        let types_ok = spec
+            .machine_types
+            .as_ref()
+            .is_none_or(|t| t.contains(&kind));
         let zone_ok = spec.zone.as_ref().is_none_or(|z| *z == zone);
         let together = !spec.one_zone || in_zone == siblings().count();
         let apart = !spec.spread || in_zone < spec.tasks.div_ceil(2) as usize;
@@ -63,12 +66,12 @@
             return;
         };
         let truth = StaffedHours {
-            skew: Micros::ZERO,
-            margin: Micros::ZERO,
+            max_clock_skew: Micros::ZERO,
+            placement_margin: Micros::ZERO,
             ..hours.clone()
         };
         let spec = &self.jobs[&task.job].spec;
-        if truth.holds(spec) && !truth.at(START_TIME_OF_DAY + self.now).staffed {
+        if truth.holds(spec) && !truth.window_at(START_TIME_OF_DAY + self.now).staffed {
             self.record_violation(
                 "unstaffed",
                 format!("{task} starts on {id} while nobody is there"),
--- a/crates/hopyoke-simulator/src/scenario/workload.rs
+++ b/crates/hopyoke-simulator/src/scenario/workload.rs
@@ -74,8 +74,8 @@
     let (staffed, until) = (next_word(words) == "on", seconds(next_word(words)));
     let switch = Some(StaffingOverride {
         staffed,
-        until_us: (START_TIME_OF_DAY + until).0,
-        by: "operator".into(),
+        expires_at_us: (START_TIME_OF_DAY + until).0,
+        operator: "operator".into(),
     });
     if let Some(hours) = &mut w.hours {
         hours.staffing_override.clone_from(&switch);
@@ -124,7 +124,7 @@
         memory_gb: get("mem", 20.0),
         image: pairs.get("image").unwrap_or(&"img-1").to_string(),
         image_gb: get("image_gb", 2.0),
-        types: None,
+        machine_types: None,
         zone: pairs.get("zone").map(|z| (*z).to_string()),
         one_zone: yes("together"),
         spread: yes("apart"),
@@ -134,8 +134,8 @@
         } else {
             run * get("owner", 1.0)
         },
-        checkpoint_s: get("checkpoint", 0.0),
-        save_s: get("save", 0.0),
+        checkpoint_interval_s: get("checkpoint", 0.0),
+        checkpoint_save_s: get("save", 0.0),
         deadline_s: pairs.get("deadline").map(|v| number(v)),
     };
     JobGroundTruth {
--- a/crates/hopyoke/src/leadership/actions.rs
+++ b/crates/hopyoke/src/leadership/actions.rs
@@ -20,7 +20,7 @@
 /// Runs the scheduler when it is due or notified, and spawns a task for each of its actions.
 pub(super) async fn run(node: Rc<Node>, leadership: Rc<Leadership>) {
     let command_pusher = Rc::new(CommandPusher::new(
-        node.settings.facts.limits.max_connections,
+        node.settings.platform.limits.max_connections,
     ));
     loop {
         let mut next_tick_at = runtime::now() + LEASE_CHECK_INTERVAL;
@@ -150,7 +150,7 @@
             return;
         };
         let reloaded = match found {
-            Some((value, mod_revision)) => match value.readable() {
+            Some((value, mod_revision)) => match value.decoded() {
                 Some(record) => Some((record, mod_revision)),
                 None => {
                     warn!(job = %job, "cannot decode job record");
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -120,7 +120,7 @@
             .ok()?;
         let observed = match found {
             Some((value, mod_revision)) => ObservedLeader {
-                holder: value.readable(),
+                holder: value.decoded(),
                 mod_revision,
             },
             None => {
@@ -198,7 +198,7 @@
 /// Tries to write this node's name to the leader key and to all shard keys under a new lease. The revision of that
 /// write is the fencing token.
 async fn acquire(node: &Rc<Node>, identity: &LeaseHolder, observed: ModRevision) -> Acquisition {
-    let ttl = node.settings.leader_ttl();
+    let ttl = node.settings.leader_lease_ttl();
     let sent_at = runtime::now();
     let lease = match node.store.critical().grant(ttl).await {
         Ok(lease) => lease,
--- a/crates/hopyoke/src/leadership/failover.rs
+++ b/crates/hopyoke/src/leadership/failover.rs
@@ -58,7 +58,7 @@
     pair: KeyValue<RegistryPage>,
 ) -> Option<(String, ModRevision, Option<RegistryPage>)> {
     let key = pair.key.strip_prefix(REGISTRY_PREFIX)?.to_owned();
-    let page = pair.value.readable();
+    let page = pair.value.decoded();
     if page.is_none() {
         warn!(page = %key, "cannot decode registry page");
     }
