--- a/crates/hopyoke-run-times/benches/learner.rs
+++ b/crates/hopyoke-run-times/benches/learner.rs
@@ -1,7 +1,7 @@
 //! What an observation and a look-up cost: `cargo bench -p hopyoke-run-times`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use hopyoke_run_times::{Learner, Limits, RunKey, RunOutcome, Work};
+use hopyoke_run_times::{Learner, Limits, RunKey, RunOutcome, Workload};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -10,7 +10,7 @@
 fn filled(classes: usize, runs: u64) -> (Learner, Vec<String>, Vec<MachineId>) {
     let mut learner = Learner::new(Limits {
         classes: 2000,
-        memory: 40.0,
+        decay_runs: 40.0,
     });
     let names: Vec<String> = (0..classes).map(|i| format!("class-{i:05}")).collect();
     let machines: Vec<MachineId> = (0..200)
@@ -31,7 +31,7 @@
 
 fn run(learner: &mut Learner, i: u64, class: &str, machines: &[MachineId], rng: &mut StdRng) {
     let (key, at) = start(learner, i, class, machines, rng);
-    learner.ended(&key, RunOutcome::Done, at);
+    learner.record_end(&key, RunOutcome::Completed, at);
 }
 
 fn start(
@@ -48,14 +48,14 @@
         },
         Attempt(i),
     );
-    let work = Work {
+    let work = Workload {
         class,
         team: "team",
         estimate_s: 100.0,
     };
     let machine = machines[rng.random_range(0..machines.len())].clone();
     let began = Micros::from_secs(i / 100 * 100 + 1);
-    learner.started(key.clone(), work, vec![machine], began, Some(Micros::ZERO));
+    learner.record_start(key.clone(), work, vec![machine], began, Some(Micros::ZERO));
     learner.tick(began);
     let took = Micros::from_secs_f64(100.0 * rng.random_range(0.5..2.0));
     (key, began + took)
@@ -95,7 +95,7 @@
                     .collect();
                 let began = std::time::Instant::now();
                 for (key, at) in &runs {
-                    black_box(learner.ended(key, RunOutcome::Done, *at));
+                    black_box(learner.record_end(key, RunOutcome::Completed, *at));
                 }
                 spent += began.elapsed();
             }
@@ -105,7 +105,7 @@
     c.bench_function("look-up: a distribution on a machine", |b| {
         b.iter(|| {
             i += 1;
-            let work = Work {
+            let work = Workload {
                 class: &names[(i % 100) as usize],
                 team: "team",
                 estimate_s: 120.0,
@@ -120,14 +120,14 @@
 }
 
 fn bench_remaining(c: &mut Criterion, learner: &Learner, class: &str) {
-    let work = Work {
+    let work = Workload {
         class,
         team: "team",
         estimate_s: 120.0,
     };
     let d = learner.estimate(work, None).distribution;
     c.bench_function("look-up: what is left of a run", |b| {
-        b.iter(|| black_box(d.remaining(black_box(60.0), 0.5)))
+        b.iter(|| black_box(d.remaining_quantile(black_box(60.0), 0.5)))
     });
 }
 
--- a/crates/hopyoke-run-times/src/capacity.rs
+++ b/crates/hopyoke-run-times/src/capacity.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ReleasingTask {
     /// Its run time.
-    pub run: Distribution,
+    pub run_time: Distribution,
     /// Seconds that it has run so far.
-    pub ran_s: f64,
+    pub elapsed_s: f64,
     /// Amount that its end releases, in the unit of the question.
     pub amount: f64,
 }
@@ -28,7 +28,7 @@
     }
     let mut order: Vec<(f64, &ReleasingTask)> = tasks
         .iter()
-        .map(|t| (t.run.remaining(t.ran_s, 0.5), t))
+        .map(|t| (t.run_time.remaining_quantile(t.elapsed_s, 0.5), t))
         .collect();
     order.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut enough = 0.0;
@@ -49,7 +49,7 @@
             .iter()
             .map(|t| {
                 sample = (sample + 0.618_033_988_75).fract();
-                (t.run.remaining(t.ran_s, sample), t.amount)
+                (t.run_time.remaining_quantile(t.elapsed_s, sample), t.amount)
             })
             .collect();
         ends.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/crates/hopyoke-run-times/src/distribution.rs
+++ b/crates/hopyoke-run-times/src/distribution.rs
@@ -37,14 +37,14 @@
     }
 
     /// The probability that a run takes at most this many seconds.
-    pub fn share_below(&self, seconds: f64) -> f64 {
+    pub fn probability_below(&self, seconds: f64) -> f64 {
         f64::from(rank(&self.0, seconds.max(1e-9).ln() as f32))
     }
 
     /// The remaining time, in seconds, of a run that has taken `ran` seconds already: the quantile at
     /// probability `p` given that it is not over. A run that has outlived every quantile is taken to
     /// need as long again as past ones needed beyond their median.
-    pub fn remaining(&self, ran: f64, p: f64) -> f64 {
+    pub fn remaining_quantile(&self, ran: f64, p: f64) -> f64 {
         if ran <= 0.0 {
             return self.quantile(p);
         }
@@ -59,7 +59,7 @@
     }
 
     /// The distribution with all run times multiplied by `factor`.
-    pub fn times(&self, factor: f64) -> Distribution {
+    pub fn scaled(&self, factor: f64) -> Distribution {
         let shift = factor.max(1e-3).ln() as f32;
         Distribution::of(self.0.map(|x| x + shift))
     }
--- a/crates/hopyoke-run-times/src/learner.rs
+++ b/crates/hopyoke-run-times/src/learner.rs
@@ -22,7 +22,7 @@
 
 /// What a run time depends on.
 #[derive(Debug, Clone, Copy)]
-pub struct Work<'a> {
+pub struct Workload<'a> {
     /// Class of similar jobs.
     pub class: &'a str,
     /// Team of the owner.
@@ -37,14 +37,14 @@
     /// Upper bound on classes; the least useful are evicted.
     pub classes: usize,
     /// Number of runs after which the weight of an old one has fallen to 1/e.
-    pub memory: f32,
+    pub decay_runs: f32,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
             classes: 600,
-            memory: 40.0,
+            decay_runs: 40.0,
         }
     }
 }
@@ -59,9 +59,9 @@
     /// Completed runs of all work.
     pub all_runs: u32,
     /// Weight of the ratio to the owner's estimate, 0 to 1; the rest is that of the class's level.
-    pub ratio_share: f32,
+    pub ratio_weight: f32,
     /// Changes detected in the class.
-    pub changes: u32,
+    pub change_count: u32,
 }
 
 /// A run time to expect.
@@ -77,11 +77,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOutcome {
     /// It completed.
-    Done,
+    Completed,
     /// It was stopped, or its machine was lost: a censored observation.
-    Cut,
+    Censored,
     /// It failed, or was refused: no observation.
-    Void,
+    Discarded,
 }
 
 /// Sizes, for display.
@@ -202,14 +202,14 @@
     }
 
     /// The run time to expect, with the speed factor of a machine if one is named.
-    pub fn estimate(&self, work: Work<'_>, machine: Option<&MachineId>) -> Estimate {
+    pub fn estimate(&self, work: Workload<'_>, machine: Option<&MachineId>) -> Estimate {
         let estimate = log_seconds(work.estimate_s);
         let (class, team) = (self.classes.get(work.class), self.teams.get(work.team));
         let mut distribution = Model::predict(&self.models(work), estimate);
         if let Some(m) = machine {
             let factor = self.machines.factor(m);
             if factor != 0.0 {
-                distribution = distribution.times(f64::from(factor.exp()));
+                distribution = distribution.scaled(f64::from(factor.exp()));
             }
         }
         let runs = |e: Option<&Entry>| e.map_or(0, |e| e.model.runs);
@@ -217,10 +217,10 @@
             class_runs: runs(class),
             team_runs: runs(team),
             all_runs: self.all.model.runs,
-            ratio_share: class
+            ratio_weight: class
                 .or(team)
-                .map_or(0.0, |e| e.model.ratio_share(estimate)),
-            changes: class.map_or(0, |e| e.model.level.changes + e.model.ratio.changes),
+                .map_or(0.0, |e| e.model.ratio_weight(estimate)),
+            change_count: class.map_or(0, |e| e.model.level.changes + e.model.ratio.changes),
         };
         Estimate {
             distribution,
@@ -246,7 +246,7 @@
     }
 
     /// Records that a run was commanded, to predict its end.
-    pub fn commanded(&mut self, key: RunKey, work: Work<'_>, now: Micros) {
+    pub fn record_start_command(&mut self, key: RunKey, work: Workload<'_>, now: Micros) {
         let p90 = self.estimate(work, None).distribution.quantile(0.9);
         let at = now + Micros::from_secs_f64(p90 + self.start_latency_s(work.class));
         if let Some(old) = self.commanded.insert(key.clone(), at) {
@@ -263,10 +263,10 @@
 
     /// Records that a run began at `started_at`, or had by then run for `elapsed_before` (`None`: not known).
     /// No effect on a run that is under way already.
-    pub fn started(
+    pub fn record_start(
         &mut self,
         key: RunKey,
-        work: Work<'_>,
+        work: Workload<'_>,
         machines: Vec<MachineId>,
         started_at: Micros,
         elapsed_before: Option<Micros>,
@@ -324,12 +324,12 @@
     }
 
     /// Whether the run is under way.
-    pub fn runs(&self, key: &RunKey) -> bool {
+    pub fn is_running(&self, key: &RunKey) -> bool {
         self.running.contains_key(key)
     }
 
     /// The models of a class, its team and all work, nearest first.
-    fn models(&self, work: Work<'_>) -> [Option<&Model>; 3] {
+    fn models(&self, work: Workload<'_>) -> [Option<&Model>; 3] {
         let class = self.classes.get(work.class).map(|e| &e.model);
         [
             class,
@@ -339,28 +339,32 @@
     }
 
     /// Removes a machine that is gone.
-    pub fn forget_machine(&mut self, id: &MachineId) {
+    pub fn remove_machine(&mut self, id: &MachineId) {
         self.machines.forget(id);
     }
 
     /// Whether a machine is credibly at least `bound` times as slow as its peers.
-    pub fn slow(&self, id: &MachineId, bound: f64) -> Option<SlowMachine> {
+    pub fn slow_machine(&self, id: &MachineId, bound: f64) -> Option<SlowMachine> {
         self.machines.slow(id, bound)
     }
 
     /// All machines that are credibly at least `bound` times as slow as their peers.
-    pub fn all_slow(&self, bound: f64) -> Vec<SlowMachine> {
-        self.machines.all_slow(bound)
+    pub fn slow_machines(&self, bound: f64) -> Vec<SlowMachine> {
+        self.machines.slow_machines(bound)
     }
 
     /// The distribution of a run under way by the present models, and its time so far, in seconds;
     /// `None`: no such run.
-    pub fn remaining(&self, key: &RunKey, now: Micros) -> Option<(Distribution, f64)> {
+    pub fn distribution_and_elapsed(
+        &self,
+        key: &RunKey,
+        now: Micros,
+    ) -> Option<(Distribution, f64)> {
         let run = self.running.get(key)?;
         // A run of unknown start counts from the heartbeat that first showed it.
         let ran = run.ran(now).unwrap_or((now - run.started_at).as_secs_f64());
         let d = self.distribution_of(run);
-        Some((d.times(f64::from(run.factor.exp())), ran))
+        Some((d.scaled(f64::from(run.factor.exp())), ran))
     }
 
     /// Sizes, for display.
--- a/crates/hopyoke-run-times/src/learner/outcomes.rs
+++ b/crates/hopyoke-run-times/src/learner/outcomes.rs
@@ -1,6 +1,6 @@
 //! Ended runs: what each teaches the models of its class and team, and the speed factor of its machine.
 
-use super::{Entry, Learner, RunKey, RunOutcome, Running, Work, log_seconds};
+use super::{Entry, Learner, RunKey, RunOutcome, Running, Workload, log_seconds};
 use crate::model::{Band, Model};
 use crate::pages::EntryKind;
 use hopyoke_types::{Attempt, Micros};
@@ -27,7 +27,7 @@
 
 impl Learner {
     /// Records the end of a run. Returns its run time in seconds if that is known and it completed.
-    pub fn ended(&mut self, key: &RunKey, outcome: RunOutcome, now: Micros) -> Option<f64> {
+    pub fn record_end(&mut self, key: &RunKey, outcome: RunOutcome, now: Micros) -> Option<f64> {
         self.remove_commanded(key);
         let run = self.running.remove(key)?;
         if let Some(at) = run.expected_end {
@@ -36,27 +36,27 @@
         let seconds = run.ran(now)?;
         let whole = log_seconds(seconds)?;
         match outcome {
-            RunOutcome::Void => return None,
-            RunOutcome::Cut => self.censored(&run, whole),
-            RunOutcome::Done => self.completed(&run, whole),
+            RunOutcome::Discarded => return None,
+            RunOutcome::Censored => self.censored(&run, whole),
+            RunOutcome::Completed => self.completed(&run, whole),
         }
-        (outcome == RunOutcome::Done).then_some(seconds)
+        (outcome == RunOutcome::Completed).then_some(seconds)
     }
 
     /// Records a run that was found completed, though this leader saw neither its end nor perhaps its start:
     /// it ended at about `about`. (Without such runs, those of just the length from a failover's burst of starts
     /// to the next gap between leaders would always be missing.) `day` and `split`: as for
-    /// [`Learner::date_runs`]. Returns whether it could be dated.
-    pub fn found_ended(
+    /// [`Learner::infer_start_times`]. Returns whether it could be dated.
+    pub fn record_found_completed(
         &mut self,
         key: &RunKey,
-        work: Work<'_>,
+        work: Workload<'_>,
         about: Micros,
         day: Micros,
         split: &dyn Fn(Attempt) -> (u64, Micros),
     ) -> bool {
         let (token, after) = split(key.1);
-        let Some(granted) = self.granted_at(token) else {
+        let Some(granted) = self.token_granted_at(token) else {
             return false;
         };
         let latency = Micros::from_secs_f64(self.start_latency_s(work.class));
@@ -81,7 +81,7 @@
     }
 
     fn censored(&mut self, run: &Running, whole: f32) {
-        let (x, memory) = (whole - run.factor, self.limits.memory);
+        let (x, memory) = (whole - run.factor, self.limits.decay_runs);
         // A censored run gives only a lower bound, so it opens no model of a new class.
         if let Some(e) = self.classes.get_mut(&run.class) {
             e.model.censored(x, run.estimate, memory);
@@ -98,7 +98,7 @@
             self.add_entry(EntryKind::Team, &run.team);
             self.add_entry(EntryKind::Class, &run.class);
         }
-        let memory = self.limits.memory;
+        let memory = self.limits.decay_runs;
         let x = whole - run.factor;
         let mut team = self.teams.get_mut(&run.team);
         if let Some(class) = self.classes.get_mut(&run.class) {
--- a/crates/hopyoke-run-times/src/learner/overdue.rs
+++ b/crates/hopyoke-run-times/src/learner/overdue.rs
@@ -1,6 +1,6 @@
 //! Runs that outlive their predicted bands: many of one class show that its run times have changed.
 
-use super::{Learner, RunKey, Running, Work, log_seconds};
+use super::{Learner, RunKey, Running, Workload, log_seconds};
 use crate::distribution::{Distribution, GRID, P90};
 use crate::model::Model;
 use hopyoke_types::{Attempt, Micros};
@@ -46,7 +46,7 @@
     /// Dates runs whose start no heartbeat has shown: they began one start latency after their command.
     /// `day`: wall clock less the steady clock; `split`: an attempt's fencing token, and the time from
     /// that token's grant to the command. Runs of tokens whose grant is not known stay as they are.
-    pub fn date_runs(&mut self, day: Micros, split: &dyn Fn(Attempt) -> (u64, Micros)) {
+    pub fn infer_start_times(&mut self, day: Micros, split: &dyn Fn(Attempt) -> (u64, Micros)) {
         let undated: Vec<RunKey> = self
             .running
             .iter()
@@ -55,7 +55,7 @@
             .collect();
         for key in undated {
             let (token, after) = split(key.1);
-            let Some(granted) = self.granted_at(token) else {
+            let Some(granted) = self.token_granted_at(token) else {
                 continue;
             };
             let Some(mut run) = self.running.remove(&key) else {
@@ -70,7 +70,7 @@
     }
 
     /// When [`Learner::tick`] has a run to check.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_overdue_check_at(&self) -> Option<Micros> {
         self.overdue_checks.peek().map(|Reverse((at, _))| *at)
     }
 
@@ -166,7 +166,7 @@
 
     /// The distribution of a run's whole time, apart from its machine.
     pub(super) fn distribution_of(&self, run: &Running) -> Distribution {
-        let work = Work {
+        let work = Workload {
             class: &run.class,
             team: &run.team,
             estimate_s: 0.0,
--- a/crates/hopyoke-run-times/src/lib.rs
+++ b/crates/hopyoke-run-times/src/lib.rs
@@ -23,6 +23,6 @@
 mod view;
 
 pub use distribution::Distribution;
-pub use learner::{Basis, Counts, Estimate, Learner, Limits, RunKey, RunOutcome, Work};
+pub use learner::{Basis, Counts, Estimate, Learner, Limits, RunKey, RunOutcome, Workload};
 pub use machines::SlowMachine;
 pub use pages::{Page, PageError, PageKey};
--- a/crates/hopyoke-run-times/src/machines.rs
+++ b/crates/hopyoke-run-times/src/machines.rs
@@ -81,7 +81,7 @@
     }
 
     /// All machines that are credibly slow.
-    pub(crate) fn all_slow(&self, bound: f64) -> Vec<SlowMachine> {
+    pub(crate) fn slow_machines(&self, bound: f64) -> Vec<SlowMachine> {
         self.0
             .keys()
             .filter_map(|id| self.slow(id, bound))
--- a/crates/hopyoke-run-times/src/model.rs
+++ b/crates/hopyoke-run-times/src/model.rs
@@ -124,7 +124,7 @@
     }
 
     /// Weight of the ratio to the owner's estimate against the class's own level, 0 to 1.
-    pub(crate) fn ratio_share(&self, estimate: Option<f32>) -> f32 {
+    pub(crate) fn ratio_weight(&self, estimate: Option<f32>) -> f32 {
         if estimate.is_none() || self.ratio.grid().is_none() {
             return 0.0;
         }
@@ -145,7 +145,7 @@
         let share = if known && !of_class {
             1.0
         } else {
-            self.ratio_share(estimate)
+            self.ratio_weight(estimate)
         };
         let mut out = [0.0; 13];
         if share < 1.0 {
@@ -175,7 +175,7 @@
             let (own, weight) = match (known, level) {
                 (None, None) => continue,
                 (Some(ratio), Some(level)) if i == 0 => {
-                    let share = model.ratio_share(estimate);
+                    let share = model.ratio_weight(estimate);
                     let weight =
                         (1.0 - share) * model.level.weight() + share * model.ratio.weight();
                     (share * ratio + (1.0 - share) * level, weight)
--- a/crates/hopyoke-run-times/src/pages.rs
+++ b/crates/hopyoke-run-times/src/pages.rs
@@ -146,7 +146,7 @@
 
 impl Learner {
     /// Records when a fencing token was granted, by the wall clock.
-    pub fn note_grant(&mut self, token: u64, time_of_day: Micros) {
+    pub fn record_token_grant(&mut self, token: u64, time_of_day: Micros) {
         if self.all.page.is_none() {
             self.all.page = self.page_allocator.assign();
         }
@@ -155,7 +155,7 @@
     }
 
     /// When a fencing token was granted, by the wall clock; `None`: not known.
-    pub fn granted_at(&self, token: u64) -> Option<Micros> {
+    pub fn token_granted_at(&self, token: u64) -> Option<Micros> {
         self.page_allocator
             .grants
             .iter()
@@ -218,8 +218,8 @@
     }
 
     /// The changed page that was written longest ago, to be written now; none is written again before
-    /// `pause` is over. [`Learner::page_ended`] must follow.
-    pub fn next_page(&mut self, now: Micros, pause: Micros) -> Option<(PageKey, Page)> {
+    /// `pause` is over. [`Learner::page_write_finished`] must follow.
+    pub fn next_page_to_write(&mut self, now: Micros, pause: Micros) -> Option<(PageKey, Page)> {
         let ready = |p: &PageState| {
             p.dirty && !p.writing && (p.written == Micros::ZERO || now >= p.written + pause)
         };
@@ -262,7 +262,7 @@
     }
 
     /// Whether a changed page waits to be written.
-    pub fn has_pages(&self) -> bool {
+    pub fn has_dirty_pages(&self) -> bool {
         self.page_allocator
             .pages
             .iter()
@@ -270,7 +270,7 @@
     }
 
     /// Ends a page's write; one that failed is repeated.
-    pub fn page_ended(&mut self, key: PageKey, written: bool) {
+    pub fn page_write_finished(&mut self, key: PageKey, written: bool) {
         let place = self.page_allocator.at(key);
         place.writing = false;
         place.dirty |= !written;
--- a/crates/hopyoke-run-times/tests/frozen_forms.rs
+++ b/crates/hopyoke-run-times/tests/frozen_forms.rs
@@ -4,10 +4,10 @@
 mod frozen;
 
 use frozen::{assert_stored, read};
-use hopyoke_run_times::{Learner, Page, PageKey, Work};
+use hopyoke_run_times::{Learner, Page, PageKey, Workload};
 use hopyoke_types::{MachineId, Micros};
 
-const WORK: Work<'static> = Work {
+const WORK: Workload<'static> = Workload {
     class: "train",
     team: "vision",
     estimate_s: 100.0,
@@ -25,7 +25,10 @@
 fn a_learned_page_is_taken_up() {
     let mut learner = Learner::default();
     assert_eq!(learner.load(PageKey(0), &read("learned-page")), Ok(3));
-    assert_eq!(learner.granted_at(900), Some(Micros(1_700_000_000_000_000)));
+    assert_eq!(
+        learner.token_granted_at(900),
+        Some(Micros(1_700_000_000_000_000))
+    );
     let known = learner
         .estimate(WORK, Some(&MachineId::new("m-17")))
         .distribution;
--- a/crates/hopyoke-run-times/tests/memory.rs
+++ b/crates/hopyoke-run-times/tests/memory.rs
@@ -1,6 +1,6 @@
 //! Ten thousand classes stay below two megabytes: counted by the allocator itself.
 
-use hopyoke_run_times::{Learner, Limits, RunOutcome, Work};
+use hopyoke_run_times::{Learner, Limits, RunOutcome, Workload};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -31,7 +31,7 @@
         let before = HELD.load(Ordering::Relaxed);
         let mut learner = Learner::new(Limits {
             classes,
-            memory: 40.0,
+            decay_runs: 40.0,
         });
         for i in 0..100_000u64 {
             let class = format!("class-{:05}", i % 10_000);
@@ -42,18 +42,18 @@
                 },
                 Attempt(i),
             );
-            let work = Work {
+            let work = Workload {
                 class: &class,
                 team: "team",
                 estimate_s: 50.0,
             };
             let machine = MachineId::new(&format!("m-{:06}", i % 1000));
             let began = Micros::from_secs(10 * i + 1);
-            learner.started(key.clone(), work, vec![machine], began, Some(Micros::ZERO));
+            learner.record_start(key.clone(), work, vec![machine], began, Some(Micros::ZERO));
             learner.tick(began);
-            learner.ended(
+            learner.record_end(
                 &key,
-                RunOutcome::Done,
+                RunOutcome::Completed,
                 began + Micros::from_secs(20 + i % 50),
             );
         }
--- a/crates/hopyoke-run-times/tests/properties.rs
+++ b/crates/hopyoke-run-times/tests/properties.rs
@@ -1,6 +1,6 @@
 //! Property tests: whatever is observed or read, what is predicted is a distribution.
 
-use hopyoke_run_times::{Learner, Page, PageKey, RunOutcome, Work};
+use hopyoke_run_times::{Learner, Page, PageKey, RunOutcome, Workload};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use proptest::prelude::*;
 
@@ -16,7 +16,7 @@
 
 fn sound(learner: &Learner, estimate_s: f64) -> Result<(), TestCaseError> {
     for class in ["a", "never seen"] {
-        let work = Work {
+        let work = Workload {
             class,
             team: "t",
             estimate_s,
@@ -28,7 +28,10 @@
         prop_assert!(q.iter().all(|x| x.is_finite() && *x > 0.0), "{q:?}");
         prop_assert!(q.windows(2).all(|w| w[0] <= w[1]), "{q:?}");
         for ran in [0.0, 1.0, 1e3, 1e9] {
-            let left = (d.remaining(ran, 0.1), d.remaining(ran, 0.9));
+            let left = (
+                d.remaining_quantile(ran, 0.1),
+                d.remaining_quantile(ran, 0.9),
+            );
             prop_assert!(
                 left.0.is_finite()
                     && left.1.is_finite()
@@ -53,12 +56,12 @@
         let guesses = [f64::NAN, -5.0, 0.0, f64::INFINITY, 60.0];
         for (i, (us, guess, end, dated)) in runs.into_iter().enumerate() {
             let key = (TaskId { job: JobId::new("req-1"), index: i as u32 }, Attempt(1));
-            let work = Work { class: "a", team: "t", estimate_s: guesses[guess] };
+            let work = Workload { class: "a", team: "t", estimate_s: guesses[guess] };
             let began = Micros::from_secs(i as u64);
-            learner.started(key.clone(), work, vec![MachineId::new("m-1")], began, dated.then_some(Micros::ZERO));
-            let end = [RunOutcome::Done, RunOutcome::Done, RunOutcome::Cut, RunOutcome::Void][usize::from(end)];
+            learner.record_start(key.clone(), work, vec![MachineId::new("m-1")], began, dated.then_some(Micros::ZERO));
+            let end = [RunOutcome::Completed, RunOutcome::Completed, RunOutcome::Censored, RunOutcome::Discarded][usize::from(end)];
             learner.tick(began + Micros(us / 2));
-            learner.ended(&key, end, began + Micros(us));
+            learner.record_end(&key, end, began + Micros(us));
         }
         sound(&learner, ask)?;
     }
@@ -111,20 +114,21 @@
     let mut pages: Vec<(PageKey, Page)> = Vec::new();
     for token in 1..200u64 {
         let mut learner = Learner::default();
-        learner.note_grant(token, Micros::from_secs(token));
+        learner.record_token_grant(token, Micros::from_secs(token));
         for (key, page) in &pages {
             learner.load(*key, page).expect("a good page");
         }
         for before in token.saturating_sub(20).max(1)..=token {
             assert_eq!(
-                learner.granted_at(before),
+                learner.token_granted_at(before),
                 Some(Micros::from_secs(before)),
                 "{before} at {token}"
             );
         }
         pages.clear();
-        while let Some((key, page)) = learner.next_page(Micros::from_secs(1), Micros::ZERO) {
-            learner.page_ended(key, true);
+        while let Some((key, page)) = learner.next_page_to_write(Micros::from_secs(1), Micros::ZERO)
+        {
+            learner.page_write_finished(key, true);
             pages.push((key, page));
         }
     }
--- a/crates/hopyoke-run-times/tests/scenarios.rs
+++ b/crates/hopyoke-run-times/tests/scenarios.rs
@@ -1,7 +1,9 @@
 //! Scenarios as small text files: work with known run times, and what must be learned of it.
 //! `SCENARIO=doubling cargo test -p hopyoke-run-times` runs one of them.
 
-use hopyoke_run_times::{Distribution, Learner, Limits, Page, PageKey, RunKey, RunOutcome, Work};
+use hopyoke_run_times::{
+    Distribution, Learner, Limits, Page, PageKey, RunKey, RunOutcome, Workload,
+};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -87,7 +89,7 @@
                 },
                 Attempt(1),
             );
-            let work = Work {
+            let work = Workload {
                 class: name,
                 team: &class.team,
                 estimate_s: guess,
@@ -99,7 +101,7 @@
                 guess,
                 took,
             ));
-            self.learner.started(
+            self.learner.record_start(
                 key.clone(),
                 work,
                 on.cloned().into_iter().collect(),
@@ -146,7 +148,7 @@
     /// The distribution that is predicted now for a run of a class.
     fn predicted(&self, name: &str) -> Distribution {
         let class = &self.classes[name];
-        let work = Work {
+        let work = Workload {
             class: name,
             team: &class.team,
             estimate_s: class.run * class.owner,
@@ -170,11 +172,11 @@
             self.learner.tick(at);
             self.now = self.now.max(at);
             let end = if past.is_some() {
-                RunOutcome::Done
+                RunOutcome::Completed
             } else {
-                RunOutcome::Cut
+                RunOutcome::Censored
             };
-            self.learner.ended(&key, end, at);
+            self.learner.record_end(&key, end, at);
             if let Some(i) = past {
                 let (predicted, guess, took) = &predicted[i];
                 self.past.push(Past {
@@ -189,10 +191,10 @@
 
     /// A new leader: what was written is all that is left.
     fn takeover(&mut self) {
-        while let Some((key, page)) = self.learner.next_page(self.now, Micros::ZERO) {
+        while let Some((key, page)) = self.learner.next_page_to_write(self.now, Micros::ZERO) {
             let text = serde_json::to_string(&page).expect("a page");
             assert!(text.len() <= 8192, "a page of {} bytes", text.len());
-            self.learner.page_ended(key, true);
+            self.learner.page_write_finished(key, true);
             self.pages
                 .insert(key, serde_json::from_str(&text).expect("a page"));
         }
@@ -247,7 +249,7 @@
         "seed" => b.rng = StdRng::seed_from_u64(num(1)? as u64),
         "limits" => b.learner.set_limits(Limits {
             classes: num(1)? as usize,
-            memory: num(2)? as f32,
+            decay_runs: num(2)? as f32,
         }),
         "class" => {
             let team = words
@@ -320,7 +322,7 @@
             )
         }
         "is_slow" => {
-            let slow = b.learner.slow(&MachineId::new(words[1]), 1.5);
+            let slow = b.learner.slow_machine(&MachineId::new(words[1]), 1.5);
             check(
                 slow.is_some() == (words.get(3) != Some(&"no")),
                 format!("{slow:?}"),
@@ -336,7 +338,7 @@
         // What is left of a run that has run this long, at p50, against the rest of the median.
         "left_of" => {
             let d = b.predicted(words[1]);
-            let left = d.remaining(num(3)?, 0.5);
+            let left = d.remaining_quantile(num(3)?, 0.5);
             check(
                 (num(4)?..=num(5)?).contains(&left),
                 format!("{left:.1} s left"),
--- a/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
@@ -27,7 +27,7 @@
             self.clear_allocations(id);
             self.machines.remove(id);
             self.registry.remove(id);
-            self.learned.learner.forget_machine(id);
+            self.learned.learner.remove_machine(id);
             self.inventory.gone.insert(id.clone(), now);
         }
         self.plan_schedule.request();
--- a/crates/hopyoke-scheduler/src/reconcile/attempts.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/attempts.rs
@@ -22,7 +22,7 @@
             if allocation.is_live() {
                 held += 1;
                 if allocation.running_since.is_some() {
-                    self.run_ended(id, &task, attempt, RunOutcome::Cut, last_seen_at);
+                    self.run_ended(id, &task, attempt, RunOutcome::Censored, last_seen_at);
                 }
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -51,11 +51,11 @@
             }
             AllocationState::Ended(why) => {
                 let end = match why {
-                    ExitReason::Done => RunOutcome::Done,
-                    ExitReason::Stopped | ExitReason::GangPeersLost => RunOutcome::Cut,
-                    _ => RunOutcome::Void,
+                    ExitReason::Done => RunOutcome::Completed,
+                    ExitReason::Stopped | ExitReason::GangPeersLost => RunOutcome::Censored,
+                    _ => RunOutcome::Discarded,
                 };
-                if !known && end == RunOutcome::Done {
+                if !known && end == RunOutcome::Completed {
                     self.run_found_ended(&key.0, t.attempt, now);
                 }
                 self.run_ended(id, &key.0, t.attempt, end, now);
@@ -278,7 +278,7 @@
                 .as_ref()
                 .is_some_and(|s| s.is_live() && s.running_since.is_some())
             {
-                self.run_ended(id, &task, attempt, RunOutcome::Cut, now);
+                self.run_ended(id, &task, attempt, RunOutcome::Censored, now);
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 forget_attempt(job, &task, id, attempt);
--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -66,7 +66,7 @@
     pub fn remaining_s(&self, task: &TaskId, attempt: Attempt, p: f64, now: Micros) -> Option<f64> {
         let job = self.jobs.get(&task.job)?;
         let index = if job.is_gang() { 0 } else { task.index };
-        let (d, ran) = self.learned.learner.remaining(
+        let (d, ran) = self.learned.learner.distribution_and_elapsed(
             &(
                 TaskId {
                     job: task.job.clone(),
@@ -76,7 +76,7 @@
             ),
             now,
         )?;
-        Some(d.remaining(ran, p))
+        Some(d.remaining_quantile(ran, p))
     }
 
     /// When a job will be over.
@@ -298,7 +298,7 @@
             allocation.state,
             AllocationState::Sent | AllocationState::Live(TaskState::Fetching)
         );
-        let (run, ran_s) = match self.learned.learner.remaining(&key, now) {
+        let (run, ran_s) = match self.learned.learner.distribution_and_elapsed(&key, now) {
             Some(found) => found,
             None if has_not_begun => (self.expected(spec).distribution, 0.0),
             None => (
@@ -307,8 +307,8 @@
             ),
         };
         ReleasingTask {
-            run,
-            ran_s,
+            run_time: run,
+            elapsed_s: ran_s,
             amount: spec.gpus,
         }
     }
@@ -329,10 +329,10 @@
         spec.class,
         b.team_runs,
         spec.team,
-        100.0 * b.ratio_share
+        100.0 * b.ratio_weight
     );
-    if b.changes > 0 {
-        rests_on += &format!("; the class has changed {} times", b.changes);
+    if b.change_count > 0 {
+        rests_on += &format!("; the class has changed {} times", b.change_count);
     }
     if waiting > 0 {
         rests_on += &format!(
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -4,7 +4,7 @@
 use crate::ledger::MachinePhase;
 use crate::{Scheduler, Tuning};
 use hopyoke_protocol::user::{JobKind, JobSpec};
-use hopyoke_run_times::{Limits, Page, PageKey, RunOutcome, Work};
+use hopyoke_run_times::{Limits, Page, PageKey, RunOutcome, Workload};
 use hopyoke_types::{Attempt, MachineId, Micros, TaskId};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -62,8 +62,8 @@
     next_slow_check_at: Micros,
 }
 
-fn work_of(spec: &JobSpec) -> Work<'_> {
-    Work {
+fn work_of(spec: &JobSpec) -> Workload<'_> {
+    Workload {
         class: &spec.class,
         team: &spec.team,
         estimate_s: spec.estimate_s,
@@ -85,7 +85,7 @@
         let day_offset_us = time_of_day.0.saturating_sub(now.0);
         self.learned.day_offset_us = Some(day_offset_us);
         if self.tuning.learn {
-            self.learned.learner.note_grant(
+            self.learned.learner.record_token_grant(
                 self.token.0,
                 Micros(day_offset_us + self.reconciliation.granted_at().0),
             );
@@ -125,7 +125,7 @@
         };
         self.learned
             .learner
-            .date_runs(Micros(day_offset_us), &split);
+            .infer_start_times(Micros(day_offset_us), &split);
         let LearnedRunTimes {
             learner,
             undated_runs,
@@ -136,7 +136,7 @@
                 return false;
             };
             let key = (task.clone(), *attempt);
-            !learner.found_ended(
+            !learner.record_found_completed(
                 &key,
                 work_of(&job.spec),
                 *about,
@@ -150,7 +150,7 @@
     pub fn set_tuning(&mut self, tuning: Tuning) {
         let limits = Limits {
             classes: tuning.learn_classes,
-            memory: tuning.learn_memory as f32,
+            decay_runs: tuning.learn_memory as f32,
         };
         self.learned.learner.set_limits(limits);
         self.tuning = tuning;
@@ -168,7 +168,7 @@
         let spec = job.spec.clone();
         self.learned
             .learner
-            .commanded((task.clone(), attempt), work_of(&spec), now);
+            .record_start_command((task.clone(), attempt), work_of(&spec), now);
     }
 
     /// A task that we had not seen before was reported as completed: it ended between two leaders,
@@ -254,7 +254,7 @@
         let before = seen.then_some(Micros::ZERO);
         self.learned
             .learner
-            .started(key, work_of(&spec), machines, now, before);
+            .record_start(key, work_of(&spec), machines, now, before);
         if !seen {
             self.date_found_runs();
         }
@@ -272,7 +272,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             // Cancelled or over: of a gang, its first task's run stands for all.
             for index in [task.index, 0] {
-                self.learned.learner.ended(
+                self.learned.learner.record_end(
                     &(
                         TaskId {
                             job: task.job.clone(),
@@ -280,7 +280,7 @@
                         },
                         attempt,
                     ),
-                    RunOutcome::Cut,
+                    RunOutcome::Censored,
                     now,
                 );
             }
@@ -294,11 +294,13 @@
             },
             attempt,
         );
-        if end != RunOutcome::Done && job.spec.checkpoint_s > 0.0 && self.learned.learner.runs(&key)
+        if end != RunOutcome::Completed
+            && job.spec.checkpoint_s > 0.0
+            && self.learned.learner.is_running(&key)
         {
             job.resumed = true;
         }
-        let Some(ran_s) = self.learned.learner.ended(&key, end, now) else {
+        let Some(ran_s) = self.learned.learner.record_end(&key, end, now) else {
             return;
         };
         self.learned.count += 1;
@@ -356,7 +358,7 @@
             .values()
             .filter(|m| m.slow && !m.deleting)
             .count();
-        for slow in self.learned.learner.all_slow(self.tuning.slow_factor) {
+        for slow in self.learned.learner.slow_machines(self.tuning.slow_factor) {
             // One in twenty at a time: were most slow, the fault would be elsewhere.
             if (draining + 1) * 20 > up.max(20) {
                 break;
@@ -383,13 +385,13 @@
         if l.budget < 1.0 || !self.tuning.learn {
             return None;
         }
-        let page = l.learner.next_page(now, Micros::from_secs(5))?;
+        let page = l.learner.next_page_to_write(now, Micros::from_secs(5))?;
         l.budget -= 1.0;
         Some(page)
     }
 
     pub(crate) fn learned_written(&mut self, key: PageKey, written: bool) {
-        self.learned.learner.page_ended(key, written);
+        self.learned.learner.page_write_finished(key, written);
     }
 
     /// Runs under way, classes remembered, machines known, classes forgotten so far.
@@ -405,6 +407,6 @@
 
     /// Machines that are credibly far slower than their peers.
     pub fn slow_machines(&self) -> Vec<hopyoke_run_times::SlowMachine> {
-        self.learned.learner.all_slow(self.tuning.slow_factor)
+        self.learned.learner.slow_machines(self.tuning.slow_factor)
     }
 }
