--- a/crates/hopyoke-run-times/src/capacity.rs
+++ b/crates/hopyoke-run-times/src/capacity.rs
@@ -26,18 +26,18 @@
     if free >= need - 1e-9 {
         return Some((0.0, 0.0));
     }
-    let mut order: Vec<(f64, &ReleasingTask)> = tasks
+    let mut by_expected_end: Vec<(f64, &ReleasingTask)> = tasks
         .iter()
         .map(|t| (t.run_time.remaining_quantile(t.elapsed_s, 0.5), t))
         .collect();
-    order.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut enough = 0.0;
-    let within = order.iter().take_while(|(_, t)| {
-        let more = enough < 3.0 * (need - free);
-        enough += t.amount;
-        more
+    by_expected_end.sort_by(|a, b| a.0.total_cmp(&b.0));
+    let mut released = 0.0;
+    let soonest = by_expected_end.iter().take_while(|(_, t)| {
+        let is_short = released < 3.0 * (need - free);
+        released += t.amount;
+        is_short
     });
-    let considered: Vec<&ReleasingTask> = within.map(|(_, t)| *t).take(MAX_TASKS.max(1)).collect();
+    let considered: Vec<&ReleasingTask> = soonest.map(|(_, t)| *t).take(MAX_TASKS.max(1)).collect();
     let total: f64 = considered.iter().map(|t| t.amount).sum();
     if total + free < need - 1e-9 {
         return None;
@@ -53,10 +53,10 @@
             })
             .collect();
         ends.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut sum = free;
+        let mut available = free;
         let reached = ends.iter().find(|(_, amount)| {
-            sum += amount;
-            sum >= need - 1e-9
+            available += amount;
+            available >= need - 1e-9
         });
         times.push(reached.map_or(f64::INFINITY, |(t, _)| *t));
     }
--- a/crates/hopyoke-run-times/src/distribution.rs
+++ b/crates/hopyoke-run-times/src/distribution.rs
@@ -9,8 +9,8 @@
 pub(crate) const P90: usize = 10;
 
 /// Logarithms of run times lie between these: a tenth of a millisecond, and about three years.
-pub(crate) const MIN_LOG: f32 = -9.2;
-pub(crate) const MAX_LOG: f32 = 18.4;
+pub(crate) const MIN_LOG_S: f32 = -9.2;
+pub(crate) const MAX_LOG_S: f32 = 18.4;
 
 /// A distribution of run times in seconds, by the quantiles of their logarithms.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -18,11 +18,11 @@
 
 impl Distribution {
     /// From logarithms of quantiles; one that is below its predecessor is raised to it.
-    pub(crate) fn of(mut q: [f32; 13]) -> Distribution {
-        let mut lower_bound = MIN_LOG;
+    pub(crate) fn from_log_quantiles(mut q: [f32; 13]) -> Distribution {
+        let mut lower_bound = MIN_LOG_S;
         for x in &mut q {
             *x = if x.is_finite() {
-                x.clamp(lower_bound, MAX_LOG)
+                x.clamp(lower_bound, MAX_LOG_S)
             } else {
                 lower_bound
             };
@@ -33,40 +33,40 @@
 
     /// The quantile at probability `p` (0 to 1), in seconds.
     pub fn quantile(&self, p: f64) -> f64 {
-        f64::from(at(&self.0, p as f32)).exp()
+        f64::from(quantile_at(&self.0, p as f32)).exp()
     }
 
     /// The probability that a run takes at most this many seconds.
     pub fn probability_below(&self, seconds: f64) -> f64 {
-        f64::from(rank(&self.0, seconds.max(1e-9).ln() as f32))
+        f64::from(probability_at(&self.0, seconds.max(1e-9).ln() as f32))
     }
 
     /// The remaining time, in seconds, of a run that has taken `ran` seconds already: the quantile at
     /// probability `p` given that it is not over. A run that has outlived every quantile is taken to
     /// need as long again as past ones needed beyond their median.
-    pub fn remaining_quantile(&self, ran: f64, p: f64) -> f64 {
-        if ran <= 0.0 {
+    pub fn remaining_quantile(&self, elapsed_s: f64, p: f64) -> f64 {
+        if elapsed_s <= 0.0 {
             return self.quantile(p);
         }
-        let x = ran.ln() as f32;
-        let below = rank(&self.0, x);
-        let end = at(&self.0, below + (p as f32) * (1.0 - below));
+        let x = elapsed_s.ln() as f32;
+        let below = probability_at(&self.0, x);
+        let end = quantile_at(&self.0, below + (p as f32) * (1.0 - below));
         // Beyond the last quantile the tail goes on as it began: by a factor, not by an amount.
         let spread = (self.0[P90] - self.0[MEDIAN]).max(0.05);
         let tail = x + spread * (-(1.0 - p.min(0.999)).ln() as f32) * 0.7;
         let end = if below >= GRID[12] { tail } else { end.max(x) };
-        (f64::from(end).exp() - ran).max(0.0)
+        (f64::from(end).exp() - elapsed_s).max(0.0)
     }
 
     /// The distribution with all run times multiplied by `factor`.
     pub fn scaled(&self, factor: f64) -> Distribution {
         let shift = factor.max(1e-3).ln() as f32;
-        Distribution::of(self.0.map(|x| x + shift))
+        Distribution::from_log_quantiles(self.0.map(|x| x + shift))
     }
 }
 
 /// The value at probability `p`, between the quantiles; beyond the outer ones, theirs.
-pub(crate) fn at(q: &[f32; 13], p: f32) -> f32 {
+pub(crate) fn quantile_at(q: &[f32; 13], p: f32) -> f32 {
     if p.is_nan() || p <= GRID[0] {
         return q[0];
     }
@@ -79,7 +79,7 @@
 }
 
 /// The probability of values up to `x`.
-pub(crate) fn rank(q: &[f32; 13], x: f32) -> f32 {
+pub(crate) fn probability_at(q: &[f32; 13], x: f32) -> f32 {
     if x < q[0] {
         return 0.0;
     }
--- a/crates/hopyoke-run-times/src/learner.rs
+++ b/crates/hopyoke-run-times/src/learner.rs
@@ -4,7 +4,7 @@
 mod overdue;
 
 use crate::distribution::Distribution;
-use crate::machines::{Machines, SlowMachine};
+use crate::machines::{MachineSpeeds, SlowMachine};
 use crate::model::{Band, Model};
 use crate::pages::PageAllocator;
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
@@ -102,7 +102,7 @@
 pub(crate) struct Entry {
     pub(crate) model: Model,
     /// Number of the observation that it was last used for.
-    used: u64,
+    last_used: u64,
     /// The page on which it is stored.
     pub(crate) page: Option<u16>,
     /// The mean of recent deviations, exponentially weighted: what is common to all machines.
@@ -110,10 +110,10 @@
 }
 
 impl Entry {
-    pub(crate) fn new(model: Model, used: u64, page: Option<u16>) -> Entry {
+    pub(crate) fn new(model: Model, last_used: u64, page: Option<u16>) -> Entry {
         Entry {
             model,
-            used,
+            last_used,
             page,
             drift: 0.0,
         }
@@ -128,7 +128,7 @@
     estimate: Option<f32>,
     machines: Vec<MachineId>,
     /// The logarithm of its slowest machine's factor when it started.
-    factor: f32,
+    log_factor: f32,
     started_at: Micros,
     /// How long it had run before `started_at`; `None`: not known.
     elapsed_before: Option<Micros>,
@@ -140,7 +140,7 @@
 
 impl Running {
     /// Its run time so far, in seconds; `None`: not known.
-    fn ran(&self, now: Micros) -> Option<f64> {
+    fn elapsed_s(&self, now: Micros) -> Option<f64> {
         Some((now - self.started_at + self.elapsed_before?).as_secs_f64())
     }
 }
@@ -152,16 +152,16 @@
     pub(crate) classes: BTreeMap<Rc<str>, Entry>,
     pub(crate) teams: BTreeMap<Rc<str>, Entry>,
     pub(crate) all: Entry,
-    machines: Machines,
+    machines: MachineSpeeds,
     running: BTreeMap<RunKey, Running>,
     /// When runs will have outlived their bands.
     overdue_checks: BinaryHeap<Reverse<(Micros, RunKey)>>,
     /// Runs by when nine in ten such runs have ended.
-    ends: BTreeSet<(Micros, RunKey)>,
+    expected_ends: BTreeSet<(Micros, RunKey)>,
     /// Those of them whose start was commanded, but that no heartbeat has shown running.
-    commanded: BTreeMap<RunKey, Micros>,
+    commanded_ends: BTreeMap<RunKey, Micros>,
     /// Number of observations so far.
-    clock: u64,
+    observation_count: u64,
     pub(crate) page_allocator: PageAllocator,
     evicted: u64,
 }
@@ -185,12 +185,12 @@
             classes: BTreeMap::new(),
             teams: BTreeMap::new(),
             all: Entry::new(Model::default(), 0, None),
-            machines: Machines::default(),
+            machines: MachineSpeeds::default(),
             running: BTreeMap::new(),
             overdue_checks: BinaryHeap::new(),
-            ends: BTreeSet::new(),
-            commanded: BTreeMap::new(),
-            clock: 0,
+            expected_ends: BTreeSet::new(),
+            commanded_ends: BTreeMap::new(),
+            observation_count: 0,
             page_allocator: PageAllocator::default(),
             evicted: 0,
         }
@@ -207,9 +207,9 @@
         let (class, team) = (self.classes.get(work.class), self.teams.get(work.team));
         let mut distribution = Model::predict(&self.models(work), estimate);
         if let Some(m) = machine {
-            let factor = self.machines.factor(m);
-            if factor != 0.0 {
-                distribution = distribution.scaled(f64::from(factor.exp()));
+            let log_factor = self.machines.log_factor(m);
+            if log_factor != 0.0 {
+                distribution = distribution.scaled(f64::from(log_factor.exp()));
             }
         }
         let runs = |e: Option<&Entry>| e.map_or(0, |e| e.model.runs);
@@ -220,7 +220,9 @@
             ratio_weight: class
                 .or(team)
                 .map_or(0.0, |e| e.model.ratio_weight(estimate)),
-            change_count: class.map_or(0, |e| e.model.level.changes + e.model.ratio.changes),
+            change_count: class.map_or(0, |e| {
+                e.model.level.change_count + e.model.ratio.change_count
+            }),
         };
         Estimate {
             distribution,
@@ -248,16 +250,16 @@
     /// Records that a run was commanded, to predict its end.
     pub fn record_start_command(&mut self, key: RunKey, work: Workload<'_>, now: Micros) {
         let p90 = self.estimate(work, None).distribution.quantile(0.9);
-        let at = now + Micros::from_secs_f64(p90 + self.start_latency_s(work.class));
-        if let Some(old) = self.commanded.insert(key.clone(), at) {
-            self.ends.remove(&(old, key.clone()));
+        let expected_end = now + Micros::from_secs_f64(p90 + self.start_latency_s(work.class));
+        if let Some(old) = self.commanded_ends.insert(key.clone(), expected_end) {
+            self.expected_ends.remove(&(old, key.clone()));
         }
-        self.ends.insert((at, key));
+        self.expected_ends.insert((expected_end, key));
     }
 
     fn remove_commanded(&mut self, key: &RunKey) {
-        if let Some(at) = self.commanded.remove(key) {
-            self.ends.remove(&(at, key.clone()));
+        if let Some(at) = self.commanded_ends.remove(key) {
+            self.expected_ends.remove(&(at, key.clone()));
         }
     }
 
@@ -275,25 +277,25 @@
             return;
         }
         self.remove_commanded(&key);
-        let factor = machines
+        let log_factor = machines
             .iter()
-            .map(|m| self.machines.factor(m))
+            .map(|m| self.machines.log_factor(m))
             .fold(f32::MIN, f32::max);
-        let factor = if machines.is_empty() { 0.0 } else { factor };
-        let found = self.estimate(work, None);
+        let log_factor = if machines.is_empty() { 0.0 } else { log_factor };
+        let estimate = self.estimate(work, None);
         let mut run = Running {
             class: self.interned(&self.classes, work.class),
             team: self.interned(&self.teams, work.team),
             estimate: log_seconds(work.estimate_s),
             machines,
-            factor,
+            log_factor,
             started_at,
             elapsed_before,
-            band: Band::of(&found.distribution, factor),
+            band: Band::from_distribution(&estimate.distribution, log_factor),
             is_overdue: false,
             expected_end: None,
         };
-        self.schedule_overdue_check(&key, &mut run, &found.distribution, true);
+        self.schedule_overdue_check(&key, &mut run, &estimate.distribution, true);
         self.running.insert(key, run);
     }
 
@@ -317,7 +319,7 @@
                 Attempt(0),
             ),
         );
-        self.ends
+        self.expected_ends
             .range(from..)
             .take_while(move |(at, _)| *at <= now + span)
             .map(|(_, key)| key)
@@ -340,12 +342,12 @@
 
     /// Removes a machine that is gone.
     pub fn remove_machine(&mut self, id: &MachineId) {
-        self.machines.forget(id);
+        self.machines.remove(id);
     }
 
     /// Whether a machine is credibly at least `bound` times as slow as its peers.
     pub fn slow_machine(&self, id: &MachineId, bound: f64) -> Option<SlowMachine> {
-        self.machines.slow(id, bound)
+        self.machines.slow_machine(id, bound)
     }
 
     /// All machines that are credibly at least `bound` times as slow as their peers.
@@ -362,9 +364,11 @@
     ) -> Option<(Distribution, f64)> {
         let run = self.running.get(key)?;
         // A run of unknown start counts from the heartbeat that first showed it.
-        let ran = run.ran(now).unwrap_or((now - run.started_at).as_secs_f64());
+        let elapsed_s = run
+            .elapsed_s(now)
+            .unwrap_or((now - run.started_at).as_secs_f64());
         let d = self.distribution_of(run);
-        Some((d.scaled(f64::from(run.factor.exp())), ran))
+        Some((d.scaled(f64::from(run.log_factor.exp())), elapsed_s))
     }
 
     /// Sizes, for display.
--- a/crates/hopyoke-run-times/src/learner/outcomes.rs
+++ b/crates/hopyoke-run-times/src/learner/outcomes.rs
@@ -13,14 +13,25 @@
 
 impl Entry {
     /// Records a run that completed after `whole`; `x` is the same apart from its machine.
-    fn completed(&mut self, run: &Running, x: f32, whole: f32, memory: f32, clock: u64) {
-        self.used = clock;
-        if self.model.completed(x, run.estimate, memory) {
+    fn record_completed(
+        &mut self,
+        run: &Running,
+        adjusted: f32,
+        log_run_time: f32,
+        decay_runs: f32,
+        observation_count: u64,
+    ) {
+        self.last_used = observation_count;
+        if self
+            .model
+            .record_completed(adjusted, run.estimate, decay_runs)
+        {
             self.drift = 0.0;
         }
-        self.model.calibrate(whole, run.band.p10, run.band.p90);
+        self.model
+            .calibrate_band(log_run_time, run.band.p10, run.band.p90);
         if !run.is_overdue {
-            self.model.overdue = (self.model.overdue - OVERDUE_DECAY).max(0.0);
+            self.model.overdue_statistic = (self.model.overdue_statistic - OVERDUE_DECAY).max(0.0);
         }
     }
 }
@@ -31,14 +42,14 @@
         self.remove_commanded(key);
         let run = self.running.remove(key)?;
         if let Some(at) = run.expected_end {
-            self.ends.remove(&(at, key.clone()));
+            self.expected_ends.remove(&(at, key.clone()));
         }
-        let seconds = run.ran(now)?;
-        let whole = log_seconds(seconds)?;
+        let seconds = run.elapsed_s(now)?;
+        let log_run_time = log_seconds(seconds)?;
         match outcome {
             RunOutcome::Discarded => return None,
-            RunOutcome::Censored => self.censored(&run, whole),
-            RunOutcome::Completed => self.completed(&run, whole),
+            RunOutcome::Censored => self.record_censored(&run, log_run_time),
+            RunOutcome::Completed => self.record_completed(&run, log_run_time),
         }
         (outcome == RunOutcome::Completed).then_some(seconds)
     }
@@ -51,55 +62,57 @@
         &mut self,
         key: &RunKey,
         work: Workload<'_>,
-        about: Micros,
-        day: Micros,
-        split: &dyn Fn(Attempt) -> (u64, Micros),
+        ended_about: Micros,
+        clock_offset: Micros,
+        split_attempt: &dyn Fn(Attempt) -> (u64, Micros),
     ) -> bool {
-        let (token, after) = split(key.1);
-        let Some(granted) = self.token_granted_at(token) else {
+        let (token, granted_to_command) = split_attempt(key.1);
+        let Some(granted_at) = self.token_granted_at(token) else {
             return false;
         };
-        let latency = Micros::from_secs_f64(self.start_latency_s(work.class));
-        let ran = ((day + about) - (granted + after + latency)).as_secs_f64();
-        if let Some(whole) = log_seconds(ran.max(0.5)) {
+        let start_latency = Micros::from_secs_f64(self.start_latency_s(work.class));
+        let elapsed_s = ((clock_offset + ended_about)
+            - (granted_at + granted_to_command + start_latency))
+            .as_secs_f64();
+        if let Some(log_run_time) = log_seconds(elapsed_s.max(0.5)) {
             let d = self.estimate(work, None).distribution;
             let run = Running {
                 class: self.interned(&self.classes, work.class),
                 team: self.interned(&self.teams, work.team),
                 estimate: log_seconds(work.estimate_s),
                 machines: Vec::new(),
-                factor: 0.0,
-                started_at: about,
+                log_factor: 0.0,
+                started_at: ended_about,
                 elapsed_before: None,
-                band: Band::of(&d, 0.0),
+                band: Band::from_distribution(&d, 0.0),
                 is_overdue: false,
                 expected_end: None,
             };
-            self.completed(&run, whole);
+            self.record_completed(&run, log_run_time);
         }
         true
     }
 
-    fn censored(&mut self, run: &Running, whole: f32) {
-        let (x, memory) = (whole - run.factor, self.limits.decay_runs);
+    fn record_censored(&mut self, run: &Running, log_run_time: f32) {
+        let (adjusted, decay_runs) = (log_run_time - run.log_factor, self.limits.decay_runs);
         // A censored run gives only a lower bound, so it opens no model of a new class.
         if let Some(e) = self.classes.get_mut(&run.class) {
-            e.model.censored(x, run.estimate, memory);
+            e.model.record_censored(adjusted, run.estimate, decay_runs);
             self.page_allocator.touch(e.page);
         }
         if let Some(e) = self.teams.get_mut(&run.team) {
-            e.model.censored(x, run.estimate, memory);
+            e.model.record_censored(adjusted, run.estimate, decay_runs);
         }
     }
 
-    fn completed(&mut self, run: &Running, whole: f32) {
-        self.clock += 1;
+    fn record_completed(&mut self, run: &Running, log_run_time: f32) {
+        self.observation_count += 1;
         if !self.classes.contains_key(&run.class) {
             self.add_entry(EntryKind::Team, &run.team);
             self.add_entry(EntryKind::Class, &run.class);
         }
-        let memory = self.limits.decay_runs;
-        let x = whole - run.factor;
+        let decay_runs = self.limits.decay_runs;
+        let adjusted = log_run_time - run.log_factor;
         let mut team = self.teams.get_mut(&run.team);
         if let Some(class) = self.classes.get_mut(&run.class) {
             // The deviation that neither the class nor the drift of all its recent runs explains is
@@ -111,22 +124,37 @@
                     team.as_ref().map(|e| &e.model),
                     Some(&self.all.model),
                 ];
-                let deviation = whole - Model::predict_median(&models, run.estimate) - class.drift;
+                let deviation =
+                    log_run_time - Model::predict_median(&models, run.estimate) - class.drift;
                 class.drift += 0.15 * deviation.clamp(-1.0, 1.0);
                 if let [machine] = run.machines.as_slice() {
-                    self.machines.observe(machine, deviation);
+                    self.machines.record(machine, deviation);
                 }
             }
-            class.completed(run, x, whole, memory, self.clock);
+            class.record_completed(
+                run,
+                adjusted,
+                log_run_time,
+                decay_runs,
+                self.observation_count,
+            );
             self.page_allocator.touch(class.page);
         }
         if let Some(team) = &mut team {
-            team.completed(run, x, whole, memory, self.clock);
+            team.record_completed(
+                run,
+                adjusted,
+                log_run_time,
+                decay_runs,
+                self.observation_count,
+            );
             self.page_allocator.touch(team.page);
         }
         // The model of all work serves only classes and teams without runs: every fourth run suffices.
-        if self.all.model.runs < 64 || self.clock.is_multiple_of(4) {
-            self.all.model.completed(x, run.estimate, memory);
+        if self.all.model.runs < 64 || self.observation_count.is_multiple_of(4) {
+            self.all
+                .model
+                .record_completed(adjusted, run.estimate, decay_runs);
             self.page_allocator.touch(self.all.page);
         }
     }
@@ -143,22 +171,28 @@
         if entries.len() >= max_entries {
             // An eighth is evicted at once, so that this is rare: those least recently used, the
             // fewer their runs the sooner.
-            let worth = |e: &Entry| e.used as f64 + 100.0 * f64::from(e.model.runs).ln_1p();
-            let mut worths: Vec<f64> = entries.values().map(worth).collect();
-            let cut = (max_entries / 8).max(1).min(worths.len() - 1);
-            let bound = *worths.select_nth_unstable_by(cut, f64::total_cmp).1;
+            let retention_score =
+                |e: &Entry| e.last_used as f64 + 100.0 * f64::from(e.model.runs).ln_1p();
+            let mut retention_scores: Vec<f64> = entries.values().map(retention_score).collect();
+            let eviction_index = (max_entries / 8).max(1).min(retention_scores.len() - 1);
+            let score_bound = *retention_scores
+                .select_nth_unstable_by(eviction_index, f64::total_cmp)
+                .1;
             let count_before = entries.len();
             let page_allocator = &mut self.page_allocator;
             entries.retain(|_, e| {
-                let stays = worth(e) > bound;
-                if !stays {
+                let is_kept = retention_score(e) > score_bound;
+                if !is_kept {
                     page_allocator.release(e.page);
                 }
-                stays
+                is_kept
             });
             self.evicted += (count_before - entries.len()) as u64;
         }
         let page = self.page_allocator.assign();
-        entries.insert(name.clone(), Entry::new(Model::default(), self.clock, page));
+        entries.insert(
+            name.clone(),
+            Entry::new(Model::default(), self.observation_count, page),
+        );
     }
 }
--- a/crates/hopyoke-run-times/src/learner/overdue.rs
+++ b/crates/hopyoke-run-times/src/learner/overdue.rs
@@ -25,7 +25,7 @@
             return;
         };
         let after = |q: f32| {
-            let whole = Micros::from_secs_f64(f64::from((q + run.factor).exp()));
+            let whole = Micros::from_secs_f64(f64::from((q + run.log_factor).exp()));
             run.started_at + (whole - elapsed_before).max(Micros(1))
         };
         let overdue_at = after(d.0[GRID.len() - 2]);
@@ -36,17 +36,21 @@
             self.overdue_checks.push(Reverse((overdue_at, key.clone())));
         }
         if let Some(old) = run.expected_end.replace(after(d.0[P90])) {
-            self.ends.remove(&(old, key.clone()));
+            self.expected_ends.remove(&(old, key.clone()));
         }
         if let Some(end) = run.expected_end {
-            self.ends.insert((end, key.clone()));
+            self.expected_ends.insert((end, key.clone()));
         }
     }
 
     /// Dates runs whose start no heartbeat has shown: they began one start latency after their command.
     /// `day`: wall clock less the steady clock; `split`: an attempt's fencing token, and the time from
     /// that token's grant to the command. Runs of tokens whose grant is not known stay as they are.
-    pub fn infer_start_times(&mut self, day: Micros, split: &dyn Fn(Attempt) -> (u64, Micros)) {
+    pub fn infer_start_times(
+        &mut self,
+        clock_offset: Micros,
+        split_attempt: &dyn Fn(Attempt) -> (u64, Micros),
+    ) {
         let undated: Vec<RunKey> = self
             .running
             .iter()
@@ -54,15 +58,17 @@
             .map(|(k, _)| k.clone())
             .collect();
         for key in undated {
-            let (token, after) = split(key.1);
-            let Some(granted) = self.token_granted_at(token) else {
+            let (token, granted_to_command) = split_attempt(key.1);
+            let Some(granted_at) = self.token_granted_at(token) else {
                 continue;
             };
             let Some(mut run) = self.running.remove(&key) else {
                 continue;
             };
-            let latency = Micros::from_secs_f64(self.start_latency_s(&run.class));
-            run.elapsed_before = Some((day + run.started_at) - (granted + after + latency));
+            let start_latency = Micros::from_secs_f64(self.start_latency_s(&run.class));
+            run.elapsed_before = Some(
+                (clock_offset + run.started_at) - (granted_at + granted_to_command + start_latency),
+            );
             let d = self.distribution_of(&run);
             self.schedule_overdue_check(&key, &mut run, &d, true);
             self.running.insert(key, run);
@@ -86,10 +92,10 @@
             let Some(Reverse((_, key))) = self.overdue_checks.pop() else {
                 break;
             };
-            let Some(class) = self.note_overdue(&key) else {
+            let Some(class) = self.record_overdue(&key) else {
                 continue;
             };
-            if self.move_to_overdue(&class, now) {
+            if self.shift_to_overdue(&class, now) {
                 self.reschedule_overdue(&class);
                 changed.push(class);
             }
@@ -99,45 +105,45 @@
 
     fn expire_commanded(&mut self, now: Micros) {
         while let Some((at, key)) = self
-            .ends
+            .expected_ends
             .first()
             .filter(|(at, _)| now > *at + COMMANDED_EXPIRY)
             .cloned()
         {
-            self.ends.remove(&(at, key.clone()));
-            self.commanded.remove(&key);
+            self.expected_ends.remove(&(at, key.clone()));
+            self.commanded_ends.remove(&key);
         }
     }
 
     /// Counts a run as overdue; its class if the test says that it may have changed.
-    fn note_overdue(&mut self, key: &RunKey) -> Option<Rc<str>> {
+    fn record_overdue(&mut self, key: &RunKey) -> Option<Rc<str>> {
         let run = self.running.get_mut(key)?;
         run.is_overdue = true;
         let model = &mut self.classes.get_mut(&run.class)?.model;
-        model.overdue += 1.0;
+        model.overdue_statistic += 1.0;
         // The first completions after a change are those of short runs: their evidence and that of
         // the long runs that outlive their bands are added.
-        let evidence = model.overdue / OVERDUE_THRESHOLD + model.level.rising();
-        if evidence < 1.0 || model.overdue < 2.0 || model.level.weight() < 4.0 {
+        let evidence = model.overdue_statistic / OVERDUE_THRESHOLD + model.level.upward_evidence();
+        if evidence < 1.0 || model.overdue_statistic < 2.0 || model.level.weight() < 4.0 {
             return None;
         }
-        model.overdue = 0.0;
+        model.overdue_statistic = 0.0;
         Some(run.class.clone())
     }
 
     /// Moves a class's model to its overdue runs: the median of their run times is at least that of
     /// their times so far. False if the model foresaw them.
-    fn move_to_overdue(&mut self, class: &Rc<str>, now: Micros) -> bool {
+    fn shift_to_overdue(&mut self, class: &Rc<str>, now: Micros) -> bool {
         let overdue: Vec<(f32, Option<f32>)> = self
             .running
             .values()
             .filter(|r| r.class == *class && r.is_overdue)
-            .filter_map(|r| Some((log_seconds(r.ran(now)?)? - r.factor, r.estimate)))
+            .filter_map(|r| Some((log_seconds(r.elapsed_s(now)?)? - r.log_factor, r.estimate)))
             .collect();
         let Some(entry) = self.classes.get_mut(class) else {
             return false;
         };
-        if !entry.model.move_to_overdue(&overdue) {
+        if !entry.model.shift_to_overdue(&overdue) {
             return false;
         }
         entry.drift = 0.0;
--- a/crates/hopyoke-run-times/src/machines.rs
+++ b/crates/hopyoke-run-times/src/machines.rs
@@ -8,16 +8,16 @@
 /// Prior weight, in runs, of a factor of 1.
 const PRIOR_WEIGHT: f32 = 4.0;
 /// Lower bound on the standard deviation of one run (logarithms), whatever the machine.
-const MIN_SPREAD: f32 = 0.2;
+const MIN_STD_DEV: f32 = 0.2;
 /// Standard errors below the mean at which a machine is still credibly slow: a one-sided 95% bound.
-const STANDARD_ERRORS: f32 = 1.64;
+const CONFIDENCE_Z: f32 = 1.64;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Speed {
     weight: f32,
     /// The mean and the mean square of logarithms of actual over predicted.
     mean: f32,
-    square: f32,
+    mean_square: f32,
 }
 
 /// A machine that is credibly far slower than its peers.
@@ -33,11 +33,11 @@
 
 /// Speed factors by machine.
 #[derive(Debug, Default)]
-pub(crate) struct Machines(BTreeMap<MachineId, Speed>);
+pub(crate) struct MachineSpeeds(BTreeMap<MachineId, Speed>);
 
-impl Machines {
+impl MachineSpeeds {
     /// Records a run that took `exp(deviation)` times what was predicted.
-    pub(crate) fn observe(&mut self, id: &MachineId, deviation: f32) {
+    pub(crate) fn record(&mut self, id: &MachineId, deviation: f32) {
         if !deviation.is_finite() {
             return;
         }
@@ -48,29 +48,32 @@
         };
         entry.weight = (entry.weight + 1.0).min(MAX_WEIGHT);
         entry.mean += (d - entry.mean) / entry.weight;
-        entry.square += (d * d - entry.square) / entry.weight;
+        entry.mean_square += (d * d - entry.mean_square) / entry.weight;
     }
 
     /// Removes a machine that is gone.
-    pub(crate) fn forget(&mut self, id: &MachineId) {
+    pub(crate) fn remove(&mut self, id: &MachineId) {
         self.0.remove(id);
     }
 
     /// The logarithm of how many times as long runs take there.
-    pub(crate) fn factor(&self, id: &MachineId) -> f32 {
+    pub(crate) fn log_factor(&self, id: &MachineId) -> f32 {
         self.0
             .get(id)
             .map_or(0.0, |s| s.mean * s.weight / (s.weight + PRIOR_WEIGHT))
     }
 
     /// Whether a machine is credibly at least `bound` times as slow as its peers.
-    pub(crate) fn slow(&self, id: &MachineId, bound: f64) -> Option<SlowMachine> {
+    pub(crate) fn slow_machine(&self, id: &MachineId, bound: f64) -> Option<SlowMachine> {
         let s = self.0.get(id)?;
         if s.weight < 3.0 {
             return None;
         }
-        let spread = (s.square - s.mean * s.mean).max(0.0).sqrt().max(MIN_SPREAD);
-        let lower_bound = s.mean - STANDARD_ERRORS * spread / s.weight.sqrt();
+        let std_dev = (s.mean_square - s.mean * s.mean)
+            .max(0.0)
+            .sqrt()
+            .max(MIN_STD_DEV);
+        let lower_bound = s.mean - CONFIDENCE_Z * std_dev / s.weight.sqrt();
         let slow = f64::from(lower_bound) >= bound.max(1.0).ln() * 0.75
             && f64::from(s.mean) >= bound.max(1.0).ln();
         slow.then(|| SlowMachine {
@@ -84,7 +87,7 @@
     pub(crate) fn slow_machines(&self, bound: f64) -> Vec<SlowMachine> {
         self.0
             .keys()
-            .filter_map(|id| self.slow(id, bound))
+            .filter_map(|id| self.slow_machine(id, bound))
             .collect()
     }
 
--- a/crates/hopyoke-run-times/src/model.rs
+++ b/crates/hopyoke-run-times/src/model.rs
@@ -9,11 +9,11 @@
 /// Added to [`CALIBRATION_RATE`] at first, fading over some twenty runs.
 const INITIAL_CALIBRATION_RATE: f32 = 0.15;
 /// Prior weight, in runs, of the parent (a class's team, a team's all work) for the median.
-const PRIOR_WEIGHT: f32 = 3.0;
+const PRIOR_MEDIAN_WEIGHT: f32 = 3.0;
 /// Prior weight, in runs, of the parent for the width of the band: the median is known sooner than the tails.
 const PRIOR_WIDTH_WEIGHT: f32 = 6.0;
 /// How much wider the band of a class without any run is than its parent's.
-const UNKNOWN_WIDENING: f32 = 0.6;
+const UNSEEN_CLASS_WIDENING: f32 = 0.6;
 
 /// Run times of similar work.
 #[derive(Debug, Clone)]
@@ -23,14 +23,14 @@
     /// Logarithms of run times over owners' estimates.
     pub(crate) ratio: View,
     /// The band's lower and upper half-widths, relative to the views' own.
-    low: f32,
-    high: f32,
+    lower_scale: f32,
+    upper_scale: f32,
     /// Seconds from a start command until the task runs, mostly the image's pull.
     pub(crate) start_latency_s: f32,
     /// Completed runs.
     pub(crate) runs: u32,
     /// Page's test: runs that outlive their band, against those that do not.
-    pub(crate) overdue: f32,
+    pub(crate) overdue_statistic: f32,
 }
 
 /// The stored form of a model.
@@ -42,7 +42,7 @@
     ratio: SavedView,
     /// Half-widths and start latency in hundredths, and the number of runs.
     #[serde(rename = "w")]
-    numbers: [u32; 4],
+    parameters: [u32; 4],
     /// Runs that outlived their band, in hundredths.
     #[serde(rename = "o", default)]
     overdue: u32,
@@ -53,18 +53,18 @@
         Model {
             level: View::default(),
             ratio: View::default(),
-            low: 1.0,
-            high: 1.0,
+            lower_scale: 1.0,
+            upper_scale: 1.0,
             start_latency_s: 0.0,
             runs: 0,
-            overdue: 0.0,
+            overdue_statistic: 0.0,
         }
     }
 }
 
 /// The prior distribution, before any run: half of the owner's estimate to one and a half of it
 /// is likely, and without an estimate anything from seconds to hours.
-fn prior(estimate: Option<f32>) -> [f32; 13] {
+fn prior_quantiles(estimate: Option<f32>) -> [f32; 13] {
     // Quantiles of a normal distribution at the grid's probabilities.
     const NORMAL: [f32; 13] = [
         -2.33, -1.64, -1.28, -0.84, -0.52, -0.25, 0.0, 0.25, 0.52, 0.84, 1.28, 1.64, 2.33,
@@ -77,50 +77,58 @@
 
 impl Model {
     /// Records a run that completed: the logarithms of its length and its owner's estimate. True on a change.
-    pub(crate) fn completed(&mut self, x: f32, estimate: Option<f32>, memory: f32) -> bool {
+    pub(crate) fn record_completed(
+        &mut self,
+        x: f32,
+        estimate: Option<f32>,
+        decay_runs: f32,
+    ) -> bool {
         self.runs = self.runs.saturating_add(1);
-        let mut changed = self.level.completed(x, memory);
+        let mut changed = self.level.record_completed(x, decay_runs);
         if let Some(e) = estimate {
-            changed |= self.ratio.completed(x - e, memory);
+            changed |= self.ratio.record_completed(x - e, decay_runs);
         }
         changed
     }
 
     /// Records a run that was censored.
-    pub(crate) fn censored(&mut self, x: f32, estimate: Option<f32>, memory: f32) {
-        self.level.censored(x, memory);
+    pub(crate) fn record_censored(&mut self, x: f32, estimate: Option<f32>, decay_runs: f32) {
+        self.level.record_censored(x, decay_runs);
         if let Some(e) = estimate {
-            self.ratio.censored(x - e, memory);
+            self.ratio.record_censored(x - e, decay_runs);
         }
     }
 
     /// Moves to runs under way (logarithms of their time so far, and of estimates) that have outlived their
     /// band. A view whose p90 they exceed moves its median to theirs; the other stays. True if one moved.
-    pub(crate) fn move_to_overdue(&mut self, late: &[(f32, Option<f32>)]) -> bool {
-        let level: Vec<f32> = late.iter().map(|(x, _)| *x).collect();
-        let ratio: Vec<f32> = late.iter().filter_map(|(x, e)| Some(x - (*e)?)).collect();
-        let mut moved = false;
-        for (view, mut at) in [(&mut self.level, level), (&mut self.ratio, ratio)] {
-            at.sort_by(f32::total_cmp);
-            let (Some(at), Some(grid)) = (at.get(at.len() / 2), view.grid()) else {
+    pub(crate) fn shift_to_overdue(&mut self, overdue: &[(f32, Option<f32>)]) -> bool {
+        let level: Vec<f32> = overdue.iter().map(|(x, _)| *x).collect();
+        let ratio: Vec<f32> = overdue
+            .iter()
+            .filter_map(|(x, e)| Some(x - (*e)?))
+            .collect();
+        let mut shifted = false;
+        for (view, mut values) in [(&mut self.level, level), (&mut self.ratio, ratio)] {
+            values.sort_by(f32::total_cmp);
+            let (Some(overdue_median), Some(grid)) = (values.get(values.len() / 2), view.grid())
+            else {
                 continue;
             };
-            if *at > grid[P90] {
-                let by = at - grid[MEDIAN];
-                view.move_by(by);
-                moved = true;
+            if *overdue_median > grid[P90] {
+                let by = overdue_median - grid[MEDIAN];
+                view.shift(by);
+                shifted = true;
             }
         }
-        moved
+        shifted
     }
 
     /// Adjusts the half-widths to a run that its predicted band has hit or missed.
-    pub(crate) fn calibrate(&mut self, x: f32, p10: f32, p90: f32) {
-        let follow =
-            CALIBRATION_RATE + INITIAL_CALIBRATION_RATE * (-(self.runs as f32) / 20.0).exp();
-        let step = |miss: bool| follow * if miss { 0.9 } else { -0.1 };
-        self.low = (self.low * step(x < p10).exp()).clamp(0.2, 6.0);
-        self.high = (self.high * step(x > p90).exp()).clamp(0.2, 6.0);
+    pub(crate) fn calibrate_band(&mut self, x: f32, p10: f32, p90: f32) {
+        let rate = CALIBRATION_RATE + INITIAL_CALIBRATION_RATE * (-(self.runs as f32) / 20.0).exp();
+        let log_step = |miss: bool| rate * if miss { 0.9 } else { -0.1 };
+        self.lower_scale = (self.lower_scale * log_step(x < p10).exp()).clamp(0.2, 6.0);
+        self.upper_scale = (self.upper_scale * log_step(x > p90).exp()).clamp(0.2, 6.0);
     }
 
     /// Weight of the ratio to the owner's estimate against the class's own level, 0 to 1.
@@ -131,18 +139,18 @@
         if self.level.grid().is_none() {
             return 1.0;
         }
-        let (a, b) = (
+        let (level_loss, ratio_loss) = (
             self.level.loss().max(0.01).powi(3),
             self.ratio.loss().max(0.01).powi(3),
         );
-        a / (a + b)
+        level_loss / (level_loss + ratio_loss)
     }
 
     /// The quantiles of this model's own runs, and their weight. Of several classes
     /// together (a team's, or all) only the ratio to estimates means something, where there is one.
-    fn own(&self, estimate: Option<f32>, of_class: bool) -> Option<([f32; 13], f32)> {
-        let known = estimate.is_some() && self.ratio.grid().is_some();
-        let share = if known && !of_class {
+    fn own_quantiles(&self, estimate: Option<f32>, is_class: bool) -> Option<([f32; 13], f32)> {
+        let has_ratio = estimate.is_some() && self.ratio.grid().is_some();
+        let share = if has_ratio && !is_class {
             1.0
         } else {
             self.ratio_weight(estimate)
@@ -167,12 +175,12 @@
 
     /// The median alone of [`Model::predict`].
     pub(crate) fn predict_median(models: &[Option<&Model>], estimate: Option<f32>) -> f32 {
-        let mut out = prior(estimate)[MEDIAN];
+        let mut out = prior_quantiles(estimate)[MEDIAN];
         for (i, model) in models.iter().enumerate().rev() {
             let Some(model) = model else { continue };
-            let known = estimate.zip(model.ratio.grid()).map(|(e, q)| e + q[MEDIAN]);
+            let ratio = estimate.zip(model.ratio.grid()).map(|(e, q)| e + q[MEDIAN]);
             let level = model.level.grid().map(|q| q[MEDIAN]);
-            let (own, weight) = match (known, level) {
+            let (own, weight) = match (ratio, level) {
                 (None, None) => continue,
                 (Some(ratio), Some(level)) if i == 0 => {
                     let share = model.ratio_weight(estimate);
@@ -183,36 +191,40 @@
                 (Some(ratio), _) => (ratio, model.ratio.weight()),
                 (None, Some(level)) => (level, model.level.weight()),
             };
-            out = (weight * own + PRIOR_WEIGHT * out) / (weight + PRIOR_WEIGHT);
+            out = (weight * own + PRIOR_MEDIAN_WEIGHT * out) / (weight + PRIOR_MEDIAN_WEIGHT);
         }
         out
     }
 
     /// The distribution of a run to come, by its class's model and its parents', nearest first.
     pub(crate) fn predict(models: &[Option<&Model>], estimate: Option<f32>) -> Distribution {
-        let mut out = prior(estimate);
-        let mut of_class = 0.0;
+        let mut out = prior_quantiles(estimate);
+        let mut class_weight = 0.0;
         for (i, model) in models.iter().enumerate().rev() {
             let Some(model) = model else { continue };
-            let Some((own, weight)) = model.own(estimate, i == 0) else {
+            let Some((own, weight)) = model.own_quantiles(estimate, i == 0) else {
                 continue;
             };
-            of_class = if i == 0 { weight } else { 0.0 };
-            let median =
-                (weight * own[MEDIAN] + PRIOR_WEIGHT * out[MEDIAN]) / (weight + PRIOR_WEIGHT);
+            class_weight = if i == 0 { weight } else { 0.0 };
+            let median = (weight * own[MEDIAN] + PRIOR_MEDIAN_WEIGHT * out[MEDIAN])
+                / (weight + PRIOR_MEDIAN_WEIGHT);
             let share = weight / (weight + PRIOR_WIDTH_WEIGHT);
             let mut next = [0.0; 13];
             for (k, n) in next.iter_mut().enumerate() {
-                let of_own = own[k] - own[MEDIAN];
-                let side = if GRID[k] < 0.5 { model.low } else { model.high };
-                *n = median + side * (share * of_own + (1.0 - share) * (out[k] - out[MEDIAN]));
+                let own_offset = own[k] - own[MEDIAN];
+                let side = if GRID[k] < 0.5 {
+                    model.lower_scale
+                } else {
+                    model.upper_scale
+                };
+                *n = median + side * (share * own_offset + (1.0 - share) * (out[k] - out[MEDIAN]));
             }
             out = next;
         }
         // Parents' runs predict a class less well than themselves.
-        let wider = 1.0 + UNKNOWN_WIDENING * (-of_class / PRIOR_WEIGHT).exp();
+        let widening = 1.0 + UNSEEN_CLASS_WIDENING * (-class_weight / PRIOR_MEDIAN_WEIGHT).exp();
         let median = out[MEDIAN];
-        Distribution::of(out.map(|q| median + wider * (q - median)))
+        Distribution::from_log_quantiles(out.map(|q| median + widening * (q - median)))
     }
 
     /// The form in which the model is stored.
@@ -221,28 +233,28 @@
         SavedModel {
             level: self.level.save(),
             ratio: self.ratio.save(),
-            numbers: [
-                hundredths(self.low),
-                hundredths(self.high),
+            parameters: [
+                hundredths(self.lower_scale),
+                hundredths(self.upper_scale),
                 hundredths(self.start_latency_s),
                 self.runs,
             ],
-            overdue: hundredths(self.overdue),
+            overdue: hundredths(self.overdue_statistic),
         }
     }
 
     /// Reads a model back; `None` if it holds what no model can.
     pub(crate) fn load(saved: &SavedModel) -> Option<Model> {
-        let [low, high, latency, runs] = saved.numbers;
-        let width = |x: u32| (x as f32 / 100.0).clamp(0.2, 6.0);
+        let [low, high, start_latency, runs] = saved.parameters;
+        let scale = |x: u32| (x as f32 / 100.0).clamp(0.2, 6.0);
         Some(Model {
             level: View::load(&saved.level)?,
             ratio: View::load(&saved.ratio)?,
-            low: width(low),
-            high: width(high),
-            start_latency_s: (latency as f32 / 100.0).min(3600.0),
+            lower_scale: scale(low),
+            upper_scale: scale(high),
+            start_latency_s: (start_latency as f32 / 100.0).min(3600.0),
             runs,
-            overdue: (saved.overdue as f32 / 100.0).min(100.0),
+            overdue_statistic: (saved.overdue as f32 / 100.0).min(100.0),
         })
     }
 }
@@ -256,10 +268,10 @@
 
 impl Band {
     /// The band of a distribution whose run times are all multiplied by `exp(factor)`.
-    pub(crate) fn of(d: &Distribution, factor: f32) -> Band {
+    pub(crate) fn from_distribution(d: &Distribution, log_factor: f32) -> Band {
         Band {
-            p10: d.0[P10] + factor,
-            p90: d.0[P90] + factor,
+            p10: d.0[P10] + log_factor,
+            p90: d.0[P90] + log_factor,
         }
     }
 }
--- a/crates/hopyoke-run-times/src/pages.rs
+++ b/crates/hopyoke-run-times/src/pages.rs
@@ -67,10 +67,10 @@
     #[error("version {0} is not {VERSION}")]
     Version(u32),
     /// Some entries are out of range; the others were loaded.
-    #[error("{bad} entries are nonsense, {loaded} were taken")]
+    #[error("{invalid} entries are nonsense, {loaded} were taken")]
     Entries {
         /// Entries that were skipped.
-        bad: usize,
+        invalid: usize,
         /// Entries that were loaded.
         loaded: usize,
     },
@@ -82,7 +82,7 @@
     entries: usize,
     dirty: bool,
     writing: bool,
-    written: Micros,
+    last_written_at: Micros,
 }
 
 /// Assigns entries to pages, and tracks which pages have changed.
@@ -125,17 +125,17 @@
     }
 
     /// Keeps the newest grants: after many failovers the attempts under way carry those of the latest leaders.
-    fn add_grant(&mut self, token: u64, at: u64) {
+    fn add_grant(&mut self, token: u64, granted_at: u64) {
         if self.grants.iter().any(|(t, _)| *t == token) {
             return;
         }
-        self.grants.push((token, at));
+        self.grants.push((token, granted_at));
         self.grants.sort_unstable();
         let surplus = self.grants.len().saturating_sub(MAX_GRANTS);
         self.grants.drain(..surplus);
     }
 
-    fn at(&mut self, key: PageKey) -> &mut PageState {
+    fn page_mut(&mut self, key: PageKey) -> &mut PageState {
         let i = usize::from(key.0).min(MAX_PAGES - 1);
         if self.pages.len() <= i {
             self.pages.resize(i + 1, PageState::default());
@@ -146,11 +146,11 @@
 
 impl Learner {
     /// Records when a fencing token was granted, by the wall clock.
-    pub fn record_token_grant(&mut self, token: u64, time_of_day: Micros) {
+    pub fn record_token_grant(&mut self, token: u64, granted_at: Micros) {
         if self.all.page.is_none() {
             self.all.page = self.page_allocator.assign();
         }
-        self.page_allocator.add_grant(token, time_of_day.0);
+        self.page_allocator.add_grant(token, granted_at.0);
         self.page_allocator.touch(Some(0));
     }
 
@@ -173,22 +173,22 @@
             return Err(PageError::Version(page.version));
         }
         let mut loaded = 0;
-        let mut bad = 0;
+        let mut invalid = 0;
         for (kind, name, saved) in page.entries.iter().take(4 * ENTRIES_PER_PAGE) {
             let Some(model) = Model::load(saved).filter(|_| name.len() <= 256) else {
-                bad += 1;
+                invalid += 1;
                 continue;
             };
             if self.load_entry(*kind, name, Entry::new(model, 0, Some(key.0))) {
-                self.page_allocator.at(key).entries += 1;
+                self.page_allocator.page_mut(key).entries += 1;
                 loaded += 1;
             }
         }
         for (token, at) in page.grants.iter().take(4 * MAX_GRANTS) {
             self.page_allocator.add_grant(*token, *at);
         }
-        if bad > 0 {
-            Err(PageError::Entries { bad, loaded })
+        if invalid > 0 {
+            Err(PageError::Entries { invalid, loaded })
         } else {
             Ok(loaded)
         }
@@ -199,52 +199,59 @@
     fn load_entry(&mut self, kind: EntryKind, name: &str, entry: Entry) -> bool {
         let entries = match kind {
             EntryKind::All => {
-                let is_fresh = self.all.model.runs <= entry.model.runs;
-                if is_fresh {
+                let replaces = self.all.model.runs <= entry.model.runs;
+                if replaces {
                     self.all = entry;
                 }
-                return is_fresh;
+                return replaces;
             }
             EntryKind::Class => &mut self.classes,
             EntryKind::Team => &mut self.teams,
         };
         let name: Rc<str> = Rc::from(name);
         let known_runs = entries.get(&name).map_or(0, |e| e.model.runs);
-        let is_fresh = known_runs <= entry.model.runs;
-        if is_fresh && let Some(old) = entries.insert(name, entry) {
+        let replaces = known_runs <= entry.model.runs;
+        if replaces && let Some(old) = entries.insert(name, entry) {
             self.page_allocator.release(old.page);
         }
-        is_fresh
+        replaces
     }
 
     /// The changed page that was written longest ago, to be written now; none is written again before
-    /// `pause` is over. [`Learner::page_write_finished`] must follow.
-    pub fn next_page_to_write(&mut self, now: Micros, pause: Micros) -> Option<(PageKey, Page)> {
-        let ready = |p: &PageState| {
-            p.dirty && !p.writing && (p.written == Micros::ZERO || now >= p.written + pause)
+    /// `min_interval` is over. [`Learner::page_write_finished`] must follow.
+    pub fn next_page_to_write(
+        &mut self,
+        now: Micros,
+        min_interval: Micros,
+    ) -> Option<(PageKey, Page)> {
+        let is_ready = |p: &PageState| {
+            p.dirty
+                && !p.writing
+                && (p.last_written_at == Micros::ZERO || now >= p.last_written_at + min_interval)
         };
-        let (i, place) = self
+        let (i, page) = self
             .page_allocator
             .pages
             .iter_mut()
             .enumerate()
-            .filter(|(_, p)| ready(p))
-            .min_by_key(|(_, p)| p.written)?;
-        place.dirty = false;
-        place.writing = true;
-        place.written = now.max(Micros(1));
+            .filter(|(_, p)| is_ready(p))
+            .min_by_key(|(_, p)| p.last_written_at)?;
+        page.dirty = false;
+        page.writing = true;
+        page.last_written_at = now.max(Micros(1));
         let key = PageKey(i as u16);
-        let on = |e: &Entry| e.page == Some(key.0);
+        let is_on_page = |e: &Entry| e.page == Some(key.0);
         let mut entries: Vec<(EntryKind, String, SavedModel)> = Vec::new();
-        if on(&self.all) {
+        if is_on_page(&self.all) {
             entries.push((EntryKind::All, String::new(), self.all.model.save()));
         }
         for (kind, models) in [
             (EntryKind::Team, &self.teams),
             (EntryKind::Class, &self.classes),
         ] {
-            let here = models.iter().filter(|(_, entry)| on(entry));
-            entries.extend(here.map(|(name, entry)| (kind, name.to_string(), entry.model.save())));
+            let on_page = models.iter().filter(|(_, entry)| is_on_page(entry));
+            entries
+                .extend(on_page.map(|(name, entry)| (kind, name.to_string(), entry.model.save())));
         }
         let grants = if key.0 == 0 {
             self.page_allocator.grants.clone()
@@ -270,9 +277,9 @@
     }
 
     /// Ends a page's write; one that failed is repeated.
-    pub fn page_write_finished(&mut self, key: PageKey, written: bool) {
-        let place = self.page_allocator.at(key);
-        place.writing = false;
-        place.dirty |= !written;
+    pub fn page_write_finished(&mut self, key: PageKey, succeeded: bool) {
+        let page = self.page_allocator.page_mut(key);
+        page.writing = false;
+        page.dirty |= !succeeded;
     }
 }
--- a/crates/hopyoke-run-times/src/sketch.rs
+++ b/crates/hopyoke-run-times/src/sketch.rs
@@ -1,13 +1,13 @@
 //! A mergeable sketch of logarithms with exponential decay: a t-digest whose weights fade.
 
-use crate::distribution::{GRID, MAX_LOG, MIN_LOG};
+use crate::distribution::{GRID, MAX_LOG_S, MIN_LOG_S};
 use serde::{Deserialize, Serialize};
 use tdigest::{Centroid, TDigest};
 
 /// Centroids kept: enough for p10 and p90 of some dozens of runs.
-const CENTROIDS: usize = 16;
+const MAX_CENTROIDS: usize = 16;
 
-/// Quantiles of values in [`MIN_LOG`] to [`MAX_LOG`].
+/// Quantiles of values in [`MIN_LOG_S`] to [`MAX_LOG_S`].
 #[derive(Debug, Clone)]
 pub(crate) struct Sketch {
     pub(crate) digest: TDigest,
@@ -25,7 +25,7 @@
 impl Default for Sketch {
     fn default() -> Sketch {
         Sketch {
-            digest: TDigest::new_with_size(CENTROIDS),
+            digest: TDigest::new_with_size(MAX_CENTROIDS),
             pending: Vec::new(),
             added_since_decay: 0,
         }
@@ -35,28 +35,29 @@
 impl Sketch {
     /// Adds a value; every quarter of `memory` values all weights fade so that a value counts a
     /// third after `memory` others.
-    pub(crate) fn add(&mut self, x: f32, memory: f32) {
+    pub(crate) fn add(&mut self, x: f32, decay_runs: f32) {
         let x = f64::from(if x.is_finite() {
-            x.clamp(MIN_LOG, MAX_LOG)
+            x.clamp(MIN_LOG_S, MAX_LOG_S)
         } else {
             return;
         });
         self.pending.push(x);
         self.added_since_decay += 1;
-        if f32::from(self.added_since_decay) >= memory / 4.0 {
-            let keep = f64::from((-f32::from(self.added_since_decay) / memory.max(1.0)).exp());
+        if f32::from(self.added_since_decay) >= decay_runs / 4.0 {
+            let weight_factor =
+                f64::from((-f32::from(self.added_since_decay) / decay_runs.max(1.0)).exp());
             self.added_since_decay = 0;
-            self.rebuild(0.0, keep);
+            self.rebuild(0.0, weight_factor);
         }
     }
 
-    /// Values that [`Sketch::settle`] would take in.
-    pub(crate) fn unsettled(&self) -> usize {
+    /// Values that [`Sketch::merge_pending`] would take in.
+    pub(crate) fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
     /// Takes in what was added; quantiles are of what was taken in.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn merge_pending(&mut self) {
         if !self.pending.is_empty() {
             self.digest = self
                 .digest
@@ -65,21 +66,21 @@
     }
 
     /// Moves all values, and lets them count for `weight` together at the most.
-    pub(crate) fn shift(&mut self, by: f32, weight: f32) {
-        self.settle();
-        let keep = f64::from(weight) / self.digest.count().max(f64::from(weight));
-        self.rebuild(f64::from(by), keep);
+    pub(crate) fn shift(&mut self, by: f32, max_weight: f32) {
+        self.merge_pending();
+        let weight_factor = f64::from(max_weight) / self.digest.count().max(f64::from(max_weight));
+        self.rebuild(f64::from(by), weight_factor);
     }
 
-    fn rebuild(&mut self, by: f64, keep: f64) {
-        self.settle();
-        let clamp = |x: f64| (x + by).clamp(f64::from(MIN_LOG), f64::from(MAX_LOG));
+    fn rebuild(&mut self, by: f64, weight_factor: f64) {
+        self.merge_pending();
+        let clamp = |x: f64| (x + by).clamp(f64::from(MIN_LOG_S), f64::from(MAX_LOG_S));
         let centroids = self
             .digest
             .centroids()
             .iter()
-            .map(|c| (clamp(c.mean()), c.weight() * keep));
-        self.digest = of(centroids.filter(|(_, w)| *w > 1e-6).collect());
+            .map(|c| (clamp(c.mean()), c.weight() * weight_factor));
+        self.digest = digest_from_centroids(centroids.filter(|(_, w)| *w > 1e-6).collect());
     }
 
     /// The weight of all values.
@@ -102,24 +103,24 @@
 
     /// The form in which the sketch is stored.
     pub(crate) fn save(&self) -> SavedSketch {
-        let mut whole = self.clone();
-        whole.settle();
-        let pair = |c: &Centroid| {
+        let mut merged = self.clone();
+        merged.merge_pending();
+        let encode = |c: &Centroid| {
             (
                 (c.mean() * 1000.0).round() as i32,
                 (c.weight() * 100.0).round().max(1.0) as u32,
             )
         };
-        SavedSketch(whole.digest.centroids().iter().map(pair).collect())
+        SavedSketch(merged.digest.centroids().iter().map(encode).collect())
     }
 
     /// Reads a sketch back; `None` if it holds what no sketch can.
     pub(crate) fn load(saved: &SavedSketch) -> Option<Sketch> {
-        let fits = |(x, w): &(i32, u32)| {
+        let is_valid = |(x, w): &(i32, u32)| {
             let x = *x as f32 / 1000.0;
-            (MIN_LOG - 0.1..=MAX_LOG + 0.1).contains(&x) && (1..=1_000_000).contains(w)
+            (MIN_LOG_S - 0.1..=MAX_LOG_S + 0.1).contains(&x) && (1..=1_000_000).contains(w)
         };
-        if saved.0.len() > 4 * CENTROIDS || !saved.0.iter().all(fits) {
+        if saved.0.len() > 4 * MAX_CENTROIDS || !saved.0.iter().all(is_valid) {
             return None;
         }
         let centroids = saved
@@ -128,14 +129,14 @@
             .map(|(x, w)| (f64::from(*x) / 1000.0, f64::from(*w) / 100.0))
             .collect();
         Some(Sketch {
-            digest: of(centroids),
+            digest: digest_from_centroids(centroids),
             ..Sketch::default()
         })
     }
 }
 
 /// A digest of pairs of value and weight.
-fn of(centroids: Vec<(f64, f64)>) -> TDigest {
+fn digest_from_centroids(centroids: Vec<(f64, f64)>) -> TDigest {
     let (mut sum, mut count) = (0.0, 0.0);
     let (mut min, mut max) = (f64::INFINITY, f64::NEG_INFINITY);
     for (x, w) in &centroids {
@@ -145,11 +146,11 @@
         max = max.max(*x);
     }
     if count <= 0.0 {
-        return TDigest::new_with_size(CENTROIDS);
+        return TDigest::new_with_size(MAX_CENTROIDS);
     }
     let centroids = centroids
         .into_iter()
         .map(|(x, w)| Centroid::new(x, w))
         .collect();
-    TDigest::new(centroids, sum, count, Some(max), Some(min), CENTROIDS)
+    TDigest::new(centroids, sum, count, Some(max), Some(min), MAX_CENTROIDS)
 }
--- a/crates/hopyoke-run-times/src/view.rs
+++ b/crates/hopyoke-run-times/src/view.rs
@@ -1,6 +1,6 @@
 //! One view of a class: quantiles, their recent prediction loss, and change detection.
 
-use crate::distribution::{MEDIAN, P10, P90, at, rank};
+use crate::distribution::{MEDIAN, P10, P90, probability_at, quantile_at};
 use crate::sketch::{SavedSketch, Sketch};
 use serde::{Deserialize, Serialize};
 
@@ -9,19 +9,19 @@
 /// Threshold of the cumulative sum, in standard deviations beyond the slack.
 const CUSUM_THRESHOLD: f32 = 5.0;
 /// Upper bound on what a single run contributes, in standard deviations.
-const MAX_DEVIATION: f32 = 3.0;
+const MAX_STANDARDIZED_DEVIATION: f32 = 3.0;
 /// Weight, in runs, of the distribution from before a change: its shape still holds.
 const WEIGHT_AFTER_CHANGE: f32 = 6.0;
 
-/// Below this many runs each is merged at once; above, at least [`BATCH`] together.
-const YOUNG: f32 = 20.0;
-/// See [`YOUNG`].
-const BATCH: usize = 8;
+/// Below this many runs each is merged at once; above, at least [`MERGE_BATCH`] together.
+const SMALL_SAMPLE_WEIGHT: f32 = 20.0;
+/// See [`SMALL_SAMPLE_WEIGHT`].
+const MERGE_BATCH: usize = 8;
 
 /// A one-sided cumulative sum of deviations (Page's test).
 #[derive(Debug, Clone, Copy, Default)]
 struct Cusum {
-    height: f32,
+    statistic: f32,
     /// The deviations since it last was zero: their sum, and how many.
     sum: f32,
     count: u16,
@@ -29,15 +29,16 @@
 
 impl Cusum {
     /// Adds a deviation, in standard deviations and as it is; the mean deviation if that is a change.
-    fn add(&mut self, deviations: f32, deviation: f32) -> Option<f32> {
-        self.height += deviations - CUSUM_SLACK;
-        if self.height <= 0.0 {
+    fn add(&mut self, standardized: f32, deviation: f32) -> Option<f32> {
+        self.statistic += standardized - CUSUM_SLACK;
+        if self.statistic <= 0.0 {
             *self = Cusum::default();
             return None;
         }
         self.sum += deviation;
         self.count += 1;
-        (self.height > CUSUM_THRESHOLD && self.count >= 3).then(|| self.sum / f32::from(self.count))
+        (self.statistic > CUSUM_THRESHOLD && self.count >= 3)
+            .then(|| self.sum / f32::from(self.count))
     }
 }
 
@@ -51,21 +52,23 @@
     up: Cusum,
     down: Cusum,
     /// Changes detected so far.
-    pub(crate) changes: u32,
-    /// Position in its range at which the last censored run was taken to end; see [`View::censored`].
-    censored_position: f32,
+    pub(crate) change_count: u32,
+    /// Position in its range at which the last censored run was taken to end; see [`View::record_censored`].
+    imputation_position: f32,
 }
 
 /// The stored form of a view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SavedView {
-    q: SavedSketch,
+    #[serde(rename = "q")]
+    sketch: SavedSketch,
     /// Loss in thousandths.
-    l: u32,
+    #[serde(rename = "l")]
+    loss: u32,
     /// Cumulative sums, upwards and downwards (hundredths, hundredths, count): a leader whose term is shorter
     /// than a change takes to be detected must hand on the evidence.
-    #[serde(default)]
-    c: [(i32, i32, u16); 2],
+    #[serde(rename = "c", default)]
+    cusums: [(i32, i32, u16); 2],
 }
 
 impl Default for View {
@@ -76,8 +79,8 @@
             loss: 1.0,
             up: Cusum::default(),
             down: Cusum::default(),
-            changes: 0,
-            censored_position: 0.5,
+            change_count: 0,
+            imputation_position: 0.5,
         }
     }
 }
@@ -95,110 +98,111 @@
         self.loss
     }
 
-    fn standard_deviation(grid: &[f32; 13]) -> f32 {
+    fn std_dev(grid: &[f32; 13]) -> f32 {
         ((grid[P90] - grid[P10]) / 2.56).max(0.08)
     }
 
     /// Records a run that completed. True if a change is detected.
-    pub(crate) fn completed(&mut self, x: f32, memory: f32) -> bool {
+    pub(crate) fn record_completed(&mut self, x: f32, decay_runs: f32) -> bool {
         let mut change = None;
         if let Some(grid) = &self.grid {
             let deviation = x - grid[MEDIAN];
             let rate = if self.weight() < 8.0 { 0.25 } else { 0.1 };
             self.loss += rate * (deviation.abs() - self.loss);
             if self.weight() >= 4.0 {
-                let deviations = (deviation / View::standard_deviation(grid))
-                    .clamp(-MAX_DEVIATION, MAX_DEVIATION);
+                let standardized = (deviation / View::std_dev(grid))
+                    .clamp(-MAX_STANDARDIZED_DEVIATION, MAX_STANDARDIZED_DEVIATION);
                 change = self
                     .up
-                    .add(deviations, deviation)
-                    .or(self.down.add(-deviations, deviation));
+                    .add(standardized, deviation)
+                    .or(self.down.add(-standardized, deviation));
             }
         }
-        self.sketch.add(x, memory);
+        self.sketch.add(x, decay_runs);
         if let Some(by) = change {
-            self.move_by(by);
+            self.shift(by);
         }
-        self.refresh_if_due();
+        self.refresh_grid_if_due();
         change.is_some()
     }
 
     /// Records a run that was censored after `x`: it would have ended somewhere beyond. It is taken to end at
     /// a point of that range that is drawn evenly over it, so that many such runs have the
     /// distribution that their class has beyond `x` (else only short runs would count).
-    pub(crate) fn censored(&mut self, x: f32, memory: f32) {
+    pub(crate) fn record_censored(&mut self, x: f32, decay_runs: f32) {
         let Some(grid) = &self.grid else { return };
-        let below = rank(grid, x);
+        let below = probability_at(grid, x);
         if below < 0.05 {
             // Nearly all runs outlive this: no information.
             return;
         }
-        self.censored_position = (self.censored_position + 0.618_034).fract();
-        let p = below + self.censored_position * (1.0 - below);
+        self.imputation_position = (self.imputation_position + 0.618_034).fract();
+        let p = below + self.imputation_position * (1.0 - below);
         let spread = (grid[P90] - grid[MEDIAN]).max(0.1);
         let end = if below >= 0.99 {
-            x + spread * self.censored_position
+            x + spread * self.imputation_position
         } else {
-            at(grid, p).max(x)
+            quantile_at(grid, p).max(x)
         };
-        self.sketch.add(end, memory);
-        self.refresh_if_due();
+        self.sketch.add(end, decay_runs);
+        self.refresh_grid_if_due();
     }
 
     /// Evidence for longer runs, as a share of the threshold.
-    pub(crate) fn rising(&self) -> f32 {
-        self.up.height / CUSUM_THRESHOLD
+    pub(crate) fn upward_evidence(&self) -> f32 {
+        self.up.statistic / CUSUM_THRESHOLD
     }
 
     /// Multiplies all run times by `exp(by)`, after a change.
-    pub(crate) fn move_by(&mut self, by: f32) {
+    pub(crate) fn shift(&mut self, by: f32) {
         self.sketch.shift(by, WEIGHT_AFTER_CHANGE);
         self.up = Cusum::default();
         self.down = Cusum::default();
-        self.changes += 1;
-        self.refresh();
+        self.change_count += 1;
+        self.refresh_grid();
     }
 
     /// With few runs each is merged at once; later they are merged in batches, for cost. (Change detection
     /// sees every run all the same.)
-    fn refresh_if_due(&mut self) {
+    fn refresh_grid_if_due(&mut self) {
         if self.grid.is_none()
-            || self.weight() < YOUNG
-            || self.sketch.unsettled() >= BATCH.max(self.weight() as usize / 8)
+            || self.weight() < SMALL_SAMPLE_WEIGHT
+            || self.sketch.pending_count() >= MERGE_BATCH.max(self.weight() as usize / 8)
         {
-            self.refresh();
+            self.refresh_grid();
         }
     }
 
-    fn refresh(&mut self) {
-        self.sketch.settle();
+    fn refresh_grid(&mut self) {
+        self.sketch.merge_pending();
         self.grid = self.sketch.grid();
     }
 
     pub(crate) fn save(&self) -> SavedView {
         let hundredths = |x: f32| (x * 100.0).round().clamp(-1e6, 1e6) as i32;
         SavedView {
-            q: self.sketch.save(),
-            l: (self.loss * 1000.0).round().clamp(0.0, 1e6) as u32,
-            c: [&self.up, &self.down].map(|c| (hundredths(c.height), hundredths(c.sum), c.count)),
+            sketch: self.sketch.save(),
+            loss: (self.loss * 1000.0).round().clamp(0.0, 1e6) as u32,
+            cusums: [&self.up, &self.down]
+                .map(|c| (hundredths(c.statistic), hundredths(c.sum), c.count)),
         }
     }
 
     pub(crate) fn load(saved: &SavedView) -> Option<View> {
-        let sketch = Sketch::load(&saved.q)?;
-        let [up, down] = saved.c.map(|(height, sum, count)| Cusum {
-            height: (height as f32 / 100.0).clamp(0.0, CUSUM_THRESHOLD),
+        let sketch = Sketch::load(&saved.sketch)?;
+        let [up, down] = saved.cusums.map(|(statistic, sum, count)| Cusum {
+            statistic: (statistic as f32 / 100.0).clamp(0.0, CUSUM_THRESHOLD),
             sum: (sum as f32 / 100.0).clamp(-100.0, 100.0),
             count,
         });
         let mut view = View {
-            loss: (saved.l as f32 / 1000.0).min(10.0),
+            loss: (saved.loss as f32 / 1000.0).min(10.0),
             sketch,
             up,
             down,
             ..View::default()
         };
-        view.refresh();
+        view.refresh_grid();
         Some(view)
     }
 }
--- a/crates/hopyoke-run-times/tests/internals.rs
+++ b/crates/hopyoke-run-times/tests/internals.rs
@@ -24,8 +24,8 @@
 fn the_median_alone_is_that_of_the_distribution() {
     let (mut class, mut team) = (Model::default(), Model::default());
     for i in 0..30 {
-        class.completed(4.0 + (i % 7) as f32 * 0.1, Some(4.2), 40.0);
-        team.completed(3.0 + (i % 5) as f32 * 0.3, (i % 3 > 0).then_some(3.5), 40.0);
+        class.record_completed(4.0 + (i % 7) as f32 * 0.1, Some(4.2), 40.0);
+        team.record_completed(3.0 + (i % 5) as f32 * 0.3, (i % 3 > 0).then_some(3.5), 40.0);
     }
     for models in [
         [Some(&class), Some(&team), None],
@@ -61,7 +61,7 @@
     }
     [&mut whole, &mut even, &mut odd]
         .into_iter()
-        .for_each(Sketch::settle);
+        .for_each(Sketch::merge_pending);
     let (a, b) = (
         whole.grid().expect("values"),
         merged(&even, &odd).grid().expect("values"),
