--- a/crates/hopyoke-run-times/src/capacity.rs
+++ b/crates/hopyoke-run-times/src/capacity.rs
@@ -1,27 +1,28 @@
-//! When running tasks will have released enough resources.
+//! Predicts when running tasks will have released enough resources.
 
 use crate::distribution::Distribution;
 
-/// A running task, and what its end releases.
+/// A running task and the resources that it releases when it ends.
 #[derive(Debug, Clone, Copy)]
 pub struct ReleasingTask {
-    /// Its run time.
+    /// Distribution of its total run time.
     pub run_time: Distribution,
-    /// Seconds that it has run so far.
+    /// Elapsed run time, in seconds.
     pub elapsed_s: f64,
-    /// Amount that its end releases, in the unit of the question.
+    /// Amount released when the task ends, in the unit of `free` and `need`.
     pub amount: f64,
 }
 
-/// Number of samples; each draws the remaining time of every task.
+/// Number of quasi-Monte Carlo samples; each draws a remaining time for every task.
 const SAMPLES: usize = 101;
-/// Of more tasks, those that are expected to end first are considered.
+/// Maximum number of tasks considered, in order of expected end.
 const MAX_TASKS: usize = 512;
 
-/// Seconds until `need` is free, given what is free already: the median and the 90th percentile over
-/// samples of the tasks' remaining times. `None`: the tasks will never release that much.
+/// Returns the time in seconds until `need` is available, given that `free` is available now: the
+/// median and the 90th percentile over samples of the tasks' remaining times. Returns `None` if the
+/// considered tasks together do not release enough.
 ///
-/// Samples are a fixed sequence, so that the same question has the same answer.
+/// Samples come from a fixed low-discrepancy sequence, so the result is deterministic.
 pub fn time_until_free(tasks: &[ReleasingTask], free: f64, need: f64) -> Option<(f64, f64)> {
     if free >= need - 1e-9 {
         return Some((0.0, 0.0));
@@ -33,9 +34,9 @@
     by_expected_end.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut released = 0.0;
     let soonest = by_expected_end.iter().take_while(|(_, t)| {
-        let is_short = released < 3.0 * (need - free);
+        let below_target = released < 3.0 * (need - free);
         released += t.amount;
-        is_short
+        below_target
     });
     let considered: Vec<&ReleasingTask> = soonest.map(|(_, t)| *t).take(MAX_TASKS.max(1)).collect();
     let total: f64 = considered.iter().map(|t| t.amount).sum();
--- a/crates/hopyoke-run-times/src/distribution.rs
+++ b/crates/hopyoke-run-times/src/distribution.rs
@@ -1,6 +1,6 @@
-//! Distributions of run times.
+//! Run time distributions, represented by quantiles of log run times.
 
-/// The probabilities at which quantiles are kept.
+/// Probabilities at which quantiles are stored.
 pub(crate) const GRID: [f32; 13] = [
     0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.99,
 ];
@@ -8,16 +8,18 @@
 pub(crate) const P10: usize = 2;
 pub(crate) const P90: usize = 10;
 
-/// Logarithms of run times lie between these: a tenth of a millisecond, and about three years.
+/// Lower bound on log run times (in log seconds): 0.1 ms.
 pub(crate) const MIN_LOG_S: f32 = -9.2;
+/// Upper bound on log run times (in log seconds): about three years.
 pub(crate) const MAX_LOG_S: f32 = 18.4;
 
-/// A distribution of run times in seconds, by the quantiles of their logarithms.
+/// A run time distribution, stored as the quantiles of log seconds at the probabilities of `GRID`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Distribution(pub(crate) [f32; 13]);
 
 impl Distribution {
-    /// From logarithms of quantiles; one that is below its predecessor is raised to it.
+    /// Builds a distribution from log quantiles. A quantile that is below its predecessor or not finite
+    /// is raised to the predecessor, so the result is monotonic.
     pub(crate) fn from_log_quantiles(mut q: [f32; 13]) -> Distribution {
         let mut lower_bound = MIN_LOG_S;
         for x in &mut q {
@@ -31,19 +33,20 @@
         Distribution(q)
     }
 
-    /// The quantile at probability `p` (0 to 1), in seconds.
+    /// Returns the quantile at probability `p` (0 to 1), in seconds.
     pub fn quantile(&self, p: f64) -> f64 {
         f64::from(quantile_at(&self.0, p as f32)).exp()
     }
 
-    /// The probability that a run takes at most this many seconds.
+    /// Returns the probability that a run takes at most this many seconds.
     pub fn probability_below(&self, seconds: f64) -> f64 {
         f64::from(probability_at(&self.0, seconds.max(1e-9).ln() as f32))
     }
 
-    /// The remaining time, in seconds, of a run that has taken `ran` seconds already: the quantile at
-    /// probability `p` given that it is not over. A run that has outlived every quantile is taken to
-    /// need as long again as past ones needed beyond their median.
+    /// Returns the quantile at probability `p` of the remaining time, in seconds, of a run that has been
+    /// active for `elapsed_s` seconds, conditional on its not having ended.
+    ///
+    /// Beyond the last quantile the tail is extrapolated with the spread between median and p90.
     pub fn remaining_quantile(&self, elapsed_s: f64, p: f64) -> f64 {
         if elapsed_s <= 0.0 {
             return self.quantile(p);
@@ -51,21 +54,21 @@
         let x = elapsed_s.ln() as f32;
         let below = probability_at(&self.0, x);
         let end = quantile_at(&self.0, below + (p as f32) * (1.0 - below));
-        // Beyond the last quantile the tail goes on as it began: by a factor, not by an amount.
+        // Beyond the last quantile the tail extends by a factor of the elapsed time, not by an amount.
         let spread = (self.0[P90] - self.0[MEDIAN]).max(0.05);
         let tail = x + spread * (-(1.0 - p.min(0.999)).ln() as f32) * 0.7;
         let end = if below >= GRID[12] { tail } else { end.max(x) };
         (f64::from(end).exp() - elapsed_s).max(0.0)
     }
 
-    /// The distribution with all run times multiplied by `factor`.
+    /// Returns the distribution with all run times multiplied by `factor`.
     pub fn scaled(&self, factor: f64) -> Distribution {
         let shift = factor.max(1e-3).ln() as f32;
         Distribution::from_log_quantiles(self.0.map(|x| x + shift))
     }
 }
 
-/// The value at probability `p`, between the quantiles; beyond the outer ones, theirs.
+/// Returns the value at probability `p`, interpolated linearly and clamped to the outer quantiles.
 pub(crate) fn quantile_at(q: &[f32; 13], p: f32) -> f32 {
     if p.is_nan() || p <= GRID[0] {
         return q[0];
@@ -78,12 +81,12 @@
     q[i - 1] + share * (q[i] - q[i - 1])
 }
 
-/// The probability of values up to `x`.
+/// Returns the cumulative probability of `x`, interpolated linearly between the quantiles.
 pub(crate) fn probability_at(q: &[f32; 13], x: f32) -> f32 {
     if x < q[0] {
         return 0.0;
     }
-    // Of equal quantiles the last counts: all that weight lies at or below `x`.
+    // Among equal quantiles the last one counts: all their weight lies at or below `x`.
     let i = q.partition_point(|v| *v <= x);
     if i >= q.len() {
         return GRID[12];
--- a/crates/hopyoke-run-times/src/learner.rs
+++ b/crates/hopyoke-run-times/src/learner.rs
@@ -1,4 +1,4 @@
-//! Models by class, by team and altogether; and the runs under way.
+//! Models per class, per team and for all work, and the active runs.
 
 mod outcomes;
 mod overdue;
@@ -12,31 +12,31 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::rc::Rc;
 
-/// A run: a task's attempt. A gang is one run, by its first task.
+/// Identifies a run: one attempt of a task. A gang is a single run, identified by its first task.
 pub type RunKey = (TaskId, Attempt);
 
-/// Longer run times than this (30 days) are taken for errors, in seconds.
+/// Maximum valid run time (30 days), in seconds.
 const MAX_RUN_S: f64 = 2_592_000.0;
-/// Shorter ones (a millisecond) too, in seconds.
+/// Minimum valid run time (a millisecond), in seconds.
 const MIN_RUN_S: f64 = 0.001;
 
-/// What a run time depends on.
+/// Properties of a task that predict its run time.
 #[derive(Debug, Clone, Copy)]
 pub struct Workload<'a> {
-    /// Class of similar jobs.
+    /// Name of the class of similar jobs.
     pub class: &'a str,
-    /// Team of the owner.
+    /// Name of the owner's team.
     pub team: &'a str,
-    /// The owner's estimate in seconds; 0 or out of range: none.
+    /// The owner's estimate in seconds; ignored if it is 0 or out of range.
     pub estimate_s: f64,
 }
 
-/// Bounds on what is kept, and the rate of decay.
+/// Memory limits and rate of decay.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Upper bound on classes; the least useful are evicted.
+    /// Maximum number of classes; those with the lowest retention score are evicted.
     pub classes: usize,
-    /// Number of runs after which the weight of an old one has fallen to 1/e.
+    /// Number of runs after which the weight of an older run has fallen to 1/e.
     pub decay_runs: f32,
 }
 
@@ -49,63 +49,63 @@
     }
 }
 
-/// What an estimate rests on.
+/// Evidence behind an estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Basis {
-    /// Completed runs of the class.
+    /// Number of completed runs of the class.
     pub class_runs: u32,
-    /// Completed runs of the team.
+    /// Number of completed runs of the team.
     pub team_runs: u32,
-    /// Completed runs of all work.
+    /// Number of completed runs of all work.
     pub all_runs: u32,
-    /// Weight of the ratio to the owner's estimate, 0 to 1; the rest is that of the class's level.
+    /// Weight of the ratio to the owner's estimate against the class's absolute run times, 0 to 1.
     pub ratio_weight: f32,
-    /// Changes detected in the class.
+    /// Number of changes detected in the class.
     pub change_count: u32,
 }
 
-/// A run time to expect.
+/// A predicted run time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// Its distribution.
+    /// Distribution of the run time.
     pub distribution: Distribution,
-    /// What it rests on.
+    /// Evidence behind the distribution.
     pub basis: Basis,
 }
 
-/// How a run ended.
+/// How the end of a run is observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It completed.
+    /// The run completed.
     Completed,
-    /// It was stopped, or its machine was lost: a censored observation.
+    /// The run was stopped or its machine was lost: its run time is a lower bound.
     Censored,
-    /// It failed, or was refused: no observation.
+    /// The run failed or was refused: its run time is not used.
     Discarded,
 }
 
-/// Sizes, for display.
+/// Counts for display.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
-    /// Runs under way.
+    /// Number of active runs.
     pub running: usize,
-    /// Classes with a model.
+    /// Number of classes with a model.
     pub classes: usize,
-    /// Machines with a speed factor.
+    /// Number of machines with a speed factor.
     pub machines: usize,
-    /// Classes and teams evicted so far.
+    /// Number of classes and teams evicted since this learner was created.
     pub evicted: u64,
 }
 
-/// A model and its bookkeeping.
+/// A model with its bookkeeping.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) model: Model,
-    /// Number of the observation that it was last used for.
+    /// Value of `observation_count` when the model was last updated.
     last_used: u64,
-    /// The page on which it is stored.
+    /// Page on which the model is stored; `None` if it is not persisted.
     pub(crate) page: Option<u16>,
-    /// The mean of recent deviations, exponentially weighted: what is common to all machines.
+    /// Exponentially weighted mean of recent deviations, which is common to all machines.
     drift: f32,
 }
 
@@ -120,32 +120,32 @@
     }
 }
 
-/// A run under way.
+/// An active run.
 #[derive(Debug)]
 struct Running {
     class: Rc<str>,
     team: Rc<str>,
     estimate: Option<f32>,
     machines: Vec<MachineId>,
-    /// The logarithm of its slowest machine's factor when it started.
+    /// Log factor of its slowest machine when it started.
     log_factor: f32,
     started_at: Micros,
-    /// How long it had run before `started_at`; `None`: not known.
+    /// Run time before `started_at`; `None` if it is not known.
     elapsed_before: Option<Micros>,
     band: Band,
     is_overdue: bool,
-    /// When nine in ten such runs will have ended.
+    /// Predicted p90 of its end; `None` if its start time is not known.
     expected_end: Option<Micros>,
 }
 
 impl Running {
-    /// Its run time so far, in seconds; `None`: not known.
+    /// Returns the elapsed run time in seconds, or `None` if the start time is not known.
     fn elapsed_s(&self, now: Micros) -> Option<f64> {
         Some((now - self.started_at + self.elapsed_before?).as_secs_f64())
     }
 }
 
-/// Learned run times.
+/// Learns run times from observed runs and predicts those of future and active runs.
 #[derive(Debug)]
 pub struct Learner {
     limits: Limits,
@@ -154,19 +154,19 @@
     pub(crate) all: Entry,
     machines: MachineSpeeds,
     running: BTreeMap<RunKey, Running>,
-    /// When runs will have outlived their bands.
+    /// Times at which active runs exceed their predicted bands.
     overdue_checks: BinaryHeap<Reverse<(Micros, RunKey)>>,
-    /// Runs by when nine in ten such runs have ended.
+    /// Commanded and active runs, ordered by the predicted p90 of their end.
     expected_ends: BTreeSet<(Micros, RunKey)>,
-    /// Those of them whose start was commanded, but that no heartbeat has shown running.
+    /// Predicted ends of runs that were commanded to start but not yet reported as running.
     commanded_ends: BTreeMap<RunKey, Micros>,
-    /// Number of observations so far.
+    /// Number of completed runs observed.
     observation_count: u64,
     pub(crate) page_allocator: PageAllocator,
     evicted: u64,
 }
 
-/// The logarithm of a run time; `None` if it is out of range.
+/// Returns the log of a run time, or `None` if it is out of range.
 fn log_seconds(seconds: f64) -> Option<f32> {
     (seconds.is_finite() && (MIN_RUN_S..=MAX_RUN_S).contains(&seconds)).then(|| seconds.ln() as f32)
 }
@@ -178,7 +178,7 @@
 }
 
 impl Learner {
-    /// A learner without any model.
+    /// Creates a learner without models.
     pub fn new(limits: Limits) -> Learner {
         Learner {
             limits,
@@ -196,12 +196,12 @@
         }
     }
 
-    /// Replaces the limits; they apply from the next observation on.
+    /// Replaces the limits, effective from the next observation.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// The run time to expect, with the speed factor of a machine if one is named.
+    /// Predicts the run time of a workload, on a given machine or, without one, on an average machine.
     pub fn estimate(&self, work: Workload<'_>, machine: Option<&MachineId>) -> Estimate {
         let estimate = log_seconds(work.estimate_s);
         let (class, team) = (self.classes.get(work.class), self.teams.get(work.team));
@@ -230,14 +230,15 @@
         }
     }
 
-    /// Time from a class's start command until the task runs, in seconds.
+    /// Returns the mean time in seconds from a start command until the task runs, for a class; 0 if the
+    /// class has no model.
     pub fn start_latency_s(&self, class: &str) -> f64 {
         self.classes
             .get(class)
             .map_or(0.0, |e| f64::from(e.model.start_latency_s))
     }
 
-    /// Records that a task ran this long after its start command.
+    /// Records the time in seconds from a start command until the task ran.
     pub fn observe_start_latency(&mut self, class: &str, seconds: f64) {
         if let Some(e) = self.classes.get_mut(class)
             && seconds.is_finite()
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Records that a run was commanded, to predict its end.
+    /// Records that a run was commanded to start, and predicts its end.
     pub fn record_start_command(&mut self, key: RunKey, work: Workload<'_>, now: Micros) {
         let p90 = self.estimate(work, None).distribution.quantile(0.9);
         let expected_end = now + Micros::from_secs_f64(p90 + self.start_latency_s(work.class));
@@ -263,8 +264,8 @@
         }
     }
 
-    /// Records that a run began at `started_at`, or had by then run for `elapsed_before` (`None`: not known).
-    /// No effect on a run that is under way already.
+    /// Records an active run that, at `started_at`, had already run for `elapsed_before` (zero for a new
+    /// run, `None` if it is not known). Has no effect if the run is already recorded.
     pub fn record_start(
         &mut self,
         key: RunKey,
@@ -299,16 +300,16 @@
         self.running.insert(key, run);
     }
 
-    /// The name as it is shared with the models, if it has one.
+    /// Returns the shared copy of a name if it has a model, otherwise a new copy.
     fn interned(&self, names: &BTreeMap<Rc<str>, Entry>, name: &str) -> Rc<str> {
         names
             .get_key_value(name)
             .map_or_else(|| Rc::from(name), |(k, _)| k.clone())
     }
 
-    /// Runs whose p90 lies within this span from now, the earliest first.
+    /// Iterates over the runs whose predicted p90 end is at most `span` from now, earliest first.
     pub fn ending_within(&self, now: Micros, span: Micros) -> impl Iterator<Item = &RunKey> {
-        // The end of those beyond their p90 cannot be predicted.
+        // Runs beyond their p90 are skipped, as their end cannot be predicted.
         let from = (
             now,
             (
@@ -325,12 +326,12 @@
             .map(|(_, key)| key)
     }
 
-    /// Whether the run is under way.
+    /// Returns whether the run is active.
     pub fn is_running(&self, key: &RunKey) -> bool {
         self.running.contains_key(key)
     }
 
-    /// The models of a class, its team and all work, nearest first.
+    /// Returns the models of a class, its team and all work, in this order.
     fn models(&self, work: Workload<'_>) -> [Option<&Model>; 3] {
         let class = self.classes.get(work.class).map(|e| &e.model);
         [
@@ -340,30 +341,31 @@
         ]
     }
 
-    /// Removes a machine that is gone.
+    /// Removes the speed factor of a machine that has left the cluster.
     pub fn remove_machine(&mut self, id: &MachineId) {
         self.machines.remove(id);
     }
 
-    /// Whether a machine is credibly at least `bound` times as slow as its peers.
+    /// Returns the machine if it is significantly slower than its peers, by a factor of at least `bound`.
     pub fn slow_machine(&self, id: &MachineId, bound: f64) -> Option<SlowMachine> {
         self.machines.slow_machine(id, bound)
     }
 
-    /// All machines that are credibly at least `bound` times as slow as their peers.
+    /// Returns all machines that are significantly slower than their peers, by a factor of at least
+    /// `bound`.
     pub fn slow_machines(&self, bound: f64) -> Vec<SlowMachine> {
         self.machines.slow_machines(bound)
     }
 
-    /// The distribution of a run under way by the present models, and its time so far, in seconds;
-    /// `None`: no such run.
+    /// Returns an active run's current run time distribution and its elapsed time in seconds, or `None`
+    /// if the run is not active.
     pub fn distribution_and_elapsed(
         &self,
         key: &RunKey,
         now: Micros,
     ) -> Option<(Distribution, f64)> {
         let run = self.running.get(key)?;
-        // A run of unknown start counts from the heartbeat that first showed it.
+        // A run whose start time is unknown counts from the heartbeat that first reported it.
         let elapsed_s = run
             .elapsed_s(now)
             .unwrap_or((now - run.started_at).as_secs_f64());
@@ -371,7 +373,7 @@
         Some((d.scaled(f64::from(run.log_factor.exp())), elapsed_s))
     }
 
-    /// Sizes, for display.
+    /// Returns counts for display.
     pub fn counts(&self) -> Counts {
         Counts {
             running: self.running.len(),
--- a/crates/hopyoke-run-times/src/learner/outcomes.rs
+++ b/crates/hopyoke-run-times/src/learner/outcomes.rs
@@ -1,4 +1,4 @@
-//! Ended runs: what each teaches the models of its class and team, and the speed factor of its machine.
+//! Updates the models of class and team, and the machine's speed factor, when a run ends.
 
 use super::{Entry, Learner, RunKey, RunOutcome, Running, Workload, log_seconds};
 use crate::model::{Band, Model};
@@ -6,13 +6,14 @@
 use hopyoke_types::{Attempt, Micros};
 use std::rc::Rc;
 
-/// What a run within its band counts against a change: one in twenty outlives its band by chance.
+/// Amount by which a run within its band lowers the overdue statistic. It is above zero because one
+/// run in twenty exceeds its band by chance.
 const OVERDUE_DECAY: f32 = 0.25;
-/// Upper bound on teams.
+/// Maximum number of teams with a model.
 const MAX_TEAMS: usize = 64;
 
 impl Entry {
-    /// Records a run that completed after `whole`; `x` is the same apart from its machine.
+    /// Records a completed run by its log run time; `adjusted` is the same less its machine's log factor.
     fn record_completed(
         &mut self,
         run: &Running,
@@ -37,7 +38,8 @@
 }
 
 impl Learner {
-    /// Records the end of a run. Returns its run time in seconds if that is known and it completed.
+    /// Records the end of a run. Returns its run time in seconds if it completed and the time is known
+    /// and within range.
     pub fn record_end(&mut self, key: &RunKey, outcome: RunOutcome, now: Micros) -> Option<f64> {
         self.remove_commanded(key);
         let run = self.running.remove(key)?;
@@ -54,10 +56,12 @@
         (outcome == RunOutcome::Completed).then_some(seconds)
     }
 
-    /// Records a run that was found completed, though this leader saw neither its end nor perhaps its start:
-    /// it ended at about `about`. (Without such runs, those of just the length from a failover's burst of starts
-    /// to the next gap between leaders would always be missing.) `day` and `split`: as for
-    /// [`Learner::infer_start_times`]. Returns whether it could be dated.
+    /// Records a run that is first reported after a failover and has already completed, at about
+    /// `ended_about`. Without such runs the models would be biased: runs that start right after one
+    /// failover and end during the next would never be observed.
+    ///
+    /// `clock_offset` and `split_attempt` are those of [`Learner::infer_start_times`]. Returns whether
+    /// the run's start time could be inferred.
     pub fn record_found_completed(
         &mut self,
         key: &RunKey,
@@ -95,7 +99,7 @@
 
     fn record_censored(&mut self, run: &Running, log_run_time: f32) {
         let (adjusted, decay_runs) = (log_run_time - run.log_factor, self.limits.decay_runs);
-        // A censored run gives only a lower bound, so it opens no model of a new class.
+        // A lower bound alone is not enough to create a model for a new class.
         if let Some(e) = self.classes.get_mut(&run.class) {
             e.model.record_censored(adjusted, run.estimate, decay_runs);
             self.page_allocator.touch(e.page);
@@ -115,9 +119,9 @@
         let adjusted = log_run_time - run.log_factor;
         let mut team = self.teams.get_mut(&run.team);
         if let Some(class) = self.classes.get_mut(&run.class) {
-            // The deviation that neither the class nor the drift of all its recent runs explains is
-            // due to the machine. A gang runs at the speed of its slowest: with several machines it
-            // is not known which that was.
+            // A deviation that neither the class model nor the drift of its recent runs explains is
+            // attributed to the machine. A gang runs at the speed of its slowest machine, and with
+            // several machines that one is not known.
             if class.model.level.weight() >= 5.0 {
                 let models = [
                     Some(&class.model),
@@ -150,7 +154,8 @@
             );
             self.page_allocator.touch(team.page);
         }
-        // The model of all work serves only classes and teams without runs: every fourth run suffices.
+        // The model of all work matters only for classes and teams with few runs, so it samples every
+        // fourth run.
         if self.all.model.runs < 64 || self.observation_count.is_multiple_of(4) {
             self.all
                 .model
@@ -169,8 +174,8 @@
             return;
         }
         if entries.len() >= max_entries {
-            // An eighth is evicted at once, so that this is rare: those least recently used, the
-            // fewer their runs the sooner.
+            // Evicts an eighth at once to amortize the cost. The score prefers entries that were used
+            // recently or have many runs.
             let retention_score =
                 |e: &Entry| e.last_used as f64 + 100.0 * f64::from(e.model.runs).ln_1p();
             let mut retention_scores: Vec<f64> = entries.values().map(retention_score).collect();
--- a/crates/hopyoke-run-times/src/learner/overdue.rs
+++ b/crates/hopyoke-run-times/src/learner/overdue.rs
@@ -1,4 +1,5 @@
-//! Runs that outlive their predicted bands: many of one class show that its run times have changed.
+//! Detects active runs that exceed their predicted bands; many of one class indicate that its run times
+//! have changed.
 
 use super::{Learner, RunKey, Running, Workload, log_seconds};
 use crate::distribution::{Distribution, GRID, P90};
@@ -7,13 +8,15 @@
 use std::cmp::Reverse;
 use std::rc::Rc;
 
-/// Threshold of Page's test on overdue runs of a class.
+/// Threshold of Page's test on the overdue runs of a class.
 const OVERDUE_THRESHOLD: f32 = 4.0;
-/// A commanded run that no heartbeat shows running is forgotten this long after its predicted end.
+/// Time after its predicted end at which a run is dropped from the predicted ends. This removes runs
+/// that were commanded to start but never reported as running.
 const COMMANDED_EXPIRY: Micros = Micros::from_secs(60);
 
 impl Learner {
-    /// Schedules a check for when the run will have outlived 95 of 100, and predicts its end.
+    /// Schedules a check for the time at which the run reaches the p95 of its distribution, and predicts
+    /// its end.
     pub(super) fn schedule_overdue_check(
         &mut self,
         key: &RunKey,
@@ -30,7 +33,7 @@
         };
         let overdue_at = after(d.0[GRID.len() - 2]);
         if is_first && overdue_at <= run.started_at + Micros(1) {
-            // Found after a failover, and overdue already: the last leader has counted it.
+            // The run was already overdue before the failover, so the previous leader has counted it.
             run.is_overdue = true;
         } else {
             self.overdue_checks.push(Reverse((overdue_at, key.clone())));
@@ -43,9 +46,12 @@
         }
     }
 
-    /// Dates runs whose start no heartbeat has shown: they began one start latency after their command.
-    /// `day`: wall clock less the steady clock; `split`: an attempt's fencing token, and the time from
-    /// that token's grant to the command. Runs of tokens whose grant is not known stay as they are.
+    /// Infers the start time of active runs whose start was not observed: one start latency after the
+    /// start command.
+    ///
+    /// `clock_offset` is the wall clock minus the monotonic clock. `split_attempt` returns an attempt's
+    /// fencing token and the time from that token's grant to the start command. Runs whose token has no
+    /// known grant time are unchanged.
     pub fn infer_start_times(
         &mut self,
         clock_offset: Micros,
@@ -75,13 +81,14 @@
         }
     }
 
-    /// When [`Learner::tick`] has a run to check.
+    /// Returns the time of the next check in [`Learner::tick`], or `None` if none is scheduled.
     pub fn next_overdue_check_at(&self) -> Option<Micros> {
         self.overdue_checks.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Checks runs that have outlived their bands: many of a class mean that its run times have changed,
-    /// and that the remaining time of all its runs is longer. Returns classes found changed.
+    /// Processes the overdue checks that are due. If many runs of a class are overdue, its model is
+    /// shifted, which extends the remaining time of all its runs. Returns the classes whose models were
+    /// shifted.
     pub fn tick(&mut self, now: Micros) -> Vec<Rc<str>> {
         self.expire_commanded(now);
         let mut changed = Vec::new();
@@ -115,14 +122,15 @@
         }
     }
 
-    /// Counts a run as overdue; its class if the test says that it may have changed.
+    /// Marks a run as overdue and updates its class's statistic. Returns the class if the statistic
+    /// indicates a change.
     fn record_overdue(&mut self, key: &RunKey) -> Option<Rc<str>> {
         let run = self.running.get_mut(key)?;
         run.is_overdue = true;
         let model = &mut self.classes.get_mut(&run.class)?.model;
         model.overdue_statistic += 1.0;
-        // The first completions after a change are those of short runs: their evidence and that of
-        // the long runs that outlive their bands are added.
+        // The first runs to complete after a change are short ones, so evidence from completed runs is
+        // added to that from overdue runs.
         let evidence = model.overdue_statistic / OVERDUE_THRESHOLD + model.level.upward_evidence();
         if evidence < 1.0 || model.overdue_statistic < 2.0 || model.level.weight() < 4.0 {
             return None;
@@ -131,8 +139,8 @@
         Some(run.class.clone())
     }
 
-    /// Moves a class's model to its overdue runs: the median of their run times is at least that of
-    /// their times so far. False if the model foresaw them.
+    /// Shifts a class's model to its overdue runs, whose median run time is at least the median of their
+    /// elapsed times. Returns whether the model was shifted.
     fn shift_to_overdue(&mut self, class: &Rc<str>, now: Micros) -> bool {
         let overdue: Vec<(f32, Option<f32>)> = self
             .running
@@ -151,7 +159,7 @@
         true
     }
 
-    /// Schedules new checks for a class's overdue runs, by its changed model.
+    /// Schedules new checks for a class's overdue runs after its model was shifted.
     fn reschedule_overdue(&mut self, class: &Rc<str>) {
         let overdue: Vec<RunKey> = self
             .running
@@ -170,7 +178,7 @@
         }
     }
 
-    /// The distribution of a run's whole time, apart from its machine.
+    /// Returns the distribution of a run's total run time on an average machine.
     pub(super) fn distribution_of(&self, run: &Running) -> Distribution {
         let work = Workload {
             class: &run.class,
--- a/crates/hopyoke-run-times/src/lib.rs
+++ b/crates/hopyoke-run-times/src/lib.rs
@@ -1,17 +1,18 @@
-//! Run times learned from past runs of similar work.
+//! Predicts run times from past runs of similar work.
 //!
-//! Observations go in (class, team, owner's estimate, machine, run time); distributions come out: p10, p50 and
-//! p90 of a run to come, and of the remaining time of one under way. There is no I/O here, and time is handed in.
+//! The input is observations (class, team, owner's estimate, machine, run time). The output is
+//! distributions (p10, p50, p90) of the run time of a future run and of the remaining time of an
+//! active one. The crate performs no I/O and reads no clock: callers pass the time.
 //!
-//! - [`Learner`]: models by class, team, and altogether; runs under way.
-//! - `model`, `view`: two views of each class, its own level and its ratio to the owners'
-//!   estimates, weighted by which has predicted better lately; forgetting, and change detection.
-//! - `sketch`: quantiles in mergeable sketches (t-digests), of logarithms.
-//! - `machines`: speed factor of each machine, apart from what it ran.
-//! - `pages`: the models as a few small records in the key-value store.
+//! - [`Learner`]: models per class, per team and for all work, and the active runs.
+//! - `model`, `view`: each class is modelled in two views, absolute run time and ratio to the owner's
+//!   estimate, weighted by recent prediction error, with exponential decay and change detection.
+//! - `sketch`: quantiles of log run times in mergeable sketches (t-digests).
+//! - `machines`: speed factor of each machine, independent of the work that it ran.
+//! - `pages`: persistence of the models as a few small records in the key-value store.
 //! - [`capacity`]: when running tasks will have released enough resources.
 //!
-//! Estimates order and reserve; they never decide a rule.
+//! Estimates influence ordering and reservations; no scheduling invariant depends on them.
 
 pub mod capacity;
 mod distribution;
--- a/crates/hopyoke-run-times/src/machines.rs
+++ b/crates/hopyoke-run-times/src/machines.rs
@@ -1,42 +1,42 @@
-//! Speed factor of each machine, apart from what it ran.
+//! Speed factor of each machine, independent of the work that it ran.
 
 use hopyoke_types::MachineId;
 use std::collections::BTreeMap;
 
-/// Upper bound on the weight of a machine's past runs: machines change, too.
+/// Maximum weight, in runs, of a machine's history, so that the factor follows changes.
 const MAX_WEIGHT: f32 = 20.0;
-/// Prior weight, in runs, of a factor of 1.
+/// Weight, in runs, of the prior factor of 1.
 const PRIOR_WEIGHT: f32 = 4.0;
-/// Lower bound on the standard deviation of one run (logarithms), whatever the machine.
+/// Lower bound on the standard deviation of the log deviation of a single run.
 const MIN_STD_DEV: f32 = 0.2;
-/// Standard errors below the mean at which a machine is still credibly slow: a one-sided 95% bound.
+/// Number of standard errors below the mean that forms the one-sided 95% lower confidence bound.
 const CONFIDENCE_Z: f32 = 1.64;
 
+/// Running statistics of the log ratio of actual to predicted run time on one machine.
 #[derive(Debug, Clone, Copy, Default)]
 struct Speed {
     weight: f32,
-    /// The mean and the mean square of logarithms of actual over predicted.
     mean: f32,
     mean_square: f32,
 }
 
-/// A machine that is credibly far slower than its peers.
+/// A machine that is significantly slower than its peers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SlowMachine {
     /// The machine.
     pub machine: MachineId,
-    /// How many times as long its runs take as on its peers.
+    /// Ratio of its run times to those on its peers.
     pub factor: f64,
-    /// Number of runs observed there, faded.
+    /// Weight of the observed runs; bounded, as older runs decay.
     pub runs: f64,
 }
 
-/// Speed factors by machine.
+/// Speed factors of all machines with observed runs.
 #[derive(Debug, Default)]
 pub(crate) struct MachineSpeeds(BTreeMap<MachineId, Speed>);
 
 impl MachineSpeeds {
-    /// Records a run that took `exp(deviation)` times what was predicted.
+    /// Records a run that took `exp(deviation)` times its predicted run time.
     pub(crate) fn record(&mut self, id: &MachineId, deviation: f32) {
         if !deviation.is_finite() {
             return;
@@ -51,19 +51,21 @@
         entry.mean_square += (d * d - entry.mean_square) / entry.weight;
     }
 
-    /// Removes a machine that is gone.
+    /// Removes a machine that has left the cluster.
     pub(crate) fn remove(&mut self, id: &MachineId) {
         self.0.remove(id);
     }
 
-    /// The logarithm of how many times as long runs take there.
+    /// Returns the log of the machine's run time factor, shrunk towards 0; 0 if it has no observed runs.
     pub(crate) fn log_factor(&self, id: &MachineId) -> f32 {
         self.0
             .get(id)
             .map_or(0.0, |s| s.mean * s.weight / (s.weight + PRIOR_WEIGHT))
     }
 
-    /// Whether a machine is credibly at least `bound` times as slow as its peers.
+    /// Returns the machine if its mean factor is at least `bound` and the 95% lower confidence bound of
+    /// the factor is at least `bound` to the power of 0.75. Returns `None` otherwise, and with fewer than
+    /// three observed runs.
     pub(crate) fn slow_machine(&self, id: &MachineId, bound: f64) -> Option<SlowMachine> {
         let s = self.0.get(id)?;
         if s.weight < 3.0 {
@@ -83,7 +85,7 @@
         })
     }
 
-    /// All machines that are credibly slow.
+    /// Returns all machines for which [`MachineSpeeds::slow_machine`] returns a value.
     pub(crate) fn slow_machines(&self, bound: f64) -> Vec<SlowMachine> {
         self.0
             .keys()
--- a/crates/hopyoke-run-times/src/model.rs
+++ b/crates/hopyoke-run-times/src/model.rs
@@ -1,49 +1,52 @@
-//! The model of one class, of one team, or of all work.
+//! Run time model of one class, one team, or all work.
 
 use crate::distribution::{Distribution, GRID, MEDIAN, P10, P90};
 use crate::view::{SavedView, View};
 use serde::{Deserialize, Serialize};
 
-/// Learning rate of the band's half-widths; after Gibbs and Candès, adaptive conformal inference.
+/// Learning rate of the band scales (adaptive conformal inference, Gibbs and Candès).
 const CALIBRATION_RATE: f32 = 0.05;
-/// Added to [`CALIBRATION_RATE`] at first, fading over some twenty runs.
+/// Initial addition to [`CALIBRATION_RATE`], decaying over about twenty runs.
 const INITIAL_CALIBRATION_RATE: f32 = 0.15;
-/// Prior weight, in runs, of the parent (a class's team, a team's all work) for the median.
+/// Weight, in runs, of the parent's median as a prior. The parent of a class is its team, and the
+/// parent of a team is the model of all work.
 const PRIOR_MEDIAN_WEIGHT: f32 = 3.0;
-/// Prior weight, in runs, of the parent for the width of the band: the median is known sooner than the tails.
+/// Weight, in runs, of the parent's band width as a prior; above [`PRIOR_MEDIAN_WEIGHT`] because
+/// the tails need more runs than the median.
 const PRIOR_WIDTH_WEIGHT: f32 = 6.0;
-/// How much wider the band of a class without any run is than its parent's.
+/// Relative widening of the band for a class without completed runs.
 const UNSEEN_CLASS_WIDENING: f32 = 0.6;
 
-/// Run times of similar work.
+/// Run time model of similar work.
 #[derive(Debug, Clone)]
 pub(crate) struct Model {
-    /// Logarithms of run times.
+    /// Log run times.
     pub(crate) level: View,
-    /// Logarithms of run times over owners' estimates.
+    /// Log ratios of run time to owner's estimate.
     pub(crate) ratio: View,
-    /// The band's lower and upper half-widths, relative to the views' own.
+    /// Calibration factor of the band below the median.
     lower_scale: f32,
+    /// Calibration factor of the band above the median.
     upper_scale: f32,
-    /// Seconds from a start command until the task runs, mostly the image's pull.
+    /// Time from the start command until the task runs, in seconds; mostly image pull.
     pub(crate) start_latency_s: f32,
-    /// Completed runs.
+    /// Number of completed runs.
     pub(crate) runs: u32,
-    /// Page's test: runs that outlive their band, against those that do not.
+    /// Statistic of Page's test for runs that exceed their predicted band.
     pub(crate) overdue_statistic: f32,
 }
 
-/// The stored form of a model.
+/// Serialized form of a [`Model`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SavedModel {
     #[serde(rename = "v")]
     level: SavedView,
     #[serde(rename = "r")]
     ratio: SavedView,
-    /// Half-widths and start latency in hundredths, and the number of runs.
+    /// Lower scale, upper scale and start latency in hundredths, then the number of runs.
     #[serde(rename = "w")]
     parameters: [u32; 4],
-    /// Runs that outlived their band, in hundredths.
+    /// Overdue statistic in hundredths.
     #[serde(rename = "o", default)]
     overdue: u32,
 }
@@ -62,10 +65,10 @@
     }
 }
 
-/// The prior distribution, before any run: half of the owner's estimate to one and a half of it
-/// is likely, and without an estimate anything from seconds to hours.
+/// Returns the log quantiles of the prior: about half to twice the owner's estimate, or seconds to
+/// hours without one.
 fn prior_quantiles(estimate: Option<f32>) -> [f32; 13] {
-    // Quantiles of a normal distribution at the grid's probabilities.
+    // Quantiles of the standard normal distribution at the probabilities of `GRID`.
     const NORMAL: [f32; 13] = [
         -2.33, -1.64, -1.28, -0.84, -0.52, -0.25, 0.0, 0.25, 0.52, 0.84, 1.28, 1.64, 2.33,
     ];
@@ -76,7 +79,8 @@
 }
 
 impl Model {
-    /// Records a run that completed: the logarithms of its length and its owner's estimate. True on a change.
+    /// Records a completed run by its log run time and the log of its owner's estimate. Returns whether
+    /// a change was detected.
     pub(crate) fn record_completed(
         &mut self,
         x: f32,
@@ -91,7 +95,7 @@
         changed
     }
 
-    /// Records a run that was censored.
+    /// Records a right-censored run: `x` is a lower bound on its log run time.
     pub(crate) fn record_censored(&mut self, x: f32, estimate: Option<f32>, decay_runs: f32) {
         self.level.record_censored(x, decay_runs);
         if let Some(e) = estimate {
@@ -99,8 +103,9 @@
         }
     }
 
-    /// Moves to runs under way (logarithms of their time so far, and of estimates) that have outlived their
-    /// band. A view whose p90 they exceed moves its median to theirs; the other stays. True if one moved.
+    /// Shifts the model to active runs that have exceeded their band, given as log elapsed times and log
+    /// estimates. A view whose p90 is below the median of these runs is shifted to that median; any
+    /// other view is unchanged. Returns whether a view was shifted.
     pub(crate) fn shift_to_overdue(&mut self, overdue: &[(f32, Option<f32>)]) -> bool {
         let level: Vec<f32> = overdue.iter().map(|(x, _)| *x).collect();
         let ratio: Vec<f32> = overdue
@@ -123,7 +128,7 @@
         shifted
     }
 
-    /// Adjusts the half-widths to a run that its predicted band has hit or missed.
+    /// Widens or narrows the band, depending on whether a completed run lies within its predicted band.
     pub(crate) fn calibrate_band(&mut self, x: f32, p10: f32, p90: f32) {
         let rate = CALIBRATION_RATE + INITIAL_CALIBRATION_RATE * (-(self.runs as f32) / 20.0).exp();
         let log_step = |miss: bool| rate * if miss { 0.9 } else { -0.1 };
@@ -131,7 +136,7 @@
         self.upper_scale = (self.upper_scale * log_step(x > p90).exp()).clamp(0.2, 6.0);
     }
 
-    /// Weight of the ratio to the owner's estimate against the class's own level, 0 to 1.
+    /// Returns the weight of the ratio view against the level view, 0 to 1, from their recent losses.
     pub(crate) fn ratio_weight(&self, estimate: Option<f32>) -> f32 {
         if estimate.is_none() || self.ratio.grid().is_none() {
             return 0.0;
@@ -146,8 +151,9 @@
         level_loss / (level_loss + ratio_loss)
     }
 
-    /// The quantiles of this model's own runs, and their weight. Of several classes
-    /// together (a team's, or all) only the ratio to estimates means something, where there is one.
+    /// Returns the log quantiles of this model's own runs and their weight, or `None` without runs. A
+    /// model of several classes (a team's, or that of all work) uses only the ratio view if it is
+    /// available, because absolute run times of different classes are not comparable.
     fn own_quantiles(&self, estimate: Option<f32>, is_class: bool) -> Option<([f32; 13], f32)> {
         let has_ratio = estimate.is_some() && self.ratio.grid().is_some();
         let share = if has_ratio && !is_class {
@@ -173,7 +179,7 @@
         Some((out, weight))
     }
 
-    /// The median alone of [`Model::predict`].
+    /// Returns the log median of [`Model::predict`] without computing the other quantiles.
     pub(crate) fn predict_median(models: &[Option<&Model>], estimate: Option<f32>) -> f32 {
         let mut out = prior_quantiles(estimate)[MEDIAN];
         for (i, model) in models.iter().enumerate().rev() {
@@ -196,7 +202,8 @@
         out
     }
 
-    /// The distribution of a run to come, by its class's model and its parents', nearest first.
+    /// Predicts the run time distribution of a future run from the models of its class, its team and all
+    /// work, in this order.
     pub(crate) fn predict(models: &[Option<&Model>], estimate: Option<f32>) -> Distribution {
         let mut out = prior_quantiles(estimate);
         let mut class_weight = 0.0;
@@ -221,13 +228,13 @@
             }
             out = next;
         }
-        // Parents' runs predict a class less well than themselves.
+        // The parents' models predict a class less well than their own runs.
         let widening = 1.0 + UNSEEN_CLASS_WIDENING * (-class_weight / PRIOR_MEDIAN_WEIGHT).exp();
         let median = out[MEDIAN];
         Distribution::from_log_quantiles(out.map(|q| median + widening * (q - median)))
     }
 
-    /// The form in which the model is stored.
+    /// Returns the serialized form.
     pub(crate) fn save(&self) -> SavedModel {
         let hundredths = |x: f32| (x * 100.0).round().clamp(0.0, 1e7) as u32;
         SavedModel {
@@ -243,7 +250,7 @@
         }
     }
 
-    /// Reads a model back; `None` if it holds what no model can.
+    /// Restores a model from its serialized form. Returns `None` if a value is out of range.
     pub(crate) fn load(saved: &SavedModel) -> Option<Model> {
         let [low, high, start_latency, runs] = saved.parameters;
         let scale = |x: u32| (x as f32 / 100.0).clamp(0.2, 6.0);
@@ -259,7 +266,7 @@
     }
 }
 
-/// A predicted band, as logarithms.
+/// A predicted interval of log run times.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Band {
     pub(crate) p10: f32,
@@ -267,7 +274,7 @@
 }
 
 impl Band {
-    /// The band of a distribution whose run times are all multiplied by `exp(factor)`.
+    /// Returns the band of a distribution with all run times multiplied by `exp(log_factor)`.
     pub(crate) fn from_distribution(d: &Distribution, log_factor: f32) -> Band {
         Band {
             p10: d.0[P10] + log_factor,
--- a/crates/hopyoke-run-times/src/pages.rs
+++ b/crates/hopyoke-run-times/src/pages.rs
@@ -1,7 +1,7 @@
-//! The models as a few small records in the key-value store, from which a new leader continues.
+//! Persistence of the models as a few small records (pages) in the key-value store, for the next leader.
 //!
-//! Nothing depends on them: a page that is lost, torn, of a newer version or out of range is
-//! skipped, and what it held is learned again.
+//! The pages are a cache: a page that is missing, truncated, of another version or out of range is
+//! skipped, and its models are learned again.
 
 use crate::learner::{Entry, Learner};
 use crate::model::{Model, SavedModel};
@@ -9,21 +9,21 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// The version of the format that is written and read.
+/// Format version that is written and accepted.
 const VERSION: u32 = 1;
-/// Upper bound on the number of pages.
+/// Maximum number of pages.
 const MAX_PAGES: usize = 24;
-/// Entries per page: each takes some 600 bytes in the form in which the store counts sizes.
+/// Maximum number of entries assigned to a page; each takes about 600 bytes in the store.
 const ENTRIES_PER_PAGE: usize = 10;
-/// Grants of fencing tokens that are kept: those of leaders whose attempts may still run.
+/// Maximum number of token grants kept; they cover the leaders whose attempts may still be running.
 const MAX_GRANTS: usize = 48;
 
-/// A page's number, 0 to 23; its key in the store.
+/// Number of a page, 0 to 23, which forms its key in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PageKey(pub u16);
 
 impl PageKey {
-    /// Reads a key as it is stored: a plain number. `None`: no page of this version has it.
+    /// Parses the decimal form used in the store. Returns `None` if it is not a number or out of range.
     pub fn parse(s: &str) -> Option<PageKey> {
         let n: u16 = s.parse().ok()?;
         (usize::from(n) < MAX_PAGES).then_some(PageKey(n))
@@ -36,7 +36,7 @@
     }
 }
 
-/// What an entry is the model of.
+/// Scope of an entry's model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum EntryKind {
     #[serde(rename = "c")]
@@ -47,36 +47,36 @@
     All,
 }
 
-/// The stored form of a page.
+/// Serialized form of a page.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     #[serde(rename = "v")]
     version: u32,
     #[serde(rename = "e", default)]
     entries: Vec<(EntryKind, String, SavedModel)>,
-    /// Grants of fencing tokens: token, and wall clock time in microseconds. Attempts carry their
-    /// token and the time since its grant, so this dates each start command.
+    /// Grants of fencing tokens: token and wall clock time in microseconds. An attempt encodes its token
+    /// and the time since the token's grant, so the grant time yields the time of its start command.
     #[serde(rename = "g", default)]
     grants: Vec<(u64, u64)>,
 }
 
-/// A page that was skipped, wholly or in part.
+/// Reason why a page was skipped, entirely or in part.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PageError {
-    /// The page has another version of the format.
-    #[error("version {0} is not {VERSION}")]
+    /// The page has another format version.
+    #[error("unsupported version {0}, expected {VERSION}")]
     Version(u32),
-    /// Some entries are out of range; the others were loaded.
-    #[error("{invalid} entries are nonsense, {loaded} were taken")]
+    /// Some entries are invalid; valid entries were loaded unless the present ones have more runs.
+    #[error("{invalid} entries are invalid, {loaded} were loaded")]
     Entries {
-        /// Entries that were skipped.
+        /// Number of invalid entries, which were skipped.
         invalid: usize,
-        /// Entries that were loaded.
+        /// Number of entries that were loaded.
         loaded: usize,
     },
 }
 
-/// State of one page.
+/// Occupancy and write state of one page.
 #[derive(Debug, Clone, Copy, Default)]
 struct PageState {
     entries: usize,
@@ -85,7 +85,7 @@
     last_written_at: Micros,
 }
 
-/// Assigns entries to pages, and tracks which pages have changed.
+/// Assigns entries to pages and tracks which pages have unwritten changes.
 #[derive(Debug, Default)]
 pub(crate) struct PageAllocator {
     pages: Vec<PageState>,
@@ -93,7 +93,8 @@
 }
 
 impl PageAllocator {
-    /// Assigns a page with room to a new entry; `None` if all are full: the entry is then not stored.
+    /// Assigns a page with free space to a new entry. Returns `None` if all pages are full; the entry is
+    /// then not persisted.
     pub(crate) fn assign(&mut self) -> Option<u16> {
         let found = self.pages.iter().position(|p| p.entries < ENTRIES_PER_PAGE);
         let i = match found {
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Keeps the newest grants: after many failovers the attempts under way carry those of the latest leaders.
+    /// Adds a grant and drops the oldest above the limit: active attempts carry the tokens of the latest
+    /// leaders.
     fn add_grant(&mut self, token: u64, granted_at: u64) {
         if self.grants.iter().any(|(t, _)| *t == token) {
             return;
@@ -145,7 +147,7 @@
 }
 
 impl Learner {
-    /// Records when a fencing token was granted, by the wall clock.
+    /// Records the wall clock time at which a fencing token was granted.
     pub fn record_token_grant(&mut self, token: u64, granted_at: Micros) {
         if self.all.page.is_none() {
             self.all.page = self.page_allocator.assign();
@@ -154,7 +156,7 @@
         self.page_allocator.touch(Some(0));
     }
 
-    /// When a fencing token was granted, by the wall clock; `None`: not known.
+    /// Returns the wall clock time at which a fencing token was granted, or `None` if it is not known.
     pub fn token_granted_at(&self, token: u64) -> Option<Micros> {
         self.page_allocator
             .grants
@@ -163,11 +165,12 @@
             .map(|(_, at)| Micros(*at))
     }
 
-    /// Loads a page that an earlier leader wrote; returns the number of entries that were taken. An entry
-    /// does not replace one of more runs.
+    /// Loads a page written by an earlier leader and returns the number of entries loaded. An entry does
+    /// not replace a present one with more runs.
     ///
     /// # Errors
-    /// The page has another version, or some of its entries are out of range.
+    /// Returns an error if the page has another version, or if some of its entries are invalid. In the
+    /// latter case the valid entries are loaded.
     pub fn load(&mut self, key: PageKey, page: &Page) -> Result<usize, PageError> {
         if page.version != VERSION {
             return Err(PageError::Version(page.version));
@@ -194,8 +197,8 @@
         }
     }
 
-    /// False: the present entry has more runs, and stays. (A few runs since the failover do not
-    /// outweigh all that were stored.)
+    /// Stores an entry unless the present one has more runs, so that a few runs since the failover do not
+    /// displace the loaded history. Returns whether the entry was stored.
     fn load_entry(&mut self, kind: EntryKind, name: &str, entry: Entry) -> bool {
         let entries = match kind {
             EntryKind::All => {
@@ -217,8 +220,10 @@
         replaces
     }
 
-    /// The changed page that was written longest ago, to be written now; none is written again before
-    /// `min_interval` is over. [`Learner::page_write_finished`] must follow.
+    /// Returns the changed page that was written least recently, to be written now, or `None` if none is
+    /// due. A page is not returned again within `min_interval`.
+    ///
+    /// The caller must call [`Learner::page_write_finished`] when the write has ended.
     pub fn next_page_to_write(
         &mut self,
         now: Micros,
@@ -268,7 +273,7 @@
         ))
     }
 
-    /// Whether a changed page waits to be written.
+    /// Returns whether a changed page is waiting to be written.
     pub fn has_dirty_pages(&self) -> bool {
         self.page_allocator
             .pages
@@ -276,7 +281,7 @@
             .any(|p| p.dirty && !p.writing)
     }
 
-    /// Ends a page's write; one that failed is repeated.
+    /// Records the end of a page's write; a page whose write failed stays dirty and is written again.
     pub fn page_write_finished(&mut self, key: PageKey, succeeded: bool) {
         let page = self.page_allocator.page_mut(key);
         page.writing = false;
--- a/crates/hopyoke-run-times/src/sketch.rs
+++ b/crates/hopyoke-run-times/src/sketch.rs
@@ -1,23 +1,23 @@
-//! A mergeable sketch of logarithms with exponential decay: a t-digest whose weights fade.
+//! Quantile sketch of log run times: a t-digest with exponential decay of the weights.
 
 use crate::distribution::{GRID, MAX_LOG_S, MIN_LOG_S};
 use serde::{Deserialize, Serialize};
 use tdigest::{Centroid, TDigest};
 
-/// Centroids kept: enough for p10 and p90 of some dozens of runs.
+/// Maximum number of centroids; enough for p10 and p90 of a few dozen runs.
 const MAX_CENTROIDS: usize = 16;
 
-/// Quantiles of values in [`MIN_LOG_S`] to [`MAX_LOG_S`].
+/// Quantile sketch of values between [`MIN_LOG_S`] and [`MAX_LOG_S`].
 #[derive(Debug, Clone)]
 pub(crate) struct Sketch {
     pub(crate) digest: TDigest,
-    /// Values that are not in the digest yet: merging several at once costs little more than one.
+    /// Values not yet merged into the digest; a batch costs little more to merge than one value.
     pending: Vec<f64>,
-    /// Values added added_since_decay weights last faded.
+    /// Number of values added since the last decay of the weights.
     added_since_decay: u16,
 }
 
-/// A sketch as it is written: pairs of value (thousandths) and weight (hundredths).
+/// Serialized form of a [`Sketch`]: pairs of value in thousandths and weight in hundredths.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct SavedSketch(Vec<(i32, u32)>);
@@ -33,8 +33,8 @@
 }
 
 impl Sketch {
-    /// Adds a value; every quarter of `memory` values all weights fade so that a value counts a
-    /// third after `memory` others.
+    /// Adds a value; ignores it if it is not finite. All weights decay once per `decay_runs / 4` values,
+    /// so that a value's weight falls to 1/e after `decay_runs` further values.
     pub(crate) fn add(&mut self, x: f32, decay_runs: f32) {
         let x = f64::from(if x.is_finite() {
             x.clamp(MIN_LOG_S, MAX_LOG_S)
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Values that [`Sketch::merge_pending`] would take in.
+    /// Returns the number of values not yet merged into the digest.
     pub(crate) fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Takes in what was added; quantiles are of what was taken in.
+    /// Merges the added values into the digest; quantiles reflect merged values only.
     pub(crate) fn merge_pending(&mut self) {
         if !self.pending.is_empty() {
             self.digest = self
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Moves all values, and lets them count for `weight` together at the most.
+    /// Shifts all values by `by` and scales their total weight down to at most `max_weight`.
     pub(crate) fn shift(&mut self, by: f32, max_weight: f32) {
         self.merge_pending();
         let weight_factor = f64::from(max_weight) / self.digest.count().max(f64::from(max_weight));
@@ -83,12 +83,12 @@
         self.digest = digest_from_centroids(centroids.filter(|(_, w)| *w > 1e-6).collect());
     }
 
-    /// The weight of all values.
+    /// Returns the total weight of all values.
     pub(crate) fn weight(&self) -> f32 {
         self.digest.count() as f32 + self.pending.len() as f32
     }
 
-    /// All quantiles of the grid; `None` while nothing is known.
+    /// Returns the quantiles at the probabilities of [`GRID`], or `None` if no value has been merged.
     pub(crate) fn grid(&self) -> Option<[f32; 13]> {
         if self.digest.is_empty() {
             return None;
@@ -101,7 +101,7 @@
         Some(out)
     }
 
-    /// The form in which the sketch is stored.
+    /// Returns the serialized form.
     pub(crate) fn save(&self) -> SavedSketch {
         let mut merged = self.clone();
         merged.merge_pending();
@@ -114,7 +114,8 @@
         SavedSketch(merged.digest.centroids().iter().map(encode).collect())
     }
 
-    /// Reads a sketch back; `None` if it holds what no sketch can.
+    /// Restores a sketch from its serialized form. Returns `None` if it has too many centroids or a
+    /// value or weight is out of range.
     pub(crate) fn load(saved: &SavedSketch) -> Option<Sketch> {
         let is_valid = |(x, w): &(i32, u32)| {
             let x = *x as f32 / 1000.0;
@@ -135,7 +136,7 @@
     }
 }
 
-/// A digest of pairs of value and weight.
+/// Builds a digest from pairs of value and weight.
 fn digest_from_centroids(centroids: Vec<(f64, f64)>) -> TDigest {
     let (mut sum, mut count) = (0.0, 0.0);
     let (mut min, mut max) = (f64::INFINITY, f64::NEG_INFINITY);
--- a/crates/hopyoke-run-times/src/view.rs
+++ b/crates/hopyoke-run-times/src/view.rs
@@ -1,34 +1,36 @@
-//! One view of a class: quantiles, their recent prediction loss, and change detection.
+//! One view of a class's run times: quantiles, recent prediction loss and change detection.
 
 use crate::distribution::{MEDIAN, P10, P90, probability_at, quantile_at};
 use crate::sketch::{SavedSketch, Sketch};
 use serde::{Deserialize, Serialize};
 
-/// Slack of the cumulative sum, in standard deviations: smaller deviations do not count.
+/// Slack of the cumulative sum, in standard deviations; smaller deviations are ignored.
 const CUSUM_SLACK: f32 = 0.75;
-/// Threshold of the cumulative sum, in standard deviations beyond the slack.
+/// Threshold at which the cumulative sum signals a change, in standard deviations.
 const CUSUM_THRESHOLD: f32 = 5.0;
-/// Upper bound on what a single run contributes, in standard deviations.
+/// Maximum contribution of a single run to the cumulative sum, in standard deviations.
 const MAX_STANDARDIZED_DEVIATION: f32 = 3.0;
-/// Weight, in runs, of the distribution from before a change: its shape still holds.
+/// Weight, in runs, kept from the distribution before a change, whose shape is still informative.
 const WEIGHT_AFTER_CHANGE: f32 = 6.0;
 
-/// Below this many runs each is merged at once; above, at least [`MERGE_BATCH`] together.
+/// Weight below which each run is merged immediately; above it, runs are merged in batches.
 const SMALL_SAMPLE_WEIGHT: f32 = 20.0;
-/// See [`SMALL_SAMPLE_WEIGHT`].
+/// Minimum number of runs merged together above [`SMALL_SAMPLE_WEIGHT`].
 const MERGE_BATCH: usize = 8;
 
-/// A one-sided cumulative sum of deviations (Page's test).
+/// One-sided cumulative sum of deviations (Page's test).
 #[derive(Debug, Clone, Copy, Default)]
 struct Cusum {
     statistic: f32,
-    /// The deviations since it last was zero: their sum, and how many.
+    /// Sum of the raw deviations since the statistic was last zero.
     sum: f32,
+    /// Number of deviations since the statistic was last zero.
     count: u16,
 }
 
 impl Cusum {
-    /// Adds a deviation, in standard deviations and as it is; the mean deviation if that is a change.
+    /// Adds a deviation, given both in standard deviations and raw. Returns the mean raw deviation if a
+    /// change is detected.
     fn add(&mut self, standardized: f32, deviation: f32) -> Option<f32> {
         self.statistic += standardized - CUSUM_SLACK;
         if self.statistic <= 0.0 {
@@ -42,22 +44,23 @@
     }
 }
 
-/// Quantiles of one quantity, with change detection.
+/// Quantiles of one quantity with change detection.
 #[derive(Debug, Clone)]
 pub(crate) struct View {
     sketch: Sketch,
     grid: Option<[f32; 13]>,
-    /// The mean of |logarithm of actual / predicted|, exponentially weighted.
+    /// Exponentially weighted mean of |log(actual / predicted)|.
     loss: f32,
     up: Cusum,
     down: Cusum,
-    /// Changes detected so far.
+    /// Number of changes detected.
     pub(crate) change_count: u32,
-    /// Position in its range at which the last censored run was taken to end; see [`View::record_censored`].
+    /// Relative position in its tail at which the last censored run was imputed; see
+    /// [`View::record_censored`].
     imputation_position: f32,
 }
 
-/// The stored form of a view.
+/// Serialized form of a [`View`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SavedView {
     #[serde(rename = "q")]
@@ -65,8 +68,8 @@
     /// Loss in thousandths.
     #[serde(rename = "l")]
     loss: u32,
-    /// Cumulative sums, upwards and downwards (hundredths, hundredths, count): a leader whose term is shorter
-    /// than a change takes to be detected must hand on the evidence.
+    /// Upward and downward cumulative sums (statistic and sum in hundredths, count). They are persisted
+    /// so that a change is detected even if it takes longer than one leader's term.
     #[serde(rename = "c", default)]
     cusums: [(i32, i32, u16); 2],
 }
@@ -102,7 +105,7 @@
         ((grid[P90] - grid[P10]) / 2.56).max(0.08)
     }
 
-    /// Records a run that completed. True if a change is detected.
+    /// Records a completed run. Returns whether a change was detected.
     pub(crate) fn record_completed(&mut self, x: f32, decay_runs: f32) -> bool {
         let mut change = None;
         if let Some(grid) = &self.grid {
@@ -126,14 +129,14 @@
         change.is_some()
     }
 
-    /// Records a run that was censored after `x`: it would have ended somewhere beyond. It is taken to end at
-    /// a point of that range that is drawn evenly over it, so that many such runs have the
-    /// distribution that their class has beyond `x` (else only short runs would count).
+    /// Records a run that was censored at `x`, by imputing an end beyond `x`. Imputed ends are spread
+    /// evenly over the tail beyond `x`, so that many censored runs reproduce the class's distribution
+    /// there. Without them the model would be biased towards short runs.
     pub(crate) fn record_censored(&mut self, x: f32, decay_runs: f32) {
         let Some(grid) = &self.grid else { return };
         let below = probability_at(grid, x);
         if below < 0.05 {
-            // Nearly all runs outlive this: no information.
+            // Nearly all runs take longer, so the observation carries no information.
             return;
         }
         self.imputation_position = (self.imputation_position + 0.618_034).fract();
@@ -148,12 +151,12 @@
         self.refresh_grid_if_due();
     }
 
-    /// Evidence for longer runs, as a share of the threshold.
+    /// Returns the upward statistic as a fraction of the threshold.
     pub(crate) fn upward_evidence(&self) -> f32 {
         self.up.statistic / CUSUM_THRESHOLD
     }
 
-    /// Multiplies all run times by `exp(by)`, after a change.
+    /// Multiplies all run times by `exp(by)` and resets change detection.
     pub(crate) fn shift(&mut self, by: f32) {
         self.sketch.shift(by, WEIGHT_AFTER_CHANGE);
         self.up = Cusum::default();
@@ -162,8 +165,8 @@
         self.refresh_grid();
     }
 
-    /// With few runs each is merged at once; later they are merged in batches, for cost. (Change detection
-    /// sees every run all the same.)
+    /// Merges pending runs: immediately while there are few, later in batches to save time. Change
+    /// detection sees every run either way.
     fn refresh_grid_if_due(&mut self) {
         if self.grid.is_none()
             || self.weight() < SMALL_SAMPLE_WEIGHT
