--- a/crates/hopyoke-run-times/src/learner.rs
+++ b/crates/hopyoke-run-times/src/learner.rs
@@ -122,10 +122,10 @@
 
 /// An active run.
 #[derive(Debug)]
-struct Running {
+struct ActiveRun {
     class: Rc<str>,
     team: Rc<str>,
-    estimate: Option<f32>,
+    log_estimate: Option<f32>,
     machines: Vec<MachineId>,
     /// Log factor of its slowest machine when it started.
     log_factor: f32,
@@ -138,7 +138,7 @@
     expected_end: Option<Micros>,
 }
 
-impl Running {
+impl ActiveRun {
     /// Returns the elapsed run time in seconds, or `None` if the start time is not known.
     fn elapsed_s(&self, now: Micros) -> Option<f64> {
         Some((now - self.started_at + self.elapsed_before?).as_secs_f64())
@@ -153,7 +153,7 @@
     pub(crate) teams: BTreeMap<Rc<str>, Entry>,
     pub(crate) all: Entry,
     machines: MachineSpeeds,
-    running: BTreeMap<RunKey, Running>,
+    running: BTreeMap<RunKey, ActiveRun>,
     /// Times at which active runs exceed their predicted bands.
     overdue_checks: BinaryHeap<Reverse<(Micros, RunKey)>>,
     /// Commanded and active runs, ordered by the predicted p90 of their end.
@@ -202,10 +202,13 @@
     }
 
     /// Predicts the run time of a workload, on a given machine or, without one, on an average machine.
-    pub fn estimate(&self, work: Workload<'_>, machine: Option<&MachineId>) -> Estimate {
-        let estimate = log_seconds(work.estimate_s);
-        let (class, team) = (self.classes.get(work.class), self.teams.get(work.team));
-        let mut distribution = Model::predict(&self.models(work), estimate);
+    pub fn estimate(&self, workload: Workload<'_>, machine: Option<&MachineId>) -> Estimate {
+        let log_estimate = log_seconds(workload.estimate_s);
+        let (class, team) = (
+            self.classes.get(workload.class),
+            self.teams.get(workload.team),
+        );
+        let mut distribution = Model::predict(&self.models(workload), log_estimate);
         if let Some(m) = machine {
             let log_factor = self.machines.log_factor(m);
             if log_factor != 0.0 {
@@ -219,7 +222,7 @@
             all_runs: self.all.model.runs,
             ratio_weight: class
                 .or(team)
-                .map_or(0.0, |e| e.model.ratio_weight(estimate)),
+                .map_or(0.0, |e| e.model.ratio_weight(log_estimate)),
             change_count: class.map_or(0, |e| {
                 e.model.level.change_count + e.model.ratio.change_count
             }),
@@ -239,7 +242,7 @@
     }
 
     /// Records the time in seconds from a start command until the task ran.
-    pub fn observe_start_latency(&mut self, class: &str, seconds: f64) {
+    pub fn record_start_latency(&mut self, class: &str, seconds: f64) {
         if let Some(e) = self.classes.get_mut(class)
             && seconds.is_finite()
         {
@@ -249,16 +252,16 @@
     }
 
     /// Records that a run was commanded to start, and predicts its end.
-    pub fn record_start_command(&mut self, key: RunKey, work: Workload<'_>, now: Micros) {
-        let p90 = self.estimate(work, None).distribution.quantile(0.9);
-        let expected_end = now + Micros::from_secs_f64(p90 + self.start_latency_s(work.class));
+    pub fn record_start_command(&mut self, key: RunKey, workload: Workload<'_>, now: Micros) {
+        let p90 = self.estimate(workload, None).distribution.quantile(0.9);
+        let expected_end = now + Micros::from_secs_f64(p90 + self.start_latency_s(workload.class));
         if let Some(old) = self.commanded_ends.insert(key.clone(), expected_end) {
             self.expected_ends.remove(&(old, key.clone()));
         }
         self.expected_ends.insert((expected_end, key));
     }
 
-    fn remove_commanded(&mut self, key: &RunKey) {
+    fn remove_start_command(&mut self, key: &RunKey) {
         if let Some(at) = self.commanded_ends.remove(key) {
             self.expected_ends.remove(&(at, key.clone()));
         }
@@ -269,7 +272,7 @@
     pub fn record_start(
         &mut self,
         key: RunKey,
-        work: Workload<'_>,
+        workload: Workload<'_>,
         machines: Vec<MachineId>,
         started_at: Micros,
         elapsed_before: Option<Micros>,
@@ -277,17 +280,17 @@
         if self.running.contains_key(&key) {
             return;
         }
-        self.remove_commanded(&key);
+        self.remove_start_command(&key);
         let log_factor = machines
             .iter()
             .map(|m| self.machines.log_factor(m))
             .fold(f32::MIN, f32::max);
         let log_factor = if machines.is_empty() { 0.0 } else { log_factor };
-        let estimate = self.estimate(work, None);
-        let mut run = Running {
-            class: self.interned(&self.classes, work.class),
-            team: self.interned(&self.teams, work.team),
-            estimate: log_seconds(work.estimate_s),
+        let estimate = self.estimate(workload, None);
+        let mut run = ActiveRun {
+            class: self.shared_name(&self.classes, workload.class),
+            team: self.shared_name(&self.teams, workload.team),
+            log_estimate: log_seconds(workload.estimate_s),
             machines,
             log_factor,
             started_at,
@@ -301,14 +304,14 @@
     }
 
     /// Returns the shared copy of a name if it has a model, otherwise a new copy.
-    fn interned(&self, names: &BTreeMap<Rc<str>, Entry>, name: &str) -> Rc<str> {
+    fn shared_name(&self, names: &BTreeMap<Rc<str>, Entry>, name: &str) -> Rc<str> {
         names
             .get_key_value(name)
             .map_or_else(|| Rc::from(name), |(k, _)| k.clone())
     }
 
     /// Iterates over the runs whose predicted p90 end is at most `span` from now, earliest first.
-    pub fn ending_within(&self, now: Micros, span: Micros) -> impl Iterator<Item = &RunKey> {
+    pub fn runs_ending_within(&self, now: Micros, span: Micros) -> impl Iterator<Item = &RunKey> {
         // Runs beyond their p90 are skipped, as their end cannot be predicted.
         let from = (
             now,
@@ -332,11 +335,11 @@
     }
 
     /// Returns the models of a class, its team and all work, in this order.
-    fn models(&self, work: Workload<'_>) -> [Option<&Model>; 3] {
-        let class = self.classes.get(work.class).map(|e| &e.model);
+    fn models(&self, workload: Workload<'_>) -> [Option<&Model>; 3] {
+        let class = self.classes.get(workload.class).map(|e| &e.model);
         [
             class,
-            self.teams.get(work.team).map(|e| &e.model),
+            self.teams.get(workload.team).map(|e| &e.model),
             Some(&self.all.model),
         ]
     }
--- a/crates/hopyoke-run-times/src/learner/outcomes.rs
+++ b/crates/hopyoke-run-times/src/learner/outcomes.rs
@@ -1,6 +1,6 @@
 //! Updates the models of class and team, and the machine's speed factor, when a run ends.
 
-use super::{Entry, Learner, RunKey, RunOutcome, Running, Workload, log_seconds};
+use super::{ActiveRun, Entry, Learner, RunKey, RunOutcome, Workload, log_seconds};
 use crate::model::{Band, Model};
 use crate::pages::EntryKind;
 use hopyoke_types::{Attempt, Micros};
@@ -16,7 +16,7 @@
     /// Records a completed run by its log run time; `adjusted` is the same less its machine's log factor.
     fn record_completed(
         &mut self,
-        run: &Running,
+        run: &ActiveRun,
         adjusted: f32,
         log_run_time: f32,
         decay_runs: f32,
@@ -25,7 +25,7 @@
         self.last_used = observation_count;
         if self
             .model
-            .record_completed(adjusted, run.estimate, decay_runs)
+            .record_completed(adjusted, run.log_estimate, decay_runs)
         {
             self.drift = 0.0;
         }
@@ -41,7 +41,7 @@
     /// Records the end of a run. Returns its run time in seconds if it completed and the time is known
     /// and within range.
     pub fn record_end(&mut self, key: &RunKey, outcome: RunOutcome, now: Micros) -> Option<f64> {
-        self.remove_commanded(key);
+        self.remove_start_command(key);
         let run = self.running.remove(key)?;
         if let Some(at) = run.expected_end {
             self.expected_ends.remove(&(at, key.clone()));
@@ -65,7 +65,7 @@
     pub fn record_found_completed(
         &mut self,
         key: &RunKey,
-        work: Workload<'_>,
+        workload: Workload<'_>,
         ended_about: Micros,
         clock_offset: Micros,
         split_attempt: &dyn Fn(Attempt) -> (u64, Micros),
@@ -74,16 +74,16 @@
         let Some(granted_at) = self.token_granted_at(token) else {
             return false;
         };
-        let start_latency = Micros::from_secs_f64(self.start_latency_s(work.class));
+        let start_latency = Micros::from_secs_f64(self.start_latency_s(workload.class));
         let elapsed_s = ((clock_offset + ended_about)
             - (granted_at + granted_to_command + start_latency))
             .as_secs_f64();
         if let Some(log_run_time) = log_seconds(elapsed_s.max(0.5)) {
-            let d = self.estimate(work, None).distribution;
-            let run = Running {
-                class: self.interned(&self.classes, work.class),
-                team: self.interned(&self.teams, work.team),
-                estimate: log_seconds(work.estimate_s),
+            let d = self.estimate(workload, None).distribution;
+            let run = ActiveRun {
+                class: self.shared_name(&self.classes, workload.class),
+                team: self.shared_name(&self.teams, workload.team),
+                log_estimate: log_seconds(workload.estimate_s),
                 machines: Vec::new(),
                 log_factor: 0.0,
                 started_at: ended_about,
@@ -97,19 +97,21 @@
         true
     }
 
-    fn record_censored(&mut self, run: &Running, log_run_time: f32) {
+    fn record_censored(&mut self, run: &ActiveRun, log_run_time: f32) {
         let (adjusted, decay_runs) = (log_run_time - run.log_factor, self.limits.decay_runs);
         // A lower bound alone is not enough to create a model for a new class.
         if let Some(e) = self.classes.get_mut(&run.class) {
-            e.model.record_censored(adjusted, run.estimate, decay_runs);
+            e.model
+                .record_censored(adjusted, run.log_estimate, decay_runs);
             self.page_allocator.touch(e.page);
         }
         if let Some(e) = self.teams.get_mut(&run.team) {
-            e.model.record_censored(adjusted, run.estimate, decay_runs);
+            e.model
+                .record_censored(adjusted, run.log_estimate, decay_runs);
         }
     }
 
-    fn record_completed(&mut self, run: &Running, log_run_time: f32) {
+    fn record_completed(&mut self, run: &ActiveRun, log_run_time: f32) {
         self.observation_count += 1;
         if !self.classes.contains_key(&run.class) {
             self.add_entry(EntryKind::Team, &run.team);
@@ -129,7 +131,7 @@
                     Some(&self.all.model),
                 ];
                 let deviation =
-                    log_run_time - Model::predict_median(&models, run.estimate) - class.drift;
+                    log_run_time - Model::predict_median(&models, run.log_estimate) - class.drift;
                 class.drift += 0.15 * deviation.clamp(-1.0, 1.0);
                 if let [machine] = run.machines.as_slice() {
                     self.machines.record(machine, deviation);
@@ -159,7 +161,7 @@
         if self.all.model.runs < 64 || self.observation_count.is_multiple_of(4) {
             self.all
                 .model
-                .record_completed(adjusted, run.estimate, decay_runs);
+                .record_completed(adjusted, run.log_estimate, decay_runs);
             self.page_allocator.touch(self.all.page);
         }
     }
--- a/crates/hopyoke-run-times/src/learner/overdue.rs
+++ b/crates/hopyoke-run-times/src/learner/overdue.rs
@@ -1,7 +1,7 @@
 //! Detects active runs that exceed their predicted bands; many of one class indicate that its run times
 //! have changed.
 
-use super::{Learner, RunKey, Running, Workload, log_seconds};
+use super::{ActiveRun, Learner, RunKey, Workload, log_seconds};
 use crate::distribution::{Distribution, GRID, P90};
 use crate::model::Model;
 use hopyoke_types::{Attempt, Micros};
@@ -20,7 +20,7 @@
     pub(super) fn schedule_overdue_check(
         &mut self,
         key: &RunKey,
-        run: &mut Running,
+        run: &mut ActiveRun,
         d: &Distribution,
         is_first: bool,
     ) {
@@ -146,7 +146,12 @@
             .running
             .values()
             .filter(|r| r.class == *class && r.is_overdue)
-            .filter_map(|r| Some((log_seconds(r.elapsed_s(now)?)? - r.log_factor, r.estimate)))
+            .filter_map(|r| {
+                Some((
+                    log_seconds(r.elapsed_s(now)?)? - r.log_factor,
+                    r.log_estimate,
+                ))
+            })
             .collect();
         let Some(entry) = self.classes.get_mut(class) else {
             return false;
@@ -179,12 +184,12 @@
     }
 
     /// Returns the distribution of a run's total run time on an average machine.
-    pub(super) fn distribution_of(&self, run: &Running) -> Distribution {
-        let work = Workload {
+    pub(super) fn distribution_of(&self, run: &ActiveRun) -> Distribution {
+        let workload = Workload {
             class: &run.class,
             team: &run.team,
             estimate_s: 0.0,
         };
-        Model::predict(&self.models(work), run.estimate)
+        Model::predict(&self.models(workload), run.log_estimate)
     }
 }
--- a/crates/hopyoke-run-times/src/model.rs
+++ b/crates/hopyoke-run-times/src/model.rs
@@ -67,12 +67,12 @@
 
 /// Returns the log quantiles of the prior: about half to twice the owner's estimate, or seconds to
 /// hours without one.
-fn prior_quantiles(estimate: Option<f32>) -> [f32; 13] {
+fn prior_quantiles(log_estimate: Option<f32>) -> [f32; 13] {
     // Quantiles of the standard normal distribution at the probabilities of `GRID`.
     const NORMAL: [f32; 13] = [
         -2.33, -1.64, -1.28, -0.84, -0.52, -0.25, 0.0, 0.25, 0.52, 0.84, 1.28, 1.64, 2.33,
     ];
-    match estimate {
+    match log_estimate {
         Some(e) => NORMAL.map(|z| e + 0.6 * z),
         None => NORMAL.map(|z| 5.0 + 1.6 * z),
     }
@@ -84,21 +84,21 @@
     pub(crate) fn record_completed(
         &mut self,
         x: f32,
-        estimate: Option<f32>,
+        log_estimate: Option<f32>,
         decay_runs: f32,
     ) -> bool {
         self.runs = self.runs.saturating_add(1);
         let mut changed = self.level.record_completed(x, decay_runs);
-        if let Some(e) = estimate {
+        if let Some(e) = log_estimate {
             changed |= self.ratio.record_completed(x - e, decay_runs);
         }
         changed
     }
 
     /// Records a right-censored run: `x` is a lower bound on its log run time.
-    pub(crate) fn record_censored(&mut self, x: f32, estimate: Option<f32>, decay_runs: f32) {
+    pub(crate) fn record_censored(&mut self, x: f32, log_estimate: Option<f32>, decay_runs: f32) {
         self.level.record_censored(x, decay_runs);
-        if let Some(e) = estimate {
+        if let Some(e) = log_estimate {
             self.ratio.record_censored(x - e, decay_runs);
         }
     }
@@ -137,8 +137,8 @@
     }
 
     /// Returns the weight of the ratio view against the level view, 0 to 1, from their recent losses.
-    pub(crate) fn ratio_weight(&self, estimate: Option<f32>) -> f32 {
-        if estimate.is_none() || self.ratio.grid().is_none() {
+    pub(crate) fn ratio_weight(&self, log_estimate: Option<f32>) -> f32 {
+        if log_estimate.is_none() || self.ratio.grid().is_none() {
             return 0.0;
         }
         if self.level.grid().is_none() {
@@ -154,12 +154,12 @@
     /// Returns the log quantiles of this model's own runs and their weight, or `None` without runs. A
     /// model of several classes (a team's, or that of all work) uses only the ratio view if it is
     /// available, because absolute run times of different classes are not comparable.
-    fn own_quantiles(&self, estimate: Option<f32>, is_class: bool) -> Option<([f32; 13], f32)> {
-        let has_ratio = estimate.is_some() && self.ratio.grid().is_some();
+    fn own_quantiles(&self, log_estimate: Option<f32>, is_class: bool) -> Option<([f32; 13], f32)> {
+        let has_ratio = log_estimate.is_some() && self.ratio.grid().is_some();
         let share = if has_ratio && !is_class {
             1.0
         } else {
-            self.ratio_weight(estimate)
+            self.ratio_weight(log_estimate)
         };
         let mut out = [0.0; 13];
         if share < 1.0 {
@@ -169,7 +169,7 @@
                 .for_each(|(o, q)| *o += (1.0 - share) * q);
         }
         if share > 0.0
-            && let (Some(e), Some(ratio)) = (estimate, self.ratio.grid())
+            && let (Some(e), Some(ratio)) = (log_estimate, self.ratio.grid())
         {
             out.iter_mut()
                 .zip(ratio)
@@ -180,16 +180,18 @@
     }
 
     /// Returns the log median of [`Model::predict`] without computing the other quantiles.
-    pub(crate) fn predict_median(models: &[Option<&Model>], estimate: Option<f32>) -> f32 {
-        let mut out = prior_quantiles(estimate)[MEDIAN];
+    pub(crate) fn predict_median(models: &[Option<&Model>], log_estimate: Option<f32>) -> f32 {
+        let mut out = prior_quantiles(log_estimate)[MEDIAN];
         for (i, model) in models.iter().enumerate().rev() {
             let Some(model) = model else { continue };
-            let ratio = estimate.zip(model.ratio.grid()).map(|(e, q)| e + q[MEDIAN]);
+            let ratio = log_estimate
+                .zip(model.ratio.grid())
+                .map(|(e, q)| e + q[MEDIAN]);
             let level = model.level.grid().map(|q| q[MEDIAN]);
             let (own, weight) = match (ratio, level) {
                 (None, None) => continue,
                 (Some(ratio), Some(level)) if i == 0 => {
-                    let share = model.ratio_weight(estimate);
+                    let share = model.ratio_weight(log_estimate);
                     let weight =
                         (1.0 - share) * model.level.weight() + share * model.ratio.weight();
                     (share * ratio + (1.0 - share) * level, weight)
@@ -204,12 +206,12 @@
 
     /// Predicts the run time distribution of a future run from the models of its class, its team and all
     /// work, in this order.
-    pub(crate) fn predict(models: &[Option<&Model>], estimate: Option<f32>) -> Distribution {
-        let mut out = prior_quantiles(estimate);
+    pub(crate) fn predict(models: &[Option<&Model>], log_estimate: Option<f32>) -> Distribution {
+        let mut out = prior_quantiles(log_estimate);
         let mut class_weight = 0.0;
         for (i, model) in models.iter().enumerate().rev() {
             let Some(model) = model else { continue };
-            let Some((own, weight)) = model.own_quantiles(estimate, i == 0) else {
+            let Some((own, weight)) = model.own_quantiles(log_estimate, i == 0) else {
                 continue;
             };
             class_weight = if i == 0 { weight } else { 0.0 };
--- a/crates/hopyoke-scheduler/src/placement/estimates.rs
+++ b/crates/hopyoke-scheduler/src/placement/estimates.rs
@@ -223,7 +223,7 @@
                 expected.push(capacity);
             }
         }
-        for (task, _) in self.learned.learner.ending_within(now, horizon) {
+        for (task, _) in self.learned.learner.runs_ending_within(now, horizon) {
             self.add_visited(1);
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -249,7 +249,7 @@
         if let Some(since) = allocation.filter(|_| seen).map(|s| s.since) {
             self.learned
                 .learner
-                .observe_start_latency(&spec.class, (now - since).as_secs_f64());
+                .record_start_latency(&spec.class, (now - since).as_secs_f64());
         }
         let before = seen.then_some(Micros::ZERO);
         self.learned
