--- a/crates/hopyoke-run-times/tests/scenarios.rs
+++ b/crates/hopyoke-run-times/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Scenarios as small text files: work with known run times, and what must be learned of it.
-//! `SCENARIO=doubling cargo test -p hopyoke-run-times` runs one of them.
+//! Runs the scenario files in `tests/scenarios`: simulated runs with known distributions, and bounds on
+//! what the learner predicts. `SCENARIO=steady cargo test -p hopyoke-run-times` runs a single file.
 
 use hopyoke_run_times::{
     Distribution, Learner, Limits, Page, PageKey, RunKey, RunOutcome, Workload,
@@ -10,77 +10,82 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
+/// True distribution of a class's run times and of its owners' estimates.
 #[derive(Clone)]
 struct Class {
     team: String,
-    /// The median run time, and the spread of its logarithm.
-    run: f64,
-    spread: f64,
-    /// A share of runs whose logarithm spreads three times as much.
-    tail: f64,
-    /// Owners estimate this many times the run time, give or take.
-    owner: f64,
-    owner_spread: f64,
-    /// Stops in the time of a median run.
-    cut: f64,
+    /// Median run time, in seconds.
+    median_s: f64,
+    /// Standard deviation of the log run time.
+    sigma: f64,
+    /// Share of runs with three times the standard deviation.
+    tail_share: f64,
+    /// Median ratio of the owner's estimate to the run time.
+    estimate_factor: f64,
+    /// Standard deviation of the log of that ratio.
+    estimate_sigma: f64,
+    /// Mean number of stops per median run time.
+    stop_rate: f64,
 }
 
-/// A run that ended: predicted p10, p50, p90, and what it took.
-struct Past {
+/// A completed run with its prediction and its actual run time in seconds.
+struct CompletedRun {
     class: String,
     predicted: Band,
-    guess: f64,
-    took: f64,
+    estimate_s: f64,
+    run_time_s: f64,
 }
 
-/// Predicted p10, p50 and p90.
+/// Predicted p10, p50 and p90, in seconds.
 type Band = (f64, f64, f64);
 
-/// Runs under way by their ends; without an index, those that are stopped.
-type Ends = BinaryHeap<Reverse<(Micros, RunKey, Option<usize>)>>;
+/// Active runs ordered by end. The index refers to the run's prediction; `None` if the run is stopped.
+type PendingEnds = BinaryHeap<Reverse<(Micros, RunKey, Option<usize>)>>;
 
-struct Bench {
+struct Harness {
     learner: Learner,
     rng: StdRng,
     classes: BTreeMap<String, Class>,
     machines: BTreeMap<MachineId, f64>,
     now: Micros,
     next: u32,
-    past: Vec<Past>,
+    completed: Vec<CompletedRun>,
     pages: BTreeMap<PageKey, Page>,
 }
 
+/// Draws from the standard normal distribution (Box-Muller transform).
 fn normal(rng: &mut StdRng) -> f64 {
     let (a, b): (f64, f64) = (rng.random_range(1e-12..1.0), rng.random_range(0.0..1.0));
     (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos()
 }
 
-impl Bench {
-    /// `n` runs of a class, one started every `apart` seconds.
-    fn runs(&mut self, name: &str, n: usize, apart: f64) {
+impl Harness {
+    /// Simulates `n` runs of a class, one started every `interval_s` seconds.
+    fn run_class(&mut self, name: &str, n: usize, interval_s: f64) {
         let class = self.classes[name].clone();
-        let mut ends: Ends = BinaryHeap::new();
+        let mut ends: PendingEnds = BinaryHeap::new();
         let mut predicted = Vec::new();
         for i in 0..=n {
-            let start = self.now + Micros::from_secs_f64(apart);
+            let start = self.now + Micros::from_secs_f64(interval_s);
             let last = i == n;
-            self.finish(name, &mut ends, &predicted, (!last).then_some(start));
+            self.end_runs(name, &mut ends, &predicted, (!last).then_some(start));
             if last {
                 break;
             }
             self.now = start;
             self.learner.tick(start);
-            let wide = if self.rng.random_range(0.0..1.0) < class.tail {
+            let sigma_factor = if self.rng.random_range(0.0..1.0) < class.tail_share {
                 3.0
             } else {
                 1.0
             };
             let z = normal(&mut self.rng);
             let machine = self.random_machine();
-            let own = class.run * (class.spread * wide * z).exp();
-            let took = own * machine.as_ref().map_or(1.0, |m| m.1);
+            let base_run_time_s = class.median_s * (class.sigma * sigma_factor * z).exp();
+            let run_time_s = base_run_time_s * machine.as_ref().map_or(1.0, |m| m.1);
             let z = normal(&mut self.rng);
-            let guess = own * class.owner * (class.owner_spread * z).exp();
+            let estimate_s =
+                base_run_time_s * class.estimate_factor * (class.estimate_sigma * z).exp();
             self.next += 1;
             let key = (
                 TaskId {
@@ -89,34 +94,39 @@
                 },
                 Attempt(1),
             );
-            let work = Workload {
+            let workload = Workload {
                 class: name,
                 team: &class.team,
-                estimate_s: guess,
+                estimate_s,
             };
-            let on = machine.as_ref().map(|m| &m.0);
-            let d = self.learner.estimate(work, on).distribution;
+            let machine_id = machine.as_ref().map(|m| &m.0);
+            let d = self.learner.estimate(workload, machine_id).distribution;
             predicted.push((
                 (d.quantile(0.1), d.quantile(0.5), d.quantile(0.9)),
-                guess,
-                took,
+                estimate_s,
+                run_time_s,
             ));
             self.learner.record_start(
                 key.clone(),
-                work,
-                on.cloned().into_iter().collect(),
+                workload,
+                machine_id.cloned().into_iter().collect(),
                 start,
                 Some(Micros::ZERO),
             );
-            // Stops come at any time, whatever the run: long runs are hit the most.
-            let stop = -class.run / class.cut.max(1e-9) * f64::ln(self.rng.random_range(1e-9..1.0));
-            let (stopped, lasts) = (stop < took, took.min(stop));
-            let past = (!stopped).then_some(i);
-            ends.push(Reverse((start + Micros::from_secs_f64(lasts), key, past)));
+            // Stops are exponentially distributed in time, so that they hit long runs most often.
+            let stop_after_s = -class.median_s / class.stop_rate.max(1e-9)
+                * f64::ln(self.rng.random_range(1e-9..1.0));
+            let (stopped, duration_s) = (stop_after_s < run_time_s, run_time_s.min(stop_after_s));
+            let prediction = (!stopped).then_some(i);
+            ends.push(Reverse((
+                start + Micros::from_secs_f64(duration_s),
+                key,
+                prediction,
+            )));
         }
     }
 
-    /// A machine and its factor; `None` if the scenario has no machines.
+    /// Returns a random machine and its factor, or `None` if the scenario has no machines.
     fn random_machine(&mut self) -> Option<(MachineId, f64)> {
         (!self.machines.is_empty()).then(|| {
             let i = self.rng.random_range(0..self.machines.len());
@@ -124,83 +134,83 @@
                 .iter()
                 .nth(i)
                 .map(|(m, f)| (m.clone(), *f))
-                .expect("a machine")
+                .expect("machine index in range")
         })
     }
 
-    /// One run of each of many classes.
-    fn many(&mut self, count: usize) {
+    /// Simulates one run of each of `count` classes.
+    fn run_many_classes(&mut self, count: usize) {
         for i in 0..count {
             let class = Class {
                 team: "crew".into(),
-                run: 20.0 + (i % 100) as f64,
-                spread: 0.3,
-                tail: 0.0,
-                owner: 1.0,
-                owner_spread: 0.5,
-                cut: 0.0,
+                median_s: 20.0 + (i % 100) as f64,
+                sigma: 0.3,
+                tail_share: 0.0,
+                estimate_factor: 1.0,
+                estimate_sigma: 0.5,
+                stop_rate: 0.0,
             };
             self.classes.insert(format!("many-{i}"), class);
-            self.runs(&format!("many-{i}"), 1, 1.0);
+            self.run_class(&format!("many-{i}"), 1, 1.0);
         }
     }
 
-    /// The distribution that is predicted now for a run of a class.
+    /// Returns the current prediction for a run of a class.
     fn predicted(&self, name: &str) -> Distribution {
         let class = &self.classes[name];
-        let work = Workload {
+        let workload = Workload {
             class: name,
             team: &class.team,
-            estimate_s: class.run * class.owner,
+            estimate_s: class.median_s * class.estimate_factor,
         };
-        self.learner.estimate(work, None).distribution
+        self.learner.estimate(workload, None).distribution
     }
 
-    /// Ends the runs that end up to a time; all without one.
-    fn finish(
+    /// Ends the runs that are due by `until`, or all runs without a limit.
+    fn end_runs(
         &mut self,
         name: &str,
-        ends: &mut Ends,
+        ends: &mut PendingEnds,
         predicted: &[(Band, f64, f64)],
         until: Option<Micros>,
     ) {
-        while let Some(Reverse((at, key, past))) = ends.peek().cloned() {
+        while let Some(Reverse((at, key, prediction))) = ends.peek().cloned() {
             if until.is_some_and(|t| at > t) {
                 break;
             }
             ends.pop();
             self.learner.tick(at);
             self.now = self.now.max(at);
-            let end = if past.is_some() {
+            let end = if prediction.is_some() {
                 RunOutcome::Completed
             } else {
                 RunOutcome::Censored
             };
             self.learner.record_end(&key, end, at);
-            if let Some(i) = past {
-                let (predicted, guess, took) = &predicted[i];
-                self.past.push(Past {
+            if let Some(i) = prediction {
+                let (predicted, estimate_s, run_time_s) = &predicted[i];
+                self.completed.push(CompletedRun {
                     class: name.into(),
                     predicted: *predicted,
-                    guess: *guess,
-                    took: *took,
+                    estimate_s: *estimate_s,
+                    run_time_s: *run_time_s,
                 });
             }
         }
     }
 
-    /// A new leader: what was written is all that is left.
-    fn takeover(&mut self) {
+    /// Replaces the learner by one that has only the pages written by its predecessor.
+    fn fail_over(&mut self) {
         while let Some((key, page)) = self.learner.next_page_to_write(self.now, Micros::ZERO) {
-            let text = serde_json::to_string(&page).expect("a page");
-            assert!(text.len() <= 8192, "a page of {} bytes", text.len());
+            let text = serde_json::to_string(&page).expect("valid page");
+            assert!(text.len() <= 8192, "page has {} bytes", text.len());
             self.learner.page_write_finished(key, true);
             self.pages
-                .insert(key, serde_json::from_str(&text).expect("a page"));
+                .insert(key, serde_json::from_str(&text).expect("valid page"));
         }
         let mut next = Learner::default();
         for (key, page) in &self.pages {
-            next.load(*key, page).expect("a good page");
+            next.load(*key, page).expect("valid page");
         }
         self.learner = next;
     }
@@ -212,14 +222,14 @@
 }
 
 fn run(text: &str) -> Result<(), String> {
-    let mut b = Bench {
+    let mut harness = Harness {
         learner: Learner::default(),
         rng: StdRng::seed_from_u64(1),
         classes: BTreeMap::new(),
         machines: BTreeMap::new(),
         now: Micros::from_secs(1),
         next: 0,
-        past: Vec::new(),
+        completed: Vec::new(),
         pages: BTreeMap::new(),
     };
     for (n, line) in text.lines().enumerate() {
@@ -229,25 +239,25 @@
         }
         let words: Vec<&str> = line.split_whitespace().collect();
         let at = |e: String| format!("line {}: `{line}`: {e}", n + 1);
-        statement(&mut b, &words).map_err(at)?;
+        execute(&mut harness, &words).map_err(at)?;
     }
     Ok(())
 }
 
-fn statement(b: &mut Bench, words: &[&str]) -> Result<(), String> {
+fn execute(harness: &mut Harness, words: &[&str]) -> Result<(), String> {
     let num = |i: usize| {
         words
             .get(i)
             .and_then(|w| w.parse::<f64>().ok())
-            .ok_or(format!("a number as word {i}"))
+            .ok_or(format!("expected a number as word {i}"))
     };
     let pair = |key: &str, default: f64| {
         let i = words.iter().position(|w| *w == key);
         i.map_or(Ok(default), |i| num(i + 1))
     };
     match words[0] {
-        "seed" => b.rng = StdRng::seed_from_u64(num(1)? as u64),
-        "limits" => b.learner.set_limits(Limits {
+        "seed" => harness.rng = StdRng::seed_from_u64(num(1)? as u64),
+        "limits" => harness.learner.set_limits(Limits {
             classes: num(1)? as usize,
             decay_runs: num(2)? as f32,
         }),
@@ -259,62 +269,61 @@
                 .to_owned();
             let class = Class {
                 team,
-                run: pair("run", 100.0)?,
-                spread: pair("spread", 0.3)?,
-                tail: pair("tail", 0.0)?,
-                owner: pair("owner", 1.0)?,
-                owner_spread: pair("ospread", 0.5)?,
-                cut: pair("cut", 0.0)?,
+                median_s: pair("median", 100.0)?,
+                sigma: pair("sigma", 0.3)?,
+                tail_share: pair("tail_share", 0.0)?,
+                estimate_factor: pair("estimate_factor", 1.0)?,
+                estimate_sigma: pair("estimate_sigma", 0.5)?,
+                stop_rate: pair("stop_rate", 0.0)?,
             };
-            b.classes.insert(words[1].to_owned(), class);
+            harness.classes.insert(words[1].to_owned(), class);
         }
         "machine" => {
-            b.machines.insert(MachineId::new(words[1]), num(2)?);
+            harness.machines.insert(MachineId::new(words[1]), num(2)?);
         }
-        "runs" => b.runs(words[1], num(2)? as usize, pair("apart", 30.0)?),
-        "many" => {
-            b.many(num(1)? as usize);
+        "runs" => harness.run_class(words[1], num(2)? as usize, pair("interval", 30.0)?),
+        "one_run_classes" => {
+            harness.run_many_classes(num(1)? as usize);
         }
-        // The input grows: owners may know, or not.
-        "grows" => {
+        // Run times change; with `estimates_unchanged`, owners' estimates do not follow.
+        "scale_run_time" => {
             let factor = num(2)?;
-            let class = b.classes.get_mut(words[1]).ok_or("no such class")?;
-            class.run *= factor;
-            if words.get(3) == Some(&"unknown") {
-                class.owner /= factor;
+            let class = harness.classes.get_mut(words[1]).ok_or("unknown class")?;
+            class.median_s *= factor;
+            if words.get(3) == Some(&"estimates_unchanged") {
+                class.estimate_factor /= factor;
             }
-            b.past.clear();
+            harness.completed.clear();
         }
-        "forget_past" => b.past.clear(),
-        "takeover" => b.takeover(),
-        // A run under way for this long: what is left of it, at p50.
-        "expect" => return expect(b, words),
+        "clear_history" => harness.completed.clear(),
+        "failover" => harness.fail_over(),
+        "expect" => return expect(harness, words),
         other => return Err(format!("unknown statement {other}")),
     }
     Ok(())
 }
 
-fn expect(b: &mut Bench, words: &[&str]) -> Result<(), String> {
+fn expect(harness: &mut Harness, words: &[&str]) -> Result<(), String> {
     let num = |i: usize| {
         words
             .get(i)
             .and_then(|w| w.parse::<f64>().ok())
-            .ok_or(format!("a number as word {i}"))
+            .ok_or(format!("expected a number as word {i}"))
     };
     let check = |ok: bool, got: String| if ok { Ok(()) } else { Err(got) };
     match words[2] {
-        // The p50 that is predicted now, without the owner's help, against the true median.
-        "p50_off" => {
-            let class = &b.classes[words[1]];
-            let p50 = b.predicted(words[1]).quantile(0.5);
+        // |log| of the ratio of the predicted p50 to the true median: maximum.
+        "p50_error" => {
+            let class = &harness.classes[words[1]];
+            let p50 = harness.predicted(words[1]).quantile(0.5);
             check(
-                (p50 / class.run).ln().abs() <= num(3)?,
-                format!("p50 is {p50:.1}, the median {}", class.run),
+                (p50 / class.median_s).ln().abs() <= num(3)?,
+                format!("p50 is {p50:.1}, true median is {}", class.median_s),
             )
         }
-        // How wide the band is: p90 / p10.
-        "width" => {
-            let d = b.predicted(words[1]);
+        // Ratio of the predicted p90 to p10: minimum, maximum.
+        "band_width" => {
+            let d = harness.predicted(words[1]);
             let width = d.quantile(0.9) / d.quantile(0.1);
             check(
                 (num(3)?..=num(4)?).contains(&width),
@@ -322,73 +331,86 @@
             )
         }
         "is_slow" => {
-            let slow = b.learner.slow_machine(&MachineId::new(words[1]), 1.5);
+            let slow = harness.learner.slow_machine(&MachineId::new(words[1]), 1.5);
             check(
                 slow.is_some() == (words.get(3) != Some(&"no")),
                 format!("{slow:?}"),
             )
         }
-        "remembered" => {
-            let (classes, forgotten) = (b.learner.counts().classes, b.learner.counts().evicted);
+        "max_classes" => {
+            let (classes, evicted) = (
+                harness.learner.counts().classes,
+                harness.learner.counts().evicted,
+            );
             check(
-                classes <= num(3)? as usize && forgotten > 0,
-                format!("{classes} classes, {forgotten} forgotten"),
+                classes <= num(3)? as usize && evicted > 0,
+                format!("{classes} classes, {evicted} evicted"),
             )
         }
-        // What is left of a run that has run this long, at p50, against the rest of the median.
-        "left_of" => {
-            let d = b.predicted(words[1]);
-            let left = d.remaining_quantile(num(3)?, 0.5);
+        // Median remaining time at an elapsed time, in seconds: elapsed, minimum, maximum.
+        "remaining" => {
+            let d = harness.predicted(words[1]);
+            let remaining_s = d.remaining_quantile(num(3)?, 0.5);
             check(
-                (num(4)?..=num(5)?).contains(&left),
-                format!("{left:.1} s left"),
+                (num(4)?..=num(5)?).contains(&remaining_s),
+                format!("{remaining_s:.1} s remaining"),
             )
         }
-        _ => expect_of_past(b, words),
+        _ => expect_completed(harness, words),
     }
 }
 
-/// Expectations on the runs that have ended.
-fn expect_of_past(b: &Bench, words: &[&str]) -> Result<(), String> {
+/// Checks an expectation about completed runs.
+fn expect_completed(harness: &Harness, words: &[&str]) -> Result<(), String> {
     let num = |i: usize| {
         words
             .get(i)
             .and_then(|w| w.parse::<f64>().ok())
-            .ok_or(format!("a number as word {i}"))
+            .ok_or(format!("expected a number as word {i}"))
     };
-    let past: Vec<&Past> = b.past.iter().filter(|p| p.class == words[1]).collect();
-    let error = |p: &&Past| (p.predicted.1 / p.took).ln().abs();
+    let completed: Vec<&CompletedRun> = harness
+        .completed
+        .iter()
+        .filter(|p| p.class == words[1])
+        .collect();
+    let error = |p: &&CompletedRun| (p.predicted.1 / p.run_time_s).ln().abs();
     let check = |ok: bool, got: String| if ok { Ok(()) } else { Err(got) };
     match words[2] {
-        // Share of runs inside the band that was predicted, in hundredths.
-        "inside" => {
-            let inside = past
+        // Percentage of runs within their predicted p10 to p90: minimum, maximum.
+        "band_coverage" => {
+            let inside = completed
                 .iter()
-                .filter(|p| p.predicted.0 <= p.took && p.took <= p.predicted.2)
+                .filter(|p| p.predicted.0 <= p.run_time_s && p.run_time_s <= p.predicted.2)
                 .count();
-            let share = 100.0 * inside as f64 / past.len() as f64;
+            let share = 100.0 * inside as f64 / completed.len() as f64;
             check(
                 (num(3)?..=num(4)?).contains(&share),
-                format!("{share:.1} of 100 inside of {} runs", past.len()),
+                format!("{share:.1}% of {} runs within the band", completed.len()),
             )
         }
-        // The median error against that of the owner's guess.
-        "error_over_owner" => {
-            let ours = median(past.iter().map(error).collect());
-            let theirs = median(past.iter().map(|p| (p.guess / p.took).ln().abs()).collect());
+        // Ratio of the median prediction error to that of the owners' estimates: maximum.
+        "error_vs_estimate" => {
+            let predicted_error = median(completed.iter().map(error).collect());
+            let owner_error = median(
+                completed
+                    .iter()
+                    .map(|p| (p.estimate_s / p.run_time_s).ln().abs())
+                    .collect(),
+            );
             check(
-                ours / theirs <= num(3)?,
-                format!("{ours:.3} against {theirs:.3}"),
+                predicted_error / owner_error <= num(3)?,
+                format!("median error {predicted_error:.3}, owners' estimates {owner_error:.3}"),
             )
         }
-        // After how many completions since the change the error of what was predicted is ordinary again.
-        "recovered_within" => {
-            let (most, ordinary) = (num(3)? as usize, num(4)?);
-            let late: Vec<f64> = past.iter().skip(most).take(15).map(error).collect();
-            let got = median(late);
+        // Median prediction error after a number of completions since the change: completions, maximum.
+        "error_after" => {
+            let (skipped, max_error) = (num(3)? as usize, num(4)?);
+            let late_errors: Vec<f64> =
+                completed.iter().skip(skipped).take(15).map(error).collect();
+            let got = median(late_errors);
             check(
-                got <= ordinary,
-                format!("median error {got:.3} after {most} completions"),
+                got <= max_error,
+                format!("median error {got:.3} after {skipped} completions"),
             )
         }
         other => Err(format!("unknown expectation {other}")),
@@ -398,7 +420,7 @@
 #[test]
 fn scenarios() {
     let dir = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-    let only = std::env::var("SCENARIO").ok();
+    let selected = std::env::var("SCENARIO").ok();
     let mut files: Vec<_> = std::fs::read_dir(dir)
         .expect("tests/scenarios")
         .filter_map(|e| Some(e.ok()?.path()))
@@ -410,10 +432,10 @@
             .file_stem()
             .map(|s| s.to_string_lossy().into_owned())
             .unwrap_or_default();
-        if only.as_ref().is_some_and(|o| *o != name) {
+        if selected.as_ref().is_some_and(|o| *o != name) {
             continue;
         }
-        match run(&std::fs::read_to_string(&file).expect("a readable file")) {
+        match run(&std::fs::read_to_string(&file).expect("readable scenario file")) {
             Ok(()) => passed += 1,
             Err(e) => {
                 failed += 1;
