--- a/crates/hopyoke-run-times/benches/learner.rs
+++ b/crates/hopyoke-run-times/benches/learner.rs
@@ -1,4 +1,4 @@
-//! What an observation and a look-up cost: `cargo bench -p hopyoke-run-times`.
+//! Benchmarks of recording a run and of predicting one: `cargo bench -p hopyoke-run-times`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use hopyoke_run_times::{Learner, Limits, RunKey, RunOutcome, Workload};
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use std::hint::black_box;
 
-fn filled(classes: usize, runs: u64) -> (Learner, Vec<String>, Vec<MachineId>) {
+fn filled_learner(classes: usize, runs: u64) -> (Learner, Vec<String>, Vec<MachineId>) {
     let mut learner = Learner::new(Limits {
         classes: 2000,
         decay_runs: 40.0,
@@ -18,7 +18,7 @@
         .collect();
     let mut rng = StdRng::seed_from_u64(1);
     for i in 0..runs {
-        run(
+        complete_run(
             &mut learner,
             i,
             &names[(i % classes as u64) as usize],
@@ -29,12 +29,18 @@
     (learner, names, machines)
 }
 
-fn run(learner: &mut Learner, i: u64, class: &str, machines: &[MachineId], rng: &mut StdRng) {
-    let (key, at) = start(learner, i, class, machines, rng);
+fn complete_run(
+    learner: &mut Learner,
+    i: u64,
+    class: &str,
+    machines: &[MachineId],
+    rng: &mut StdRng,
+) {
+    let (key, at) = start_run(learner, i, class, machines, rng);
     learner.record_end(&key, RunOutcome::Completed, at);
 }
 
-fn start(
+fn start_run(
     learner: &mut Learner,
     i: u64,
     class: &str,
@@ -48,27 +54,33 @@
         },
         Attempt(i),
     );
-    let work = Workload {
+    let workload = Workload {
         class,
         team: "team",
         estimate_s: 100.0,
     };
     let machine = machines[rng.random_range(0..machines.len())].clone();
-    let began = Micros::from_secs(i / 100 * 100 + 1);
-    learner.record_start(key.clone(), work, vec![machine], began, Some(Micros::ZERO));
-    learner.tick(began);
-    let took = Micros::from_secs_f64(100.0 * rng.random_range(0.5..2.0));
-    (key, began + took)
+    let started_at = Micros::from_secs(i / 100 * 100 + 1);
+    learner.record_start(
+        key.clone(),
+        workload,
+        vec![machine],
+        started_at,
+        Some(Micros::ZERO),
+    );
+    learner.tick(started_at);
+    let run_time = Micros::from_secs_f64(100.0 * rng.random_range(0.5..2.0));
+    (key, started_at + run_time)
 }
 
 fn bench(c: &mut Criterion) {
-    let (mut learner, names, machines) = filled(100, 20_000);
+    let (mut learner, names, machines) = filled_learner(100, 20_000);
     let mut rng = StdRng::seed_from_u64(2);
     let mut i = 1_000_000;
-    c.bench_function("a start and the observation at its end", |b| {
+    c.bench_function("record start and end", |b| {
         b.iter(|| {
             i += 1;
-            run(
+            complete_run(
                 &mut learner,
                 i,
                 &names[(i % 100) as usize],
@@ -77,14 +89,14 @@
             );
         });
     });
-    c.bench_function("observation: what ended is learned", |b| {
+    c.bench_function("record end", |b| {
         b.iter_custom(|n| {
-            let mut spent = std::time::Duration::ZERO;
-            for part in 0..n.div_ceil(100) {
-                let runs: Vec<_> = (0..(n - part * 100).min(100))
+            let mut elapsed = std::time::Duration::ZERO;
+            for batch in 0..n.div_ceil(100) {
+                let runs: Vec<_> = (0..(n - batch * 100).min(100))
                     .map(|_| {
                         i += 1;
-                        start(
+                        start_run(
                             &mut learner,
                             i,
                             &names[(i % 100) as usize],
@@ -93,25 +105,25 @@
                         )
                     })
                     .collect();
-                let began = std::time::Instant::now();
+                let started = std::time::Instant::now();
                 for (key, at) in &runs {
                     black_box(learner.record_end(key, RunOutcome::Completed, *at));
                 }
-                spent += began.elapsed();
+                elapsed += started.elapsed();
             }
-            spent
+            elapsed
         });
     });
-    c.bench_function("look-up: a distribution on a machine", |b| {
+    c.bench_function("estimate on a machine", |b| {
         b.iter(|| {
             i += 1;
-            let work = Workload {
+            let workload = Workload {
                 class: &names[(i % 100) as usize],
                 team: "team",
                 estimate_s: 120.0,
             };
             let d = learner
-                .estimate(work, Some(&machines[(i % 200) as usize]))
+                .estimate(workload, Some(&machines[(i % 200) as usize]))
                 .distribution;
             black_box(d.quantile(0.9))
         });
@@ -120,13 +132,13 @@
 }
 
 fn bench_remaining(c: &mut Criterion, learner: &Learner, class: &str) {
-    let work = Workload {
+    let workload = Workload {
         class,
         team: "team",
         estimate_s: 120.0,
     };
-    let d = learner.estimate(work, None).distribution;
-    c.bench_function("look-up: what is left of a run", |b| {
+    let d = learner.estimate(workload, None).distribution;
+    c.bench_function("remaining time", |b| {
         b.iter(|| black_box(d.remaining_quantile(black_box(60.0), 0.5)))
     });
 }
--- a/crates/hopyoke-run-times/tests/internals.rs
+++ b/crates/hopyoke-run-times/tests/internals.rs
@@ -1,9 +1,9 @@
-//! Tests of parts that the package does not export; their sources are compiled into this test.
+//! Tests of private modules, whose sources are compiled into this test.
 
 #![expect(
     dead_code,
     unreachable_pub,
-    reason = "modules of the package, of which a part is tested"
+    reason = "only a part of these private modules is tested"
 )]
 
 #[path = "../src/distribution.rs"]
@@ -21,7 +21,7 @@
 use tdigest::TDigest;
 
 #[test]
-fn the_median_alone_is_that_of_the_distribution() {
+fn predict_median_matches_predict() {
     let (mut class, mut team) = (Model::default(), Model::default());
     for i in 0..30 {
         class.record_completed(4.0 + (i % 7) as f32 * 0.1, Some(4.2), 40.0);
@@ -33,14 +33,17 @@
         [None, None, None],
     ] {
         for estimate in [None, Some(4.0)] {
-            let whole = Model::predict(&models, estimate).0[MEDIAN];
-            let alone = Model::predict_median(&models, estimate);
-            assert!((whole - alone).abs() < 1e-4, "{whole} {alone}");
+            let full = Model::predict(&models, estimate).0[MEDIAN];
+            let median = Model::predict_median(&models, estimate);
+            assert!(
+                (full - median).abs() < 1e-4,
+                "predict {full}, predict_median {median}"
+            );
         }
     }
 }
 
-/// The sketch of all values of both.
+/// Merges two sketches.
 fn merged(a: &Sketch, b: &Sketch) -> Sketch {
     let mut sketch = Sketch::default();
     sketch.digest = TDigest::merge_digests(vec![a.digest.clone(), b.digest.clone()]);
@@ -48,7 +51,7 @@
 }
 
 #[test]
-fn merging_parts_gives_the_quantiles_of_the_whole() {
+fn merged_sketches_match_a_single_sketch() {
     let (mut whole, mut even, mut odd) = (Sketch::default(), Sketch::default(), Sketch::default());
     for i in 0..2000 {
         let x = ((i * 7919) % 2000) as f32 / 400.0;
@@ -63,8 +66,8 @@
         .into_iter()
         .for_each(Sketch::merge_pending);
     let (a, b) = (
-        whole.grid().expect("values"),
-        merged(&even, &odd).grid().expect("values"),
+        whole.grid().expect("sketch has values"),
+        merged(&even, &odd).grid().expect("sketch has values"),
     );
     for (k, (a, b)) in a.iter().zip(b).enumerate() {
         assert!(
--- a/crates/hopyoke-run-times/tests/memory.rs
+++ b/crates/hopyoke-run-times/tests/memory.rs
@@ -1,34 +1,34 @@
-//! Ten thousand classes stay below two megabytes: counted by the allocator itself.
+//! Bounds the memory of a learner that has seen ten thousand classes, measured by a counting allocator.
 
 use hopyoke_run_times::{Learner, Limits, RunOutcome, Workload};
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-struct Counting;
+struct CountingAllocator;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: all calls go to the system's allocator as they are; only sizes are counted.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded unchanged to the system allocator; only sizes are counted.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
     unsafe fn dealloc(&self, p: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(p, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[test]
-fn ten_thousand_classes_stay_below_two_megabytes() {
-    // The most that the operators' file allows, and the default.
+fn ten_thousand_classes_use_less_than_two_megabytes() {
+    // The maximum that the settings allow, and the default.
     for classes in [1200, 600] {
-        let before = HELD.load(Ordering::Relaxed);
+        let allocated_before = ALLOCATED_BYTES.load(Ordering::Relaxed);
         let mut learner = Learner::new(Limits {
             classes,
             decay_runs: 40.0,
@@ -42,26 +42,32 @@
                 },
                 Attempt(i),
             );
-            let work = Workload {
+            let workload = Workload {
                 class: &class,
                 team: "team",
                 estimate_s: 50.0,
             };
             let machine = MachineId::new(&format!("m-{:06}", i % 1000));
-            let began = Micros::from_secs(10 * i + 1);
-            learner.record_start(key.clone(), work, vec![machine], began, Some(Micros::ZERO));
-            learner.tick(began);
+            let started_at = Micros::from_secs(10 * i + 1);
+            learner.record_start(
+                key.clone(),
+                workload,
+                vec![machine],
+                started_at,
+                Some(Micros::ZERO),
+            );
+            learner.tick(started_at);
             learner.record_end(
                 &key,
                 RunOutcome::Completed,
-                began + Micros::from_secs(20 + i % 50),
+                started_at + Micros::from_secs(20 + i % 50),
             );
         }
-        let held = HELD.load(Ordering::Relaxed) - before;
-        let (remembered, forgotten) = (learner.counts().classes, learner.counts().evicted);
+        let allocated = ALLOCATED_BYTES.load(Ordering::Relaxed) - allocated_before;
+        let (kept, evicted) = (learner.counts().classes, learner.counts().evicted);
         println!(
-            "classes {classes}: {held} bytes for {remembered} classes and 1000 machines, {forgotten} forgotten"
+            "limit of {classes} classes: {allocated} bytes for {kept} classes and 1000 machines, {evicted} evicted"
         );
-        assert!(held < 2_000_000 && remembered <= classes && forgotten > 8_000);
+        assert!(allocated < 2_000_000 && kept <= classes && evicted > 8_000);
     }
 }
