--- a/crates/hopyoke-run-times/src/learner/outcomes.rs
+++ b/crates/hopyoke-run-times/src/learner/outcomes.rs
@@ -176,8 +176,8 @@
             return;
         }
         if entries.len() >= max_entries {
-            // Evicts an eighth at once to amortize the cost. The score prefers entries that were used
-            // recently or have many runs.
+            // Evicts the lowest-scoring eighth at once to amortize the cost. Recent use and many runs
+            // raise the score.
             let retention_score =
                 |e: &Entry| e.last_used as f64 + 100.0 * f64::from(e.model.runs).ln_1p();
             let mut retention_scores: Vec<f64> = entries.values().map(retention_score).collect();
--- a/crates/hopyoke-run-times/src/learner/overdue.rs
+++ b/crates/hopyoke-run-times/src/learner/overdue.rs
@@ -12,7 +12,7 @@
 const OVERDUE_THRESHOLD: f32 = 4.0;
 /// Time after its predicted end at which a run is dropped from the predicted ends. This removes runs
 /// that were commanded to start but never reported as running.
-const COMMANDED_EXPIRY: Micros = Micros::from_secs(60);
+const EXPECTED_END_EXPIRY: Micros = Micros::from_secs(60);
 
 impl Learner {
     /// Schedules a check for the time at which the run reaches the p95 of its distribution, and predicts
@@ -28,8 +28,8 @@
             return;
         };
         let after = |q: f32| {
-            let whole = Micros::from_secs_f64(f64::from((q + run.log_factor).exp()));
-            run.started_at + (whole - elapsed_before).max(Micros(1))
+            let total = Micros::from_secs_f64(f64::from((q + run.log_factor).exp()));
+            run.started_at + (total - elapsed_before).max(Micros(1))
         };
         let overdue_at = after(d.0[GRID.len() - 2]);
         if is_first && overdue_at <= run.started_at + Micros(1) {
@@ -90,7 +90,7 @@
     /// shifted, which extends the remaining time of all its runs. Returns the classes whose models were
     /// shifted.
     pub fn tick(&mut self, now: Micros) -> Vec<Rc<str>> {
-        self.expire_commanded(now);
+        self.expire_expected_ends(now);
         let mut changed = Vec::new();
         while let Some(Reverse((at, _))) = self.overdue_checks.peek() {
             if *at > now {
@@ -110,11 +110,11 @@
         changed
     }
 
-    fn expire_commanded(&mut self, now: Micros) {
+    fn expire_expected_ends(&mut self, now: Micros) {
         while let Some((at, key)) = self
             .expected_ends
             .first()
-            .filter(|(at, _)| now > *at + COMMANDED_EXPIRY)
+            .filter(|(at, _)| now > *at + EXPECTED_END_EXPIRY)
             .cloned()
         {
             self.expected_ends.remove(&(at, key.clone()));
--- a/crates/hopyoke-run-times/src/pages.rs
+++ b/crates/hopyoke-run-times/src/pages.rs
@@ -60,7 +60,7 @@
     grants: Vec<(u64, u64)>,
 }
 
-/// Reason why a page was skipped, entirely or in part.
+/// Reason why a page was skipped or loaded only in part.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PageError {
     /// The page has another format version.
--- a/crates/hopyoke-run-times/tests/internals.rs
+++ b/crates/hopyoke-run-times/tests/internals.rs
@@ -72,7 +72,7 @@
     for (k, (a, b)) in a.iter().zip(b).enumerate() {
         assert!(
             (a - b).abs() < 0.15 && (a - GRID[k] * 5.0).abs() < 0.15,
-            "{k}: {a} {b}"
+            "quantile {k}: single {a}, merged {b}"
         );
     }
 }
--- a/crates/hopyoke-run-times/tests/properties.rs
+++ b/crates/hopyoke-run-times/tests/properties.rs
@@ -27,10 +27,10 @@
         let q: Vec<f64> = [0.0, 0.1, 0.5, 0.9, 1.0].map(|p| d.quantile(p)).to_vec();
         prop_assert!(q.iter().all(|x| x.is_finite() && *x > 0.0), "{q:?}");
         prop_assert!(q.windows(2).all(|w| w[0] <= w[1]), "{q:?}");
-        for ran in [0.0, 1.0, 1e3, 1e9] {
+        for elapsed_s in [0.0, 1.0, 1e3, 1e9] {
             let remaining = (
-                d.remaining_quantile(ran, 0.1),
-                d.remaining_quantile(ran, 0.9),
+                d.remaining_quantile(elapsed_s, 0.1),
+                d.remaining_quantile(elapsed_s, 0.9),
             );
             prop_assert!(
                 remaining.0.is_finite()
