--- a/crates/hopyoke-run-times/tests/scenarios.rs
+++ b/crates/hopyoke-run-times/tests/scenarios.rs
@@ -81,11 +81,10 @@
             };
             let z = normal(&mut self.rng);
             let machine = self.random_machine();
-            let base_run_time_s = class.median_s * (class.sigma * sigma_factor * z).exp();
-            let run_time_s = base_run_time_s * machine.as_ref().map_or(1.0, |m| m.1);
+            let base_s = class.median_s * (class.sigma * sigma_factor * z).exp();
+            let run_time_s = base_s * machine.as_ref().map_or(1.0, |m| m.1);
             let z = normal(&mut self.rng);
-            let estimate_s =
-                base_run_time_s * class.estimate_factor * (class.estimate_sigma * z).exp();
+            let estimate_s = base_s * class.estimate_factor * (class.estimate_sigma * z).exp();
             self.next += 1;
             let key = (
                 TaskId {
@@ -117,11 +116,11 @@
             let stop_after_s = -class.median_s / class.stop_rate.max(1e-9)
                 * f64::ln(self.rng.random_range(1e-9..1.0));
             let (stopped, duration_s) = (stop_after_s < run_time_s, run_time_s.min(stop_after_s));
-            let prediction = (!stopped).then_some(i);
+            let index = (!stopped).then_some(i);
             ends.push(Reverse((
                 start + Micros::from_secs_f64(duration_s),
                 key,
-                prediction,
+                index,
             )));
         }
     }
@@ -174,20 +173,20 @@
         predicted: &[(Band, f64, f64)],
         until: Option<Micros>,
     ) {
-        while let Some(Reverse((at, key, prediction))) = ends.peek().cloned() {
+        while let Some(Reverse((at, key, index))) = ends.peek().cloned() {
             if until.is_some_and(|t| at > t) {
                 break;
             }
             ends.pop();
             self.learner.tick(at);
             self.now = self.now.max(at);
-            let end = if prediction.is_some() {
+            let end = if index.is_some() {
                 RunOutcome::Completed
             } else {
                 RunOutcome::Censored
             };
             self.learner.record_end(&key, end, at);
-            if let Some(i) = prediction {
+            if let Some(i) = index {
                 let (predicted, estimate_s, run_time_s) = &predicted[i];
                 self.completed.push(CompletedRun {
                     class: name.into(),
