--- a/crates/hopyoke-run-times/src/learner/outcomes.rs
+++ b/crates/hopyoke-run-times/src/learner/outcomes.rs
@@ -1,132 +1,167 @@
-//! Ended runs: what each teaches the models of its class and team, and the speed factor of its machine.
+//! Updates the models of class and team, and the machine's speed factor, when a run ends.
 
-use super::{Entry, Learner, RunKey, RunOutcome, Running, Work, log_seconds};
+use super::{ActiveRun, Entry, Learner, RunKey, RunOutcome, Workload, log_seconds};
 use crate::model::{Band, Model};
 use crate::pages::EntryKind;
 use hopyoke_types::{Attempt, Micros};
 use std::rc::Rc;
 
-/// What a run within its band counts against a change: one in twenty outlives its band by chance.
+/// Amount by which a run within its band lowers the overdue statistic. It is above zero because one
+/// run in twenty exceeds its band by chance.
 const OVERDUE_DECAY: f32 = 0.25;
-/// Upper bound on teams.
+/// Maximum number of teams with a model.
 const MAX_TEAMS: usize = 64;
 
 impl Entry {
-    /// Records a run that completed after `whole`; `x` is the same apart from its machine.
-    fn completed(&mut self, run: &Running, x: f32, whole: f32, memory: f32, clock: u64) {
-        self.used = clock;
-        if self.model.completed(x, run.estimate, memory) {
+    /// Records a completed run by its log run time; `adjusted` is the same less its machine's log factor.
+    fn record_completed(
+        &mut self,
+        run: &ActiveRun,
+        adjusted: f32,
+        log_run_time: f32,
+        decay_runs: f32,
+        observation_count: u64,
+    ) {
+        self.last_used = observation_count;
+        if self
+            .model
+            .record_completed(adjusted, run.log_estimate, decay_runs)
+        {
             self.drift = 0.0;
         }
-        self.model.calibrate(whole, run.band.p10, run.band.p90);
+        self.model
+            .calibrate_band(log_run_time, run.band.p10, run.band.p90);
         if !run.is_overdue {
-            self.model.overdue = (self.model.overdue - OVERDUE_DECAY).max(0.0);
+            self.model.overdue_statistic = (self.model.overdue_statistic - OVERDUE_DECAY).max(0.0);
         }
     }
 }
 
 impl Learner {
-    /// Records the end of a run. Returns its run time in seconds if that is known and it completed.
-    pub fn ended(&mut self, key: &RunKey, outcome: RunOutcome, now: Micros) -> Option<f64> {
-        self.remove_commanded(key);
+    /// Records the end of a run. Returns its run time in seconds if it completed and the time is known
+    /// and within range.
+    pub fn record_end(&mut self, key: &RunKey, outcome: RunOutcome, now: Micros) -> Option<f64> {
+        self.remove_start_command(key);
         let run = self.running.remove(key)?;
         if let Some(at) = run.expected_end {
-            self.ends.remove(&(at, key.clone()));
+            self.expected_ends.remove(&(at, key.clone()));
         }
-        let seconds = run.ran(now)?;
-        let whole = log_seconds(seconds)?;
+        let seconds = run.elapsed_s(now)?;
+        let log_run_time = log_seconds(seconds)?;
         match outcome {
-            RunOutcome::Void => return None,
-            RunOutcome::Cut => self.censored(&run, whole),
-            RunOutcome::Done => self.completed(&run, whole),
+            RunOutcome::Discarded => return None,
+            RunOutcome::Censored => self.record_censored(&run, log_run_time),
+            RunOutcome::Completed => self.record_completed(&run, log_run_time),
         }
-        (outcome == RunOutcome::Done).then_some(seconds)
+        (outcome == RunOutcome::Completed).then_some(seconds)
     }
 
-    /// Records a run that was found completed, though this leader saw neither its end nor perhaps its start:
-    /// it ended at about `about`. (Without such runs, those of just the length from a failover's burst of starts
-    /// to the next gap between leaders would always be missing.) `day` and `split`: as for
-    /// [`Learner::date_runs`]. Returns whether it could be dated.
-    pub fn found_ended(
+    /// Records a run that is first reported after a failover and has already completed, at about
+    /// `ended_about`. Without such runs the models would be biased: runs that start right after one
+    /// failover and end during the next would never be observed.
+    ///
+    /// `clock_offset` and `split_attempt` are those of [`Learner::infer_start_times`]. Returns whether
+    /// the run's start time could be inferred.
+    pub fn record_found_completed(
         &mut self,
         key: &RunKey,
-        work: Work<'_>,
-        about: Micros,
-        day: Micros,
-        split: &dyn Fn(Attempt) -> (u64, Micros),
+        workload: Workload<'_>,
+        ended_about: Micros,
+        clock_offset: Micros,
+        split_attempt: &dyn Fn(Attempt) -> (u64, Micros),
     ) -> bool {
-        let (token, after) = split(key.1);
-        let Some(granted) = self.granted_at(token) else {
+        let (token, granted_to_command) = split_attempt(key.1);
+        let Some(granted_at) = self.token_granted_at(token) else {
             return false;
         };
-        let latency = Micros::from_secs_f64(self.start_latency_s(work.class));
-        let ran = ((day + about) - (granted + after + latency)).as_secs_f64();
-        if let Some(whole) = log_seconds(ran.max(0.5)) {
-            let d = self.estimate(work, None).distribution;
-            let run = Running {
-                class: self.interned(&self.classes, work.class),
-                team: self.interned(&self.teams, work.team),
-                estimate: log_seconds(work.estimate_s),
+        let start_latency = Micros::from_secs_f64(self.start_latency_s(workload.class));
+        let elapsed_s = ((clock_offset + ended_about)
+            - (granted_at + granted_to_command + start_latency))
+            .as_secs_f64();
+        if let Some(log_run_time) = log_seconds(elapsed_s.max(0.5)) {
+            let d = self.estimate(workload, None).distribution;
+            let run = ActiveRun {
+                class: self.shared_name(&self.classes, workload.class),
+                team: self.shared_name(&self.teams, workload.team),
+                log_estimate: log_seconds(workload.estimate_s),
                 machines: Vec::new(),
-                factor: 0.0,
-                started_at: about,
+                log_factor: 0.0,
+                started_at: ended_about,
                 elapsed_before: None,
-                band: Band::of(&d, 0.0),
+                band: Band::from_distribution(&d, 0.0),
                 is_overdue: false,
                 expected_end: None,
             };
-            self.completed(&run, whole);
+            self.record_completed(&run, log_run_time);
         }
         true
     }
 
-    fn censored(&mut self, run: &Running, whole: f32) {
-        let (x, memory) = (whole - run.factor, self.limits.memory);
-        // A censored run gives only a lower bound, so it opens no model of a new class.
+    fn record_censored(&mut self, run: &ActiveRun, log_run_time: f32) {
+        let (adjusted, decay_runs) = (log_run_time - run.log_factor, self.limits.decay_runs);
+        // A lower bound alone is not enough to create a model for a new class.
         if let Some(e) = self.classes.get_mut(&run.class) {
-            e.model.censored(x, run.estimate, memory);
+            e.model
+                .record_censored(adjusted, run.log_estimate, decay_runs);
             self.page_allocator.touch(e.page);
         }
         if let Some(e) = self.teams.get_mut(&run.team) {
-            e.model.censored(x, run.estimate, memory);
+            e.model
+                .record_censored(adjusted, run.log_estimate, decay_runs);
         }
     }
 
-    fn completed(&mut self, run: &Running, whole: f32) {
-        self.clock += 1;
+    fn record_completed(&mut self, run: &ActiveRun, log_run_time: f32) {
+        self.observation_count += 1;
         if !self.classes.contains_key(&run.class) {
             self.add_entry(EntryKind::Team, &run.team);
             self.add_entry(EntryKind::Class, &run.class);
         }
-        let memory = self.limits.memory;
-        let x = whole - run.factor;
+        let decay_runs = self.limits.decay_runs;
+        let adjusted = log_run_time - run.log_factor;
         let mut team = self.teams.get_mut(&run.team);
         if let Some(class) = self.classes.get_mut(&run.class) {
-            // The deviation that neither the class nor the drift of all its recent runs explains is
-            // due to the machine. A gang runs at the speed of its slowest: with several machines it
-            // is not known which that was.
+            // A deviation that neither the class model nor the drift of its recent runs explains is
+            // attributed to the machine. A gang runs at the speed of its slowest machine, and with
+            // several machines that one is not known.
             if class.model.level.weight() >= 5.0 {
                 let models = [
                     Some(&class.model),
                     team.as_ref().map(|e| &e.model),
                     Some(&self.all.model),
                 ];
-                let deviation = whole - Model::predict_median(&models, run.estimate) - class.drift;
+                let deviation =
+                    log_run_time - Model::predict_median(&models, run.log_estimate) - class.drift;
                 class.drift += 0.15 * deviation.clamp(-1.0, 1.0);
                 if let [machine] = run.machines.as_slice() {
-                    self.machines.observe(machine, deviation);
+                    self.machines.record(machine, deviation);
                 }
             }
-            class.completed(run, x, whole, memory, self.clock);
+            class.record_completed(
+                run,
+                adjusted,
+                log_run_time,
+                decay_runs,
+                self.observation_count,
+            );
             self.page_allocator.touch(class.page);
         }
         if let Some(team) = &mut team {
-            team.completed(run, x, whole, memory, self.clock);
+            team.record_completed(
+                run,
+                adjusted,
+                log_run_time,
+                decay_runs,
+                self.observation_count,
+            );
             self.page_allocator.touch(team.page);
         }
-        // The model of all work serves only classes and teams without runs: every fourth run suffices.
-        if self.all.model.runs < 64 || self.clock.is_multiple_of(4) {
-            self.all.model.completed(x, run.estimate, memory);
+        // The model of all work matters only for classes and teams with few runs, so it samples every
+        // fourth run.
+        if self.all.model.runs < 64 || self.observation_count.is_multiple_of(4) {
+            self.all
+                .model
+                .record_completed(adjusted, run.log_estimate, decay_runs);
             self.page_allocator.touch(self.all.page);
         }
     }
@@ -141,24 +176,30 @@
             return;
         }
         if entries.len() >= max_entries {
-            // An eighth is evicted at once, so that this is rare: those least recently used, the
-            // fewer their runs the sooner.
-            let worth = |e: &Entry| e.used as f64 + 100.0 * f64::from(e.model.runs).ln_1p();
-            let mut worths: Vec<f64> = entries.values().map(worth).collect();
-            let cut = (max_entries / 8).max(1).min(worths.len() - 1);
-            let bound = *worths.select_nth_unstable_by(cut, f64::total_cmp).1;
+            // Evicts the lowest-scoring eighth at once to amortize the cost. Recent use and many runs
+            // raise the score.
+            let retention_score =
+                |e: &Entry| e.last_used as f64 + 100.0 * f64::from(e.model.runs).ln_1p();
+            let mut retention_scores: Vec<f64> = entries.values().map(retention_score).collect();
+            let eviction_index = (max_entries / 8).max(1).min(retention_scores.len() - 1);
+            let score_bound = *retention_scores
+                .select_nth_unstable_by(eviction_index, f64::total_cmp)
+                .1;
             let count_before = entries.len();
             let page_allocator = &mut self.page_allocator;
             entries.retain(|_, e| {
-                let stays = worth(e) > bound;
-                if !stays {
+                let is_kept = retention_score(e) > score_bound;
+                if !is_kept {
                     page_allocator.release(e.page);
                 }
-                stays
+                is_kept
             });
             self.evicted += (count_before - entries.len()) as u64;
         }
         let page = self.page_allocator.assign();
-        entries.insert(name.clone(), Entry::new(Model::default(), self.clock, page));
+        entries.insert(
+            name.clone(),
+            Entry::new(Model::default(), self.observation_count, page),
+        );
     }
 }
--- a/crates/hopyoke-run-times/src/learner/overdue.rs
+++ b/crates/hopyoke-run-times/src/learner/overdue.rs
@@ -1,23 +1,26 @@
-//! Runs that outlive their predicted bands: many of one class show that its run times have changed.
+//! Detects active runs that exceed their predicted bands; many of one class indicate that its run times
+//! have changed.
 
-use super::{Learner, RunKey, Running, Work, log_seconds};
+use super::{ActiveRun, Learner, RunKey, Workload, log_seconds};
 use crate::distribution::{Distribution, GRID, P90};
 use crate::model::Model;
 use hopyoke_types::{Attempt, Micros};
 use std::cmp::Reverse;
 use std::rc::Rc;
 
-/// Threshold of Page's test on overdue runs of a class.
+/// Threshold of Page's test on the overdue runs of a class.
 const OVERDUE_THRESHOLD: f32 = 4.0;
-/// A commanded run that no heartbeat shows running is forgotten this long after its predicted end.
-const COMMANDED_EXPIRY: Micros = Micros::from_secs(60);
+/// Time after its predicted end at which a run is dropped from the predicted ends. This removes runs
+/// that were commanded to start but never reported as running.
+const EXPECTED_END_EXPIRY: Micros = Micros::from_secs(60);
 
 impl Learner {
-    /// Schedules a check for when the run will have outlived 95 of 100, and predicts its end.
+    /// Schedules a check for the time at which the run reaches the p95 of its distribution, and predicts
+    /// its end.
     pub(super) fn schedule_overdue_check(
         &mut self,
         key: &RunKey,
-        run: &mut Running,
+        run: &mut ActiveRun,
         d: &Distribution,
         is_first: bool,
     ) {
@@ -25,28 +28,35 @@
             return;
         };
         let after = |q: f32| {
-            let whole = Micros::from_secs_f64(f64::from((q + run.factor).exp()));
-            run.started_at + (whole - elapsed_before).max(Micros(1))
+            let total = Micros::from_secs_f64(f64::from((q + run.log_factor).exp()));
+            run.started_at + (total - elapsed_before).max(Micros(1))
         };
         let overdue_at = after(d.0[GRID.len() - 2]);
         if is_first && overdue_at <= run.started_at + Micros(1) {
-            // Found after a failover, and overdue already: the last leader has counted it.
+            // The run was already overdue before the failover, so the previous leader has counted it.
             run.is_overdue = true;
         } else {
             self.overdue_checks.push(Reverse((overdue_at, key.clone())));
         }
         if let Some(old) = run.expected_end.replace(after(d.0[P90])) {
-            self.ends.remove(&(old, key.clone()));
+            self.expected_ends.remove(&(old, key.clone()));
         }
         if let Some(end) = run.expected_end {
-            self.ends.insert((end, key.clone()));
+            self.expected_ends.insert((end, key.clone()));
         }
     }
 
-    /// Dates runs whose start no heartbeat has shown: they began one start latency after their command.
-    /// `day`: wall clock less the steady clock; `split`: an attempt's fencing token, and the time from
-    /// that token's grant to the command. Runs of tokens whose grant is not known stay as they are.
-    pub fn date_runs(&mut self, day: Micros, split: &dyn Fn(Attempt) -> (u64, Micros)) {
+    /// Infers the start time of active runs whose start was not observed: one start latency after the
+    /// start command.
+    ///
+    /// `clock_offset` is the wall clock minus the monotonic clock. `split_attempt` returns an attempt's
+    /// fencing token and the time from that token's grant to the start command. Runs whose token has no
+    /// known grant time are unchanged.
+    pub fn infer_start_times(
+        &mut self,
+        clock_offset: Micros,
+        split_attempt: &dyn Fn(Attempt) -> (u64, Micros),
+    ) {
         let undated: Vec<RunKey> = self
             .running
             .iter()
@@ -54,30 +64,33 @@
             .map(|(k, _)| k.clone())
             .collect();
         for key in undated {
-            let (token, after) = split(key.1);
-            let Some(granted) = self.granted_at(token) else {
+            let (token, granted_to_command) = split_attempt(key.1);
+            let Some(granted_at) = self.token_granted_at(token) else {
                 continue;
             };
             let Some(mut run) = self.running.remove(&key) else {
                 continue;
             };
-            let latency = Micros::from_secs_f64(self.start_latency_s(&run.class));
-            run.elapsed_before = Some((day + run.started_at) - (granted + after + latency));
+            let start_latency = Micros::from_secs_f64(self.start_latency_s(&run.class));
+            run.elapsed_before = Some(
+                (clock_offset + run.started_at) - (granted_at + granted_to_command + start_latency),
+            );
             let d = self.distribution_of(&run);
             self.schedule_overdue_check(&key, &mut run, &d, true);
             self.running.insert(key, run);
         }
     }
 
-    /// When [`Learner::tick`] has a run to check.
-    pub fn next_due(&self) -> Option<Micros> {
+    /// Returns the time of the next check in [`Learner::tick`], or `None` if none is scheduled.
+    pub fn next_overdue_check_at(&self) -> Option<Micros> {
         self.overdue_checks.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Checks runs that have outlived their bands: many of a class mean that its run times have changed,
-    /// and that the remaining time of all its runs is longer. Returns classes found changed.
+    /// Processes the overdue checks that are due. If many runs of a class are overdue, its model is
+    /// shifted, which extends the remaining time of all its runs. Returns the classes whose models were
+    /// shifted.
     pub fn tick(&mut self, now: Micros) -> Vec<Rc<str>> {
-        self.expire_commanded(now);
+        self.expire_expected_ends(now);
         let mut changed = Vec::new();
         while let Some(Reverse((at, _))) = self.overdue_checks.peek() {
             if *at > now {
@@ -86,10 +99,10 @@
             let Some(Reverse((_, key))) = self.overdue_checks.pop() else {
                 break;
             };
-            let Some(class) = self.note_overdue(&key) else {
+            let Some(class) = self.record_overdue(&key) else {
                 continue;
             };
-            if self.move_to_overdue(&class, now) {
+            if self.shift_to_overdue(&class, now) {
                 self.reschedule_overdue(&class);
                 changed.push(class);
             }
@@ -97,47 +110,53 @@
         changed
     }
 
-    fn expire_commanded(&mut self, now: Micros) {
+    fn expire_expected_ends(&mut self, now: Micros) {
         while let Some((at, key)) = self
-            .ends
+            .expected_ends
             .first()
-            .filter(|(at, _)| now > *at + COMMANDED_EXPIRY)
+            .filter(|(at, _)| now > *at + EXPECTED_END_EXPIRY)
             .cloned()
         {
-            self.ends.remove(&(at, key.clone()));
-            self.commanded.remove(&key);
+            self.expected_ends.remove(&(at, key.clone()));
+            self.commanded_ends.remove(&key);
         }
     }
 
-    /// Counts a run as overdue; its class if the test says that it may have changed.
-    fn note_overdue(&mut self, key: &RunKey) -> Option<Rc<str>> {
+    /// Marks a run as overdue and updates its class's statistic. Returns the class if the statistic
+    /// indicates a change.
+    fn record_overdue(&mut self, key: &RunKey) -> Option<Rc<str>> {
         let run = self.running.get_mut(key)?;
         run.is_overdue = true;
         let model = &mut self.classes.get_mut(&run.class)?.model;
-        model.overdue += 1.0;
-        // The first completions after a change are those of short runs: their evidence and that of
-        // the long runs that outlive their bands are added.
-        let evidence = model.overdue / OVERDUE_THRESHOLD + model.level.rising();
-        if evidence < 1.0 || model.overdue < 2.0 || model.level.weight() < 4.0 {
+        model.overdue_statistic += 1.0;
+        // The first runs to complete after a change are short ones, so evidence from completed runs is
+        // added to that from overdue runs.
+        let evidence = model.overdue_statistic / OVERDUE_THRESHOLD + model.level.upward_evidence();
+        if evidence < 1.0 || model.overdue_statistic < 2.0 || model.level.weight() < 4.0 {
             return None;
         }
-        model.overdue = 0.0;
+        model.overdue_statistic = 0.0;
         Some(run.class.clone())
     }
 
-    /// Moves a class's model to its overdue runs: the median of their run times is at least that of
-    /// their times so far. False if the model foresaw them.
-    fn move_to_overdue(&mut self, class: &Rc<str>, now: Micros) -> bool {
+    /// Shifts a class's model to its overdue runs, whose median run time is at least the median of their
+    /// elapsed times. Returns whether the model was shifted.
+    fn shift_to_overdue(&mut self, class: &Rc<str>, now: Micros) -> bool {
         let overdue: Vec<(f32, Option<f32>)> = self
             .running
             .values()
             .filter(|r| r.class == *class && r.is_overdue)
-            .filter_map(|r| Some((log_seconds(r.ran(now)?)? - r.factor, r.estimate)))
+            .filter_map(|r| {
+                Some((
+                    log_seconds(r.elapsed_s(now)?)? - r.log_factor,
+                    r.log_estimate,
+                ))
+            })
             .collect();
         let Some(entry) = self.classes.get_mut(class) else {
             return false;
         };
-        if !entry.model.move_to_overdue(&overdue) {
+        if !entry.model.shift_to_overdue(&overdue) {
             return false;
         }
         entry.drift = 0.0;
@@ -145,7 +164,7 @@
         true
     }
 
-    /// Schedules new checks for a class's overdue runs, by its changed model.
+    /// Schedules new checks for a class's overdue runs after its model was shifted.
     fn reschedule_overdue(&mut self, class: &Rc<str>) {
         let overdue: Vec<RunKey> = self
             .running
@@ -164,13 +183,13 @@
         }
     }
 
-    /// The distribution of a run's whole time, apart from its machine.
-    pub(super) fn distribution_of(&self, run: &Running) -> Distribution {
-        let work = Work {
+    /// Returns the distribution of a run's total run time on an average machine.
+    pub(super) fn distribution_of(&self, run: &ActiveRun) -> Distribution {
+        let workload = Workload {
             class: &run.class,
             team: &run.team,
             estimate_s: 0.0,
         };
-        Model::predict(&self.models(work), run.estimate)
+        Model::predict(&self.models(workload), run.log_estimate)
     }
 }
