--- a/crates/hopyoke/src/api/deadline.rs
+++ b/crates/hopyoke/src/api/deadline.rs
@@ -11,7 +11,7 @@
 
 impl RequestDeadline {
     /// That of a request that arrives now.
-    pub(crate) fn of(method: Method) -> RequestDeadline {
+    pub(crate) fn for_request(method: Method) -> RequestDeadline {
         let user_timeout = match method {
             Method::Get => USER_POLL_TIMEOUT,
             _ => USER_WRITE_TIMEOUT,
@@ -20,8 +20,8 @@
     }
 
     /// That of a request that a peer forwards, and for whose answer it waits for `remaining`. Zero: the peer does not say.
-    pub(crate) fn of_forwarded(method: Method, remaining: Micros) -> RequestDeadline {
-        let deadline = RequestDeadline::of(method);
+    pub(crate) fn for_forwarded_request(method: Method, remaining: Micros) -> RequestDeadline {
+        let deadline = RequestDeadline::for_request(method);
         if remaining == Micros::ZERO {
             return deadline;
         }
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -65,7 +65,7 @@
 
 /// The part of a request's path below that of all jobs, without the query, for direct and for forwarded requests; `None`:
 /// it is another path.
-pub(crate) fn below_jobs(path: &str) -> Option<&str> {
+pub(crate) fn path_below_jobs(path: &str) -> Option<&str> {
     path.split('?').next()?.strip_prefix("/api/jobs")
 }
 
@@ -73,7 +73,7 @@
 /// cannot decide is forwarded to a peer that reaches the key-value store.
 pub(crate) async fn serve(node: &Rc<Node>, rest: &str, request: &Request) -> Response {
     let arrived_at = runtime::now();
-    let deadline = RequestDeadline::of(request.method);
+    let deadline = RequestDeadline::for_request(request.method);
     let answer = serve_by(node, rest, request, deadline).await;
     if answer.status == 503 {
         let after_ms = (runtime::now() - arrived_at).as_millis();
@@ -105,7 +105,7 @@
     {
         return unavailable("the state service does not answer this node").closing();
     }
-    let own = own_answer(node, rest, request, deadline).await;
+    let own = serve_locally(node, rest, request, deadline).await;
     // Rejected submissions are not forwarded: the peers have no more capacity.
     if own.status == 503
         && request.method == Method::Post
@@ -151,7 +151,7 @@
 }
 
 /// Answers a request by this node itself.
-pub(crate) async fn own_answer(
+pub(crate) async fn serve_locally(
     node: &Rc<Node>,
     rest: &str,
     request: &Request,
--- a/crates/hopyoke/src/leadership/failover.rs
+++ b/crates/hopyoke/src/leadership/failover.rs
@@ -42,7 +42,7 @@
     let jobs = jobs.pairs.into_iter().filter_map(job_of).collect();
     let mut scheduler = Scheduler::new(node.config.clone(), token, jobs, registry, granted_at);
     scheduler.records_applied_to(revision, granted_at);
-    scheduler.set_tuning(settings::tuning_of(
+    scheduler.set_tuning(settings::scheduler_tuning(
         &node.policy.evaluate(&Figures::default()),
     ));
     scheduler.set_time_of_day(runtime::now(), runtime::time_of_day());
--- a/crates/hopyoke/src/leadership/refresh.rs
+++ b/crates/hopyoke/src/leadership/refresh.rs
@@ -53,7 +53,7 @@
 /// Evaluates settings that depend on live figures once a second.
 pub(super) async fn follow_settings(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
-        settings::refresh(&node.policy, &leadership);
+        settings::refresh_tuning(&node.policy, &leadership);
         runtime::sleep(SETTINGS_INTERVAL).await;
     }
 }
--- a/crates/hopyoke/src/leadership/term.rs
+++ b/crates/hopyoke/src/leadership/term.rs
@@ -173,7 +173,7 @@
     spawn(node, leadership, server::confirm_reads);
     spawn(node, leadership, record_writer::run);
     spawn(node, leadership, refresh::list_machines);
-    spawn(node, leadership, staffed_hours::follow);
+    spawn(node, leadership, staffed_hours::sync_override);
     spawn(node, leadership, actions::run);
     spawn(node, leadership, refresh::read_run_times);
     if node.policy.is_live() {
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -287,7 +287,7 @@
     let policy = Policy::load(&name, &text).map_err(|e| e.to_string())?;
     // What the language can't check of a text's own form.
     let values = policy.evaluate(&Figures::default());
-    hopyoke::operations::settings::hours_of(&values, Micros::ZERO)
+    hopyoke::operations::settings::staffed_hours(&values, Micros::ZERO)
         .map_err(|e| format!("{name}: {e}"))?;
     Ok(policy)
 }
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -16,7 +16,7 @@
 const ANSWER_TIMEOUT: Micros = Micros(GREET_TIMEOUT.0 * 2);
 
 /// Estimates when a job will end, or GPUs will be free.
-pub(crate) async fn when(node: &Node, mut request: WhenRequest) -> WhenAnswer {
+pub(crate) async fn estimate_completion(node: &Node, mut request: WhenRequest) -> WhenAnswer {
     if let Some(leadership) = node.leadership() {
         return own_estimate(&leadership, request);
     }
@@ -81,7 +81,7 @@
 }
 
 /// Runs of tasks that have ended, as comma-separated values.
-pub(crate) async fn history(node: &Node, mut request: HistoryRequest) -> HistoryAnswer {
+pub(crate) async fn completed_runs(node: &Node, mut request: HistoryRequest) -> HistoryAnswer {
     if let Some(leadership) = node.leadership() {
         return own_history(&leadership, &request);
     }
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -13,7 +13,7 @@
 
 /// The scheduler's tuning by these values of the settings.
 #[must_use]
-pub fn tuning_of(v: &Values) -> Tuning {
+pub fn scheduler_tuning(v: &Values) -> Tuning {
     Tuning {
         idle_return: v.duration("idle_return"),
         keep_ready: v.count("keep_ready"),
@@ -57,7 +57,7 @@
 ///
 /// # Errors
 /// The malformed setting and its part, even if no work is held.
-pub fn hours_of(v: &Values, skew: Micros) -> Result<Option<StaffedHours>, CalendarError> {
+pub fn staffed_hours(v: &Values, skew: Micros) -> Result<Option<StaffedHours>, CalendarError> {
     let hours = StaffedHours {
         calendar: Calendar::parse(v.text("hours"), v.text("hours_zone"), v.text("holidays"))?,
         held: HoldSelector::parse(v.text("held"))?,
@@ -70,7 +70,7 @@
 }
 
 /// What the execution of workflows may use of this node and of the key-value store.
-pub(crate) fn flow_limits(v: &Values, settings: &Settings) -> Limits {
+pub(crate) fn workflow_limits(v: &Values, settings: &Settings) -> Limits {
     let facts = &settings.facts;
     let nodes = f64::from(facts.nodes.max(1));
     Limits {
@@ -120,7 +120,7 @@
 }
 
 /// Evaluates the settings with the present live figures, and updates the scheduler's tuning if it has changed.
-pub(crate) fn refresh(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
+pub(crate) fn refresh_tuning(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
     let now = runtime::now();
     let mut scheduler = leadership.scheduler.borrow_mut();
     let values = policy.evaluate(&live_figures(
@@ -128,7 +128,7 @@
         leadership.plan_utilization(),
         now,
     ));
-    let tuning = tuning_of(&values);
+    let tuning = scheduler_tuning(&values);
     if tuning != scheduler.tuning {
         info!(?tuning, "tuning changed with live figures");
         scheduler.set_tuning(tuning);
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -23,7 +23,7 @@
 fn hours(node: &Node) -> Option<StaffedHours> {
     let values = node.policy.evaluate(&Figures::default());
     let skew = Micros::from_secs_f64(node.settings.facts.clock_skew_ms / 1e3);
-    match settings::hours_of(&values, skew) {
+    match settings::staffed_hours(&values, skew) {
         Ok(h) => h,
         Err(e) => {
             // Unexpected: they were checked when the settings were read.
@@ -66,7 +66,7 @@
 }
 
 /// Keeps the leader's scheduler up to date with the override, for the leader's term.
-pub(crate) async fn follow(node: Rc<Node>, leadership: Rc<Leadership>) {
+pub(crate) async fn sync_override(node: Rc<Node>, leadership: Rc<Leadership>) {
     if hours(&node).is_none() {
         return;
     }
@@ -84,7 +84,7 @@
 }
 
 /// Answers an operator who sets or shows the override.
-pub(crate) async fn answer(node: &Node, request: StaffedRequest) -> StaffedAnswer {
+pub(crate) async fn serve(node: &Node, request: StaffedRequest) -> StaffedAnswer {
     match change(node, request).await {
         Ok(text) => StaffedAnswer {
             text,
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -409,16 +409,16 @@
             let _ = reply.send(crate::operations::status::render(node));
         }
         Call::When(request, reply) => {
-            let _ = reply.send(estimates::when(node, request).await);
+            let _ = reply.send(estimates::estimate_completion(node, request).await);
         }
         Call::History(request, reply) => {
-            let _ = reply.send(estimates::history(node, request).await);
+            let _ = reply.send(estimates::completed_runs(node, request).await);
         }
         Call::Flow(request, reply) => {
-            let _ = reply.send(crate::workflows::calls::answer(node, request).await);
+            let _ = reply.send(crate::workflows::calls::serve(node, request).await);
         }
         Call::Staffed(request, reply) => {
-            let _ = reply.send(crate::operations::staffed_hours::answer(node, request).await);
+            let _ = reply.send(crate::operations::staffed_hours::serve(node, request).await);
         }
     }
 }
@@ -464,11 +464,11 @@
         _ => return,
     };
     let request = Request::new(method, message.path, message.body);
-    let Some(rest) = jobs::below_jobs(&request.path) else {
+    let Some(rest) = jobs::path_below_jobs(&request.path) else {
         return;
     };
-    let deadline = RequestDeadline::of_forwarded(method, Micros(message.remaining_us));
-    let response = jobs::own_answer(node, rest, &request, deadline).await;
+    let deadline = RequestDeadline::for_forwarded_request(method, Micros(message.remaining_us));
+    let response = jobs::serve_locally(node, rest, &request, deadline).await;
     let _ = reply.send(UserAnswer {
         status: u32::from(response.status),
         retry_after_s: response.retry_after_s.unwrap_or(0),
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -38,7 +38,7 @@
         let values = policy.evaluate(&Figures::default());
         let flow_limits = values
             .boolean("flows")
-            .then(|| settings::flow_limits(&values, &settings));
+            .then(|| settings::workflow_limits(&values, &settings));
         let node = Rc::new(Node::new(settings, policy, flow_limits));
         let cancelled_gone_s = node.settings.cancellation_bound().total().as_secs_f64();
         info!(node = %node.settings.node, zone = %node.settings.zone, cancelled_gone_s, "serving");
@@ -101,7 +101,7 @@
     match path {
         "/healthz" => jobs::healthz(node, &request),
         "/hello" => heartbeats::serve(node, request).await,
-        _ => match jobs::below_jobs(&request.path) {
+        _ => match jobs::path_below_jobs(&request.path) {
             Some(rest) => jobs::serve(node, rest, &request).await,
             None => Response::empty(404),
         },
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -47,7 +47,7 @@
     Err(Refusal::Status(status, why.into()))
 }
 
-pub(crate) async fn answer(node: &Rc<Node>, request: FlowRequest) -> FlowAnswer {
+pub(crate) async fn serve(node: &Rc<Node>, request: FlowRequest) -> FlowAnswer {
     let Some(flows) = &node.flows else {
         return failed(
             501,
--- a/crates/hopyoke/tests/settings.rs
+++ b/crates/hopyoke/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The operators' settings and the scheduler's tuning agree.
 
-use hopyoke::operations::settings::tuning_of;
+use hopyoke::operations::settings::scheduler_tuning;
 use hopyoke_policy::{Figures, Policy};
 use hopyoke_scheduler::Tuning;
 
@@ -8,5 +8,5 @@
 #[test]
 fn defaults_agree() {
     let values = Policy::defaults().evaluate(&Figures::default());
-    assert_eq!(tuning_of(&values), Tuning::default());
+    assert_eq!(scheduler_tuning(&values), Tuning::default());
 }
