--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Agents' heartbeats: answered by the leader, relayed or redirected by the other nodes.
+//! Serves agents' heartbeats: the leader answers them, followers relay or redirect them to the leader.
 
 use crate::agents::pushed_commands::log_starts;
 use crate::node::{Leadership, Node};
@@ -10,15 +10,16 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Why the leader does not answer a heartbeat.
+/// Why the leader rejects a heartbeat.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
 enum HeartbeatError {
-    /// The agent tries the next node.
+    /// This node can't prove that it still leads; the agent tries the next node.
     #[error("the leader lease is not valid")]
     LeaseNotValid,
     #[error("malformed heartbeat")]
     Malformed,
-    /// Another node was granted a higher fencing token. The agent tries the next node.
+    /// The agent has seen a leader with a higher fencing token, so this node has been superseded; the agent tries the
+    /// next node.
     #[error("the agent has received a higher fencing token")]
     StaleToken,
 }
@@ -32,18 +33,18 @@
     }
 }
 
-/// Serves `POST /hello`, an agent's heartbeat.
+/// Serves `POST /hello`, the heartbeat of an agent.
 pub(crate) async fn serve(node: &Rc<Node>, request: Request) -> Response {
     if request.method != Method::Post {
         return Response::empty(405);
     }
     match node.leadership() {
-        Some(leadership) => serve_at_leader(node, &leadership, &request),
-        None => serve_at_follower(node, request).await,
+        Some(leadership) => serve_as_leader(node, &leadership, &request),
+        None => serve_as_follower(node, request).await,
     }
 }
 
-fn serve_at_leader(node: &Node, leadership: &Leadership, request: &Request) -> Response {
+fn serve_as_leader(node: &Node, leadership: &Leadership, request: &Request) -> Response {
     let route = node.routes.borrow_mut().at_leader(
         node.is_behind(),
         node.open_connections.count(),
@@ -62,7 +63,7 @@
     }
 }
 
-async fn serve_at_follower(node: &Node, request: Request) -> Response {
+async fn serve_as_follower(node: &Node, request: Request) -> Response {
     let now = runtime::now();
     let leader = node
         .leader
@@ -87,7 +88,8 @@
     Response::of(421, &HeartbeatRedirect { report_to: target })
 }
 
-/// Serves a heartbeat that another node relayed; an empty response: it is not answered.
+/// Serves a heartbeat that a follower relayed. Returns the encoded response, or an empty body if this node rejects the
+/// heartbeat or does not lead.
 pub(crate) fn serve_relayed(node: &Node, body: &[u8]) -> Vec<u8> {
     let Some(leadership) = node.leadership() else {
         return Vec::new();
@@ -95,14 +97,14 @@
     process(node, &leadership, body).map_or_else(|_| Vec::new(), |response| encode(&response))
 }
 
-/// Processes a heartbeat at the leader, by whichever way it came.
+/// Processes a direct or relayed heartbeat as the leader.
 fn process(
     node: &Node,
     leadership: &Leadership,
     body: &[u8],
 ) -> Result<HeartbeatResponse, HeartbeatError> {
-    // The agent tries the next node. (Guards `ran_twice`: a response now could renew an agent's lease that the next
-    // leader counts as expired.)
+    // Guards the invariant `ran_twice`: a response sent past the leader lease could renew the lease of an agent whose
+    // lease the next leader counts as expired.
     if !leadership.lease_is_valid() {
         return Err(HeartbeatError::LeaseNotValid);
     }
@@ -113,21 +115,21 @@
     let now = runtime::now();
     let mut scheduler = leadership.scheduler.borrow_mut();
     if heartbeat.token > scheduler.token {
-        warn!(machine = %heartbeat.machine, token = heartbeat.token.0, "agent has a higher fencing token");
+        warn!(machine = %heartbeat.machine, token = heartbeat.token.0, "heartbeat rejected: the agent has received a higher fencing token");
         return Err(HeartbeatError::StaleToken);
     }
-    let answer = leadership.track_plan_cost(node, &mut scheduler, |scheduler| {
+    let outcome = leadership.track_plan_cost(node, &mut scheduler, |scheduler| {
         scheduler.heartbeat(&heartbeat, now)
     });
-    // A delayed copy does not show that its agent reaches this node now. (Guards against a leader that no agent
-    // reaches any more, and that stays in office for as long as old heartbeats arrive.)
-    if answer.fresh {
+    // Only a fresh heartbeat proves that its agent reaches this node now: delayed copies must not keep in office a leader
+    // that no agent reaches any more.
+    if outcome.fresh {
         leadership
             .heartbeat_monitor
             .borrow_mut()
-            .heartbeat_received(&heartbeat.machine, heartbeat.token == answer.token);
+            .heartbeat_received(&heartbeat.machine, heartbeat.token == outcome.token);
     }
-    // A heartbeat without changes leaves nothing to do.
+    // Most heartbeats change nothing, so the scheduling loop is not woken for each of them.
     if scheduler.next_due(now) <= now || scheduler.has_actions() {
         leadership.wakeup.notify();
     }
@@ -136,14 +138,14 @@
     }
     log_starts(
         &heartbeat.machine,
-        answer.token,
+        outcome.token,
         heartbeat.epoch,
         heartbeat.sequence,
-        &answer.commands,
+        &outcome.commands,
         "heartbeat response",
     );
     Ok(HeartbeatResponse {
-        token: answer.token,
-        commands: answer.commands,
+        token: outcome.token,
+        commands: outcome.commands,
     })
 }
--- a/crates/hopyoke/src/agents/mod.rs
+++ b/crates/hopyoke/src/agents/mod.rs
@@ -1,4 +1,4 @@
-//! Agents (the workers of the protocol): their heartbeats, and commands pushed to them.
+//! Communication with the agents on the machines: their heartbeats, and commands pushed to them.
 
 pub(crate) mod heartbeats;
 pub(crate) mod pushed_commands;
--- a/crates/hopyoke/src/agents/pushed_commands.rs
+++ b/crates/hopyoke/src/agents/pushed_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that the leader pushes to agents, without waiting for their next heartbeat.
+//! Commands that the leader pushes to agents instead of sending them in the response to the next heartbeat.
 
 use crate::node::Leadership;
 use hopyoke_event_loop as runtime;
@@ -12,40 +12,42 @@
 use std::rc::Rc;
 use tracing::{debug, warn};
 
-/// A client of one agent.
+/// The HTTP client of one agent.
 struct AgentClient {
     client: Rc<Client>,
-    /// The number of its latest use.
+    /// Value of [`CommandPusher::use_count`] at its latest use.
     last_use: u64,
 }
 
-/// Pushes commands to agents and keeps connections to them.
+/// Pushes commands to agents over a bounded pool of connections, from which the least recently used are evicted.
 pub(crate) struct CommandPusher {
     clients: RefCell<BTreeMap<SocketAddr, AgentClient>>,
-    uses: Cell<u64>,
+    /// How many times a client has been taken from the pool.
+    use_count: Cell<u64>,
     max_clients: usize,
 }
 
-/// A push that has taken longer has failed.
+/// Timeout of a push, including the time to connect.
 const PUSH_TIMEOUT: Micros = Micros::from_secs(3);
 
 impl CommandPusher {
-    /// Of `max_connections` sockets, connections opened by agents and users may take three quarters; half of the rest may
-    /// be kept open to agents.
+    /// Creates a pusher on a node that may have `max_connections` sockets open. Connections opened by agents and users may
+    /// take three quarters of them; half of the rest is for pushes.
     pub(crate) fn new(max_connections: usize) -> CommandPusher {
         CommandPusher {
             clients: RefCell::default(),
-            uses: Cell::new(0),
+            use_count: Cell::new(0),
             max_clients: (max_connections / 8).max(8),
         }
     }
 
+    /// Returns the client of the agent at `addr`, creating it if necessary.
     fn client(&self, addr: SocketAddr) -> Rc<Client> {
         let mut clients = self.clients.borrow_mut();
-        let this_use = self.uses.get() + 1;
-        self.uses.set(this_use);
+        let this_use = self.use_count.get() + 1;
+        self.use_count.set(this_use);
         if clients.len() >= self.max_clients && !clients.contains_key(&addr) {
-            // The least recently used eighth is closed, so that this is seldom done.
+            // Evicts an eighth of the pool at a time, so that most new clients need no scan of it.
             let oldest_kept = this_use.saturating_sub(self.max_clients as u64 * 7 / 8);
             clients.retain(|_, c| c.last_use > oldest_kept);
         }
@@ -57,7 +59,8 @@
         entry.client.clone()
     }
 
-    /// Pushes commands to an agent and reports the outcome to the scheduler.
+    /// Pushes commands to an agent and passes the outcome to the scheduler. Nothing is sent unless the leader lease is
+    /// valid.
     pub(crate) async fn push(
         &self,
         leadership: &Leadership,
@@ -80,8 +83,8 @@
             epoch,
             commands,
         });
-        // Checked again once the connection is open: a process that is behind may get there long after the next leader
-        // was granted its fencing token.
+        // Checked again once the connection is open: a process short of CPU time may get there long after the next leader
+        // has received its fencing token.
         let may_send = || leadership.lease_is_valid();
         let client = self.client(address);
         let result = client
@@ -96,11 +99,11 @@
                 scheduler.push_answered(&machine, r.status == 200, heartbeat.as_ref(), now);
             }
             Ok(r) => {
-                warn!(machine = %machine, status = r.status, "pushed commands refused");
+                warn!(machine = %machine, status = r.status, "agent refused pushed commands");
                 scheduler.push_failed(&machine, false, now);
             }
             Err(e) => {
-                debug!(machine = %machine, error = %e, "pushing commands failed");
+                debug!(machine = %machine, error = %e, "failed to push commands");
                 scheduler.push_failed(&machine, !matches!(e, ClientError::NotSent(_)), now);
                 self.clients.borrow_mut().remove(&address);
             }
@@ -108,8 +111,8 @@
     }
 }
 
-/// Logs which attempts an agent is told to start, and by which leader: at `debug` the log shows the history of each
-/// task. `via` is the message that carries the commands.
+/// Logs at `debug` which task attempts an agent is told to start and under which fencing token, so that the log holds the
+/// history of each task. `via` names the message that carries the commands.
 pub(super) fn log_starts(
     machine: &MachineId,
     token: FencingToken,
--- a/crates/hopyoke/src/api/mod.rs
+++ b/crates/hopyoke/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The users' interface: jobs, and admission control for new work.
+//! The user API: submission, status and cancellation of jobs, and admission control.
 
 pub(crate) mod admission;
 pub(crate) mod deadline;
--- a/crates/hopyoke/src/cloud.rs
+++ b/crates/hopyoke/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud: typed requests within its rate.
+//! Client of the cloud provider's API: typed requests, within its rate limit.
 
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, Method};
@@ -12,43 +12,46 @@
 use std::net::SocketAddr;
 
 const REQUEST_TIMEOUT: Micros = Micros::from_secs(8);
-/// Machines per page of a list.
+/// Maximum number of machines per page of a list.
 const LIST_PAGE_SIZE: u32 = 500;
-/// The part of the cloud's rate that a node uses.
-const USED_RATE: f64 = 0.85;
-/// Requests may be sent at once for as long as this is worth at the rate.
-const BURST: Micros = Micros::from_secs(1);
+/// Fraction of the API's rate limit that a node uses.
+const RATE_UTILIZATION: f64 = 0.85;
+/// Size of a burst: as many requests may be sent at once as the rate limit admits in this time.
+const BURST_TIME: Micros = Micros::from_secs(1);
 
-/// Client of the cloud.
+/// Rate-limited client of the cloud provider's API.
 pub(crate) struct CloudClient {
     client: Client,
     requests_per_second: f64,
-    /// When the next request may be sent.
+    /// When the next request may be sent, not counting the burst.
     next_request_at: Cell<Micros>,
 }
 
 impl CloudClient {
-    /// `requests_per_second`: what the cloud accepts.
+    /// Creates a client. `requests_per_second` is the rate limit of the API.
     pub(crate) fn new(addr: SocketAddr, requests_per_second: f64) -> CloudClient {
         CloudClient {
             client: Client::new(addr),
-            requests_per_second: requests_per_second * USED_RATE,
+            requests_per_second: requests_per_second * RATE_UTILIZATION,
             next_request_at: Cell::new(Micros::ZERO),
         }
     }
 
-    /// Spaces requests out, in the order of their callers.
+    /// Waits until the rate limit permits another request; callers are served first come, first served.
     async fn wait_for_rate(&self) {
         let interval = Micros::from_secs_f64(1.0 / self.requests_per_second);
         let now = runtime::now();
-        let send_at = self.next_request_at.get().max(now.saturating_sub(BURST));
+        let send_at = self
+            .next_request_at
+            .get()
+            .max(now.saturating_sub(BURST_TIME));
         self.next_request_at.set(send_at + interval);
         if send_at > now {
             runtime::sleep_until(send_at).await;
         }
     }
 
-    /// Reads the machine types on offer; `None` if there was no readable answer.
+    /// Reads the machine types on offer. Returns `None` if the request failed or its answer can't be decoded.
     pub(crate) async fn catalog(&self) -> Option<Vec<MachineType>> {
         self.wait_for_rate().await;
         let r = self
@@ -62,7 +65,7 @@
             .map(|c| c.types)
     }
 
-    /// Requests new machines.
+    /// Requests new machines. The outcome is unknown if there is no conclusive answer: machines may have been created.
     pub(crate) async fn scale_out(&self, request: &ScaleOutRequest<'_>) -> ScaleOutOutcome {
         self.wait_for_rate().await;
         match self
@@ -74,8 +77,8 @@
                 .map_or(ScaleOutOutcome::Unknown, |m| {
                     ScaleOutOutcome::Created(m.machines)
                 }),
-            // Both "no capacity" and "trouble" come as 503.
-            Ok(r) if r.status == 503 && !contains(&r.body, b"trouble") => {
+            // A 503 means either that there is no capacity or, with "trouble" in its body, that the request failed.
+            Ok(r) if r.status == 503 && !contains_bytes(&r.body, b"trouble") => {
                 ScaleOutOutcome::NoCapacity
             }
             Ok(r) if r.status == 400 => ScaleOutOutcome::NoCapacity,
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Deletes machines. True once the cloud has confirmed that the machines are gone.
+    /// Deletes machines. Returns whether the cloud has confirmed their deletion.
     pub(crate) async fn delete(&self, ids: Vec<MachineId>) -> bool {
         self.wait_for_rate().await;
         let body = encode(&MachineNames { machines: ids });
@@ -94,7 +97,7 @@
         matches!(result, Ok(r) if r.status == 200)
     }
 
-    /// Lists all machines, page by page; `None` if a page was not received.
+    /// Lists all machines, page by page. Returns `None` if a page could not be read.
     pub(crate) async fn list(&self) -> Option<Vec<ListedMachine>> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
@@ -121,6 +124,6 @@
     }
 }
 
-fn contains(body: &[u8], part: &[u8]) -> bool {
-    body.windows(part.len()).any(|w| w == part)
+fn contains_bytes(body: &[u8], needle: &[u8]) -> bool {
+    body.windows(needle.len()).any(|w| w == needle)
 }
