--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -1,4 +1,4 @@
-//! The users' interface: submit, poll and cancel jobs. Any node answers by itself, from the key-value store.
+//! HTTP endpoints for users: submitting, polling and cancelling jobs. Any node can serve them from the key-value store.
 
 use super::deadline::RequestDeadline;
 use crate::node::{Leadership, Node};
@@ -21,41 +21,41 @@
 use tracing::{debug, warn};
 
 #[derive(Serialize)]
-struct Problem<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
-fn problem(status: u16, error: &str) -> Response {
-    Response::of(status, &Problem { error })
+fn error_response(status: u16, error: &str) -> Response {
+    Response::of(status, &ErrorBody { error })
 }
 
-/// The outcome cannot be determined now: the client is to retry after a second.
+/// Returns a 503 for a request whose outcome can't be determined now; the client is to retry after a second.
 fn unavailable(reason: &str) -> Response {
-    problem(503, reason).retry_after(1)
+    error_response(503, reason).retry_after(1)
 }
 
-/// Admission control rejected a submission.
-fn rejected(after: RetryAfter) -> Response {
-    problem(503, "more work is offered than can be recorded").retry_after(after.0)
+/// Returns a 503 for a submission that admission control rejected.
+fn overloaded(retry_after: RetryAfter) -> Response {
+    error_response(503, "too many submissions").retry_after(retry_after.0)
 }
 
-/// Serves `GET /healthz`: unhealthy while this node alone cannot reach the key-value store, so that users and agents are
-/// routed to other nodes.
+/// Serves `GET /healthz`. The node is unhealthy while it alone can't reach the key-value store, so that load balancers
+/// route users and agents to the other nodes.
 pub(crate) fn healthz(node: &Node, request: &Request) -> Response {
     if request.method != Method::Get {
         return Response::empty(405);
     }
     if node.catalog.borrow().is_empty() {
-        return problem(503, "the machine types are not known yet");
+        return error_response(503, "the machine types are not known yet");
     }
     if is_isolated(node) {
-        return problem(503, "the state service does not answer this node");
+        return error_response(503, "the key-value store does not answer this node");
     }
     Response::empty(200)
 }
 
-/// The key-value store has not answered this node for a while, but answers a peer. In an outage, when it answers no node,
-/// all stay healthy: users need not be routed back afterwards.
+/// Returns whether the key-value store has been silent towards this node for a while but answers a peer. In an outage, when
+/// it answers no node, all nodes stay healthy, so that users need not be routed back afterwards.
 fn is_isolated(node: &Node) -> bool {
     let min_silence = Micros::from_secs(3);
     !node.store.answers()
@@ -63,23 +63,23 @@
         && node.peers.any_that_reaches_store().is_some()
 }
 
-/// The part of a request's path below that of all jobs, without the query, for direct and for forwarded requests; `None`:
-/// it is another path.
+/// Returns the part of a request's path below `/api/jobs`, without the query, and `None` for other paths. Applies to direct
+/// and to forwarded requests.
 pub(crate) fn path_below_jobs(path: &str) -> Option<&str> {
     path.split('?').next()?.strip_prefix("/api/jobs")
 }
 
-/// Serves a user's request by its deadline. A poll is forwarded to the leader, which knows what runs; whatever this node
-/// cannot decide is forwarded to a peer that reaches the key-value store.
+/// Serves a user's request within its deadline. Polls are forwarded to the leader, which knows the running tasks; a request
+/// that this node can't decide is forwarded to a peer that reaches the key-value store.
 pub(crate) async fn serve(node: &Rc<Node>, rest: &str, request: &Request) -> Response {
     let arrived_at = runtime::now();
     let deadline = RequestDeadline::for_request(request.method);
-    let answer = serve_by(node, rest, request, deadline).await;
-    if answer.status == 503 {
+    let response = serve_by(node, rest, request, deadline).await;
+    if response.status == 503 {
         let after_ms = (runtime::now() - arrived_at).as_millis();
-        debug!(path = %request.path, after_ms, reason = %String::from_utf8_lossy(&answer.body), "not decided");
+        debug!(path = %request.path, after_ms, reason = %String::from_utf8_lossy(&response.body), "request answered with status 503");
     }
-    answer
+    response
 }
 
 async fn serve_by(
@@ -90,35 +90,36 @@
 ) -> Response {
     if request.method == Method::Get
         && node.leadership().is_none()
-        && let Some(r) = leaders_answer(node, request, deadline).await
+        && let Some(response) = forward_to_leader(node, request, deadline).await
     {
-        return r;
+        return response;
     }
     if !node.store.answers()
-        && let Some(r) = peers_answer(node, request, deadline).await
+        && let Some(response) = forward_to_peer(node, request, deadline).await
     {
-        return r;
+        return response;
     }
-    // Known not to answer: reported at once rather than after another timeout. The connection is closed, so that the
-    // user's next attempt can reach another node.
+    // Fails fast instead of waiting for another timeout, and closes the connection, so that the user's next attempt can
+    // reach another node.
     if !node.store.answers() && runtime::now() > node.store.last_answer_at() + Micros::from_secs(1)
     {
-        return unavailable("the state service does not answer this node").closing();
+        return unavailable("the key-value store does not answer this node").closing();
     }
-    let own = serve_locally(node, rest, request, deadline).await;
-    // Rejected submissions are not forwarded: the peers have no more capacity.
-    if own.status == 503
+    let local_response = serve_locally(node, rest, request, deadline).await;
+    // Only while the store does not answer: a submission that admission control rejects gains nothing at a peer, which has
+    // no more capacity.
+    if local_response.status == 503
         && request.method == Method::Post
         && !node.store.answers()
-        && let Some(r) = peers_answer(node, request, deadline).await
+        && let Some(response) = forward_to_peer(node, request, deadline).await
     {
-        return r;
+        return response;
     }
-    own
+    local_response
 }
 
-/// The leader's answer to a poll; `None`: nobody is known to lead, there is no time for it, or it had none.
-async fn leaders_answer(
+/// Forwards a poll to the leader. Returns `None` if no leader is known, too little time is left, or it did not answer.
+async fn forward_to_leader(
     node: &Node,
     request: &Request,
     deadline: RequestDeadline,
@@ -129,7 +130,7 @@
         return None;
     }
     let latency = node.store.timeouts.expected_of_slowest();
-    // The leader answers many polls with one read of its own; this node would need two reads for each.
+    // The leader serves many polls with one read of the store; this node would need two reads for each.
     if client.is_busy() {
         let is_slow = latency > FORWARD_TO_LEADER_TIMEOUT;
         return (!is_slow).then(|| unavailable("the leader is busy"));
@@ -138,8 +139,8 @@
     client.forward(&node.settings.node, request, timeout).await
 }
 
-/// The answer of a peer that reaches the key-value store, if any does and has one.
-async fn peers_answer(
+/// Forwards a request to a peer that reaches the key-value store. Returns `None` if there is none or it did not answer.
+async fn forward_to_peer(
     node: &Node,
     request: &Request,
     deadline: RequestDeadline,
@@ -150,7 +151,7 @@
         .await
 }
 
-/// Answers a request by this node itself.
+/// Serves a request on this node, without forwarding it.
 pub(crate) async fn serve_locally(
     node: &Rc<Node>,
     rest: &str,
@@ -166,34 +167,35 @@
     let Some(rest) = rest.strip_prefix('/') else {
         return Response::empty(404);
     };
-    let (id, verb) = match rest.split_once('/') {
+    let (id, expected_method) = match rest.split_once('/') {
         Some((id, "withdraw")) => (id, Method::Post),
         Some(_) => return Response::empty(404),
         None => (rest, Method::Get),
     };
-    // Whatever is no valid id cannot be that of a job.
+    // No job can have a malformed id, so it is reported as missing.
     let Some(id) = JobId::parse(id) else {
         return Response::empty(404);
     };
-    if request.method != verb {
+    if request.method != expected_method {
         return Response::empty(405);
     }
-    let answer = if verb == Method::Get {
-        let answer = poll(node, &id, deadline).await;
-        if answer.is_err() {
+    let response = if expected_method == Method::Get {
+        let response = poll(node, &id, deadline).await;
+        if response.is_err() {
             records::look_up_in_background(node, &id);
         }
-        answer
+        response
     } else {
         cancel(node, &id, deadline).await
     };
-    answer.unwrap_or_else(|e| {
+    response.unwrap_or_else(|e| {
         debug!(job = %id, error = %e, "request not answered");
-        unavailable("the state service did not answer")
+        unavailable("the key-value store did not answer")
     })
 }
 
-fn finished(id: &JobId, end: EndRecord) -> Response {
+/// Returns the status of a finished job.
+fn finished_response(id: &JobId, end: EndRecord) -> Response {
     let done = (end.state == JobState::Done).then_some(end.done);
     Response::of(
         200,
@@ -206,10 +208,14 @@
     )
 }
 
-/// `leadership`: that of this node, if it leads: its scheduler may know the job's running tasks.
-fn unfinished(leadership: Option<&Leadership>, id: &JobId, record: Option<JobRecord>) -> Response {
+/// Returns the status of an unfinished job, with the running tasks if this node leads and its scheduler knows them.
+fn unfinished_response(
+    leadership: Option<&Leadership>,
+    id: &JobId,
+    record: Option<JobRecord>,
+) -> Response {
     let done = record.map_or(0, |r| r.done.normalized(r.spec.tasks).count());
-    let mut answer = JobStatusResponse {
+    let mut response = JobStatusResponse {
         id: id.as_str(),
         state: JobState::Queued,
         done: Some(done),
@@ -219,63 +225,71 @@
         && let Some(job) = scheduler.jobs.get(id)
     {
         let running = scheduler.running(id);
-        answer.done = Some(job.done.count());
-        answer.running = Some(running);
+        response.done = Some(job.done.count());
+        response.running = Some(running);
         if running > 0 {
-            answer.state = JobState::Running;
+            response.state = JobState::Running;
         }
     }
-    Response::of(200, &answer)
+    Response::of(200, &response)
 }
 
-fn answer(node: &Node, id: &JobId, found: Lookup) -> Response {
+/// Returns the response to a poll for the outcome of a lookup.
+fn job_response(node: &Node, id: &JobId, found: Lookup) -> Response {
     match found {
-        Lookup::Finished(end) => finished(id, end),
+        Lookup::Finished(end) => finished_response(id, end),
         Lookup::Unfinished(record, _) => {
             if matches!(record, Stored::Unreadable(_)) {
                 warn!(job = %id, "malformed job record");
             }
-            unfinished(node.leadership().as_deref(), id, record.readable())
+            unfinished_response(node.leadership().as_deref(), id, record.readable())
         }
         Lookup::Unreadable => unavailable("the job's record can't be read"),
-        Lookup::Missing => problem(404, "no such job"),
+        Lookup::Missing => error_response(404, "no such job"),
     }
 }
 
+/// Returns the status of a job. The leader answers from its scheduler once that is known to be up to date, other nodes from
+/// the job's records.
 async fn poll(node: &Node, id: &JobId, deadline: RequestDeadline) -> Result<Response, StateError> {
     if let Some(end) = node.terminal_states.get(id) {
-        return Ok(finished(id, end));
+        return Ok(finished_response(id, end));
     }
     let client = node.store.polling().by(deadline.at());
     if let Some(leadership) = node.leadership()
-        && !must_look_up(&leadership, client, id)
+        && !should_read_records_directly(&leadership, client, id)
     {
         if !has_time_for_query(node, deadline) {
-            return poll_by_peers(&leadership, id, deadline).await;
+            return poll_confirmed_by_peers(&leadership, id, deadline).await;
         }
         if leadership.wait_until_current(deadline.at()).await {
-            // The scheduler includes whatever was written before the poll arrived. (Guards `went_back` and `forgotten`: no
-            // answer is older than one that another node gave before.)
+            // Guards the invariants `went_back` and `forgotten`: the scheduler now includes every write that preceded the poll,
+            // so the answer is not older than one that another node gave before.
             if leadership.scheduler.borrow().jobs.contains_key(id) {
-                return Ok(unfinished(Some(&leadership), id, None));
+                return Ok(unfinished_response(Some(&leadership), id, None));
             }
             if let Some(end) = node.terminal_states.get(id) {
-                return Ok(finished(id, end));
+                return Ok(finished_response(id, end));
             }
-            // It has ended, or was never accepted, or its record is malformed: its records tell.
-            return Ok(answer(node, id, lookup_ended(node, client, id).await?));
+            // The job has ended, was never accepted, or has a malformed record: only its records tell which.
+            return Ok(job_response(
+                node,
+                id,
+                lookup_ended(node, client, id).await?,
+            ));
         }
         if !leadership.cancel.is_cancelled() {
-            // More reads would not help: the store is overloaded or unreachable. The user polls again.
-            return Ok(unavailable("the state service did not answer in time"));
+            // Reading the records would not help: the store is overloaded or unreachable. The user polls again.
+            return Ok(unavailable("the key-value store did not answer in time"));
         }
-        // This node has stepped down: it answers like any other.
+        // This node has stepped down meanwhile, and answers as a follower.
     }
-    Ok(answer(node, id, lookup(node, client, id).await?))
+    Ok(job_response(node, id, lookup(node, client, id).await?))
 }
 
-/// Answers a poll for which the key-value store is too slow: of an unfinished job, if all peers confirm it.
-async fn poll_by_peers(
+/// Answers a poll while the key-value store is too slow for its deadline. Succeeds only if the job is unfinished by the
+/// leader's scheduler and all peers confirm it, see [`Leadership::wait_until_confirmed`].
+async fn poll_confirmed_by_peers(
     leadership: &Leadership,
     id: &JobId,
     deadline: RequestDeadline,
@@ -284,29 +298,35 @@
         && leadership.wait_until_confirmed(deadline.at()).await
         && leadership.has_unfinished(id);
     if is_confirmed {
-        Ok(unfinished(Some(leadership), id, None))
+        Ok(unfinished_response(Some(leadership), id, None))
     } else {
         Err(StateError::DeadlineExceeded)
     }
 }
 
-/// The job is most likely over, and there is no time for a query first and its records then: they are read at once.
-fn must_look_up(leadership: &Leadership, client: PrioritizedClient<'_>, id: &JobId) -> bool {
+/// Returns whether to read a job's records at once instead of waiting for a query for recent changes first: the scheduler
+/// does not know the job, so it has most likely ended, and the deadline leaves no time for both.
+fn should_read_records_directly(
+    leadership: &Leadership,
+    client: PrioritizedClient<'_>,
+    id: &JobId,
+) -> bool {
     !leadership.scheduler.borrow().jobs.contains_key(id) && client.must_read_side_by_side()
 }
 
-/// By the measured latency the next query's answer comes before the deadline.
+/// Returns whether, by the measured latency, the next query for recent changes is answered before the deadline.
 fn has_time_for_query(node: &Node, deadline: RequestDeadline) -> bool {
     let latency = node.store.timeouts.expected(RequestKind::Watch);
     latency.unwrap_or_default() + READ_BATCH_DELAY < deadline.remaining()
 }
 
+/// Serves a submission: validates the job and accepts it, unless it can never be scheduled.
 async fn submit(node: &Rc<Node>, body: &[u8], deadline: RequestDeadline) -> Response {
     let spec = match JobSpec::parse(body) {
-        Ok(s) => s,
-        Err(e) => return problem(400, &e.to_string()),
+        Ok(spec) => spec,
+        Err(e) => return error_response(400, &e.to_string()),
     };
-    let never_runs_reason = {
+    let unschedulable = {
         let types = node.catalog.borrow();
         if types.is_empty() {
             return unavailable("the machine types are not known yet");
@@ -315,22 +335,23 @@
     };
     let id = spec.id.clone();
     let client = node.store.accepting().by(deadline.at());
-    let result = match never_runs_reason {
-        // An accepted job stays accepted, whatever the catalog says now.
+    let result = match unschedulable {
+        // A job that was accepted under an earlier catalog stays accepted.
         Some(reason) => match lookup(node, client, &id).await {
-            Ok(Lookup::Missing) => Ok(problem(422, &reason)),
-            Ok(found) => Ok(answer(node, &id, found)),
+            Ok(Lookup::Missing) => Ok(error_response(422, &reason)),
+            Ok(found) => Ok(job_response(node, &id, found)),
             Err(e) => Err(e),
         },
         None => accept(node, spec, deadline).await,
     };
     result.unwrap_or_else(|e| {
         debug!(job = %id, error = %e, "submission not answered");
-        unavailable("the state service did not answer")
+        unavailable("the key-value store did not answer")
     })
 }
 
-/// Accepts a job: writes its record on the condition that there is none, and answers only once that is committed.
+/// Accepts a job: creates its record by compare-and-swap, and answers only once that is committed. Submissions are
+/// idempotent: if the record exists, the response is the job's status.
 async fn accept(
     node: &Rc<Node>,
     spec: JobSpec,
@@ -338,53 +359,53 @@
 ) -> Result<Response, StateError> {
     let id = spec.id.clone();
     if let Some(end) = node.terminal_states.get(&id).filter(|e| !e.flow) {
-        return Ok(finished(&id, end));
+        return Ok(finished_response(&id, end));
     }
-    if let Err(after) = node.admission.admit(node, &spec) {
-        debug!(job = %id, after_s = after.0, "submission rejected");
-        // A repeated submission of an accepted job is answered all the same, where that needs no request to the store.
-        let known = node
+    if let Err(retry_after) = node.admission.admit(node, &spec) {
+        debug!(job = %id, after_s = retry_after.0, "submission rejected");
+        // Admission control does not apply to a repeated submission that can be answered without a request to the store.
+        let is_known = node
             .leadership()
             .is_some_and(|l| l.scheduler.borrow().jobs.contains_key(&id));
-        return if known {
+        return if is_known {
             poll(node, &id, deadline).await
         } else {
-            Ok(rejected(after))
+            Ok(overloaded(retry_after))
         };
     }
     let team = spec.team.clone();
     let record = JobRecord::accepted(spec, runtime::time_of_day().0);
     let client = node.store.accepting().by(deadline.at());
-    let end = match records::accept(node, client, record, Vec::new()).await {
+    let outcome = match records::accept(node, client, record, Vec::new()).await {
         Err(e @ StateError::DeadlineExceeded) => return Err(e),
         Err(e) if e.is_refusal() && node.store.answers() => {
-            return Ok(rejected(node.admission.reject(node, &id, &team)));
+            return Ok(overloaded(node.admission.reject(node, &id, &team)));
         }
-        end => end?,
+        outcome => outcome?,
     };
-    match end {
+    match outcome {
         TransactionOutcome::Applied(_) => {
             debug!(job = %id, "job accepted");
-            let answer = JobStatusResponse {
+            let response = JobStatusResponse {
                 id: id.as_str(),
                 state: JobState::Queued,
                 done: None,
                 running: None,
             };
-            Ok(Response::of(201, &answer))
+            Ok(Response::of(201, &response))
         }
         TransactionOutcome::Failed(_) => match lookup(node, client, &id).await? {
-            // A record cannot vanish: the user is to retry.
+            // Records are never deleted for good, so the store's answers contradict each other: the user is to retry.
             Lookup::Missing => Ok(unavailable("the job's record changed meanwhile")),
             found if found.is_workflow_step() => {
-                Ok(problem(422, "the id is that of a workflow's step"))
+                Ok(error_response(422, "the id is that of a workflow's step"))
             }
-            found => Ok(answer(node, &id, found)),
+            found => Ok(job_response(node, &id, found)),
         },
     }
 }
 
-/// Cancels a job: its record becomes a final one. Answers with the final state, also if the job had one before.
+/// Cancels a job by making its record final. Responds with the final state, also if the job had ended before.
 async fn cancel(
     node: &Rc<Node>,
     id: &JobId,
@@ -392,8 +413,8 @@
 ) -> Result<Response, StateError> {
     let client = node.store.cancelling().by(deadline.at());
     Ok(match records::cancel(node, client, id).await? {
-        Some(Lookup::Finished(end)) => finished(id, end),
-        Some(found) => answer(node, id, found),
+        Some(Lookup::Finished(end)) => finished_response(id, end),
+        Some(found) => job_response(node, id, found),
         None => unavailable("the job's record keeps changing"),
     })
 }
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -1,5 +1,5 @@
-//! Estimates by learned run times, and the history that they are learned from. Any node accepts the requests; the
-//! leader answers them.
+//! Completion estimates from learned run times, and the completed runs that those are learned from. Any node accepts these
+//! requests and forwards them to the leader, which answers them.
 
 use crate::node::{Leadership, Node};
 use crate::peers::client::proto::{HistoryAnswer, HistoryRequest, WhenAnswer, WhenRequest};
@@ -10,32 +10,33 @@
 use hopyoke_types::{JobId, Micros};
 use hopyoke_workload_trace::{Run, Writer};
 
-/// Runs in one answer.
-const MAX_RUNS: usize = 256;
-/// An estimate of capacity visits all running tasks, so it may take longer than a greeting.
-const ANSWER_TIMEOUT: Micros = Micros(GREET_TIMEOUT.0 * 2);
+/// Maximum number of runs in one answer.
+const MAX_RUNS_PER_ANSWER: usize = 256;
+/// Longer than the timeout of a greeting, since a capacity estimate visits all running tasks.
+const CALL_TIMEOUT: Micros = Micros(GREET_TIMEOUT.0 * 2);
 
-/// Estimates when a job will end, or GPUs will be free.
+/// Estimates when a job will end or, if the request names no job, when GPUs will be free for a team.
 pub(crate) async fn estimate_completion(node: &Node, mut request: WhenRequest) -> WhenAnswer {
     if let Some(leadership) = node.leadership() {
-        return own_estimate(&leadership, request);
+        return estimate_locally(&leadership, request);
     }
-    let refused = |error: &str| WhenAnswer {
+    let failed = |error: &str| WhenAnswer {
         error: error.to_owned(),
         ..WhenAnswer::default()
     };
-    let client = match leader(node, &request.node) {
+    let client = match leader_client(node, &request.node) {
         Ok(client) => client,
-        Err(error) => return refused(error),
+        Err(error) => return failed(error),
     };
     request.node.clone_from(&node.settings.node);
     let answer = client
-        .call(ANSWER_TIMEOUT, |mut c| async move { c.when(request).await })
+        .call(CALL_TIMEOUT, |mut c| async move { c.when(request).await })
         .await;
-    answer.unwrap_or_else(|| refused("the leader did not answer"))
+    answer.unwrap_or_else(|| failed("the leader did not answer"))
 }
 
-fn own_estimate(leadership: &Leadership, request: WhenRequest) -> WhenAnswer {
+/// Answers a request for an estimate as the leader.
+fn estimate_locally(leadership: &Leadership, request: WhenRequest) -> WhenAnswer {
     let scheduler = leadership.scheduler.borrow();
     let now = runtime::now();
     let estimate = if request.job.is_empty() {
@@ -51,7 +52,7 @@
     } else {
         match JobId::parse(&request.job) {
             Some(id) => scheduler.estimate_job_end(&id, now),
-            None => Err(format!("'{}' is not a job's id", request.job)),
+            None => Err(format!("'{}' is not a valid job id", request.job)),
         }
     };
     match estimate {
@@ -68,63 +69,68 @@
     }
 }
 
-/// The client of the leader, for a request that no other node has forwarded.
-fn leader<'a>(node: &'a Node, forwarded_by: &str) -> Result<&'a PeerClient, &'static str> {
+/// Returns the client of the leader. `forwarded_by` is the node that forwarded the request, or empty.
+///
+/// # Errors
+/// No leader is known, or the request was forwarded already: a request is forwarded once only, so that two nodes with stale
+/// views of the leader can't pass it back and forth.
+fn leader_client<'a>(node: &'a Node, forwarded_by: &str) -> Result<&'a PeerClient, &'static str> {
     if !forwarded_by.is_empty() {
-        return Err("the node that was asked does not lead");
+        return Err("the node that received the forwarded request is not the leader");
     }
     let leader = node.leader.borrow().clone();
     leader
         .as_deref()
         .and_then(|l| node.peers.by_name(l))
-        .ok_or("nobody leads now")
+        .ok_or("there is no leader now")
 }
 
-/// Runs of tasks that have ended, as comma-separated values.
+/// Returns completed task runs as comma-separated values, one page of at most [`MAX_RUNS_PER_ANSWER`].
 pub(crate) async fn completed_runs(node: &Node, mut request: HistoryRequest) -> HistoryAnswer {
     if let Some(leadership) = node.leadership() {
-        return own_history(&leadership, &request);
+        return completed_runs_locally(&leadership, &request);
     }
-    let refused = |error: &str| HistoryAnswer {
+    let failed = |error: &str| HistoryAnswer {
         error: error.to_owned(),
         ..HistoryAnswer::default()
     };
-    let client = match leader(node, &request.node) {
+    let client = match leader_client(node, &request.node) {
         Ok(client) => client,
-        Err(error) => return refused(error),
+        Err(error) => return failed(error),
     };
     request.node.clone_from(&node.settings.node);
     let answer = client
         .call(
-            ANSWER_TIMEOUT,
+            CALL_TIMEOUT,
             |mut c| async move { c.history(request).await },
         )
         .await;
-    answer.unwrap_or_else(|| refused("the leader did not answer"))
+    answer.unwrap_or_else(|| failed("the leader did not answer"))
 }
 
-fn own_history(leadership: &Leadership, request: &HistoryRequest) -> HistoryAnswer {
+/// Answers a request for completed runs as the leader.
+fn completed_runs_locally(leadership: &Leadership, request: &HistoryRequest) -> HistoryAnswer {
     let scheduler = leadership.scheduler.borrow();
     let token = scheduler.token.0;
-    // Each leader numbers the runs of its own term.
+    // Run numbers are valid within one leader's term only, so a client of an earlier term starts over.
     let after = if request.token == token {
         request.since
     } else {
         0
     };
-    let ended = scheduler.history(after, MAX_RUNS + 1);
+    let completed = scheduler.history(after, MAX_RUNS_PER_ANSWER + 1);
     let mut writer = Writer::new(false);
-    for run in ended.iter().take(MAX_RUNS) {
-        if let Err(error) = writer.add(&run_of(run)) {
+    for run in completed.iter().take(MAX_RUNS_PER_ANSWER) {
+        if let Err(error) = writer.add(&trace_run(run)) {
             return HistoryAnswer {
                 error: error.to_string(),
                 ..HistoryAnswer::default()
             };
         }
     }
-    let last = ended
+    let last = completed
         .iter()
-        .take(MAX_RUNS)
+        .take(MAX_RUNS_PER_ANSWER)
         .next_back()
         .map_or(after, |run| run.number);
     HistoryAnswer {
@@ -132,17 +138,18 @@
         csv: writer.text(),
         token,
         last,
-        more: ended.len() > MAX_RUNS,
+        more: completed.len() > MAX_RUNS_PER_ANSWER,
     }
 }
 
-fn run_of(past: &CompletedRun) -> Run {
-    let spec = &past.spec;
+/// Converts a completed run to its row in a workload trace.
+fn trace_run(completed: &CompletedRun) -> Run {
+    let spec = &completed.spec;
     Run {
-        submitted_us: past.accepted_us,
-        ended_us: past.ended_us,
+        submitted_us: completed.accepted_us,
+        ended_us: completed.ended_us,
         job: spec.id.to_string(),
-        index: past.index,
+        index: completed.index,
         class: spec.class.clone(),
         team: spec.team.clone(),
         image: spec.image.clone(),
@@ -154,11 +161,11 @@
         cpus: spec.cpus,
         gpus: spec.gpus,
         mem_gb: spec.memory_gb,
-        machine: past
+        machine: completed
             .machine
             .as_ref()
             .map_or(String::new(), |m| m.to_string()),
         estimate_s: spec.estimate_s,
-        ran_s: past.ran_s,
+        ran_s: completed.ran_s,
     }
 }
--- a/crates/hopyoke/src/operations/mod.rs
+++ b/crates/hopyoke/src/operations/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see and set: status, completion estimates, settings, staffed hours.
+//! Operator interface: status page, completion estimates, settings and staffed hours.
 
 pub(crate) mod estimates;
 pub mod settings;
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -1,5 +1,5 @@
-//! From the operators' settings to the scheduler's tuning, and from the scheduler to the live figures that settings may
-//! refer to.
+//! Converts the operators' settings to the scheduler's tuning, the staffed hours and the limits on workflows, and computes
+//! the live figures that expressions in the settings may refer to.
 
 use crate::node::Leadership;
 use hopyoke_calendar::{Calendar, CalendarError, HoldSelector, StaffedHours};
@@ -11,7 +11,7 @@
 use hopyoke_workflow::Limits;
 use tracing::info;
 
-/// The scheduler's tuning by these values of the settings.
+/// Returns the scheduler's tuning for these values of the settings.
 #[must_use]
 pub fn scheduler_tuning(v: &Values) -> Tuning {
     Tuning {
@@ -52,11 +52,11 @@
     }
 }
 
-/// The staffed hours by these values; `None`: no work is held outside of staffed hours. `skew` is the bound of the
-/// nodes' clock skew.
+/// Returns the staffed hours for these values of the settings, or `None` if no work is held outside of staffed hours. `skew`
+/// is the upper bound on clock skew between nodes.
 ///
 /// # Errors
-/// The malformed setting and its part, even if no work is held.
+/// Returns which setting is malformed, and where, even if no work is held.
 pub fn staffed_hours(v: &Values, skew: Micros) -> Result<Option<StaffedHours>, CalendarError> {
     let hours = StaffedHours {
         calendar: Calendar::parse(v.text("hours"), v.text("hours_zone"), v.text("holidays"))?,
@@ -69,7 +69,7 @@
     Ok(v.boolean("hold").then_some(hours))
 }
 
-/// What the execution of workflows may use of this node and of the key-value store.
+/// Returns the limits on workflow execution at this node, including its share of the key-value store's rates.
 pub(crate) fn workflow_limits(v: &Values, settings: &Settings) -> Limits {
     let facts = &settings.facts;
     let nodes = f64::from(facts.nodes.max(1));
@@ -85,7 +85,7 @@
     }
 }
 
-/// The live figures. Visits all machines and jobs, so it is not for every plan.
+/// Computes the live figures. Visits all machines and jobs, so it is too expensive for every scheduling cycle.
 fn live_figures(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
     let up = || {
         scheduler
@@ -119,7 +119,7 @@
         .number("hour", hour)
 }
 
-/// Evaluates the settings with the present live figures, and updates the scheduler's tuning if it has changed.
+/// Evaluates the settings with the current live figures, and updates the scheduler's tuning if it has changed.
 pub(crate) fn refresh_tuning(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
     let now = runtime::now();
     let mut scheduler = leadership.scheduler.borrow_mut();
@@ -130,7 +130,7 @@
     ));
     let tuning = scheduler_tuning(&values);
     if tuning != scheduler.tuning {
-        info!(?tuning, "tuning changed with live figures");
+        info!(?tuning, "scheduler tuning changed");
         scheduler.set_tuning(tuning);
     }
 }
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -1,4 +1,5 @@
-//! Staffed hours: the operators' override of the calendar is a record in the key-value store, which the leader follows.
+//! Staffed hours, outside of which some work may be held. Operators override the calendar by a record in the key-value
+//! store, which the leader reads periodically.
 
 use crate::node::{Leadership, Node};
 use crate::operations::settings;
@@ -14,39 +15,40 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// The interval at which the leader reads the override.
+/// Interval at which the leader reads the override.
 const READ_INTERVAL: Micros = Micros::from_secs(5);
-/// The longest override, in seconds.
-const MAX_SPAN_S: u64 = 31 * 86_400;
+/// Longest duration of an override, in seconds.
+const MAX_OVERRIDE_S: u64 = 31 * 86_400;
 
-/// The staffed hours by the node's settings; `None`: no work is held outside of them.
-fn hours(node: &Node) -> Option<StaffedHours> {
+/// Returns the staffed hours by the node's settings, without an override, or `None` if no work is held outside of them.
+fn configured_hours(node: &Node) -> Option<StaffedHours> {
     let values = node.policy.evaluate(&Figures::default());
     let skew = Micros::from_secs_f64(node.settings.facts.clock_skew_ms / 1e3);
     match settings::staffed_hours(&values, skew) {
         Ok(h) => h,
         Err(e) => {
-            // Unexpected: they were checked when the settings were read.
-            warn!(error = %e, "malformed staffed hours");
+            // Should not happen: they were validated when the settings were loaded.
+            warn!(error = %e, "malformed staffed hours in the settings: no work is held");
             None
         }
     }
 }
 
-/// The staffed hours that a new leader begins with. Until the override is read, it counts as "not staffed", since it may
-/// say so.
+/// Returns the staffed hours with which a new leader starts. Until it has read the override it assumes "not staffed", the
+/// state in which work is held, since the override may say so.
 pub(crate) fn initial(node: &Node) -> Option<StaffedHours> {
     let not_staffed = StaffingOverride {
         staffed: false,
         until_us: u64::MAX / 4,
         by: "nobody yet".into(),
     };
-    hours(node).map(|h| StaffedHours {
+    configured_hours(node).map(|h| StaffedHours {
         staffing_override: Some(not_staffed),
         ..h
     })
 }
 
+/// Reads the override, with the revision of its last change or 0 if there is none. A malformed override counts as none.
 async fn read_override(node: &Node) -> Result<(Option<StaffingOverride>, ModRevision), StateError> {
     Ok(
         match node
@@ -57,7 +59,7 @@
         {
             Some((Stored::Value(s), mod_revision)) => (Some(s), mod_revision),
             Some((Stored::Unreadable(_), mod_revision)) => {
-                warn!("malformed override of staffed hours: the calendar applies");
+                warn!("malformed override of the staffed hours ignored: the calendar applies");
                 (None, mod_revision)
             }
             None => (None, ModRevision(0)),
@@ -65,15 +67,18 @@
     )
 }
 
-/// Keeps the leader's scheduler up to date with the override, for the leader's term.
+/// Keeps the leader's scheduler up to date with the override for the length of the term.
 pub(crate) async fn sync_override(node: Rc<Node>, leadership: Rc<Leadership>) {
-    if hours(&node).is_none() {
+    if configured_hours(&node).is_none() {
         return;
     }
     loop {
         let pause = match read_override(&node).await {
-            Ok((switch, _)) => {
-                leadership.scheduler.borrow_mut().set_switch(switch);
+            Ok((staffing_override, _)) => {
+                leadership
+                    .scheduler
+                    .borrow_mut()
+                    .set_switch(staffing_override);
                 leadership.wakeup.notify();
                 READ_INTERVAL
             }
@@ -83,9 +88,9 @@
     }
 }
 
-/// Answers an operator who sets or shows the override.
+/// Serves an operator's request to set, remove or show the override.
 pub(crate) async fn serve(node: &Node, request: StaffedRequest) -> StaffedAnswer {
-    match change(node, request).await {
+    match apply_request(node, request).await {
         Ok(text) => StaffedAnswer {
             text,
             ..StaffedAnswer::default()
@@ -98,19 +103,23 @@
 }
 
 fn unavailable(e: StateError) -> String {
-    format!("the state service did not answer: {e}")
+    format!("the key-value store did not answer: {e}")
 }
 
-/// Serves an operator's request; returns the text of the answer, or why it is refused.
-async fn change(node: &Node, request: StaffedRequest) -> Result<String, String> {
-    let mut hours = hours(node).ok_or("nothing is held: `hold` is off in this node's settings")?;
+/// Applies an operator's request. Returns the resulting status.
+///
+/// # Errors
+/// Returns why the request was refused or failed.
+async fn apply_request(node: &Node, request: StaffedRequest) -> Result<String, String> {
+    let mut hours = configured_hours(node)
+        .ok_or("no work is held outside of staffed hours: `hold` is off in this node's settings")?;
     let now = runtime::time_of_day();
-    let (current, mod_revision) = read_override(node).await.map_err(unavailable)?;
+    let (current_override, mod_revision) = read_override(node).await.map_err(unavailable)?;
     let new_override = match request.word.as_str() {
-        "show" => current,
+        "show" => current_override,
         "auto" => None,
-        "on" | "off" if !(1..=MAX_SPAN_S).contains(&request.span_s) => {
-            return Err("the span must be 1 s to 31 days".into());
+        "on" | "off" if !(1..=MAX_OVERRIDE_S).contains(&request.span_s) => {
+            return Err("the duration must be between 1 s and 31 days".into());
         }
         state @ ("on" | "off") => {
             let until = now + Micros::from_secs(request.span_s);
@@ -121,27 +130,27 @@
                 by,
             })
         }
-        other => return Err(format!("'{other}' is not on, off, auto or show")),
+        other => return Err(format!("expected on, off, auto or show, got '{other}'")),
     };
     if request.word != "show" {
         write_override(node, new_override.as_ref(), mod_revision).await?;
         info!(
             state = request.word,
             by = request.by,
-            "staffed hours overridden"
+            "override of the staffed hours changed"
         );
     }
     hours.staffing_override = new_override;
-    Ok(describe(hours, now))
+    Ok(format_status(hours, now))
 }
 
-/// Writes or removes the override, on the condition that it has not changed since it was read.
+/// Writes or removes the override by compare-and-swap against the revision at which it was read.
 async fn write_override(
     node: &Node,
     new_override: Option<&StaffingOverride>,
     mod_revision: ModRevision,
 ) -> Result<(), String> {
-    let change = match new_override {
+    let mutation = match new_override {
         Some(new_override) => Mutation::Put {
             key: STAFFED_HOURS.to_owned(),
             value: new_override.clone(),
@@ -151,26 +160,26 @@
             key: STAFFED_HOURS.to_owned(),
         },
     };
-    let condition = Compare {
+    let compare = Compare {
         key: STAFFED_HOURS.to_owned(),
         mod_revision,
     };
     match node
         .store
         .cancelling()
-        .txn(vec![condition], vec![change])
+        .txn(vec![compare], vec![mutation])
         .await
         .map_err(unavailable)?
     {
         TransactionOutcome::Applied(_) => Ok(()),
         TransactionOutcome::Failed(_) => {
-            Err("somebody else said something at the same moment; look again".into())
+            Err("the override was changed concurrently; check it and try again".into())
         }
     }
 }
 
-/// Whether the hours are staffed now, until when, and by whose override.
-fn describe(hours: StaffedHours, now: Micros) -> String {
+/// Describes whether the hours are staffed now, until when, and by whose override.
+fn format_status(hours: StaffedHours, now: Micros) -> String {
     let window = hours.at(now);
     let until = window
         .until
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -1,4 +1,4 @@
-//! A controller's status for its operators: leader, shards, machines, jobs, teams, and why jobs wait.
+//! The status page of a controller: leader, shards, machines, teams, jobs, and why jobs wait.
 
 use crate::node::{Leadership, Node};
 use hopyoke_admission::RequestPriority;
@@ -9,10 +9,10 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 
-/// The status as text, one fact a line.
+/// Renders the status as text, one item per line.
 pub(crate) fn render(node: &Node) -> String {
     let mut out = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string can't fail.
     let _ = write_status(&mut out, node);
     out
 }
@@ -29,14 +29,14 @@
     };
     let scheduler = leadership.scheduler.borrow();
     let now = runtime::now();
-    write_leadership(out, &leadership, &scheduler)?;
+    write_leader_state(out, &leadership, &scheduler)?;
     write_shards(out, &scheduler, &leader)?;
-    let used = write_machines(out, &scheduler)?;
-    write_teams(out, &scheduler, &used)?;
+    let usage = write_machines(out, &scheduler)?;
+    write_teams(out, &scheduler, &usage)?;
     write_jobs(out, &scheduler, now)
 }
 
-/// What every node knows of itself.
+/// Writes what every node knows about itself, whether or not it leads.
 fn write_node(out: &mut String, node: &Node, leader: &str) -> fmt::Result {
     writeln!(
         out,
@@ -76,7 +76,7 @@
     writeln!(out, "cancellations remembered {}", cancellation_log.len())
 }
 
-/// What the key-value store takes, and how long answers of it are waited for now.
+/// Writes the latency of the key-value store by kind of request, and the current timeouts of critical requests.
 fn write_store_latency(out: &mut String, node: &Node) -> fmt::Result {
     let timeouts = &node.store.timeouts;
     writeln!(out, "state slow {}", timeouts.is_slow())?;
@@ -93,6 +93,7 @@
     Ok(())
 }
 
+/// Writes the counters of admission control, in total and by team.
 fn write_admission(out: &mut String, node: &Node) -> fmt::Result {
     let admission = node.admission.stats();
     writeln!(
@@ -115,7 +116,8 @@
     Ok(())
 }
 
-fn write_leadership(
+/// Writes the learned run times, the reads served by the leader, and the state of its term.
+fn write_leader_state(
     out: &mut String,
     leadership: &Leadership,
     scheduler: &Scheduler,
@@ -143,6 +145,7 @@
     )
 }
 
+/// Writes the shards, one per zone, all of which the leader holds, and whether held work waits for staffed hours.
 fn write_shards(out: &mut String, scheduler: &Scheduler, leader: &str) -> fmt::Result {
     for zone in &scheduler.cfg.zones {
         let machines = scheduler
@@ -158,12 +161,12 @@
     Ok(())
 }
 
-/// Writes the machines; returns the resources in use by team.
+/// Writes the machines. Returns the resources in use by team.
 fn write_machines<'a>(
     out: &mut String,
     scheduler: &'a Scheduler,
 ) -> Result<BTreeMap<&'a str, Resources>, fmt::Error> {
-    let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
+    let mut usage: BTreeMap<&str, Resources> = BTreeMap::new();
     for machine in scheduler.machines.values() {
         let phase = match machine.phase {
             MachinePhase::Provisioning => "booting",
@@ -183,32 +186,34 @@
             machine.deleting
         )?;
         for spec in live().filter_map(|a| a.spec.as_ref()) {
-            let sum = used.entry(spec.team.as_str()).or_default();
+            let sum = usage.entry(spec.team.as_str()).or_default();
             *sum = *sum + Resources::of_task(spec);
         }
     }
-    Ok(used)
+    Ok(usage)
 }
 
+/// Writes each team's resource usage and quota.
 fn write_teams(
     out: &mut String,
     scheduler: &Scheduler,
-    used: &BTreeMap<&str, Resources>,
+    usage: &BTreeMap<&str, Resources>,
 ) -> fmt::Result {
     for team in &scheduler.cfg.teams {
-        let used = used.get(team.name.as_str()).copied().unwrap_or_default();
+        let usage = usage.get(team.name.as_str()).copied().unwrap_or_default();
         writeln!(
             out,
             "team {} cpus {} of {} gpus {} of {}",
-            team.name, used.cpus, team.cpus_max, used.gpus, team.gpus_max
+            team.name, usage.cpus, team.cpus_max, usage.gpus, team.gpus_max
         )?;
     }
     Ok(())
 }
 
+/// Writes the unfinished jobs, with the estimated time to their end and why they wait.
 fn write_jobs(out: &mut String, scheduler: &Scheduler, now: Micros) -> fmt::Result {
     for (id, job) in &scheduler.jobs {
-        let outcome_unknown = job
+        let tasks_of_unknown_outcome = job
             .done
             .missing(job.spec.tasks)
             .filter(|&task| scheduler.check(job, task) == RestartDecision::Unknown);
@@ -220,7 +225,7 @@
             job.done.count(),
             job.attempts.len(),
             scheduler.running(id),
-            outcome_unknown.count()
+            tasks_of_unknown_outcome.count()
         )?;
         if let Ok(estimate) = scheduler.estimate_job_end(id, now) {
             write!(
