--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -1,7 +1,8 @@
-//! The engine's actions as requests to the key-value store: claims, submissions, cancellations, writes.
+//! Executes the workflow engine's actions as requests to the key-value store: claims, reads, submissions, cancellations and
+//! writes.
 
-use super::records::{Value, read_run};
-use super::runner::flows_of;
+use super::records::{WorkflowRecord, read_run_records};
+use super::runner::workflow_state;
 use super::watches::job_end_of;
 use crate::node::Node;
 use crate::store::client::TransactionOutcome;
@@ -19,16 +20,17 @@
 use std::rc::Rc;
 use tracing::debug;
 
+/// Executes one action and reports its outcome to the engine.
 #[expect(
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
 pub(super) async fn execute(node: &Rc<Node>, action: Action) {
-    let flows = flows_of(node);
+    let workflows = workflow_state(node);
     match &action {
         Action::Claim { run } => {
             let result = claim(node, *run).await;
-            flows
+            workflows
                 .engine
                 .borrow_mut()
                 .claim_finished(*run, result, runtime::now());
@@ -38,17 +40,17 @@
             epoch,
             with_plan,
         } => {
-            let fetched = match read_run(node, *run, *with_plan).await {
-                Ok(f) => f,
+            let records_read = match read_run_records(node, *run, *with_plan).await {
+                Ok(records) => records,
                 Err(e) => {
-                    debug!(%run, error = %e, "records not read");
+                    debug!(%run, error = %e, "failed to read a workflow run");
                     None
                 }
             };
-            flows
+            workflows
                 .engine
                 .borrow_mut()
-                .read_finished(*run, *epoch, fetched, runtime::now());
+                .read_finished(*run, *epoch, records_read, runtime::now());
         }
         Action::Submit {
             run,
@@ -61,7 +63,7 @@
             let outcome = submit(node, *run, spec, *claim_revision, *head)
                 .await
                 .unwrap_or_else(|e| outcome_of_error(&e));
-            flows.engine.borrow_mut().submission_finished(
+            workflows.engine.borrow_mut().submission_finished(
                 *run,
                 *epoch,
                 *step,
@@ -82,7 +84,7 @@
                 Ok(_) => JobOutcome::Unknown,
                 Err(e) => outcome_of_error(&e),
             };
-            flows.engine.borrow_mut().cancellation_finished(
+            workflows.engine.borrow_mut().cancellation_finished(
                 *run,
                 *epoch,
                 *step,
@@ -98,18 +100,19 @@
             head,
             release,
         } => {
-            let written = write(node, *run, *claim_revision, pages, head.as_ref(), *release).await;
-            flows.engine.borrow_mut().write_finished(
+            let outcome = write(node, *run, *claim_revision, pages, head.as_ref(), *release).await;
+            workflows.engine.borrow_mut().write_finished(
                 *run,
                 *epoch,
                 &action,
-                written,
+                outcome,
                 runtime::now(),
             );
         }
     }
 }
 
+/// Returns the outcome of a submission or cancellation that failed with an error of the key-value store.
 fn outcome_of_error(e: &StateError) -> JobOutcome {
     match e {
         StateError::Refused(_) | StateError::RateLimited => {
@@ -119,26 +122,30 @@
     }
 }
 
+/// Claims a run for this node, by compare-and-swap against an absent claim. Returns the revision of the claim.
+///
+/// # Errors
+/// Returns the revision of the claim that stands instead, or `None` if it is not known whether there is one.
 async fn claim(node: &Node, run: RunId) -> Result<ModRevision, Option<ModRevision>> {
-    let Some(lease) = flows_of(node).lease.get() else {
+    let Some(lease) = workflow_state(node).lease.get() else {
         return Err(None);
     };
-    let hold = RunClaim {
+    let run_claim = RunClaim {
         node: node.settings.node.clone(),
         lease,
     };
     let key = workflow_holder_key(run);
-    // A run that is over is not claimed: its head must still be there.
+    // A finished run must not be claimed. Its head is moved away when it ends, so the claim is conditional on the head.
     let head = match node
         .store
         .background()
-        .get::<Value>(&workflow_head_key(run))
+        .get::<WorkflowRecord>(&workflow_head_key(run))
         .await
     {
         Ok(Some((_, mod_revision))) => mod_revision,
         _ => return Err(None),
     };
-    let conditions = vec![
+    let compares = vec![
         Compare {
             key: key.clone(),
             mod_revision: ModRevision(0),
@@ -148,17 +155,17 @@
             mod_revision: head,
         },
     ];
-    let changes = vec![Mutation::Put {
+    let mutations = vec![Mutation::Put {
         key: key.clone(),
-        value: hold.clone(),
+        value: run_claim.clone(),
         lease: Some(lease),
     }];
-    match node.store.background().txn(conditions, changes).await {
+    match node.store.background().txn(compares, mutations).await {
         Ok(TransactionOutcome::Applied(mod_revision)) => Ok(mod_revision),
         Ok(TransactionOutcome::Failed(_)) => {
             match node.store.background().get::<RunClaim>(&key).await {
-                // An earlier try of this very process went through.
-                Ok(Some((Stored::Value(h), mod_revision))) if h == hold => Ok(mod_revision),
+                // An earlier attempt of this process was applied. The lease in the claim tells processes apart.
+                Ok(Some((Stored::Value(c), mod_revision))) if c == run_claim => Ok(mod_revision),
                 Ok(Some((_, mod_revision))) => Err(Some(mod_revision)),
                 _ => Err(None),
             }
@@ -167,35 +174,36 @@
     }
 }
 
-/// Accepts a step's job as a user's is accepted, and on the condition that its run goes on.
+/// Submits a step's job like a user's job, on the condition that the run's claim and head are unchanged, so that neither a
+/// former owner nor a cancelled run starts steps.
 async fn submit(
     node: &Rc<Node>,
     run: RunId,
     spec: &JobSpec,
-    grant: ModRevision,
+    claim_revision: ModRevision,
     head: ModRevision,
 ) -> Result<JobOutcome, StateError> {
-    let never = {
+    let unschedulable = {
         let types = node.catalog.borrow();
         if types.is_empty() {
             return Ok(JobOutcome::Later(Micros::from_secs(1)));
         }
         unschedulable_reason(spec, &types, &node.config.zones, &node.config.teams)
     };
-    if let Some(why) = never {
-        // An accepted job stays accepted, whatever the catalog says now.
+    if let Some(reason) = unschedulable {
+        // A job that was accepted under an earlier catalog stays accepted.
         return Ok(
             match lookup(node, node.store.background(), &spec.id).await? {
-                Lookup::Missing => JobOutcome::Never(why),
+                Lookup::Missing => JobOutcome::Never(reason),
                 found => outcome_of_lookup(&found),
             },
         );
     }
     let record = JobRecord::of_flow(spec.clone(), runtime::time_of_day().0);
-    let more = vec![
+    let preconditions = vec![
         Compare {
             key: workflow_holder_key(run),
-            mod_revision: grant,
+            mod_revision: claim_revision,
         },
         Compare {
             key: workflow_head_key(run),
@@ -203,9 +211,9 @@
         },
     ];
     Ok(
-        match records::accept(node, node.store.accepting(), record, more).await? {
+        match records::accept(node, node.store.accepting(), record, preconditions).await? {
             TransactionOutcome::Applied(_) => JobOutcome::Accepted,
-            // The three-way check: what does the job's own record say?
+            // Either a precondition failed or the job exists already; only its record tells which.
             TransactionOutcome::Failed(_) => {
                 match lookup(node, node.store.background(), &spec.id).await? {
                     Lookup::Missing => JobOutcome::Stale,
@@ -216,10 +224,11 @@
     )
 }
 
+/// Returns the outcome of a submission whose job's record exists, by what was read of it.
 fn outcome_of_lookup(found: &Lookup) -> JobOutcome {
     match found {
         Lookup::Finished(end) if end.flow => JobOutcome::Ended(job_end_of(*end)),
-        Lookup::Unfinished(Stored::Value(r), _) if r.flow => JobOutcome::Known,
+        Lookup::Unfinished(Stored::Value(record), _) if record.flow => JobOutcome::Known,
         Lookup::Missing | Lookup::Unreadable | Lookup::Unfinished(Stored::Unreadable(_), _) => {
             JobOutcome::Unknown
         }
@@ -227,58 +236,60 @@
     }
 }
 
+/// Writes pages of progress and the head in one transaction, which is fenced by the revision of the claim. A final head moves
+/// to the key of finished runs.
 async fn write(
     node: &Node,
     run: RunId,
-    grant: ModRevision,
+    claim_revision: ModRevision,
     pages: &[(u32, ModRevision, StepPage)],
     head: Option<&(ModRevision, Head)>,
     release: bool,
 ) -> WriteOutcome {
-    let mut conditions = vec![Compare {
+    let mut compares = vec![Compare {
         key: workflow_holder_key(run),
-        mod_revision: grant,
+        mod_revision: claim_revision,
     }];
-    let mut changes = Vec::new();
+    let mut mutations = Vec::new();
     for (page, mod_revision, value) in pages {
         let key = workflow_page_key(run, *page);
-        conditions.push(Compare {
+        compares.push(Compare {
             key: key.clone(),
             mod_revision: *mod_revision,
         });
-        changes.push(Mutation::Put {
+        mutations.push(Mutation::Put {
             key,
-            value: Value::Page(value.clone()),
+            value: WorkflowRecord::Page(value.clone()),
             lease: None,
         });
     }
     if let Some((mod_revision, head)) = head {
-        conditions.push(Compare {
+        compares.push(Compare {
             key: workflow_head_key(run),
             mod_revision: *mod_revision,
         });
         let mut head = head.clone();
         let key = if head.state.is_final() {
             head.ended_us = runtime::time_of_day().0;
-            changes.push(Mutation::Delete {
+            mutations.push(Mutation::Delete {
                 key: workflow_head_key(run),
             });
             workflow_end_key(run)
         } else {
             workflow_head_key(run)
         };
-        changes.push(Mutation::Put {
+        mutations.push(Mutation::Put {
             key,
-            value: Value::Head(Box::new(head)),
+            value: WorkflowRecord::Head(Box::new(head)),
             lease: None,
         });
     }
     if release {
-        changes.push(Mutation::Delete {
+        mutations.push(Mutation::Delete {
             key: workflow_holder_key(run),
         });
     }
-    match node.store.background().txn(conditions, changes).await {
+    match node.store.background().txn(compares, mutations).await {
         Ok(TransactionOutcome::Applied(mod_revision)) => WriteOutcome::Applied(mod_revision),
         Ok(TransactionOutcome::Failed(_)) => WriteOutcome::Conflict,
         Err(e) if e.is_refusal() => WriteOutcome::Refused,
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -1,5 +1,5 @@
-//! Clients' calls about runs of workflows. Any node answers, from the state service; what it was
-//! told is written before it is answered.
+//! Serves the RPCs by which clients submit, query, list, cancel and resume workflow runs. Any node that executes workflows
+//! answers from the key-value store; a change is committed before it is acknowledged.
 
 use crate::node::{Flows, Node};
 use crate::peers::client::proto::flow_request::Ask;
@@ -13,7 +13,7 @@
     workflow_plan_key, workflow_plan_prefix,
 };
 use crate::store::watch::job_id_of;
-use crate::workflows::records::{Value, head_of, pages_of, plan_of};
+use crate::workflows::records::{WorkflowRecord, read_head, read_plan, read_step_pages};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::state::{Compare, Mutation, Stored};
 use hopyoke_scheduler::{JobRecord, unschedulable_reason};
@@ -25,54 +25,61 @@
 use std::rc::Rc;
 use tracing::{debug, info};
 
-/// One call writes pages for so long; a repeated one goes on from there.
-const WRITING: Micros = Micros::from_secs(12);
-/// Bytes of a transaction's changes.
-const MOST_TXN: usize = 56 * 1024;
-const MOST_LISTED: u32 = 200;
-const MOST_STEPS_TOLD: u32 = 2000;
+/// How long one call writes pages of a plan; the client repeats the call to continue.
+const PLAN_WRITE_TIMEOUT: Micros = Micros::from_secs(12);
+/// Size limit of the mutations of one transaction.
+const MAX_TXN_BYTES: usize = 56 * 1024;
+/// Maximum number of runs in one answer, and of records in one page read for it.
+const MAX_LISTED_RUNS: u32 = 200;
+/// Maximum number of steps in one answer.
+const MAX_LISTED_STEPS: u32 = 2000;
 
-/// Why a call is not answered with what it asked for.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
-enum Refusal {
+enum CallError {
+    /// An answer with this status, as in HTTP, and this error text.
     #[error("{1}")]
-    Status(u32, String),
-    #[error("the state service did not answer: {0}")]
-    State(#[from] StateError),
+    Rejected(u32, String),
+    /// A request to the key-value store failed; answered with status 503.
+    #[error("the key-value store did not answer: {0}")]
+    Store(#[from] StateError),
 }
 
-type Answer<T = FlowAnswer> = Result<T, Refusal>;
+type CallResult<T = FlowAnswer> = Result<T, CallError>;
 
-fn refuse<T>(status: u32, why: impl Into<String>) -> Answer<T> {
-    Err(Refusal::Status(status, why.into()))
+/// Fails a call with a status and an error text.
+fn reject<T>(status: u32, reason: impl Into<String>) -> CallResult<T> {
+    Err(CallError::Rejected(status, reason.into()))
 }
 
+/// Serves one call.
 pub(crate) async fn serve(node: &Rc<Node>, request: FlowRequest) -> FlowAnswer {
-    let Some(flows) = &node.flows else {
-        return failed(
+    let Some(workflows) = &node.flows else {
+        return error_answer(
             501,
-            "this node takes no runs: `flows` is off in its settings".into(),
+            "this node does not execute workflows: `flows` is off in its settings".into(),
         );
     };
     let answer = match request.ask {
-        Some(Ask::Submit(r)) => submit(node, flows, r).await,
-        Some(Ask::Get(q)) => get(node, flows, q).await,
-        Some(Ask::List(l)) => list(node, flows, l).await,
-        Some(Ask::Cancel(q)) => cancel(node, q).await,
-        Some(Ask::Resume(r)) => resume(node, flows, r).await,
-        None => refuse(400, "nothing is asked"),
+        Some(Ask::Submit(request)) => submit(node, workflows, request).await,
+        Some(Ask::Get(query)) => get(node, workflows, query).await,
+        Some(Ask::List(request)) => list(node, workflows, request).await,
+        Some(Ask::Cancel(query)) => cancel(node, query).await,
+        Some(Ask::Resume(request)) => resume(node, workflows, request).await,
+        None => reject(400, "the request is empty"),
     };
     match answer {
-        Ok(a) => a,
-        Err(Refusal::Status(status, why)) => failed(status, why),
-        Err(e @ Refusal::State(_)) => {
-            debug!(error = %e, "call about runs not answered");
-            failed(503, e.to_string())
+        Ok(answer) => answer,
+        Err(CallError::Rejected(status, reason)) => error_answer(status, reason),
+        Err(e @ CallError::Store(_)) => {
+            debug!(error = %e, "call about workflow runs failed");
+            error_answer(503, e.to_string())
         }
     }
 }
 
-fn failed(status: u32, error: String) -> FlowAnswer {
+/// Returns an answer with an error status; after a 503 the client is to retry after a second.
+fn error_answer(status: u32, error: String) -> FlowAnswer {
     let retry_after_s = if status == 503 { 1 } else { 0 };
     FlowAnswer {
         status,
@@ -82,20 +89,28 @@
     }
 }
 
-fn run_id(number: u64) -> Answer<RunId> {
+/// Parses a run's id.
+///
+/// # Errors
+/// Status 400 if it is out of range.
+fn parse_run_id(number: u64) -> CallResult<RunId> {
     match RunId::new(number) {
         Some(run) if number > 0 => Ok(run),
-        _ => refuse(400, format!("{number} is no run's id: 1 to 999999999999")),
+        _ => reject(
+            400,
+            format!("{number} is not a valid run id: expected 1 to 999999999999"),
+        ),
     }
 }
 
-fn told(head: &Head, run: RunId, in_flight: u32, done: u32) -> RunInfo {
+/// Describes a run by its head. `in_flight` and `done` are numbers of steps as this node knows them.
+fn run_info(head: &Head, run: RunId, in_flight: u32, done: u32) -> RunInfo {
     RunInfo {
         run: run.number(),
         name: head.name.clone(),
         team: head.team.clone(),
         owner: head.owner.clone(),
-        state: state_word(head.state).to_owned(),
+        state: state_name(head.state).to_owned(),
         submitted_us: head.submitted_us,
         ended_us: head.ended_us,
         steps: head.steps,
@@ -107,7 +122,7 @@
     }
 }
 
-fn state_word(state: RunState) -> &'static str {
+fn state_name(state: RunState) -> &'static str {
     match state {
         RunState::Running => "running",
         RunState::Failing => "failing",
@@ -118,7 +133,8 @@
     }
 }
 
-fn one(status: u32, info: RunInfo) -> FlowAnswer {
+/// Returns an answer that holds one run.
+fn run_answer(status: u32, info: RunInfo) -> FlowAnswer {
     FlowAnswer {
         status,
         runs: vec![info],
@@ -126,159 +142,169 @@
     }
 }
 
-async fn submit(node: &Rc<Node>, flows: &Flows, r: SubmitRun) -> Answer {
-    let run = run_id(r.run)?;
-    let plan: Plan = match serde_json::from_slice(&r.plan) {
+/// Submits a run. Idempotent: repeated with the same id, plan and owner, it returns the existing run.
+async fn submit(node: &Rc<Node>, workflows: &Flows, request: SubmitRun) -> CallResult {
+    let run = parse_run_id(request.run)?;
+    let plan: Plan = match serde_json::from_slice(&request.plan) {
         Ok(p) => p,
-        Err(e) => return refuse(400, format!("the plan can't be read: {e}")),
+        Err(e) => return reject(400, format!("malformed plan: {e}")),
     };
-    if let Err(e) = plan.check(&r.team) {
-        return refuse(422, e.to_string());
+    if let Err(e) = plan.check(&request.team) {
+        return reject(422, e.to_string());
     }
-    if r.name.len() > 400
-        || r.owner.len() > 200
-        || r.tags.iter().any(|(k, v)| k.len() + v.len() > 1000)
+    if request.name.len() > 400
+        || request.owner.len() > 200
+        || request.tags.iter().any(|(k, v)| k.len() + v.len() > 1000)
     {
-        return refuse(400, "name, owner or a tag is too long");
+        return reject(400, "name, owner or a tag is too long");
     }
-    if let Some((head, _)) = head_of(node, run).await? {
-        return if head.digest == plan.digest() && head.owner == r.owner {
-            Ok(one(200, told(&head, run, 0, 0)))
+    if let Some((head, _)) = read_head(node, run).await? {
+        return if head.digest == plan.digest() && head.owner == request.owner {
+            Ok(run_answer(200, run_info(&head, run, 0, 0)))
         } else {
-            refuse(409, format!("run {run} is another one"))
+            reject(409, format!("run id {run} is taken by another run"))
         };
     }
-    possible(node, &plan)?;
-    if flows.engine.borrow().runs().count()
-        >= flows.engine.borrow().limits.max_owned_runs * node.peers.all().len().max(1) * 2
+    check_schedulable(node, &plan)?;
+    if workflows.engine.borrow().runs().count()
+        >= workflows.engine.borrow().limits.max_owned_runs * node.peers.all().len().max(1) * 2
     {
-        return refuse(503, "too many runs are waiting");
+        return reject(503, "too many unfinished runs");
     }
     let pages = match plan.pages(node.config.value_bytes) {
         Ok(p) => p,
-        Err(e) => return refuse(422, e.to_string()),
+        Err(e) => return reject(422, e.to_string()),
     };
-    let on_error = if r.keep_on {
+    let on_error = if request.keep_on {
         OnError::Continue
     } else {
         OnError::Stop
     };
     let head = Head {
         on_error,
-        tags: r.tags.into_iter().collect(),
+        tags: request.tags.into_iter().collect(),
         ..Head::new(
-            &r.name,
-            &r.team,
-            &r.owner,
+            &request.name,
+            &request.team,
+            &request.owner,
             &plan,
             pages.len() as u32,
             runtime::time_of_day().0,
         )
     };
     if serde_json::to_string(&head).map_or(usize::MAX, |t| t.len()) > node.config.value_bytes {
-        return refuse(400, "name, owner and tags are too long together");
+        return reject(400, "name, owner and tags together are too long");
     }
-    write_plan(node, flows, run, &pages).await?;
-    begin(node, run, head).await
+    write_plan(node, workflows, run, &pages).await?;
+    create_run(node, run, head).await
 }
 
-/// Every job could run at all.
-fn possible(node: &Node, plan: &Plan) -> Answer<()> {
+/// Checks that some machine type and quota allow each step's job to run at all.
+fn check_schedulable(node: &Node, plan: &Plan) -> CallResult<()> {
     let types = node.catalog.borrow();
     if types.is_empty() {
-        return refuse(503, "the machine types are not known yet");
+        return reject(503, "the machine types are not known yet");
     }
     for (i, step) in plan.steps.iter().enumerate() {
         let Some(spec) = plan.spec(StepNo(i as u32), JobId::new("req-0")) else {
             continue;
         };
-        if let Some(why) =
+        if let Some(reason) =
             unschedulable_reason(&spec, &types, &node.config.zones, &node.config.teams)
         {
-            return refuse(422, format!("step {}: {why}", step.path));
+            return reject(422, format!("step {}: {reason}", step.path));
         }
     }
     Ok(())
 }
 
-/// Writes a plan's pages, at the pace that runs may take. Pages that are there already are left: so
-/// a repeated call goes on from where the last one stopped.
+/// Writes a plan's pages within the rate limit on workflows' writes. Existing pages are kept, so that a repeated call
+/// continues where the last one stopped.
+///
+/// # Errors
+/// Status 409 if there are pages of another plan, and 503 if not all pages could be written in [`PLAN_WRITE_TIMEOUT`].
 #[expect(
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn write_plan(node: &Node, flows: &Flows, run: RunId, pages: &[PlanPage]) -> Answer<()> {
-    let until = runtime::now() + WRITING;
-    let there = node
+async fn write_plan(
+    node: &Node,
+    workflows: &Flows,
+    run: RunId,
+    pages: &[PlanPage],
+) -> CallResult<()> {
+    let write_until = runtime::now() + PLAN_WRITE_TIMEOUT;
+    let existing = node
         .store
         .background()
         .list::<PlanPage>(&workflow_plan_prefix(run))
         .await?
         .pairs;
-    let mut known = BTreeSet::new();
-    for p in there {
+    let mut written = BTreeSet::new();
+    for p in existing {
         let number = p.key.rsplit('/').next().and_then(|n| n.parse::<u32>().ok());
         match (number, p.value) {
             (Some(n), Stored::Value(page)) if pages.get(n as usize) == Some(&page) => {
-                known.insert(n)
+                written.insert(n)
             }
-            _ => return refuse(409, format!("run {run} is another one")),
+            _ => return reject(409, format!("run id {run} is taken by another run")),
         };
     }
     let missing: Vec<u32> = (0..pages.len() as u32)
-        .filter(|n| !known.contains(n))
+        .filter(|n| !written.contains(n))
         .collect();
-    let rate = flows.engine.borrow().limits.max_writes_per_s.max(0.5);
+    let rate = workflows.engine.borrow().limits.max_writes_per_s.max(0.5);
     let value = node.config.value_bytes.max(1);
-    let at_once = (MOST_TXN / value).clamp(1, node.config.txn_ops.max(1));
-    for chunk in missing.chunks(at_once) {
+    let pages_per_txn = (MAX_TXN_BYTES / value).clamp(1, node.config.txn_ops.max(1));
+    for chunk in missing.chunks(pages_per_txn) {
         let now = runtime::now();
-        let from = flows.next_plan_write_at.get().max(now);
-        if from > until {
-            return refuse(
+        let from = workflows.next_plan_write_at.get().max(now);
+        if from > write_until {
+            return reject(
                 503,
                 format!(
                     "the plan is being written: {} of {} pages",
-                    known.len(),
+                    written.len(),
                     pages.len()
                 ),
             );
         }
-        flows
+        workflows
             .next_plan_write_at
             .set(from + Micros::from_secs_f64(chunk.len() as f64 / rate));
         runtime::sleep_until(from).await;
-        let conditions = chunk
+        let compares = chunk
             .iter()
             .map(|n| Compare {
                 key: workflow_plan_key(run, *n),
                 mod_revision: ModRevision(0),
             })
             .collect();
-        let changes = chunk
+        let mutations = chunk
             .iter()
             .map(|n| Mutation::Put {
                 key: workflow_plan_key(run, *n),
-                value: Value::Plan(pages[*n as usize].clone()),
+                value: WorkflowRecord::Plan(pages[*n as usize].clone()),
                 lease: None,
             })
             .collect();
-        match node.store.background().txn(conditions, changes).await? {
-            TransactionOutcome::Applied(_) => known.extend(chunk),
-            // An earlier try of this call may have been executed late.
+        match node.store.background().txn(compares, mutations).await? {
+            TransactionOutcome::Applied(_) => written.extend(chunk),
+            // A delayed transaction of an earlier attempt may have written the same pages.
             TransactionOutcome::Failed(_) => {
-                return refuse(503, "the plan's pages changed meanwhile");
+                return reject(503, "pages of the plan were written concurrently");
             }
         }
     }
     Ok(())
 }
 
-/// Writes a run's head, from which on it runs.
-async fn begin(node: &Node, run: RunId, head: Head) -> Answer {
-    let info = told(&head, run, 0, 0);
+/// Creates a run by writing its head, after which nodes may claim and execute it. If the head exists with the same plan and
+/// owner, returns that run.
+async fn create_run(node: &Node, run: RunId, head: Head) -> CallResult {
+    let info = run_info(&head, run, 0, 0);
     let digest = head.digest;
-    let conditions = vec![
+    let compares = vec![
         Compare {
             key: workflow_head_key(run),
             mod_revision: ModRevision(0),
@@ -288,53 +314,54 @@
             mod_revision: ModRevision(0),
         },
     ];
-    let change = Mutation::Put {
+    let mutation = Mutation::Put {
         key: workflow_head_key(run),
-        value: Value::Head(Box::new(head)),
+        value: WorkflowRecord::Head(Box::new(head)),
         lease: None,
     };
     match node
         .store
         .background()
-        .txn(conditions, vec![change])
+        .txn(compares, vec![mutation])
         .await?
     {
         TransactionOutcome::Applied(_) => {
             info!(%run, name = info.name, team = info.team, steps = info.steps, "run accepted");
-            Ok(one(201, info))
+            Ok(run_answer(201, info))
         }
-        TransactionOutcome::Failed(_) => match head_of(node, run).await? {
+        TransactionOutcome::Failed(_) => match read_head(node, run).await? {
             Some((head, _)) if head.digest == digest && head.owner == info.owner => {
-                Ok(one(200, told(&head, run, 0, 0)))
+                Ok(run_answer(200, run_info(&head, run, 0, 0)))
             }
-            _ => refuse(409, format!("run {run} is another one")),
+            _ => reject(409, format!("run id {run} is taken by another run")),
         },
     }
 }
 
+/// Returns a run and, if the query asks for any, a page of its steps.
 #[expect(
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn get(node: &Node, flows: &Flows, q: RunQuestion) -> Answer {
-    let run = run_id(q.run)?;
-    let Some((head, _)) = head_of(node, run).await? else {
-        return refuse(404, "no such run");
+async fn get(node: &Node, workflows: &Flows, query: RunQuestion) -> CallResult {
+    let run = parse_run_id(query.run)?;
+    let Some((head, _)) = read_head(node, run).await? else {
+        return reject(404, "no such run");
     };
-    let carried = flows.engine.borrow().progress(run);
-    if q.most == 0 {
-        let p = carried.unwrap_or_default();
-        return Ok(one(200, told(&head, run, p.in_flight, p.done)));
+    let progress = workflows.engine.borrow().progress(run);
+    if query.most == 0 {
+        let p = progress.unwrap_or_default();
+        return Ok(run_answer(200, run_info(&head, run, p.in_flight, p.done)));
     }
-    let pages = pages_of(node, run).await?;
-    let Some(plan) = plan_of(node, run, &head).await? else {
-        return refuse(503, "the plan can't be read now");
+    let pages = read_step_pages(node, run).await?;
+    let Some(plan) = read_plan(node, run, &head).await? else {
+        return reject(503, "the plan can't be read now");
     };
-    let mut marks = vec![(StepState::Open, 0); plan.steps.len()];
+    let mut states = vec![(StepState::Open, 0); plan.steps.len()];
     for (page, _, value) in &pages {
-        for (step, mod_revision, tries) in value.read(*page) {
-            if let Some(m) = marks.get_mut(step.0 as usize) {
-                *m = (mod_revision, tries);
+        for (step, state, attempts) in value.read(*page) {
+            if let Some(entry) = states.get_mut(step.0 as usize) {
+                *entry = (state, attempts);
             }
         }
     }
@@ -346,13 +373,13 @@
             .list::<JobRecord>(&format!("job/{}", job_prefix(run)))
             .await?
             .pairs;
-        let ours = jobs
+        let step_jobs = jobs
             .iter()
-            .filter(|p| matches!(&p.value, Stored::Value(r) if r.flow));
-        submitted.extend(ours.filter_map(|p| Some(parts_of(&job_id_of(&p.key)?)?.1)));
+            .filter(|p| matches!(&p.value, Stored::Value(record) if record.flow));
+        submitted.extend(step_jobs.filter_map(|p| Some(parts_of(&job_id_of(&p.key)?)?.1)));
     }
-    let done = marks.iter().filter(|m| m.0 == StepState::Done).count() as u32;
-    let word = |step: StepNo, mod_revision: StepState| match mod_revision {
+    let done = states.iter().filter(|s| s.0 == StepState::Done).count() as u32;
+    let step_state_name = |step: StepNo, state: StepState| match state {
         StepState::Done => "done",
         StepState::Failed => "failed",
         StepState::Cancelled => "withdrawn",
@@ -360,48 +387,48 @@
         StepState::Open if submitted.contains(&step) => "submitted",
         StepState::Open => "waiting",
     };
-    let most = q.most.min(MOST_STEPS_TOLD);
+    let max_steps = query.most.min(MAX_LISTED_STEPS);
     let steps = (0..)
         .map(StepNo)
-        .zip(plan.steps.iter().zip(&marks))
-        .skip(q.from as usize)
-        .take(most as usize);
+        .zip(plan.steps.iter().zip(&states))
+        .skip(query.from as usize)
+        .take(max_steps as usize);
     let steps: Vec<StepInfo> = steps
-        .map(|(no, (step, (mod_revision, tries)))| StepInfo {
-            number: no.0,
+        .map(|(step_no, (step, (state, attempts)))| StepInfo {
+            number: step_no.0,
             path: step.path.clone(),
             tasks: step.tasks,
-            state: word(no, *mod_revision).to_owned(),
-            job: step
-                .shape
-                .map_or(String::new(), |_| job_id(run, no, *tries).to_string()),
+            state: step_state_name(step_no, *state).to_owned(),
+            job: step.shape.map_or(String::new(), |_| {
+                job_id(run, step_no, *attempts).to_string()
+            }),
         })
         .collect();
-    let more = (q.from as usize).saturating_add(steps.len()) < plan.steps.len();
+    let more = (query.from as usize).saturating_add(steps.len()) < plan.steps.len();
     let outputs = if head.state == RunState::Done {
         plan.outputs.clone()
     } else {
         String::new()
     };
-    let info = told(&head, run, submitted.len() as u32, done);
+    let info = run_info(&head, run, submitted.len() as u32, done);
     Ok(FlowAnswer {
         steps,
         more,
         outputs,
-        ..one(200, info)
+        ..run_answer(200, info)
     })
 }
 
-/// Runs by id: unfinished and ended ones together.
+/// Lists runs in the order of their ids, unfinished and finished ones merged.
 #[expect(
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn list(node: &Node, flows: &Flows, l: RunList) -> Answer {
-    let most = l.most.clamp(1, MOST_LISTED) as usize;
-    let mut after = RunId::folded(l.after);
+async fn list(node: &Node, workflows: &Flows, request: RunList) -> CallResult {
+    let max_runs = request.most.clamp(1, MAX_LISTED_RUNS) as usize;
+    let mut after = RunId::folded(request.after);
     let mut runs = Vec::new();
-    // Owners' runs may lie far apart: one call reads a bounded number of pages.
+    // An owner's runs may be sparse among all runs, so one call reads a bounded number of pages.
     for _ in 0..8 {
         let mut found: Vec<(RunId, Head)> = Vec::new();
         let mut limit = None;
@@ -411,17 +438,17 @@
             let page = node
                 .store
                 .background()
-                .page::<Head>(prefix, Some(&since), MOST_LISTED)
+                .page::<Head>(prefix, Some(&since), MAX_LISTED_RUNS)
                 .await?;
             let last = page
                 .pairs
                 .last()
                 .and_then(|p| RunId::parse(p.key.strip_prefix(prefix)?));
             if page.more {
-                // Beyond this one the other list may have runs that this page does not reach.
+                // The merge is complete only up to the end of this page, past which this list has runs that were not read.
                 more = true;
                 limit = match (limit, last) {
-                    (None, l) => l,
+                    (None, last) => last,
                     (Some(a), Some(b)) => Some(std::cmp::min::<RunId>(a, b)),
                     (a, None) => a,
                 };
@@ -434,16 +461,16 @@
                 }
             }
         }
-        found.retain(|(run, _)| limit.is_none_or(|l| *run <= l));
-        // A run that ended between the two reads is in both.
+        found.retain(|(run, _)| limit.is_none_or(|last| *run <= last));
+        // A run that ended between the two reads is in both lists: its final head is kept.
         found.sort_by_key(|(run, head)| (*run, !head.state.is_final()));
         found.dedup_by_key(|(run, _)| *run);
         for (run, head) in found {
             after = run;
-            if !l.owner.is_empty() && head.owner != l.owner {
+            if !request.owner.is_empty() && head.owner != request.owner {
                 continue;
             }
-            if runs.len() == most {
+            if runs.len() == max_runs {
                 return Ok(FlowAnswer {
                     status: 200,
                     runs,
@@ -451,8 +478,8 @@
                     ..FlowAnswer::default()
                 });
             }
-            let p = flows.engine.borrow().progress(run).unwrap_or_default();
-            runs.push(told(&head, run, p.in_flight, p.done));
+            let progress = workflows.engine.borrow().progress(run).unwrap_or_default();
+            runs.push(run_info(&head, run, progress.in_flight, progress.done));
         }
         if !more {
             return Ok(FlowAnswer {
@@ -471,23 +498,23 @@
     })
 }
 
-/// Cancels a run: once that is written, no step of it starts.
-async fn cancel(node: &Node, q: RunQuestion) -> Answer {
-    let run = run_id(q.run)?;
+/// Cancels a run. Once its head is changed no step of it starts, since submissions are conditional on the head.
+async fn cancel(node: &Node, query: RunQuestion) -> CallResult {
+    let run = parse_run_id(query.run)?;
     for _ in 0..4 {
-        let Some((head, mod_revision)) = head_of(node, run).await? else {
-            return refuse(404, "no such run");
+        let Some((head, mod_revision)) = read_head(node, run).await? else {
+            return reject(404, "no such run");
         };
         if head.state.is_final() || head.state == RunState::Cancelling {
-            return Ok(one(200, told(&head, run, 0, 0)));
+            return Ok(run_answer(200, run_info(&head, run, 0, 0)));
         }
         let head = Head {
             state: RunState::Cancelling,
             ..head
         };
-        let change = Mutation::Put {
+        let mutation = Mutation::Put {
             key: workflow_head_key(run),
-            value: Value::Head(Box::new(head.clone())),
+            value: WorkflowRecord::Head(Box::new(head.clone())),
             lease: None,
         };
         match node
@@ -498,70 +525,71 @@
                     key: workflow_head_key(run),
                     mod_revision,
                 }],
-                vec![change],
+                vec![mutation],
             )
             .await?
         {
             TransactionOutcome::Applied(_) => {
                 info!(%run, "run cancelled");
-                return Ok(one(200, told(&head, run, 0, 0)));
+                return Ok(run_answer(200, run_info(&head, run, 0, 0)));
             }
-            // Its carrier changed it meanwhile.
+            // The node that executes the run changed its head concurrently.
             TransactionOutcome::Failed(_) => {}
         }
     }
-    refuse(503, "the run's record keeps changing")
+    reject(503, "the run's record keeps changing")
 }
 
-/// A new run that goes on from what a failed one had done. The old one stays as it ended.
+/// Creates a new run that continues a failed or cancelled one: it has the same plan, and the steps that were done stay done.
+/// The old run is left as it is.
 #[expect(
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn resume(node: &Node, flows: &Flows, r: ResumeRun) -> Answer {
-    let (old, run) = (run_id(r.run)?, run_id(r.new_run)?);
-    let Some((head, _)) = head_of(node, old).await? else {
-        return refuse(404, "no such run");
+async fn resume(node: &Node, workflows: &Flows, request: ResumeRun) -> CallResult {
+    let (old_run, run) = (parse_run_id(request.run)?, parse_run_id(request.new_run)?);
+    let Some((head, _)) = read_head(node, old_run).await? else {
+        return reject(404, "no such run");
     };
-    if !r.owner.is_empty() && r.owner != head.owner {
-        return refuse(404, "no such run");
+    if !request.owner.is_empty() && request.owner != head.owner {
+        return reject(404, "no such run");
     }
     if !matches!(head.state, RunState::Failed | RunState::Cancelled) {
-        return refuse(
+        return reject(
             409,
             format!(
-                "run {old} is {}; only one that failed or was cancelled goes on",
-                state_word(head.state)
+                "run {old_run} is {}; only failed or cancelled runs can be resumed",
+                state_name(head.state)
             ),
         );
     }
-    let new = Head {
+    let new_head = Head {
         state: RunState::Running,
         submitted_us: runtime::time_of_day().0,
         ended_us: 0,
         reason: String::new(),
         done: 0,
-        resumes: Some(old),
-        plan_of: Some(head.plan_of.unwrap_or(old)),
+        resumes: Some(old_run),
+        plan_of: Some(head.plan_of.unwrap_or(old_run)),
         ..head
     };
-    if let Some((there, _)) = head_of(node, run).await? {
-        return if there.resumes == Some(old) {
-            Ok(one(200, told(&there, run, 0, 0)))
+    if let Some((existing, _)) = read_head(node, run).await? {
+        return if existing.resumes == Some(old_run) {
+            Ok(run_answer(200, run_info(&existing, run, 0, 0)))
         } else {
-            refuse(409, format!("run {run} is another one"))
+            reject(409, format!("run id {run} is taken by another run"))
         };
     }
-    // What is done stays done: its marks are the new run's before it begins.
-    let rate = flows.engine.borrow().limits.max_writes_per_s.max(0.5);
-    for (page, _, value) in pages_of(node, old).await? {
+    // The states of done steps are copied before the new run's head is written, from which on it is executed.
+    let rate = workflows.engine.borrow().limits.max_writes_per_s.max(0.5);
+    for (page, _, value) in read_step_pages(node, old_run).await? {
         let key = workflow_page_key(run, page);
-        let change = Mutation::Put {
+        let mutation = Mutation::Put {
             key: key.clone(),
-            value: Value::Page(value.only_done()),
+            value: WorkflowRecord::Page(value.only_done()),
             lease: None,
         };
-        let conditions = vec![
+        let compares = vec![
             Compare {
                 key: workflow_head_key(run),
                 mod_revision: ModRevision(0),
@@ -574,12 +602,12 @@
         if let TransactionOutcome::Failed(_) = node
             .store
             .background()
-            .txn(conditions, vec![change])
+            .txn(compares, vec![mutation])
             .await?
         {
-            return refuse(503, "the run changed meanwhile");
+            return reject(503, "the run was created concurrently");
         }
         runtime::sleep(Micros::from_secs_f64(1.0 / rate)).await;
     }
-    begin(node, run, new).await
+    create_run(node, run, new_head).await
 }
--- a/crates/hopyoke/src/workflows/mod.rs
+++ b/crates/hopyoke/src/workflows/mod.rs
@@ -1,4 +1,4 @@
-//! Runs of workflows: clients' calls, and their execution.
+//! Workflow runs: the RPCs by which clients submit and query them, and their execution.
 
 mod actions;
 pub(crate) mod calls;
--- a/crates/hopyoke/src/workflows/records.rs
+++ b/crates/hopyoke/src/workflows/records.rs
@@ -1,4 +1,4 @@
-//! Records of runs in the key-value store, as any node reads them.
+//! Reads the records of workflow runs from the key-value store. Any node may read them.
 
 use crate::node::Node;
 use crate::store::error::StateError;
@@ -14,18 +14,19 @@
 use serde::{Deserialize, Serialize};
 use tracing::warn;
 
-/// What is under `flow/`.
+/// A record of a workflow run. The encoding is untagged: the fields tell the variants apart.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
-pub(crate) enum Value {
+pub(crate) enum WorkflowRecord {
     Head(Box<Head>),
     RunClaim(RunClaim),
     Page(StepPage),
     Plan(PlanPage),
 }
 
-/// Reads a run's head, wherever it is: a head only ever moves from `flow/head/` to `flowend/`.
-pub(crate) async fn head_of(
+/// Reads the head of an unfinished or finished run, with the revision of its last change. Returns `None` if there is no such
+/// run. A head only ever moves from `flow/head/` to `flowend/`, so reading in this order can't miss it.
+pub(crate) async fn read_head(
     node: &Node,
     run: RunId,
 ) -> Result<Option<(Head, ModRevision)>, StateError> {
@@ -33,8 +34,8 @@
         match node.store.background().get::<Head>(&key).await? {
             Some((Stored::Value(head), mod_revision)) => return Ok(Some((head, mod_revision))),
             Some((Stored::Unreadable(_), _)) => {
-                warn!(%run, "unreadable head");
-                return Err(StateError::Malformed("a run's head".into()));
+                warn!(%run, "malformed head of a workflow run");
+                return Err(StateError::Malformed("head of a workflow run".into()));
             }
             None => {}
         }
@@ -42,8 +43,8 @@
     Ok(None)
 }
 
-/// The pages of a run's progress.
-pub(crate) async fn pages_of(
+/// Reads the pages of a run's progress, by number and with the revisions of their last change.
+pub(crate) async fn read_step_pages(
     node: &Node,
     run: RunId,
 ) -> Result<Vec<(u32, ModRevision, StepPage)>, StateError> {
@@ -56,7 +57,7 @@
         .pairs;
     let page = |p: KeyValue<StepPage>| {
         let number = p.key.strip_prefix(&prefix)?.parse().ok()?;
-        // An unreadable page is no knowledge; the jobs' own records tell.
+        // A malformed page counts as empty: the jobs' own records tell which steps have ended.
         Some((
             number,
             p.mod_revision,
@@ -66,8 +67,8 @@
     Ok(pairs.into_iter().filter_map(page).collect())
 }
 
-/// A run's plan, if all its pages can be read.
-pub(crate) async fn plan_of(
+/// Reads a run's plan. Returns `None` if a page is missing or malformed.
+pub(crate) async fn read_plan(
     node: &Node,
     run: RunId,
     head: &Head,
@@ -84,31 +85,31 @@
         .map(Plan::from_pages))
 }
 
-/// All that a node must know of a run to execute it; `None` if its head or plan is not there.
-pub(super) async fn read_run(
+/// Reads the records that a node needs to execute a run. Returns `None` if its head or plan is missing.
+pub(super) async fn read_run_records(
     node: &Node,
     run: RunId,
     plan: bool,
 ) -> Result<Option<RunRecords>, StateError> {
-    let grant = node
+    let claim_revision = node
         .store
         .background()
         .get::<RunClaim>(&workflow_holder_key(run))
         .await?
         .map(|(_, mod_revision)| mod_revision);
-    let Some((head, head_revision)) = head_of(node, run).await? else {
+    let Some((head, head_revision)) = read_head(node, run).await? else {
         return Ok(None);
     };
     let plan = if plan && !head.state.is_final() {
-        match plan_of(node, run, &head).await? {
+        match read_plan(node, run, &head).await? {
             Some(plan) => Some(plan),
             None => return Ok(None),
         }
     } else {
         None
     };
-    let pages = pages_of(node, run).await?;
-    // Unfinished jobs first: a record only ever moves to the ended ones.
+    let pages = read_step_pages(node, run).await?;
+    // Unfinished jobs are read first: a record only ever moves from `job/` to `end/`, so none is missed.
     let prefix = job_prefix(run);
     let jobs = node
         .store
@@ -122,21 +123,26 @@
         .list::<EndRecord>(&format!("end/{prefix}"))
         .await?
         .pairs;
-    let id = |key: &str| JobId::parse(key.split_once('/')?.1);
+    let job_id_in_key = |key: &str| JobId::parse(key.split_once('/')?.1);
     Ok(Some(RunRecords {
         head,
         head_revision,
-        claim_revision: grant,
+        claim_revision,
         plan,
         pages,
         jobs: jobs
             .iter()
-            .filter_map(|p| Some((id(&p.key)?, matches!(&p.value, Stored::Value(r) if r.flow))))
+            .filter_map(|p| {
+                Some((
+                    job_id_in_key(&p.key)?,
+                    matches!(&p.value, Stored::Value(r) if r.flow),
+                ))
+            })
             .collect(),
         ends: ends
             .iter()
             .filter_map(|p| match &p.value {
-                Stored::Value(e) => Some((id(&p.key)?, job_end_of(*e), e.flow)),
+                Stored::Value(e) => Some((job_id_in_key(&p.key)?, job_end_of(*e), e.flow)),
                 Stored::Unreadable(_) => None,
             })
             .collect(),
--- a/crates/hopyoke/src/workflows/runner.rs
+++ b/crates/hopyoke/src/workflows/runner.rs
@@ -1,7 +1,7 @@
-//! Execution of workflows' runs: hands out the engine's actions, and keeps the lease of this node's claims alive.
+//! Runs the workflow engine: dispatches its actions and keeps alive the lease of this node's claims on runs.
 
 use super::actions::execute;
-use super::watches::{watch_ends, watch_runs};
+use super::watches::{watch_job_ends, watch_runs};
 use crate::node::{Flows, Node};
 use crate::store::error::StateError;
 use hopyoke_event_loop as runtime;
@@ -9,73 +9,86 @@
 use std::rc::Rc;
 use tracing::{debug, warn};
 
-/// Actions under way at once: requests to the key-value store share a bounded pool with all else.
+/// Maximum number of actions in flight, since all requests to the key-value store share a bounded connection pool.
 const MAX_RUNNING_ACTIONS: usize = 8;
-/// How long a node's claims on runs outlive it.
+/// Time to live of the lease of a node's claims: how long they outlive a crashed node.
 const LEASE_TTL: Micros = Micros::from_secs(8);
 
-/// Starts the routines, if this node takes part.
+/// Starts the engine and its watches if this node executes workflows.
 pub(crate) fn start(node: &Rc<Node>) {
     if node.flows.is_some() {
         runtime::spawn_until(node.cancel.clone(), keep_lease_alive(node.clone()));
         runtime::spawn_until(node.cancel.clone(), watch_runs(node.clone()));
-        runtime::spawn_until(node.cancel.clone(), watch_ends(node.clone()));
-        runtime::spawn_until(node.cancel.clone(), drive(node.clone()));
+        runtime::spawn_until(node.cancel.clone(), watch_job_ends(node.clone()));
+        runtime::spawn_until(node.cancel.clone(), run_engine(node.clone()));
     }
 }
 
-/// Every routine of this module runs only where runs are carried.
-pub(super) fn flows_of(node: &Node) -> &Flows {
-    node.flows.as_ref().expect("started only with it")
+/// Returns the node's state of workflow execution.
+///
+/// # Panics
+/// If this node does not execute workflows: then no routine that calls this is started.
+pub(super) fn workflow_state(node: &Node) -> &Flows {
+    node.flows
+        .as_ref()
+        .expect("only called on nodes that execute workflows")
 }
 
-/// Hands the engine's actions out.
-async fn drive(node: Rc<Node>) {
-    let flows = flows_of(&node);
+/// Ticks the engine when it is due or notified, and executes its actions concurrently.
+async fn run_engine(node: Rc<Node>) {
+    let workflows = workflow_state(&node);
     loop {
         let now = runtime::now();
-        flows.engine.borrow_mut().tick(now);
-        while flows.running_actions.get() < MAX_RUNNING_ACTIONS {
-            let Some(action) = flows.engine.borrow_mut().next_action() else {
+        workflows.engine.borrow_mut().tick(now);
+        while workflows.running_actions.get() < MAX_RUNNING_ACTIONS {
+            let Some(action) = workflows.engine.borrow_mut().next_action() else {
                 break;
             };
-            flows.running_actions.set(flows.running_actions.get() + 1);
+            workflows
+                .running_actions
+                .set(workflows.running_actions.get() + 1);
             let node = node.clone();
             runtime::spawn_until(node.cancel.clone(), async move {
                 execute(&node, action).await;
-                let flows = flows_of(&node);
-                flows.running_actions.set(flows.running_actions.get() - 1);
-                flows.wakeup.notify();
+                let workflows = workflow_state(&node);
+                workflows
+                    .running_actions
+                    .set(workflows.running_actions.get() - 1);
+                workflows.wakeup.notify();
             });
         }
-        let due = flows
+        let due_at = workflows
             .engine
             .borrow()
             .next_due(now)
             .max(now + Micros::from_millis(1));
-        flows.wakeup.wait_until(due).await;
+        workflows.wakeup.wait_until(due_at).await;
     }
 }
 
-/// Keeps the lease on which this node's grants are.
+/// Obtains and renews the lease that this node's claims on runs are attached to.
 async fn keep_lease_alive(node: Rc<Node>) {
-    let flows = flows_of(&node);
+    let workflows = workflow_state(&node);
     loop {
-        match flows.lease.get() {
+        match workflows.lease.get() {
             None => match node.store.critical().grant(LEASE_TTL).await {
-                Ok(lease) => flows.lease.set(Some(lease)),
-                Err(e) => debug!(error = %e, "no lease for runs"),
+                Ok(lease) => workflows.lease.set(Some(lease)),
+                Err(e) => {
+                    debug!(error = %e, "failed to obtain a lease for claims on workflow runs")
+                }
             },
             Some(lease) => match node.store.critical().renew(lease).await {
                 Ok(()) => {}
                 Err(StateError::Gone) => {
-                    warn!("the lease on which this node carries runs is gone");
-                    flows.lease.set(None);
-                    flows.engine.borrow_mut().lease_lost(runtime::now());
-                    flows.wakeup.notify();
+                    warn!("the lease of this node's claims on workflow runs has expired");
+                    workflows.lease.set(None);
+                    workflows.engine.borrow_mut().lease_lost(runtime::now());
+                    workflows.wakeup.notify();
                     continue;
                 }
-                Err(e) => debug!(error = %e, "lease for runs not renewed"),
+                Err(e) => {
+                    debug!(error = %e, "failed to renew the lease of claims on workflow runs")
+                }
             },
         }
         runtime::sleep(Micros(LEASE_TTL.0 / 4)).await;
--- a/crates/hopyoke/src/workflows/watches.rs
+++ b/crates/hopyoke/src/workflows/watches.rs
@@ -1,7 +1,7 @@
-//! What the engine learns from the key-value store: runs, who executes them, and the ends of their steps' jobs.
+//! Watches the key-value store on behalf of the workflow engine: runs, claims on them, and the ends of their steps' jobs.
 
-use super::records::Value;
-use super::runner::flows_of;
+use super::records::WorkflowRecord;
+use super::runner::workflow_state;
 use crate::node::Node;
 use crate::store::error::StateError;
 use crate::store::keys::{WORKFLOW_HEADS, WORKFLOW_HOLDERS, WORKFLOWS};
@@ -15,125 +15,135 @@
 use std::rc::Rc;
 use tracing::{debug, warn};
 
-/// Longest wait of a watch.
+/// How long the store may hold a watch request open without changes.
 const WATCH_WAIT: Micros = Micros::from_secs(10);
 
-/// The run whose key this is.
-fn run_of(key: &str, prefix: &str) -> Option<RunId> {
+/// Returns the run whose id follows `prefix` in a key, or `None` for any other key.
+fn run_in_key(key: &str, prefix: &str) -> Option<RunId> {
     RunId::parse(key.strip_prefix(prefix)?)
 }
 
-/// Learns of runs, cancellations and grants.
+/// Watches the heads of unfinished runs, which tell of submissions and cancellations, and the claims on them. Starts with a
+/// full listing, also after the watched revision was compacted.
 pub(super) async fn watch_runs(node: Rc<Node>) {
-    let flows = flows_of(&node);
+    let workflows = workflow_state(&node);
     let mut since = None;
     loop {
         let Some(from) = since else {
-            match node.store.background().list::<Value>(WORKFLOWS).await {
+            match node
+                .store
+                .background()
+                .list::<WorkflowRecord>(WORKFLOWS)
+                .await
+            {
                 Ok(listing) => {
-                    records_listed(&node, listing.pairs, ModRevision(listing.revision));
+                    apply_listing(&node, listing.pairs, ModRevision(listing.revision));
                     since = Some(listing.revision);
                 }
                 Err(e) => {
-                    debug!(error = %e, "runs not listed");
+                    debug!(error = %e, "failed to list workflow runs");
                     runtime::sleep(Micros::from_millis(700)).await;
                 }
             }
             continue;
         };
-        let result: Result<WatchResponse<Value>, _> = node
+        let result: Result<WatchResponse<WorkflowRecord>, _> = node
             .store
             .background()
             .watch(WORKFLOWS, from, WATCH_WAIT)
             .await;
         match result {
-            Ok(events) => {
-                since = Some(events.revision.max(from));
-                let any = !events.events.is_empty();
-                for e in events.events {
-                    if let Some(key) = e.deleted {
-                        record_deleted(&node, &key, e.mod_revision);
-                    } else if let (Some(key), Some(Stored::Value(value))) = (e.put, e.value) {
-                        record_changed(&node, &key, value, e.mod_revision);
+            Ok(response) => {
+                since = Some(response.revision.max(from));
+                let has_events = !response.events.is_empty();
+                for event in response.events {
+                    if let Some(key) = event.deleted {
+                        record_deleted(&node, &key, event.mod_revision);
+                    } else if let (Some(key), Some(Stored::Value(value))) = (event.put, event.value)
+                    {
+                        record_changed(&node, &key, value, event.mod_revision);
                     }
                 }
-                if any {
-                    flows.wakeup.notify();
+                if has_events {
+                    workflows.wakeup.notify();
                 }
             }
             Err(StateError::Gone) => since = None,
             Err(e) => {
-                debug!(error = %e, "watch of runs failed");
+                debug!(error = %e, "watch of workflow runs failed");
                 runtime::sleep(Micros::from_millis(300)).await;
             }
         }
     }
 }
 
-/// A run's head or its holder has changed.
-fn record_changed(node: &Node, key: &str, value: Value, mod_revision: ModRevision) {
+/// Passes a changed head or claim to the engine.
+fn record_changed(node: &Node, key: &str, value: WorkflowRecord, mod_revision: ModRevision) {
     let now = runtime::now();
-    let mut engine = flows_of(node).engine.borrow_mut();
+    let mut engine = workflow_state(node).engine.borrow_mut();
     match value {
-        Value::Head(head) => {
-            if let Some(run) = run_of(key, WORKFLOW_HEADS) {
+        WorkflowRecord::Head(head) => {
+            if let Some(run) = run_in_key(key, WORKFLOW_HEADS) {
                 engine.head_changed(run, *head, mod_revision, now);
             }
         }
-        Value::RunClaim(hold) => {
-            if let Some(run) = run_of(key, WORKFLOW_HOLDERS) {
-                engine.claim_changed(run, &hold.node, mod_revision, now);
+        WorkflowRecord::RunClaim(claim) => {
+            if let Some(run) = run_in_key(key, WORKFLOW_HOLDERS) {
+                engine.claim_changed(run, &claim.node, mod_revision, now);
             }
         }
-        _ => warn!(key, "neither a run's head nor a grant"),
+        _ => warn!(
+            key,
+            "record is neither the head of a workflow run nor a claim on one"
+        ),
     }
 }
 
-/// A run's head or its holder is gone.
+/// Passes the deletion of a head or claim to the engine.
 fn record_deleted(node: &Node, key: &str, mod_revision: ModRevision) {
-    let mut engine = flows_of(node).engine.borrow_mut();
-    if let Some(run) = run_of(key, WORKFLOW_HOLDERS) {
+    let mut engine = workflow_state(node).engine.borrow_mut();
+    if let Some(run) = run_in_key(key, WORKFLOW_HOLDERS) {
         engine.claim_deleted(run, mod_revision, runtime::now());
-    } else if let Some(run) = run_of(key, WORKFLOW_HEADS) {
+    } else if let Some(run) = run_in_key(key, WORKFLOW_HEADS) {
         engine.head_deleted(run, mod_revision);
     }
 }
 
-/// All runs and grants as of a revision: what is not among them is gone.
-fn records_listed(node: &Node, pairs: Vec<KeyValue<Value>>, revision: ModRevision) {
+/// Reconciles the engine with a full listing of heads and claims as of a revision: whatever is not listed has been deleted.
+fn apply_listing(node: &Node, pairs: Vec<KeyValue<WorkflowRecord>>, revision: ModRevision) {
     let mut heads = BTreeSet::new();
-    let mut holds = BTreeSet::new();
-    for p in pairs {
-        heads.extend(run_of(&p.key, WORKFLOW_HEADS));
-        holds.extend(run_of(&p.key, WORKFLOW_HOLDERS));
-        match p.value {
-            Stored::Value(v) => record_changed(node, &p.key, v, p.mod_revision),
-            Stored::Unreadable(_) => warn!(key = %p.key, "unreadable record of a run"),
+    let mut claims = BTreeSet::new();
+    for pair in pairs {
+        heads.extend(run_in_key(&pair.key, WORKFLOW_HEADS));
+        claims.extend(run_in_key(&pair.key, WORKFLOW_HOLDERS));
+        match pair.value {
+            Stored::Value(record) => record_changed(node, &pair.key, record, pair.mod_revision),
+            Stored::Unreadable(_) => warn!(key = %pair.key, "malformed record of a workflow run"),
         }
     }
-    let flows = flows_of(node);
-    let mut engine = flows.engine.borrow_mut();
+    let workflows = workflow_state(node);
+    let mut engine = workflows.engine.borrow_mut();
     let known: Vec<RunId> = engine.runs().map(|(run, ..)| run).collect();
     for run in known {
         if !heads.contains(&run) {
             engine.head_deleted(run, revision);
-        } else if !holds.contains(&run) {
+        } else if !claims.contains(&run) {
             engine.claim_deleted(run, revision, runtime::now());
         }
     }
     engine.watch_interrupted(runtime::now());
-    flows.wakeup.notify();
+    workflows.wakeup.notify();
 }
 
-/// Learns of the ends of steps' jobs, and of no others.
-pub(super) async fn watch_ends(node: Rc<Node>) {
-    let flows = flows_of(&node);
+/// Watches for ended jobs of workflow steps. Their ids have a reserved prefix, so the ends of users' jobs are not received.
+pub(super) async fn watch_job_ends(node: Rc<Node>) {
+    let workflows = workflow_state(&node);
     let prefix = format!("end/{RESERVED_JOB_PREFIX}");
     let mut since: Option<u64> = None;
     loop {
         let from = match since {
-            Some(s) => s,
-            // What came before is read with each run's records.
+            Some(revision) => revision,
+            // The watch starts at the current revision: earlier ends are read with each run's records.
             None => match node
                 .store
                 .background()
@@ -141,7 +151,10 @@
                 .await
             {
                 Ok(page) => {
-                    flows.engine.borrow_mut().watch_interrupted(runtime::now());
+                    workflows
+                        .engine
+                        .borrow_mut()
+                        .watch_interrupted(runtime::now());
                     page.revision
                 }
                 Err(_) => {
@@ -157,12 +170,12 @@
             .watch(&prefix, from.max(1), WATCH_WAIT)
             .await;
         match result {
-            Ok(events) => {
-                since = Some(events.revision.max(from));
+            Ok(response) => {
+                since = Some(response.revision.max(from));
                 let now = runtime::now();
-                let mut engine = flows.engine.borrow_mut();
-                for e in events.events {
-                    if let (Some(key), Some(Stored::Value(end))) = (e.put, e.value)
+                let mut engine = workflows.engine.borrow_mut();
+                for event in response.events {
+                    if let (Some(key), Some(Stored::Value(end))) = (event.put, event.value)
                         && let Some(job) = key.strip_prefix("end/").and_then(JobId::parse)
                         && end.flow
                     {
@@ -170,7 +183,7 @@
                     }
                 }
                 drop(engine);
-                flows.wakeup.notify();
+                workflows.wakeup.notify();
             }
             Err(StateError::Gone) => since = None,
             Err(_) => runtime::sleep(Micros::from_millis(300)).await,
@@ -178,7 +191,7 @@
     }
 }
 
-/// How a step's job ended.
+/// Returns how a step's job ended, by its final record.
 pub(super) fn job_end_of(end: EndRecord) -> JobEnd {
     match end.state {
         JobState::Done => JobEnd::Done,
