--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -395,8 +395,8 @@
             Ok(Response::of(201, &response))
         }
         TransactionOutcome::Failed(_) => match lookup(node, client, &id).await? {
-            // Records are never deleted for good, so the store's answers contradict each other: the user is to retry.
-            Lookup::Missing => Ok(unavailable("the job's record changed meanwhile")),
+            // Records are never lost, so this contradicts the failed transaction: the user is to retry.
+            Lookup::Missing => Ok(unavailable("the job's record changed concurrently")),
             found if found.is_workflow_step() => {
                 Ok(error_response(422, "the id is that of a workflow's step"))
             }
