--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -40,7 +40,7 @@
     let not_staffed = StaffingOverride {
         staffed: false,
         until_us: u64::MAX / 4,
-        by: "nobody yet".into(),
+        by: "override not read yet".into(),
     };
     configured_hours(node).map(|h| StaffedHours {
         staffing_override: Some(not_staffed),
