--- a/crates/hopyoke/src/leadership/refresh.rs
+++ b/crates/hopyoke/src/leadership/refresh.rs
@@ -53,7 +53,7 @@
 /// Re-evaluates settings that depend on live metrics, every [`SETTINGS_INTERVAL`].
 pub(super) async fn follow_live_settings(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
-        settings::refresh(&node.policy, &leadership);
+        settings::refresh_tuning(&node.policy, &leadership);
         runtime::sleep(SETTINGS_INTERVAL).await;
     }
 }
