--- a/crates/hopyoke-scheduler/src/autoscale/inventory.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/inventory.rs
@@ -11,11 +11,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct CloudInventory {
     /// Machines whose deletion the cloud confirmed, and when.
-    pub(crate) gone: BTreeMap<MachineId, Micros>,
+    pub(crate) deleted: BTreeMap<MachineId, Micros>,
     /// What the cloud listed last; `None`: nothing yet.
     pub(crate) listed: Option<BTreeSet<MachineId>>,
     /// Deletions under way.
-    pub(crate) open_deletions: usize,
+    pub(crate) deletions_in_flight: usize,
 }
 
 impl Scheduler {
@@ -23,7 +23,7 @@
     pub fn instances_listed(&mut self, list: &[ListedMachine], now: Micros) {
         self.inventory.listed = Some(list.iter().map(|l| l.id.clone()).collect());
         for l in list {
-            if self.inventory.gone.contains_key(&l.id) {
+            if self.inventory.deleted.contains_key(&l.id) {
                 continue;
             }
             let age = Micros::from_secs_f64(l.age_s);
@@ -40,19 +40,19 @@
             if !known {
                 m.requested_at = now - age;
                 m.is_request_time_known = true;
-                self.plan_schedule.request();
+                self.placement_schedule.request();
                 info!(machine = %l.id, zone = %l.zone, spot = l.spot, "found an unknown machine");
             }
             if l.state == ListedMachineState::Failed && !m.deleting {
                 // It stopped by itself; the deletion proves it.
                 m.deleting = true;
-                self.plan_schedule.request();
+                self.placement_schedule.request();
                 info!(machine = %l.id, zone = %l.zone, "machine failed");
             }
         }
         // A list can be twice its lag old, and a held-back heartbeat minutes: neither may bring a
         // deleted machine back as alive.
-        let remember = Micros::from_secs(600).max(self.cfg.list_lag.times(8));
-        self.inventory.gone.retain(|_, at| now < *at + remember);
+        let remember = Micros::from_secs(600).max(self.cfg.max_list_lag.times(8));
+        self.inventory.deleted.retain(|_, at| now < *at + remember);
     }
 }
--- a/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
@@ -16,26 +16,26 @@
 /// Calls to the cloud are scarce: while one deletion is under way the next one gathers machines,
 /// or a shrinking fleet is paid for while single deletions queue. A second may go out beside it,
 /// for a failed one is only tried again after a pause.
-const MAX_OPEN_DELETIONS: usize = 2;
+const MAX_DELETIONS_IN_FLIGHT: usize = 2;
 
 impl Scheduler {
     /// The cloud confirmed a deletion: the machines and everything on them are gone.
     pub fn deletion_confirmed(&mut self, ids: &[MachineId], now: Micros) {
-        self.inventory.open_deletions = self.inventory.open_deletions.saturating_sub(1);
+        self.inventory.deletions_in_flight = self.inventory.deletions_in_flight.saturating_sub(1);
         for id in ids {
             self.end_probe(id);
             self.clear_allocations(id);
             self.machines.remove(id);
             self.registry.remove(id);
             self.learned.learner.forget_machine(id);
-            self.inventory.gone.insert(id.clone(), now);
+            self.inventory.deleted.insert(id.clone(), now);
         }
-        self.plan_schedule.request();
+        self.placement_schedule.request();
     }
 
     /// A deletion was not confirmed: it is tried again.
     pub fn deletion_failed(&mut self, ids: &[MachineId]) {
-        self.inventory.open_deletions = self.inventory.open_deletions.saturating_sub(1);
+        self.inventory.deletions_in_flight = self.inventory.deletions_in_flight.saturating_sub(1);
         for id in ids {
             if let Some(m) = self.machines.get_mut(id) {
                 m.deletion_requested = false;
@@ -96,7 +96,7 @@
             }
             if m.deleting
                 && !m.deletion_requested
-                && self.inventory.open_deletions < MAX_OPEN_DELETIONS
+                && self.inventory.deletions_in_flight < MAX_DELETIONS_IN_FLIGHT
                 && deletions.len() < MAX_INSTANCES_PER_DELETION
             {
                 m.deletion_requested = true;
@@ -104,7 +104,7 @@
             }
         }
         if !deletions.is_empty() {
-            self.inventory.open_deletions += 1;
+            self.inventory.deletions_in_flight += 1;
             self.actions.push_back(Action::Delete {
                 machines: deletions,
             });
--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -42,7 +42,7 @@
 struct PendingScaleOut {
     offer: Offer,
     count: u32,
-    tries: u32,
+    attempts: u32,
     retry_at: Option<Micros>,
 }
 
@@ -50,39 +50,39 @@
 #[derive(Default)]
 struct CapacityBackoff {
     until: Micros,
-    times: u32,
+    failures: u32,
 }
 
 /// Scale-out requests under way, by their names, and offers that lack capacity.
 #[derive(Default)]
 pub(crate) struct PendingScaleOuts {
-    open: BTreeMap<String, PendingScaleOut>,
-    refusals: BTreeMap<Offer, CapacityBackoff>,
+    requests: BTreeMap<String, PendingScaleOut>,
+    backoffs: BTreeMap<Offer, CapacityBackoff>,
 }
 
 impl PendingScaleOuts {
     /// Requests under way, with how many instances.
-    pub(crate) fn open(&self) -> Vec<(Offer, u32)> {
-        self.open
+    pub(crate) fn requests(&self) -> Vec<(Offer, u32)> {
+        self.requests
             .values()
             .map(|r| (r.offer.clone(), r.count))
             .collect()
     }
 
     /// The offer lacked capacity a short time ago.
-    pub(crate) fn refused(&self, offer: &Offer, now: Micros) -> bool {
-        self.refusals.get(offer).is_some_and(|r| now < r.until)
+    pub(crate) fn is_in_backoff(&self, offer: &Offer, now: Micros) -> bool {
+        self.backoffs.get(offer).is_some_and(|r| now < r.until)
     }
 
-    fn refuse(&mut self, offer: &Offer, pause: Micros, now: Micros) {
-        let r = self.refusals.entry(offer.clone()).or_default();
-        r.times += 1;
-        r.until = now + pause.times(1 << (r.times - 1).min(2));
+    fn back_off(&mut self, offer: &Offer, pause: Micros, now: Micros) {
+        let r = self.backoffs.entry(offer.clone()).or_default();
+        r.failures += 1;
+        r.until = now + pause.times(1 << (r.failures - 1).min(2));
     }
 }
 
 const MAX_INSTANCES_PER_REQUEST: u32 = 50;
-const MAX_TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 impl Scheduler {
     /// Requests instances for what a plan found missing, and repeats requests without an answer.
@@ -94,13 +94,13 @@
         }
         let due_retries: Vec<String> = self
             .pending_scale_outs
-            .open
+            .requests
             .iter()
             .filter(|(_, r)| r.retry_at.is_some_and(|t| now >= t))
             .map(|(name, _)| name.clone())
             .collect();
         for name in due_retries {
-            if let Some(r) = self.pending_scale_outs.open.get_mut(&name) {
+            if let Some(r) = self.pending_scale_outs.requests.get_mut(&name) {
                 r.retry_at = None;
                 self.actions.push_back(scale_out_action(&name, r));
             }
@@ -111,45 +111,45 @@
         for (offer, count) in demand.offers {
             let is_pending = self
                 .pending_scale_outs
-                .open
+                .requests
                 .values()
                 .any(|r| r.offer == offer);
-            if is_pending || self.pending_scale_outs.open.len() >= self.tuning.rent_requests {
+            if is_pending || self.pending_scale_outs.requests.len() >= self.tuning.rent_requests {
                 continue;
             }
             let request = self.new_request();
             let open = PendingScaleOut {
                 offer,
                 count: count.min(MAX_INSTANCES_PER_REQUEST),
-                tries: 0,
+                attempts: 0,
                 retry_at: None,
             };
             self.actions.push_back(scale_out_action(&request, &open));
-            self.pending_scale_outs.open.insert(request, open);
+            self.pending_scale_outs.requests.insert(request, open);
         }
     }
 
     /// A scale-out request ended.
     pub fn scale_out_ended(&mut self, request: &str, outcome: ScaleOutOutcome, now: Micros) {
-        let Some(open) = self.pending_scale_outs.open.get_mut(request) else {
+        let Some(open) = self.pending_scale_outs.requests.get_mut(request) else {
             return;
         };
-        self.plan_schedule.request();
+        self.placement_schedule.request();
         match outcome {
             ScaleOutOutcome::Created(ids) => {
-                let Some(open) = self.pending_scale_outs.open.remove(request) else {
+                let Some(open) = self.pending_scale_outs.requests.remove(request) else {
                     return;
                 };
                 let o = open.offer;
                 info!(machine_type = %o.machine_type, zone = %o.zone, spot = o.spot, wanted = open.count, got = ids.len(), "rented");
                 if (ids.len() as u32) < open.count {
                     self.pending_scale_outs
-                        .refuse(&o, self.tuning.refusal_pause, now);
+                        .back_off(&o, self.tuning.refusal_pause, now);
                 } else {
-                    self.pending_scale_outs.refusals.remove(&o);
+                    self.pending_scale_outs.backoffs.remove(&o);
                 }
                 for id in ids {
-                    if self.inventory.gone.contains_key(&id) {
+                    if self.inventory.deleted.contains_key(&id) {
                         continue;
                     }
                     // A machine that we have requested ourselves was never commanded by anyone else.
@@ -161,19 +161,19 @@
                 }
             }
             ScaleOutOutcome::NoCapacity => {
-                if let Some(open) = self.pending_scale_outs.open.remove(request) {
+                if let Some(open) = self.pending_scale_outs.requests.remove(request) {
                     info!(machine_type = %open.offer.machine_type, zone = %open.offer.zone, spot = open.offer.spot, "no capacity");
                     self.pending_scale_outs
-                        .refuse(&open.offer, self.tuning.refusal_pause, now);
+                        .back_off(&open.offer, self.tuning.refusal_pause, now);
                 }
             }
             ScaleOutOutcome::Unknown => {
-                open.tries += 1;
-                if open.tries >= MAX_TRIES {
+                open.attempts += 1;
+                if open.attempts >= MAX_ATTEMPTS {
                     // Should it have been executed, the machines show up in heartbeats or the list.
-                    self.pending_scale_outs.open.remove(request);
+                    self.pending_scale_outs.requests.remove(request);
                 } else {
-                    open.retry_at = Some(now + Micros::from_secs(1u64 << open.tries.min(3)));
+                    open.retry_at = Some(now + Micros::from_secs(1u64 << open.attempts.min(3)));
                 }
             }
         }
--- a/crates/hopyoke-scheduler/src/config.rs
+++ b/crates/hopyoke-scheduler/src/config.rs
@@ -17,24 +17,24 @@
     /// An agent's lease, counted from the heartbeat that was answered.
     pub lease: Micros,
     /// How long a task of a gang waits for the others to start.
-    pub gang_wait: Micros,
+    pub gang_start_timeout: Micros,
     /// How long a task of a gang runs on without its peers.
-    pub gang_peer: Micros,
+    pub gang_peer_timeout: Micros,
     /// How far the cloud's list may lag behind.
-    pub list_lag: Micros,
+    pub max_list_lag: Micros,
     /// The largest value that the state service takes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Operations in one transaction at the most.
-    pub txn_ops: usize,
+    pub max_txn_ops: usize,
     /// Changes per second that the state service takes of all nodes.
-    pub write_rps: f64,
+    pub max_writes_per_s: f64,
     /// Upper bound of the time in which a stale leaseholder's response can still reach an agent.
-    pub margin: Micros,
+    pub response_margin: Micros,
 }
 
 impl SchedulerConfig {
     /// The part of the settings that the scheduler uses.
-    pub fn of(s: &Settings) -> SchedulerConfig {
+    pub fn from_settings(s: &Settings) -> SchedulerConfig {
         let f = &s.facts;
         SchedulerConfig {
             zones: f.zones.clone(),
@@ -51,13 +51,13 @@
                 .collect(),
             heartbeat_interval: Micros::from_secs_f64(f.workers.report_s),
             lease: Micros::from_secs_f64(f.workers.lease_s),
-            gang_wait: Micros::from_secs_f64(f.workers.gang_wait_s),
-            gang_peer: Micros::from_secs_f64(f.workers.gang_peer_s),
-            list_lag: Micros::from_secs_f64(f.cloud.list_lag_s),
-            value_bytes: (f.state.value_kb * 1024.0) as usize,
-            txn_ops: f.state.txn_ops as usize,
-            write_rps: f.state.write_rps,
-            margin: Micros::from_millis(500),
+            gang_start_timeout: Micros::from_secs_f64(f.workers.gang_wait_s),
+            gang_peer_timeout: Micros::from_secs_f64(f.workers.gang_peer_s),
+            max_list_lag: Micros::from_secs_f64(f.cloud.list_lag_s),
+            max_value_bytes: (f.state.value_kb * 1024.0) as usize,
+            max_txn_ops: f.state.txn_ops as usize,
+            max_writes_per_s: f.state.write_rps,
+            response_margin: Micros::from_millis(500),
         }
     }
 
@@ -71,12 +71,12 @@
 
     /// An agent's lease is over this long after we last answered it, drift of clocks included.
     pub fn lease_bound(&self) -> Micros {
-        self.lease.with_drift() + self.margin
+        self.lease.with_drift() + self.response_margin
     }
 
     /// What a record's done tasks may take, in characters.
     fn done_chars(&self) -> usize {
-        self.value_bytes.saturating_sub(3584)
+        self.max_value_bytes.saturating_sub(3584)
     }
 
     /// This many of a job's unfinished tasks, lowest numbers first, are always considered: what is done among
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -15,7 +15,7 @@
 mod ledger;
 mod persist;
 pub mod placement;
-mod plan_schedule;
+mod placement_schedule;
 mod reconcile;
 mod resources;
 mod run_times;
@@ -43,7 +43,7 @@
 use crate::persist::records::Writes;
 use crate::persist::registry::MachineRegistry;
 use crate::placement::reservation::Reservations;
-use crate::plan_schedule::PlanSchedule;
+use crate::placement_schedule::PlacementSchedule;
 use crate::reconcile::failover::Reconciliation;
 use crate::reconcile::probes::FailoverProbes;
 use crate::reconcile::unresponsive::{PartitionedZones, ReceiveHealth};
@@ -130,7 +130,7 @@
     partitioned_zones: PartitionedZones,
     /// Machines whose commands have changed since they were last sent.
     commands_due: BTreeSet<MachineId>,
-    plan_schedule: PlanSchedule,
+    placement_schedule: PlacementSchedule,
     reservations: Reservations,
     defragmentation: DefragmentationBudget,
     staffing: Staffing,
@@ -206,7 +206,7 @@
             receive_health: ReceiveHealth::of_new_leader(now),
             partitioned_zones: PartitionedZones::default(),
             commands_due: BTreeSet::new(),
-            plan_schedule: PlanSchedule::new(tuning.plan_gap_least),
+            placement_schedule: PlacementSchedule::new(tuning.plan_gap_least),
             tuning,
             reservations: Reservations::default(),
             defragmentation: DefragmentationBudget::new(now),
@@ -250,7 +250,7 @@
     pub fn set_catalog(&mut self, types: Vec<MachineType>) {
         if self.types != types {
             self.types = types;
-            self.plan_schedule.request();
+            self.placement_schedule.request();
         }
     }
 
@@ -292,8 +292,8 @@
             self.update_reconciliation(now);
             self.observe_runs(now);
         }
-        if self.plan_schedule.is_due(now) {
-            self.plan_schedule.begin(now);
+        if self.placement_schedule.is_due(now) {
+            self.placement_schedule.begin(now);
             self.evict_disrupted_tasks();
             let demand = self.run_placement_cycle(now);
             self.scale_out(demand, now);
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -35,7 +35,7 @@
     pub(crate) fn new(cfg: &SchedulerConfig, now: Micros) -> Writes {
         Writes {
             dirty: BTreeMap::new(),
-            budget: cfg.write_rps / 2.0,
+            budget: cfg.max_writes_per_s / 2.0,
             refilled_at: now,
             retry_not_before: Micros::ZERO,
             admission_saturated: false,
@@ -117,7 +117,7 @@
     /// Returns the next batch of writes. `None` if none is due, or the rate limit or the delay after an
     /// error forbids it.
     pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
-        let rate = self.cfg.write_rps / 2.0;
+        let rate = self.cfg.max_writes_per_s / 2.0;
         let max_budget = rate.max(4.0);
         self.writes.refill(rate, max_budget, now);
         if now < self.writes.retry_not_before || self.writes.budget < 1.0 {
@@ -127,7 +127,7 @@
             writes: Vec::new(),
             ops: 0,
             bytes: 0,
-            max_ops: (self.writes.budget as usize).min(self.cfg.txn_ops),
+            max_ops: (self.writes.budget as usize).min(self.cfg.max_txn_ops),
         };
         // Order: starts, for which tasks wait; additions to the registry, for which machines wait before
         // their first task; ends; gathered progress.
@@ -147,12 +147,12 @@
         // Learned run times come last, in a batch of their own and at their own rate: nothing waits for
         // them.
         if builder.writes.is_empty()
-            && let Some((key, page)) = self.next_learned(now)
+            && let Some((key, page)) = self.next_learned_page(now)
         {
             builder.push(
                 Write::LearnedRunTimes { key, page },
                 1,
-                self.cfg.value_bytes,
+                self.cfg.max_value_bytes,
             );
         }
         if builder.writes.is_empty() {
@@ -255,11 +255,11 @@
             let kind = (m.machine_type.as_str(), m.zone.as_str(), m.spot);
             let address = m.address.map(|a| a.to_string()).unwrap_or_default();
             self.registry
-                .add(id, address, kind, self.cfg.value_bytes, || {
+                .add(id, address, kind, self.cfg.max_value_bytes, || {
                     page_key(counter, token)
                 });
         }
-        while builder.has_room(1, self.cfg.value_bytes)
+        while builder.has_room(1, self.cfg.max_value_bytes)
             || (builder.writes.is_empty() && builder.max_ops >= 1)
         {
             let Some(write) = self.registry.next_write(removals) else {
@@ -328,7 +328,9 @@
                 Write::Page { key, page, .. } => {
                     self.page_write_completed(&key, page.as_ref(), &result)
                 }
-                Write::LearnedRunTimes { key, .. } => self.learned_written(key, result.is_ok()),
+                Write::LearnedRunTimes { key, .. } => {
+                    self.learned_page_written(key, result.is_ok())
+                }
                 Write::DeletePage { key } => {
                     if result.is_err() {
                         self.registry.write_not_applied(&key);
@@ -352,7 +354,7 @@
                         && !m.is_registered
                     {
                         m.is_registered = true;
-                        self.plan_schedule.request();
+                        self.placement_schedule.request();
                     }
                 }
             }
--- a/crates/hopyoke-scheduler/src/placement/estimates.rs
+++ b/crates/hopyoke-scheduler/src/placement/estimates.rs
@@ -40,7 +40,7 @@
                 let Some(deadline) = job.spec.deadline_s else {
                     continue;
                 };
-                let run_s = self.expected(&job.spec).distribution.quantile(0.9);
+                let run_s = self.estimate_run_time(&job.spec).distribution.quantile(0.9);
                 let slack_s = (deadline - run_s).clamp(-1e9, 1e9);
                 let latest_start_us = entry.accepted_us as i64 + (slack_s * 1e6) as i64;
                 positions.push(i);
@@ -95,10 +95,9 @@
             {
                 let remaining_s = match self.remaining_s(task, *attempt, 0.5, now) {
                     Some(s) => s,
-                    None => allocation
-                        .spec
-                        .as_ref()
-                        .map_or(0.0, |s| self.expected(s).distribution.quantile(0.5)),
+                    None => allocation.spec.as_ref().map_or(0.0, |s| {
+                        self.estimate_run_time(s).distribution.quantile(0.5)
+                    }),
                 };
                 available_s = available_s.max(remaining_s);
             }
@@ -131,7 +130,10 @@
         {
             return None;
         }
-        let run_s = self.expected(&request.spec).distribution.quantile(0.9);
+        let run_s = self
+            .estimate_run_time(&request.spec)
+            .distribution
+            .quantile(0.9);
         let found = snapshot.backfill_bins.iter().copied().find_map(|i| {
             let bin = &snapshot.bins[i];
             let capacity = bin.backfill_capacity?;
@@ -219,7 +221,7 @@
             else {
                 continue;
             };
-            let run_s = self.expected(&job.spec).distribution.quantile(0.9);
+            let run_s = self.estimate_run_time(&job.spec).distribution.quantile(0.9);
             if start_latency_s + run_s <= horizon.as_secs_f64() {
                 expected.push(capacity);
             }
--- a/crates/hopyoke-scheduler/src/placement/gang.rs
+++ b/crates/hopyoke-scheduler/src/placement/gang.rs
@@ -229,7 +229,7 @@
             let Some(capacity) = zone_capacities.get_mut(b.zone) else {
                 continue;
             };
-            let tasks = b.free.holds(&request.task_resources);
+            let tasks = b.free.max_tasks(&request.task_resources);
             if tasks > 0 && self.passes_filters(request, b) {
                 capacity.total += tasks;
                 if b.ready {
@@ -311,7 +311,7 @@
             sum + j.task_resources.times(j.attempts.len() as f64)
         });
         let gang = request.task_resources.times(f64::from(count));
-        if self.cfg.teams[team].allows(&(services + gang)) {
+        if self.cfg.teams[team].is_within_limit(&(services + gang)) {
             snapshot.team_usage[team] = snapshot.team_usage[team] + gang;
         }
     }
@@ -365,7 +365,7 @@
         let capacities: Vec<u32> = snapshot
             .type_resources
             .iter()
-            .map(|capacity| capacity.holds(&request.task_resources))
+            .map(|capacity| capacity.max_tasks(&request.task_resources))
             .collect();
         let zones = if request.spec.one_zone {
             self.cfg.zones.len() + 1
@@ -377,7 +377,7 @@
             let total_tasks = capacities[b.type_index];
             if b.replicas == 0 && total_tasks > 0 && self.passes_filters(request, b) {
                 hosts[b.zone.min(zones - 1)].push(GangHost {
-                    free_tasks: b.free.holds(&request.task_resources),
+                    free_tasks: b.free.max_tasks(&request.task_resources),
                     total_tasks,
                     bin,
                 });
--- a/crates/hopyoke-scheduler/src/placement/instance_offers.rs
+++ b/crates/hopyoke-scheduler/src/placement/instance_offers.rs
@@ -31,7 +31,7 @@
                 continue;
             }
             let tasks = self.type_resources[o.type_index]
-                .holds(&request.task_resources)
+                .max_tasks(&request.task_resources)
                 .min(remaining.max(1));
             let is_avoided = self
                 .sole_choice_types
@@ -102,7 +102,7 @@
                         spot,
                     };
                     if (spot && price <= 0.0)
-                        || self.pending_scale_outs.refused(&offer, now)
+                        || self.pending_scale_outs.is_in_backoff(&offer, now)
                         || self.is_zone_partitioned(z)
                     {
                         continue;
--- a/crates/hopyoke-scheduler/src/placement/mod.rs
+++ b/crates/hopyoke-scheduler/src/placement/mod.rs
@@ -66,7 +66,7 @@
     /// Runs one placement cycle: binds the tasks that fit onto ready machines, and returns the
     /// demand for machines.
     pub(crate) fn run_placement_cycle(&mut self, now: Micros) -> Demand {
-        self.plan_schedule.count_plan();
+        self.placement_schedule.count_cycle();
         self.add_visited(self.jobs.len() + 2 * self.machines.len());
         self.update_provisioning_states(now);
         let queue = self.queue(now);
@@ -160,7 +160,7 @@
             .insert((task.clone(), binding.attempt), allocation);
         m.idle_since = None;
         if self.tuning.use_for_demand {
-            self.run_commanded(&task, binding.attempt, now);
+            self.record_start_command(&task, binding.attempt, now);
         }
         self.commands_due.insert(binding.machine.clone());
         self.add_attempt(&binding.machine, &task, binding.attempt);
--- a/crates/hopyoke-scheduler/src/placement/queue.rs
+++ b/crates/hopyoke-scheduler/src/placement/queue.rs
@@ -99,7 +99,7 @@
             let unfinished = f64::from(spec.tasks - job.done.count().min(spec.tasks));
             let within_guarantee = self.team_index(&spec.team).is_some_and(|t| {
                 claimed_by_team[t] = claimed_by_team[t] + job.task_resources.times(unfinished);
-                self.cfg.teams[t].guarantees(&claimed_by_team[t])
+                self.cfg.teams[t].is_within_guarantee(&claimed_by_team[t])
             });
             if job.unplaced_tasks() == 0 {
                 if job.wait_reason.is_some() {
@@ -153,7 +153,7 @@
             waiting.push(WaitingJob {
                 tenant: *tenants.entry(tenant).or_insert(next),
                 work_s: f64::from(job.unplaced_tasks()) * spec.estimate_s.max(1.0),
-                waited: self.ago(entry.accepted_us, now),
+                waited: self.elapsed_since(entry.accepted_us, now),
             });
         }
         let order = queue_order::order_within_tenants(&waiting);
@@ -175,13 +175,13 @@
         let request = job.task_resources.times(f64::from(job.unplaced_tasks()));
         let share = |request: f64, limit: f64| if limit > 0.0 { request / limit } else { 0.0 };
         let share = share(request.cpus, team.cpus_max).max(share(request.gpus, team.gpus_max));
-        starvation::is_gang_starving(share, self.ago(job.accepted_us, now))
+        starvation::is_gang_starving(share, self.elapsed_since(job.accepted_us, now))
     }
 
     /// Returns whether no task of the array has started and it has waited long enough for one task
     /// to go first. (Scenario `largest_arrays_begin`.)
     fn is_array_starving(&self, job: &Job, now: Micros) -> bool {
         let has_started = !job.attempts.is_empty() || job.done.count() > 0;
-        !has_started && starvation::is_array_starving(self.ago(job.accepted_us, now))
+        !has_started && starvation::is_array_starving(self.elapsed_since(job.accepted_us, now))
     }
 }
--- a/crates/hopyoke-scheduler/src/placement/quota.rs
+++ b/crates/hopyoke-scheduler/src/placement/quota.rs
@@ -37,7 +37,7 @@
             let Some(t) = self.machine_type(&m.machine_type) else {
                 return false;
             };
-            capacity = capacity + Resources::of_type(t);
+            capacity = capacity + Resources::of_machine_type(t);
         }
         for used in &mut snapshot.team_usage {
             *used = *used + capacity;
--- a/crates/hopyoke-scheduler/src/placement/request.rs
+++ b/crates/hopyoke-scheduler/src/placement/request.rs
@@ -143,7 +143,7 @@
             spec.types
                 .as_ref()
                 .is_none_or(|names| names.contains(&t.name))
-                && task.fits_in(&Resources::of_type(t))
+                && task.fits_in(&Resources::of_machine_type(t))
         })
     }
 
--- a/crates/hopyoke-scheduler/src/placement/snapshot.rs
+++ b/crates/hopyoke-scheduler/src/placement/snapshot.rs
@@ -287,7 +287,7 @@
             return false;
         };
         let sum = self.team_usage[team] + request.task_resources.times(f64::from(count));
-        if !teams[team].allows(&sum) {
+        if !teams[team].is_within_limit(&sum) {
             return false;
         }
         self.team_usage[team] = sum;
@@ -355,7 +355,7 @@
             bins: Vec::with_capacity(self.machines.len() + 64),
             open_bins: Vec::new(),
             images: Vec::new(),
-            type_resources: self.types.iter().map(Resources::of_type).collect(),
+            type_resources: self.types.iter().map(Resources::of_machine_type).collect(),
             offers: self.offers(now),
             demand: Vec::new(),
             team_usage: vec![Resources::default(); self.cfg.teams.len()],
@@ -449,7 +449,7 @@
 
     /// Adds the instances of scale-out requests that are in progress.
     fn add_pending_scale_outs(&self, snapshot: &mut ClusterSnapshot) {
-        for (offer, count) in self.pending_scale_outs.open() {
+        for (offer, count) in self.pending_scale_outs.requests() {
             if let Some(type_index) = self.types.iter().position(|t| t.name == offer.machine_type) {
                 let zone = self.cfg.zone_index(&offer.zone);
                 for _ in 0..count {
--- a/crates/hopyoke-scheduler/src/plan_schedule.rs
+++ b/crates/hopyoke-scheduler/src/placement_schedule.rs
@@ -4,14 +4,14 @@
 use hopyoke_types::Micros;
 
 /// A plan is made at least this often, even if nothing changed.
-const PERIODIC_PLAN_INTERVAL: Micros = Micros::from_millis(500);
+const PERIODIC_CYCLE_INTERVAL: Micros = Micros::from_millis(500);
 
 /// While heartbeats can't all be received, plans may be this many times further apart.
 const OVERLOAD_FACTOR: u64 = 4;
 
 /// When the next plan is due.
 #[derive(Debug)]
-pub(crate) struct PlanSchedule {
+pub(crate) struct PlacementSchedule {
     /// Something changed that a plan must take into account.
     is_requested: bool,
     /// No plan before this: changes are gathered.
@@ -21,17 +21,17 @@
     /// The shortest time between plans; follows from what a plan costs.
     min_interval: Micros,
     /// Plans made so far.
-    plans: u64,
+    cycles: u64,
 }
 
-impl PlanSchedule {
-    pub(crate) fn new(min_interval: Micros) -> PlanSchedule {
-        PlanSchedule {
+impl PlacementSchedule {
+    pub(crate) fn new(min_interval: Micros) -> PlacementSchedule {
+        PlacementSchedule {
             is_requested: true,
             next_at: Micros::ZERO,
             next_periodic_at: Micros::ZERO,
             min_interval,
-            plans: 0,
+            cycles: 0,
         }
     }
 
@@ -45,23 +45,23 @@
     }
 
     /// Changes wait for a plan, and one may be made.
-    pub(crate) fn is_requested_plan_due(&self, now: Micros) -> bool {
+    pub(crate) fn is_requested_cycle_due(&self, now: Micros) -> bool {
         self.is_requested && now >= self.next_at
     }
 
     pub(crate) fn is_due(&self, now: Micros) -> bool {
-        self.is_requested_plan_due(now) || now >= self.next_periodic_at
+        self.is_requested_cycle_due(now) || now >= self.next_periodic_at
     }
 
     /// A plan is about to be made.
     pub(crate) fn begin(&mut self, now: Micros) {
         self.is_requested = false;
         self.next_at = now + self.min_interval;
-        self.next_periodic_at = now + PERIODIC_PLAN_INTERVAL.max(self.min_interval);
+        self.next_periodic_at = now + PERIODIC_CYCLE_INTERVAL.max(self.min_interval);
     }
 
-    pub(crate) fn count_plan(&mut self) {
-        self.plans += 1;
+    pub(crate) fn count_cycle(&mut self) {
+        self.cycles += 1;
     }
 }
 
@@ -69,20 +69,20 @@
     /// When a tick has something to do again, if no event comes before.
     pub fn next_due(&self, now: Micros) -> Micros {
         let tick = now + Micros::from_millis(250);
-        if self.plan_schedule.is_requested {
-            tick.min(self.plan_schedule.next_at)
+        if self.placement_schedule.is_requested {
+            tick.min(self.placement_schedule.next_at)
         } else {
             tick
         }
     }
 
     /// Plans made so far.
-    pub fn plans(&self) -> u64 {
-        self.plan_schedule.plans
+    pub fn cycles(&self) -> u64 {
+        self.placement_schedule.cycles
     }
 
     /// Notes what the latest plan cost; at most `share` (above 0, up to 1) of the time goes to plans.
-    pub fn plan_cost(&mut self, cost: Micros, share: f64) {
+    pub fn record_cycle_cost(&mut self, cost: Micros, share: f64) {
         let interval = Micros::from_secs_f64(cost.as_secs_f64() / share.max(0.001));
         // Commands of a plan that don't reach agents help nobody: an overloaded node plans less often.
         let factor = if self.is_receive_overloaded(self.last_tick_at) {
@@ -95,7 +95,7 @@
             plan_gap_most,
             ..
         } = self.tuning;
-        self.plan_schedule.min_interval =
+        self.placement_schedule.min_interval =
             interval.clamp(plan_gap_least, plan_gap_most.times(factor));
     }
 }
--- a/crates/hopyoke-scheduler/src/reconcile/attempts.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/attempts.rs
@@ -22,7 +22,7 @@
             if allocation.is_live() {
                 live_attempts += 1;
                 if allocation.running_since.is_some() {
-                    self.run_ended(id, &task, attempt, RunOutcome::Cut, last_seen_at);
+                    self.record_run_end(id, &task, attempt, RunOutcome::Cut, last_seen_at);
                 }
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -30,7 +30,7 @@
             }
         }
         if live_attempts > 0 {
-            self.plan_schedule.request();
+            self.placement_schedule.request();
         }
         live_attempts
     }
@@ -103,7 +103,7 @@
             && !allocation.outcome_unknown
         {
             m.allocations_mut().remove(&key);
-            self.plan_schedule.request();
+            self.placement_schedule.request();
             return self.remove_attempt(id, &key.0, attempt);
         }
         let stop = StopRequest { grace_s };
--- a/crates/hopyoke-scheduler/src/reconcile/failover.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/failover.rs
@@ -62,7 +62,7 @@
                 || now >= self.reconciliation.granted_at + self.cfg.lease_bound())
         {
             self.reconciliation.is_active = false;
-            self.plan_schedule.request();
+            self.placement_schedule.request();
             self.registry.reconciliation_ended();
             info!(
                 token = self.token.0,
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -31,7 +31,7 @@
         }
         if fresh {
             // Runs a due scheduling cycle first, so that its commands go with this response.
-            if self.plan_schedule.is_requested_plan_due(now) {
+            if self.placement_schedule.is_requested_cycle_due(now) {
                 self.run_due_work(now);
             }
             commands = self.commands_for(
@@ -57,7 +57,7 @@
         now: Micros,
     ) -> bool {
         let id = &heartbeat.machine;
-        if self.inventory.gone.contains_key(id) {
+        if self.inventory.deleted.contains_key(id) {
             return false;
         }
         if !self.machines.contains_key(id) {
@@ -110,7 +110,7 @@
         m.sequence = heartbeat.sequence;
         m.token_seen = m.token_seen.max(heartbeat.token);
         m.epoch_began_after_grant |= renews_lease && earlier_epochs_expired;
-        self.plan_schedule
+        self.placement_schedule
             .request_if(is_back || was_reconciled != m.is_reconciled(self.token));
         if !m.is_registered {
             self.registry.request_registration(id);
@@ -148,7 +148,7 @@
             .preemption_notice_s
             .map(|s| now + Micros::from_secs_f64(s));
         if preemption_at.is_some() && m.preemption_notice_at.is_none() {
-            self.plan_schedule.request();
+            self.placement_schedule.request();
             info!(machine = %id, zone = %m.zone, in_s = heartbeat.preemption_notice_s, "preemption notice received");
         }
         m.preemption_notice_at = preemption_at;
--- a/crates/hopyoke-scheduler/src/reconcile/job_records.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/job_records.rs
@@ -35,7 +35,7 @@
             }
             Some(_) => return,
         }
-        self.plan_schedule.request();
+        self.placement_schedule.request();
     }
 
     /// Removes a job whose record was deleted, by a cancellation or by the write of its end record, and
@@ -50,7 +50,7 @@
                 self.stop_allocation(&machine, id, index, attempt, 0.0);
             }
         }
-        self.plan_schedule.request();
+        self.placement_schedule.request();
     }
 
     /// Notes that all changes of job records up to `revision` have been applied. They came with the answer
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -40,7 +40,7 @@
         };
         allocation.state = state;
         // Only an exit frees resources.
-        self.plan_schedule
+        self.placement_schedule
             .request_if(matches!(state, AllocationState::Ended(_)));
         match state {
             AllocationState::Live(TaskState::Running) => {
@@ -48,7 +48,7 @@
                 allocation.running_since.get_or_insert(now);
                 self.task_running(id, &key.0, t.attempt);
                 if first {
-                    self.run_began(id, &key.0, t.attempt, known, now);
+                    self.record_run_start(id, &key.0, t.attempt, known, now);
                 }
             }
             AllocationState::Ended(exit_reason) => {
@@ -58,9 +58,9 @@
                     _ => RunOutcome::Void,
                 };
                 if !known && end == RunOutcome::Done {
-                    self.run_found_ended(&key.0, t.attempt, now);
+                    self.record_found_completed(&key.0, t.attempt, now);
                 }
-                self.run_ended(id, &key.0, t.attempt, end, now);
+                self.record_run_end(id, &key.0, t.attempt, end, now);
                 self.task_ended(id, &key.0, t.attempt, exit_reason, now);
             }
             _ => {}
@@ -86,7 +86,7 @@
             m.allocations_mut().insert(key.clone(), allocation);
         }
         self.add_attempt(id, &key.0, t.attempt);
-        self.plan_schedule.request();
+        self.placement_schedule.request();
         debug!(machine = %id, task = %key.0, attempt = t.attempt.0, state = ?t.state, "adopted reported attempt");
     }
 
@@ -283,12 +283,12 @@
                 .as_ref()
                 .is_some_and(|s| s.is_live() && s.running_since.is_some())
             {
-                self.run_ended(id, &task, attempt, RunOutcome::Cut, now);
+                self.record_run_end(id, &task, attempt, RunOutcome::Cut, now);
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 forget_attempt(job, &task, id, attempt);
             }
-            self.plan_schedule
+            self.placement_schedule
                 .request_if(was.is_some_and(|s| s.is_live()));
         }
     }
--- a/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
@@ -118,7 +118,7 @@
         for (z, name) in self.cfg.zones.iter().enumerate() {
             if partitioned[z] != self.partitioned_zones.contains(z) {
                 info!(zone = %name, partitioned = partitioned[z], machines = machines_and_silent[z].0, silent = machines_and_silent[z].1, "zone partition state changed");
-                self.plan_schedule.request();
+                self.placement_schedule.request();
             }
         }
         self.partitioned_zones = PartitionedZones(partitioned);
@@ -166,7 +166,7 @@
         for id in unresponsive {
             if let Some(m) = self.machines.get_mut(&id) {
                 m.deleting = true;
-                self.plan_schedule.request();
+                self.placement_schedule.request();
                 info!(machine = %id, zone = %m.zone, spot = m.spot, "machine unresponsive: deleting it");
             }
         }
@@ -252,7 +252,7 @@
         for id in overdue_lost {
             if let Some(m) = self.machines.get_mut(&id) {
                 m.deleting = true;
-                self.plan_schedule.request();
+                self.placement_schedule.request();
             }
         }
         for id in expired {
@@ -267,7 +267,7 @@
                 m.idle_since = None;
                 warn!(machine = %id, zone = %m.zone, spot = m.spot, tasks = live_attempts, epoch = m.epoch, "machine lost: lease expired");
             }
-            self.plan_schedule.request();
+            self.placement_schedule.request();
         }
     }
 }
--- a/crates/hopyoke-scheduler/src/resources.rs
+++ b/crates/hopyoke-scheduler/src/resources.rs
@@ -32,7 +32,7 @@
 
     /// Capacity of a machine of this type.
     #[must_use]
-    pub fn of_type(t: &MachineType) -> Resources {
+    pub fn of_machine_type(t: &MachineType) -> Resources {
         Resources {
             cpus: t.cpus,
             gpus: t.gpus,
@@ -60,7 +60,7 @@
 
     /// Number of tasks of this size that fit, at most 1,000,000.
     #[must_use]
-    pub fn holds(&self, task: &Resources) -> u32 {
+    pub fn max_tasks(&self, task: &Resources) -> u32 {
         let count = |room: f64, one: f64| {
             if one > 0.0 {
                 ((room + EPSILON) / one).floor().max(0.0)
@@ -115,7 +115,7 @@
 impl Team {
     /// Use of this size is within the limit. Memory has no limit.
     #[must_use]
-    pub fn allows(&self, used: &Resources) -> bool {
+    pub fn is_within_limit(&self, used: &Resources) -> bool {
         (self.cpus_max <= 0.0 || used.cpus <= self.cpus_max + EPSILON)
             && (self.gpus_max <= 0.0 || used.gpus <= self.gpus_max + EPSILON)
     }
@@ -123,7 +123,7 @@
     /// Use of this size is within the guarantee. A resource without a guarantee is not counted, unless the team has no
     /// guarantee at all: then nothing is within it.
     #[must_use]
-    pub fn guarantees(&self, used: &Resources) -> bool {
+    pub fn is_within_guarantee(&self, used: &Resources) -> bool {
         if self.cpus <= 0.0 && self.gpus <= 0.0 {
             return false;
         }
@@ -147,7 +147,9 @@
     let usable: Vec<&MachineType> = types
         .iter()
         .filter(|t| is_allowed_type(spec, t))
-        .filter(|t| task.fits_in(&Resources::of_type(t)) && is_in_allowed_zone(spec, t, zones))
+        .filter(|t| {
+            task.fits_in(&Resources::of_machine_type(t)) && is_in_allowed_zone(spec, t, zones)
+        })
         .collect();
     if usable.is_empty() {
         return Some("a task fits no allowed machine type".into());
@@ -158,7 +160,7 @@
     } else {
         f64::from(spec.tasks)
     };
-    if !team.allows(&task.times(concurrent_tasks)) {
+    if !team.is_within_limit(&task.times(concurrent_tasks)) {
         return Some(format!(
             "the job needs more than the limit of team '{}'",
             team.name
--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -28,7 +28,7 @@
     /// With probability 0.9 by then.
     pub p90_s: f64,
     /// What the estimate rests on, as shown to the user.
-    pub rests_on: String,
+    pub basis: String,
 }
 
 /// When all attempts of a job that have a machine will be over.
@@ -58,7 +58,7 @@
 
 impl Scheduler {
     /// What a task of this job is expected to take once it runs.
-    pub fn expected(&self, spec: &JobSpec) -> Estimate {
+    pub fn estimate_run_time(&self, spec: &JobSpec) -> Estimate {
         self.learned.learner.estimate(work_of(spec), None)
     }
 
@@ -92,7 +92,7 @@
         if spec.kind == JobKind::Service {
             return Err(format!("{id} is a service: it runs until it is cancelled"));
         }
-        let anew = self.expected(spec);
+        let anew = self.estimate_run_time(spec);
         let lead_s = self.learned.learner.start_latency_s(&spec.class);
         let mut left = self.placed_attempts_end(id, job, &anew, lead_s, now);
         let waiting = job.unplaced_tasks();
@@ -110,7 +110,7 @@
         Ok(CompletionEstimate {
             p50_s: left.p50_s,
             p90_s: left.p90_s,
-            rests_on: job_estimate_basis(job, &anew, left.running, waiting),
+            basis: job_estimate_basis(job, &anew, left.running, waiting),
         })
     }
 
@@ -178,7 +178,7 @@
                 query.gpus
             ));
         };
-        let mut rests_on = format!(
+        let mut basis = format!(
             "{free} GPUs free on {machines} machines{place}, {} running tasks, {ahead} GPUs waiting ahead",
             capacity.usable.len()
         );
@@ -191,12 +191,12 @@
                 ));
             };
             found = (found.0.max(limit.0), found.1.max(limit.1));
-            rests_on += &format!("; the team uses {used} of {gpus_max} GPUs");
+            basis += &format!("; the team uses {used} of {gpus_max} GPUs");
         }
         Ok(CompletionEstimate {
             p50_s: found.0,
             p90_s: found.1,
-            rests_on,
+            basis,
         })
     }
 
@@ -300,9 +300,9 @@
         );
         let (run, ran_s) = match self.learned.learner.remaining(&key, now) {
             Some(found) => found,
-            None if has_not_begun => (self.expected(spec).distribution, 0.0),
+            None if has_not_begun => (self.estimate_run_time(spec).distribution, 0.0),
             None => (
-                self.expected(spec).distribution,
+                self.estimate_run_time(spec).distribution,
                 (now - allocation.created_at).as_secs_f64(),
             ),
         };
@@ -322,7 +322,7 @@
 /// What an estimate of a job's end rests on, as shown to the user.
 fn job_estimate_basis(job: &Job, anew: &Estimate, running: u32, waiting: u32) -> String {
     let (spec, b) = (&job.spec, &anew.basis);
-    let mut rests_on = format!(
+    let mut basis = format!(
         "{running} of {} tasks seen running, {waiting} without a place; {} runs of class {}, {} of team {}; owners' estimates count {:.0}%",
         spec.tasks,
         b.class_runs,
@@ -332,13 +332,13 @@
         100.0 * b.ratio_share
     );
     if b.changes > 0 {
-        rests_on += &format!("; the class has changed {} times", b.changes);
+        basis += &format!("; the class has changed {} times", b.changes);
     }
     if waiting > 0 {
-        rests_on += &format!(
+        basis += &format!(
             "; the wait for a place is not counted (it waits for {})",
             job.wait_reason.unwrap_or(WaitReason::FirstPlacement)
         );
     }
-    rests_on
+    basis
 }
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -22,7 +22,7 @@
 /// What is found completed this long after a failover ended at an unknown time.
 const FOUND_RUN_WINDOW: Micros = Micros::from_secs(20);
 /// Such runs that wait to be dated.
-const MAX_UNDATED_RUNS: usize = 512;
+const MAX_UNRESOLVED_RUNS: usize = 512;
 /// Runs of the past that are kept for `hopyoke history`.
 const MAX_COMPLETED_RUNS: usize = 2048;
 
@@ -57,7 +57,7 @@
     budget: f64,
     budget_earned_until: Micros,
     /// Runs that were found completed after a failover, until they can be dated.
-    undated_runs: Vec<(TaskId, Attempt, Micros)>,
+    unresolved_runs: Vec<(TaskId, Attempt, Micros)>,
     /// When slow machines are searched for again.
     next_slow_check_at: Micros,
 }
@@ -81,7 +81,7 @@
     }
 
     /// Says what time of day it is; remembers when our token was granted.
-    pub fn set_time_of_day(&mut self, now: Micros, time_of_day: Micros) {
+    pub fn record_grant_time(&mut self, now: Micros, time_of_day: Micros) {
         let day_offset_us = time_of_day.0.saturating_sub(now.0);
         self.learned.day_offset_us = Some(day_offset_us);
         if self.tuning.learn {
@@ -93,7 +93,7 @@
     }
 
     /// Takes up what an earlier leader has learned. `None`: it can't be read.
-    pub fn run_times_loaded(&mut self, key: &str, page: Option<&Page>) {
+    pub fn load_run_times(&mut self, key: &str, page: Option<&Page>) {
         let Some(key) = PageKey::parse(key) else {
             return warn!(
                 page = key,
@@ -109,11 +109,11 @@
                 warn!(page = %key, error = %e, "learned run times: left aside, learning again")
             }
         }
-        self.date_found_runs();
+        self.resolve_start_times();
     }
 
     /// Runs that we found under way began when their attempts say, once we know of the grant.
-    fn date_found_runs(&mut self) {
+    fn resolve_start_times(&mut self) {
         let Some(day_offset_us) = self.learned.day_offset_us else {
             return;
         };
@@ -128,10 +128,10 @@
             .date_runs(Micros(day_offset_us), &split);
         let LearnedRunTimes {
             learner,
-            undated_runs,
+            unresolved_runs,
             ..
         } = &mut self.learned;
-        undated_runs.retain(|(task, attempt, about)| {
+        unresolved_runs.retain(|(task, attempt, about)| {
             let Some(job) = self.jobs.get(&task.job) else {
                 return false;
             };
@@ -157,7 +157,7 @@
     }
 
     /// The start of a task has been commanded.
-    pub(crate) fn run_commanded(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
+    pub(crate) fn record_start_command(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
         let Some(job) = self
             .jobs
             .get(&task.job)
@@ -173,7 +173,7 @@
 
     /// A task that we had not seen before was reported as completed: it ended between two leaders,
     /// most likely; that is when nobody led, or just before, or since.
-    pub(crate) fn run_found_ended(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
+    pub(crate) fn record_found_completed(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
         let Some(job) = self.jobs.get(&task.job).filter(|_| self.tuning.learn) else {
             return;
         };
@@ -184,26 +184,26 @@
         };
         let seen = self
             .learned
-            .undated_runs
+            .unresolved_runs
             .iter()
             .any(|(t, a, _)| *t == key && *a == attempt);
         if job.may_have_checkpoint
             || job.spec.kind == JobKind::Service
             || (job.is_gang() && job.is_done())
             || seen
-            || self.learned.undated_runs.len() >= MAX_UNDATED_RUNS
+            || self.learned.unresolved_runs.len() >= MAX_UNRESOLVED_RUNS
             || now > self.reconciliation.granted_at() + FOUND_RUN_WINDOW
         {
             return;
         }
         let from = self.reconciliation.granted_at() - LEADERLESS_INTERVAL;
         let about = from + Micros((now - from).0 / 2);
-        self.learned.undated_runs.push((key, attempt, about));
-        self.date_found_runs();
+        self.learned.unresolved_runs.push((key, attempt, about));
+        self.resolve_start_times();
     }
 
     /// A task was seen running for the first time; `seen`: we saw it before it ran.
-    pub(crate) fn run_began(
+    pub(crate) fn record_run_start(
         &mut self,
         id: &MachineId,
         task: &TaskId,
@@ -256,12 +256,12 @@
             .learner
             .started(key, work_of(&spec), machines, now, before);
         if !seen {
-            self.date_found_runs();
+            self.resolve_start_times();
         }
     }
 
     /// An attempt has ended, or is gone, at this time.
-    pub(crate) fn run_ended(
+    pub(crate) fn record_run_end(
         &mut self,
         id: &MachineId,
         task: &TaskId,
@@ -319,7 +319,7 @@
     }
 
     /// Runs that ended, after the one with this number, oldest first.
-    pub fn history(&self, since: u64, most: usize) -> Vec<&CompletedRun> {
+    pub fn completed_runs(&self, since: u64, most: usize) -> Vec<&CompletedRun> {
         self.learned
             .completed
             .iter()
@@ -336,7 +336,7 @@
         }
         for class in self.learned.learner.tick(now) {
             info!(class = %class, "runs outlive what was learned: expecting more of all of them");
-            self.plan_schedule.request();
+            self.placement_schedule.request();
         }
         if now < self.learned.next_slow_check_at {
             return;
@@ -367,7 +367,7 @@
             {
                 m.slow = true;
                 draining += 1;
-                self.plan_schedule.request();
+                self.placement_schedule.request();
                 let (factor, runs) = (slow.factor, slow.runs);
                 info!(machine = %slow.machine, zone = %m.zone, factor, runs, "machine far slower than its peers: draining it");
             }
@@ -375,8 +375,8 @@
     }
 
     /// A page of learned run times to be written, if the share of writes that they may take allows.
-    pub(crate) fn next_learned(&mut self, now: Micros) -> Option<(PageKey, Page)> {
-        let rate = self.cfg.write_rps * self.tuning.learn_write_share;
+    pub(crate) fn next_learned_page(&mut self, now: Micros) -> Option<(PageKey, Page)> {
+        let rate = self.cfg.max_writes_per_s * self.tuning.learn_write_share;
         let l = &mut self.learned;
         l.budget = (l.budget + rate * (now - l.budget_earned_until).as_secs_f64()).min(1.0);
         l.budget_earned_until = now;
@@ -388,7 +388,7 @@
         Some(page)
     }
 
-    pub(crate) fn learned_written(&mut self, key: PageKey, written: bool) {
+    pub(crate) fn learned_page_written(&mut self, key: PageKey, written: bool) {
         self.learned.learner.page_ended(key, written);
     }
 
--- a/crates/hopyoke-scheduler/src/staffed_hours.rs
+++ b/crates/hopyoke-scheduler/src/staffed_hours.rs
@@ -32,30 +32,30 @@
 
 impl Scheduler {
     /// The operators' hours; `None`: nothing is ever held.
-    pub fn set_hours(&mut self, hours: Option<StaffedHours>) {
+    pub fn set_staffed_hours(&mut self, hours: Option<StaffedHours>) {
         self.staffing.hours = hours;
         self.staffing.window = None;
-        self.plan_schedule.request();
+        self.placement_schedule.request();
     }
 
     /// An operator's override of the hours; `None`: it was withdrawn.
-    pub fn set_switch(&mut self, switch: Option<StaffingOverride>) {
+    pub fn set_staffing_override(&mut self, switch: Option<StaffingOverride>) {
         if let Some(h) = &mut self.staffing.hours
             && h.staffing_override != switch
         {
             h.staffing_override = switch;
             self.staffing.window = None;
-            self.plan_schedule.request();
+            self.placement_schedule.request();
         }
     }
 
     /// The time of day, which may be off by the settings' `skew_ms`.
-    pub fn note_time(&mut self, now: Micros, time_of_day: Micros) {
+    pub fn set_wall_clock(&mut self, now: Micros, time_of_day: Micros) {
         self.staffing.clock = (now, time_of_day);
     }
 
     /// How long ago a time of day was, in microseconds; as exact as the nodes' clocks.
-    pub(crate) fn ago(&self, time_us: u64, now: Micros) -> Micros {
+    pub(crate) fn elapsed_since(&self, time_us: u64, now: Micros) -> Micros {
         let (at, time_of_day) = self.staffing.clock;
         time_of_day + (now - at) - Micros(time_us)
     }
@@ -78,7 +78,7 @@
                 .until
                 .map_or_else(|| "further notice".to_owned(), |u| hours.local(u));
             info!(staffed = window.staffed, until, "hours");
-            self.plan_schedule.request();
+            self.placement_schedule.request();
             if !window.staffed {
                 self.stop_held();
             }
--- a/crates/hopyoke-simulator/src/agent/gangs.rs
+++ b/crates/hopyoke-simulator/src/agent/gangs.rs
@@ -40,7 +40,7 @@
 
     /// The other tasks of a running gang notice that one is gone.
     pub(crate) fn gang_lost(&mut self, job: &JobId, attempt: Attempt) {
-        let peer = self.config.gang_peer;
+        let peer = self.config.gang_peer_timeout;
         if self
             .jobs
             .get(job)
--- a/crates/hopyoke-simulator/src/agent/tasks.rs
+++ b/crates/hopyoke-simulator/src/agent/tasks.rs
@@ -159,7 +159,7 @@
             if let Some(t) = self.live(id, epoch, &key) {
                 t.state = TaskState::Waiting;
             }
-            let wait = self.config.gang_wait;
+            let wait = self.config.gang_start_timeout;
             let (me, k) = (id.clone(), key.clone());
             self.on_machine(id, wait, move |w| {
                 if w.live(&me, epoch, &k)
--- a/crates/hopyoke-simulator/src/cloud.rs
+++ b/crates/hopyoke-simulator/src/cloud.rs
@@ -47,7 +47,7 @@
             age_s: (now - m.created_at).as_secs_f64(),
         });
         let there: Vec<ListedMachine> = there.collect();
-        let lag = self.config.list_lag;
+        let lag = self.config.max_list_lag;
         self.cloud.recent.push_back((now, there.clone()));
         if self.cloud.recent.len() > REMEMBERED_LISTS {
             self.cloud.recent.pop_front();
--- a/crates/hopyoke-simulator/src/invariants/schedulable.rs
+++ b/crates/hopyoke-simulator/src/invariants/schedulable.rs
@@ -85,7 +85,7 @@
     fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         for m in self.machines.values() {
-            let mut free = Resources::of_type(&self.machine_type(&m.kind));
+            let mut free = Resources::of_machine_type(&self.machine_type(&m.kind));
             for ((task, _), _) in m.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended) {
                 let spec = &self.jobs[&task.job].spec;
                 let takes = Resources::of_task(spec);
@@ -125,7 +125,7 @@
         let taken = usage.teams.get(&spec.team).copied().unwrap_or_default();
         if !self
             .team(&spec.team)
-            .allows(&(taken + task.times(f64::from(tasks))))
+            .is_within_limit(&(taken + task.times(f64::from(tasks))))
         {
             return false;
         }
@@ -136,7 +136,7 @@
                 && (spec.spot || !r.spot);
             if allowed {
                 let room = by_zone.entry(&r.zone).or_default();
-                *room = room.saturating_add(r.free.holds(&task));
+                *room = room.saturating_add(r.free.max_tasks(&task));
             }
         }
         let half = spec.tasks.div_ceil(2);
--- a/crates/hopyoke-simulator/src/node/failover.rs
+++ b/crates/hopyoke-simulator/src/node/failover.rs
@@ -161,11 +161,11 @@
             at,
         );
         scheduler.set_tuning(self.tuning.clone());
-        scheduler.set_time_of_day(self.now, self.now);
-        scheduler.set_hours(self.hours.clone());
-        scheduler.note_time(self.now, self.time_of_day(i));
+        scheduler.record_grant_time(self.now, self.now);
+        scheduler.set_staffed_hours(self.hours.clone());
+        scheduler.set_wall_clock(self.now, self.time_of_day(i));
         for (key, page) in &r.learned {
-            scheduler.run_times_loaded(key, Some(page));
+            scheduler.load_run_times(key, Some(page));
         }
         scheduler.set_catalog(self.machine_types.clone());
         let acquired = self.nodes[i].acquired_lease.take();
--- a/crates/hopyoke-simulator/src/node/heartbeats.rs
+++ b/crates/hopyoke-simulator/src/node/heartbeats.rs
@@ -34,9 +34,9 @@
             _ if heartbeat_chars(&heartbeat) > MAX_HEARTBEAT_CHARS => Err(None),
             Some(l) if lease_is_valid && heartbeat.token <= l.scheduler.token => {
                 let (entities_before, plans) =
-                    (l.scheduler.entities_visited(), l.scheduler.plans());
+                    (l.scheduler.entities_visited(), l.scheduler.cycles());
                 let a = l.scheduler.heartbeat(&heartbeat, now);
-                if l.scheduler.plans() == plans {
+                if l.scheduler.cycles() == plans {
                     self.max_entities_per_heartbeat = self
                         .max_entities_per_heartbeat
                         .max(l.scheduler.entities_visited() - entities_before);
--- a/crates/hopyoke-simulator/src/node/scheduling.rs
+++ b/crates/hopyoke-simulator/src/node/scheduling.rs
@@ -46,7 +46,7 @@
         if inputs.receive_overloaded {
             self.scheduler.set_receive_overloaded(now);
         }
-        self.scheduler.note_time(now, inputs.time_of_day);
+        self.scheduler.set_wall_clock(now, inputs.time_of_day);
         self.scheduler.tick(now);
         let entities_visited = self.scheduler.entities_visited() - entities_before;
         let reconciled_since = if self.scheduler.is_reconciling() {
--- a/crates/hopyoke-simulator/src/scenario/job_expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/job_expectations.rs
@@ -97,7 +97,7 @@
         Ok(a) => {
             let is_met = (number(first)..=number(second)).contains(&a.p50_s) && a.p90_s >= a.p50_s;
             met(is_met, || {
-                format!("p50 {:.1} s, p90 {:.1} s, {}", a.p50_s, a.p90_s, a.rests_on)
+                format!("p50 {:.1} s, p90 {:.1} s, {}", a.p50_s, a.p90_s, a.basis)
             })
         }
     }
@@ -114,7 +114,7 @@
     let pairs = BTreeMap::from([("class", class)]);
     let mut spec = (*job(&JobId::new("req-0"), "array", &pairs).spec).clone();
     spec.estimate_s = 0.0;
-    let found = leader.scheduler.expected(&spec);
+    let found = leader.scheduler.estimate_run_time(&spec);
     match next_word(words) {
         "p50" => {
             let (low, high) = (number(next_word(words)), number(next_word(words)));
--- a/crates/hopyoke-simulator/src/scenario/workload.rs
+++ b/crates/hopyoke-simulator/src/scenario/workload.rs
@@ -81,7 +81,7 @@
         hours.staffing_override.clone_from(&switch);
     }
     for leadership in w.nodes.iter_mut().filter_map(|n| n.leadership.as_mut()) {
-        leadership.scheduler.set_switch(switch.clone());
+        leadership.scheduler.set_staffing_override(switch.clone());
     }
 }
 
--- a/crates/hopyoke-simulator/src/simulation.rs
+++ b/crates/hopyoke-simulator/src/simulation.rs
@@ -123,13 +123,13 @@
         teams: Vec::new(),
         heartbeat_interval: Micros::from_secs(2),
         lease: Micros::from_secs(14),
-        gang_wait: Micros::from_secs(50),
-        gang_peer: Micros::from_secs(6),
-        list_lag: Micros::from_secs(4),
-        value_bytes: 8192,
-        txn_ops: 16,
-        write_rps: 25.0,
-        margin: Micros::from_millis(500),
+        gang_start_timeout: Micros::from_secs(50),
+        gang_peer_timeout: Micros::from_secs(6),
+        max_list_lag: Micros::from_secs(4),
+        max_value_bytes: 8192,
+        max_txn_ops: 16,
+        max_writes_per_s: 25.0,
+        response_margin: Micros::from_millis(500),
     }
 }
 
--- a/crates/hopyoke/src/leadership/failover.rs
+++ b/crates/hopyoke/src/leadership/failover.rs
@@ -46,8 +46,8 @@
     scheduler.set_tuning(settings::tuning_of(
         &node.policy.evaluate(&Figures::default()),
     ));
-    scheduler.set_time_of_day(runtime::now(), runtime::time_of_day());
-    scheduler.set_hours(staffed_hours::initial(node));
+    scheduler.record_grant_time(runtime::now(), runtime::time_of_day());
+    scheduler.set_staffed_hours(staffed_hours::initial(node));
     scheduler.set_catalog(node.catalog.borrow().clone());
     Some(scheduler)
 }
--- a/crates/hopyoke/src/leadership/refresh.rs
+++ b/crates/hopyoke/src/leadership/refresh.rs
@@ -23,7 +23,7 @@
                 .instances_listed(&list, runtime::now());
             leadership.wakeup.notify();
         }
-        let interval = node.config.list_lag.max(MIN_LIST_INTERVAL);
+        let interval = node.config.max_list_lag.max(MIN_LIST_INTERVAL);
         runtime::sleep(interval + jitter(Micros::from_secs(1))).await;
     }
 }
@@ -45,7 +45,7 @@
     let mut scheduler = leadership.scheduler.borrow_mut();
     for pair in pages.pairs {
         if let Some(key) = pair.key.strip_prefix(RUN_TIMES_PREFIX) {
-            scheduler.run_times_loaded(key, pair.value.readable().as_ref());
+            scheduler.load_run_times(key, pair.value.readable().as_ref());
         }
     }
 }
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -223,9 +223,9 @@
         scheduler: &mut Scheduler,
         step: impl FnOnce(&mut Scheduler) -> T,
     ) -> T {
-        let (plans_before, started_at) = (scheduler.plans(), runtime::now());
+        let (plans_before, started_at) = (scheduler.cycles(), runtime::now());
         let result = step(scheduler);
-        if scheduler.plans() != plans_before {
+        if scheduler.cycles() != plans_before {
             let cost = runtime::now() - started_at;
             self.plan_cost.spent.set(self.plan_cost.spent.get() + cost);
             debug!(
@@ -241,7 +241,7 @@
                 1.0
             };
             let share = node.settings.facts.limits.cpu_share * scheduler.tuning.plan_share * part;
-            scheduler.plan_cost(cost, share);
+            scheduler.record_cycle_cost(cost, share);
         }
         result
     }
@@ -257,7 +257,7 @@
         };
         Node {
             flows,
-            config: SchedulerConfig::of(&settings),
+            config: SchedulerConfig::from_settings(&settings),
             store: KvClient::new(
                 settings.endpoints.state,
                 limit(settings.facts.state.rps),
@@ -265,7 +265,7 @@
             ),
             admission: AdmissionController::new(
                 limit(settings.facts.state.write_rps),
-                &SchedulerConfig::of(&settings).teams,
+                &SchedulerConfig::from_settings(&settings).teams,
             ),
             cloud: CloudClient::new(settings.endpoints.cloud, settings.facts.cloud.rps),
             catalog: RefCell::default(),
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -59,7 +59,7 @@
             error: String::new(),
             p50_s: estimate.p50_s,
             p90_s: estimate.p90_s,
-            rests_on: estimate.rests_on,
+            rests_on: estimate.basis,
         },
         Err(error) => WhenAnswer {
             error,
@@ -112,7 +112,7 @@
     } else {
         0
     };
-    let ended = scheduler.history(after, MAX_RUNS + 1);
+    let ended = scheduler.completed_runs(after, MAX_RUNS + 1);
     let mut writer = Writer::new(false);
     for run in ended.iter().take(MAX_RUNS) {
         if let Err(error) = writer.add(&run_of(run)) {
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -73,7 +73,10 @@
     loop {
         let pause = match read_override(&node).await {
             Ok((switch, _)) => {
-                leadership.scheduler.borrow_mut().set_switch(switch);
+                leadership
+                    .scheduler
+                    .borrow_mut()
+                    .set_staffing_override(switch);
                 leadership.wakeup.notify();
                 READ_INTERVAL
             }
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -154,7 +154,7 @@
     {
         return refuse(503, "too many runs are waiting");
     }
-    let pages = match plan.pages(node.config.value_bytes) {
+    let pages = match plan.pages(node.config.max_value_bytes) {
         Ok(p) => p,
         Err(e) => return refuse(422, e.to_string()),
     };
@@ -175,7 +175,7 @@
             runtime::time_of_day().0,
         )
     };
-    if serde_json::to_string(&head).map_or(usize::MAX, |t| t.len()) > node.config.value_bytes {
+    if serde_json::to_string(&head).map_or(usize::MAX, |t| t.len()) > node.config.max_value_bytes {
         return refuse(400, "name, owner and tags are too long together");
     }
     write_plan(node, flows, run, &pages).await?;
@@ -229,8 +229,8 @@
         .filter(|n| !known.contains(n))
         .collect();
     let rate = flows.engine.borrow().limits.max_writes_per_s.max(0.5);
-    let value = node.config.value_bytes.max(1);
-    let at_once = (MOST_TXN / value).clamp(1, node.config.txn_ops.max(1));
+    let value = node.config.max_value_bytes.max(1);
+    let at_once = (MOST_TXN / value).clamp(1, node.config.max_txn_ops.max(1));
     for chunk in missing.chunks(at_once) {
         let now = runtime::now();
         let from = flows.next_plan_write_at.get().max(now);
