--- a/crates/hopyoke-scheduler/src/audit.rs
+++ b/crates/hopyoke-scheduler/src/audit.rs
@@ -1,45 +1,49 @@
-//! Checks of incrementally kept sums against a full recount; for scenarios.
+//! Consistency checks of incrementally maintained state, for tests.
 
 use crate::Scheduler;
 use crate::ledger::{Job, Machine};
 use hopyoke_types::JobId;
 
 impl Scheduler {
-    /// Differences between the sums that are kept up to date with the changes and the same sums counted anew.
+    /// Compares incrementally maintained state with a full recomputation. Returns a description of each
+    /// difference.
     pub fn audit(&self) -> Vec<String> {
-        let mut faults = Vec::new();
+        let mut differences = Vec::new();
         for machine in self.machines.values() {
-            self.audit_machine(machine, &mut faults);
+            self.audit_machine(machine, &mut differences);
         }
         for (id, job) in &self.jobs {
-            self.audit_job(id, job, &mut faults);
+            self.audit_job(id, job, &mut differences);
         }
-        faults
+        differences
     }
 
-    fn audit_machine(&self, m: &Machine, faults: &mut Vec<String>) {
-        if let Some(kept) = m.cached_load()
-            && *kept != m.compute_load(&self.cfg.teams)
+    fn audit_machine(&self, m: &Machine, differences: &mut Vec<String>) {
+        if let Some(cached) = m.cached_load()
+            && *cached != m.compute_load(&self.cfg.teams)
         {
-            faults.push(format!("sums of {} are stale: {kept:?}", m.id));
+            differences.push(format!("cached load of {} is stale: {cached:?}", m.id));
         }
         if m.is_registered && !self.registry.contains(&m.id) {
-            faults.push(format!("{} counts as registered but is on no page", m.id));
+            differences.push(format!(
+                "{} is marked as registered but is on no registry page",
+                m.id
+            ));
         }
     }
 
-    fn audit_job(&self, id: &JobId, job: &Job, faults: &mut Vec<String>) {
+    fn audit_job(&self, id: &JobId, job: &Job, differences: &mut Vec<String>) {
         if job.needs_write() && !self.writes.is_dirty(id) {
-            faults.push(format!("{id} has something to write that nobody noted"));
+            differences.push(format!("{id} needs a write but is not marked dirty"));
         }
-        let open = job
+        let unplaced = job
             .done
             .missing(job.spec.tasks)
             .filter(|i| !job.attempts.contains_key(i))
             .count();
-        if open as u32 != job.unplaced_tasks() {
-            faults.push(format!(
-                "{id} has {open} tasks without a place, not {}",
+        if unplaced as u32 != job.unplaced_tasks() {
+            differences.push(format!(
+                "{id} has {unplaced} unplaced tasks, but {} are counted",
                 job.unplaced_tasks()
             ));
         }
--- a/crates/hopyoke-scheduler/src/config.rs
+++ b/crates/hopyoke-scheduler/src/config.rs
@@ -1,39 +1,39 @@
-//! What the scheduler takes from the platform's settings.
+//! Configuration of the scheduler, from the platform's settings.
 
 use crate::resources::Team;
 use crate::task_ranges::RANGE_CHARS;
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
 
-/// The settings that the scheduler uses.
+/// Configuration of the scheduler.
 #[derive(Debug, Clone)]
 pub struct SchedulerConfig {
-    /// Zone names; machines and tables refer to zones by their index here.
+    /// Zone names. Zones are identified by their index in this list.
     pub zones: Vec<String>,
-    /// Teams with their shares and limits.
+    /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
-    /// The time between two heartbeats of an agent.
+    /// Time between two heartbeats of an agent.
     pub heartbeat_interval: Micros,
-    /// An agent's lease, counted from the heartbeat that was answered.
+    /// Duration of an agent's lease, counted from when it sent the heartbeat that was answered.
     pub lease: Micros,
-    /// How long a task of a gang waits for the others to start.
+    /// Time for which a gang's task waits for the others to start.
     pub gang_start_timeout: Micros,
-    /// How long a task of a gang runs on without its peers.
+    /// Time for which a gang's task keeps running without its peers.
     pub gang_peer_timeout: Micros,
-    /// How far the cloud's list may lag behind.
+    /// Maximum staleness of the cloud's instance list.
     pub max_list_lag: Micros,
-    /// The largest value that the state service takes.
+    /// Maximum size of a value in the key-value store, in bytes.
     pub max_value_bytes: usize,
-    /// Operations in one transaction at the most.
+    /// Maximum number of operations in a transaction of the key-value store.
     pub max_txn_ops: usize,
-    /// Changes per second that the state service takes of all nodes.
+    /// Maximum write rate of the key-value store, in changes per second over all nodes.
     pub max_writes_per_s: f64,
-    /// Upper bound of the time in which a stale leaseholder's response can still reach an agent.
+    /// Maximum delay after which a stale leaseholder's response can still reach an agent.
     pub response_margin: Micros,
 }
 
 impl SchedulerConfig {
-    /// The part of the settings that the scheduler uses.
+    /// Extracts the scheduler's configuration from the settings.
     pub fn from_settings(s: &Settings) -> SchedulerConfig {
         let f = &s.facts;
         SchedulerConfig {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A zone's index; unknown zones share the one after the last.
+    /// Returns the index of a zone. All unknown zones share the index after the last.
     pub(crate) fn zone_index(&self, name: &str) -> usize {
         self.zones
             .iter()
@@ -69,25 +69,27 @@
             .unwrap_or(self.zones.len())
     }
 
-    /// An agent's lease is over this long after we last answered it, drift of clocks included.
+    /// Returns the time after the last response to an agent by which its lease has expired, clock drift
+    /// included.
     pub fn lease_bound(&self) -> Micros {
         self.lease.with_drift() + self.response_margin
     }
 
-    /// What a record's done tasks may take, in characters.
+    /// Returns the maximum length of a job record's set of completed tasks, in characters.
     fn done_chars(&self) -> usize {
         self.max_value_bytes.saturating_sub(3584)
     }
 
-    /// This many of a job's unfinished tasks, lowest numbers first, are always considered: what is done among
-    /// them never falls into more ranges than fit.
+    /// Returns how many of a job's unfinished tasks, lowest numbers first, are always considered for placement.
+    /// As a list of ranges, the completed tasks among them always fit the record.
     pub fn window(&self) -> u32 {
         (self.done_chars() / RANGE_CHARS).max(16) as u32
     }
 
-    /// Others are considered up to this far behind the first unfinished one: within this span a bit for
-    /// each task fits. Whatever is done beyond it was in the window, and then ranges are few. So a record
-    /// always fits its value. (Scenarios fragmented_record, huge_array.)
+    /// Returns how far beyond the first unfinished task other tasks are considered for placement. Within this
+    /// span, the completed tasks fit the record as a bitmap. Tasks that complete beyond the span were in the
+    /// window, so their ranges are few. Hence a record never exceeds the maximum value size (scenarios
+    /// fragmented_record and huge_array).
     pub fn span(&self) -> u32 {
         (self.done_chars().saturating_sub(64) * 6) as u32
     }
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -1,13 +1,16 @@
-//! The leader's decisions, without any I/O: events and the time go in, actions come out.
+//! The leader's scheduler as a state machine without I/O: events and the time go in, actions come out.
 //!
 //! - `ledger`: jobs, machines and allocations.
-//! - `reconcile`: heartbeats rebuild and update the ledger; commands answer them; failover.
-//! - [`placement`]: one scheduling cycle: which task runs on which machine, and the demand for machines.
-//! - `resources`, `task_ranges`: amounts of resources, and sets of task numbers.
+//! - `reconcile`: updates of the ledger from heartbeats, commands to agents, and failover.
+//! - [`placement`]: the placement cycle, which assigns tasks to machines and computes the demand for
+//!   instances.
+//! - `placement_schedule`: when placement cycles run.
+//! - `resources`, `task_ranges`: resource amounts, and sets of task numbers.
 //! - `autoscale`: scale-out and scale-in.
-//! - `persist`: what must be written to the state service, in batches, and the machine registry.
-//! - `staffed_hours`: work that is held outside staffed hours.
-//! - `run_times`: learned run times and what is estimated from them.
+//! - `persist`: batched writes to the key-value store, and the machine registry.
+//! - `staffed_hours`: jobs that are held outside staffed hours.
+//! - `run_times`: learned run times, and estimates from them.
+//! - `audit`: consistency checks for tests.
 
 mod audit;
 mod autoscale;
@@ -56,79 +59,81 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What the daemon or the simulator is to do.
+/// An effect that the caller must carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Request instances from the cloud.
     ScaleOut {
-        /// Names the request, so that it can be repeated.
+        /// Idempotency key of the request.
         request: String,
-        /// Type of the instances.
+        /// Machine type of the instances.
         machine_type: String,
-        /// Their zone.
+        /// Zone of the instances.
         zone: String,
-        /// Whether the cloud may take them away.
+        /// True for spot instances.
         spot: bool,
-        /// How many.
+        /// Number of instances.
         count: u32,
     },
     /// Delete instances.
     Delete {
-        /// Which.
+        /// Instances to delete.
         machines: Vec<MachineId>,
     },
-    /// Read the job's record again: a write of it failed or went unanswered.
+    /// Reload the job's record, because a write of it failed or got no response.
     ReloadRecord {
         /// The job.
         job: JobId,
     },
-    /// Send commands to an agent without waiting for its heartbeat; none: a probe.
+    /// Send commands to an agent without waiting for its heartbeat. An empty list probes the agent.
     PushCommands {
         /// The agent's machine.
         machine: MachineId,
-        /// Where the agent listens.
+        /// Address on which the agent listens.
         address: std::net::SocketAddr,
-        /// The epoch for which they are meant: an agent in another refuses them.
+        /// Epoch for which the commands are meant. An agent in another epoch rejects them.
         epoch: u64,
-        /// What the agent is to do.
+        /// Commands to execute.
         commands: Vec<Command>,
     },
 }
 
-/// How often expired leases and unresponsive machines are searched for.
+/// Time between two checks for expired leases and unresponsive machines.
 const SWEEP_INTERVAL: Micros = Micros::from_millis(100);
 
 /// The scheduler's state machine.
 ///
-/// Each part owns its state; only the ledger and the settings are open to the daemon and the simulator.
+/// Each module owns its part of the state. Callers may access the ledger, the configuration and the tuning
+/// directly.
 pub struct Scheduler {
-    /// What the settings say.
+    /// Configuration from the settings file.
     pub cfg: SchedulerConfig,
-    /// What operators may tune.
+    /// Parameters that operators may tune at run time.
     pub tuning: Tuning,
-    /// The fencing token of this leader: the revision at which its shards were granted.
+    /// Fencing token of this leader: the revision at which its shards were granted.
     pub token: FencingToken,
-    /// The ledger of unfinished jobs.
+    /// Unfinished jobs.
     pub jobs: BTreeMap<JobId, Job>,
-    /// The ledger of machines.
+    /// Known machines.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// The catalog of machine types.
+    /// Catalog of machine types.
     pub types: Vec<MachineType>,
-    /// When this leader last began, or began again, to act.
+    /// When ticks last began: at the election, or after a stall of more than a second. The silence of
+    /// agents is counted from then.
     resumed_at: Micros,
     last_tick_at: Micros,
-    /// When unresponsive machines and expired leases are searched for again.
+    /// Time of the next check for expired leases and unresponsive machines.
     next_sweep_at: Micros,
     next_fleet_log_at: Micros,
-    /// Counts requests and attempts of this leader.
+    /// Sequence number of this leader's requests and attempts.
     counter: u64,
-    /// Jobs whose record has left `job/`.
+    /// Jobs whose records were removed from `job/`.
     tombstones: Tombstones,
     reconciliation: Reconciliation,
     probes: FailoverProbes,
     receive_health: ReceiveHealth,
     partitioned_zones: PartitionedZones,
-    /// Machines whose commands have changed since they were last sent.
+    /// Machines with commands that are yet to be sent.
     commands_due: BTreeSet<MachineId>,
     placement_schedule: PlacementSchedule,
     reservations: Reservations,
@@ -141,18 +146,18 @@
     writes: Writes,
     learned: LearnedRunTimes,
     actions: VecDeque<Action>,
-    /// Machines, jobs, bins and allocations visited so far; scenarios assert that it stays in bounds.
+    /// See [`Scheduler::entities_visited`].
     entities_visited: Cell<u64>,
 }
 
-/// What moves of replicas may cost.
+/// Bounds the interruption of service replicas by migrations.
 #[derive(Debug)]
 struct DefragmentationBudget {
-    /// Seconds that moves may still take.
+    /// Interruption that migrations may still cause, in seconds.
     budget_s: f64,
-    /// Up to when the budget was earned.
+    /// Time up to which the budget has been credited.
     credited_at: Micros,
-    /// No replica is moved before this.
+    /// No replica is migrated before this time.
     next_at: Micros,
 }
 
@@ -167,7 +172,8 @@
 }
 
 impl Scheduler {
-    /// A new leader's scheduler: `jobs` and `registry` are as read after the grant of `token`.
+    /// Creates the scheduler of a new leader. `jobs` and `registry` must have been read after the grant of
+    /// `token`; a registry page of `None` can't be decoded.
     pub fn new(
         cfg: SchedulerConfig,
         token: FencingToken,
@@ -175,18 +181,18 @@
         registry: Vec<(String, ModRevision, Option<RegistryPage>)>,
         now: Micros,
     ) -> Scheduler {
-        let mut scheduler = Scheduler::without_work(cfg, token, now);
+        let mut scheduler = Scheduler::empty(cfg, token, now);
         for (id, record, mod_revision) in jobs {
             scheduler.job_record_changed(id, record, mod_revision, now);
         }
         for (key, mod_revision, page) in registry {
-            scheduler.adopt_registry_page(key, mod_revision, page.as_ref(), now);
+            scheduler.load_registry_page(key, mod_revision, page.as_ref(), now);
         }
         scheduler.reconciliation = Reconciliation::new(now, !scheduler.registry.is_empty());
         scheduler
     }
 
-    fn without_work(cfg: SchedulerConfig, token: FencingToken, now: Micros) -> Scheduler {
+    fn empty(cfg: SchedulerConfig, token: FencingToken, now: Micros) -> Scheduler {
         let tuning = Tuning::default();
         Scheduler {
             writes: Writes::new(&cfg, now),
@@ -221,7 +227,7 @@
         }
     }
 
-    fn adopt_registry_page(
+    fn load_registry_page(
         &mut self,
         key: String,
         mod_revision: ModRevision,
@@ -240,13 +246,13 @@
             (m.is_registered, m.inherited) = (true, true);
             m.address = p.machines.get(&id).and_then(|a| a.parse().ok());
             self.probes.push(id.clone());
-            // An earlier leader may have answered it until just before our grant.
+            // An earlier leader may have renewed its lease until just before this leader's grant.
             m.lease_end = now + self.cfg.lease_bound();
             self.machines.insert(id, m);
         }
     }
 
-    /// The machine types that the cloud offers.
+    /// Replaces the catalog of machine types.
     pub fn set_catalog(&mut self, types: Vec<MachineType>) {
         if self.types != types {
             self.types = types;
@@ -254,29 +260,29 @@
         }
     }
 
-    /// Ids of all unfinished jobs, in order.
+    /// Returns the ids of all unfinished jobs, in order.
     pub fn job_ids(&self) -> Vec<JobId> {
         self.jobs.keys().cloned().collect()
     }
 
-    /// The next action, if any.
+    /// Removes and returns the next action. Returns `None` if there is none.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Something waits to be done or sent.
+    /// Returns true if actions, commands or probes are pending.
     pub fn has_actions(&self) -> bool {
         !self.actions.is_empty() || !self.commands_due.is_empty() || self.can_probe()
     }
 
-    /// Does what is due; to be called after events and at least every half second.
+    /// Performs the work that is due. Must be called after events and at least every 500 ms.
     pub fn tick(&mut self, now: Micros) {
         self.run_due_work(now);
         self.send_probes(now);
         self.push_commands(now);
     }
 
-    /// All of a tick but the sending of probes and pushed commands.
+    /// Performs all work of a tick except sending probes and pushing commands.
     fn run_due_work(&mut self, now: Micros) {
         if now > self.last_tick_at + Micros::from_secs(1) {
             self.resumed_at = now;
@@ -301,7 +307,8 @@
         }
     }
 
-    /// Machines, jobs, bins and allocations visited so far: a measure of work that does not depend on the processor.
+    /// Returns the number of machines, jobs, bins and allocations visited so far: a measure of work that does
+    /// not depend on the processor, bounded by tests.
     pub fn entities_visited(&self) -> u64 {
         self.entities_visited.get()
     }
--- a/crates/hopyoke-scheduler/src/placement_schedule.rs
+++ b/crates/hopyoke-scheduler/src/placement_schedule.rs
@@ -1,26 +1,26 @@
-//! When plans are made: changes are gathered, and a plan's own cost bounds how often one is made.
+//! When placement cycles run: changes are batched, and the cost of a cycle bounds the rate of cycles.
 
 use crate::{Scheduler, Tuning};
 use hopyoke_types::Micros;
 
-/// A plan is made at least this often, even if nothing changed.
+/// Maximum time between two cycles, even if nothing changed.
 const PERIODIC_CYCLE_INTERVAL: Micros = Micros::from_millis(500);
 
-/// While heartbeats can't all be received, plans may be this many times further apart.
+/// Factor on the maximum interval between cycles while the leader receives fewer heartbeats than agents send.
 const OVERLOAD_FACTOR: u64 = 4;
 
-/// When the next plan is due.
+/// When the next placement cycle is due.
 #[derive(Debug)]
 pub(crate) struct PlacementSchedule {
-    /// Something changed that a plan must take into account.
+    /// A change is pending that the next cycle must take into account.
     is_requested: bool,
-    /// No plan before this: changes are gathered.
+    /// No cycle runs before this time, so that changes are batched.
     next_at: Micros,
-    /// A plan at this time even if nothing changed.
+    /// A cycle runs at this time even if nothing changed.
     next_periodic_at: Micros,
-    /// The shortest time between plans; follows from what a plan costs.
+    /// Minimum time between cycles; follows from the cost of a cycle.
     min_interval: Micros,
-    /// Plans made so far.
+    /// Number of cycles so far.
     cycles: u64,
 }
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Something changed that a plan must take into account.
+    /// Requests a cycle because of a change.
     pub(crate) fn request(&mut self) {
         self.is_requested = true;
     }
@@ -44,7 +44,7 @@
         self.is_requested |= has_changed;
     }
 
-    /// Changes wait for a plan, and one may be made.
+    /// Returns true if a cycle was requested and may run now.
     pub(crate) fn is_requested_cycle_due(&self, now: Micros) -> bool {
         self.is_requested && now >= self.next_at
     }
@@ -53,7 +53,7 @@
         self.is_requested_cycle_due(now) || now >= self.next_periodic_at
     }
 
-    /// A plan is about to be made.
+    /// Records that a cycle starts.
     pub(crate) fn begin(&mut self, now: Micros) {
         self.is_requested = false;
         self.next_at = now + self.min_interval;
@@ -66,7 +66,7 @@
 }
 
 impl Scheduler {
-    /// When a tick has something to do again, if no event comes before.
+    /// Returns when the next tick is due if no event occurs before.
     pub fn next_due(&self, now: Micros) -> Micros {
         let tick = now + Micros::from_millis(250);
         if self.placement_schedule.is_requested {
@@ -76,15 +76,16 @@
         }
     }
 
-    /// Plans made so far.
+    /// Returns the number of placement cycles so far.
     pub fn cycles(&self) -> u64 {
         self.placement_schedule.cycles
     }
 
-    /// Notes what the latest plan cost; at most `share` (above 0, up to 1) of the time goes to plans.
+    /// Records the duration of the latest cycle. The interval between cycles is set so that they take at most
+    /// `share` of the time, above 0 and up to 1.
     pub fn record_cycle_cost(&mut self, cost: Micros, share: f64) {
         let interval = Micros::from_secs_f64(cost.as_secs_f64() / share.max(0.001));
-        // Commands of a plan that don't reach agents help nobody: an overloaded node plans less often.
+        // An overloaded leader can't deliver the commands of a cycle, so it runs cycles less often.
         let factor = if self.is_receive_overloaded(self.last_tick_at) {
             OVERLOAD_FACTOR
         } else {
--- a/crates/hopyoke-scheduler/src/resources.rs
+++ b/crates/hopyoke-scheduler/src/resources.rs
@@ -1,14 +1,14 @@
-//! Resources of tasks and machines, teams' limits, and the check that a job can run at all.
+//! Resource amounts, team quotas, and the check that a job can be scheduled at all.
 
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::{JobKind, JobSpec};
 use std::collections::BTreeSet;
 use std::ops::{Add, Sub};
 
-/// Tolerance for the rounding of sums of decimal amounts.
+/// Tolerance for rounding errors in sums of amounts.
 const EPSILON: f64 = 1e-6;
 
-/// Amounts of each kind of resource; not negative, but for differences.
+/// Amounts of each kind of resource. Only differences may be negative.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
     /// CPU cores.
@@ -20,7 +20,7 @@
 }
 
 impl Resources {
-    /// What one task of the job takes.
+    /// Returns the resources of one task of the job.
     #[must_use]
     pub fn of_task(s: &JobSpec) -> Resources {
         Resources {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Capacity of a machine of this type.
+    /// Returns the capacity of a machine of this type.
     #[must_use]
     pub fn of_machine_type(t: &MachineType) -> Resources {
         Resources {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Each amount multiplied by `n`.
+    /// Returns each amount multiplied by `n`.
     #[must_use]
     pub fn times(self, n: f64) -> Resources {
         Resources {
@@ -50,20 +50,20 @@
         }
     }
 
-    /// No amount is larger than in `room`.
+    /// Returns true if no amount exceeds the one in `available`.
     #[must_use]
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + EPSILON
-            && self.gpus <= room.gpus + EPSILON
-            && self.memory_gb <= room.memory_gb + EPSILON
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + EPSILON
+            && self.gpus <= available.gpus + EPSILON
+            && self.memory_gb <= available.memory_gb + EPSILON
     }
 
-    /// Number of tasks of this size that fit, at most 1,000,000.
+    /// Returns the number of tasks of this size that fit, at most 1,000,000.
     #[must_use]
     pub fn max_tasks(&self, task: &Resources) -> u32 {
-        let count = |room: f64, one: f64| {
-            if one > 0.0 {
-                ((room + EPSILON) / one).floor().max(0.0)
+        let count = |available: f64, per_task: f64| {
+            if per_task > 0.0 {
+                ((available + EPSILON) / per_task).floor().max(0.0)
             } else {
                 f64::MAX
             }
@@ -97,7 +97,7 @@
     }
 }
 
-/// A team's guarantee (fair share) and limit (quota); 0: none is set.
+/// A team's guarantee (fair share) and limit (quota). An amount of 0 means that none is set.
 #[derive(Debug, Clone, Default)]
 pub struct Team {
     /// Its name in the settings.
@@ -113,15 +113,15 @@
 }
 
 impl Team {
-    /// Use of this size is within the limit. Memory has no limit.
+    /// Returns true if this usage is within the limit. Memory has no limit.
     #[must_use]
     pub fn is_within_limit(&self, used: &Resources) -> bool {
         (self.cpus_max <= 0.0 || used.cpus <= self.cpus_max + EPSILON)
             && (self.gpus_max <= 0.0 || used.gpus <= self.gpus_max + EPSILON)
     }
 
-    /// Use of this size is within the guarantee. A resource without a guarantee is not counted, unless the team has no
-    /// guarantee at all: then nothing is within it.
+    /// Returns true if this usage is within the guarantee. Resources without a guarantee are ignored. If the
+    /// team has no guarantee at all, no usage is within it.
     #[must_use]
     pub fn is_within_guarantee(&self, used: &Resources) -> bool {
         if self.cpus <= 0.0 && self.gpus <= 0.0 {
@@ -132,7 +132,8 @@
     }
 }
 
-/// Why a job can never run, in words for its user; `None` if it can. Every node decides this when it accepts a job.
+/// Returns why a job can never run, as shown to its user, or `None` if it can. Nodes reject such jobs at
+/// submission.
 #[must_use]
 pub fn unschedulable_reason(
     spec: &JobSpec,
@@ -141,7 +142,7 @@
     teams: &[Team],
 ) -> Option<String> {
     let Some(team) = teams.iter().find(|t| t.name == spec.team) else {
-        return Some(format!("crew: no team is named '{}'", spec.team));
+        return Some(format!("crew: unknown team '{}'", spec.team));
     };
     let task = Resources::of_task(spec);
     let usable: Vec<&MachineType> = types
@@ -154,17 +155,14 @@
     if usable.is_empty() {
         return Some("a task fits no allowed machine type".into());
     }
-    // Tasks of arrays can run one after another; those of gangs and services must all run at once.
+    // Tasks of an array can run one after another; those of a gang or service must all run at once.
     let concurrent_tasks = if spec.kind == JobKind::Array {
         1.0
     } else {
         f64::from(spec.tasks)
     };
     if !team.is_within_limit(&task.times(concurrent_tasks)) {
-        return Some(format!(
-            "the job needs more than the limit of team '{}'",
-            team.name
-        ));
+        return Some(format!("the job exceeds the limit of team '{}'", team.name));
     }
     if spec.kind != JobKind::Array && spec.spread && spec.tasks > 1 {
         return spread_conflict(spec, &usable, zones);
@@ -177,7 +175,7 @@
     names.is_none_or(|names| names.contains(&t.name))
 }
 
-/// The type is offered in the zone that the job asks for, if it does.
+/// Returns true if the type is offered in the zone that the job requests, or the job requests none.
 fn is_in_allowed_zone(spec: &JobSpec, t: &MachineType, zones: &[String]) -> bool {
     match &spec.zone {
         Some(zone) => t.zones.is_empty() && zones.contains(zone) || t.zones.contains(zone),
@@ -185,10 +183,11 @@
     }
 }
 
-/// Why tasks that must all run at once can't be spread: at most half of them may be in one zone.
+/// Returns why tasks that must all run at once can't be spread over zones, or `None` if they can. At most half
+/// of them may be in one zone.
 fn spread_conflict(spec: &JobSpec, usable: &[&MachineType], zones: &[String]) -> Option<String> {
     if spec.one_zone {
-        return Some("together: its tasks must be apart as well".into());
+        return Some("together: conflicts with 'apart'".into());
     }
     let zones_of = |t: &&MachineType| -> BTreeSet<String> {
         let offered = if t.zones.is_empty() { zones } else { &t.zones };
@@ -199,5 +198,6 @@
         .flat_map(zones_of)
         .filter(|z| spec.zone.as_ref().is_none_or(|only| only == z))
         .collect();
-    (usable_zones.len() == 1).then(|| "apart: only one zone has machines for its tasks".into())
+    (usable_zones.len() == 1)
+        .then(|| "apart: only one zone has machine types that fit its tasks".into())
 }
