--- a/crates/hopyoke-scheduler/src/autoscale/inventory.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/inventory.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of instances.
+//! Instances as listed by the cloud.
 
 use crate::Scheduler;
 use crate::ledger::Machine;
@@ -7,19 +7,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// What the cloud has said of instances.
+/// What is known from the cloud about instances.
 #[derive(Debug, Default)]
 pub(crate) struct CloudInventory {
-    /// Machines whose deletion the cloud confirmed, and when.
+    /// Machines whose deletion the cloud confirmed, with the time of the confirmation.
     pub(crate) deleted: BTreeMap<MachineId, Micros>,
-    /// What the cloud listed last; `None`: nothing yet.
+    /// Machines in the latest list. `None` until the first list arrives.
     pub(crate) listed: Option<BTreeSet<MachineId>>,
-    /// Deletions under way.
+    /// Number of deletion requests in flight.
     pub(crate) deletions_in_flight: usize,
 }
 
 impl Scheduler {
-    /// The cloud's list of instances. It lags, so it never proves that a machine is not there.
+    /// Adds machines from the cloud's list of instances. The list may be stale, so a missing machine is not
+    /// taken to be gone.
     pub fn instances_listed(&mut self, list: &[ListedMachine], now: Micros) {
         self.inventory.listed = Some(list.iter().map(|l| l.id.clone()).collect());
         for l in list {
@@ -41,18 +42,18 @@
                 m.requested_at = now - age;
                 m.is_request_time_known = true;
                 self.placement_schedule.request();
-                info!(machine = %l.id, zone = %l.zone, spot = l.spot, "found an unknown machine");
+                info!(machine = %l.id, zone = %l.zone, spot = l.spot, "unknown machine found in the cloud's list");
             }
             if l.state == ListedMachineState::Failed && !m.deleting {
-                // It stopped by itself; the deletion proves it.
+                // It stopped by itself. Only a confirmed deletion proves that its tasks are gone.
                 m.deleting = true;
                 self.placement_schedule.request();
                 info!(machine = %l.id, zone = %l.zone, "machine failed");
             }
         }
-        // A list can be twice its lag old, and a held-back heartbeat minutes: neither may bring a
-        // deleted machine back as alive.
-        let remember = Micros::from_secs(600).max(self.cfg.max_list_lag.times(8));
-        self.inventory.deleted.retain(|_, at| now < *at + remember);
+        // A list may be as old as twice the maximum lag, and a delayed heartbeat minutes old. Neither may
+        // add a deleted machine again.
+        let retention = Micros::from_secs(600).max(self.cfg.max_list_lag.times(8));
+        self.inventory.deleted.retain(|_, at| now < *at + retention);
     }
 }
--- a/crates/hopyoke-scheduler/src/autoscale/mod.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/mod.rs
@@ -1,4 +1,4 @@
-//! The autoscaler: instances are requested for unmet demand and returned when idle.
+//! Autoscaling: scale-out for unmet demand, and scale-in of idle, faulty and failed instances.
 
 pub(crate) mod inventory;
 pub mod provisioning;
--- a/crates/hopyoke-scheduler/src/autoscale/provisioning.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/provisioning.rs
@@ -1,147 +1,156 @@
-//! How long instances take to be provisioned, without any I/O.
+//! Estimates of provisioning times, without I/O.
 //!
-//! The time until a requested machine is up follows a distribution: most are up at about the nominal boot time, some take
-//! several times as long, some never come up. [`ProvisioningEstimator`] learns it for each type from machines that came
-//! up and, as censored observations, from those that have not. [`ProvisioningEstimator::assess`] then compares an overdue
-//! machine with one that would be requested now: only if the new one is likely to be up first is the overdue one no
-//! longer counted on. When all machines are slow a new one would be as slow, and nothing is requested twice.
+//! Most requested machines are up after about the nominal boot time of their type, some take several times as
+//! long, and some never come up. [`ProvisioningEstimator`] learns a survival curve for each type from machines
+//! that came up and, as censored observations, from machines that have not. [`ProvisioningEstimator::assess`]
+//! compares an overdue machine with one that would be requested now, and counts it as overdue only if the new
+//! one is likely to be up first. While provisioning is slow for all machines, a replacement would be as slow,
+//! and none is requested.
 //!
-//! Ages and times are in nominal boot times of the type; no clock is read here.
+//! Ages and times are in nominal boot times of the type. No clock is read here.
 
 use std::collections::BTreeMap;
 
-/// Resolution of ages, in nominal boot times.
-const STEP: f64 = 0.25;
-/// Number of steps; older ages count as of the last one.
-const STEPS: usize = 32;
-/// Weight of the prior distribution, in machines.
+/// Width of an age bucket, in nominal boot times.
+const BUCKET_WIDTH: f64 = 0.25;
+/// Number of age buckets. The last one also holds all older ages.
+const BUCKETS: usize = 32;
+/// Weight of the prior distribution, as a number of machines.
 const PRIOR_WEIGHT: f64 = 4.0;
-/// Nominal boot times after which an observation counts for a third: recent requests say most about whether
-/// provisioning has become slow.
-const MEMORY: f64 = 4.0;
-/// Horizon in nominal boot times: a new machine is most likely up by then.
+/// Time in which the weight of an observation falls to 1/e, in nominal boot times. Recent requests say most
+/// about whether provisioning has become slow.
+const DECAY_TIME: f64 = 4.0;
+/// Horizon of the comparison with a new machine, in nominal boot times. A new machine is most likely up by then.
 const HORIZON: f64 = 1.5;
-/// A new machine must be this much more likely to be up by then, or a second request is not worth it.
-const MIN_GAIN: f64 = 0.4;
-/// An overdue machine less likely than this to be up within one nominal boot time is abandoned.
-const MIN_CHANCE: f64 = 0.12;
-
-/// A part of the prior distribution.
-struct PriorPart {
-    /// Share of the machines.
+/// Minimum lead of a new machine in the probability of being up within [`HORIZON`] for a machine to be overdue.
+const MIN_PROBABILITY_GAIN: f64 = 0.4;
+/// Minimum probability of being up within one nominal boot time for an overdue machine to be kept.
+const MIN_PROBABILITY: f64 = 0.12;
+
+/// A component of the prior distribution: machines that come up at a uniform rate between two ages.
+struct PriorComponent {
+    /// Share of all machines, 0 to 1.
     share: f64,
-    /// They come up evenly between these ages, in nominal boot times.
+    /// Age at which the first come up, in nominal boot times.
     from: f64,
+    /// Age by which all are up, in nominal boot times.
     to: f64,
 }
 
-/// The prior distribution of a type; what its shares lack to 1 never comes up.
-const PRIOR: [PriorPart; 2] = [
-    PriorPart {
+/// Prior distribution of each type. The shares add up to less than 1: the remaining machines never come up.
+const PRIOR: [PriorComponent; 2] = [
+    PriorComponent {
         share: 0.97,
         from: 0.6,
         to: 1.5,
     },
-    PriorPart {
+    PriorComponent {
         share: 0.02,
         from: 1.5,
         to: 5.0,
     },
 ];
 
-/// State of a machine that is being provisioned.
+/// Assessment of a machine that is being provisioned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProvisioningState {
-    /// It is expected to come up; placement counts on it.
+    /// Expected to come up. Placement counts on it.
     Awaited,
-    /// A machine requested now is likely to be up first. It is used if it comes up all the same.
+    /// A machine requested now is likely to be up first. It is still used if it comes up.
     Overdue,
-    /// As [`ProvisioningState::Overdue`], and it will most likely never come up: it is to be deleted.
+    /// Overdue, and unlikely ever to come up. It is to be deleted.
     Failed,
 }
 
-/// Survival curve of one type: by age, how many machines reached it without being up, and how many came up before the
-/// next step.
+/// Survival curve of one type, as weighted numbers of machines by age bucket.
 #[derive(Debug, Clone, PartialEq)]
-struct Curve {
-    reached: [f64; STEPS],
-    came: [f64; STEPS],
-    /// Time of the last update.
+struct SurvivalCurve {
+    /// Machines that reached the bucket without being up.
+    at_risk: [f64; BUCKETS],
+    /// Machines that came up in the bucket.
+    provisioned: [f64; BUCKETS],
+    /// Time of the last update, in nominal boot times.
     updated_at: f64,
 }
 
-impl Curve {
-    fn prior() -> Curve {
-        let part = |from: f64, to: f64| -> f64 {
-            let up = PRIOR
+impl SurvivalCurve {
+    fn prior() -> SurvivalCurve {
+        let share_between = |from: f64, to: f64| -> f64 {
+            let shares = PRIOR
                 .iter()
                 .map(|p| p.share * (to.min(p.to) - from.max(p.from)).max(0.0) / (p.to - p.from));
-            up.sum()
+            shares.sum()
         };
-        let mut curve = Curve {
-            reached: [0.0; STEPS],
-            came: [0.0; STEPS],
+        let mut curve = SurvivalCurve {
+            at_risk: [0.0; BUCKETS],
+            provisioned: [0.0; BUCKETS],
             updated_at: 0.0,
         };
-        for k in 0..STEPS {
-            let from = k as f64 * STEP;
-            curve.reached[k] = PRIOR_WEIGHT * (1.0 - part(0.0, from));
-            curve.came[k] = PRIOR_WEIGHT * part(from, from + STEP);
+        for k in 0..BUCKETS {
+            let from = k as f64 * BUCKET_WIDTH;
+            curve.at_risk[k] = PRIOR_WEIGHT * (1.0 - share_between(0.0, from));
+            curve.provisioned[k] = PRIOR_WEIGHT * share_between(from, from + BUCKET_WIDTH);
         }
         curve
     }
 
-    /// Reduces the weight of observations by age; the prior keeps its weight.
-    fn fade(&mut self, now: f64) {
-        let keep = if now > self.updated_at {
-            (-(now - self.updated_at) / MEMORY).exp()
+    /// Decays the weight of the observations up to `now`. The prior keeps its weight.
+    fn decay(&mut self, now: f64) {
+        let factor = if now > self.updated_at {
+            (-(now - self.updated_at) / DECAY_TIME).exp()
         } else {
             1.0
         };
         self.updated_at = self.updated_at.max(now);
-        let first = Curve::prior();
-        for (k, (reached, came)) in first.reached.into_iter().zip(first.came).enumerate() {
-            self.reached[k] = reached + (self.reached[k] - reached) * keep;
-            self.came[k] = came + (self.came[k] - came) * keep;
+        let prior = SurvivalCurve::prior();
+        for (k, (at_risk, provisioned)) in
+            prior.at_risk.into_iter().zip(prior.provisioned).enumerate()
+        {
+            self.at_risk[k] = at_risk + (self.at_risk[k] - at_risk) * factor;
+            self.provisioned[k] = provisioned + (self.provisioned[k] - provisioned) * factor;
         }
     }
 
-    /// Adds a machine observed up to this age, at which it came up or the observation ends (censored).
-    fn add(&mut self, age: f64, up: bool) {
-        let last = step_of(age);
+    /// Adds a machine that came up at this age, or, if `is_up` is false, had not come up by this age (a censored
+    /// observation).
+    fn add(&mut self, age: f64, is_up: bool) {
+        let last = bucket_of(age);
         for k in 0..last {
-            self.reached[k] += 1.0;
+            self.at_risk[k] += 1.0;
         }
-        // A censored one has been through a part of its step.
-        let part = ((age - last as f64 * STEP) / STEP).clamp(0.0, 1.0);
-        self.reached[last] += if up { 1.0 } else { part };
-        self.came[last] += f64::from(u8::from(up));
+        // A censored machine was observed for a part of its last bucket only.
+        let observed_part = ((age - last as f64 * BUCKET_WIDTH) / BUCKET_WIDTH).clamp(0.0, 1.0);
+        self.at_risk[last] += if is_up { 1.0 } else { observed_part };
+        self.provisioned[last] += f64::from(u8::from(is_up));
     }
 
-    /// Probability that a machine of this age comes up within `span`.
-    fn chance(&self, age: f64, span: f64) -> f64 {
-        let mut stays = 1.0;
-        for k in step_of(age)..STEPS {
-            let from = (k as f64 * STEP).max(age);
-            let to = ((k + 1) as f64 * STEP).min(age + span);
+    /// Returns the probability that a machine of this age comes up within `span`.
+    fn probability_of_up(&self, age: f64, span: f64) -> f64 {
+        let mut survival = 1.0;
+        for k in bucket_of(age)..BUCKETS {
+            let from = (k as f64 * BUCKET_WIDTH).max(age);
+            let to = ((k + 1) as f64 * BUCKET_WIDTH).min(age + span);
             if to <= from {
                 break;
             }
-            let hazard = if self.reached[k] > 0.0 {
-                (self.came[k] / self.reached[k]).min(1.0)
+            let hazard = if self.at_risk[k] > 0.0 {
+                (self.provisioned[k] / self.at_risk[k]).min(1.0)
             } else {
                 0.0
             };
-            stays *= (1.0 - hazard).powf((to - from) / STEP);
+            survival *= (1.0 - hazard).powf((to - from) / BUCKET_WIDTH);
         }
-        1.0 - stays
+        1.0 - survival
     }
 
     fn assess(&self, age: f64) -> ProvisioningState {
-        if age < 1.0 || self.chance(age, HORIZON) + MIN_GAIN >= self.chance(0.0, HORIZON) {
+        if age < 1.0
+            || self.probability_of_up(age, HORIZON) + MIN_PROBABILITY_GAIN
+                >= self.probability_of_up(0.0, HORIZON)
+        {
             return ProvisioningState::Awaited;
         }
-        if self.chance(age, 1.0) < MIN_CHANCE {
+        if self.probability_of_up(age, 1.0) < MIN_PROBABILITY {
             ProvisioningState::Failed
         } else {
             ProvisioningState::Overdue
@@ -149,50 +158,50 @@
     }
 }
 
-fn step_of(age: f64) -> usize {
+fn bucket_of(age: f64) -> usize {
     if age.is_finite() {
-        ((age / STEP).max(0.0) as usize).min(STEPS - 1)
+        ((age / BUCKET_WIDTH).max(0.0) as usize).min(BUCKETS - 1)
     } else {
-        STEPS - 1
+        BUCKETS - 1
     }
 }
 
-/// Learned provisioning times by machine type. One curve is kept for each type named.
+/// Provisioning times learned by machine type.
 #[derive(Debug, Clone, Default)]
 pub struct ProvisioningEstimator {
-    curves: BTreeMap<String, Curve>,
+    curves: BTreeMap<String, SurvivalCurve>,
 }
 
 impl ProvisioningEstimator {
-    fn curve(&mut self, kind: &str) -> &mut Curve {
+    fn curve(&mut self, machine_type: &str) -> &mut SurvivalCurve {
         self.curves
-            .entry(kind.to_owned())
-            .or_insert_with(Curve::prior)
+            .entry(machine_type.to_owned())
+            .or_insert_with(SurvivalCurve::prior)
     }
 
-    /// Records a machine that came up at this age. `age` and `now` are in nominal boot times of the type, `now` since any
-    /// fixed point.
-    pub fn record_provisioned(&mut self, kind: &str, age: f64, now: f64) {
-        let curve = self.curve(kind);
-        curve.fade(now);
+    /// Records a machine that came up at this age. `age` and `now` are in nominal boot times of the type, `now`
+    /// since any fixed point in time.
+    pub fn record_provisioned(&mut self, machine_type: &str, age: f64, now: f64) {
+        let curve = self.curve(machine_type);
+        curve.decay(now);
         curve.add(age, true);
     }
 
-    /// Records a machine that was abandoned at this age without having come up.
-    pub fn record_abandoned(&mut self, kind: &str, age: f64, now: f64) {
-        let curve = self.curve(kind);
-        curve.fade(now);
+    /// Records a machine that was abandoned at this age before it came up.
+    pub fn record_abandoned(&mut self, machine_type: &str, age: f64, now: f64) {
+        let curve = self.curve(machine_type);
+        curve.decay(now);
         curve.add(age, false);
     }
 
-    /// Assesses the machines of one type that are being provisioned, by their ages; one state for each. They count as
-    /// censored observations up to now.
-    pub fn assess(&mut self, kind: &str, ages: &[f64], now: f64) -> Vec<ProvisioningState> {
+    /// Returns one assessment for each machine of a type that is being provisioned, given their ages. The
+    /// machines count as censored observations at `now`.
+    pub fn assess(&mut self, machine_type: &str, ages: &[f64], now: f64) -> Vec<ProvisioningState> {
         if !ages.iter().any(|age| *age >= 1.0) {
             return vec![ProvisioningState::Awaited; ages.len()];
         }
-        let mut curve = self.curve(kind).clone();
-        curve.fade(now);
+        let mut curve = self.curve(machine_type).clone();
+        curve.decay(now);
         for age in ages {
             curve.add(*age, false);
         }
--- a/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale-in: idle, faulty and failed instances are returned to the cloud; what the cloud says of deletions.
+//! Scale-in: deletion of idle, slow, faulty and failed instances.
 
 use crate::autoscale::provisioning::ProvisioningState;
 use crate::ledger::{Machine, MachinePhase};
@@ -8,18 +8,17 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// The boot time assumed for a type that the catalog does not name.
+/// Boot time assumed for types that are missing from the catalog.
 const DEFAULT_BOOT_TIME: Micros = Micros::from_secs(60);
 
-/// Instances deleted with one call.
+/// Maximum number of instances in one deletion request.
 const MAX_INSTANCES_PER_DELETION: usize = 100;
-/// Calls to the cloud are scarce: while one deletion is under way the next one gathers machines,
-/// or a shrinking fleet is paid for while single deletions queue. A second may go out beside it,
-/// for a failed one is only tried again after a pause.
+/// Maximum number of concurrent deletion requests. The cloud limits the rate of requests, so machines are
+/// batched while requests are in flight. A second request keeps deletions going while a failed one backs off.
 const MAX_DELETIONS_IN_FLIGHT: usize = 2;
 
 impl Scheduler {
-    /// The cloud confirmed a deletion: the machines and everything on them are gone.
+    /// Removes machines whose deletion the cloud confirmed, and all their allocations.
     pub fn deletion_confirmed(&mut self, ids: &[MachineId], now: Micros) {
         self.inventory.deletions_in_flight = self.inventory.deletions_in_flight.saturating_sub(1);
         for id in ids {
@@ -33,7 +32,7 @@
         self.placement_schedule.request();
     }
 
-    /// A deletion was not confirmed: it is tried again.
+    /// Records that a deletion request was not confirmed. The machines are deleted by a later request.
     pub fn deletion_failed(&mut self, ids: &[MachineId]) {
         self.inventory.deletions_in_flight = self.inventory.deletions_in_flight.saturating_sub(1);
         for id in ids {
@@ -43,7 +42,7 @@
         }
     }
 
-    /// A production job was first seen of late.
+    /// Returns true if a production job was first seen within the last [`Tuning::keep_ready_for`].
     pub fn has_recent_production_work(&self, now: Micros) -> bool {
         let keep_ready_for = self.tuning.keep_ready_for;
         self.jobs.values().any(|j| {
@@ -51,11 +50,11 @@
         })
     }
 
-    /// Returns machines that nobody needs, that are faulty, or that never came up.
+    /// Deletes machines that are idle, slow and unused, faulty, or failed to come up.
     pub(crate) fn scale_in(&mut self, now: Micros) {
-        // While production work arrives, one ordinary machine stays ready for the next of it.
+        // While production jobs arrive, `keep_ready` on-demand machines are kept idle for the next of them.
         let keeps_ready = self.has_recent_production_work(now);
-        let mut idle_ordinary = self.idle_ordinary_machines();
+        let mut idle_on_demand = self.idle_on_demand_machines();
         let is_reconciling = self.reconciliation.is_active();
         let boot_times: BTreeMap<&str, Micros> = self
             .types
@@ -70,29 +69,29 @@
                 .get(m.machine_type.as_str())
                 .copied()
                 .unwrap_or(DEFAULT_BOOT_TIME);
-            let never_up = is_never_up(m, boot, tuning, now);
+            let never_up = has_failed_to_come_up(m, boot, tuning, now);
             let idle =
                 m.idle_since.is_some_and(|t| now >= t + tuning.idle_return) && !is_reconciling;
             let faulty = m.faulty && !m.has_live_attempts();
             let mut unneeded =
                 (idle || (m.slow && m.allocations().is_empty())) && !m.has_live_attempts();
             if unneeded && !m.spot && !m.deleting && !m.slow {
-                if keeps_ready && idle_ordinary <= tuning.keep_ready {
+                if keeps_ready && idle_on_demand <= tuning.keep_ready {
                     unneeded = false;
                 }
-                idle_ordinary = idle_ordinary.saturating_sub(1);
+                idle_on_demand = idle_on_demand.saturating_sub(1);
             }
             if !m.deleting && (never_up || unneeded || faulty) {
                 m.deleting = true;
                 if never_up && m.is_request_time_known && boot > Micros::ZERO {
-                    let in_boots = |t: Micros| t.as_secs_f64() / boot.as_secs_f64();
+                    let in_boot_times = |t: Micros| t.as_secs_f64() / boot.as_secs_f64();
                     self.provisioning_estimator.record_abandoned(
                         &m.machine_type,
-                        in_boots(now - m.requested_at),
-                        in_boots(now),
+                        in_boot_times(now - m.requested_at),
+                        in_boot_times(now),
                     );
                 }
-                info!(machine = %m.id, zone = %m.zone, spot = m.spot, never_up, faulty, "returning machine");
+                info!(machine = %m.id, zone = %m.zone, spot = m.spot, never_up, faulty, "scaling in machine");
             }
             if m.deleting
                 && !m.deletion_requested
@@ -111,7 +110,7 @@
         }
     }
 
-    fn idle_ordinary_machines(&self) -> usize {
+    fn idle_on_demand_machines(&self) -> usize {
         self.machines
             .values()
             .filter(|m| {
@@ -133,10 +132,10 @@
     }
 }
 
-/// It has taken so long to be provisioned that it is not waited for any longer.
-fn is_never_up(m: &Machine, boot: Micros, tuning: &Tuning, now: Micros) -> bool {
-    let patience = Micros((boot.0 as f64 * tuning.boot_patience) as u64);
+/// Returns true if the machine has been provisioning for so long that it is not expected to come up.
+fn has_failed_to_come_up(m: &Machine, boot: Micros, tuning: &Tuning, now: Micros) -> bool {
+    let timeout = Micros((boot.0 as f64 * tuning.boot_patience) as u64);
     m.phase == MachinePhase::Provisioning
         && (m.provisioning == ProvisioningState::Failed
-            || now >= m.requested_at + patience + Micros::from_secs(30))
+            || now >= m.requested_at + timeout + Micros::from_secs(30))
 }
--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: instances requested from the cloud for unmet demand, and the watch over their provisioning.
+//! Scale-out: requests for instances to meet demand, and supervision of their provisioning.
 
 use crate::autoscale::provisioning::ProvisioningState;
 use crate::ledger::{Machine, MachinePhase};
@@ -8,37 +8,37 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// A kind of instance that the cloud offers.
+/// An instance type in a zone, on demand or spot, as the cloud offers it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Offer {
-    /// Its type in the catalog.
+    /// Machine type in the catalog.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Whether the cloud may take it away.
+    /// True for spot instances.
     pub spot: bool,
 }
 
-/// What a plan found to be missing.
+/// Demand for instances, computed by a placement cycle.
 pub(crate) struct Demand {
-    /// Instances to be requested.
+    /// Number of instances to be requested, by offer.
     pub offers: BTreeMap<Offer, u32>,
-    /// Machines that wait for work of this plan: they don't count as idle.
+    /// Machines that are reserved for waiting tasks and don't count as idle.
     pub reserved_machines: Vec<MachineId>,
 }
 
-/// How a scale-out request ended.
+/// Outcome of a scale-out request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScaleOutOutcome {
-    /// These instances were created; they may be fewer than requested.
+    /// These instances were created, possibly fewer than requested.
     Created(Vec<MachineId>),
-    /// The cloud has no such instances now.
+    /// The cloud lacks capacity for the offer.
     NoCapacity,
-    /// Not executed for another reason, or no answer: the same request is to be sent again.
+    /// Failed for another reason, or got no response. The same request is to be retried.
     Unknown,
 }
 
-/// A scale-out request that the cloud has not answered for good.
+/// A scale-out request without a final outcome.
 struct PendingScaleOut {
     offer: Offer,
     count: u32,
@@ -46,14 +46,14 @@
     retry_at: Option<Micros>,
 }
 
-/// An offer without capacity is not requested again for a while, longer each time.
+/// Exponential backoff of an offer that lacks capacity.
 #[derive(Default)]
 struct CapacityBackoff {
     until: Micros,
     failures: u32,
 }
 
-/// Scale-out requests under way, by their names, and offers that lack capacity.
+/// Pending scale-out requests by idempotency key, and offers in backoff.
 #[derive(Default)]
 pub(crate) struct PendingScaleOuts {
     requests: BTreeMap<String, PendingScaleOut>,
@@ -61,7 +61,7 @@
 }
 
 impl PendingScaleOuts {
-    /// Requests under way, with how many instances.
+    /// Returns the offers of pending requests, with the number of instances.
     pub(crate) fn requests(&self) -> Vec<(Offer, u32)> {
         self.requests
             .values()
@@ -69,7 +69,7 @@
             .collect()
     }
 
-    /// The offer lacked capacity a short time ago.
+    /// Returns true if the offer is in backoff because it lacked capacity.
     pub(crate) fn is_in_backoff(&self, offer: &Offer, now: Micros) -> bool {
         self.backoffs.get(offer).is_some_and(|r| now < r.until)
     }
@@ -82,10 +82,10 @@
 }
 
 const MAX_INSTANCES_PER_REQUEST: u32 = 50;
-const MAX_ATTEMPTS: u32 = 8;
+const MAX_REQUEST_ATTEMPTS: u32 = 8;
 
 impl Scheduler {
-    /// Requests instances for what a plan found missing, and repeats requests without an answer.
+    /// Requests instances to meet demand, and retries requests with an unknown outcome.
     pub(crate) fn scale_out(&mut self, demand: Demand, now: Micros) {
         for m in &demand.reserved_machines {
             if let Some(m) = self.machines.get_mut(m) {
@@ -118,31 +118,31 @@
                 continue;
             }
             let request = self.new_request();
-            let open = PendingScaleOut {
+            let pending = PendingScaleOut {
                 offer,
                 count: count.min(MAX_INSTANCES_PER_REQUEST),
                 attempts: 0,
                 retry_at: None,
             };
-            self.actions.push_back(scale_out_action(&request, &open));
-            self.pending_scale_outs.requests.insert(request, open);
+            self.actions.push_back(scale_out_action(&request, &pending));
+            self.pending_scale_outs.requests.insert(request, pending);
         }
     }
 
-    /// A scale-out request ended.
+    /// Handles the outcome of a scale-out request.
     pub fn scale_out_ended(&mut self, request: &str, outcome: ScaleOutOutcome, now: Micros) {
-        let Some(open) = self.pending_scale_outs.requests.get_mut(request) else {
+        let Some(pending) = self.pending_scale_outs.requests.get_mut(request) else {
             return;
         };
         self.placement_schedule.request();
         match outcome {
             ScaleOutOutcome::Created(ids) => {
-                let Some(open) = self.pending_scale_outs.requests.remove(request) else {
+                let Some(pending) = self.pending_scale_outs.requests.remove(request) else {
                     return;
                 };
-                let o = open.offer;
-                info!(machine_type = %o.machine_type, zone = %o.zone, spot = o.spot, wanted = open.count, got = ids.len(), "rented");
-                if (ids.len() as u32) < open.count {
+                let o = pending.offer;
+                info!(machine_type = %o.machine_type, zone = %o.zone, spot = o.spot, wanted = pending.count, got = ids.len(), "instances created");
+                if (ids.len() as u32) < pending.count {
                     self.pending_scale_outs
                         .back_off(&o, self.tuning.refusal_pause, now);
                 } else {
@@ -152,7 +152,7 @@
                     if self.inventory.deleted.contains_key(&id) {
                         continue;
                     }
-                    // A machine that we have requested ourselves was never commanded by anyone else.
+                    // No other leader can have sent commands to a machine that this leader requested.
                     let m = self.machines.entry(id.clone()).or_insert_with(|| {
                         Machine::new(id, o.machine_type.clone(), o.zone.clone(), o.spot, now)
                     });
@@ -161,26 +161,30 @@
                 }
             }
             ScaleOutOutcome::NoCapacity => {
-                if let Some(open) = self.pending_scale_outs.requests.remove(request) {
-                    info!(machine_type = %open.offer.machine_type, zone = %open.offer.zone, spot = open.offer.spot, "no capacity");
-                    self.pending_scale_outs
-                        .back_off(&open.offer, self.tuning.refusal_pause, now);
+                if let Some(pending) = self.pending_scale_outs.requests.remove(request) {
+                    info!(machine_type = %pending.offer.machine_type, zone = %pending.offer.zone, spot = pending.offer.spot, "cloud lacks capacity for offer");
+                    self.pending_scale_outs.back_off(
+                        &pending.offer,
+                        self.tuning.refusal_pause,
+                        now,
+                    );
                 }
             }
             ScaleOutOutcome::Unknown => {
-                open.attempts += 1;
-                if open.attempts >= MAX_ATTEMPTS {
-                    // Should it have been executed, the machines show up in heartbeats or the list.
+                pending.attempts += 1;
+                if pending.attempts >= MAX_REQUEST_ATTEMPTS {
+                    // If the cloud executed it, the machines are found by their heartbeats or in the list.
                     self.pending_scale_outs.requests.remove(request);
                 } else {
-                    open.retry_at = Some(now + Micros::from_secs(1u64 << open.attempts.min(3)));
+                    pending.retry_at =
+                        Some(now + Micros::from_secs(1u64 << pending.attempts.min(3)));
                 }
             }
         }
     }
 
-    /// Updates what is expected of machines that are being provisioned. One that is overdue is no longer counted on, so that what waits for it has
-    /// another requested; nothing that keeps a rule looks at this.
+    /// Updates the provisioning state of machines that are not up yet. Placement no longer counts on overdue
+    /// machines, so that replacements are requested. No invariant depends on this state.
     pub(crate) fn update_provisioning_states(&mut self, now: Micros) {
         if self.is_receive_overloaded(now) {
             return;
@@ -208,29 +212,29 @@
             else {
                 continue;
             };
-            let (nominal, ages, of_type) = booting.entry(&t.name).or_default();
-            *nominal = t.boot_s;
+            let (nominal_boot_s, ages, of_type) = booting.entry(&t.name).or_default();
+            *nominal_boot_s = t.boot_s;
             ages.push((now - m.requested_at).as_secs_f64() / t.boot_s);
             of_type.push(m);
         }
-        for (kind, (nominal, ages, of_type)) in booting {
-            for (m, expected) in of_type.into_iter().zip(provisioning_estimator.assess(
-                kind,
+        for (machine_type, (nominal_boot_s, ages, of_type)) in booting {
+            for (m, assessed) in of_type.into_iter().zip(provisioning_estimator.assess(
+                machine_type,
                 &ages,
-                now.as_secs_f64() / nominal,
+                now.as_secs_f64() / nominal_boot_s,
             )) {
                 if m.provisioning == ProvisioningState::Awaited
-                    && expected != ProvisioningState::Awaited
+                    && assessed != ProvisioningState::Awaited
                 {
-                    info!(machine = %m.id, zone = %m.zone, spot = m.spot, "machine late: no longer counted on");
+                    info!(machine = %m.id, zone = %m.zone, spot = m.spot, "provisioning overdue: placement no longer counts on machine");
                 }
-                // In a zone that is cut off it may be up without our hearing of it.
+                // In a partitioned zone it may be up although its heartbeats don't arrive.
                 let may_be_up =
-                    expected == ProvisioningState::Failed && partitioned_zones.contains(&m.zone);
+                    assessed == ProvisioningState::Failed && partitioned_zones.contains(&m.zone);
                 m.provisioning = if may_be_up {
                     ProvisioningState::Overdue
                 } else {
-                    expected
+                    assessed
                 };
             }
         }
