--- a/crates/hopyoke-scheduler/src/staffed_hours.rs
+++ b/crates/hopyoke-scheduler/src/staffed_hours.rs
@@ -1,7 +1,7 @@
-//! Staffed hours: work that is held is not placed outside them.
+//! Enforcement of staffed hours: held jobs are not placed outside them.
 //!
-//! What was commanded shortly before and has not begun when they end is stopped; what runs goes on,
-//! unless the operators' settings say drain.
+//! When staffed hours end, tasks of held jobs that have not started yet are stopped. Running ones continue,
+//! unless the policy demands that they be drained.
 
 use crate::Scheduler;
 use crate::ledger::{AllocationState, Job};
@@ -11,73 +11,75 @@
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 use tracing::info;
 
-/// What the scheduler knows of staffed hours.
+/// State of staffed hours.
 #[derive(Default)]
 pub(crate) struct Staffing {
     hours: Option<StaffedHours>,
-    /// A moment of the steady clock and the time of day then; noted often, for clocks drift apart.
+    /// A reading of the monotonic clock, and the wall clock at the same time. Updated often, because the two
+    /// drift apart.
     clock: (Micros, Micros),
-    /// When the window was looked up, by time of day, and the window.
+    /// The current window, with the wall clock time of its lookup. `None` if it must be looked up.
     window: Option<(Micros, Window)>,
 }
 
-/// An attempt that is to be stopped.
+/// An attempt to be stopped.
 struct PendingStop {
     machine: MachineId,
     task: TaskId,
     attempt: Attempt,
-    /// Seconds in which it may save its progress.
+    /// Grace period for writing a checkpoint, in seconds.
     grace_s: f64,
 }
 
 impl Scheduler {
-    /// The operators' hours; `None`: nothing is ever held.
+    /// Sets the staffed hours. With `None`, no job is ever held.
     pub fn set_staffed_hours(&mut self, hours: Option<StaffedHours>) {
         self.staffing.hours = hours;
         self.staffing.window = None;
         self.placement_schedule.request();
     }
 
-    /// An operator's override of the hours; `None`: it was withdrawn.
-    pub fn set_staffing_override(&mut self, switch: Option<StaffingOverride>) {
+    /// Sets or, with `None`, removes an operator's override of the calendar.
+    pub fn set_staffing_override(&mut self, staffing_override: Option<StaffingOverride>) {
         if let Some(h) = &mut self.staffing.hours
-            && h.staffing_override != switch
+            && h.staffing_override != staffing_override
         {
-            h.staffing_override = switch;
+            h.staffing_override = staffing_override;
             self.staffing.window = None;
             self.placement_schedule.request();
         }
     }
 
-    /// The time of day, which may be off by the settings' `skew_ms`.
-    pub fn set_wall_clock(&mut self, now: Micros, time_of_day: Micros) {
-        self.staffing.clock = (now, time_of_day);
+    /// Records the wall clock time at `now`. It may be off by the settings' `skew_ms`.
+    pub fn set_wall_clock(&mut self, now: Micros, wall_clock: Micros) {
+        self.staffing.clock = (now, wall_clock);
     }
 
-    /// How long ago a time of day was, in microseconds; as exact as the nodes' clocks.
+    /// Returns the time since a wall clock time in microseconds, as accurate as the nodes' clocks.
     pub(crate) fn elapsed_since(&self, time_us: u64, now: Micros) -> Micros {
-        let (at, time_of_day) = self.staffing.clock;
-        time_of_day + (now - at) - Micros(time_us)
+        let (at, wall_clock) = self.staffing.clock;
+        wall_clock + (now - at) - Micros(time_us)
     }
 
-    /// Looks whether staffed hours have begun or ended; the calendar itself only when a window is over.
+    /// Detects the start and the end of staffed hours. The calendar is consulted only when the current window has
+    /// ended.
     pub(crate) fn apply_staffed_hours(&mut self, now: Micros) {
         let s = &mut self.staffing;
         let Some(hours) = &s.hours else { return };
-        let time_of_day = s.clock.1 + (now - s.clock.0);
-        let valid = s.window.as_ref().is_some_and(|(since, w)| {
-            time_of_day >= *since && w.until.is_none_or(|until| time_of_day < until)
+        let wall_clock = s.clock.1 + (now - s.clock.0);
+        let is_current = s.window.as_ref().is_some_and(|(since, w)| {
+            wall_clock >= *since && w.until.is_none_or(|until| wall_clock < until)
         });
-        if valid {
+        if is_current {
             return;
         }
-        let window = hours.at(time_of_day);
-        let was = s.window.replace((time_of_day, window));
-        if was.is_none_or(|(_, w)| w.staffed != window.staffed) {
+        let window = hours.at(wall_clock);
+        let previous = s.window.replace((wall_clock, window));
+        if previous.is_none_or(|(_, w)| w.staffed != window.staffed) {
             let until = window
                 .until
                 .map_or_else(|| "further notice".to_owned(), |u| hours.local(u));
-            info!(staffed = window.staffed, until, "hours");
+            info!(staffed = window.staffed, until, "staffed hours changed");
             self.placement_schedule.request();
             if !window.staffed {
                 self.stop_held();
@@ -85,17 +87,18 @@
         }
     }
 
-    /// It is outside staffed hours.
+    /// Returns true outside staffed hours.
     pub fn is_unstaffed(&self) -> bool {
         self.staffing.hours.is_some() && self.staffing.window.is_some_and(|(_, w)| !w.staffed)
     }
 
-    /// This job is not to be placed now.
+    /// Returns true if the job must not be placed now because of staffed hours.
     pub fn is_held(&self, spec: &JobSpec) -> bool {
         self.is_unstaffed() && self.staffing.hours.as_ref().is_some_and(|h| h.holds(spec))
     }
 
-    /// Until when held work waits, as the calendar's zone writes it.
+    /// Returns until when held jobs wait, as local time of the calendar's time zone. Returns `None` within
+    /// staffed hours.
     pub fn held_until(&self) -> Option<String> {
         let (_, window) = self.staffing.window.filter(|_| self.is_unstaffed())?;
         let hours = self.staffing.hours.as_ref()?;
@@ -106,7 +109,7 @@
         )
     }
 
-    /// Staffed hours have ended. (Guards against held work that begins after them.)
+    /// Stops attempts of held jobs at the end of staffed hours, so that none starts after it.
     fn stop_held(&mut self) {
         let drain = self.staffing.hours.as_ref().is_some_and(|h| h.drain);
         let stops: Vec<PendingStop> = self
@@ -118,7 +121,7 @@
         if !stops.is_empty() {
             info!(
                 tasks = stops.len(),
-                drain, "staffed hours end: held tasks are stopped"
+                drain, "stopping tasks of held jobs at the end of staffed hours"
             );
         }
         for s in stops {
@@ -127,7 +130,7 @@
         }
     }
 
-    /// The attempts of a held job that are to be stopped.
+    /// Returns the attempts of a held job that must be stopped.
     fn stops_of_held(&self, id: &JobId, job: &Job, drain: bool) -> Vec<PendingStop> {
         let mut stops = Vec::new();
         for (&index, attempts) in &job.attempts {
@@ -142,10 +145,10 @@
                     .get(machine)
                     .and_then(|m| m.allocations().get(&key))
                     .map(|s| s.state);
-                // A gang that has begun goes on as a whole.
-                let begun = job.gang_started || state.is_some_and(has_begun);
-                // All tasks of a gang are stopped at once and may save.
-                let grace_s = match (begun, drain) {
+                // A gang that has started continues as a whole.
+                let has_started = job.gang_started || state.is_some_and(has_started_running);
+                // All tasks of a gang are stopped together, with a grace period to write a checkpoint.
+                let grace_s = match (has_started, drain) {
                     (false, _) => 0.0,
                     (true, true) => job.spec.save_s + 1.0,
                     (true, false) => continue,
@@ -161,8 +164,8 @@
         stops
     }
 
-    /// An attempt was reported that has not begun, outside staffed hours: it is stopped as well, as
-    /// after a failover at the boundary.
+    /// Stops a reported attempt of a held job that has not started yet. Such attempts are first reported outside
+    /// staffed hours when a failover coincides with their end.
     pub(crate) fn stop_if_held(
         &mut self,
         id: &MachineId,
@@ -173,7 +176,7 @@
     ) {
         if let Some(j) = self.jobs.get(job)
             && matches!(state, AllocationState::Live(_))
-            && !has_begun(state)
+            && !has_started_running(state)
             && !j.gang_started
             && self.is_held(&j.spec)
         {
@@ -182,7 +185,7 @@
     }
 }
 
-fn has_begun(state: AllocationState) -> bool {
+fn has_started_running(state: AllocationState) -> bool {
     matches!(
         state,
         AllocationState::Live(TaskState::Running | TaskState::Saving) | AllocationState::Ended(_)
--- a/crates/hopyoke-scheduler/src/task_ranges.rs
+++ b/crates/hopyoke-scheduler/src/task_ranges.rs
@@ -1,7 +1,7 @@
-//! Sets of task numbers, kept as sorted inclusive ranges.
+//! Sets of task numbers, as sorted inclusive ranges.
 //!
-//! In a record they are a list of ranges, or, where that is shorter, a text: the first number that is
-//! missing, a colon, and a bit for each number from there on, eight to a byte, lowest first, in base64.
+//! The stored form is a list of ranges or, where that is shorter, a string: the first missing number, a colon,
+//! and a bitmap of the numbers from there on, eight to a byte, least significant bit first, in base64.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -11,16 +11,16 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TaskRanges(Vec<(u32, u32)>);
 
-/// Characters that a range takes in a record, at most.
+/// Maximum length of a range in the stored form, in characters.
 pub(crate) const RANGE_CHARS: usize = 14;
-/// Characters beside the bits in the text form, at most: the first missing number and the colon.
+/// Maximum length of the string form apart from its bitmap, in characters.
 const TEXT_OVERHEAD: usize = 16;
-/// No job has more tasks; a text with larger numbers is malformed.
+/// Maximum number of tasks of a job. A string form with larger numbers is malformed.
 const MAX_TASKS: u32 = 100_000;
 
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
-enum Form {
+enum StoredForm {
     List(Vec<(u32, u32)>),
     Text(String),
 }
@@ -28,7 +28,7 @@
 impl Serialize for TaskRanges {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         if self.text_len() < self.0.len() * RANGE_CHARS {
-            return Form::Text(self.to_text()).serialize(s);
+            return StoredForm::Text(self.to_text()).serialize(s);
         }
         self.0.serialize(s)
     }
@@ -36,22 +36,22 @@
 
 impl<'de> Deserialize<'de> for TaskRanges {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<TaskRanges, D::Error> {
-        match Form::deserialize(d)? {
-            Form::List(parts) => Ok(TaskRanges(parts)),
-            Form::Text(text) => TaskRanges::from_text(&text)
+        match StoredForm::deserialize(d)? {
+            StoredForm::List(ranges) => Ok(TaskRanges(ranges)),
+            StoredForm::Text(text) => TaskRanges::from_text(&text)
                 .ok_or_else(|| serde::de::Error::custom("malformed set of task numbers")),
         }
     }
 }
 
 impl TaskRanges {
-    /// The lowest number that is not in the set.
+    /// Returns the lowest number that is not in the set.
     #[must_use]
     pub fn first_missing(&self) -> u32 {
         self.0.first().filter(|p| p.0 == 0).map_or(0, |p| p.1 + 1)
     }
 
-    /// Upper bound of its length in a record, in characters.
+    /// Returns an upper bound on the length of the stored form, in characters.
     #[must_use]
     pub fn max_encoded_len(&self) -> usize {
         (self.0.len() * RANGE_CHARS).min(self.text_len())
@@ -90,7 +90,7 @@
         Some(out)
     }
 
-    /// The numbers below `n`.
+    /// Returns the set of all numbers below `n`.
     #[must_use]
     pub fn all(n: u32) -> TaskRanges {
         if n == 0 {
@@ -100,17 +100,17 @@
         }
     }
 
-    /// Sorts and merges ranges that were read from outside; drops those that end beyond `n`.
+    /// Sorts and merges ranges that were decoded from a record. Drops ranges that do not end below `n`.
     #[must_use]
     pub fn normalized(self, n: u32) -> TaskRanges {
-        let mut parts: Vec<_> = self
+        let mut ranges: Vec<_> = self
             .0
             .into_iter()
             .filter(|&(a, b)| a <= b && b < n)
             .collect();
-        parts.sort_unstable();
+        ranges.sort_unstable();
         let mut out: Vec<(u32, u32)> = Vec::new();
-        for (a, b) in parts {
+        for (a, b) in ranges {
             match out.last_mut() {
                 Some(last) if a <= last.1.saturating_add(1) => last.1 = last.1.max(b),
                 _ => out.push((a, b)),
@@ -119,14 +119,14 @@
         TaskRanges(out)
     }
 
-    /// `x` is in the set.
+    /// Returns true if `x` is in the set.
     #[must_use]
     pub fn contains(&self, x: u32) -> bool {
         let i = self.0.partition_point(|&(_, b)| b < x);
         self.0.get(i).is_some_and(|&(a, _)| a <= x)
     }
 
-    /// Adds `x`; true if it was not in the set.
+    /// Adds `x`. Returns true if it was not in the set.
     pub fn insert(&mut self, x: u32) -> bool {
         let i = self.0.partition_point(|&(_, b)| b < x);
         if self.0.get(i).is_some_and(|&(a, _)| a <= x) {
@@ -155,19 +155,19 @@
         }
     }
 
-    /// Number of task numbers in the set.
+    /// Returns the number of task numbers in the set.
     #[must_use]
     pub fn count(&self) -> u32 {
         self.0.iter().map(|&(a, b)| b - a + 1).sum()
     }
 
-    /// Number of ranges without gaps.
+    /// Returns the number of ranges.
     #[must_use]
     pub fn range_count(&self) -> usize {
         self.0.len()
     }
 
-    /// The numbers below `n` that are not in the set, in order.
+    /// Returns the numbers below `n` that are not in the set, in ascending order.
     pub fn missing(&self, n: u32) -> impl Iterator<Item = u32> + '_ {
         let mut next = 0;
         let starts = self.0.iter().copied().chain(std::iter::once((n, n)));
--- a/crates/hopyoke-scheduler/src/tuning.rs
+++ b/crates/hopyoke-scheduler/src/tuning.rs
@@ -1,11 +1,11 @@
-//! Settings that operators may tune. No code that keeps a rule reads them.
+//! Parameters that operators may tune at run time. No invariant depends on them.
 //!
-//! The fields have the names of the settings in the operators' policy file; their safe ranges are declared in
-//! `hopyoke-policy`'s `defaults.policy`.
+//! The fields have the names of the settings in the operators' policy file. Their permitted ranges are declared
+//! in the file `defaults.policy` of `hopyoke-policy`.
 
 use hopyoke_types::Micros;
 
-/// The tuning in force. The defaults are those of the built-in policy file.
+/// Tunable parameters. The defaults are those of the built-in policy file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tuning {
     /// Idle time after which a machine is scaled in.
@@ -16,9 +16,9 @@
     pub keep_ready_for: Micros,
     /// Age at which provisioning counts as failed, in nominal boot times of the type.
     pub boot_patience: f64,
-    /// Scale-out requests open at once, each for another offer.
+    /// Maximum number of pending scale-out requests, each for a different offer.
     pub rent_requests: usize,
-    /// Pause before an offer that was refused for lack of capacity is requested again; doubled up to fourfold.
+    /// First backoff of an offer that lacks capacity; doubled up to fourfold.
     pub refusal_pause: Micros,
     /// Surcharge for a zone that holds the whole fleet, as a fraction of the price.
     pub zone_burden: f64,
@@ -28,53 +28,53 @@
     pub plan_gap_least: Micros,
     /// Maximum time between two placement cycles while changes are pending.
     pub plan_gap_most: Micros,
-    /// Gangs for which one cycle reserves machines, at most.
+    /// Maximum number of gangs for which one cycle reserves machines.
     pub gang_reservations: usize,
-    /// Searches for room by preemption in one cycle, at most.
+    /// Maximum number of preemption searches in one cycle.
     pub preempt_searches: usize,
-    /// Share of all replicas' time that moves may take, 0 to 1.
+    /// Share of all replicas' run time that migrations may interrupt, 0 to 1.
     pub move_share: f64,
-    /// Interruption of a moved replica whose image is on the target.
+    /// Interruption of a migrated replica whose image is cached on the target.
     pub move_cost: Micros,
-    /// Time for which a replica must have run before it is moved.
+    /// Time for which a replica must have run before it is migrated.
     pub move_settled: Micros,
-    /// Machines that one search for machines to drain considers, at most.
+    /// Maximum number of machines considered in one search for machines to drain.
     pub drain_looks: usize,
-    /// First back-off of a job that fails on several machines; doubled up to four times.
+    /// First backoff of a job that fails on several machines; doubled up to four times.
     pub job_backoff: Micros,
-    /// Machines on which a job must have failed to count as crash-looping.
+    /// Number of machines on which a job must have failed to count as crash-looping.
     pub suspect_after: usize,
-    /// Back-offs after which a crash-looping step of a workflow is given up.
+    /// Number of backoffs after which a crash-looping step of a workflow is cancelled.
     pub step_patience: usize,
     /// Time without new tasks on a machine on which a task failed.
     pub machine_pause: Micros,
-    /// Jobs that must have failed on a machine before it counts as faulty.
+    /// Number of jobs that must have failed on a machine before it counts as faulty.
     pub faulty_after: usize,
-    /// Batching delay of results while write capacity is ample.
+    /// Batching delay of results while most of the write rate is free.
     pub gather_least: Micros,
     /// Batching delay of results while half of the write rate is free.
     pub gather: Micros,
     /// Batching delay of results otherwise.
     pub gather_most: Micros,
-    /// Run times are learned.
+    /// True if run times are learned.
     pub learn: bool,
-    /// Classes of work whose run times are kept, at most.
+    /// Maximum number of job classes whose run times are kept.
     pub learn_classes: usize,
-    /// Share of the state service's writes for learned run times, 0 to 1.
+    /// Share of the key-value store's write rate for learned run times, 0 to 1.
     pub learn_write_share: f64,
-    /// Number of newer runs after which a run counts for a third.
+    /// Number of newer runs after which the weight of a run has fallen to 1/e.
     pub learn_memory: f64,
-    /// Learned run times weigh the choice of preemption victims.
+    /// True if learned run times influence the choice of preemption victims.
     pub use_for_victims: bool,
-    /// Learned run times allow backfill of reserved machines.
+    /// True if reserved machines are backfilled based on learned run times.
     pub use_for_backfill: bool,
-    /// No instance is requested where running tasks are expected to make room in time.
+    /// True if no instance is requested where running tasks are expected to free resources in time.
     pub use_for_demand: bool,
-    /// Jobs with deadlines are ordered by their latest start.
+    /// True if jobs with deadlines are ordered by their latest start.
     pub use_for_deadlines: bool,
-    /// Machines that run tasks slower than learned get no new ones.
+    /// True if machines that run tasks more slowly than learned are drained.
     pub use_for_slow_machines: bool,
-    /// Ratio to the learned run time from which a machine counts as slow.
+    /// Ratio of run time to learned run time from which a machine counts as slow.
     pub slow_factor: f64,
 }
 
