--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -126,7 +126,7 @@
     next_sweep_at: Micros,
     next_fleet_log_at: Micros,
     /// Sequence number of this leader's requests and attempts.
-    counter: u64,
+    sequence_number: u64,
     /// Jobs whose records were removed from `job/`.
     tombstones: Tombstones,
     reconciliation: Reconciliation,
@@ -205,7 +205,7 @@
             last_tick_at: now,
             next_sweep_at: Micros::ZERO,
             next_fleet_log_at: Micros::ZERO,
-            counter: 0,
+            sequence_number: 0,
             tombstones: Tombstones::default(),
             reconciliation: Reconciliation::new(now, false),
             probes: FailoverProbes::default(),
@@ -319,8 +319,8 @@
     }
 
     fn new_request(&mut self) -> String {
-        self.counter += 1;
-        format!("hy-{}-{}", self.token, self.counter)
+        self.sequence_number += 1;
+        format!("hy-{}-{}", self.token, self.sequence_number)
     }
 
     fn boot_time(&self, name: &str) -> Micros {
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -251,7 +251,7 @@
             if m.phase != MachinePhase::Up || m.deleting {
                 continue;
             }
-            let (counter, token) = (&mut self.counter, self.token);
+            let (counter, token) = (&mut self.sequence_number, self.token);
             let kind = (m.machine_type.as_str(), m.zone.as_str(), m.spot);
             let address = m.address.map(|a| a.to_string()).unwrap_or_default();
             self.registry
@@ -363,7 +363,7 @@
             }
             Err(BatchError::NotApplied) => self.registry.write_not_applied(key),
             Err(_) => {
-                let (counter, token) = (&mut self.counter, self.token);
+                let (counter, token) = (&mut self.sequence_number, self.token);
                 self.registry
                     .write_outcome_unknown(key, || page_key(counter, token));
             }
--- a/crates/hopyoke-scheduler/src/reconcile/failover.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/failover.rs
@@ -67,7 +67,7 @@
             info!(
                 token = self.token.0,
                 after_ms = (now - self.reconciliation.granted_at).as_millis(),
-                "recovered"
+                "reconciliation completed"
             );
         }
     }
--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -1,4 +1,4 @@
-//! Estimates from learned run times: when a job ends, when capacity becomes free.
+//! Estimates from learned run times: when jobs end, and when capacity becomes free.
 
 use super::work_of;
 use crate::Scheduler;
@@ -9,64 +9,66 @@
 use hopyoke_run_times::capacity::{ReleasingTask, time_until_free};
 use hopyoke_types::{Attempt, JobId, Micros, TaskId};
 
-/// A question of when capacity becomes free.
+/// A query for when GPUs become free.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CapacityQuery {
-    /// Whose work it is for.
+    /// Team that needs the GPUs.
     pub team: String,
-    /// GPUs, above 0.
+    /// Number of GPUs, above 0.
     pub gpus: f64,
-    /// Only in this zone.
+    /// Zone in which they are needed. `None` for any.
     pub zone: Option<String>,
 }
 
-/// When something will be over or free, in seconds from now.
+/// Estimated time of a job's end or of free capacity, in seconds from now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CompletionEstimate {
-    /// With probability 0.5 by then.
+    /// Median.
     pub p50_s: f64,
-    /// With probability 0.9 by then.
+    /// 90th percentile.
     pub p90_s: f64,
-    /// What the estimate rests on, as shown to the user.
+    /// Data that the estimate is based on, as shown to the user.
     pub basis: String,
 }
 
-/// When all attempts of a job that have a machine will be over.
+/// Estimated end of all placed attempts of a job, in seconds from now.
 #[derive(Default)]
 struct PlacedAttemptsEnd {
     p50_s: f64,
     p90_s: f64,
-    /// Attempts seen running.
+    /// Number of attempts that were reported as running.
     running: u32,
+    /// Number of placed attempts.
     placed: u32,
 }
 
-/// GPUs that are free, and those that running work will free.
+/// GPUs that are free, and GPUs that running tasks will release.
 #[derive(Default)]
 struct CapacitySurvey {
-    /// Free GPUs on usable machines.
+    /// Number of free GPUs on usable machines.
     free: f64,
-    /// Usable machines.
+    /// Number of usable machines.
     machines: u32,
-    /// GPUs that the team uses.
+    /// Number of GPUs that the team uses.
     used: f64,
-    /// Attempts on usable machines.
+    /// Attempts on usable machines, except those of services.
     usable: Vec<ReleasingTask>,
-    /// Attempts of the team.
+    /// Attempts of the team, except those of services.
     of_team: Vec<ReleasingTask>,
 }
 
 impl Scheduler {
-    /// What a task of this job is expected to take once it runs.
+    /// Returns the estimated run time of a task of this job.
     pub fn estimate_run_time(&self, spec: &JobSpec) -> Estimate {
         self.learned.learner.estimate(work_of(spec), None)
     }
 
-    /// Seconds that an attempt under way still needs, at probability `p`; `None`: not known.
+    /// Returns the remaining run time of an attempt in seconds, as its quantile at `p`. Returns `None` if the
+    /// learner does not know the run.
     pub fn remaining_s(&self, task: &TaskId, attempt: Attempt, p: f64, now: Micros) -> Option<f64> {
         let job = self.jobs.get(&task.job)?;
         let index = if job.is_gang() { 0 } else { task.index };
-        let (d, ran) = self.learned.learner.remaining(
+        let (distribution, ran_s) = self.learned.learner.remaining(
             &(
                 TaskId {
                     job: task.job.clone(),
@@ -76,13 +78,13 @@
             ),
             now,
         )?;
-        Some(d.remaining(ran, p))
+        Some(distribution.remaining(ran_s, p))
     }
 
-    /// When a job will be over.
+    /// Estimates when a job ends.
     ///
     /// # Errors
-    /// Why there is no estimate, as shown to the user.
+    /// Returns why there is no estimate, as shown to the user.
     pub fn estimate_job_end(&self, id: &JobId, now: Micros) -> Result<CompletionEstimate, String> {
         let job = self
             .jobs
@@ -90,37 +92,42 @@
             .ok_or_else(|| format!("no unfinished job is named {id}"))?;
         let spec = &job.spec;
         if spec.kind == JobKind::Service {
-            return Err(format!("{id} is a service: it runs until it is cancelled"));
+            return Err(format!("{id} is a service: it runs until cancelled"));
         }
-        let anew = self.estimate_run_time(spec);
-        let lead_s = self.learned.learner.start_latency_s(&spec.class);
-        let mut left = self.placed_attempts_end(id, job, &anew, lead_s, now);
+        let run_estimate = self.estimate_run_time(spec);
+        let start_latency_s = self.learned.learner.start_latency_s(&spec.class);
+        let mut left = self.placed_attempts_end(id, job, &run_estimate, start_latency_s, now);
         let waiting = job.unplaced_tasks();
         if waiting > 0 {
-            // What has no machine yet follows in as many turns as it takes beside what runs now.
-            let turns = if job.is_gang() {
+            // Unplaced tasks run in as many rounds as they need at the present number of placed tasks.
+            let rounds = if job.is_gang() {
                 1.0
             } else {
                 f64::from(waiting.div_ceil(left.placed.max(1)))
             };
-            let one = |p: f64| lead_s + anew.distribution.quantile(all_of(p, waiting));
-            left.p50_s += turns * one(0.5);
-            left.p90_s += turns * one(0.9);
+            let round_s = |p: f64| {
+                start_latency_s
+                    + run_estimate
+                        .distribution
+                        .quantile(per_run_probability(p, waiting))
+            };
+            left.p50_s += rounds * round_s(0.5);
+            left.p90_s += rounds * round_s(0.9);
         }
         Ok(CompletionEstimate {
             p50_s: left.p50_s,
             p90_s: left.p90_s,
-            basis: job_estimate_basis(job, &anew, left.running, waiting),
+            basis: job_estimate_basis(job, &run_estimate, left.running, waiting),
         })
     }
 
-    /// When the attempts under way will be over.
+    /// Estimates when all placed attempts of a job end.
     fn placed_attempts_end(
         &self,
         id: &JobId,
         job: &Job,
-        anew: &Estimate,
-        lead_s: f64,
+        run_estimate: &Estimate,
+        start_latency_s: f64,
         now: Micros,
     ) -> PlacedAttemptsEnd {
         let n = if job.is_gang() {
@@ -135,25 +142,35 @@
                     job: id.clone(),
                     index: *index,
                 };
-                let remaining = |p: f64| match self.remaining_s(&task, *attempt, all_of(p, n), now)
-                {
+                let remaining = |p: f64| match self.remaining_s(
+                    &task,
+                    *attempt,
+                    per_run_probability(p, n),
+                    now,
+                ) {
                     Some(s) => (s, 1),
-                    None => (lead_s + anew.distribution.quantile(all_of(p, n)), 0),
+                    None => (
+                        start_latency_s
+                            + run_estimate
+                                .distribution
+                                .quantile(per_run_probability(p, n)),
+                        0,
+                    ),
                 };
-                let ((p50_s, seen), (p90_s, _)) = (remaining(0.5), remaining(0.9));
+                let ((p50_s, running), (p90_s, _)) = (remaining(0.5), remaining(0.9));
                 end.p50_s = end.p50_s.max(p50_s);
                 end.p90_s = end.p90_s.max(p90_s);
-                end.running += seen;
+                end.running += running;
                 end.placed += 1;
             }
         }
         end
     }
 
-    /// When this many GPUs will be free for a team, behind what waits already.
+    /// Estimates when this many GPUs become free for a team, after the tasks that already wait are placed.
     ///
     /// # Errors
-    /// Why there is no estimate, or never, as shown to the user.
+    /// Returns why there is no estimate, or why they never become free, as shown to the user.
     pub fn estimate_capacity(
         &self,
         query: &CapacityQuery,
@@ -174,19 +191,19 @@
         let (free, machines, used) = (capacity.free, capacity.machines, capacity.used);
         let Some(mut found) = time_until_free(&capacity.usable, free, query.gpus + ahead) else {
             return Err(format!(
-                "running work on {machines} machines{place} will not free {} GPUs behind {ahead} that wait already ({free} are free): more must be rented",
+                "running tasks on {machines} machines{place} will not release {} GPUs beyond {ahead} for tasks that already wait ({free} are free): more machines must be rented",
                 query.gpus
             ));
         };
         let mut basis = format!(
-            "{free} GPUs free on {machines} machines{place}, {} running tasks, {ahead} GPUs waiting ahead",
+            "{free} GPUs free on {machines} machines{place}, {} running tasks, {ahead} GPUs needed by tasks that already wait",
             capacity.usable.len()
         );
         if gpus_max > 0.0 && used + query.gpus > gpus_max {
             let Some(limit) = time_until_free(&capacity.of_team, gpus_max - used, query.gpus)
             else {
                 return Err(format!(
-                    "team '{}' uses {used} of {gpus_max} GPUs with services that stay",
+                    "team '{}' uses {used} of {gpus_max} GPUs, too many of them for services",
                     query.team
                 ));
             };
@@ -200,13 +217,13 @@
         })
     }
 
-    /// The team's limit of GPUs (0: none) if the query can be answered at all.
+    /// Checks a query. Returns the team's limit of GPUs, or 0 if it has none.
     fn check_capacity_query(&self, query: &CapacityQuery) -> Result<f64, String> {
         let Some(team) = self.team(&query.team) else {
             return Err(format!("no team is named '{}'", query.team));
         };
         if !(query.gpus.is_finite() && query.gpus > 0.0) {
-            return Err(format!("gpus: {} is not above 0", query.gpus));
+            return Err(format!("gpus: must be above 0, not {}", query.gpus));
         }
         if let Some(z) = query.zone.as_ref().filter(|z| !self.cfg.zones.contains(z)) {
             return Err(format!("no zone is named '{z}'"));
@@ -220,7 +237,7 @@
         Ok(team.gpus_max)
     }
 
-    /// What is free now, and what running work will free.
+    /// Collects the GPUs that are free, and the attempts that will release more.
     fn survey_capacity(&self, query: &CapacityQuery, now: Micros) -> CapacitySurvey {
         let mut survey = CapacitySurvey::default();
         for m in self.machines.values() {
@@ -239,7 +256,7 @@
         survey
     }
 
-    /// Adds what a machine's attempts take and will free; returns its free GPUs.
+    /// Adds the attempts on a machine to the survey. Returns the number of its free GPUs.
     fn survey_machine(
         &self,
         m: &Machine,
@@ -262,19 +279,19 @@
             if spec.kind == JobKind::Service || spec.gpus <= 0.0 {
                 continue;
             }
-            let freeing = self.freeing(task, *attempt, allocation, spec, now);
+            let releasing = self.releasing_task(task, *attempt, allocation, spec, now);
             if is_usable {
-                survey.usable.push(freeing);
+                survey.usable.push(releasing);
             }
             if spec.team == query.team {
-                survey.of_team.push(freeing);
+                survey.of_team.push(releasing);
             }
         }
         free
     }
 
-    /// When an attempt will free its GPUs.
-    fn freeing(
+    /// Returns the GPUs that an attempt will release, with its run time.
+    fn releasing_task(
         &self,
         task: &TaskId,
         attempt: Attempt,
@@ -294,13 +311,13 @@
             },
             attempt,
         );
-        let has_not_begun = matches!(
+        let is_not_running = matches!(
             allocation.state,
             AllocationState::Unconfirmed | AllocationState::Live(TaskState::Fetching)
         );
         let (run, ran_s) = match self.learned.learner.remaining(&key, now) {
             Some(found) => found,
-            None if has_not_begun => (self.estimate_run_time(spec).distribution, 0.0),
+            None if is_not_running => (self.estimate_run_time(spec).distribution, 0.0),
             None => (
                 self.estimate_run_time(spec).distribution,
                 (now - allocation.created_at).as_secs_f64(),
@@ -314,16 +331,17 @@
     }
 }
 
-/// The probability of each of `n` independent runs, if all of them are to be over with probability `p`.
-fn all_of(p: f64, n: u32) -> f64 {
+/// Returns the probability with which each of `n` independent runs must have ended for all of them to have ended
+/// with probability `p`.
+fn per_run_probability(p: f64, n: u32) -> f64 {
     p.powf(1.0 / f64::from(n.max(1)))
 }
 
-/// What an estimate of a job's end rests on, as shown to the user.
-fn job_estimate_basis(job: &Job, anew: &Estimate, running: u32, waiting: u32) -> String {
-    let (spec, b) = (&job.spec, &anew.basis);
+/// Returns the data that an estimate of a job's end is based on, as shown to the user.
+fn job_estimate_basis(job: &Job, run_estimate: &Estimate, running: u32, waiting: u32) -> String {
+    let (spec, b) = (&job.spec, &run_estimate.basis);
     let mut basis = format!(
-        "{running} of {} tasks seen running, {waiting} without a place; {} runs of class {}, {} of team {}; owners' estimates count {:.0}%",
+        "{running} of {} tasks running, {waiting} not placed; {} runs of class {}, {} of team {}; weight of owners' estimates {:.0}%",
         spec.tasks,
         b.class_runs,
         spec.class,
@@ -332,11 +350,11 @@
         100.0 * b.ratio_share
     );
     if b.changes > 0 {
-        basis += &format!("; the class has changed {} times", b.changes);
+        basis += &format!("; run times of the class changed {} times", b.changes);
     }
     if waiting > 0 {
         basis += &format!(
-            "; the wait for a place is not counted (it waits for {})",
+            "; the time until placement is not included (the job waits for {})",
             job.wait_reason.unwrap_or(WaitReason::FirstPlacement)
         );
     }
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -1,5 +1,5 @@
-//! Learned run times: what the scheduler feeds the learner, and what it asks of it. No rule depends on
-//! them.
+//! Learned run times: observations passed to the learner, and its use by the scheduler. No invariant depends
+//! on them.
 
 use crate::ledger::MachinePhase;
 use crate::{Scheduler, Tuning};
@@ -13,52 +13,57 @@
 mod estimates;
 pub use estimates::{CapacityQuery, CompletionEstimate};
 
-/// An attempt's number: the token in the upper bits, below it a counter that also tells the time.
-const COUNTER_BITS: u32 = 28;
-/// One step of the counter is at least this long, while starts are fewer.
-const COUNTER_TICK: Micros = Micros::from_millis(100);
-/// Between two leaders nobody leads for about this long.
+/// Number of low bits of an attempt number that hold the leader's sequence number. The bits above hold the
+/// fencing token.
+const SEQUENCE_BITS: u32 = 28;
+/// Time since the grant that one step of the sequence number stands for, unless starts are more frequent.
+const SEQUENCE_TICK: Micros = Micros::from_millis(100);
+/// Typical time without a leader during a failover.
 const LEADERLESS_INTERVAL: Micros = Micros::from_secs(5);
-/// What is found completed this long after a failover ended at an unknown time.
+/// Time after the grant in which runs that are found completed are taken to have ended around the failover.
 const FOUND_RUN_WINDOW: Micros = Micros::from_secs(20);
-/// Such runs that wait to be dated.
+/// Maximum number of runs found completed whose start times are not resolved yet.
 const MAX_UNRESOLVED_RUNS: usize = 512;
-/// Runs of the past that are kept for `hopyoke history`.
+/// Maximum number of completed runs kept for `hopyoke history`.
 const MAX_COMPLETED_RUNS: usize = 2048;
 
-/// A run that ended, for the history.
+/// A completed run, for the history.
 #[derive(Debug, Clone)]
 pub struct CompletedRun {
-    /// Counts the runs that this leader has seen end, from 1.
+    /// Sequence number among the runs whose completion this leader has seen, from 1.
     pub number: u64,
-    /// The job.
+    /// Spec of the job.
     pub spec: Rc<JobSpec>,
-    /// The task's index; 0 of a gang.
+    /// Index of the task; 0 for a gang.
     pub index: u32,
-    /// `None`: a gang on several machines.
+    /// Machine that ran it. `None` for a gang of several tasks.
     pub machine: Option<MachineId>,
-    /// When the job was accepted: time of day, in microseconds.
+    /// Wall clock time of the job's acceptance, in microseconds since the Unix epoch.
     pub accepted_us: u64,
-    /// When the run ended: time of day, in microseconds; 0: not known.
+    /// Wall clock time of the run's end, in microseconds since the Unix epoch; 0 if unknown.
     pub ended_us: u64,
-    /// Seconds that it ran.
+    /// Run time in seconds.
     pub ran_s: f64,
 }
 
-/// What the scheduler keeps for learning.
+/// The learner, and state for its observations and writes.
 #[derive(Default)]
 pub(crate) struct LearnedRunTimes {
     pub learner: hopyoke_run_times::Learner,
-    /// Time of day less the steady clock; `None`: not known yet.
-    day_offset_us: Option<u64>,
+    /// Wall clock minus monotonic clock, in microseconds. `None` until it is known.
+    wall_clock_offset_us: Option<u64>,
+    /// Latest completed runs, oldest first.
     completed: VecDeque<CompletedRun>,
-    count: u64,
-    /// Writes that learned run times may make, earned up to a time.
-    budget: f64,
-    budget_earned_until: Micros,
-    /// Runs that were found completed after a failover, until they can be dated.
+    /// Number of completed runs so far.
+    completed_count: u64,
+    /// Page writes that may be made now; 1 at most.
+    write_budget: f64,
+    /// Time up to which the write budget has been credited.
+    budget_credited_at: Micros,
+    /// Runs found completed after a failover whose start times are not resolved yet, with the approximate times
+    /// of their ends.
     unresolved_runs: Vec<(TaskId, Attempt, Micros)>,
-    /// When slow machines are searched for again.
+    /// Time of the next check for slow machines.
     next_slow_check_at: Micros,
 }
 
@@ -71,67 +76,70 @@
 }
 
 impl Scheduler {
-    /// A number that no other start of any task has had: the token is unique, and the counter is
-    /// ours alone and rises. It never falls behind the time since the grant, so that a later
-    /// leader can tell when an attempt was commanded without any record of it.
+    /// Returns an attempt number that no other start of any task has: the fencing token is unique to this
+    /// leader, and its sequence number only increases. The sequence number is at least the number of ticks since
+    /// the grant. A later leader can thus tell when a start was commanded without a record of it.
     pub(crate) fn new_attempt(&mut self, now: Micros) -> Attempt {
-        let ticks = (now - self.reconciliation.granted_at()).0 / COUNTER_TICK.0;
-        self.counter = (self.counter + 1).max(ticks);
-        Attempt((self.token.0 << COUNTER_BITS) | (self.counter & ((1 << COUNTER_BITS) - 1)))
+        let ticks = (now - self.reconciliation.granted_at()).0 / SEQUENCE_TICK.0;
+        self.sequence_number = (self.sequence_number + 1).max(ticks);
+        Attempt(
+            (self.token.0 << SEQUENCE_BITS) | (self.sequence_number & ((1 << SEQUENCE_BITS) - 1)),
+        )
     }
 
-    /// Says what time of day it is; remembers when our token was granted.
-    pub fn record_grant_time(&mut self, now: Micros, time_of_day: Micros) {
-        let day_offset_us = time_of_day.0.saturating_sub(now.0);
-        self.learned.day_offset_us = Some(day_offset_us);
+    /// Records the wall clock time at `now`, and from it when this leader's fencing token was granted.
+    pub fn record_grant_time(&mut self, now: Micros, wall_clock: Micros) {
+        let wall_clock_offset_us = wall_clock.0.saturating_sub(now.0);
+        self.learned.wall_clock_offset_us = Some(wall_clock_offset_us);
         if self.tuning.learn {
             self.learned.learner.note_grant(
                 self.token.0,
-                Micros(day_offset_us + self.reconciliation.granted_at().0),
+                Micros(wall_clock_offset_us + self.reconciliation.granted_at().0),
             );
         }
     }
 
-    /// Takes up what an earlier leader has learned. `None`: it can't be read.
+    /// Loads a page of run times that an earlier leader learned. A page of `None` can't be decoded.
     pub fn load_run_times(&mut self, key: &str, page: Option<&Page>) {
         let Some(key) = PageKey::parse(key) else {
             return warn!(
                 page = key,
-                "learned run times: a page of another version is left aside"
+                "ignoring page of learned run times of another version"
             );
         };
         let Some(page) = page else {
-            return warn!(page = %key, "learned run times: unreadable page, learning again");
+            return warn!(page = %key, "page of learned run times can't be decoded, learning from scratch");
         };
         match self.learned.learner.load(key, page) {
-            Ok(n) => info!(page = %key, entries = n, "learned run times taken up"),
+            Ok(n) => info!(page = %key, entries = n, "learned run times loaded"),
             Err(e) => {
-                warn!(page = %key, error = %e, "learned run times: left aside, learning again")
+                warn!(page = %key, error = %e, "page of learned run times rejected, learning from scratch")
             }
         }
         self.resolve_start_times();
     }
 
-    /// Runs that we found under way began when their attempts say, once we know of the grant.
+    /// Derives the start times of runs that this leader did not see start from their attempt numbers. This needs
+    /// the grant times of the attempts' fencing tokens.
     fn resolve_start_times(&mut self) {
-        let Some(day_offset_us) = self.learned.day_offset_us else {
+        let Some(wall_clock_offset_us) = self.learned.wall_clock_offset_us else {
             return;
         };
-        let split = |a: Attempt| {
+        let decode_attempt = |a: Attempt| {
             (
-                a.0 >> COUNTER_BITS,
-                COUNTER_TICK.times(a.0 & ((1 << COUNTER_BITS) - 1)),
+                a.0 >> SEQUENCE_BITS,
+                SEQUENCE_TICK.times(a.0 & ((1 << SEQUENCE_BITS) - 1)),
             )
         };
         self.learned
             .learner
-            .date_runs(Micros(day_offset_us), &split);
+            .date_runs(Micros(wall_clock_offset_us), &decode_attempt);
         let LearnedRunTimes {
             learner,
             unresolved_runs,
             ..
         } = &mut self.learned;
-        unresolved_runs.retain(|(task, attempt, about)| {
+        unresolved_runs.retain(|(task, attempt, approximate_end)| {
             let Some(job) = self.jobs.get(&task.job) else {
                 return false;
             };
@@ -139,14 +147,14 @@
             !learner.found_ended(
                 &key,
                 work_of(&job.spec),
-                *about,
-                Micros(day_offset_us),
-                &split,
+                *approximate_end,
+                Micros(wall_clock_offset_us),
+                &decode_attempt,
             )
         });
     }
 
-    /// The tuning has changed.
+    /// Replaces the tuning.
     pub fn set_tuning(&mut self, tuning: Tuning) {
         let limits = Limits {
             classes: tuning.learn_classes,
@@ -156,7 +164,7 @@
         self.tuning = tuning;
     }
 
-    /// The start of a task has been commanded.
+    /// Records that the start of a task was commanded.
     pub(crate) fn record_start_command(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
         let Some(job) = self
             .jobs
@@ -171,18 +179,19 @@
             .commanded((task.clone(), attempt), work_of(&spec), now);
     }
 
-    /// A task that we had not seen before was reported as completed: it ended between two leaders,
-    /// most likely; that is when nobody led, or just before, or since.
+    /// Records a completed task whose attempt this leader had not seen before. It most likely ended shortly
+    /// before the grant, while there was no leader, or since.
     pub(crate) fn record_found_completed(&mut self, task: &TaskId, attempt: Attempt, now: Micros) {
         let Some(job) = self.jobs.get(&task.job).filter(|_| self.tuning.learn) else {
             return;
         };
-        // What ran long ago, or resumed, says nothing; of a gang one report is enough.
+        // Runs that resumed from a checkpoint or ended long ago say nothing about run times. For a gang, one
+        // report is enough.
         let key = TaskId {
             job: task.job.clone(),
             index: if job.is_gang() { 0 } else { task.index },
         };
-        let seen = self
+        let is_recorded = self
             .learned
             .unresolved_runs
             .iter()
@@ -190,25 +199,28 @@
         if job.may_have_checkpoint
             || job.spec.kind == JobKind::Service
             || (job.is_gang() && job.is_done())
-            || seen
+            || is_recorded
             || self.learned.unresolved_runs.len() >= MAX_UNRESOLVED_RUNS
             || now > self.reconciliation.granted_at() + FOUND_RUN_WINDOW
         {
             return;
         }
         let from = self.reconciliation.granted_at() - LEADERLESS_INTERVAL;
-        let about = from + Micros((now - from).0 / 2);
-        self.learned.unresolved_runs.push((key, attempt, about));
+        let approximate_end = from + Micros((now - from).0 / 2);
+        self.learned
+            .unresolved_runs
+            .push((key, attempt, approximate_end));
         self.resolve_start_times();
     }
 
-    /// A task was seen running for the first time; `seen`: we saw it before it ran.
+    /// Records that a task was first reported as running. `seen_before` is true if this leader knew the attempt
+    /// before it ran.
     pub(crate) fn record_run_start(
         &mut self,
         id: &MachineId,
         task: &TaskId,
         attempt: Attempt,
-        seen: bool,
+        seen_before: bool,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get(&task.job).filter(|_| self.tuning.learn) else {
@@ -217,7 +229,7 @@
         let spec = job.spec.clone();
         let (key, machines) = match spec.kind {
             JobKind::Service => return,
-            // What is left of saved work says nothing about the whole.
+            // The rest of a run that resumes from a checkpoint says nothing about the whole.
             _ if job.may_have_checkpoint => return,
             JobKind::Array => ((task.clone(), attempt), vec![id.clone()]),
             JobKind::Gang if attempt != job.start_attempt => return,
@@ -246,31 +258,31 @@
             .machines
             .get(id)
             .and_then(|m| m.allocations().get(&(task.clone(), attempt)));
-        if let Some(since) = allocation.filter(|_| seen).map(|s| s.created_at) {
+        if let Some(since) = allocation.filter(|_| seen_before).map(|s| s.created_at) {
             self.learned
                 .learner
                 .observe_start_latency(&spec.class, (now - since).as_secs_f64());
         }
-        let before = seen.then_some(Micros::ZERO);
+        let elapsed_before = seen_before.then_some(Micros::ZERO);
         self.learned
             .learner
-            .started(key, work_of(&spec), machines, now, before);
-        if !seen {
+            .started(key, work_of(&spec), machines, now, elapsed_before);
+        if !seen_before {
             self.resolve_start_times();
         }
     }
 
-    /// An attempt has ended, or is gone, at this time.
+    /// Records that an attempt ended or is gone.
     pub(crate) fn record_run_end(
         &mut self,
         id: &MachineId,
         task: &TaskId,
         attempt: Attempt,
-        end: RunOutcome,
+        outcome: RunOutcome,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            // Cancelled or over: of a gang, its first task's run stands for all.
+            // The job was cancelled or has finished. A gang's run is kept under its first task.
             for index in [task.index, 0] {
                 self.learned.learner.ended(
                     &(
@@ -286,56 +298,58 @@
             }
             return;
         };
-        let gang = job.is_gang();
+        let is_gang = job.is_gang();
         let key = (
             TaskId {
                 job: task.job.clone(),
-                index: if gang { 0 } else { task.index },
+                index: if is_gang { 0 } else { task.index },
             },
             attempt,
         );
-        if end != RunOutcome::Done && job.spec.checkpoint_s > 0.0 && self.learned.learner.runs(&key)
+        if outcome != RunOutcome::Done
+            && job.spec.checkpoint_s > 0.0
+            && self.learned.learner.runs(&key)
         {
             job.may_have_checkpoint = true;
         }
-        let Some(ran_s) = self.learned.learner.ended(&key, end, now) else {
+        let Some(ran_s) = self.learned.learner.ended(&key, outcome, now) else {
             return;
         };
-        self.learned.count += 1;
+        self.learned.completed_count += 1;
         let completed = CompletedRun {
-            number: self.learned.count,
+            number: self.learned.completed_count,
             spec: job.spec.clone(),
             index: key.0.index,
-            machine: (!gang || job.spec.tasks == 1).then(|| id.clone()),
+            machine: (!is_gang || job.spec.tasks == 1).then(|| id.clone()),
             accepted_us: job.accepted_us,
-            ended_us: self.learned.day_offset_us.map_or(0, |d| d + now.0),
+            ended_us: self.learned.wall_clock_offset_us.map_or(0, |d| d + now.0),
             ran_s,
         };
-        debug!(job = %task.job, index = completed.index, class = %completed.spec.class, ran_s, "run ended");
+        debug!(job = %task.job, index = completed.index, class = %completed.spec.class, ran_s, "run completed");
         self.learned.completed.push_back(completed);
         if self.learned.completed.len() > MAX_COMPLETED_RUNS {
             self.learned.completed.pop_front();
         }
     }
 
-    /// Runs that ended, after the one with this number, oldest first.
-    pub fn completed_runs(&self, since: u64, most: usize) -> Vec<&CompletedRun> {
+    /// Returns at most `limit` completed runs with numbers above `after`, oldest first.
+    pub fn completed_runs(&self, after: u64, limit: usize) -> Vec<&CompletedRun> {
         self.learned
             .completed
             .iter()
-            .filter(|p| p.number > since)
-            .take(most)
+            .filter(|run| run.number > after)
+            .take(limit)
             .collect()
     }
 
-    /// Looks after runs that have outlived their bands, and machines that are far slower than
+    /// Checks for runs that take longer than their predicted range, and for machines that are far slower than
     /// their peers.
     pub(crate) fn observe_runs(&mut self, now: Micros) {
         if !self.tuning.learn {
             return;
         }
         for class in self.learned.learner.tick(now) {
-            info!(class = %class, "runs outlive what was learned: expecting more of all of them");
+            info!(class = %class, "runs exceed their predicted range: raising estimates of the class");
             self.placement_schedule.request();
         }
         if now < self.learned.next_slow_check_at {
@@ -357,7 +371,8 @@
             .filter(|m| m.slow && !m.deleting)
             .count();
         for slow in self.learned.learner.all_slow(self.tuning.slow_factor) {
-            // One in twenty at a time: were most slow, the fault would be elsewhere.
+            // At most one in twenty machines is drained at a time: if most were slow, the cause would lie
+            // elsewhere.
             if (draining + 1) * 20 > up.max(20) {
                 break;
             }
@@ -369,30 +384,34 @@
                 draining += 1;
                 self.placement_schedule.request();
                 let (factor, runs) = (slow.factor, slow.runs);
-                info!(machine = %slow.machine, zone = %m.zone, factor, runs, "machine far slower than its peers: draining it");
+                info!(machine = %slow.machine, zone = %m.zone, factor, runs, "draining machine far slower than its peers");
             }
         }
     }
 
-    /// A page of learned run times to be written, if the share of writes that they may take allows.
+    /// Returns a page of learned run times to be written. Returns `None` if there is none, or if the share of
+    /// writes for learned run times is exhausted.
     pub(crate) fn next_learned_page(&mut self, now: Micros) -> Option<(PageKey, Page)> {
         let rate = self.cfg.max_writes_per_s * self.tuning.learn_write_share;
         let l = &mut self.learned;
-        l.budget = (l.budget + rate * (now - l.budget_earned_until).as_secs_f64()).min(1.0);
-        l.budget_earned_until = now;
-        if l.budget < 1.0 || !self.tuning.learn {
+        l.write_budget =
+            (l.write_budget + rate * (now - l.budget_credited_at).as_secs_f64()).min(1.0);
+        l.budget_credited_at = now;
+        if l.write_budget < 1.0 || !self.tuning.learn {
             return None;
         }
         let page = l.learner.next_page(now, Micros::from_secs(5))?;
-        l.budget -= 1.0;
+        l.write_budget -= 1.0;
         Some(page)
     }
 
-    pub(crate) fn learned_page_written(&mut self, key: PageKey, written: bool) {
-        self.learned.learner.page_ended(key, written);
+    /// Records the outcome of the write of a page of learned run times.
+    pub(crate) fn learned_page_written(&mut self, key: PageKey, is_written: bool) {
+        self.learned.learner.page_ended(key, is_written);
     }
 
-    /// Runs under way, classes remembered, machines known, classes forgotten so far.
+    /// Returns the numbers of runs in progress, of classes and machines with learned data, and of classes and
+    /// teams evicted so far.
     pub fn learned_counts(&self) -> (usize, usize, usize, u64) {
         let counts = self.learned.learner.counts();
         (
@@ -403,7 +422,7 @@
         )
     }
 
-    /// Machines that are credibly far slower than their peers.
+    /// Returns the machines that are far slower than their peers with sufficient confidence.
     pub fn slow_machines(&self) -> Vec<hopyoke_run_times::SlowMachine> {
         self.learned.learner.all_slow(self.tuning.slow_factor)
     }
