--- a/crates/hopyoke-scheduler/tests/fragmentation.rs
+++ b/crates/hopyoke-scheduler/tests/fragmentation.rs
@@ -1,22 +1,22 @@
-//! Work with a choice of types leaves a type to work that depends on it.
+//! Tests that tasks with a choice of machine types avoid types that others depend on.
 
 use hopyoke_scheduler::placement::sole_choice::SoleChoiceTypes;
 
 #[test]
-fn a_type_without_alternative_is_avoided() {
-    let mut n = SoleChoiceTypes::new(3);
-    n.add([0, 1].into_iter());
-    n.add([].into_iter());
-    n.add([7].into_iter());
-    assert!(!n.any());
-    n.add([2].into_iter());
-    assert!(n.any() && n.should_avoid(2, 2) && !n.should_avoid(0, 2));
+fn sole_choice_type_is_avoided() {
+    let mut types = SoleChoiceTypes::new(3);
+    types.add([0, 1].into_iter());
+    types.add([].into_iter());
+    types.add([7].into_iter());
+    assert!(!types.any());
+    types.add([2].into_iter());
+    assert!(types.any() && types.should_avoid(2, 2) && !types.should_avoid(0, 2));
 }
 
 #[test]
-fn work_with_a_single_type_avoids_nothing() {
-    let mut n = SoleChoiceTypes::new(2);
-    n.add([1].into_iter());
-    assert!(!n.should_avoid(1, 1));
-    assert!(!n.should_avoid(9, 2));
+fn task_with_single_type_avoids_nothing() {
+    let mut types = SoleChoiceTypes::new(2);
+    types.add([1].into_iter());
+    assert!(!types.should_avoid(1, 1));
+    assert!(!types.should_avoid(9, 2));
 }
--- a/crates/hopyoke-scheduler/tests/frozen_forms.rs
+++ b/crates/hopyoke-scheduler/tests/frozen_forms.rs
@@ -1,4 +1,5 @@
-//! Records in the state service keep their bytes: leaders of one version read what those of another wrote.
+//! Tests that stored records keep their encoding, so that leaders of different versions can read each other's
+//! records.
 
 #[path = "../../hopyoke-protocol/tests/frozen/mod.rs"]
 mod frozen;
@@ -12,7 +13,7 @@
 
 const ACCEPTED_US: u64 = 1_700_000_000_000_000;
 
-/// The same job as in the messages' tests.
+/// The same job as in the encoding tests of `hopyoke-protocol`.
 fn gang() -> JobSpec {
     JobSpec {
         id: JobId::new("req-41"),
@@ -54,11 +55,11 @@
 }
 
 #[test]
-fn job_records() {
+fn job_records_are_encoded_as_before() {
     let fresh = JobRecord::accepted(array(1), ACCEPTED_US);
     assert_stored("job-record-fresh", &fresh);
     let start_attempt = Attempt(5_000_000_007_000_001);
-    // Task numbers are a list of ranges, or bits where these are shorter.
+    // Task numbers are stored as a list of ranges, or as a bitmap where that is shorter.
     let cases = [
         ("list", ranges(0..40)),
         ("few-bits", ranges((0..40).chain(45..50))),
@@ -89,9 +90,9 @@
     );
 }
 
-/// Without `done`, `term`, `marks_start` and `flow`; and with several ranges as a list.
+/// Reads records without `done`, `term`, `marks_start` and `flow`, and one with several ranges as a list.
 #[test]
-fn job_records_of_earlier_versions() {
+fn job_records_of_earlier_versions_are_decoded() {
     let older = JobRecord {
         spec: Rc::new(gang()),
         accepted_us: ACCEPTED_US,
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn end_records() {
+fn end_records_are_encoded_as_before() {
     let cases = [
         ("queued", JobState::Queued, 0),
         ("running", JobState::Running, 5),
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn register_pages() {
+fn registry_pages_are_encoded_as_before() {
     let machines = BTreeMap::from([
         (MachineId::new("m-17"), "10.0.0.17:7000".to_owned()),
         (MachineId::new("m-18"), "10.0.0.18:7000".to_owned()),
--- a/crates/hopyoke-scheduler/tests/pushed_commands.rs
+++ b/crates/hopyoke-scheduler/tests/pushed_commands.rs
@@ -1,4 +1,4 @@
-//! What is believed of orders that were sent straight to a worker.
+//! Tests of commands that are pushed to an agent outside its heartbeats.
 
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::JobSpec;
@@ -51,19 +51,20 @@
     }
 }
 
-/// A start was executed, but the worker's report in the answer can't be read: the task may run, so it holds its
-/// place and its part of the team's limit until a report shows otherwise. (Guards `quota` and `ran_twice`.)
+/// Tests that a task stays charged to its machine and team if its start was executed but the status in the
+/// response can't be decoded: it may run until a heartbeat shows otherwise. Guards the invariants `quota` and
+/// `ran_twice`.
 #[test]
-fn an_executed_start_without_a_report_is_not_forgotten() {
+fn executed_start_without_readable_status_is_kept() {
     let (machine, job) = (MachineId::new("m-1"), JobId::new("req-1"));
-    let at = Micros::from_secs(100);
+    let now = Micros::from_secs(100);
     let page = RegistryPage {
         machine_type: "std".into(),
         zone: "a".into(),
         spot: false,
         machines: BTreeMap::from([(machine.clone(), "10.1.0.1:9000".into())]),
     };
-    // Its first start is recorded, and by this leader.
+    // The record has a start attempt, so that no write must precede the start.
     let record = JobRecord {
         start_attempt: Attempt(1),
         ..JobRecord::accepted(spec(), 0)
@@ -73,7 +74,7 @@
         FencingToken(5),
         vec![(job.clone(), record, ModRevision(7))],
         vec![("p".into(), ModRevision(2), Some(page))],
-        at,
+        now,
     );
     scheduler.set_catalog(vec![machine_type()]);
     let heartbeat = Heartbeat {
@@ -88,24 +89,24 @@
         preemption_notice_s: None,
         tasks: Vec::new(),
     };
-    let probed = std::iter::from_fn(|| scheduler.next_action()).count();
-    assert_eq!(probed, 0);
-    scheduler.push_answered(&machine, true, Some(&heartbeat), at);
-    scheduler.tick(at + Micros::from_secs(1));
-    let starts = |a: Action| match a {
+    let actions = std::iter::from_fn(|| scheduler.next_action()).count();
+    assert_eq!(actions, 0);
+    scheduler.push_answered(&machine, true, Some(&heartbeat), now);
+    scheduler.tick(now + Micros::from_secs(1));
+    let has_start = |a: Action| match a {
         Action::PushCommands { commands, .. } => {
-            commands.iter().any(|o| matches!(o, Command::Start { .. }))
+            commands.iter().any(|c| matches!(c, Command::Start { .. }))
         }
         _ => false,
     };
     assert!(
-        std::iter::from_fn(|| scheduler.next_action()).any(starts),
-        "the task is started"
+        std::iter::from_fn(|| scheduler.next_action()).any(has_start),
+        "no start command was pushed"
     );
-    scheduler.push_answered(&machine, true, None, at + Micros::from_secs(1));
-    scheduler.job_removed(&job, at + Micros::from_secs(2));
+    scheduler.push_answered(&machine, true, None, now + Micros::from_secs(1));
+    scheduler.job_removed(&job, now + Micros::from_secs(2));
     assert!(
         scheduler.machines[&machine].has_live_attempts(),
-        "its place is free though it may run"
+        "the allocation was removed although the task may run"
     );
 }
--- a/crates/hopyoke-scheduler/tests/queue_order.rs
+++ b/crates/hopyoke-scheduler/tests/queue_order.rs
@@ -1,4 +1,4 @@
-//! The order inside a tenant: most jobs are served, none starves, and other tenants are not affected.
+//! Tests of the queue order within a tenant: most jobs complete, none starves, and other tenants are not affected.
 
 use hopyoke_scheduler::placement::queue_order::{
     MAX_OVERTAKING_WAIT, WaitingJob, order_within_tenants,
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_smaller_of_the_same_age_comes_first() {
+fn smaller_of_two_jobs_of_equal_age_comes_first() {
     assert_eq!(
         order_within_tenants(&[job(0, 900.0, 5), job(0, 30.0, 5)]),
         [1, 0]
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn equals_keep_their_order() {
+fn equal_jobs_keep_their_order() {
     assert_eq!(
         order_within_tenants(&[job(0, 30.0, 5), job(0, 30.0, 5), job(0, 30.0, 5)]),
         [0, 1, 2]
@@ -34,42 +34,50 @@
     );
 }
 
-/// A burst of ten times what can be served, as large jobs as small: by age a half is served at most.
+/// Tests that most jobs of an overload complete, of which few complete in the order of age.
 #[test]
-fn most_of_a_burst_are_served() {
-    let works = |i: u64| [300.0, 900.0, 2_000.0, 6_000.0][(i % 4) as usize];
-    let served = |in_turn: bool| {
-        let mut left: Vec<(u64, f64)> = Vec::new();
-        let (mut done, mut came) = (0, 0);
+fn most_jobs_of_an_overload_complete() {
+    let work_s = |i: u64| [300.0, 900.0, 2_000.0, 6_000.0][(i % 4) as usize];
+    let completed_share = |by_ratio: bool| {
+        let mut queue: Vec<(u64, f64)> = Vec::new();
+        let (mut completed, mut submitted) = (0, 0);
         for now in 0..600 {
-            left.push((now, works(now)));
-            came += 1;
-            let mut room = 500.0;
-            while room > 0.0 && !left.is_empty() {
+            queue.push((now, work_s(now)));
+            submitted += 1;
+            let mut capacity = 500.0;
+            while capacity > 0.0 && !queue.is_empty() {
                 let waiting: Vec<WaitingJob<u8>> =
-                    left.iter().map(|(at, w)| job(0, *w, now - at)).collect();
-                let first = if in_turn {
+                    queue.iter().map(|(at, w)| job(0, *w, now - at)).collect();
+                let first = if by_ratio {
                     order_within_tenants(&waiting)[0]
                 } else {
                     0
                 };
-                let took = left[first].1.min(room);
-                room -= took;
-                left[first].1 -= took;
-                if left[first].1 <= 0.0 {
-                    left.remove(first);
-                    done += 1;
+                let used = queue[first].1.min(capacity);
+                capacity -= used;
+                queue[first].1 -= used;
+                if queue[first].1 <= 0.0 {
+                    queue.remove(first);
+                    completed += 1;
                 }
             }
         }
-        f64::from(done) / f64::from(came)
+        f64::from(completed) / f64::from(submitted)
     };
-    assert!(served(false) < 0.3, "by age {}", served(false));
-    assert!(served(true) > 0.5, "in turn {}", served(true));
+    assert!(
+        completed_share(false) < 0.3,
+        "{} completed by age",
+        completed_share(false)
+    );
+    assert!(
+        completed_share(true) > 0.5,
+        "{} completed by ratio",
+        completed_share(true)
+    );
 }
 
 proptest! {
-    /// Each job gets one position, and one that its own tenant held.
+    /// Tests that each job gets one position, among those of its own tenant.
     #[test]
     fn tenants_keep_their_positions(jobs in prop::collection::vec((0u8..4, any::<f64>(), 0u64..100_000), 0..40)) {
         let jobs: Vec<_> = jobs.into_iter().map(|(t, w, s)| job(t, w, s)).collect();
@@ -82,7 +90,7 @@
         }
     }
 
-    /// No new job overtakes one that has waited for the stated bound.
+    /// Tests that no new job overtakes one that has waited for [`MAX_OVERTAKING_WAIT`].
     #[test]
     fn no_job_starves(works in prop::collection::vec(0.0f64..1e9, 1..30), old in 0.0f64..1e9, over in 0u64..1000) {
         let mut jobs = vec![WaitingJob { tenant: 0u8, work_s: old, waited: MAX_OVERTAKING_WAIT + Micros::from_secs(over) }];
--- a/crates/hopyoke-scheduler/tests/reservation.rs
+++ b/crates/hopyoke-scheduler/tests/reservation.rs
@@ -1,25 +1,26 @@
-//! Room is reserved, and never for long.
+//! Tests that resources are reserved for a bounded time only.
 
 use hopyoke_scheduler::placement::reservation::Reservations;
 use hopyoke_types::Micros;
 use proptest::prelude::*;
 
 proptest! {
-    /// However cycles follow each other, one without reservations comes within a minute and a cycle of the last; and those
-    /// are few, or room would never accumulate. (Guards against jobs that wait beside free room.)
+    /// Tests that the first cycle a minute or more after the last one without reservations has none either, and
+    /// no earlier one. Guards against jobs that wait next to free resources, and against reservations too short
+    /// for resources to accumulate.
     #[test]
-    fn a_cycle_without_reservations_comes_in_time(gaps in prop::collection::vec(1u64..5_000, 1..400)) {
+    fn cycles_without_reservations_are_a_minute_apart(gaps in prop::collection::vec(1u64..5_000, 1..400)) {
         let mut reservations = Reservations::default();
         let mut now = Micros::from_secs(1_000);
-        let mut suspended = vec![now];
+        let mut suspended_at = vec![now];
         prop_assert!(!reservations.should_reserve(now));
         for gap in &gaps {
             now += Micros::from_millis(*gap);
-            let last = suspended[suspended.len() - 1];
+            let last = suspended_at[suspended_at.len() - 1];
             let should_reserve = reservations.should_reserve(now);
             prop_assert_eq!(should_reserve, now < last + Micros::from_secs(60));
             if !should_reserve {
-                suspended.push(now);
+                suspended_at.push(now);
             }
         }
     }
--- a/crates/hopyoke-scheduler/tests/wait_reasons.rs
+++ b/crates/hopyoke-scheduler/tests/wait_reasons.rs
@@ -1,9 +1,9 @@
-//! The reasons for waiting keep the texts that operators know from the status page.
+//! Tests that wait reasons keep their texts on the status page.
 
 use hopyoke_scheduler::WaitReason;
 
 #[test]
-fn texts_are_those_of_the_status_page() {
+fn wait_reasons_have_stable_texts() {
     let texts = [
         (WaitReason::FirstPlacement, "its first placement"),
         (WaitReason::EndRecord, "its end to be recorded"),
