--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -96,14 +96,14 @@
         }
         let run_estimate = self.estimate_run_time(spec);
         let start_latency_s = self.learned.learner.start_latency_s(&spec.class);
-        let mut left = self.placed_attempts_end(id, job, &run_estimate, start_latency_s, now);
+        let mut end = self.placed_attempts_end(id, job, &run_estimate, start_latency_s, now);
         let waiting = job.unplaced_tasks();
         if waiting > 0 {
             // Unplaced tasks run in as many rounds as they need at the present number of placed tasks.
             let rounds = if job.is_gang() {
                 1.0
             } else {
-                f64::from(waiting.div_ceil(left.placed.max(1)))
+                f64::from(waiting.div_ceil(end.placed.max(1)))
             };
             let round_s = |p: f64| {
                 start_latency_s
@@ -111,13 +111,13 @@
                         .distribution
                         .quantile(per_run_probability(p, waiting))
             };
-            left.p50_s += rounds * round_s(0.5);
-            left.p90_s += rounds * round_s(0.9);
+            end.p50_s += rounds * round_s(0.5);
+            end.p90_s += rounds * round_s(0.9);
         }
         Ok(CompletionEstimate {
-            p50_s: left.p50_s,
-            p90_s: left.p90_s,
-            basis: job_estimate_basis(job, &run_estimate, left.running, waiting),
+            p50_s: end.p50_s,
+            p90_s: end.p90_s,
+            basis: job_estimate_basis(job, &run_estimate, end.running, waiting),
         })
     }
 
@@ -178,25 +178,26 @@
     ) -> Result<CompletionEstimate, String> {
         let gpus_max = self.check_capacity_query(query)?;
         let capacity = self.survey_capacity(query, now);
-        let ahead: f64 = self
+        let waiting_gpus: f64 = self
             .jobs
             .values()
             .filter(|j| query.zone.is_none() || j.spec.zone.is_none() || j.spec.zone == query.zone)
             .map(|j| f64::from(j.unplaced_tasks()) * j.spec.gpus)
             .sum();
-        let place = query
+        let zone_suffix = query
             .zone
             .as_ref()
             .map_or(String::new(), |z| format!(" in zone {z}"));
         let (free, machines, used) = (capacity.free, capacity.machines, capacity.used);
-        let Some(mut found) = time_until_free(&capacity.usable, free, query.gpus + ahead) else {
+        let Some(mut found) = time_until_free(&capacity.usable, free, query.gpus + waiting_gpus)
+        else {
             return Err(format!(
-                "running tasks on {machines} machines{place} will not release {} GPUs beyond {ahead} for tasks that already wait ({free} are free): more machines must be rented",
+                "running tasks on {machines} machines{zone_suffix} will not release {} GPUs beyond {waiting_gpus} for tasks that already wait ({free} are free): more machines must be rented",
                 query.gpus
             ));
         };
         let mut basis = format!(
-            "{free} GPUs free on {machines} machines{place}, {} running tasks, {ahead} GPUs needed by tasks that already wait",
+            "{free} GPUs free on {machines} machines{zone_suffix}, {} running tasks, {waiting_gpus} GPUs needed by tasks that already wait",
             capacity.usable.len()
         );
         if gpus_max > 0.0 && used + query.gpus > gpus_max {
--- a/crates/hopyoke-scheduler/src/tuning.rs
+++ b/crates/hopyoke-scheduler/src/tuning.rs
@@ -10,9 +10,9 @@
 pub struct Tuning {
     /// Idle time after which a machine is scaled in.
     pub idle_return: Micros,
-    /// On-demand machines kept idle while production work arrives.
+    /// On-demand machines kept idle while production jobs arrive.
     pub keep_ready: usize,
-    /// Time after its last job for which production work counts as arriving.
+    /// Time after the last production job for which production jobs count as arriving.
     pub keep_ready_for: Micros,
     /// Age at which provisioning counts as failed, in nominal boot times of the type.
     pub boot_patience: f64,
--- a/crates/hopyoke-scheduler/tests/queue_order.rs
+++ b/crates/hopyoke-scheduler/tests/queue_order.rs
@@ -1,4 +1,5 @@
-//! Tests of the queue order within a tenant: most jobs complete, none starves, and other tenants are not affected.
+//! Tests of the queue order within a tenant: most jobs complete, none starves, and other tenants are not
+//! affected.
 
 use hopyoke_scheduler::placement::queue_order::{
     MAX_OVERTAKING_WAIT, WaitingJob, order_within_tenants,
@@ -34,7 +35,7 @@
     );
 }
 
-/// Tests that most jobs of an overload complete, of which few complete in the order of age.
+/// Tests that most jobs complete under an overload in which few would complete in the order of age.
 #[test]
 fn most_jobs_of_an_overload_complete() {
     let work_s = |i: u64| [300.0, 900.0, 2_000.0, 6_000.0][(i % 4) as usize];
