--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -223,9 +223,9 @@
         scheduler: &mut Scheduler,
         step: impl FnOnce(&mut Scheduler) -> T,
     ) -> T {
-        let (plans_before, started_at) = (scheduler.plans(), runtime::now());
+        let (plans_before, started_at) = (scheduler.cycles(), runtime::now());
         let result = step(scheduler);
-        if scheduler.plans() != plans_before {
+        if scheduler.cycles() != plans_before {
             let cost = runtime::now() - started_at;
             self.plan_cost.spent.set(self.plan_cost.spent.get() + cost);
             debug!(
@@ -242,7 +242,7 @@
             };
             let share =
                 node.settings.platform.limits.cpu_cores * scheduler.tuning.plan_share * part;
-            scheduler.plan_cost(cost, share);
+            scheduler.record_cycle_cost(cost, share);
         }
         result
     }
@@ -258,7 +258,7 @@
         };
         Node {
             flows,
-            config: SchedulerConfig::of(&settings),
+            config: SchedulerConfig::from_settings(&settings),
             store: KvClient::new(
                 settings.endpoints.store,
                 limit(settings.platform.store.max_requests_per_s),
@@ -266,7 +266,7 @@
             ),
             admission: AdmissionController::new(
                 limit(settings.platform.store.max_writes_per_s),
-                &SchedulerConfig::of(&settings).teams,
+                &SchedulerConfig::from_settings(&settings).teams,
             ),
             cloud: CloudClient::new(
                 settings.endpoints.cloud,
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -60,7 +60,7 @@
             error: String::new(),
             p50_s: estimate.p50_s,
             p90_s: estimate.p90_s,
-            rests_on: estimate.rests_on,
+            rests_on: estimate.basis,
         },
         Err(error) => WhenAnswer {
             error,
@@ -118,7 +118,7 @@
     } else {
         0
     };
-    let completed = scheduler.history(after, MAX_RUNS_PER_ANSWER + 1);
+    let completed = scheduler.completed_runs(after, MAX_RUNS_PER_ANSWER + 1);
     let mut writer = Writer::new(false);
     for run in completed.iter().take(MAX_RUNS_PER_ANSWER) {
         if let Err(error) = writer.add(&trace_run(run)) {
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -78,7 +78,7 @@
                 leadership
                     .scheduler
                     .borrow_mut()
-                    .set_switch(staffing_override);
+                    .set_staffing_override(staffing_override);
                 leadership.wakeup.notify();
                 READ_INTERVAL
             }
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -171,7 +171,7 @@
     {
         return reject(503, "too many unfinished runs");
     }
-    let pages = match plan.pages(node.config.value_bytes) {
+    let pages = match plan.pages(node.config.max_value_bytes) {
         Ok(p) => p,
         Err(e) => return reject(422, e.to_string()),
     };
@@ -192,7 +192,7 @@
             runtime::time_of_day().0,
         )
     };
-    if serde_json::to_string(&head).map_or(usize::MAX, |t| t.len()) > node.config.value_bytes {
+    if serde_json::to_string(&head).map_or(usize::MAX, |t| t.len()) > node.config.max_value_bytes {
         return reject(400, "name, owner and tags together are too long");
     }
     write_plan(node, workflows, run, &pages).await?;
@@ -254,8 +254,8 @@
         .filter(|n| !written.contains(n))
         .collect();
     let rate = workflows.engine.borrow().limits.max_writes_per_s.max(0.5);
-    let value = node.config.value_bytes.max(1);
-    let pages_per_txn = (MAX_TXN_BYTES / value).clamp(1, node.config.txn_ops.max(1));
+    let value = node.config.max_value_bytes.max(1);
+    let pages_per_txn = (MAX_TXN_BYTES / value).clamp(1, node.config.max_txn_ops.max(1));
     for chunk in missing.chunks(pages_per_txn) {
         let now = runtime::now();
         let from = workflows.next_plan_write_at.get().max(now);
