--- a/crates/hopyoke-consistency/src/cancellation_log.rs
+++ b/crates/hopyoke-consistency/src/cancellation_log.rs
@@ -46,7 +46,7 @@
 
     /// The key-value store was at this revision, at some moment after this process had started. Only the first call
     /// counts.
-    pub fn started_before(&mut self, revision: ModRevision) {
+    pub fn set_start_revision(&mut self, revision: ModRevision) {
         if self.missing_up_to.is_none() {
             self.drop_up_to(revision);
         }
--- a/crates/hopyoke-consistency/src/deadline.rs
+++ b/crates/hopyoke-consistency/src/deadline.rs
@@ -18,7 +18,7 @@
 /// follow if the leader has none. Where the store's latency leaves no time for both, it is the leader that gets all of it
 /// if the store answers it, for one read of its own serves many polls. `None`: the poll is not forwarded.
 #[must_use]
-pub fn leaders_share(
+pub fn leader_forward_timeout(
     latency: Micros,
     remaining: Micros,
     leader_reaches_store: bool,
@@ -36,6 +36,6 @@
 
 /// The latency leaves no time for two reads in turn.
 #[must_use]
-pub fn must_read_side_by_side(latency: Option<Micros>, remaining: Micros) -> bool {
+pub fn must_read_concurrently(latency: Option<Micros>, remaining: Micros) -> bool {
     latency.is_some_and(|l| l.times(2) > remaining)
 }
--- a/crates/hopyoke-consistency/src/delivery.rs
+++ b/crates/hopyoke-consistency/src/delivery.rs
@@ -4,15 +4,15 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Cursor {
     /// The peer's process.
-    pub process: u64,
+    pub incarnation: u64,
     /// The sequence number of the last entry received.
     pub sequence: u64,
 }
 
 impl Cursor {
     /// The position in the log of this process; that of another one begins at zero.
-    pub fn sequence_in(self, process: u64) -> u64 {
-        if self.process == process {
+    pub fn sequence_in(self, incarnation: u64) -> u64 {
+        if self.incarnation == incarnation {
             self.sequence
         } else {
             0
@@ -36,11 +36,11 @@
     }
 
     /// Entries of a peer's process were applied, up to this sequence number.
-    pub fn advance(&mut self, peer: usize, process: u64, sequence: u64) {
+    pub fn advance(&mut self, peer: usize, incarnation: u64, sequence: u64) {
         if let Some(cursor) = self.0.get_mut(peer) {
             *cursor = Cursor {
-                process,
-                sequence: sequence.max(cursor.sequence_in(process)),
+                incarnation,
+                sequence: sequence.max(cursor.sequence_in(incarnation)),
             };
         }
     }
--- a/crates/hopyoke-consistency/src/latency.rs
+++ b/crates/hopyoke-consistency/src/latency.rs
@@ -122,9 +122,9 @@
 
 impl LatencyEstimator {
     /// A request was answered after `latency`.
-    pub fn answered(&mut self, latency: Micros, now: Micros) {
+    pub fn record_response(&mut self, latency: Micros, now: Micros) {
         self.backoff = 0;
-        self.estimate = Some(match self.fresh(now) {
+        self.estimate = Some(match self.valid_estimate(now) {
             None => Estimate {
                 smoothed: latency,
                 deviation: Micros(latency.0 / 2),
@@ -137,15 +137,18 @@
 
     /// A request was answered after `latency`, of which a part may have been the service's own wait. It counts only if
     /// that is no longer than what is believed.
-    pub fn answered_within(&mut self, latency: Micros, now: Micros) {
-        if self.fresh(now).is_none_or(|e| latency <= e.smoothed) {
-            self.answered(latency, now);
+    pub fn record_upper_bound(&mut self, latency: Micros, now: Micros) {
+        if self
+            .valid_estimate(now)
+            .is_none_or(|e| latency <= e.smoothed)
+        {
+            self.record_response(latency, now);
         }
     }
 
     /// A request that was sent at `sent_at` had no answer within its timeout. Requests that were under way together
     /// lengthen the next timeouts once.
-    pub fn timed_out(&mut self, sent_at: Micros, now: Micros) {
+    pub fn record_timeout(&mut self, sent_at: Micros, now: Micros) {
         if sent_at >= self.backed_off_at {
             self.backoff = (self.backoff + 1).min(MAX_BACKOFF);
             self.backed_off_at = now;
@@ -169,7 +172,7 @@
 
     /// Smoothed latency with its deviations; `None` without a valid measurement.
     fn measured_timeout(&self, now: Micros) -> Option<Micros> {
-        self.fresh(now).map(|e| {
+        self.valid_estimate(now).map(|e| {
             let margin = e.deviation.times(TIMEOUT_DEVIATIONS);
             e.smoothed + margin.max(Micros(e.smoothed.0 / MIN_MARGIN_DIVISOR))
         })
@@ -179,7 +182,8 @@
     /// service that has become fast is used at once. `None` without a valid measurement.
     #[must_use]
     pub fn expected(&self, now: Micros) -> Option<Micros> {
-        self.fresh(now).map(|e| e.smoothed.min(e.last_sample))
+        self.valid_estimate(now)
+            .map(|e| e.smoothed.min(e.last_sample))
     }
 
     /// The smoothed latency, whenever it was measured.
@@ -188,7 +192,7 @@
         self.estimate.map(|e| e.smoothed)
     }
 
-    fn fresh(&self, now: Micros) -> Option<Estimate> {
+    fn valid_estimate(&self, now: Micros) -> Option<Estimate> {
         self.estimate
             .filter(|e| now <= e.sampled_at + SAMPLE_VALIDITY)
     }
@@ -258,19 +262,19 @@
         &self.kinds[kind as usize]
     }
 
-    /// As [`LatencyEstimator::answered`].
-    pub fn answered(&mut self, kind: RequestKind, latency: Micros, now: Micros) {
-        self.kinds[kind as usize].answered(latency, now);
+    /// As [`LatencyEstimator::record_response`].
+    pub fn record_response(&mut self, kind: RequestKind, latency: Micros, now: Micros) {
+        self.kinds[kind as usize].record_response(latency, now);
     }
 
-    /// As [`LatencyEstimator::answered_within`].
-    pub fn answered_within(&mut self, kind: RequestKind, latency: Micros, now: Micros) {
-        self.kinds[kind as usize].answered_within(latency, now);
+    /// As [`LatencyEstimator::record_upper_bound`].
+    pub fn record_upper_bound(&mut self, kind: RequestKind, latency: Micros, now: Micros) {
+        self.kinds[kind as usize].record_upper_bound(latency, now);
     }
 
-    /// As [`LatencyEstimator::timed_out`].
-    pub fn timed_out(&mut self, kind: RequestKind, sent_at: Micros, now: Micros) {
-        self.kinds[kind as usize].timed_out(sent_at, now);
+    /// As [`LatencyEstimator::record_timeout`].
+    pub fn record_timeout(&mut self, kind: RequestKind, sent_at: Micros, now: Micros) {
+        self.kinds[kind as usize].record_timeout(sent_at, now);
     }
 
     /// How long to wait for the answer to a request. What was measured of any kind counts: mostly the whole service is
@@ -305,7 +309,7 @@
         let slowest = self
             .kinds
             .iter()
-            .filter_map(|k| k.fresh(now).map(|e| e.smoothed))
+            .filter_map(|k| k.valid_estimate(now).map(|e| e.smoothed))
             .max();
         let times_out = self.kinds.iter().any(|k| k.backoff >= SLOW_TIMEOUTS);
         if !self.is_slow && (times_out || slowest.is_some_and(|l| l >= SLOW_LATENCY)) {
--- a/crates/hopyoke-consistency/src/read_index.rs
+++ b/crates/hopyoke-consistency/src/read_index.rs
@@ -115,7 +115,7 @@
     }
 
     /// A read arrives. `None`: too many wait; it is to be refused at once.
-    pub fn arrive(&mut self, now: Micros) -> Option<Ticket> {
+    pub fn enqueue(&mut self, now: Micros) -> Option<Ticket> {
         self.time_out_reads(now);
         if self.waiting.len() >= self.limits.max_waiting {
             return None;
@@ -131,9 +131,9 @@
 
     /// When a query is due; `None` if no read waits for a query to be sent, or no more may be in flight.
     pub fn due_at(&self) -> Option<Micros> {
-        let asked_up_to = self.in_flight.iter().copied().max().unwrap_or_default();
-        let asked = self.waiting.partition_point(|r| r.ticket <= asked_up_to);
-        let oldest = self.waiting.get(asked)?;
+        let queried_up_to = self.in_flight.iter().copied().max().unwrap_or_default();
+        let queried = self.waiting.partition_point(|r| r.ticket <= queried_up_to);
+        let oldest = self.waiting.get(queried)?;
         if self.in_flight.len() >= self.limits.max_in_flight {
             return None;
         }
--- a/crates/hopyoke-consistency/tests/cancellation_log.rs
+++ b/crates/hopyoke-consistency/tests/cancellation_log.rs
@@ -12,7 +12,7 @@
 /// The log of a process that has read a revision.
 fn log_started_at(max_entries: usize, revision: u64) -> CancellationLog {
     let mut c = CancellationLog::new(max_entries);
-    c.started_before(ModRevision(revision));
+    c.set_start_revision(ModRevision(revision));
     c
 }
 
@@ -25,12 +25,12 @@
         !c.delta_since(ModRevision(100), 0).is_complete,
         "it has read no revision yet"
     );
-    c.started_before(ModRevision(10));
+    c.set_start_revision(ModRevision(10));
     assert!(!c.delta_since(ModRevision(9), 0).is_complete);
     let delta = c.delta_since(ModRevision(10), 0);
     assert_eq!((delta.is_complete, delta.jobs), (true, vec![job(1)]));
     // Only the first counts: what was acknowledged since then is here.
-    c.started_before(ModRevision(50));
+    c.set_start_revision(ModRevision(50));
     assert!(c.delta_since(ModRevision(10), 0).is_complete);
 }
 
--- a/crates/hopyoke-consistency/tests/latency.rs
+++ b/crates/hopyoke-consistency/tests/latency.rs
@@ -24,12 +24,12 @@
         let timeout = estimator.timeout(lease_timeouts(TTL), now);
         if latency <= timeout {
             now += latency;
-            estimator.answered(latency, now);
+            estimator.record_response(latency, now);
             return (timeouts, now);
         }
         let sent_at = now;
         now += timeout;
-        estimator.timed_out(sent_at, now);
+        estimator.record_timeout(sent_at, now);
         timeouts += 1;
         assert!(timeouts < 20, "no answer after {timeouts} timeouts");
     }
@@ -48,7 +48,7 @@
     let mut estimator = LatencyEstimator::default();
     let bounds = TimeoutBounds::new(ms(1_500), ms(3_750));
     for n in 0..100 {
-        estimator.answered(ms(8 + n % 5), ms(n * 100));
+        estimator.record_response(ms(8 + n % 5), ms(n * 100));
         assert_eq!(estimator.timeout(bounds, ms(n * 100)), ms(1_500));
     }
 }
@@ -81,12 +81,12 @@
         timeouts.push(timeout);
         let sent_at = now;
         now += timeout;
-        estimator.timed_out(sent_at, now);
+        estimator.record_timeout(sent_at, now);
     }
     assert_eq!(timeouts, [1_500, 3_000, 3_750, 3_750, 3_750].map(ms));
     assert_eq!(estimator.expected(now), None);
     // The first answer ends it.
-    estimator.answered(ms(10), now);
+    estimator.record_response(ms(10), now);
     assert_eq!(estimator.timeout(bounds, now), ms(1_500));
 }
 
@@ -95,7 +95,7 @@
     let mut estimator = LatencyEstimator::default();
     let bounds = TimeoutBounds::new(ms(1_000), ms(60_000));
     for _ in 0..50 {
-        estimator.timed_out(ms(10), ms(1_010));
+        estimator.record_timeout(ms(10), ms(1_010));
     }
     assert_eq!(estimator.timeout(bounds, ms(1_010)), ms(2_000));
 }
@@ -109,14 +109,14 @@
     let mut now = Micros::ZERO;
     for _ in 0..30 {
         now += ms(2_500);
-        estimator.answered(ms(2_500), now);
+        estimator.record_response(ms(2_500), now);
     }
     assert!(estimator.timeout(bounds, now) > ms(3_000));
-    estimator.answered(ms(10), now);
+    estimator.record_response(ms(10), now);
     assert_eq!(estimator.expected(now), Some(ms(10)));
     for _ in 0..9 {
         now += ms(100);
-        estimator.answered(ms(10), now);
+        estimator.record_response(ms(10), now);
     }
     assert_eq!(estimator.timeout(bounds, now), ms(1_500));
 }
@@ -125,7 +125,7 @@
 fn an_old_measurement_is_forgotten() {
     let mut estimator = LatencyEstimator::default();
     let bounds = TimeoutBounds::new(ms(1_500), ms(3_750));
-    estimator.answered(ms(2_500), ms(0));
+    estimator.record_response(ms(2_500), ms(0));
     assert!(estimator.expected(SAMPLE_VALIDITY).is_some());
     let later = SAMPLE_VALIDITY + ms(1);
     assert_eq!(estimator.expected(later), None);
@@ -137,13 +137,13 @@
 fn kinds_share_measurements_and_not_backoff() {
     let mut latency = StoreLatency::default();
     let bounds = TimeoutBounds::new(ms(1_000), ms(5_000));
-    latency.answered(RequestKind::Read, ms(2_000), ms(0));
+    latency.record_response(RequestKind::Read, ms(2_000), ms(0));
     assert!(latency.timeout(RequestKind::Write, bounds, ms(0)) > ms(2_000));
     assert_eq!(latency.expected(RequestKind::Write, ms(0)), Some(ms(2_000)));
-    latency.answered(RequestKind::Write, ms(10), ms(0));
+    latency.record_response(RequestKind::Write, ms(10), ms(0));
     assert_eq!(latency.expected(RequestKind::Write, ms(0)), Some(ms(10)));
     let mut latency = StoreLatency::default();
-    latency.timed_out(RequestKind::Read, ms(0), ms(1_000));
+    latency.record_timeout(RequestKind::Read, ms(0), ms(1_000));
     assert_eq!(
         latency.timeout(RequestKind::Read, bounds, ms(1_000)),
         ms(2_000)
@@ -160,7 +160,7 @@
     let mut changes = Vec::new();
     for n in 0..40 {
         let sample = if (10..20).contains(&n) { 1_700 } else { 10 };
-        latency.answered(RequestKind::Read, ms(sample), ms(n * 500));
+        latency.record_response(RequestKind::Read, ms(sample), ms(n * 500));
         changes.extend(latency.speed_change(ms(n * 500)));
     }
     assert_eq!(changes, [SpeedChange::Slow, SpeedChange::Fast]);
@@ -169,11 +169,11 @@
 #[test]
 fn a_silent_service_counts_as_slow() {
     let mut latency = StoreLatency::default();
-    latency.timed_out(RequestKind::Read, ms(0), ms(1_500));
+    latency.record_timeout(RequestKind::Read, ms(0), ms(1_500));
     assert_eq!(latency.speed_change(ms(1_500)), None);
-    latency.timed_out(RequestKind::Read, ms(1_600), ms(4_600));
+    latency.record_timeout(RequestKind::Read, ms(1_600), ms(4_600));
     assert_eq!(latency.speed_change(ms(4_600)), Some(SpeedChange::Slow));
-    latency.answered(RequestKind::Read, ms(10), ms(4_700));
+    latency.record_response(RequestKind::Read, ms(10), ms(4_700));
     assert_eq!(latency.speed_change(ms(4_700)), Some(SpeedChange::Fast));
 }
 
@@ -216,9 +216,9 @@
             let sent_at = now;
             now += Micros(pause);
             if is_answered {
-                estimator.answered(Micros(latency), now);
+                estimator.record_response(Micros(latency), now);
             } else {
-                estimator.timed_out(sent_at, now);
+                estimator.record_timeout(sent_at, now);
             }
             let timeout = estimator.timeout(bounds, now);
             prop_assert!(bounds.floor <= timeout && timeout <= bounds.ceiling);
--- a/crates/hopyoke-consistency/tests/read_index.rs
+++ b/crates/hopyoke-consistency/tests/read_index.rs
@@ -13,12 +13,12 @@
 fn one_query_serves_all_waiting_reads() {
     let mut r = ReadIndex::new(Limits::default());
     let tickets: Vec<_> = (0..200)
-        .map(|i| r.arrive(ms(i / 10)).expect("room"))
+        .map(|i| r.enqueue(ms(i / 10)).expect("room"))
         .collect();
     assert_eq!(r.begin_query(ms(39)), None);
     let q = r.begin_query(ms(40)).expect("due");
     // A read that arrives now is not served by it.
-    let after = r.arrive(ms(41)).expect("room");
+    let after = r.enqueue(ms(41)).expect("room");
     assert_eq!(r.begin_query(ms(500)), None, "one query at a time");
     r.query_answered(q, ms(45));
     assert!(
@@ -37,7 +37,7 @@
 #[test]
 fn failed_queries_back_off_and_reads_time_out() {
     let mut r = ReadIndex::new(Limits::default());
-    let t = r.arrive(ms(0)).expect("room");
+    let t = r.enqueue(ms(0)).expect("room");
     let mut asked = 0;
     for now in 0..1_300 {
         if let Some(q) = r.begin_query(ms(now)) {
@@ -56,15 +56,15 @@
         max_waiting: 3,
         ..Limits::default()
     });
-    let tickets: Vec<_> = (0..5).map(|_| r.arrive(ms(0))).collect();
+    let tickets: Vec<_> = (0..5).map(|_| r.enqueue(ms(0))).collect();
     assert!(tickets[..3].iter().all(Option::is_some) && tickets[3..].iter().all(Option::is_none));
     let q = r.begin_query(ms(40)).expect("due");
     r.query_answered(q, ms(41));
-    assert!(r.arrive(ms(42)).is_some());
+    assert!(r.enqueue(ms(42)).is_some());
 }
 
 #[derive(Debug, Clone)]
-enum Act {
+enum Event {
     Write,
     Read,
     Wait(u64),
@@ -80,25 +80,25 @@
     /// The replica is what the last answer brought; a current read sees the store as of its arrival
     /// or later, and queries never overlap.
     #[test]
-    fn current_reads_see_all_earlier_writes(acts in prop::collection::vec(prop_oneof![
-        Just(Act::Write), Just(Act::Read), (1u64..120).prop_map(Act::Wait), Just(Act::Execute), Just(Act::Answer), Just(Act::Fail)
+    fn current_reads_see_all_earlier_writes(events in prop::collection::vec(prop_oneof![
+        Just(Event::Write), Just(Event::Read), (1u64..120).prop_map(Event::Wait), Just(Event::Execute), Just(Event::Answer), Just(Event::Fail)
     ], 1..200)) {
         let mut r = ReadIndex::new(Limits::default());
         let (mut now, mut store, mut replica) = (Micros::ZERO, 0u64, 0u64);
         let mut open: Vec<(hopyoke_consistency::read_index::Ticket, u64)> = Vec::new();
         // The query, and what the store answered.
         let mut in_flight: Option<(ReadQuery, Option<u64>)> = None;
-        for act in acts {
-            match act {
-                Act::Write => store += 1,
-                Act::Read => open.extend(r.arrive(now).map(|t| (t, store))),
-                Act::Wait(n) => now += ms(n),
-                Act::Execute => if let Some((_, seen @ None)) = &mut in_flight { *seen = Some(store) },
-                Act::Answer => if let Some((q, Some(seen))) = in_flight.take() {
+        for event in events {
+            match event {
+                Event::Write => store += 1,
+                Event::Read => open.extend(r.enqueue(now).map(|t| (t, store))),
+                Event::Wait(n) => now += ms(n),
+                Event::Execute => if let Some((_, seen @ None)) = &mut in_flight { *seen = Some(store) },
+                Event::Answer => if let Some((q, Some(seen))) = in_flight.take() {
                     replica = replica.max(seen);
                     r.query_answered(q, now);
                 },
-                Act::Fail => if let Some((q, _)) = in_flight.take() { r.query_failed(q, 0.3, now) },
+                Event::Fail => if let Some((q, _)) = in_flight.take() { r.query_failed(q, 0.3, now) },
             }
             if let Some(q) = r.begin_query(now) {
                 prop_assert!(in_flight.is_none());
@@ -128,9 +128,9 @@
         read_timeout: ms(1_900),
         ..overlapping()
     });
-    let first = r.arrive(ms(0)).expect("room");
+    let first = r.enqueue(ms(0)).expect("room");
     let q1 = r.begin_query(ms(40)).expect("due");
-    let second = r.arrive(ms(60)).expect("room");
+    let second = r.enqueue(ms(60)).expect("room");
     assert_eq!(r.due_at(), Some(ms(140)), "not at once after the first");
     let q2 = r.begin_query(ms(140)).expect("due");
     assert_eq!(r.due_at(), None, "nobody waits for a further one");
@@ -146,7 +146,7 @@
     let mut r = ReadIndex::new(overlapping());
     let mut queries = Vec::new();
     for n in 0..100 {
-        r.arrive(ms(n * 10)).expect("room");
+        r.enqueue(ms(n * 10)).expect("room");
         queries.extend(r.begin_query(ms(n * 10)));
     }
     assert_eq!(queries.len(), 4);
@@ -157,9 +157,9 @@
 #[test]
 fn a_failed_query_is_repeated() {
     let mut r = ReadIndex::new(overlapping());
-    let first = r.arrive(ms(0)).expect("room");
+    let first = r.enqueue(ms(0)).expect("room");
     let q1 = r.begin_query(ms(40)).expect("due");
-    let second = r.arrive(ms(50)).expect("room");
+    let second = r.enqueue(ms(50)).expect("room");
     let q2 = r.begin_query(ms(140)).expect("due");
     r.query_failed(q2, 0.0, ms(150));
     let q3 = r.begin_query(ms(400)).expect("the second read waits again");
@@ -175,26 +175,26 @@
 
     /// As above with overlapping queries, which the store executes and answers in any order.
     #[test]
-    fn overlapping_queries_keep_reads_current(acts in prop::collection::vec((prop_oneof![
-        Just(Act::Write), Just(Act::Read), (1u64..120).prop_map(Act::Wait), Just(Act::Execute), Just(Act::Answer), Just(Act::Fail)
+    fn overlapping_queries_keep_reads_current(events in prop::collection::vec((prop_oneof![
+        Just(Event::Write), Just(Event::Read), (1u64..120).prop_map(Event::Wait), Just(Event::Execute), Just(Event::Answer), Just(Event::Fail)
     ], 0usize..4), 1..200)) {
         let mut r = ReadIndex::new(overlapping());
         let (mut now, mut store, mut replica) = (Micros::ZERO, 0u64, 0u64);
         let mut open: Vec<(hopyoke_consistency::read_index::Ticket, u64)> = Vec::new();
         let mut in_flight: Vec<(ReadQuery, Option<u64>)> = Vec::new();
-        for (act, pick) in acts {
+        for (event, pick) in events {
             let picked = pick % in_flight.len().max(1);
-            match act {
-                Act::Write => store += 1,
-                Act::Read => open.extend(r.arrive(now).map(|t| (t, store))),
-                Act::Wait(n) => now += ms(n),
-                Act::Execute => if let Some((_, seen @ None)) = in_flight.get_mut(picked) { *seen = Some(store) },
-                Act::Answer => if in_flight.get(picked).is_some_and(|(_, seen)| seen.is_some()) {
+            match event {
+                Event::Write => store += 1,
+                Event::Read => open.extend(r.enqueue(now).map(|t| (t, store))),
+                Event::Wait(n) => now += ms(n),
+                Event::Execute => if let Some((_, seen @ None)) = in_flight.get_mut(picked) { *seen = Some(store) },
+                Event::Answer => if in_flight.get(picked).is_some_and(|(_, seen)| seen.is_some()) {
                     let (q, seen) = in_flight.remove(picked);
                     replica = replica.max(seen.unwrap_or_default());
                     r.query_answered(q, now);
                 },
-                Act::Fail => if picked < in_flight.len() { r.query_failed(in_flight.remove(picked).0, 0.3, now) },
+                Event::Fail => if picked < in_flight.len() { r.query_failed(in_flight.remove(picked).0, 0.3, now) },
             }
             in_flight.extend(r.begin_query(now).map(|q| (q, None)));
             prop_assert!(in_flight.len() <= 4);
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -5,7 +5,7 @@
 use super::lookup::Lookup;
 use super::{Host, Simulation};
 use hopyoke_consistency::deadline::{
-    TRANSFER_MARGIN, USER_POLL_TIMEOUT, USER_WRITE_TIMEOUT, leaders_share,
+    TRANSFER_MARGIN, USER_POLL_TIMEOUT, USER_WRITE_TIMEOUT, leader_forward_timeout,
 };
 use hopyoke_consistency::latency::RequestKind;
 use hopyoke_protocol::user::{JobSpec, JobState};
@@ -98,7 +98,7 @@
     /// How long node `i` waits for the leader's answer to a poll, as the daemon does.
     fn leaders_share(&self, i: usize, leader: usize, deadline: Micros) -> Option<Micros> {
         let latency = self.expected_latency(i, RequestKind::Read);
-        leaders_share(
+        leader_forward_timeout(
             latency.unwrap_or_default(),
             deadline - self.now,
             self.reaches_store(leader),
--- a/crates/hopyoke-simulator/src/lookup.rs
+++ b/crates/hopyoke-simulator/src/lookup.rs
@@ -3,7 +3,7 @@
 use crate::api::{Answer, Reply};
 use crate::kv_store::{Entry, Value};
 use crate::{Host, Simulation};
-use hopyoke_consistency::deadline::must_read_side_by_side;
+use hopyoke_consistency::deadline::must_read_concurrently;
 use hopyoke_consistency::latency::RequestKind;
 use hopyoke_protocol::user::JobState;
 use hopyoke_scheduler::JobRecord;
@@ -48,7 +48,7 @@
     /// Node `i` has no time for two reads in turn before a deadline.
     pub(crate) fn must_read_side_by_side(&self, i: usize, deadline: Micros) -> bool {
         let latency = self.expected_latency(i, RequestKind::Read);
-        must_read_side_by_side(latency, deadline - self.now)
+        must_read_concurrently(latency, deadline - self.now)
     }
 
     /// Reads the final state of a job that is not among the unfinished ones.
--- a/crates/hopyoke-simulator/src/node/failover.rs
+++ b/crates/hopyoke-simulator/src/node/failover.rs
@@ -177,7 +177,7 @@
         for id in self.nodes[i].cancellation_log.entries_after(revision) {
             scheduler.job_removed(&id, self.now);
         }
-        self.nodes[i].cancellation_log.started_before(revision);
+        self.nodes[i].cancellation_log.set_start_revision(revision);
         let leadership = Leadership {
             scheduler,
             lease: r.lease,
--- a/crates/hopyoke-simulator/src/node/mod.rs
+++ b/crates/hopyoke-simulator/src/node/mod.rs
@@ -168,7 +168,7 @@
             let revision = ModRevision(w.kv_store.revision);
             w.send(Host::KvStore, Host::Node(i), move |w| {
                 if w.alive(i, process) {
-                    w.nodes[i].cancellation_log.started_before(revision);
+                    w.nodes[i].cancellation_log.set_start_revision(revision);
                 }
             });
         });
--- a/crates/hopyoke-simulator/src/node/record_watch.rs
+++ b/crates/hopyoke-simulator/src/node/record_watch.rs
@@ -86,7 +86,7 @@
             let now = w.now;
             w.nodes[i]
                 .store_latency
-                .answered_within(RequestKind::Watch, now - sent, now);
+                .record_upper_bound(RequestKind::Watch, now - sent, now);
             w.apply_record_changes(i, process, record_changes, sent);
             w.run_scheduler(i, process);
             w.watch(i, process);
--- a/crates/hopyoke-simulator/src/node/store_latency.rs
+++ b/crates/hopyoke-simulator/src/node/store_latency.rs
@@ -20,12 +20,14 @@
     /// Node `i` received the answer to a request that it sent at `sent`.
     pub(crate) fn store_answered(&mut self, i: usize, kind: RequestKind, sent: Micros) {
         let now = self.now;
-        self.nodes[i].store_latency.answered(kind, now - sent, now);
+        self.nodes[i]
+            .store_latency
+            .record_response(kind, now - sent, now);
     }
 
     /// Node `i` had no answer in time to a request that it sent at `sent`.
     pub(crate) fn store_timed_out(&mut self, i: usize, kind: RequestKind, sent: Micros) {
         let now = self.now;
-        self.nodes[i].store_latency.timed_out(kind, sent, now);
+        self.nodes[i].store_latency.record_timeout(kind, sent, now);
     }
 }
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -6,7 +6,7 @@
 use crate::store::error::StoreError;
 use crate::store::records::{self, Lookup, lookup, lookup_finished};
 use hopyoke_admission::RetryAfter;
-use hopyoke_consistency::deadline::{FORWARD_TO_LEADER_TIMEOUT, leaders_share};
+use hopyoke_consistency::deadline::{FORWARD_TO_LEADER_TIMEOUT, leader_forward_timeout};
 use hopyoke_consistency::latency::RequestKind;
 use hopyoke_consistency::read_index::READ_BATCH_DELAY;
 use hopyoke_event_loop as runtime;
@@ -135,7 +135,7 @@
         let is_slow = latency > FORWARD_TO_LEADER_TIMEOUT;
         return (!is_slow).then(|| unavailable("the leader is busy"));
     }
-    let timeout = leaders_share(latency, deadline.remaining(), client.reaches_store())?;
+    let timeout = leader_forward_timeout(latency, deadline.remaining(), client.reaches_store())?;
     client.forward(&node.settings.node, request, timeout).await
 }
 
--- a/crates/hopyoke/src/leadership/failover.rs
+++ b/crates/hopyoke/src/leadership/failover.rs
@@ -73,5 +73,5 @@
         scheduler.job_removed(&id, now);
     }
     // A process that has just started may not have read a revision of the store yet; this revision serves as well.
-    cancellation_log.started_before(scheduler.applied_revision());
+    cancellation_log.set_start_revision(scheduler.applied_revision());
 }
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -71,7 +71,7 @@
     Greeting {
         requested_loan: node.admission.requested_loan(),
         queue_positions: node.admission.take_gossip(peer),
-        delivered_process: cursor.process,
+        delivered_process: cursor.incarnation,
         delivered_upto: cursor.sequence,
         ..greeting(node)
     }
@@ -86,7 +86,7 @@
         return answer;
     }
     let cursor = Cursor {
-        process: request.delivered_process,
+        incarnation: request.delivered_process,
         sequence: request.delivered_upto,
     };
     let cancellation_log = node.lease_support.cancellation_log.borrow();
--- a/crates/hopyoke/src/store/client.rs
+++ b/crates/hopyoke/src/store/client.rs
@@ -4,7 +4,7 @@
 use super::error::StoreError;
 use super::timeouts::RequestTimeouts;
 use hopyoke_admission::{RateLimiter, RequestPriority, SharedLimit};
-use hopyoke_consistency::deadline::must_read_side_by_side;
+use hopyoke_consistency::deadline::must_read_concurrently;
 use hopyoke_consistency::latency::RequestKind;
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client, ClientError, Method, Response};
@@ -291,7 +291,7 @@
             return false;
         };
         let latency = self.store.timeouts.expected_latency(RequestKind::Read);
-        must_read_side_by_side(latency, deadline - now)
+        must_read_concurrently(latency, deadline - now)
             && self
                 .store
                 .rate_limiter
--- a/crates/hopyoke/src/store/read_index.rs
+++ b/crates/hopyoke/src/store/read_index.rs
@@ -41,7 +41,7 @@
     /// loop.
     pub(crate) async fn wait_until_current(&self, deadline: Micros) -> bool {
         let now = runtime::now();
-        let Some(ticket) = self.index.borrow_mut().arrive(now) else {
+        let Some(ticket) = self.index.borrow_mut().enqueue(now) else {
             return false;
         };
         self.read_arrived.notify();
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -79,7 +79,7 @@
                     .lease_support
                     .cancellation_log
                     .borrow_mut()
-                    .started_before(ModRevision(page.revision));
+                    .set_start_revision(ModRevision(page.revision));
             }
             Err(e) => debug!(error = %e, "store revision at process start not read"),
         }
--- a/crates/hopyoke/src/store/timeouts.rs
+++ b/crates/hopyoke/src/store/timeouts.rs
@@ -67,7 +67,7 @@
     pub(crate) fn record_response(&self, kind: RequestKind, latency: Micros) {
         self.latency
             .borrow_mut()
-            .answered(kind, latency, runtime::now());
+            .record_response(kind, latency, runtime::now());
         self.log_speed_change(kind);
     }
 
@@ -75,7 +75,7 @@
     pub(crate) fn record_watch_response(&self, latency: Micros) {
         self.latency
             .borrow_mut()
-            .answered_within(RequestKind::Watch, latency, runtime::now());
+            .record_upper_bound(RequestKind::Watch, latency, runtime::now());
     }
 
     /// Records that a request sent at `sent_at` was not answered within its timeout.
@@ -89,7 +89,7 @@
         count.set(count.get() + 1);
         self.latency
             .borrow_mut()
-            .timed_out(kind, sent_at, runtime::now());
+            .record_timeout(kind, sent_at, runtime::now());
         self.log_speed_change(kind);
     }
 
