--- a/crates/hopyoke-experiments/src/flows.rs
+++ b/crates/hopyoke-experiments/src/flows.rs
@@ -1,7 +1,7 @@
 //! Runs of workflows on a site of real processes on loopback: what a step costs, what it waits, and
 //! what is left of many runs when all controllers end. Figures are from stand-ins on one machine.
 
-use hopyoke::peers::client::proto::flow_request::Ask;
+use hopyoke::peers::client::proto::flow_request::Operation;
 use hopyoke::peers::client::proto::{RunQuestion, SubmitRun};
 use hopyoke_emulator::{Cluster, ClusterConfig};
 use hopyoke_event_loop as runtime;
@@ -69,7 +69,7 @@
 }
 
 async fn submit(controllers: &Controllers, run: RunId, plan: &Plan) -> Result<(), String> {
-    let ask = Ask::Submit(SubmitRun {
+    let ask = Operation::Submit(SubmitRun {
         run: run.number(),
         name: "evidence".into(),
         team: "crew".into(),
@@ -333,7 +333,7 @@
     let twice = jobs.len() - steps_seen.len();
     let violations = site.fleet.violations.borrow().len();
     let told = controllers.ask(
-        Ask::Get(RunQuestion {
+        Operation::Get(RunQuestion {
             run: ids[0].number(),
             ..RunQuestion::default()
         }),
--- a/crates/hopyoke-wes/src/calls.rs
+++ b/crates/hopyoke-wes/src/calls.rs
@@ -2,8 +2,8 @@
 //! the second time.
 
 use hopyoke::peers::client::ask_flow;
-use hopyoke::peers::client::proto::flow_request::Ask;
-use hopyoke::peers::client::proto::{FlowAnswer, FlowRequest};
+use hopyoke::peers::client::proto::flow_request::Operation;
+use hopyoke::peers::client::proto::{FlowRequest, FlowResponse};
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use std::cell::Cell;
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// What the last one said.
-    pub async fn ask(&self, ask: Ask, patience: Micros) -> Result<FlowAnswer, Refused> {
+    pub async fn ask(&self, ask: Operation, patience: Micros) -> Result<FlowResponse, Refused> {
         let until = runtime::now() + patience;
         let mut last = Refused::new(503, "no controller answers");
         let mut pause = Micros::from_millis(100);
@@ -59,7 +59,7 @@
                 match ask_flow(
                     addr,
                     FlowRequest {
-                        ask: Some(ask.clone()),
+                        operation: Some(ask.clone()),
                     },
                 )
                 .await
--- a/crates/hopyoke-wes/src/main.rs
+++ b/crates/hopyoke-wes/src/main.rs
@@ -1,7 +1,7 @@
 //! The program: CWL on the command line, and the workflow service.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use hopyoke::peers::client::proto::flow_request::Ask;
+use hopyoke::peers::client::proto::flow_request::Operation;
 use hopyoke::peers::client::proto::{ResumeRun, RunInfo, RunList, RunQuestion, SubmitRun};
 use hopyoke_cwl::load::{Files, Source, name_of};
 use hopyoke_cwl::{Faults, graph, open, yaml};
@@ -337,7 +337,7 @@
         run: id.number(),
         name: run.document.clone(),
         team: compiled.team.clone(),
-        keep_on: run.on_error == OnError::Continue,
+        continue_on_error: run.on_error == OnError::Continue,
         plan: serde_json::to_vec(&compiled.plan).map_err(|e| e.to_string())?,
         ..SubmitRun::default()
     };
@@ -345,7 +345,7 @@
     wait(move || async move {
         let controllers = Controllers::new(mesh);
         controllers
-            .ask(Ask::Submit(submit), patience)
+            .ask(Operation::Submit(submit), patience)
             .await
             .map_err(|e| e.to_string())?;
         follow(Whom::Mesh(controllers, patience), id.to_string(), how).await
@@ -535,10 +535,10 @@
     let question = RunQuestion {
         run: id.number(),
         from: 0,
-        most,
+        limit: most,
     };
     let mut answer = c
-        .ask(Ask::Get(question), patience)
+        .ask(Operation::Get(question), patience)
         .await
         .map_err(|e| e.to_string())?;
     let info = answer
@@ -654,9 +654,9 @@
         Whom::Mesh(c, patience) => {
             let mut after = 0;
             loop {
-                let ask = Ask::List(RunList {
+                let ask = Operation::List(RunList {
                     after,
-                    most: 200,
+                    limit: 200,
                     owner: String::new(),
                 });
                 let page = c.ask(ask, patience).await.map_err(|e| e.to_string())?;
@@ -686,11 +686,11 @@
                 format!("resume/{old}").as_bytes(),
             ));
             let ask = match verb {
-                "cancel" => Ask::Cancel(RunQuestion {
+                "cancel" => Operation::Cancel(RunQuestion {
                     run: old.number(),
                     ..RunQuestion::default()
                 }),
-                _ => Ask::Resume(ResumeRun {
+                _ => Operation::Resume(ResumeRun {
                     run: old.number(),
                     new_run: new.number(),
                     owner: String::new(),
--- a/crates/hopyoke-wes/src/server.rs
+++ b/crates/hopyoke-wes/src/server.rs
@@ -10,7 +10,7 @@
     BASE, Log, Organization, Problem, Progress, RunIdAnswer, RunList, RunLog, RunRequest,
     RunStatus, RunSummary, ServiceInfo, ServiceType, State, TaskList, TaskLog, TypeVersions, time,
 };
-use hopyoke::peers::client::proto::flow_request::Ask;
+use hopyoke::peers::client::proto::flow_request::Operation;
 use hopyoke::peers::client::proto::{self, RunInfo, RunQuestion, StepInfo, SubmitRun};
 use hopyoke_event_loop::http::{self, Method, OpenConnections, Request, Response, ServerLimits};
 use hopyoke_event_loop::{CancellationToken, TcpListener};
@@ -314,12 +314,12 @@
             warn!(error = %e, "descriptions not written");
             return refuse(503, "the tasks' descriptions can't be written now");
         }
-        let ask = Ask::Submit(SubmitRun {
+        let ask = Operation::Submit(SubmitRun {
             run: run.number(),
             name: url.to_owned(),
             team: compiled.team,
             owner: client.name.clone(),
-            keep_on,
+            continue_on_error: keep_on,
             tags: tags.into_iter().collect(),
             plan: compiled.plan,
         });
@@ -339,16 +339,19 @@
         run: &str,
         from: u32,
         most: u32,
-    ) -> Result<(RunId, RunInfo, proto::FlowAnswer), Refused> {
+    ) -> Result<(RunId, RunInfo, proto::FlowResponse), Refused> {
         let Some(id) = RunId::parse(run).filter(|r| r.number() > 0) else {
             return refuse(404, "no such run");
         };
         let question = RunQuestion {
             run: id.number(),
             from,
-            most,
+            limit: most,
         };
-        let mut answer = self.controllers.ask(Ask::Get(question), PATIENCE).await?;
+        let mut answer = self
+            .controllers
+            .ask(Operation::Get(question), PATIENCE)
+            .await?;
         match answer.runs.pop() {
             Some(info) if info.owner == client.name => Ok((id, info, answer)),
             _ => refuse(404, "no such run"),
@@ -409,7 +412,7 @@
             ..RunQuestion::default()
         };
         self.controllers
-            .ask(Ask::Cancel(question), PATIENCE)
+            .ask(Operation::Cancel(question), PATIENCE)
             .await?;
         Ok(json(
             200,
@@ -437,7 +440,9 @@
             new_run: new.number(),
             owner: client.name.clone(),
         };
-        self.controllers.ask(Ask::Resume(ask), PATIENCE).await?;
+        self.controllers
+            .ask(Operation::Resume(ask), PATIENCE)
+            .await?;
         Ok(json(
             200,
             &RunIdAnswer {
@@ -448,9 +453,9 @@
 
     async fn list(&self, client: &Client, query: &BTreeMap<String, String>) -> Answer {
         let (most, after) = page(query)?;
-        let ask = Ask::List(proto::RunList {
+        let ask = Operation::List(proto::RunList {
             after,
-            most,
+            limit: most,
             owner: client.name.clone(),
         });
         let answer = self.controllers.ask(ask, PATIENCE).await?;
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -155,7 +155,7 @@
                     format_span(w.p50_s),
                     format_span(w.p90_s)
                 );
-                println!("rests on {}", w.rests_on);
+                println!("rests on {}", w.basis);
             })
         }
         Some(Command::History { mesh, follow }) => history(mesh, follow),
@@ -211,9 +211,9 @@
     };
     let by = std::env::var("USER").unwrap_or_default();
     let request = StaffedRequest {
-        word: word.to_owned(),
-        span_s,
-        by,
+        mode: word.to_owned(),
+        duration_s: span_s,
+        set_by: by,
     };
     ask(mesh, client::ask_staffed(mesh, request)).map(|a| println!("{}", a.text))
 }
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -2,7 +2,7 @@
 //! leader answers them.
 
 use crate::node::{Leadership, Node};
-use crate::peers::client::proto::{HistoryAnswer, HistoryRequest, WhenAnswer, WhenRequest};
+use crate::peers::client::proto::{HistoryRequest, HistoryResponse, WhenRequest, WhenResponse};
 use crate::peers::client::{GREET_TIMEOUT, PeerClient};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::user::JobKind;
@@ -16,13 +16,13 @@
 const ANSWER_TIMEOUT: Micros = Micros(GREET_TIMEOUT.0 * 2);
 
 /// Estimates when a job will end, or GPUs will be free.
-pub(crate) async fn when(node: &Node, mut request: WhenRequest) -> WhenAnswer {
+pub(crate) async fn when(node: &Node, mut request: WhenRequest) -> WhenResponse {
     if let Some(leadership) = node.leadership() {
         return own_estimate(&leadership, request);
     }
-    let refused = |error: &str| WhenAnswer {
+    let refused = |error: &str| WhenResponse {
         error: error.to_owned(),
-        ..WhenAnswer::default()
+        ..WhenResponse::default()
     };
     let client = match leader(node, &request.node) {
         Ok(client) => client,
@@ -35,7 +35,7 @@
     answer.unwrap_or_else(|| refused("the leader did not answer"))
 }
 
-fn own_estimate(leadership: &Leadership, request: WhenRequest) -> WhenAnswer {
+fn own_estimate(leadership: &Leadership, request: WhenRequest) -> WhenResponse {
     let scheduler = leadership.scheduler.borrow();
     let now = runtime::now();
     let estimate = if request.job.is_empty() {
@@ -55,15 +55,15 @@
         }
     };
     match estimate {
-        Ok(estimate) => WhenAnswer {
+        Ok(estimate) => WhenResponse {
             error: String::new(),
             p50_s: estimate.p50_s,
             p90_s: estimate.p90_s,
-            rests_on: estimate.rests_on,
+            basis: estimate.rests_on,
         },
-        Err(error) => WhenAnswer {
+        Err(error) => WhenResponse {
             error,
-            ..WhenAnswer::default()
+            ..WhenResponse::default()
         },
     }
 }
@@ -81,13 +81,13 @@
 }
 
 /// Runs of tasks that have ended, as comma-separated values.
-pub(crate) async fn history(node: &Node, mut request: HistoryRequest) -> HistoryAnswer {
+pub(crate) async fn history(node: &Node, mut request: HistoryRequest) -> HistoryResponse {
     if let Some(leadership) = node.leadership() {
         return own_history(&leadership, &request);
     }
-    let refused = |error: &str| HistoryAnswer {
+    let refused = |error: &str| HistoryResponse {
         error: error.to_owned(),
-        ..HistoryAnswer::default()
+        ..HistoryResponse::default()
     };
     let client = match leader(node, &request.node) {
         Ok(client) => client,
@@ -103,7 +103,7 @@
     answer.unwrap_or_else(|| refused("the leader did not answer"))
 }
 
-fn own_history(leadership: &Leadership, request: &HistoryRequest) -> HistoryAnswer {
+fn own_history(leadership: &Leadership, request: &HistoryRequest) -> HistoryResponse {
     let scheduler = leadership.scheduler.borrow();
     let token = scheduler.token.0;
     // Each leader numbers the runs of its own term.
@@ -116,9 +116,9 @@
     let mut writer = Writer::new(false);
     for run in ended.iter().take(MAX_RUNS) {
         if let Err(error) = writer.add(&run_of(run)) {
-            return HistoryAnswer {
+            return HistoryResponse {
                 error: error.to_string(),
-                ..HistoryAnswer::default()
+                ..HistoryResponse::default()
             };
         }
     }
@@ -127,7 +127,7 @@
         .take(MAX_RUNS)
         .next_back()
         .map_or(after, |run| run.number);
-    HistoryAnswer {
+    HistoryResponse {
         error: String::new(),
         csv: writer.text(),
         token,
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{Leadership, Node};
 use crate::operations::settings;
-use crate::peers::client::proto::{StaffedAnswer, StaffedRequest};
+use crate::peers::client::proto::{StaffedRequest, StaffedResponse};
 use crate::store::client::TransactionOutcome;
 use crate::store::error::StoreError;
 use crate::store::keys::STAFFED_HOURS_KEY;
@@ -84,15 +84,15 @@
 }
 
 /// Answers an operator who sets or shows the override.
-pub(crate) async fn answer(node: &Node, request: StaffedRequest) -> StaffedAnswer {
+pub(crate) async fn answer(node: &Node, request: StaffedRequest) -> StaffedResponse {
     match change(node, request).await {
-        Ok(text) => StaffedAnswer {
+        Ok(text) => StaffedResponse {
             text,
-            ..StaffedAnswer::default()
+            ..StaffedResponse::default()
         },
-        Err(error) => StaffedAnswer {
+        Err(error) => StaffedResponse {
             error,
-            ..StaffedAnswer::default()
+            ..StaffedResponse::default()
         },
     }
 }
@@ -106,15 +106,15 @@
     let mut hours = hours(node).ok_or("nothing is held: `hold` is off in this node's settings")?;
     let now = runtime::time_of_day();
     let (current, mod_revision) = read_override(node).await.map_err(unavailable)?;
-    let new_override = match request.word.as_str() {
+    let new_override = match request.mode.as_str() {
         "show" => current,
         "auto" => None,
-        "on" | "off" if !(1..=MAX_SPAN_S).contains(&request.span_s) => {
+        "on" | "off" if !(1..=MAX_SPAN_S).contains(&request.duration_s) => {
             return Err("the span must be 1 s to 31 days".into());
         }
         state @ ("on" | "off") => {
-            let until = now + Micros::from_secs(request.span_s);
-            let by = request.by.chars().take(80).collect();
+            let until = now + Micros::from_secs(request.duration_s);
+            let by = request.set_by.chars().take(80).collect();
             Some(StaffingOverride {
                 staffed: state == "on",
                 until_us: until.0,
@@ -123,11 +123,11 @@
         }
         other => return Err(format!("'{other}' is not on, off, auto or show")),
     };
-    if request.word != "show" {
+    if request.mode != "show" {
         write_override(node, new_override.as_ref(), mod_revision).await?;
         info!(
-            state = request.word,
-            by = request.by,
+            state = request.mode,
+            by = request.set_by,
             "staffed hours overridden"
         );
     }
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -7,8 +7,9 @@
 use hopyoke_types::{JobId, Micros};
 use proto::mesh_client::MeshClient;
 use proto::{
-    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HistoryAnswer, HistoryRequest, JobChange,
-    StaffedAnswer, StaffedRequest, StatusRequest, UserRequest, WhenAnswer, WhenRequest,
+    FlowRequest, FlowResponse, ForwardRequest, Greeting, HeartbeatBatch, HistoryRequest,
+    HistoryResponse, JobChange, StaffedRequest, StaffedResponse, StatusRequest, WhenRequest,
+    WhenResponse,
 };
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -50,8 +51,8 @@
     store_reachable: Cell<bool>,
     /// By its last greeting: its fencing token if it leads, else 0.
     token: Cell<u64>,
-    process: Cell<u64>,
-    previous_process: Cell<u64>,
+    incarnation: Cell<u64>,
+    previous_incarnation: Cell<u64>,
     stale_messages: Cell<u64>,
     last_answer_at: Cell<Micros>,
     /// Users' requests that are being forwarded to it.
@@ -94,8 +95,8 @@
             last_greeting_at: Cell::new(Micros::ZERO),
             store_reachable: Cell::new(false),
             token: Cell::new(0),
-            process: Cell::new(0),
-            previous_process: Cell::new(0),
+            incarnation: Cell::new(0),
+            previous_incarnation: Cell::new(0),
             stale_messages: Cell::new(0),
             last_answer_at: Cell::new(Micros::ZERO),
             forwarded: Cell::new(0),
@@ -127,15 +128,15 @@
     /// ended.) A greeting that `is_answer` to a call of this node is from a live process, whatever arrived before it: so
     /// a delayed greeting of a process that was not known yet is corrected within a second.
     pub(crate) fn greeting_received(&self, greeting: &Greeting, is_answer: bool) -> bool {
-        let from_previous = !is_answer && greeting.process == self.previous_process.get();
+        let from_previous = !is_answer && greeting.incarnation == self.previous_incarnation.get();
         if greeting.node != self.peer.node || from_previous {
             self.stale_messages.set(self.stale_messages.get() + 1);
             debug!(peer = %self.peer.node, sender = %greeting.node, "stale greeting ignored");
             return false;
         }
-        if greeting.process != self.process.get() {
-            let previous = self.process.replace(greeting.process);
-            self.previous_process.set(previous);
+        if greeting.incarnation != self.incarnation.get() {
+            let previous = self.incarnation.replace(greeting.incarnation);
+            self.previous_incarnation.set(previous);
         }
         self.last_greeting_at.set(runtime::now());
         self.store_reachable.set(greeting.store_reachable);
@@ -244,7 +245,7 @@
             return None;
         }
         let _guard = ForwardGuard::new(&self.forwarded);
-        let message = UserRequest {
+        let message = ForwardRequest {
             node: from.to_owned(),
             method: request.method.as_str().to_owned(),
             path: request.path.clone(),
@@ -345,7 +346,7 @@
 ///
 /// # Errors
 /// The connection or the call failed, it timed out, or the controller refused the request.
-pub async fn ask_staffed(addr: SocketAddr, request: StaffedRequest) -> io::Result<StaffedAnswer> {
+pub async fn ask_staffed(addr: SocketAddr, request: StaffedRequest) -> io::Result<StaffedResponse> {
     let answer = ask(addr, |mut c| async move { c.staffed(request).await }).await?;
     if answer.error.is_empty() {
         Ok(answer)
@@ -358,7 +359,7 @@
 ///
 /// # Errors
 /// The connection or the call failed, or it timed out; the request may have been executed all the same.
-pub async fn ask_flow(addr: SocketAddr, request: FlowRequest) -> io::Result<FlowAnswer> {
+pub async fn ask_flow(addr: SocketAddr, request: FlowRequest) -> io::Result<FlowResponse> {
     ask_within(
         addr,
         FLOW_TIMEOUT,
@@ -371,7 +372,7 @@
 ///
 /// # Errors
 /// The connection or the call failed, it timed out, or there is no estimate.
-pub async fn ask_when(addr: SocketAddr, request: WhenRequest) -> io::Result<WhenAnswer> {
+pub async fn ask_when(addr: SocketAddr, request: WhenRequest) -> io::Result<WhenResponse> {
     let answer = ask(addr, |mut c| async move { c.when(request).await }).await?;
     if answer.error.is_empty() {
         Ok(answer)
@@ -384,7 +385,7 @@
 ///
 /// # Errors
 /// The connection or the call failed, it timed out, or the leader is not known.
-pub async fn ask_history(addr: SocketAddr, request: HistoryRequest) -> io::Result<HistoryAnswer> {
+pub async fn ask_history(addr: SocketAddr, request: HistoryRequest) -> io::Result<HistoryResponse> {
     let answer = ask(addr, |mut c| async move { c.history(request).await }).await?;
     if answer.error.is_empty() {
         Ok(answer)
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -13,9 +13,9 @@
 use crate::peers::client::GREET_TIMEOUT;
 use crate::peers::client::proto::mesh_server::{Mesh, MeshServer};
 use crate::peers::client::proto::{
-    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer,
-    HistoryRequest, JobChange, StaffedAnswer, StaffedRequest, StatusAnswer, StatusRequest,
-    UserAnswer, UserRequest, WhenAnswer, WhenRequest,
+    FlowRequest, FlowResponse, ForwardRequest, ForwardResponse, Greeting, HeartbeatBatch,
+    HeartbeatResponses, HistoryRequest, HistoryResponse, JobChange, StaffedRequest,
+    StaffedResponse, StatusRequest, StatusResponse, WhenRequest, WhenResponse,
 };
 use futures_channel::{mpsc, oneshot};
 use futures_util::StreamExt;
@@ -49,7 +49,7 @@
     });
     Greeting {
         node: node.settings.node.clone(),
-        process: node.lease_support.incarnation,
+        incarnation: node.lease_support.incarnation,
         store_reachable: node.store.is_responding(),
         token,
         applied_revision,
@@ -71,8 +71,8 @@
     Greeting {
         requested_loan: node.admission.requested_loan(),
         queue_positions: node.admission.take_gossip(peer),
-        delivered_process: cursor.incarnation,
-        delivered_upto: cursor.sequence,
+        delivered_incarnation: cursor.incarnation,
+        delivered_up_to: cursor.sequence,
         ..greeting(node)
     }
 }
@@ -86,8 +86,8 @@
         return answer;
     }
     let cursor = Cursor {
-        incarnation: request.delivered_process,
-        sequence: request.delivered_upto,
+        incarnation: request.delivered_incarnation,
+        sequence: request.delivered_up_to,
     };
     let cancellation_log = node.lease_support.cancellation_log.borrow();
     let delta = cancellation_log.delta_since(
@@ -98,7 +98,7 @@
         .then(|| node.lease_support.grant_support())
         .flatten();
     answer.support_us = support.map_or(0, |span| span.0);
-    answer.cancelled_upto = delta.last_sequence;
+    answer.cancelled_up_to = delta.last_sequence;
     answer.cancellations_complete = delta.is_complete;
     answer.cancelled_jobs = delta.jobs.iter().map(ToString::to_string).collect();
     answer
@@ -219,10 +219,11 @@
         }
         leadership.wakeup.notify();
     }
-    leadership
-        .delivery_cursors
-        .borrow_mut()
-        .advance(peer, answer.process, answer.cancelled_upto);
+    leadership.delivery_cursors.borrow_mut().advance(
+        peer,
+        answer.incarnation,
+        answer.cancelled_up_to,
+    );
     leadership
         .leader_lease
         .borrow_mut()
@@ -233,13 +234,13 @@
 enum Call {
     Greet(Greeting, oneshot::Sender<Greeting>),
     Notify(JobChange, oneshot::Sender<Greeting>),
-    Forward(UserRequest, oneshot::Sender<UserAnswer>),
+    Forward(ForwardRequest, oneshot::Sender<ForwardResponse>),
     Carry(HeartbeatBatch, oneshot::Sender<HeartbeatResponses>),
     Status(oneshot::Sender<String>),
-    When(WhenRequest, oneshot::Sender<WhenAnswer>),
-    History(HistoryRequest, oneshot::Sender<HistoryAnswer>),
-    Flow(FlowRequest, oneshot::Sender<FlowAnswer>),
-    Staffed(StaffedRequest, oneshot::Sender<StaffedAnswer>),
+    When(WhenRequest, oneshot::Sender<WhenResponse>),
+    History(HistoryRequest, oneshot::Sender<HistoryResponse>),
+    Flow(FlowRequest, oneshot::Sender<FlowResponse>),
+    Staffed(StaffedRequest, oneshot::Sender<StaffedResponse>),
 }
 
 /// Handlers as tonic requires them, `Send`: they hand each call to a routine on the event loop's thread.
@@ -282,8 +283,8 @@
     }
     async fn forward(
         &self,
-        r: tonic::Request<UserRequest>,
-    ) -> Result<tonic::Response<UserAnswer>, Status> {
+        r: tonic::Request<ForwardRequest>,
+    ) -> Result<tonic::Response<ForwardResponse>, Status> {
         self.pass(|reply| Call::Forward(r.into_inner(), reply))
             .await
     }
@@ -296,33 +297,33 @@
     async fn status(
         &self,
         _: tonic::Request<StatusRequest>,
-    ) -> Result<tonic::Response<StatusAnswer>, Status> {
+    ) -> Result<tonic::Response<StatusResponse>, Status> {
         let text = self.pass(Call::Status).await?.into_inner();
-        Ok(tonic::Response::new(StatusAnswer { text }))
+        Ok(tonic::Response::new(StatusResponse { text }))
     }
     async fn when(
         &self,
         r: tonic::Request<WhenRequest>,
-    ) -> Result<tonic::Response<WhenAnswer>, Status> {
+    ) -> Result<tonic::Response<WhenResponse>, Status> {
         self.pass(|reply| Call::When(r.into_inner(), reply)).await
     }
     async fn history(
         &self,
         r: tonic::Request<HistoryRequest>,
-    ) -> Result<tonic::Response<HistoryAnswer>, Status> {
+    ) -> Result<tonic::Response<HistoryResponse>, Status> {
         self.pass(|reply| Call::History(r.into_inner(), reply))
             .await
     }
     async fn flow(
         &self,
         r: tonic::Request<FlowRequest>,
-    ) -> Result<tonic::Response<FlowAnswer>, Status> {
+    ) -> Result<tonic::Response<FlowResponse>, Status> {
         self.pass(|reply| Call::Flow(r.into_inner(), reply)).await
     }
     async fn staffed(
         &self,
         r: tonic::Request<StaffedRequest>,
-    ) -> Result<tonic::Response<StaffedAnswer>, Status> {
+    ) -> Result<tonic::Response<StaffedResponse>, Status> {
         self.pass(|reply| Call::Staffed(r.into_inner(), reply))
             .await
     }
@@ -452,8 +453,8 @@
 
 async fn answer_forwarded(
     node: &Rc<Node>,
-    message: UserRequest,
-    reply: oneshot::Sender<UserAnswer>,
+    message: ForwardRequest,
+    reply: oneshot::Sender<ForwardResponse>,
 ) {
     if known_peer(node, &message.node).is_none() {
         return;
@@ -469,7 +470,7 @@
     };
     let deadline = RequestDeadline::of_forwarded(method, Micros(message.remaining_us));
     let response = jobs::own_answer(node, rest, &request, deadline).await;
-    let _ = reply.send(UserAnswer {
+    let _ = reply.send(ForwardResponse {
         status: u32::from(response.status),
         retry_after_s: response.retry_after_s.unwrap_or(0),
         body: response.body,
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -2,9 +2,9 @@
 //! told is written before it is answered.
 
 use crate::node::{Flows, Node};
-use crate::peers::client::proto::flow_request::Ask;
+use crate::peers::client::proto::flow_request::Operation;
 use crate::peers::client::proto::{
-    FlowAnswer, FlowRequest, ResumeRun, RunInfo, RunList, RunQuestion, StepInfo, SubmitRun,
+    FlowRequest, FlowResponse, ResumeRun, RunInfo, RunList, RunQuestion, StepInfo, SubmitRun,
 };
 use crate::store::client::TransactionOutcome;
 use crate::store::error::StoreError;
@@ -41,25 +41,25 @@
     State(#[from] StoreError),
 }
 
-type Answer<T = FlowAnswer> = Result<T, Refusal>;
+type Answer<T = FlowResponse> = Result<T, Refusal>;
 
 fn refuse<T>(status: u32, why: impl Into<String>) -> Answer<T> {
     Err(Refusal::Status(status, why.into()))
 }
 
-pub(crate) async fn answer(node: &Rc<Node>, request: FlowRequest) -> FlowAnswer {
+pub(crate) async fn answer(node: &Rc<Node>, request: FlowRequest) -> FlowResponse {
     let Some(flows) = &node.flows else {
         return failed(
             501,
             "this node takes no runs: `flows` is off in its settings".into(),
         );
     };
-    let answer = match request.ask {
-        Some(Ask::Submit(r)) => submit(node, flows, r).await,
-        Some(Ask::Get(q)) => get(node, flows, q).await,
-        Some(Ask::List(l)) => list(node, flows, l).await,
-        Some(Ask::Cancel(q)) => cancel(node, q).await,
-        Some(Ask::Resume(r)) => resume(node, flows, r).await,
+    let answer = match request.operation {
+        Some(Operation::Submit(r)) => submit(node, flows, r).await,
+        Some(Operation::Get(q)) => get(node, flows, q).await,
+        Some(Operation::List(l)) => list(node, flows, l).await,
+        Some(Operation::Cancel(q)) => cancel(node, q).await,
+        Some(Operation::Resume(r)) => resume(node, flows, r).await,
         None => refuse(400, "nothing is asked"),
     };
     match answer {
@@ -72,13 +72,13 @@
     }
 }
 
-fn failed(status: u32, error: String) -> FlowAnswer {
+fn failed(status: u32, error: String) -> FlowResponse {
     let retry_after_s = if status == 503 { 1 } else { 0 };
-    FlowAnswer {
+    FlowResponse {
         status,
         error,
         retry_after_s,
-        ..FlowAnswer::default()
+        ..FlowResponse::default()
     }
 }
 
@@ -102,7 +102,7 @@
         done: head.done.max(done),
         in_flight,
         reason: head.reason.clone(),
-        resumes: head.resumes.map_or(0, RunId::number),
+        resumed_run: head.resumes.map_or(0, RunId::number),
         tags: head.tags.clone().into_iter().collect(),
     }
 }
@@ -118,11 +118,11 @@
     }
 }
 
-fn one(status: u32, info: RunInfo) -> FlowAnswer {
-    FlowAnswer {
+fn one(status: u32, info: RunInfo) -> FlowResponse {
+    FlowResponse {
         status,
         runs: vec![info],
-        ..FlowAnswer::default()
+        ..FlowResponse::default()
     }
 }
 
@@ -158,7 +158,7 @@
         Ok(p) => p,
         Err(e) => return refuse(422, e.to_string()),
     };
-    let on_error = if r.keep_on {
+    let on_error = if r.continue_on_error {
         OnError::Continue
     } else {
         OnError::Stop
@@ -322,7 +322,7 @@
         return refuse(404, "no such run");
     };
     let carried = flows.engine.borrow().progress(run);
-    if q.most == 0 {
+    if q.limit == 0 {
         let p = carried.unwrap_or_default();
         return Ok(one(200, told(&head, run, p.in_flight, p.done)));
     }
@@ -360,7 +360,7 @@
         StepState::Open if submitted.contains(&step) => "submitted",
         StepState::Open => "waiting",
     };
-    let most = q.most.min(MOST_STEPS_TOLD);
+    let most = q.limit.min(MOST_STEPS_TOLD);
     let steps = (0..)
         .map(StepNo)
         .zip(plan.steps.iter().zip(&marks))
@@ -384,7 +384,7 @@
         String::new()
     };
     let info = told(&head, run, submitted.len() as u32, done);
-    Ok(FlowAnswer {
+    Ok(FlowResponse {
         steps,
         more,
         outputs,
@@ -398,7 +398,7 @@
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
 async fn list(node: &Node, flows: &Flows, l: RunList) -> Answer {
-    let most = l.most.clamp(1, MOST_LISTED) as usize;
+    let most = l.limit.clamp(1, MOST_LISTED) as usize;
     let mut after = RunId::folded(l.after);
     let mut runs = Vec::new();
     // Owners' runs may lie far apart: one call reads a bounded number of pages.
@@ -444,30 +444,30 @@
                 continue;
             }
             if runs.len() == most {
-                return Ok(FlowAnswer {
+                return Ok(FlowResponse {
                     status: 200,
                     runs,
                     more: true,
-                    ..FlowAnswer::default()
+                    ..FlowResponse::default()
                 });
             }
             let p = flows.engine.borrow().progress(run).unwrap_or_default();
             runs.push(told(&head, run, p.in_flight, p.done));
         }
         if !more {
-            return Ok(FlowAnswer {
+            return Ok(FlowResponse {
                 status: 200,
                 runs,
-                ..FlowAnswer::default()
+                ..FlowResponse::default()
             });
         }
         after = limit.unwrap_or(after);
     }
-    Ok(FlowAnswer {
+    Ok(FlowResponse {
         status: 200,
         runs,
         more: true,
-        ..FlowAnswer::default()
+        ..FlowResponse::default()
     })
 }
 
--- a/crates/hopyoke/tests/frozen_forms.rs
+++ b/crates/hopyoke/tests/frozen_forms.rs
@@ -5,12 +5,12 @@
 mod frozen;
 
 use frozen::{assert_bytes, bytes};
-use hopyoke::peers::client::proto::flow_request::Ask;
+use hopyoke::peers::client::proto::flow_request::Operation;
 use hopyoke::peers::client::proto::{
-    FlowAnswer, FlowRequest, Greeting, HeartbeatBatch, HeartbeatResponses, HistoryAnswer,
-    HistoryRequest, JobChange, QueuePosition, ResumeRun, RunInfo, RunList, RunQuestion,
-    StaffedAnswer, StaffedRequest, StatusAnswer, StatusRequest, StepInfo, SubmitRun, UserAnswer,
-    UserRequest, WhenAnswer, WhenRequest,
+    FlowRequest, FlowResponse, ForwardRequest, ForwardResponse, Greeting, HeartbeatBatch,
+    HeartbeatResponses, HistoryRequest, HistoryResponse, JobChange, QueuePosition, ResumeRun,
+    RunInfo, RunList, RunQuestion, StaffedRequest, StaffedResponse, StatusRequest, StatusResponse,
+    StepInfo, SubmitRun, WhenRequest, WhenResponse,
 };
 use prost::Message;
 use std::collections::HashMap;
@@ -33,14 +33,14 @@
         node: "node-2".into(),
         store_reachable: true,
         token: 5_000_000_007,
-        process: 7_001,
+        incarnation: 7_001,
         support_us: 2_000_000,
         cancelled_jobs: vec!["req-41".into(), "req-42".into()],
-        cancelled_upto: 12,
+        cancelled_up_to: 12,
         cancellations_complete: false,
         applied_revision: 950,
-        delivered_process: 7_002,
-        delivered_upto: 11,
+        delivered_incarnation: 7_002,
+        delivered_up_to: 11,
         write_demand: 3.5,
         requested_loan: 20.25,
         granted_loan: 8.75,
@@ -59,7 +59,7 @@
 
 #[test]
 fn forwarded_requests_and_notifications() {
-    let request = UserRequest {
+    let request = ForwardRequest {
         node: "node-2".into(),
         method: "POST".into(),
         path: "/jobs".into(),
@@ -69,7 +69,7 @@
     assert_message("user-request", &request);
     assert_message(
         "user-answer",
-        &UserAnswer {
+        &ForwardResponse {
             status: 429,
             body: vec![0x80],
             retry_after_s: 7,
@@ -105,7 +105,7 @@
     assert_message("status-request", &StatusRequest {});
     assert_message(
         "status-answer",
-        &StatusAnswer {
+        &StatusResponse {
             text: "leads\n".into(),
         },
     );
@@ -117,11 +117,11 @@
         zone: "east".into(),
     };
     assert_message("when-request", &when);
-    let answer = WhenAnswer {
+    let answer = WhenResponse {
         error: "no".into(),
         p50_s: 60.5,
         p90_s: 120.25,
-        rests_on: "8 runs".into(),
+        basis: "8 runs".into(),
     };
     assert_message("when-answer", &answer);
     assert_message(
@@ -132,7 +132,7 @@
             since: 80,
         },
     );
-    let history = HistoryAnswer {
+    let history = HistoryResponse {
         error: "no".into(),
         csv: "1,train\n".into(),
         token: 5_000_000_007,
@@ -143,14 +143,14 @@
     assert_message(
         "staffed-request",
         &StaffedRequest {
-            word: "on".into(),
-            span_s: 3_600,
-            by: "ana".into(),
+            mode: "on".into(),
+            duration_s: 3_600,
+            set_by: "ana".into(),
         },
     );
     assert_message(
         "staffed-answer",
-        &StaffedAnswer {
+        &StaffedResponse {
             error: "no".into(),
             text: "staffed".into(),
         },
@@ -164,30 +164,30 @@
         name: "nightly".into(),
         team: "vision".into(),
         owner: "ana".into(),
-        keep_on: true,
+        continue_on_error: true,
         tags: tags(),
         plan: b"{\"steps\":[]}".to_vec(),
     };
     let question = RunQuestion {
         run: 41_000_000_007,
         from: 200,
-        most: 100,
+        limit: 100,
     };
     let asks = [
-        ("flow-submit", Ask::Submit(submit)),
-        ("flow-get", Ask::Get(question)),
+        ("flow-submit", Operation::Submit(submit)),
+        ("flow-get", Operation::Get(question)),
         (
             "flow-list",
-            Ask::List(RunList {
+            Operation::List(RunList {
                 after: 41_000_000_006,
-                most: 50,
+                limit: 50,
                 owner: "ana".into(),
             }),
         ),
-        ("flow-cancel", Ask::Cancel(question)),
+        ("flow-cancel", Operation::Cancel(question)),
         (
             "flow-resume",
-            Ask::Resume(ResumeRun {
+            Operation::Resume(ResumeRun {
                 run: 41_000_000_007,
                 new_run: 41_000_000_008,
                 owner: "ana".into(),
@@ -195,9 +195,14 @@
         ),
     ];
     for (name, ask) in asks {
-        assert_message(name, &FlowRequest { ask: Some(ask) });
+        assert_message(
+            name,
+            &FlowRequest {
+                operation: Some(ask),
+            },
+        );
     }
-    assert_message("flow-none", &FlowRequest { ask: None });
+    assert_message("flow-none", &FlowRequest { operation: None });
 }
 
 #[test]
@@ -214,7 +219,7 @@
         done: 4,
         in_flight: 2,
         reason: "step convert: exit 2".into(),
-        resumes: 41_000_000_007,
+        resumed_run: 41_000_000_007,
         tags: tags(),
     };
     let step = StepInfo {
@@ -224,7 +229,7 @@
         state: "submitted".into(),
         job: "req-90410000000080000300".into(),
     };
-    let answer = FlowAnswer {
+    let answer = FlowResponse {
         status: 200,
         error: "no".into(),
         retry_after_s: 5,
