--- a/crates/hopyoke-wes/src/main.rs
+++ b/crates/hopyoke-wes/src/main.rs
@@ -718,7 +718,7 @@
         println!("{}: no faults", file.display());
         return Ok(());
     }
-    hopyoke::log::start().map_err(|e| e.to_string())?;
+    hopyoke::log::init().map_err(|e| e.to_string())?;
     wait(move || async move {
         let listen = config.listen;
         let ready = |addr: SocketAddr| tracing::info!(%addr, "serving");
--- a/crates/hopyoke/src/log.rs
+++ b/crates/hopyoke/src/log.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// [`LogError::UnknownLevel`] if the variable does not name a level.
-pub fn start() -> Result<(), LogError> {
+pub fn init() -> Result<(), LogError> {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
         Ok("warn") => LevelFilter::WARN,
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -133,7 +133,7 @@
     let result = match args.command {
         Some(Command::Check { config, policy }) => check(config.as_deref(), policy.as_deref()),
         Some(Command::Status { mesh }) => {
-            ask(mesh, client::ask_status(mesh)).map(|text| print!("{text}"))
+            call_controller(mesh, client::get_status(mesh)).map(|text| print!("{text}"))
         }
         Some(Command::When {
             job,
@@ -149,7 +149,7 @@
                 gpus: gpus.unwrap_or(0.0),
                 zone: zone.unwrap_or_default(),
             };
-            ask(mesh, client::ask_when(mesh, request)).map(|w| {
+            call_controller(mesh, client::get_estimate(mesh, request)).map(|w| {
                 println!(
                     "p50 in {}, p90 in {}",
                     format_span(w.p50_s),
@@ -215,7 +215,7 @@
         duration_s: span_s,
         set_by: by,
     };
-    ask(mesh, client::ask_staffed(mesh, request)).map(|a| println!("{}", a.text))
+    call_controller(mesh, client::call_staffed(mesh, request)).map(|a| println!("{}", a.text))
 }
 
 /// Replaces this process by `hopyoke-cwl`, from the same directory if it is there: its dependencies stay out of the
@@ -239,7 +239,7 @@
     let config = config.ok_or("--config FILE is needed")?;
     let settings = Settings::load(config).map_err(text)?;
     let policy = load_policy(policy)?;
-    hopyoke::log::start().map_err(text)?;
+    hopyoke::log::init().map_err(text)?;
     hopyoke::serve::serve(settings, policy).map_err(text)
 }
 
@@ -409,7 +409,7 @@
             token,
             since,
         };
-        let answer = ask(mesh, client::ask_history(mesh, request));
+        let answer = call_controller(mesh, client::get_history(mesh, request));
         let more = match answer {
             Ok(a) => {
                 print!("{}", a.csv);
@@ -433,14 +433,14 @@
 }
 
 /// Calls a running controller on an event loop of its own.
-fn ask<T: 'static>(
+fn call_controller<T: 'static>(
     addr: SocketAddr,
-    call: impl Future<Output = std::io::Result<T>> + 'static,
+    request: impl Future<Output = std::io::Result<T>> + 'static,
 ) -> Result<T, String> {
     let answer = Rc::new(RefCell::new(None));
     let answer_slot = answer.clone();
     runtime::run(async move {
-        *answer_slot.borrow_mut() = Some(call.await);
+        *answer_slot.borrow_mut() = Some(request.await);
     })
     .map_err(text)?;
     match answer.take() {
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -57,15 +57,15 @@
     pub(crate) routes: RefCell<Routes>,
     pub(crate) heartbeat_relay: HeartbeatRelay,
     /// Until then this process counts as behind: it got its processor too late.
-    pub(crate) behind_until: Cell<Micros>,
+    pub(crate) lagging_until: Cell<Micros>,
     /// Execution of workflows, if this node takes part in it.
-    pub(crate) flows: Option<Flows>,
+    pub(crate) workflows: Option<WorkflowExecution>,
     /// Ends all routines of the node.
     pub(crate) cancel: CancellationToken,
 }
 
 /// What a node needs to execute runs of workflows.
-pub(crate) struct Flows {
+pub(crate) struct WorkflowExecution {
     pub(crate) engine: RefCell<Engine>,
     /// Notified when the engine has something to do.
     pub(crate) wakeup: Notify,
@@ -77,8 +77,8 @@
     pub(crate) next_plan_write_at: Cell<Micros>,
 }
 
-impl Flows {
-    fn new(settings: &Settings, limits: Limits) -> Flows {
+impl WorkflowExecution {
+    fn new(settings: &Settings, limits: Limits) -> WorkflowExecution {
         let peers = settings.peers.iter().map(|p| p.node.clone());
         let nodes = peers.chain([settings.node.clone()]).collect();
         let engine = Engine::new(
@@ -89,7 +89,7 @@
             rand::random(),
             runtime::now(),
         );
-        Flows {
+        WorkflowExecution {
             engine: RefCell::new(engine),
             wakeup: Notify::default(),
             lease: Cell::new(None),
@@ -115,7 +115,7 @@
     /// Reads that wait until the scheduler is known to include all earlier writes.
     pub(crate) waiting_reads: WaitingReads,
     /// Reads that wait for the peers' word instead, while the key-value store is too slow for their users.
-    pub(crate) reads_by_peers: WaitingReads,
+    pub(crate) peer_confirmed_reads: WaitingReads,
     /// How far the peers' cancellation logs have been received.
     pub(crate) delivery_cursors: RefCell<DeliveryCursors>,
     plan_cost: PlanCost,
@@ -140,7 +140,7 @@
 }
 
 /// Plans of a process that is behind may take this part of what they otherwise may.
-const PLAN_SHARE_WHEN_BEHIND: f64 = 0.4;
+const PLAN_SHARE_WHEN_LAGGING: f64 = 0.4;
 
 impl Leadership {
     /// The state of a term that begins now, with the scheduler as built from the records.
@@ -163,7 +163,7 @@
             write_wakeup: Notify::default(),
             cancel,
             waiting_reads: WaitingReads::default(),
-            reads_by_peers: WaitingReads::default(),
+            peer_confirmed_reads: WaitingReads::default(),
             delivery_cursors: RefCell::new(DeliveryCursors::new(node.peers.all().len())),
             plan_cost: PlanCost {
                 spent: Cell::new(Micros::ZERO),
@@ -204,7 +204,7 @@
     /// lack some, being restarted since, confirms nothing. (Guards `went_back`.)
     pub(crate) async fn wait_until_confirmed(&self, deadline: Micros) -> bool {
         self.cancel
-            .run(self.reads_by_peers.wait_until_current(deadline))
+            .run(self.peer_confirmed_reads.wait_until_current(deadline))
             .await
             == Some(true)
     }
@@ -235,12 +235,12 @@
                 "plan made"
             );
             // A process that is behind serves heartbeats first.
-            let part = if node.is_behind() {
-                PLAN_SHARE_WHEN_BEHIND
+            let factor = if node.is_lagging() {
+                PLAN_SHARE_WHEN_LAGGING
             } else {
                 1.0
             };
-            let share = node.settings.facts.limits.cpu_share * scheduler.tuning.plan_share * part;
+            let share = node.settings.facts.limits.cpu_share * scheduler.tuning.plan_share * factor;
             scheduler.plan_cost(cost, share);
         }
         result
@@ -248,15 +248,15 @@
 }
 
 impl Node {
-    /// A node that starts now. `flow_limits`: what runs of workflows may take, if this node is to execute them.
-    pub(crate) fn new(settings: Settings, policy: Policy, flow_limits: Option<Limits>) -> Node {
-        let flows = flow_limits.map(|limits| Flows::new(&settings, limits));
+    /// A node that starts now. `workflow_limits`: what runs of workflows may take, if this node is to execute them.
+    pub(crate) fn new(settings: Settings, policy: Policy, workflow_limits: Option<Limits>) -> Node {
+        let workflows = workflow_limits.map(|limits| WorkflowExecution::new(&settings, limits));
         let limit = |per_second| SharedLimit {
             per_second,
             nodes: settings.facts.nodes,
         };
         Node {
-            flows,
+            workflows,
             config: SchedulerConfig::of(&settings),
             store: KvClient::new(
                 settings.endpoints.state,
@@ -279,7 +279,7 @@
             open_connections: OpenConnections::default(),
             routes: RefCell::new(Routes::new(settings.peers.len())),
             heartbeat_relay: HeartbeatRelay::default(),
-            behind_until: Cell::new(Micros::ZERO),
+            lagging_until: Cell::new(Micros::ZERO),
             cancel: CancellationToken::new(),
             settings,
             policy,
@@ -287,8 +287,8 @@
     }
 
     /// This process got its processor too late a short while ago.
-    pub(crate) fn is_behind(&self) -> bool {
-        runtime::now() < self.behind_until.get()
+    pub(crate) fn is_lagging(&self) -> bool {
+        runtime::now() < self.lagging_until.get()
     }
 
     /// How many connections users and agents may have open: the rest of the sockets is for the key-value store, the
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -306,15 +306,15 @@
 }
 
 /// Makes one call on a connection of its own, as the command line does.
-async fn ask<T, F, G>(addr: SocketAddr, f: F) -> io::Result<T>
+async fn call_once<T, F, G>(addr: SocketAddr, f: F) -> io::Result<T>
 where
     F: FnOnce(MeshClient<Channel>) -> G,
     G: Future<Output = Result<tonic::Response<T>, Status>>,
 {
-    ask_within(addr, Micros::from_secs(3), f).await
+    call_once_within(addr, Micros::from_secs(3), f).await
 }
 
-async fn ask_within<T, F, G>(addr: SocketAddr, timeout: Micros, f: F) -> io::Result<T>
+async fn call_once_within<T, F, G>(addr: SocketAddr, timeout: Micros, f: F) -> io::Result<T>
 where
     F: FnOnce(MeshClient<Channel>) -> G,
     G: Future<Output = Result<tonic::Response<T>, Status>>,
@@ -333,8 +333,8 @@
 ///
 /// # Errors
 /// The connection or the call failed, or it timed out.
-pub async fn ask_status(addr: SocketAddr) -> io::Result<String> {
-    Ok(ask(
+pub async fn get_status(addr: SocketAddr) -> io::Result<String> {
+    Ok(call_once(
         addr,
         |mut c| async move { c.status(StatusRequest {}).await },
     )
@@ -346,8 +346,11 @@
 ///
 /// # Errors
 /// The connection or the call failed, it timed out, or the controller refused the request.
-pub async fn ask_staffed(addr: SocketAddr, request: StaffedRequest) -> io::Result<StaffedResponse> {
-    let answer = ask(addr, |mut c| async move { c.staffed(request).await }).await?;
+pub async fn call_staffed(
+    addr: SocketAddr,
+    request: StaffedRequest,
+) -> io::Result<StaffedResponse> {
+    let answer = call_once(addr, |mut c| async move { c.staffed(request).await }).await?;
     if answer.error.is_empty() {
         Ok(answer)
     } else {
@@ -359,8 +362,8 @@
 ///
 /// # Errors
 /// The connection or the call failed, or it timed out; the request may have been executed all the same.
-pub async fn ask_flow(addr: SocketAddr, request: FlowRequest) -> io::Result<FlowResponse> {
-    ask_within(
+pub async fn call_flow(addr: SocketAddr, request: FlowRequest) -> io::Result<FlowResponse> {
+    call_once_within(
         addr,
         FLOW_TIMEOUT,
         |mut c| async move { c.flow(request).await },
@@ -372,8 +375,8 @@
 ///
 /// # Errors
 /// The connection or the call failed, it timed out, or there is no estimate.
-pub async fn ask_when(addr: SocketAddr, request: WhenRequest) -> io::Result<WhenResponse> {
-    let answer = ask(addr, |mut c| async move { c.when(request).await }).await?;
+pub async fn get_estimate(addr: SocketAddr, request: WhenRequest) -> io::Result<WhenResponse> {
+    let answer = call_once(addr, |mut c| async move { c.when(request).await }).await?;
     if answer.error.is_empty() {
         Ok(answer)
     } else {
@@ -385,8 +388,8 @@
 ///
 /// # Errors
 /// The connection or the call failed, it timed out, or the leader is not known.
-pub async fn ask_history(addr: SocketAddr, request: HistoryRequest) -> io::Result<HistoryResponse> {
-    let answer = ask(addr, |mut c| async move { c.history(request).await }).await?;
+pub async fn get_history(addr: SocketAddr, request: HistoryRequest) -> io::Result<HistoryResponse> {
+    let answer = call_once(addr, |mut c| async move { c.history(request).await }).await?;
     if answer.error.is_empty() {
         Ok(answer)
     } else {
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -37,7 +37,7 @@
 fn greeting(node: &Node) -> Greeting {
     let load = node.routes.borrow_mut().own_load(
         node.leadership().is_some(),
-        node.is_behind(),
+        node.is_lagging(),
         node.open_connections.count(),
         node.max_open_connections(),
         runtime::now(),
@@ -80,7 +80,7 @@
 /// The answer to a greeting. A leader receives the cancellations confirmed here that it may not have applied, and, if
 /// the key-value store refuses this node too, lease support with them: it sent the request, so it may rely on the support
 /// from the time of sending on. Support that was not requested could arrive late.
-fn greeting_answer(node: &Node, request: &Greeting) -> Greeting {
+fn greeting_response(node: &Node, request: &Greeting) -> Greeting {
     let mut answer = greeting(node);
     if request.token == 0 {
         return answer;
@@ -116,7 +116,7 @@
     let Some(answer) = answer.filter(|a| client.greeting_received(a, true)) else {
         return false;
     };
-    note_load(node, peer, &answer);
+    record_load(node, peer, &answer);
     node.admission
         .loan_received(peer, answer.granted_loan, sent_at);
     if answer.token > 0 {
@@ -126,7 +126,7 @@
     let Some(leadership) = node.leadership() else {
         return false;
     };
-    apply_answer(node, &leadership, peer, sent_at, &answer);
+    apply_greeting_response(node, &leadership, peer, sent_at, &answer);
     answer.cancellations_complete
 }
 
@@ -134,8 +134,8 @@
 /// [`Leadership::wait_until_confirmed`].
 pub(crate) async fn confirm_reads(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
-        let Some(query) = leadership.reads_by_peers.next_query().await else {
-            leadership.reads_by_peers.wake_readers();
+        let Some(query) = leadership.peer_confirmed_reads.next_query().await else {
+            leadership.peer_confirmed_reads.wake_readers();
             continue;
         };
         runtime::spawn_until(
@@ -148,21 +148,21 @@
 async fn confirm_by_all_peers(node: Rc<Node>, leadership: Rc<Leadership>, query: ReadQuery) {
     let peers = 0..node.peers.all().len();
     let answers = join_all(peers.map(|peer| exchange_greetings(&node, peer))).await;
-    let own_are_applied = node
+    let own_log_is_applied = node
         .lease_support
         .cancellation_log
         .borrow()
         .covers(leadership.scheduler.borrow().applied_revision());
     // A valid lease: nobody else has led since the query was sent.
     let is_confirmed =
-        own_are_applied && answers.into_iter().all(|a| a) && leadership.lease_is_valid();
+        own_log_is_applied && answers.into_iter().all(|a| a) && leadership.lease_is_valid();
     let now = runtime::now();
     if is_confirmed {
-        leadership.reads_by_peers.query_answered(query, now);
+        leadership.peer_confirmed_reads.query_answered(query, now);
     } else {
-        leadership.reads_by_peers.query_failed(query, now);
+        leadership.peer_confirmed_reads.query_failed(query, now);
     }
-    leadership.reads_by_peers.wake_readers();
+    leadership.peer_confirmed_reads.wake_readers();
 }
 
 /// Greets one peer about once a second, for as long as the node runs.
@@ -179,7 +179,7 @@
     }
 }
 
-fn note_load(node: &Node, peer: usize, greeting: &Greeting) {
+fn record_load(node: &Node, peer: usize, greeting: &Greeting) {
     let load = ConnectionLoad {
         open: greeting.open,
         max_open: greeting.max_open,
@@ -193,7 +193,7 @@
 /// Applies a peer's answer at the leader: first the cancellations, then the lease support, which is granted on the
 /// condition that the leader knows them. The support counts only if the leader has also applied what was confirmed at its
 /// own node before its election. (Guards `ran_cancelled`. Scenario leader_rejected_then_outage_new_process.)
-fn apply_answer(
+fn apply_greeting_response(
     node: &Node,
     leadership: &Leadership,
     peer: usize,
@@ -201,12 +201,12 @@
     answer: &Greeting,
 ) {
     let now = runtime::now();
-    let own_applied = node
+    let own_log_is_applied = node
         .lease_support
         .cancellation_log
         .borrow()
         .covers(leadership.scheduler.borrow().applied_revision());
-    let span = (answer.support_us > 0 && own_applied).then_some(Micros(answer.support_us));
+    let span = (answer.support_us > 0 && own_log_is_applied).then_some(Micros(answer.support_us));
     if !answer.cancelled_jobs.is_empty() {
         let mut scheduler = leadership.scheduler.borrow_mut();
         for id in answer
@@ -251,7 +251,7 @@
 const MAX_QUEUED_CALLS: usize = 64;
 
 impl Handlers {
-    async fn pass<T>(
+    async fn dispatch<T>(
         &self,
         make: impl FnOnce(oneshot::Sender<T>) -> Call,
     ) -> Result<tonic::Response<T>, Status> {
@@ -273,58 +273,63 @@
         &self,
         r: tonic::Request<Greeting>,
     ) -> Result<tonic::Response<Greeting>, Status> {
-        self.pass(|reply| Call::Greet(r.into_inner(), reply)).await
+        self.dispatch(|reply| Call::Greet(r.into_inner(), reply))
+            .await
     }
     async fn notify(
         &self,
         r: tonic::Request<JobChange>,
     ) -> Result<tonic::Response<Greeting>, Status> {
-        self.pass(|reply| Call::Notify(r.into_inner(), reply)).await
+        self.dispatch(|reply| Call::Notify(r.into_inner(), reply))
+            .await
     }
     async fn forward(
         &self,
         r: tonic::Request<ForwardRequest>,
     ) -> Result<tonic::Response<ForwardResponse>, Status> {
-        self.pass(|reply| Call::Forward(r.into_inner(), reply))
+        self.dispatch(|reply| Call::Forward(r.into_inner(), reply))
             .await
     }
     async fn carry(
         &self,
         r: tonic::Request<HeartbeatBatch>,
     ) -> Result<tonic::Response<HeartbeatResponses>, Status> {
-        self.pass(|reply| Call::Carry(r.into_inner(), reply)).await
+        self.dispatch(|reply| Call::Carry(r.into_inner(), reply))
+            .await
     }
     async fn status(
         &self,
         _: tonic::Request<StatusRequest>,
     ) -> Result<tonic::Response<StatusResponse>, Status> {
-        let text = self.pass(Call::Status).await?.into_inner();
+        let text = self.dispatch(Call::Status).await?.into_inner();
         Ok(tonic::Response::new(StatusResponse { text }))
     }
     async fn when(
         &self,
         r: tonic::Request<WhenRequest>,
     ) -> Result<tonic::Response<WhenResponse>, Status> {
-        self.pass(|reply| Call::When(r.into_inner(), reply)).await
+        self.dispatch(|reply| Call::When(r.into_inner(), reply))
+            .await
     }
     async fn history(
         &self,
         r: tonic::Request<HistoryRequest>,
     ) -> Result<tonic::Response<HistoryResponse>, Status> {
-        self.pass(|reply| Call::History(r.into_inner(), reply))
+        self.dispatch(|reply| Call::History(r.into_inner(), reply))
             .await
     }
     async fn flow(
         &self,
         r: tonic::Request<FlowRequest>,
     ) -> Result<tonic::Response<FlowResponse>, Status> {
-        self.pass(|reply| Call::Flow(r.into_inner(), reply)).await
+        self.dispatch(|reply| Call::Flow(r.into_inner(), reply))
+            .await
     }
     async fn staffed(
         &self,
         r: tonic::Request<StaffedRequest>,
     ) -> Result<tonic::Response<StaffedResponse>, Status> {
-        self.pass(|reply| Call::Staffed(r.into_inner(), reply))
+        self.dispatch(|reply| Call::Staffed(r.into_inner(), reply))
             .await
     }
 }
@@ -361,10 +366,9 @@
     runtime::spawn_until(node.cancel.clone(), async move {
         while let Some(call) = calls.next().await {
             let node = local.clone();
-            runtime::spawn_until(
-                node.cancel.clone(),
-                async move { answer(&node, call).await },
-            );
+            runtime::spawn_until(node.cancel.clone(), async move {
+                handle_call(&node, call).await
+            });
         }
     });
     let open = Rc::new(Cell::new(0usize));
@@ -400,12 +404,12 @@
     index
 }
 
-async fn answer(node: &Rc<Node>, call: Call) {
+async fn handle_call(node: &Rc<Node>, call: Call) {
     match call {
-        Call::Greet(greeting, reply) => answer_greeting(node, &greeting, reply),
-        Call::Notify(change, reply) => answer_notification(node, &change, reply).await,
-        Call::Forward(request, reply) => answer_forwarded(node, request, reply).await,
-        Call::Carry(batch, reply) => answer_relayed(node, &batch, reply),
+        Call::Greet(greeting, reply) => handle_greeting(node, &greeting, reply),
+        Call::Notify(change, reply) => handle_notification(node, &change, reply).await,
+        Call::Forward(request, reply) => handle_forwarded(node, request, reply).await,
+        Call::Carry(batch, reply) => handle_relayed(node, &batch, reply),
         Call::Status(reply) => {
             let _ = reply.send(crate::operations::status::render(node));
         }
@@ -424,22 +428,22 @@
     }
 }
 
-fn answer_greeting(node: &Node, greeting: &Greeting, reply: oneshot::Sender<Greeting>) {
+fn handle_greeting(node: &Node, greeting: &Greeting, reply: oneshot::Sender<Greeting>) {
     let Some(peer) = known_peer(node, &greeting.node) else {
         return;
     };
     if !node.peers.all()[peer].greeting_received(greeting, false) {
         return;
     }
-    let mut answer = greeting_answer(node, greeting);
-    note_load(node, peer, greeting);
+    let mut answer = greeting_response(node, greeting);
+    record_load(node, peer, greeting);
     node.admission
         .gossip_received(peer, &greeting.queue_positions);
     answer.granted_loan = node.admission.grant_loan(peer, greeting.requested_loan);
     let _ = reply.send(answer);
 }
 
-async fn answer_notification(node: &Node, change: &JobChange, reply: oneshot::Sender<Greeting>) {
+async fn handle_notification(node: &Node, change: &JobChange, reply: oneshot::Sender<Greeting>) {
     if known_peer(node, &change.node).is_none() {
         return;
     }
@@ -451,7 +455,7 @@
     }
 }
 
-async fn answer_forwarded(
+async fn handle_forwarded(
     node: &Rc<Node>,
     message: ForwardRequest,
     reply: oneshot::Sender<ForwardResponse>,
@@ -477,7 +481,7 @@
     });
 }
 
-fn answer_relayed(node: &Node, batch: &HeartbeatBatch, reply: oneshot::Sender<HeartbeatResponses>) {
+fn handle_relayed(node: &Node, batch: &HeartbeatBatch, reply: oneshot::Sender<HeartbeatResponses>) {
     if known_peer(node, &batch.node).is_none() {
         return;
     }
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -36,10 +36,10 @@
             }
         };
         let values = policy.evaluate(&Figures::default());
-        let flow_limits = values
+        let workflow_limits = values
             .boolean("flows")
             .then(|| settings::flow_limits(&values, &settings));
-        let node = Rc::new(Node::new(settings, policy, flow_limits));
+        let node = Rc::new(Node::new(settings, policy, workflow_limits));
         let cancelled_gone_s = node.settings.cancellation_bound().total().as_secs_f64();
         info!(node = %node.settings.node, zone = %node.settings.zone, cancelled_gone_s, "serving");
         start_routines(&node);
@@ -133,7 +133,7 @@
         let now = runtime::now();
         let woke_late = now > due_at + MAX_WAKEUP_DELAY;
         if woke_late {
-            node.behind_until.set(now + BEHIND_DURATION);
+            node.lagging_until.set(now + LAGGING_DURATION);
         }
         if (woke_late || node.open_connections.count() >= node.max_open_connections())
             && let Some(leadership) = node.leadership()
@@ -151,7 +151,7 @@
 /// killed by the expiry of their lease instead of none.)
 const MAX_WAKEUP_DELAY: Micros = Micros::from_millis(400);
 /// For how long the process then counts as behind.
-const BEHIND_DURATION: Micros = Micros::from_secs(20);
+const LAGGING_DURATION: Micros = Micros::from_secs(20);
 
 /// Keeps the machine types up to date: every node needs them to tell which jobs can ever run.
 async fn refresh_catalog(node: Rc<Node>) {
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -1,7 +1,7 @@
 //! Clients' calls about runs of workflows. Any node answers, from the state service; what it was
 //! told is written before it is answered.
 
-use crate::node::{Flows, Node};
+use crate::node::{Node, WorkflowExecution};
 use crate::peers::client::proto::flow_request::Operation;
 use crate::peers::client::proto::{
     FlowRequest, FlowResponse, ResumeRun, RunInfo, RunList, RunQuestion, StepInfo, SubmitRun,
@@ -48,7 +48,7 @@
 }
 
 pub(crate) async fn answer(node: &Rc<Node>, request: FlowRequest) -> FlowResponse {
-    let Some(flows) = &node.flows else {
+    let Some(flows) = &node.workflows else {
         return failed(
             501,
             "this node takes no runs: `flows` is off in its settings".into(),
@@ -126,7 +126,7 @@
     }
 }
 
-async fn submit(node: &Rc<Node>, flows: &Flows, r: SubmitRun) -> Answer {
+async fn submit(node: &Rc<Node>, flows: &WorkflowExecution, r: SubmitRun) -> Answer {
     let run = run_id(r.run)?;
     let plan: Plan = match serde_json::from_slice(&r.plan) {
         Ok(p) => p,
@@ -207,7 +207,12 @@
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn write_plan(node: &Node, flows: &Flows, run: RunId, pages: &[PlanPage]) -> Answer<()> {
+async fn write_plan(
+    node: &Node,
+    flows: &WorkflowExecution,
+    run: RunId,
+    pages: &[PlanPage],
+) -> Answer<()> {
     let until = runtime::now() + WRITING;
     let there = node
         .store
@@ -316,7 +321,7 @@
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn get(node: &Node, flows: &Flows, q: RunQuestion) -> Answer {
+async fn get(node: &Node, flows: &WorkflowExecution, q: RunQuestion) -> Answer {
     let run = run_id(q.run)?;
     let Some((head, _)) = head_of(node, run).await? else {
         return refuse(404, "no such run");
@@ -397,7 +402,7 @@
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn list(node: &Node, flows: &Flows, l: RunList) -> Answer {
+async fn list(node: &Node, flows: &WorkflowExecution, l: RunList) -> Answer {
     let most = l.limit.clamp(1, MOST_LISTED) as usize;
     let mut after = RunId::folded(l.after);
     let mut runs = Vec::new();
@@ -518,7 +523,7 @@
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn resume(node: &Node, flows: &Flows, r: ResumeRun) -> Answer {
+async fn resume(node: &Node, flows: &WorkflowExecution, r: ResumeRun) -> Answer {
     let (old, run) = (run_id(r.run)?, run_id(r.new_run)?);
     let Some((head, _)) = head_of(node, old).await? else {
         return refuse(404, "no such run");
--- a/crates/hopyoke/src/workflows/runner.rs
+++ b/crates/hopyoke/src/workflows/runner.rs
@@ -2,7 +2,7 @@
 
 use super::actions::execute;
 use super::watches::{watch_ends, watch_runs};
-use crate::node::{Flows, Node};
+use crate::node::{Node, WorkflowExecution};
 use crate::store::error::StoreError;
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
@@ -16,7 +16,7 @@
 
 /// Starts the routines, if this node takes part.
 pub(crate) fn start(node: &Rc<Node>) {
-    if node.flows.is_some() {
+    if node.workflows.is_some() {
         runtime::spawn_until(node.cancel.clone(), keep_lease_alive(node.clone()));
         runtime::spawn_until(node.cancel.clone(), watch_runs(node.clone()));
         runtime::spawn_until(node.cancel.clone(), watch_ends(node.clone()));
@@ -25,8 +25,8 @@
 }
 
 /// Every routine of this module runs only where runs are carried.
-pub(super) fn flows_of(node: &Node) -> &Flows {
-    node.flows.as_ref().expect("started only with it")
+pub(super) fn flows_of(node: &Node) -> &WorkflowExecution {
+    node.workflows.as_ref().expect("started only with it")
 }
 
 /// Hands the engine's actions out.
