--- a/crates/hopyoke-consistency/src/cancellation_log.rs
+++ b/crates/hopyoke-consistency/src/cancellation_log.rs
@@ -1,40 +1,42 @@
-//! The log of cancellations that a node has acknowledged.
+//! Log of the cancellations that a node has acknowledged.
 
 use hopyoke_types::{JobId, ModRevision};
 use std::collections::BTreeMap;
 
-/// The cancellations acknowledged here that a leader may not know of.
+/// Cancellations that a node has acknowledged and a leader may not know of.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CancellationDelta {
-    /// The cancelled jobs, in the order of their sequence numbers.
+    /// Cancelled jobs, in the order of their sequence numbers.
     pub jobs: Vec<JobId>,
-    /// The sequence number up to which the leader has received entries, with these.
+    /// Sequence number up to which the leader has received entries once it has received these.
     pub last_sequence: u64,
-    /// With these the leader knows of all cancellations that were acknowledged here so far.
+    /// With these entries the leader knows of all cancellations that the node has acknowledged so far.
     pub is_complete: bool,
 }
 
-/// Cancellations that this process has acknowledged to users, by the revision that made them final.
+/// Records the cancellations that this process has acknowledged to users, by the revision that made them final.
 ///
-/// The revision decides which leader can be unaware of one: a leader that has applied all changes up to a revision
-/// knows of every cancellation up to it. So entries do not expire; when there are too many they are dropped, oldest
-/// revision first, and a leader that has not applied so much gets no complete delta any more.
+/// The revision decides which leader can be unaware of an entry: a leader that has applied all changes up to a
+/// revision knows of every cancellation up to it. Entries therefore do not expire. When there are too many, those of
+/// the oldest revision are dropped, and a leader that has not applied that revision no longer receives a complete
+/// delta.
 #[derive(Debug, Clone)]
 pub struct CancellationLog {
-    /// Sequence numbers by revision and job.
+    /// Sequence number of each entry, by revision and job.
     entries: BTreeMap<(ModRevision, JobId), u64>,
-    /// Entries are numbered from 1 as they are appended.
+    /// Sequence number of the last entry; entries are numbered from 1.
     last_sequence: u64,
-    /// All that is missing became final up to this revision. `None`: not known yet.
+    /// Revision up to which entries may be missing; all missing entries are of this or an earlier one. `None`: not
+    /// known yet.
     missing_up_to: Option<ModRevision>,
     max_entries: usize,
 }
 
-/// Jobs of one delta. With ids of at most 24 bytes it stays well below 64 KiB.
+/// Maximum number of jobs in one delta. With IDs of at most 24 bytes a delta stays well below 64 KiB.
 const MAX_DELTA_JOBS: usize = 1024;
 
 impl CancellationLog {
-    /// The log of a process that starts now. `max_entries`: at least 1.
+    /// Creates the log of a process that starts now. A `max_entries` of 0 counts as 1.
     pub fn new(max_entries: usize) -> CancellationLog {
         CancellationLog {
             entries: BTreeMap::new(),
@@ -44,8 +46,8 @@
         }
     }
 
-    /// The key-value store was at this revision, at some moment after this process had started. Only the first call
-    /// counts.
+    /// Records a revision that the key-value store had reached after the start of this process. It covers what
+    /// earlier processes acknowledged. Only the first call has an effect.
     pub fn set_start_revision(&mut self, revision: ModRevision) {
         if self.missing_up_to.is_none() {
             self.drop_up_to(revision);
@@ -57,7 +59,8 @@
         self.entries = self.entries.split_off(&first_key_after(revision));
     }
 
-    /// Appends a cancellation that became final at this revision. To be called before the user is told of it.
+    /// Appends a cancellation that became final at this revision. Must be called before the user receives the
+    /// response.
     pub fn append(&mut self, job: &JobId, mod_revision: ModRevision) {
         if self.missing_up_to.is_some_and(|m| mod_revision <= m) {
             return;
@@ -71,7 +74,8 @@
         if self.entries.len() > self.max_entries
             && let Some(((oldest, _), _)) = self.entries.first_key_value()
         {
-            // Before the first revision is read no delta is complete, and that revision covers the dropped entries.
+            // Until the start revision is known no delta is complete, and that revision will cover the dropped
+            // entries.
             let oldest = *oldest;
             match self.missing_up_to {
                 Some(_) => self.drop_up_to(oldest),
@@ -80,8 +84,8 @@
         }
     }
 
-    /// What a leader lacks that has applied all changes up to `applied` and received entries up to the sequence
-    /// number `delivered`.
+    /// Returns what a leader lacks that has applied all changes up to `applied` and received entries up to the
+    /// sequence number `delivered`.
     pub fn delta_since(&self, applied: ModRevision, delivered: u64) -> CancellationDelta {
         let later = self.entries.range(first_key_after(applied)..);
         let mut undelivered: Vec<(u64, &JobId)> = later
@@ -106,23 +110,23 @@
         }
     }
 
-    /// Nothing is missing here for a leader that has applied all changes up to `applied`. Holds for a leader on this
-    /// very node, too.
+    /// Returns whether the log is complete for a leader that has applied all changes up to `applied`. This also holds
+    /// for a leader on the same node.
     pub fn covers(&self, applied: ModRevision) -> bool {
         self.missing_up_to.is_some_and(|m| applied >= m)
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// There are no entries.
+    /// Returns whether the log has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Cancellations that a new leader on this node lacks if it has applied all changes up to `applied`.
+    /// Returns the cancellations that a new leader on this node lacks if it has applied all changes up to `applied`.
     pub fn entries_after(&self, applied: ModRevision) -> Vec<JobId> {
         self.entries
             .range(first_key_after(applied)..)
@@ -131,7 +135,7 @@
     }
 }
 
-/// The first key of a later revision.
+/// Returns the lower bound of the keys of later revisions.
 fn first_key_after(revision: ModRevision) -> (ModRevision, JobId) {
     (ModRevision(revision.0.saturating_add(1)), JobId::new(""))
 }
--- a/crates/hopyoke-consistency/src/deadline.rs
+++ b/crates/hopyoke-consistency/src/deadline.rs
@@ -1,22 +1,24 @@
-//! How the time that a user waits for an answer is spent.
+//! Time limits of users' requests, and how a poll's time is divided between the leader and the node's own read.
 
 use hopyoke_types::Micros;
 
-/// How long a user waits for the answer to a poll: PROTOCOL, "GET /api/jobs/{id}".
+/// Time limit of a poll, `GET /api/jobs/{id}`, as set by the protocol.
 pub const USER_POLL_TIMEOUT: Micros = Micros::from_secs(2);
-/// How long a user waits for the answer to a submission or cancellation: PROTOCOL, "POST /api/jobs".
+/// Time limit of a submission or cancellation, `POST` below `/api/jobs`, as set by the protocol.
 pub const USER_WRITE_TIMEOUT: Micros = Micros::from_secs(5);
-/// What is left of the user's time for the way of the request and of its answer.
+/// Part of the time limit reserved for the transfer of the request and its response.
 pub const TRANSFER_MARGIN: Micros = Micros::from_millis(100);
-/// For a poll forwarded to the leader, while the store is fast: most of the time in which the user waits is left for the
-/// node's own attempt.
+/// Timeout of a poll forwarded to the leader while the store is fast. It leaves most of the time limit to the node's
+/// own read.
 pub const FORWARD_TO_LEADER_TIMEOUT: Micros = Micros::from_millis(500);
-/// What a poll takes at the leader besides the store's latency: it waits for the next query, which others share.
+/// Time that a poll spends at the leader in addition to the store's latency: it waits for the next batched query.
 const LEADER_QUERY_DELAY: Micros = Micros::from_millis(150);
 
-/// How long the leader's answer to a poll is waited for: so that the node's own attempt, which reads from the store, can
-/// follow if the leader has none. Where the store's latency leaves no time for both, it is the leader that gets all of it
-/// if the store answers it, for one read of its own serves many polls. `None`: the poll is not forwarded.
+/// Returns the timeout of a poll that is forwarded to the leader. It leaves time for the node's own read from the
+/// store, which follows if the leader does not respond. If the store's latency leaves no time for both, the leader
+/// gets all of the remaining time as long as it reaches the store, because one read of the leader serves many polls.
+///
+/// Returns `None` if the poll is not to be forwarded.
 #[must_use]
 pub fn leader_forward_timeout(
     latency: Micros,
@@ -34,7 +36,7 @@
     leader_reaches_store.then_some(remaining)
 }
 
-/// The latency leaves no time for two reads in turn.
+/// Returns whether the latency leaves no time for two reads in sequence. An unknown latency counts as short.
 #[must_use]
 pub fn must_read_concurrently(latency: Option<Micros>, remaining: Micros) -> bool {
     latency.is_some_and(|l| l.times(2) > remaining)
--- a/crates/hopyoke-consistency/src/latency.rs
+++ b/crates/hopyoke-consistency/src/latency.rs
@@ -1,51 +1,52 @@
-//! How long to wait for the answer of a service whose latency changes.
+//! Adaptive timeouts for a service whose latency varies.
 //!
-//! The model is the retransmission timer of TCP (RFC 6298) with Karn's rule: latency and deviation are smoothed, a
-//! timeout doubles the next ones, and a request that timed out gives no sample. Two things differ, for here a timeout is
-//! cheap and a service that was slow must not be believed slow for long: a shorter latency is followed faster than a
-//! longer one, and a measurement is forgotten after [`SAMPLE_VALIDITY`].
+//! The model is the retransmission timer of TCP (RFC 6298) with Karn's algorithm: latency and deviation are smoothed,
+//! consecutive timeouts back off exponentially, and a request that timed out gives no sample. Two things differ,
+//! because a timeout is cheap here and a service that was slow must not count as slow for long: the estimate follows
+//! a decrease of the latency faster than an increase, and a sample expires after [`SAMPLE_VALIDITY`].
 //!
-//! What a request serves bounds its timeout ([`TimeoutBounds`]): a lease, a leader's term, or a client's deadline. A
-//! service that is silent from the start is no slow one: its first timeout is the floor, as if nothing had been measured.
+//! The purpose of a request bounds its timeout ([`TimeoutBounds`]): the leader lease, a leader's term or a client's
+//! deadline. A service that has not responded since the start is not assumed to be slow: the first timeout is the
+//! floor.
 
 use crate::deadline::USER_WRITE_TIMEOUT;
 use crate::leader_lease::{MIN_LEASE_TIMEOUT, lease_timeouts};
 use hopyoke_types::Micros;
 
-/// A measurement that is older than this says nothing about the latency now.
+/// Time after which a sample no longer describes the current latency.
 pub const SAMPLE_VALIDITY: Micros = Micros::from_secs(5);
-/// Smoothed latency from which on a service counts as slow. (The protocol: answers take under 10 ms, and occasionally a
-/// few hundred.)
+/// Smoothed latency at or above which a service counts as slow. By the protocol the store's responses take under 10
+/// ms, and occasionally a few hundred.
 const SLOW_LATENCY: Micros = Micros::from_millis(500);
 /// Smoothed latency below which a slow service counts as fast again.
 const FAST_LATENCY: Micros = Micros::from_millis(250);
-/// Timeouts in a row after which a service counts as slow although no latency was measured.
+/// Number of consecutive timeouts after which a service counts as slow although no latency was measured.
 const SLOW_TIMEOUTS: u32 = 2;
-/// Weight of a sample that is longer than the smoothed latency, as a divisor (RFC 6298: alpha = 1/8).
+/// Divisor for the weight of a sample above the smoothed latency (RFC 6298: alpha = 1/8).
 const RISE_DIVISOR: u64 = 8;
-/// Weight of a sample that is shorter, as a divisor.
+/// Divisor for the weight of a sample below the smoothed latency.
 const FALL_DIVISOR: u64 = 2;
-/// Weight of a sample's deviation, as a divisor (RFC 6298: beta = 1/4).
+/// Divisor for the weight of a sample's deviation (RFC 6298: beta = 1/4).
 const DEVIATION_DIVISOR: u64 = 4;
-/// The timeout is the smoothed latency and so many deviations (RFC 6298: K = 4).
+/// Number of deviations added to the smoothed latency for the timeout (RFC 6298: K = 4).
 const TIMEOUT_DEVIATIONS: u64 = 4;
-/// The timeout is longer than the smoothed latency by at least this part of it, as a divisor: latency that is constant
-/// has no deviation.
+/// Divisor of the smoothed latency for the minimum margin of the timeout, because a constant latency has no
+/// deviation.
 const MIN_MARGIN_DIVISOR: u64 = 4;
-/// The most that timeouts in a row lengthen the next one: by this power of two.
+/// Maximum exponent of the backoff after consecutive timeouts: the timeout is multiplied by at most 2 to this power.
 const MAX_BACKOFF: u32 = 3;
 
-/// The shortest and the longest timeout of a request, by what it serves.
+/// Minimum and maximum timeout of a request, by its purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeoutBounds {
-    /// The first timeout of a service about which nothing is known.
+    /// Minimum timeout, and the first one while the latency is unknown.
     pub floor: Micros,
-    /// An answer that comes later is of no use.
+    /// Maximum timeout; a later response is of no use.
     pub ceiling: Micros,
 }
 
 impl TimeoutBounds {
-    /// Bounds whose ceiling is not below the floor.
+    /// Creates bounds; a ceiling below the floor is raised to the floor.
     #[must_use]
     pub fn new(floor: Micros, ceiling: Micros) -> TimeoutBounds {
         TimeoutBounds {
@@ -55,18 +56,18 @@
     }
 }
 
-/// What a request to the key-value store serves.
+/// Purpose of a request to the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// The leader lease: elections, renewals, failover.
+    /// Keeping or acquiring the leader lease: elections, renewals, failover.
     Lease,
-    /// A leader's term, or upkeep.
+    /// Work of a leader's term, or background maintenance.
     Term,
-    /// A user's request.
+    /// Serving a user's request.
     User,
 }
 
-/// Bounds for all requests of a node.
+/// Timeout bounds for all requests of a node.
 #[derive(Debug, Clone, Copy)]
 pub struct TimeoutPolicy {
     lease: TimeoutBounds,
@@ -74,8 +75,9 @@
 }
 
 impl TimeoutPolicy {
-    /// `ttl`: the time to live of the leader lease; `watch_wait`: the longest wait of the leader's watch. A leader that has
-    /// had no news for both together may not act, so nothing of its term is waited for longer.
+    /// Creates the policy from the time to live of the leader lease and the maximum wait of the leader's watch. A
+    /// leader that has received no changes for the sum of both may not command agents, so no request of its term
+    /// waits longer.
     #[must_use]
     pub fn new(ttl: Micros, watch_wait: Micros) -> TimeoutPolicy {
         TimeoutPolicy {
@@ -84,8 +86,8 @@
         }
     }
 
-    /// The bounds of one request. A write is given half of its user's time at first, so that a peer can still be asked
-    /// after a store that is silent.
+    /// Returns the bounds of one request. The floor of a write is half of its user's time limit, so that a peer can
+    /// still be tried after a store that does not respond.
     #[must_use]
     pub fn bounds(&self, kind: RequestKind, purpose: Purpose) -> TimeoutBounds {
         let floor = match kind {
@@ -102,7 +104,7 @@
     }
 }
 
-/// What was measured.
+/// Smoothed measurements.
 #[derive(Debug, Clone, Copy)]
 struct Estimate {
     smoothed: Micros,
@@ -111,17 +113,17 @@
     sampled_at: Micros,
 }
 
-/// Estimates the latency of one kind of requests.
+/// Estimates the latency of one kind of request.
 #[derive(Debug, Clone, Default)]
 pub struct LatencyEstimator {
     estimate: Option<Estimate>,
-    /// Timeouts in a row, up to [`MAX_BACKOFF`].
+    /// Number of consecutive timeouts, up to [`MAX_BACKOFF`].
     backoff: u32,
     backed_off_at: Micros,
 }
 
 impl LatencyEstimator {
-    /// A request was answered after `latency`.
+    /// Records the latency of a request that received a response.
     pub fn record_response(&mut self, latency: Micros, now: Micros) {
         self.backoff = 0;
         self.estimate = Some(match self.valid_estimate(now) {
@@ -135,8 +137,8 @@
         });
     }
 
-    /// A request was answered after `latency`, of which a part may have been the service's own wait. It counts only if
-    /// that is no longer than what is believed.
+    /// Records an upper bound of a request's latency: part of it may be time that the service was asked to wait. It
+    /// counts as a sample only if it does not exceed the current estimate, or if there is none.
     pub fn record_upper_bound(&mut self, latency: Micros, now: Micros) {
         if self
             .valid_estimate(now)
@@ -146,8 +148,8 @@
         }
     }
 
-    /// A request that was sent at `sent_at` had no answer within its timeout. Requests that were under way together
-    /// lengthen the next timeouts once.
+    /// Records that a request sent at `sent_at` received no response within its timeout. Requests that were in flight
+    /// together increase the backoff only once.
     pub fn record_timeout(&mut self, sent_at: Micros, now: Micros) {
         if sent_at >= self.backed_off_at {
             self.backoff = (self.backoff + 1).min(MAX_BACKOFF);
@@ -155,13 +157,13 @@
         }
     }
 
-    /// How long to wait for the answer to a request that is sent now.
+    /// Returns the timeout of a request that is sent now.
     #[must_use]
     pub fn timeout(&self, bounds: TimeoutBounds, now: Micros) -> Micros {
         self.timeout_from(self.measured_timeout(now), bounds)
     }
 
-    /// As [`LatencyEstimator::timeout`], by a measurement of its own or of like requests.
+    /// Returns the timeout for a measured one, which may come from other kinds of requests.
     fn timeout_from(&self, measured: Option<Micros>, bounds: TimeoutBounds) -> Micros {
         measured
             .unwrap_or_default()
@@ -170,7 +172,7 @@
             .min(bounds.ceiling)
     }
 
-    /// Smoothed latency with its deviations; `None` without a valid measurement.
+    /// Returns the smoothed latency plus its margin, or `None` without a valid sample.
     fn measured_timeout(&self, now: Micros) -> Option<Micros> {
         self.valid_estimate(now).map(|e| {
             let margin = e.deviation.times(TIMEOUT_DEVIATIONS);
@@ -178,15 +180,15 @@
         })
     }
 
-    /// The latency to expect of a request that is sent now: the shorter of the smoothed one and the last one, so that a
-    /// service that has become fast is used at once. `None` without a valid measurement.
+    /// Returns the expected latency of a request that is sent now: the lower of the smoothed latency and the last
+    /// sample, so that a service that has become fast is used at once. Returns `None` without a valid sample.
     #[must_use]
     pub fn expected(&self, now: Micros) -> Option<Micros> {
         self.valid_estimate(now)
             .map(|e| e.smoothed.min(e.last_sample))
     }
 
-    /// The smoothed latency, whenever it was measured.
+    /// Returns the smoothed latency, even if its samples have expired.
     #[must_use]
     pub fn smoothed(&self) -> Option<Micros> {
         self.estimate.map(|e| e.smoothed)
@@ -216,16 +218,16 @@
     }
 }
 
-/// Kinds of requests to the key-value store whose latencies may differ.
+/// Kind of a request to the key-value store. Latencies are estimated by kind because they may differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
     /// Reads of keys and of pages.
     Read,
     /// Transactions.
     Write,
-    /// Grants, renewals and releases of leases.
+    /// Grants, renewals and revocations of leases.
     Lease,
-    /// Watches, less the time for which the store was asked to wait.
+    /// Watches, excluding the time for which the store was asked to wait.
     Watch,
 }
 
@@ -239,16 +241,16 @@
     ];
 }
 
-/// A change of the service's speed, to be logged once.
+/// Change of the service's speed, reported once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SpeedChange {
-    /// It has become slow.
+    /// The service has become slow.
     Slow,
-    /// It is fast again.
+    /// The service is fast again.
     Fast,
 }
 
-/// Latency of the key-value store, by kind of request.
+/// Tracks the latency of the key-value store by kind of request.
 #[derive(Debug, Clone, Default)]
 pub struct StoreLatency {
     kinds: [LatencyEstimator; RequestKind::ALL.len()],
@@ -256,29 +258,29 @@
 }
 
 impl StoreLatency {
-    /// The estimator of one kind.
+    /// Returns the estimator of one kind.
     #[must_use]
     pub fn of(&self, kind: RequestKind) -> &LatencyEstimator {
         &self.kinds[kind as usize]
     }
 
-    /// As [`LatencyEstimator::record_response`].
+    /// See [`LatencyEstimator::record_response`].
     pub fn record_response(&mut self, kind: RequestKind, latency: Micros, now: Micros) {
         self.kinds[kind as usize].record_response(latency, now);
     }
 
-    /// As [`LatencyEstimator::record_upper_bound`].
+    /// See [`LatencyEstimator::record_upper_bound`].
     pub fn record_upper_bound(&mut self, kind: RequestKind, latency: Micros, now: Micros) {
         self.kinds[kind as usize].record_upper_bound(latency, now);
     }
 
-    /// As [`LatencyEstimator::record_timeout`].
+    /// See [`LatencyEstimator::record_timeout`].
     pub fn record_timeout(&mut self, kind: RequestKind, sent_at: Micros, now: Micros) {
         self.kinds[kind as usize].record_timeout(sent_at, now);
     }
 
-    /// How long to wait for the answer to a request. What was measured of any kind counts: mostly the whole service is
-    /// slow, and each kind would have to learn it by timeouts of its own.
+    /// Returns the timeout of a request that is sent now. Samples of every kind count, because usually the whole
+    /// service is slow and each kind would otherwise have to learn it by its own timeouts.
     #[must_use]
     pub fn timeout(&self, kind: RequestKind, bounds: TimeoutBounds, now: Micros) -> Micros {
         let measured = self
@@ -289,8 +291,9 @@
         self.of(kind).timeout_from(measured, bounds)
     }
 
-    /// As [`LatencyEstimator::expected`], of one kind; of the slowest one if none of this kind was measured lately: a leader
-    /// seldom reads, and must know before it does whether there is time for two reads in turn.
+    /// Returns the expected latency of one kind of request; see [`LatencyEstimator::expected`]. Without a valid
+    /// sample of this kind it is that of the slowest kind: a leader seldom reads, and must know beforehand whether
+    /// there is time for two reads in sequence.
     #[must_use]
     pub fn expected(&self, kind: RequestKind, now: Micros) -> Option<Micros> {
         self.of(kind)
@@ -298,13 +301,13 @@
             .or_else(|| self.expected_of_slowest(now))
     }
 
-    /// The latency to expect of the slowest kind of requests that was measured lately.
+    /// Returns the expected latency of the slowest kind of request, or `None` if no kind has a valid sample.
     #[must_use]
     pub fn expected_of_slowest(&self, now: Micros) -> Option<Micros> {
         self.kinds.iter().filter_map(|k| k.expected(now)).max()
     }
 
-    /// Whether the service has become slow or fast since this was last called.
+    /// Returns the change of the service's speed since the last call, if any.
     pub fn speed_change(&mut self, now: Micros) -> Option<SpeedChange> {
         let slowest = self
             .kinds
@@ -323,7 +326,7 @@
         None
     }
 
-    /// The service counts as slow.
+    /// Returns whether the service counted as slow at the last call of [`StoreLatency::speed_change`].
     #[must_use]
     pub fn is_slow(&self) -> bool {
         self.is_slow
--- a/crates/hopyoke-consistency/src/lib.rs
+++ b/crates/hopyoke-consistency/src/lib.rs
@@ -1,19 +1,20 @@
-//! What answers and fences rest on, without any I/O: the leader's lease, the cancellation log, the read index, timeouts.
+//! Rules behind linearizable responses, lease validity and timeouts, without any I/O.
 //!
-//! A leader may outlive an outage of the key-value store while all its peers support its lease
-//! ([`leader_lease`]). It then receives no changes from the store, so each grant of support has to carry the
-//! cancellations that the peer has acknowledged to users since the leader's last known revision: else tasks of
-//! cancelled jobs would be kept alive. (Guards `ran_cancelled`.)
+//! A leader can outlive an outage of the key-value store while all its peers support its lease ([`leader_lease`]). It
+//! then receives no changes from the store, so each grant of support carries the cancellations that the peer has
+//! acknowledged to users since the leader's last applied revision. Otherwise the leader would keep tasks of cancelled
+//! jobs alive. Guards the invariant `ran_cancelled`.
 //!
-//! - [`leader_lease`]: how long a leader may go on commanding agents.
-//! - [`CancellationLog`], at every node: cancellations acknowledged here, appended *before* the user is told. It is
-//!   bounded by number; what it has dropped is known by revision, and then no support is granted.
-//! - [`DeliveryCursors`], at the leader: how far it has received each peer's log, so that an answer carries only
-//!   what is new.
-//! - [`Tombstones`], at the leader: jobs that are over, for as long as older events of them may still arrive.
-//! - [`read_index`]: linearizable reads by waiting callers, batched into one query.
-//! - [`deadline`]: how the time that a user waits for an answer is spent.
-//! - [`latency`]: how long to wait for the key-value store's answers, by the latency measured.
+//! - [`leader_lease`]: the time for which a leader may command agents.
+//! - [`CancellationLog`], on every node: the cancellations that the node has acknowledged. An entry is appended
+//!   *before* the user receives the response. The log has a maximum number of entries; a node whose log has dropped
+//!   entries that a leader may lack grants it no support.
+//! - [`DeliveryCursors`], at the leader: its positions in the peers' logs, so that a response carries only new
+//!   entries.
+//! - [`Tombstones`], at the leader: finished jobs, for as long as older events of them may still arrive.
+//! - [`read_index`]: linearizable reads, batched into one query.
+//! - [`deadline`]: how a request's time is divided between the leader and the node's own read.
+//! - [`latency`]: adaptive timeouts for requests to the key-value store.
 
 mod cancellation_log;
 pub mod deadline;
--- a/crates/hopyoke-consistency/src/read_index.rs
+++ b/crates/hopyoke-consistency/src/read_index.rs
@@ -1,56 +1,56 @@
-//! Linearizable reads from a replica: many reads served by one query to the key-value store.
+//! Linearizable reads from a replica, batched so that one query to the key-value store serves many of them.
 //!
-//! A node that keeps a replica of some records may answer a read from it once the replica is known to include all
-//! that was written before the read arrived. One query to the store (which changes are there?), sent after the read
-//! arrived, brings the replica so far; it serves all reads that wait at that moment. A read that arrives while a query
-//! is in flight waits for the next one: the answer may be older than what another node has told that user meanwhile. If
-//! the store is slow, that next one need not wait for the first one's answer: up to [`Limits::max_in_flight`] queries are
-//! under way at once, each for the reads that arrived before it.
+//! A node that holds a replica of some records may serve a read from it once the replica is known to include every
+//! write that preceded the read. A query to the store for the latest changes, sent after the read arrived, brings the
+//! replica up to that point and serves all reads that are pending when it is sent. A read that arrives while a query
+//! is in flight needs a later one, because the response may be older than what another node has since reported to the
+//! same user. If the store is slow, the later query need not wait for the response to the first: up to
+//! [`Limits::max_in_flight`] queries are in flight at once, each for the reads that arrived before it.
 //!
-//! Without I/O: [`ReadIndex`] says when to query and which reads an answer serves.
+//! The module performs no I/O: [`ReadIndex`] decides when to query and which reads a response serves.
 
 use hopyoke_types::Micros;
 use std::collections::VecDeque;
 
-/// A waiting read.
+/// Identifies a pending read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket(u64);
 
-/// A query in flight.
+/// Query in flight.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ReadQuery {
-    /// The last read that had arrived when it was sent.
+    /// Ticket of the last read that had arrived when the query was sent.
     last_ticket: u64,
 }
 
-/// How a read ends.
+/// Outcome of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The replica includes all that was written before the read arrived.
+    /// The replica includes all writes that preceded the read.
     Current,
-    /// No query was answered in time: the reader is to try again.
+    /// No query was answered in time; the reader should retry.
     TimedOut,
 }
 
-/// How long a query waits for more reads, unless told otherwise.
+/// Default time that a query is delayed to batch further reads.
 pub const READ_BATCH_DELAY: Micros = Micros::from_millis(40);
 
-/// Bounds of waiting and of queries.
+/// Limits of pending reads and of queries.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Reads that wait at once; further ones are refused.
+    /// Maximum number of pending reads; further ones are rejected.
     pub max_waiting: usize,
-    /// How long a query waits for more reads.
+    /// Time that a query is delayed to batch further reads.
     pub batch_delay: Micros,
-    /// How long a read waits.
+    /// Timeout of a read.
     pub read_timeout: Micros,
-    /// Queries under way at once.
+    /// Maximum number of queries in flight.
     pub max_in_flight: usize,
-    /// The shortest interval between two queries of which the first has not been answered.
+    /// Minimum interval between two queries of which the first has not been answered.
     pub overlap_interval: Micros,
-    /// The pause after the first failed query; doubled by each further one up to `max_backoff`.
+    /// Backoff after the first failed query; doubled by each further failure up to `max_backoff`.
     pub min_backoff: Micros,
-    /// The longest pause after a failed query.
+    /// Maximum backoff after a failed query.
     pub max_backoff: Micros,
 }
 
@@ -68,36 +68,36 @@
     }
 }
 
-/// A read and when it arrived.
+/// Pending read and its time of arrival.
 #[derive(Debug, Clone, Copy)]
 struct WaitingRead {
     ticket: u64,
     arrived_at: Micros,
 }
 
-/// Waiting reads, and the queries that serve them.
+/// Tracks pending reads and the queries that serve them.
 #[derive(Debug)]
 pub struct ReadIndex {
     limits: Limits,
     next_ticket: u64,
-    /// Reads up to this ticket are served.
+    /// Reads up to this ticket have been served.
     served_up_to: u64,
     /// Oldest first.
     waiting: VecDeque<WaitingRead>,
     /// Reads up to this ticket have timed out, unless they were served.
     timed_out_up_to: u64,
-    /// The last tickets of the queries in flight.
+    /// Last ticket of each query in flight.
     in_flight: Vec<u64>,
     last_query_at: Micros,
     query_not_before: Micros,
     consecutive_failures: u32,
     queries_sent: u64,
-    /// Reads served in time.
+    /// Number of reads served within their timeout.
     reads_served: u64,
 }
 
 impl ReadIndex {
-    /// An index without reads.
+    /// Creates an index without pending reads.
     pub fn new(limits: Limits) -> ReadIndex {
         ReadIndex {
             limits,
@@ -114,7 +114,8 @@
         }
     }
 
-    /// A read arrives. `None`: too many wait; it is to be refused at once.
+    /// Registers a read that arrives now. Returns `None` if too many reads are pending; the read must then be
+    /// rejected at once.
     pub fn enqueue(&mut self, now: Micros) -> Option<Ticket> {
         self.time_out_reads(now);
         if self.waiting.len() >= self.limits.max_waiting {
@@ -129,7 +130,8 @@
         Some(Ticket(ticket))
     }
 
-    /// When a query is due; `None` if no read waits for a query to be sent, or no more may be in flight.
+    /// Returns the time at which the next query is due, or `None` if no read needs a new query or the maximum number
+    /// is in flight.
     pub fn due_at(&self) -> Option<Micros> {
         let queried_up_to = self.in_flight.iter().copied().max().unwrap_or_default();
         let queried = self.waiting.partition_point(|r| r.ticket <= queried_up_to);
@@ -144,7 +146,7 @@
         Some(due_at.max(self.last_query_at + self.limits.overlap_interval))
     }
 
-    /// Begins a query, if one is due. It must be sent now, not later.
+    /// Begins a query if one is due. The caller must send it immediately.
     pub fn begin_query(&mut self, now: Micros) -> Option<ReadQuery> {
         self.time_out_reads(now);
         if self.due_at().is_none_or(|due_at| now < due_at) {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// A query was answered, and its answer applied to the replica.
+    /// Records that a query was answered and its response applied to the replica.
     pub fn query_answered(&mut self, query: ReadQuery, now: Micros) {
         self.query_ended(&query);
         self.consecutive_failures = 0;
@@ -176,7 +178,8 @@
         self.served_up_to = self.served_up_to.max(query.last_ticket);
     }
 
-    /// A query was refused or not answered. `jitter`: a draw from 0 to 1.
+    /// Records that a query was rejected or not answered, and starts the backoff. `jitter` is a random number from 0
+    /// to 1.
     pub fn query_failed(&mut self, query: ReadQuery, jitter: f64, now: Micros) {
         self.query_ended(&query);
         let backoff = self
@@ -190,7 +193,7 @@
         self.time_out_reads(now);
     }
 
-    /// How a read ended; `None` while it waits.
+    /// Returns the outcome of a read, or `None` while it is pending.
     pub fn outcome(&self, ticket: Ticket) -> Option<ReadOutcome> {
         if ticket.0 <= self.served_up_to {
             Some(ReadOutcome::Current)
@@ -210,12 +213,12 @@
         }
     }
 
-    /// Queries sent, and reads served in time.
+    /// Returns the numbers of queries sent and of reads served within their timeout.
     pub fn counts(&self) -> (u64, u64) {
         (self.queries_sent, self.reads_served)
     }
 
-    /// The number of reads that wait.
+    /// Returns the number of pending reads.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/hopyoke-consistency/tests/latency.rs
+++ b/crates/hopyoke-consistency/tests/latency.rs
@@ -1,5 +1,5 @@
-//! Timeouts that follow a service's latency: they grow until it answers in time, forget soon that it was slow, and take
-//! silence for no latency.
+//! Adaptive timeouts: they grow until the service responds in time, recover soon after it was slow, and do not take a
+//! missing response for a latency.
 
 use hopyoke_consistency::latency::{
     LatencyEstimator, RequestKind, SAMPLE_VALIDITY, SpeedChange, StoreLatency, TimeoutBounds,
@@ -16,9 +16,13 @@
 
 const TTL: Micros = Micros::from_secs(6);
 
-/// Sends requests one after the other, each answered after `latency` if that is within the timeout; the number of timeouts
-/// before the first answer, and the time at its end.
-fn first_answer(estimator: &mut LatencyEstimator, latency: Micros, start: Micros) -> (u32, Micros) {
+/// Sends sequential requests, each answered after `latency` if that is within the timeout. Returns the number of
+/// timeouts before the first response, and the time of that response.
+fn first_response(
+    estimator: &mut LatencyEstimator,
+    latency: Micros,
+    start: Micros,
+) -> (u32, Micros) {
     let (mut now, mut timeouts) = (start, 0);
     loop {
         let timeout = estimator.timeout(lease_timeouts(TTL), now);
@@ -31,7 +35,7 @@
         now += timeout;
         estimator.record_timeout(sent_at, now);
         timeouts += 1;
-        assert!(timeouts < 20, "no answer after {timeouts} timeouts");
+        assert!(timeouts < 20, "no response after {timeouts} timeouts");
     }
 }
 
@@ -44,7 +48,7 @@
 }
 
 #[test]
-fn a_fast_service_is_given_the_floor() {
+fn a_fast_service_gets_the_floor() {
     let mut estimator = LatencyEstimator::default();
     let bounds = TimeoutBounds::new(ms(1_500), ms(3_750));
     for n in 0..100 {
@@ -53,17 +57,16 @@
     }
 }
 
-/// Up to the latency at which a leader can be elected an answer is had after at most two timeouts, and from then on
-/// without any.
+/// Below the maximum latency of an election, at most two timeouts precede the first response, and none follows it.
 #[test]
-fn latency_up_to_the_limit_is_learned() {
+fn latency_below_the_limit_is_learned() {
     for latency in [300, 1_000, 1_400, 1_600, 1_700, 2_000, 2_500, 2_990].map(ms) {
         assert!(latency < max_election_latency(TTL));
         let mut estimator = LatencyEstimator::default();
-        let (timeouts, mut now) = first_answer(&mut estimator, latency, Micros::ZERO);
+        let (timeouts, mut now) = first_response(&mut estimator, latency, Micros::ZERO);
         assert!(timeouts <= 2, "{latency:?}: {timeouts} timeouts");
         for _ in 0..20 {
-            let (timeouts, end) = first_answer(&mut estimator, latency, now);
+            let (timeouts, end) = first_response(&mut estimator, latency, now);
             assert_eq!(timeouts, 0, "{latency:?} has been measured");
             now = end;
         }
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn silence_backs_off_to_the_ceiling_and_is_no_latency() {
+fn missing_responses_back_off_to_the_ceiling() {
     let mut estimator = LatencyEstimator::default();
     let bounds = TimeoutBounds::new(ms(1_500), ms(3_750));
     let mut now = Micros::ZERO;
@@ -85,13 +88,13 @@
     }
     assert_eq!(timeouts, [1_500, 3_000, 3_750, 3_750, 3_750].map(ms));
     assert_eq!(estimator.expected(now), None);
-    // The first answer ends it.
+    // The first response resets the backoff.
     estimator.record_response(ms(10), now);
     assert_eq!(estimator.timeout(bounds, now), ms(1_500));
 }
 
 #[test]
-fn requests_under_way_together_back_off_once() {
+fn concurrent_timeouts_back_off_once() {
     let mut estimator = LatencyEstimator::default();
     let bounds = TimeoutBounds::new(ms(1_000), ms(60_000));
     for _ in 0..50 {
@@ -100,10 +103,10 @@
     assert_eq!(estimator.timeout(bounds, ms(1_010)), ms(2_000));
 }
 
-/// After a service that took 2.5 s has become fast, its first answer is used at once, and the timeout is the floor again
-/// within ten answers.
+/// When a service that took 2.5 s becomes fast, its first response lowers the expected latency, and within ten
+/// responses the timeout is the floor again.
 #[test]
-fn a_service_that_is_fast_again_is_believed_soon() {
+fn timeouts_recover_when_a_service_becomes_fast() {
     let mut estimator = LatencyEstimator::default();
     let bounds = TimeoutBounds::new(ms(1_500), ms(3_750));
     let mut now = Micros::ZERO;
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn an_old_measurement_is_forgotten() {
+fn old_samples_expire() {
     let mut estimator = LatencyEstimator::default();
     let bounds = TimeoutBounds::new(ms(1_500), ms(3_750));
     estimator.record_response(ms(2_500), ms(0));
@@ -132,9 +135,9 @@
     assert_eq!(estimator.timeout(bounds, later), ms(1_500));
 }
 
-/// What the store takes for reads counts for writes too, but a timeout of one kind does not lengthen those of others.
+/// A latency measured for reads counts for writes too, but the backoff of one kind does not affect the others.
 #[test]
-fn kinds_share_measurements_and_not_backoff() {
+fn kinds_share_samples_but_not_backoff() {
     let mut latency = StoreLatency::default();
     let bounds = TimeoutBounds::new(ms(1_000), ms(5_000));
     latency.record_response(RequestKind::Read, ms(2_000), ms(0));
@@ -155,7 +158,7 @@
 }
 
 #[test]
-fn a_change_of_speed_is_told_once() {
+fn speed_changes_are_reported_once() {
     let mut latency = StoreLatency::default();
     let mut changes = Vec::new();
     for n in 0..40 {
@@ -167,7 +170,7 @@
 }
 
 #[test]
-fn a_silent_service_counts_as_slow() {
+fn an_unresponsive_service_counts_as_slow() {
     let mut latency = StoreLatency::default();
     latency.record_timeout(RequestKind::Read, ms(0), ms(1_500));
     assert_eq!(latency.speed_change(ms(1_500)), None);
@@ -177,10 +180,10 @@
     assert_eq!(latency.speed_change(ms(4_700)), Some(SpeedChange::Fast));
 }
 
-/// Renewals and watches that are sent as these functions say leave no moment without entitlement, at any latency below
-/// the limit.
+/// Renewals and watches sent at these intervals keep the leader lease valid without a gap, at any latency below the
+/// limit.
 #[test]
-fn a_slow_store_leaves_no_gap_in_the_entitlement() {
+fn a_slow_store_leaves_no_gap_in_the_lease() {
     for ttl in [4_000, 5_000, 6_000].map(ms) {
         let max_latency = max_election_latency(ttl);
         for latency in (0..max_latency.as_millis()).step_by(50).map(ms) {
@@ -203,19 +206,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever was answered or timed out, a timeout is within its bounds.
+    /// Timeouts stay within their bounds after any sequence of responses and timeouts.
     #[test]
-    fn timeouts_keep_their_bounds(
+    fn timeouts_stay_within_their_bounds(
         events in prop::collection::vec((0u64..8_000_000, 0u64..3_000_000, any::<bool>()), 0..60),
         floor in 0u64..3_000_000, span in 0u64..5_000_000,
     ) {
         let bounds = TimeoutBounds::new(Micros(floor), Micros(floor + span));
         let mut estimator = LatencyEstimator::default();
         let mut now = Micros::ZERO;
-        for (latency, pause, is_answered) in events {
+        for (latency, pause, is_response) in events {
             let sent_at = now;
             now += Micros(pause);
-            if is_answered {
+            if is_response {
                 estimator.record_response(Micros(latency), now);
             } else {
                 estimator.record_timeout(sent_at, now);
