--- a/crates/hopyoke/build.rs
+++ b/crates/hopyoke/build.rs
@@ -1,4 +1,4 @@
-//! Generates the mesh's messages and stubs; `protox` stands in for `protoc`.
+//! Generates the messages and stubs of the mesh service. `protox` replaces `protoc`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/mesh.proto");
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -45,7 +45,7 @@
 
 fn serve_at_leader(node: &Node, leadership: &Leadership, request: &Request) -> Response {
     let route = node.routes.borrow_mut().at_leader(
-        node.is_lagging(),
+        node.is_cpu_overloaded(),
         node.open_connections.count(),
         node.max_open_connections(),
         runtime::now(),
--- a/crates/hopyoke/src/log.rs
+++ b/crates/hopyoke/src/log.rs
@@ -2,15 +2,16 @@
 
 use tracing::level_filters::LevelFilter;
 
-/// Why logging could not be started.
+/// Error of initializing the logging.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// The environment variable `LOG_LEVEL` has another value than a level.
-    #[error("LOG_LEVEL: '{0}' is not error, warn, info, debug or trace")]
+    /// The environment variable `LOG_LEVEL` does not name a level.
+    #[error("LOG_LEVEL: must be error, warn, info, debug or trace, not '{0}'")]
     UnknownLevel(String),
 }
 
-/// Starts logging to standard error, at the level of the environment variable `LOG_LEVEL`; `info` by default.
+/// Initializes logging to standard error, at the level named by the environment variable `LOG_LEVEL`, or `info` by
+/// default.
 ///
 /// # Errors
 /// [`LogError::UnknownLevel`] if the variable does not name a level.
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `hopyoke`: reads the command line and starts the controller, or calls a running one.
+//! The program `hopyoke`: parses the command line, and starts a controller or calls a running one.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use hopyoke::peers::client;
@@ -16,7 +16,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// A cluster scheduler's controller.
+/// Controller of a cluster scheduler
 #[derive(Parser)]
 #[command(
     version,
@@ -24,10 +24,10 @@
     arg_required_else_help = true
 )]
 struct Args {
-    /// Serve with the platform's settings in this file (TOML)
+    /// Run a controller with the platform's settings in this file (TOML)
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operators' own settings (see docs/POLICY.md); the built-in defaults hold for the rest
+    /// The operators' settings file (see docs/POLICY.md); settings that it leaves out have their built-in defaults
     #[arg(long, value_name = "FILE", requires = "config")]
     policy: Option<PathBuf>,
     #[command(subcommand)]
@@ -36,7 +36,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check settings and print every fault with its place and reason
+    /// Validate settings and print every fault with its location and reason
     #[command(arg_required_else_help = true)]
     Check {
         /// The platform's settings file (TOML)
@@ -46,15 +46,15 @@
         #[arg(long, value_name = "FILE")]
         policy: Option<PathBuf>,
     },
-    /// Show what a running controller knows: leader, blocks, machines, teams, jobs and why they wait
+    /// Show the status of a running controller: leader, zones, machines, teams, jobs and why they wait
     Status {
         /// The controller's mesh address
         #[arg(long, value_name = "ADDR")]
         mesh: SocketAddr,
     },
-    /// When a job will be over, or when so many GPUs will be free for a team, by learned run times
+    /// Estimate from learned run times when a job will end, or when GPUs will be free for a team
     When {
-        /// A job's id
+        /// ID of the job
         #[arg(required_unless_present = "team", conflicts_with_all = ["team", "gpus", "zone"])]
         job: Option<String>,
         #[arg(long, requires = "gpus")]
@@ -67,33 +67,33 @@
         #[arg(long, value_name = "ADDR")]
         mesh: SocketAddr,
     },
-    /// Write the runs that have ended as a history that `hopyoke-experiments replay` reads
+    /// Print finished runs as a trace that `hopyoke-experiments replay` reads
     History {
         /// The mesh address of any controller
         #[arg(long, value_name = "ADDR")]
         mesh: SocketAddr,
-        /// Go on asking for this many seconds; 0: write what is there
+        /// Keep polling for this many seconds; 0: print the runs recorded so far
         #[arg(long, value_name = "SECONDS", default_value_t = 0)]
         follow: u64,
     },
-    /// Say that somebody is there, or nobody, whatever the calendar says; `auto` takes it back
+    /// Override the calendar of staffed hours; `auto` removes the override
     Staffed {
         #[arg(value_enum)]
         word: Staffed,
-        /// For how long, such as 90min or 2h
+        /// Duration of the override, such as 90min or 2h
         #[arg(long = "for", value_name = "SPAN", required_if_eq_any([("word", "on"), ("word", "off")]))]
         span: Option<String>,
         /// The mesh address of any controller
         #[arg(long, value_name = "ADDR")]
         mesh: SocketAddr,
     },
-    /// Workflows in CWL: check, run, list, cancel, resume, serve (a program of its own, `hopyoke-cwl`)
+    /// Check, run, list, cancel, resume or serve CWL workflows (runs the program `hopyoke-cwl`)
     #[command(disable_help_flag = true)]
     Cwl {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         args: Vec<std::ffi::OsString>,
     },
-    /// The operators' settings
+    /// Inspect the operators' settings
     Policy {
         #[command(subcommand)]
         command: PolicyCommand,
@@ -104,10 +104,10 @@
 enum PolicyCommand {
     /// Print every setting with value, unit, default and safe range
     Show {
-        /// The operators' settings file; without it the built-in defaults are shown
+        /// The operators' settings file; the built-in defaults if omitted
         #[arg(long, value_name = "FILE")]
         policy: Option<PathBuf>,
-        /// How to print them
+        /// Output format
         #[arg(long, value_enum, default_value_t = Format::Table)]
         format: Format,
     },
@@ -152,15 +152,15 @@
             call_controller(mesh, client::get_estimate(mesh, request)).map(|w| {
                 println!(
                     "p50 in {}, p90 in {}",
-                    format_span(w.p50_s),
-                    format_span(w.p90_s)
+                    format_duration(w.p50_s),
+                    format_duration(w.p90_s)
                 );
-                println!("rests on {}", w.basis);
+                println!("based on {}", w.basis);
             })
         }
         Some(Command::History { mesh, follow }) => history(mesh, follow),
         Some(Command::Staffed { word, span, mesh }) => staffed(word, span.as_deref(), mesh),
-        Some(Command::Cwl { args }) => cwl(&args),
+        Some(Command::Cwl { args }) => exec_cwl(&args),
         Some(Command::Policy {
             command: PolicyCommand::Show { policy, format },
         }) => load_policy(policy.as_deref()).map(|p| print!("{}", show_policy(&p, format))),
@@ -180,21 +180,21 @@
     let span_s = match span {
         None => 0,
         Some(text) => {
-            let cut = text
+            let unit_start = text
                 .find(|c: char| c.is_ascii_alphabetic())
                 .unwrap_or(text.len());
-            let unit = match &text[cut..] {
+            let unit = match &text[unit_start..] {
                 "s" => 1.0,
                 "min" => 60.0,
                 "h" => 3600.0,
                 "d" => 86_400.0,
                 _ => {
                     return Err(format!(
-                        "--for {text}: must be a number with s, min, h or d"
+                        "--for {text}: must be a number followed by s, min, h or d"
                     ));
                 }
             };
-            let n: f64 = text[..cut]
+            let n: f64 = text[..unit_start]
                 .parse()
                 .map_err(|_| format!("--for {text}: must begin with a number"))?;
             if !(1.0..=31.0 * 86_400.0).contains(&(n * unit)) {
@@ -218,29 +218,29 @@
     call_controller(mesh, client::call_staffed(mesh, request)).map(|a| println!("{}", a.text))
 }
 
-/// Replaces this process by `hopyoke-cwl`, from the same directory if it is there: its dependencies stay out of the
-/// controller.
-fn cwl(args: &[std::ffi::OsString]) -> Result<(), String> {
+/// Replaces this process with `hopyoke-cwl`, from the same directory if it is there. A separate program keeps the
+/// dependencies of CWL out of the controller.
+fn exec_cwl(args: &[std::ffi::OsString]) -> Result<(), String> {
     use std::os::unix::process::CommandExt;
-    let beside = std::env::current_exe()
+    let sibling = std::env::current_exe()
         .ok()
         .and_then(|p| Some(p.parent()?.join("hopyoke-cwl")));
-    let program = beside
+    let program = sibling
         .filter(|p| p.is_file())
         .unwrap_or_else(|| "hopyoke-cwl".into());
     let e = std::process::Command::new(&program).args(args).exec();
     Err(format!(
-        "{}: {e}; `cargo build --release -p hopyoke-wes` makes it",
+        "{}: {e}; build it with `cargo build --release -p hopyoke-wes`",
         program.display()
     ))
 }
 
 fn serve(config: Option<&Path>, policy: Option<&Path>) -> Result<(), String> {
-    let config = config.ok_or("--config FILE is needed")?;
-    let settings = Settings::load(config).map_err(text)?;
+    let config = config.ok_or("--config FILE is required")?;
+    let settings = Settings::load(config).map_err(error_message)?;
     let policy = load_policy(policy)?;
-    hopyoke::log::init().map_err(text)?;
-    hopyoke::serve::serve(settings, policy).map_err(text)
+    hopyoke::log::init().map_err(error_message)?;
+    hopyoke::serve::serve(settings, policy).map_err(error_message)
 }
 
 fn check(config: Option<&Path>, policy: Option<&Path>) -> Result<(), String> {
@@ -268,11 +268,11 @@
     }
 }
 
-/// The latency of the key-value store that these settings can bear.
+/// Describes the maximum latency of the key-value store at which a leader can be elected with these settings.
 fn election_limit(settings: &Settings) -> String {
     let ttl = settings.leader_ttl();
     format!(
-        "a leader can be elected while the key-value store answers within {:.2} s: half of the leader lease's {:.2} s",
+        "a leader can be elected while the key-value store responds within {:.2} s, half of the leader lease's time to live of {:.2} s",
         max_election_latency(ttl).as_secs_f64(),
         ttl.as_secs_f64()
     )
@@ -285,14 +285,14 @@
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: cannot be read: {e}"))?;
     let policy = Policy::load(&name, &text).map_err(|e| e.to_string())?;
-    // What the language can't check of a text's own form.
+    // Checks the format of texts, which the policy language does not know.
     let values = policy.evaluate(&Figures::default());
     hopyoke::operations::settings::hours_of(&values, Micros::ZERO)
         .map_err(|e| format!("{name}: {e}"))?;
     Ok(policy)
 }
 
-/// The columns of `policy show`.
+/// Columns of `policy show`.
 const POLICY_COLUMNS: [&str; 9] = [
     "setting",
     "value",
@@ -352,15 +352,15 @@
 }
 
 fn policy_markdown(rows: Vec<PolicyRow>) -> String {
-    let shown = [0, 2, 3, 4, 5, 7, 8];
+    let columns = [0, 2, 3, 4, 5, 7, 8];
     let line = |cells: &[String]| {
         format!(
             "| {} |\n",
-            shown.map(|k| cells[k].replace('|', "\\|")).join(" | ")
+            columns.map(|k| cells[k].replace('|', "\\|")).join(" | ")
         )
     };
-    let mut out =
-        line(&POLICY_COLUMNS.map(str::to_owned)) + &format!("|{}\n", " --- |".repeat(shown.len()));
+    let mut out = line(&POLICY_COLUMNS.map(str::to_owned))
+        + &format!("|{}\n", " --- |".repeat(columns.len()));
     for mut row in rows {
         row[0] = format!("`{}`", row[0]);
         out += &line(&row);
@@ -388,8 +388,8 @@
     out
 }
 
-/// A time span in seconds, in a readable unit.
-fn format_span(s: f64) -> String {
+/// Formats a duration in seconds, in a readable unit.
+fn format_duration(s: f64) -> String {
     match s {
         _ if s < 90.0 => format!("{s:.0} s"),
         _ if s < 5400.0 => format!("{:.1} min", s / 60.0),
@@ -397,7 +397,7 @@
     }
 }
 
-/// Prints runs as they become known; a header comes first.
+/// Prints a header and the finished runs, and polls for further ones for `follow` seconds.
 fn history(mesh: SocketAddr, follow: u64) -> Result<(), String> {
     let until = std::time::Instant::now() + std::time::Duration::from_secs(follow);
     let header = Writer::header();
@@ -409,17 +409,17 @@
             token,
             since,
         };
-        let answer = call_controller(mesh, client::get_history(mesh, request));
-        let more = match answer {
+        let response = call_controller(mesh, client::get_history(mesh, request));
+        let more = match response {
             Ok(a) => {
                 print!("{}", a.csv);
                 (token, since) = (a.token, a.last);
                 a.more
             }
-            // No node answers during a failover; while `--follow` lasts the request is repeated.
+            // During a failover no node answers; the request is repeated until `--follow` has passed.
             Err(e) if std::time::Instant::now() >= until => return Err(e),
             Err(e) => {
-                eprintln!("hopyoke: {e}; asking again");
+                eprintln!("hopyoke: {e}; retrying");
                 false
             }
         };
@@ -432,24 +432,24 @@
     }
 }
 
-/// Calls a running controller on an event loop of its own.
+/// Calls a running controller on a temporary event loop.
 fn call_controller<T: 'static>(
     addr: SocketAddr,
     request: impl Future<Output = std::io::Result<T>> + 'static,
 ) -> Result<T, String> {
-    let answer = Rc::new(RefCell::new(None));
-    let answer_slot = answer.clone();
+    let response = Rc::new(RefCell::new(None));
+    let response_slot = response.clone();
     runtime::run(async move {
-        *answer_slot.borrow_mut() = Some(request.await);
+        *response_slot.borrow_mut() = Some(request.await);
     })
-    .map_err(text)?;
-    match answer.take() {
-        Some(Ok(answer)) => Ok(answer),
+    .map_err(error_message)?;
+    match response.take() {
+        Some(Ok(response)) => Ok(response),
         Some(Err(e)) => Err(format!("{addr}: {e}")),
-        None => Err(format!("{addr}: no answer")),
+        None => Err(format!("{addr}: no response")),
     }
 }
 
-fn text(error: impl Display) -> String {
+fn error_message(error: impl Display) -> String {
     error.to_string()
 }
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -1,4 +1,4 @@
-//! The state that the routines of one controller node share.
+//! State shared by the background tasks of one controller node.
 
 use crate::api::admission::AdmissionController;
 use crate::cloud::CloudClient;
@@ -26,54 +26,54 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// One controller node.
+/// State of one controller node.
 pub(crate) struct Node {
     /// The platform's settings.
     pub(crate) settings: Settings,
-    /// The operators' own settings.
+    /// The operators' settings.
     pub(crate) policy: Policy,
     pub(crate) config: SchedulerConfig,
     /// Client of the key-value store.
     pub(crate) store: KvClient,
     pub(crate) admission: AdmissionController,
     pub(crate) cloud: CloudClient,
-    /// The machine types that the cloud offers, as last read.
+    /// Machine types offered by the cloud, as last read.
     pub(crate) catalog: RefCell<Vec<MachineType>>,
-    /// The leading node, as last observed.
+    /// Name of the leading node, as last observed.
     pub(crate) leader: RefCell<Option<String>>,
     /// Set while this node leads.
     pub(crate) leadership: RefCell<Option<Rc<Leadership>>>,
-    /// Where this node stands in elections.
+    /// State of this node in elections.
     pub(crate) candidacy: RefCell<Candidacy>,
-    /// The support that this node grants to a peer's leader lease.
+    /// Support that this node grants to a peer's leader lease.
     pub(crate) lease_support: LeaseSupport,
     pub(crate) terminal_states: TerminalStateCache,
-    /// Jobs whose records are read for the next poll.
+    /// Jobs whose records are being read for the next poll.
     pub(crate) background_lookups: BackgroundLookups,
     pub(crate) peers: PeerClients,
     /// Open connections of users and agents.
     pub(crate) open_connections: OpenConnections,
-    /// Where agents' heartbeats are routed.
+    /// Routing of agents' heartbeats.
     pub(crate) routes: RefCell<Routes>,
     pub(crate) heartbeat_relay: HeartbeatRelay,
-    /// Until then this process counts as behind: it got its processor too late.
-    pub(crate) lagging_until: Cell<Micros>,
+    /// End of the time for which the processor of this node counts as overloaded, after a timer fired late.
+    pub(crate) cpu_overloaded_until: Cell<Micros>,
     /// Execution of workflows, if this node takes part in it.
     pub(crate) workflows: Option<WorkflowExecution>,
-    /// Ends all routines of the node.
+    /// Ends all background tasks of the node.
     pub(crate) cancel: CancellationToken,
 }
 
-/// What a node needs to execute runs of workflows.
+/// State of the execution of workflow runs on this node.
 pub(crate) struct WorkflowExecution {
     pub(crate) engine: RefCell<Engine>,
-    /// Notified when the engine has something to do.
+    /// Notified when the engine has work.
     pub(crate) wakeup: Notify,
-    /// The lease that this node's claims on runs are attached to.
+    /// Lease to which this node's claims on runs are attached.
     pub(crate) lease: Cell<Option<u64>>,
-    /// Actions being performed.
+    /// Number of actions in progress.
     pub(crate) running_actions: Cell<usize>,
-    /// When the next pages of a plan may be written.
+    /// Earliest time at which further pages of a plan may be written.
     pub(crate) next_plan_write_at: Cell<Micros>,
 }
 
@@ -99,39 +99,40 @@
     }
 }
 
-/// The state of a leading node, for one term.
+/// State of a leading node, for one term.
 pub(crate) struct Leadership {
     pub(crate) scheduler: RefCell<Scheduler>,
-    /// How long this node may command agents.
+    /// Tracks whether this node may command agents.
     pub(crate) leader_lease: Rc<RefCell<LeaderLease>>,
-    /// Whether agents' heartbeats reach this node.
+    /// Tracks whether agents' heartbeats reach this node.
     pub(crate) heartbeat_monitor: RefCell<HeartbeatMonitor>,
     /// Notified when the scheduler has changed.
     pub(crate) wakeup: Notify,
     /// Notified when records are to be written.
     pub(crate) write_wakeup: Notify,
-    /// Ends all routines of the term.
+    /// Ends all background tasks of the term.
     pub(crate) cancel: CancellationToken,
     /// Reads that wait until the scheduler is known to include all earlier writes.
     pub(crate) waiting_reads: WaitingReads,
-    /// Reads that wait for the peers' word instead, while the key-value store is too slow for their users.
+    /// Reads that wait for confirmation by the peers instead, while the key-value store is too slow for their time
+    /// limit.
     pub(crate) peer_confirmed_reads: WaitingReads,
-    /// How far the peers' cancellation logs have been received.
+    /// Positions in the peers' cancellation logs.
     pub(crate) delivery_cursors: RefCell<DeliveryCursors>,
     plan_cost: PlanCost,
 }
 
-/// The processor time that plans have taken.
+/// Processor time spent on plans.
 struct PlanCost {
     spent: Cell<Micros>,
-    /// When it was last reported.
+    /// Time of the last report.
     since: Cell<Micros>,
     /// This node's share of its processor, from 0 to 1.
     cpu_share: f64,
 }
 
 impl PlanCost {
-    /// The part of the node's processor share that was spent since this was last called.
+    /// Returns the fraction of the node's processor share that was spent since the last call.
     fn take_utilization(&self) -> f64 {
         let now = runtime::now();
         let span = (now - self.since.replace(now)).as_secs_f64().max(1e-3);
@@ -139,11 +140,11 @@
     }
 }
 
-/// Plans of a process that is behind may take this part of what they otherwise may.
-const PLAN_SHARE_WHEN_LAGGING: f64 = 0.4;
+/// Fraction of the usual processor share that plans may take while the processor is overloaded.
+const PLAN_SHARE_WHEN_CPU_OVERLOADED: f64 = 0.4;
 
 impl Leadership {
-    /// The state of a term that begins now, with the scheduler as built from the records.
+    /// Creates the state of a term that begins now, with the scheduler as built from the records.
     pub(crate) fn new(
         node: &Node,
         scheduler: Scheduler,
@@ -173,20 +174,21 @@
         }
     }
 
-    /// The part of this node's processor share that plans took since this was last called, from 0 on.
+    /// Returns the fraction of this node's processor share that plans took since the last call. It may exceed 1.
     pub(crate) fn plan_utilization(&self) -> f64 {
         self.plan_cost.take_utilization()
     }
 
-    /// This node may command agents, and renew their leases. Past the leader lease another node may lead;
-    /// without news of cancellations tasks must not be kept alive. (Guards `ran_twice` and `ran_cancelled`.)
+    /// Returns whether this node may command agents and renew their leases. After the leader lease has expired
+    /// another node may lead, and without received cancellations tasks must not be kept alive. Guards the invariants
+    /// `ran_twice` and `ran_cancelled`.
     pub(crate) fn lease_is_valid(&self) -> bool {
         self.leader_lease.borrow().is_valid(runtime::now()) && !self.cancel.is_cancelled()
     }
 
-    /// Waits until the scheduler is known to include all that was written before now; false if that is not known by
-    /// `deadline`, or the term ends. (The queries for waiting reads end with the term: reads that outlived it would wait
-    /// for ever, each with its user's connection.)
+    /// Waits until the scheduler is known to include all writes that preceded this call. Returns false if that is not
+    /// known by `deadline` or the term ends. The queries for pending reads end with the term, so a read that outlived
+    /// it would wait forever and hold its user's connection.
     pub(crate) async fn wait_until_current(&self, deadline: Micros) -> bool {
         self.cancel
             .run(self.waiting_reads.wait_until_current(deadline))
@@ -194,14 +196,18 @@
             == Some(true)
     }
 
-    /// Waits until all peers have confirmed, by messages sent after now, which cancellations they know of; false if that is
-    /// not known by `deadline`.
+    /// Waits until all peers have confirmed, by messages sent after this call, which cancellations they know of.
+    /// Returns false if that is not known by `deadline` or the term ends.
     ///
-    /// Then a job that the scheduler calls unfinished is so for every user, without a read of the store. Nobody has been
-    /// told that it is done: only the leader records that, this node's lease was valid until the peers had answered, its
-    /// scheduler has tasks of the job that are not done, and what a former leader recorded was read at the failover. Nobody
-    /// has been told that it is cancelled: each node logs a cancellation before it tells of it, and a peer whose log may
-    /// lack some, being restarted since, confirms nothing. (Guards `went_back`.)
+    /// A job that the scheduler then reports as unfinished is unfinished for every user, without a read of the store:
+    ///
+    /// - No user has been told that it is done. Only the leader records that, this node's lease was valid until the
+    ///   peers had answered, its scheduler has tasks of the job that are not done, and the failover read what an
+    ///   earlier leader recorded.
+    /// - No user has been told that it is cancelled. Each node logs a cancellation before it responds to the user,
+    ///   and a peer whose log may lack some, because it was restarted since, confirms nothing.
+    ///
+    /// Guards the invariant `went_back`.
     pub(crate) async fn wait_until_confirmed(&self, deadline: Micros) -> bool {
         self.cancel
             .run(self.peer_confirmed_reads.wait_until_current(deadline))
@@ -209,14 +215,15 @@
             == Some(true)
     }
 
-    /// The job is unfinished by this leader's scheduler, and its end is not being recorded.
+    /// Returns whether the job is unfinished in this leader's scheduler and its end is not being recorded.
     pub(crate) fn has_unfinished(&self, id: &JobId) -> bool {
         let scheduler = self.scheduler.borrow();
         scheduler.jobs.get(id).is_some_and(|job| !job.is_finished())
     }
 
-    /// Runs a step of the scheduler that may make a plan, and reports to it what the plan cost: the time between
-    /// plans follows from that, so that they take a part (`plan_share`) of the processor's share.
+    /// Runs a step of the scheduler that may compute a plan, and reports the cost of the plan to the scheduler. The
+    /// time between plans follows from the cost, so that plans take at most the fraction `plan_share` of the node's
+    /// processor share.
     pub(crate) fn track_plan_cost<T>(
         &self,
         node: &Node,
@@ -232,11 +239,11 @@
                 cost_us = cost.0,
                 machines = scheduler.machines.len(),
                 jobs = scheduler.jobs.len(),
-                "plan made"
+                "plan computed"
             );
-            // A process that is behind serves heartbeats first.
-            let factor = if node.is_lagging() {
-                PLAN_SHARE_WHEN_LAGGING
+            // While the processor is overloaded, heartbeats have priority.
+            let factor = if node.is_cpu_overloaded() {
+                PLAN_SHARE_WHEN_CPU_OVERLOADED
             } else {
                 1.0
             };
@@ -248,7 +255,8 @@
 }
 
 impl Node {
-    /// A node that starts now. `workflow_limits`: what runs of workflows may take, if this node is to execute them.
+    /// Creates the state of a node that starts now. `workflow_limits` are the limits of workflow runs, or `None` if
+    /// this node does not execute any.
     pub(crate) fn new(settings: Settings, policy: Policy, workflow_limits: Option<Limits>) -> Node {
         let workflows = workflow_limits.map(|limits| WorkflowExecution::new(&settings, limits));
         let limit = |per_second| SharedLimit {
@@ -279,30 +287,30 @@
             open_connections: OpenConnections::default(),
             routes: RefCell::new(Routes::new(settings.peers.len())),
             heartbeat_relay: HeartbeatRelay::default(),
-            lagging_until: Cell::new(Micros::ZERO),
+            cpu_overloaded_until: Cell::new(Micros::ZERO),
             cancel: CancellationToken::new(),
             settings,
             policy,
         }
     }
 
-    /// This process got its processor too late a short while ago.
-    pub(crate) fn is_lagging(&self) -> bool {
-        runtime::now() < self.lagging_until.get()
+    /// Returns whether this process was recently scheduled too late by its processor.
+    pub(crate) fn is_cpu_overloaded(&self) -> bool {
+        runtime::now() < self.cpu_overloaded_until.get()
     }
 
-    /// How many connections users and agents may have open: the rest of the sockets is for the key-value store, the
-    /// cloud, commands pushed to agents, and peers.
+    /// Returns the maximum number of open connections of users and agents. The remaining sockets are reserved for the
+    /// key-value store, the cloud, commands pushed to agents, and peers.
     pub(crate) fn max_open_connections(&self) -> u64 {
         self.settings.facts.limits.max_connections as u64 * 3 / 4
     }
 
-    /// Notes where this node stands in elections.
+    /// Sets the state of this node in elections.
     pub(crate) fn set_candidacy(&self, candidacy: Candidacy) {
         *self.candidacy.borrow_mut() = candidacy;
     }
 
-    /// The state of this node's term, while it leads.
+    /// Returns the state of this node's term, or `None` if it does not lead.
     pub(crate) fn leadership(&self) -> Option<Rc<Leadership>> {
         self.leadership.borrow().clone()
     }
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -70,7 +70,7 @@
     writeln!(
         out,
         "mesh unknown {} stale {stale}",
-        node.peers.unknown_senders()
+        node.peers.unknown_sender_messages()
     )?;
     let cancellation_log = node.lease_support.cancellation_log.borrow();
     writeln!(out, "cancellations remembered {}", cancellation_log.len())
--- a/crates/hopyoke/src/peers/channel.rs
+++ b/crates/hopyoke/src/peers/channel.rs
@@ -1,4 +1,4 @@
-//! HTTP/2 connections to other controllers: hyper on the event loop, as `tonic` needs it.
+//! HTTP/2 connections to other controllers: hyper on the event loop, as a transport for `tonic`.
 
 use hopyoke_event_loop::{self as runtime, CancellationToken, TcpStream};
 use hopyoke_types::Micros;
@@ -10,7 +10,7 @@
 
 const CONNECT_TIMEOUT: Micros = Micros::from_millis(700);
 
-/// Runs hyper's futures on this process's executor.
+/// Runs hyper's futures on this thread's event loop.
 #[derive(Clone, Copy)]
 pub(crate) struct LocalExec;
 
@@ -22,12 +22,12 @@
     }
 }
 
-/// A client's channel: one HTTP/2 connection.
+/// Channel of a client: one HTTP/2 connection.
 #[derive(Clone)]
 pub(crate) struct Channel(hyper::client::conn::http2::SendRequest<tonic::body::Body>);
 
 impl Channel {
-    /// Connects to `addr`; `cancel` closes the connection.
+    /// Connects to `addr`. Cancelling `cancel` closes the connection.
     pub(super) async fn connect(
         addr: SocketAddr,
         cancel: &CancellationToken,
@@ -53,7 +53,7 @@
     }
 
     fn call(&mut self, mut request: http::Request<tonic::body::Body>) -> Self::Future {
-        // HTTP/2 requires an absolute URI; its authority is not used.
+        // HTTP/2 requires an absolute URI; the server ignores its authority.
         let path = request
             .uri()
             .path_and_query()
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other controllers: gRPC by `tonic`.
+//! Client of other controllers: gRPC by `tonic`.
 
 use super::channel::Channel;
 use hopyoke_event_loop::http::{Request, Response};
@@ -18,7 +18,7 @@
 use tonic::Status;
 use tracing::debug;
 
-/// The messages of the mesh, generated from `proto/mesh.proto`.
+/// Messages and stubs of the mesh service, generated from `proto/mesh.proto`.
 #[allow(
     clippy::all,
     clippy::too_many_lines,
@@ -30,43 +30,43 @@
     tonic::include_proto!("hopyoke.mesh");
 }
 
-/// A greeting that has taken longer has failed.
+/// Timeout of a greeting or notification.
 pub(crate) const GREET_TIMEOUT: Micros = Micros::from_millis(900);
-/// Agents drop responses after 4 s.
+/// Timeout of a batch of relayed heartbeats: well below the 4 s after which agents drop responses.
 const RELAY_TIMEOUT: Micros = Micros::from_millis(2_500);
-/// Long, since a plan's pages are written at a limited rate.
+/// Timeout of a workflow call: long, because the pages of a plan are written at a limited rate.
 const FLOW_TIMEOUT: Micros = Micros::from_secs(20);
-/// A peer whose last greeting is no older than this is reachable.
+/// Time after a peer's last greeting for which the peer counts as reachable.
 const REACHABLE_WINDOW: Micros = Micros::from_millis(2_500);
-/// What is left of the time for a forwarded request for the way to the peer and back.
+/// Part of a forwarded request's timeout reserved for the transfer to the peer and back.
 const FORWARD_MARGIN: Micros = Micros::from_millis(50);
 
-/// The client of one peer, and what the peer has announced.
+/// Client of one peer, with the state that the peer has announced.
 pub struct PeerClient {
-    /// The peer's name and address by the settings.
+    /// Name and address of the peer, from the settings.
     pub(crate) peer: Peer,
     connection: RefCell<Option<Connection>>,
     last_greeting_at: Cell<Micros>,
-    /// By its last greeting the key-value store answers it.
+    /// Whether the peer reaches the key-value store, by its last greeting.
     store_reachable: Cell<bool>,
-    /// By its last greeting: its fencing token if it leads, else 0.
+    /// Fencing token of the peer if it leads, else 0, by its last greeting.
     token: Cell<u64>,
     incarnation: Cell<u64>,
     previous_incarnation: Cell<u64>,
     stale_messages: Cell<u64>,
-    last_answer_at: Cell<Micros>,
-    /// Users' requests that are being forwarded to it.
-    forwarded: Cell<usize>,
+    last_response_at: Cell<Micros>,
+    /// Number of users' requests that are being forwarded to the peer.
+    forwarded_requests: Cell<usize>,
 }
 
-/// An open connection.
+/// Open connection to a peer.
 struct Connection {
     client: MeshClient<Channel>,
-    /// Closes it.
+    /// Closes the connection.
     cancel: CancellationToken,
 }
 
-/// Counts a request for as long as it is being forwarded.
+/// Counts a request while it is being forwarded.
 struct ForwardGuard<'a>(&'a Cell<usize>);
 
 impl<'a> ForwardGuard<'a> {
@@ -82,9 +82,9 @@
     }
 }
 
-/// Users' requests forwarded to one peer at once. Fewer than the streams that it accepts: a request that waits for a
-/// stream until its timeout costs both sides as much as an answer. (Guards against overloading a peer that is behind
-/// with requests whose users have given up.)
+/// Maximum number of users' requests forwarded to one peer at once. Fewer than the streams that the peer accepts: a
+/// request that waits for a stream until its timeout costs both sides as much as a response. Guards against
+/// overloading a slow peer with requests whose users have given up.
 const MAX_FORWARDED: usize = 24;
 
 impl PeerClient {
@@ -98,8 +98,8 @@
             incarnation: Cell::new(0),
             previous_incarnation: Cell::new(0),
             stale_messages: Cell::new(0),
-            last_answer_at: Cell::new(Micros::ZERO),
-            forwarded: Cell::new(0),
+            last_response_at: Cell::new(Micros::ZERO),
+            forwarded_requests: Cell::new(0),
         }
     }
 
@@ -108,27 +108,30 @@
         last > Micros::ZERO && runtime::now() < last + REACHABLE_WINDOW
     }
 
-    /// The peer is reachable, and by its last greeting the key-value store answers it.
+    /// Returns whether the peer is reachable and, by its last greeting, reaches the key-value store.
     pub(crate) fn reaches_store(&self) -> bool {
         self.is_reachable() && self.store_reachable.get()
     }
 
-    /// The peer is reachable, and by its last greeting it leads and has read all records.
+    /// Returns whether the peer is reachable and, by its last greeting, leads and has read all records.
     pub(crate) fn leads(&self) -> bool {
         self.is_reachable() && self.token.get() > 0
     }
 
-    /// No more users' requests may be forwarded to the peer now.
+    /// Returns whether the maximum number of users' requests is being forwarded to the peer.
     pub(crate) fn is_busy(&self) -> bool {
-        self.forwarded.get() >= MAX_FORWARDED
+        self.forwarded_requests.get() >= MAX_FORWARDED
     }
 
-    /// Takes over what the peer announces in a greeting; false if it is stale: from a previous process of the peer, or
-    /// from another node at its address. (A greeting that a network partition delayed may arrive long after its process
-    /// ended.) A greeting that `is_answer` to a call of this node is from a live process, whatever arrived before it: so
-    /// a delayed greeting of a process that was not known yet is corrected within a second.
-    pub(crate) fn greeting_received(&self, greeting: &Greeting, is_answer: bool) -> bool {
-        let from_previous = !is_answer && greeting.incarnation == self.previous_incarnation.get();
+    /// Stores the state that the peer announces in a greeting. Returns false for a stale greeting: one from the
+    /// previous process of the peer, or from another node at its address. A greeting that was delayed by a network
+    /// partition may arrive long after its process ended.
+    ///
+    /// A greeting that `is_response` to a call of this node comes from a live process, whatever arrived before it.
+    /// The state stored from a delayed greeting of a process that was not known yet is therefore corrected within a
+    /// second.
+    pub(crate) fn greeting_received(&self, greeting: &Greeting, is_response: bool) -> bool {
+        let from_previous = !is_response && greeting.incarnation == self.previous_incarnation.get();
         if greeting.node != self.peer.node || from_previous {
             self.stale_messages.set(self.stale_messages.get() + 1);
             debug!(peer = %self.peer.node, sender = %greeting.node, "stale greeting ignored");
@@ -144,7 +147,7 @@
         true
     }
 
-    /// Stale greetings since the start of the process.
+    /// Returns the number of stale greetings since the start of the process.
     pub(crate) fn stale_messages(&self) -> u64 {
         self.stale_messages.get()
     }
@@ -168,8 +171,8 @@
         }
     }
 
-    /// Makes one call; `None`: it failed, or took longer than `timeout`. A failed connection is closed and opened anew by
-    /// the next call.
+    /// Makes one call. Returns `None` if it failed or took longer than `timeout`. A failed connection is closed, and
+    /// the next call opens a new one.
     pub(crate) async fn call<T, F, G>(&self, timeout: Micros, f: F) -> Option<T>
     where
         F: FnOnce(MeshClient<Channel>) -> G,
@@ -184,18 +187,18 @@
         })
         .await;
         match result {
-            Ok(Ok(answer)) => {
-                self.last_answer_at.set(runtime::now());
-                Some(answer.into_inner())
+            Ok(Ok(response)) => {
+                self.last_response_at.set(runtime::now());
+                Some(response.into_inner())
             }
             Ok(Err(e)) => {
-                debug!(peer = %self.peer.node, error = %e, "call to a peer failed");
+                debug!(peer = %self.peer.node, error = %e, "call to peer failed");
                 self.close();
                 None
             }
             Err(_) => {
-                // One late answer says little: other calls share the connection.
-                if runtime::now() > self.last_answer_at.get() + REACHABLE_WINDOW {
+                // A single timeout does not close the connection, which other calls share.
+                if runtime::now() > self.last_response_at.get() + REACHABLE_WINDOW {
                     self.close();
                 }
                 None
@@ -203,7 +206,8 @@
         }
     }
 
-    /// Notifies the peer that a job was accepted or cancelled. Only a hint: its watch delivers the change too.
+    /// Notifies the peer that a job was accepted or cancelled. The notification is a hint: the peer's watch delivers
+    /// the change too.
     pub(crate) async fn notify(&self, from: &str, job: &JobId) {
         if self.is_reachable() {
             let change = JobChange {
@@ -216,8 +220,8 @@
         }
     }
 
-    /// Relays agents' heartbeats to the leader; returns the encoded responses in the same order, an empty one for each
-    /// heartbeat that was not answered. `None`: the call failed.
+    /// Relays agents' heartbeats to the leader. Returns the encoded responses in the same order, with an empty one
+    /// for each heartbeat that was not answered, or `None` if the call failed.
     pub(crate) async fn relay_heartbeats(
         &self,
         from: &str,
@@ -228,13 +232,14 @@
             node: from.to_owned(),
             heartbeats,
         };
-        let answer = self
+        let response = self
             .call(RELAY_TIMEOUT, |mut c| async move { c.carry(message).await })
             .await?;
-        (answer.responses.len() == count).then_some(answer.responses)
+        (response.responses.len() == count).then_some(response.responses)
     }
 
-    /// Forwards a user's request to the peer, and waits for its answer for `timeout`. `None`: the peer is unreachable or busy, or could not decide either.
+    /// Forwards a user's request to the peer. Returns `None` if the peer is unreachable, busy, does not respond
+    /// within `timeout` or cannot decide the request either.
     pub(crate) async fn forward(
         &self,
         from: &str,
@@ -244,7 +249,7 @@
         if !self.is_reachable() || self.is_busy() {
             return None;
         }
-        let _guard = ForwardGuard::new(&self.forwarded);
+        let _guard = ForwardGuard::new(&self.forwarded_requests);
         let message = ForwardRequest {
             node: from.to_owned(),
             method: request.method.as_str().to_owned(),
@@ -262,17 +267,17 @@
     }
 }
 
-/// The clients of all peers, in the order of the settings: a peer's index is its place in this list.
+/// Clients of all peers, in the order of the settings. A peer's index is its position in this list.
 pub struct PeerClients {
     clients: Vec<PeerClient>,
-    unknown_senders: Cell<u64>,
+    unknown_sender_messages: Cell<u64>,
 }
 
 impl PeerClients {
     pub(crate) fn new(peers: &[Peer]) -> PeerClients {
         PeerClients {
             clients: peers.iter().cloned().map(PeerClient::new).collect(),
-            unknown_senders: Cell::new(0),
+            unknown_sender_messages: Cell::new(0),
         }
     }
 
@@ -280,32 +285,33 @@
         &self.clients
     }
 
-    /// Counts a message of a node that is not among the peers.
+    /// Counts a message from a node that is not a peer.
     pub(crate) fn count_unknown_sender(&self) {
-        self.unknown_senders.set(self.unknown_senders.get() + 1);
+        self.unknown_sender_messages
+            .set(self.unknown_sender_messages.get() + 1);
     }
 
-    /// Messages of nodes that are not among the peers, since the start of the process.
-    pub(crate) fn unknown_senders(&self) -> u64 {
-        self.unknown_senders.get()
+    /// Returns the number of messages from nodes that are not peers since the start of the process.
+    pub(crate) fn unknown_sender_messages(&self) -> u64 {
+        self.unknown_sender_messages.get()
     }
 
     pub(crate) fn by_name(&self, name: &str) -> Option<&PeerClient> {
         self.clients.iter().find(|c| c.peer.node == name)
     }
 
-    /// The index of the peer of this name.
+    /// Returns the index of the peer with this name.
     pub(crate) fn index_of(&self, name: &str) -> Option<usize> {
         self.clients.iter().position(|c| c.peer.node == name)
     }
 
-    /// A peer that the key-value store answers, if any.
+    /// Returns a peer that reaches the key-value store, if any.
     pub(crate) fn any_that_reaches_store(&self) -> Option<&PeerClient> {
         self.clients.iter().find(|c| c.reaches_store())
     }
 }
 
-/// Makes one call on a connection of its own, as the command line does.
+/// Makes one call on a temporary connection, for the command line.
 async fn call_once<T, F, G>(addr: SocketAddr, f: F) -> io::Result<T>
 where
     F: FnOnce(MeshClient<Channel>) -> G,
@@ -321,15 +327,15 @@
 {
     let cancel = CancellationToken::new();
     let client = MeshClient::new(Channel::connect(addr, &cancel).await?);
-    let answer = runtime::timeout(timeout, f(client))
+    let response = runtime::timeout(timeout, f(client))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
-    answer
+    response
         .map(tonic::Response::into_inner)
         .map_err(io::Error::other)
 }
 
-/// Gets the status of the controller at `addr`, as text.
+/// Returns the status of the controller at `addr`, as text.
 ///
 /// # Errors
 /// The connection or the call failed, or it timed out.
@@ -342,26 +348,26 @@
     .text)
 }
 
-/// Sets or shows the operators' override of the staffed hours.
+/// Sets or returns the operators' override of the staffed hours.
 ///
 /// # Errors
-/// The connection or the call failed, it timed out, or the controller refused the request.
+/// The connection or the call failed, it timed out, or the controller rejected the request.
 pub async fn call_staffed(
     addr: SocketAddr,
     request: StaffedRequest,
 ) -> io::Result<StaffedResponse> {
-    let answer = call_once(addr, |mut c| async move { c.staffed(request).await }).await?;
-    if answer.error.is_empty() {
-        Ok(answer)
+    let response = call_once(addr, |mut c| async move { c.staffed(request).await }).await?;
+    if response.error.is_empty() {
+        Ok(response)
     } else {
-        Err(io::Error::other(answer.error))
+        Err(io::Error::other(response.error))
     }
 }
 
-/// Submits, cancels, resumes or queries runs of workflows. A refusal is in the answer's status.
+/// Submits, cancels, resumes or queries runs of workflows. A rejection is reported by the status of the response.
 ///
 /// # Errors
-/// The connection or the call failed, or it timed out; the request may have been executed all the same.
+/// The connection or the call failed, or it timed out; the request may still have been executed.
 pub async fn call_flow(addr: SocketAddr, request: FlowRequest) -> io::Result<FlowResponse> {
     call_once_within(
         addr,
@@ -371,28 +377,28 @@
     .await
 }
 
-/// Gets the estimate of when a job will end, or GPUs will be free.
+/// Returns an estimate of when a job will end or GPUs will be free.
 ///
 /// # Errors
 /// The connection or the call failed, it timed out, or there is no estimate.
 pub async fn get_estimate(addr: SocketAddr, request: WhenRequest) -> io::Result<WhenResponse> {
-    let answer = call_once(addr, |mut c| async move { c.when(request).await }).await?;
-    if answer.error.is_empty() {
-        Ok(answer)
+    let response = call_once(addr, |mut c| async move { c.when(request).await }).await?;
+    if response.error.is_empty() {
+        Ok(response)
     } else {
-        Err(io::Error::other(answer.error))
+        Err(io::Error::other(response.error))
     }
 }
 
-/// Gets runs of tasks that have ended.
+/// Returns finished runs of tasks.
 ///
 /// # Errors
 /// The connection or the call failed, it timed out, or the leader is not known.
 pub async fn get_history(addr: SocketAddr, request: HistoryRequest) -> io::Result<HistoryResponse> {
-    let answer = call_once(addr, |mut c| async move { c.history(request).await }).await?;
-    if answer.error.is_empty() {
-        Ok(answer)
+    let response = call_once(addr, |mut c| async move { c.history(request).await }).await?;
+    if response.error.is_empty() {
+        Ok(response)
     } else {
-        Err(io::Error::other(answer.error))
+        Err(io::Error::other(response.error))
     }
 }
--- a/crates/hopyoke/src/peers/heartbeat_relay.rs
+++ b/crates/hopyoke/src/peers/heartbeat_relay.rs
@@ -1,5 +1,5 @@
-//! Agents' heartbeats that this node relays to the leader: their connections are held here because the leader has no
-//! capacity for them (see [`hopyoke_heartbeat`]).
+//! Relays agents' heartbeats to the leader while it offloads agents' connections to its peers (see
+//! [`hopyoke_heartbeat`]).
 
 use crate::node::Node;
 use hopyoke_event_loop::{self as runtime, Notify};
@@ -9,25 +9,26 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A relayed heartbeat whose agent waits for the response.
+/// Relayed heartbeat whose agent waits for the response.
 #[derive(Clone, Default)]
 struct PendingHeartbeat {
-    /// `None` until the leader's call ends; empty if the heartbeat was not answered.
+    /// `None` until the call to the leader ends; empty if the heartbeat was not answered.
     response: Rc<RefCell<Option<Vec<u8>>>>,
     wakeup: Notify,
 }
 
-/// Heartbeats on their way to the leader.
+/// Heartbeats queued for the leader or awaiting its response.
 #[derive(Default)]
 pub(crate) struct HeartbeatRelay {
     batcher: RefCell<HeartbeatBatcher>,
-    /// Notified when a call may be due.
+    /// Notified when a call may have become due.
     wakeup: Notify,
     pending: RefCell<BTreeMap<HeartbeatId, PendingHeartbeat>>,
 }
 
 impl HeartbeatRelay {
-    /// Relays an encoded heartbeat to the leader and waits for the response. `None`: it was not answered.
+    /// Relays an encoded heartbeat to the leader and waits for the response. Returns `None` if the heartbeat was
+    /// rejected or not answered.
     pub(crate) async fn relay(&self, heartbeat: Vec<u8>) -> Option<Vec<u8>> {
         let id = self
             .batcher
@@ -48,13 +49,13 @@
         }
     }
 
-    /// Heartbeats relayed and refused since the start of the process, for operators.
+    /// Returns the numbers of heartbeats relayed and rejected since the start of the process.
     pub(crate) fn counts(&self) -> (u64, u64) {
         self.batcher.borrow().counts()
     }
 }
 
-/// Relays queued heartbeats, for as long as the node runs.
+/// Relays queued heartbeats for as long as the node runs.
 pub(crate) async fn run(node: Rc<Node>) {
     let relay = &node.heartbeat_relay;
     loop {
--- a/crates/hopyoke/src/peers/mod.rs
+++ b/crates/hopyoke/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Other controllers: calls to them, calls from them, and heartbeats relayed to the leader.
+//! Communication with other controllers: client, server, and relay of heartbeats to the leader.
 
 mod channel;
 pub mod client;
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -1,8 +1,8 @@
 //! Serves calls of other controllers and of operators, and greets the peers: gRPC by `tonic`.
 //!
-//! Over the mesh nodes learn who reaches the key-value store, forward users' requests to a node that can answer them
-//! better, and grant lease support in an outage (see [`hopyoke_consistency::leader_lease`]). No safety rule depends on
-//! it.
+//! Through greetings nodes learn which of them reach the key-value store, forward users' requests to a node that can
+//! answer them better, and grant lease support in an outage (see [`hopyoke_consistency::leader_lease`]). Safety
+//! does not depend on the mesh.
 
 use crate::agents::heartbeats;
 use crate::api::deadline::RequestDeadline;
@@ -33,11 +33,11 @@
 use tonic::Status;
 use tracing::{debug, warn};
 
-/// What this node announces to a peer.
+/// Returns the state that this node announces to a peer.
 fn greeting(node: &Node) -> Greeting {
     let load = node.routes.borrow_mut().own_load(
         node.leadership().is_some(),
-        node.is_lagging(),
+        node.is_cpu_overloaded(),
         node.open_connections.count(),
         node.max_open_connections(),
         runtime::now(),
@@ -63,7 +63,7 @@
     }
 }
 
-/// A greeting that requests the peer's own.
+/// Returns the greeting that requests the peer's own.
 fn greeting_request(node: &Node, peer: usize) -> Greeting {
     let cursor = node.leadership().map_or_else(Default::default, |l| {
         l.delivery_cursors.borrow().cursor(peer)
@@ -77,13 +77,13 @@
     }
 }
 
-/// The answer to a greeting. A leader receives the cancellations confirmed here that it may not have applied, and, if
-/// the key-value store refuses this node too, lease support with them: it sent the request, so it may rely on the support
-/// from the time of sending on. Support that was not requested could arrive late.
+/// Returns the response to a greeting. A leader receives the cancellations acknowledged here that it may not have
+/// applied and, if the key-value store rejects this node's requests too, lease support with them. The leader sent the
+/// request, so the support counts from the time of sending; unsolicited support could arrive late.
 fn greeting_response(node: &Node, request: &Greeting) -> Greeting {
-    let mut answer = greeting(node);
+    let mut response = greeting(node);
     if request.token == 0 {
-        return answer;
+        return response;
     }
     let cursor = Cursor {
         incarnation: request.delivered_incarnation,
@@ -94,43 +94,43 @@
         ModRevision(request.applied_revision),
         cursor.sequence_in(node.lease_support.incarnation),
     );
-    let support = (delta.is_complete && !answer.store_reachable)
+    let support = (delta.is_complete && !response.store_reachable)
         .then(|| node.lease_support.grant_support())
         .flatten();
-    answer.support_us = support.map_or(0, |span| span.0);
-    answer.cancelled_up_to = delta.last_sequence;
-    answer.cancellations_complete = delta.is_complete;
-    answer.cancelled_jobs = delta.jobs.iter().map(ToString::to_string).collect();
-    answer
+    response.support_us = support.map_or(0, |duration| duration.0);
+    response.cancelled_up_to = delta.last_sequence;
+    response.cancellations_complete = delta.is_complete;
+    response.cancelled_jobs = delta.jobs.iter().map(ToString::to_string).collect();
+    response
 }
 
-/// Greets a peer once and takes over its answer. True if this node leads, and the answer left out no cancellation that was
-/// confirmed to users there by then and that this leader lacked.
+/// Greets a peer once and applies its response. Returns true if this node leads and the response was complete: this
+/// leader lacks no cancellation that the peer had acknowledged to users by then.
 async fn exchange_greetings(node: &Node, peer: usize) -> bool {
     let request = greeting_request(node, peer);
     let client = &node.peers.all()[peer];
     let sent_at = runtime::now();
-    let answer = client
+    let response = client
         .call(GREET_TIMEOUT, |mut c| async move { c.greet(request).await })
         .await;
-    let Some(answer) = answer.filter(|a| client.greeting_received(a, true)) else {
+    let Some(response) = response.filter(|a| client.greeting_received(a, true)) else {
         return false;
     };
-    record_load(node, peer, &answer);
+    record_load(node, peer, &response);
     node.admission
-        .loan_received(peer, answer.granted_loan, sent_at);
-    if answer.token > 0 {
+        .loan_received(peer, response.granted_loan, sent_at);
+    if response.token > 0 {
         node.admission
-            .write_demand_received(answer.write_demand, sent_at);
+            .write_demand_received(response.write_demand, sent_at);
     }
     let Some(leadership) = node.leadership() else {
         return false;
     };
-    apply_greeting_response(node, &leadership, peer, sent_at, &answer);
-    answer.cancellations_complete
+    apply_greeting_response(node, &leadership, peer, sent_at, &response);
+    response.cancellations_complete
 }
 
-/// Has the peers confirm reads that wait at the leader because the key-value store is too slow for them: see
+/// Has the peers confirm reads that are pending at the leader because the key-value store is too slow for them; see
 /// [`Leadership::wait_until_confirmed`].
 pub(crate) async fn confirm_reads(node: Rc<Node>, leadership: Rc<Leadership>) {
     loop {
@@ -147,15 +147,15 @@
 
 async fn confirm_by_all_peers(node: Rc<Node>, leadership: Rc<Leadership>, query: ReadQuery) {
     let peers = 0..node.peers.all().len();
-    let answers = join_all(peers.map(|peer| exchange_greetings(&node, peer))).await;
+    let responses = join_all(peers.map(|peer| exchange_greetings(&node, peer))).await;
     let own_log_is_applied = node
         .lease_support
         .cancellation_log
         .borrow()
         .covers(leadership.scheduler.borrow().applied_revision());
-    // A valid lease: nobody else has led since the query was sent.
+    // As the lease is valid, no other node has led since the query was sent.
     let is_confirmed =
-        own_log_is_applied && answers.into_iter().all(|a| a) && leadership.lease_is_valid();
+        own_log_is_applied && responses.into_iter().all(|a| a) && leadership.lease_is_valid();
     let now = runtime::now();
     if is_confirmed {
         leadership.peer_confirmed_reads.query_answered(query, now);
@@ -169,7 +169,7 @@
 pub(crate) async fn greet(node: Rc<Node>, peer: usize) {
     loop {
         exchange_greetings(&node, peer).await;
-        // Lease support is short: it is requested again well before it expires.
+        // Lease support is short-lived, so it is requested again well before it expires.
         let pause = match (node.store.is_responding(), node.admission.is_overloaded()) {
             (true, false) => 1000,
             (false, false) => 600,
@@ -190,15 +190,16 @@
         .load_received(peer, load, runtime::now());
 }
 
-/// Applies a peer's answer at the leader: first the cancellations, then the lease support, which is granted on the
-/// condition that the leader knows them. The support counts only if the leader has also applied what was confirmed at its
-/// own node before its election. (Guards `ran_cancelled`. Scenario leader_rejected_then_outage_new_process.)
+/// Applies a peer's response at the leader: first the cancellations, then the lease support, which is granted on the
+/// condition that the leader knows them. The support counts only if the leader has also applied the cancellations
+/// that its own node acknowledged before the election. Guards the invariant `ran_cancelled`; see the scenario
+/// leader_rejected_then_outage_new_process.
 fn apply_greeting_response(
     node: &Node,
     leadership: &Leadership,
     peer: usize,
     sent_at: Micros,
-    answer: &Greeting,
+    response: &Greeting,
 ) {
     let now = runtime::now();
     let own_log_is_applied = node
@@ -206,31 +207,32 @@
         .cancellation_log
         .borrow()
         .covers(leadership.scheduler.borrow().applied_revision());
-    let span = (answer.support_us > 0 && own_log_is_applied).then_some(Micros(answer.support_us));
-    if !answer.cancelled_jobs.is_empty() {
+    let support =
+        (response.support_us > 0 && own_log_is_applied).then_some(Micros(response.support_us));
+    if !response.cancelled_jobs.is_empty() {
         let mut scheduler = leadership.scheduler.borrow_mut();
-        for id in answer
+        for id in response
             .cancelled_jobs
             .iter()
             .filter_map(|id| JobId::parse(id))
         {
-            // Also of jobs that are not known yet: their records may still be on their way.
+            // Includes jobs that are not known yet: their records may still arrive.
             scheduler.job_removed(&id, now);
         }
         leadership.wakeup.notify();
     }
     leadership.delivery_cursors.borrow_mut().advance(
         peer,
-        answer.incarnation,
-        answer.cancelled_up_to,
+        response.incarnation,
+        response.cancelled_up_to,
     );
     leadership
         .leader_lease
         .borrow_mut()
-        .support_answered(peer, sent_at, span, now);
+        .support_answered(peer, sent_at, support, now);
 }
 
-/// A call that arrived, with the channel for its answer.
+/// Incoming call, with the channel for its response.
 enum Call {
     Greet(Greeting, oneshot::Sender<Greeting>),
     Notify(JobChange, oneshot::Sender<Greeting>),
@@ -243,27 +245,27 @@
     Staffed(StaffedRequest, oneshot::Sender<StaffedResponse>),
 }
 
-/// Handlers as tonic requires them, `Send`: they hand each call to a routine on the event loop's thread.
+/// Handlers that are `Send`, as `tonic` requires. They hand each call to a background task on the event loop's thread.
 #[derive(Clone)]
 struct Handlers(mpsc::Sender<Call>);
 
-/// Calls in the queue between the handlers and the event loop; more are refused.
+/// Maximum number of calls queued between the handlers and the event loop; further ones are rejected.
 const MAX_QUEUED_CALLS: usize = 64;
 
 impl Handlers {
     async fn dispatch<T>(
         &self,
-        make: impl FnOnce(oneshot::Sender<T>) -> Call,
+        make_call: impl FnOnce(oneshot::Sender<T>) -> Call,
     ) -> Result<tonic::Response<T>, Status> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let mut queue = self.0.clone();
         queue
-            .try_send(make(reply))
-            .map_err(|_| Status::resource_exhausted("too many calls waiting"))?;
-        answer
+            .try_send(make_call(reply))
+            .map_err(|_| Status::resource_exhausted("too many queued calls"))?;
+        response
             .await
             .map(tonic::Response::new)
-            .map_err(|_| Status::permission_denied("refused"))
+            .map_err(|_| Status::permission_denied("call rejected"))
     }
 }
 
@@ -347,7 +349,7 @@
     }
 }
 
-/// Open connections; more are closed at once.
+/// Maximum number of open connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 32;
 
 /// Accepts calls from peers and operators, for as long as the node runs.
@@ -356,8 +358,8 @@
     let listener = match TcpListener::bind(addr) {
         Ok(l) => l,
         Err(e) => {
-            // Safety and the users' interface do not depend on the mesh.
-            warn!(error = %e, "mesh_addr {addr}: cannot listen");
+            // Neither safety nor the users' API depends on the mesh.
+            warn!(error = %e, "cannot listen on mesh_addr {addr}");
             return;
         }
     };
@@ -387,19 +389,19 @@
                 .max_concurrent_streams(32)
                 .max_header_list_size(8 * 1024)
                 .serve_connection(stream, HyperService(MeshServer::new(Handlers(queue))));
-            // A connection that a network partition left half-open must not stay for ever: peers open a new one.
+            // Closes connections that a network partition left half-open; peers open new ones.
             let _ = runtime::timeout(Micros::from_secs(600), connection).await;
             open.set(open.get() - 1);
         });
     }
 }
 
-/// The index of the peer of this name. Messages of other nodes are counted and not answered.
-fn known_peer(node: &Node, name: &str) -> Option<usize> {
+/// Returns the index of the peer with this name. Messages from other nodes are counted and not answered.
+fn peer_index(node: &Node, name: &str) -> Option<usize> {
     let index = node.peers.index_of(name);
     if index.is_none() {
         node.peers.count_unknown_sender();
-        debug!(node = name, "message of a node that is not a peer");
+        debug!(node = name, "message from a node that is not a peer");
     }
     index
 }
@@ -429,26 +431,26 @@
 }
 
 fn handle_greeting(node: &Node, greeting: &Greeting, reply: oneshot::Sender<Greeting>) {
-    let Some(peer) = known_peer(node, &greeting.node) else {
+    let Some(peer) = peer_index(node, &greeting.node) else {
         return;
     };
     if !node.peers.all()[peer].greeting_received(greeting, false) {
         return;
     }
-    let mut answer = greeting_response(node, greeting);
+    let mut response = greeting_response(node, greeting);
     record_load(node, peer, greeting);
     node.admission
         .gossip_received(peer, &greeting.queue_positions);
-    answer.granted_loan = node.admission.grant_loan(peer, greeting.requested_loan);
-    let _ = reply.send(answer);
+    response.granted_loan = node.admission.grant_loan(peer, greeting.requested_loan);
+    let _ = reply.send(response);
 }
 
 async fn handle_notification(node: &Node, change: &JobChange, reply: oneshot::Sender<Greeting>) {
-    if known_peer(node, &change.node).is_none() {
+    if peer_index(node, &change.node).is_none() {
         return;
     }
     let _ = reply.send(greeting(node));
-    // One read serves all notifications that arrive meanwhile, and the polls that wait.
+    // One read serves all notifications that arrive in the meantime, and the pending polls.
     if let Some(leadership) = node.leadership() {
         let deadline = runtime::now() + USER_POLL_TIMEOUT;
         leadership.wait_until_current(deadline).await;
@@ -460,7 +462,7 @@
     message: ForwardRequest,
     reply: oneshot::Sender<ForwardResponse>,
 ) {
-    if known_peer(node, &message.node).is_none() {
+    if peer_index(node, &message.node).is_none() {
         return;
     }
     let method = match message.method.as_str() {
@@ -482,7 +484,7 @@
 }
 
 fn handle_relayed(node: &Node, batch: &HeartbeatBatch, reply: oneshot::Sender<HeartbeatResponses>) {
-    if known_peer(node, &batch.node).is_none() {
+    if peer_index(node, &batch.node).is_none() {
         return;
     }
     let responses = batch
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a controller node's routines, and routes requests of users and agents.
+//! Starts the background tasks of a controller node, and routes requests of users and agents.
 
 use crate::agents::heartbeats;
 use crate::api::jobs;
@@ -19,19 +19,19 @@
 use std::rc::Rc;
 use tracing::{debug, info};
 
-/// Serves until the process ends.
+/// Runs a controller node until the process ends.
 ///
 /// # Errors
-/// The event loop could not be set up, or the address to serve on could not be bound.
+/// The event loop could not be set up, or the listen address could not be bound.
 pub fn serve(settings: Settings, policy: Policy) -> io::Result<()> {
     let listen = settings.listen;
-    let failed = Rc::new(RefCell::new(None));
-    let failure = failed.clone();
+    let bind_error = Rc::new(RefCell::new(None));
+    let bind_error_slot = bind_error.clone();
     runtime::run(async move {
         let listener = match TcpListener::bind(listen) {
             Ok(l) => l,
             Err(e) => {
-                *failure.borrow_mut() = Some(e);
+                *bind_error_slot.borrow_mut() = Some(e);
                 return;
             }
         };
@@ -42,16 +42,16 @@
         let node = Rc::new(Node::new(settings, policy, workflow_limits));
         let cancelled_gone_s = node.settings.cancellation_bound().total().as_secs_f64();
         info!(node = %node.settings.node, zone = %node.settings.zone, cancelled_gone_s, "serving");
-        start_routines(&node);
+        start_background_tasks(&node);
         serve_requests(&node, listener).await;
     })?;
-    match failed.take() {
+    match bind_error.take() {
         Some(e) => Err(io::Error::new(e.kind(), format!("serve_on {listen}: {e}"))),
         None => Ok(()),
     }
 }
 
-fn start_routines(node: &Rc<Node>) {
+fn start_background_tasks(node: &Rc<Node>) {
     runtime::spawn_until(node.cancel.clone(), refresh_catalog(node.clone()));
     runtime::spawn_until(node.cancel.clone(), election::run(node.clone()));
     runtime::spawn_until(
@@ -68,9 +68,9 @@
     runner::start(node);
 }
 
-/// Serves users' and agents' requests, for as long as the node runs.
+/// Serves requests of users and agents, for as long as the node runs.
 async fn serve_requests(node: &Rc<Node>, listener: TcpListener) {
-    // The remaining sockets are left for the key-value store, the cloud, agents and peers.
+    // The remaining sockets are reserved for the key-value store, the cloud, agents and peers.
     let connections = node.max_open_connections() as usize;
     let limits = ServerLimits {
         max_connections: connections,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Probes the key-value store when no other request has been answered for a second.
+/// Probes the key-value store if no other request has been answered for a second.
 async fn probe_store(node: Rc<Node>) {
     let interval = Micros::from_secs(1);
     loop {
@@ -123,19 +123,19 @@
     }
 }
 
-/// Detects that this process is behind, or that agents find no free connection: a leader that cannot receive all
-/// heartbeats must not take their absence for failed machines.
+/// Detects that the processor is overloaded or that agents find no free connection. A leader that cannot receive all
+/// heartbeats must not take missing ones for failed machines.
 async fn detect_overload(node: Rc<Node>) {
     let interval = Micros::from_millis(250);
     loop {
         let due_at = runtime::now() + interval;
         runtime::sleep_until(due_at).await;
         let now = runtime::now();
-        let woke_late = now > due_at + MAX_WAKEUP_DELAY;
-        if woke_late {
-            node.lagging_until.set(now + LAGGING_DURATION);
+        let is_late = now > due_at + MAX_WAKEUP_DELAY;
+        if is_late {
+            node.cpu_overloaded_until.set(now + CPU_OVERLOAD_DURATION);
         }
-        if (woke_late || node.open_connections.count() >= node.max_open_connections())
+        if (is_late || node.open_connections.count() >= node.max_open_connections())
             && let Some(leadership) = node.leadership()
         {
             leadership
@@ -146,14 +146,13 @@
     }
 }
 
-/// A process that wakes later than this after its timer is behind. (Three times this delay, still well below the 4 s
-/// after which agents drop responses, was too late to detect: at six times heirloomlane-fleet's size 17,981 attempts were
-/// killed by the expiry of their lease instead of none.)
+/// Delay of a timer above which the processor counts as overloaded. Well below the 4 s after which agents drop
+/// responses: a later detection lets agents' leases expire.
 const MAX_WAKEUP_DELAY: Micros = Micros::from_millis(400);
-/// For how long the process then counts as behind.
-const LAGGING_DURATION: Micros = Micros::from_secs(20);
+/// Time for which the processor then counts as overloaded.
+const CPU_OVERLOAD_DURATION: Micros = Micros::from_secs(20);
 
-/// Keeps the machine types up to date: every node needs them to tell which jobs can ever run.
+/// Keeps the machine types up to date. Every node needs them to decide which jobs can ever be scheduled.
 async fn refresh_catalog(node: Rc<Node>) {
     loop {
         let pause = match node.cloud.catalog().await {
@@ -166,7 +165,7 @@
                 Micros::from_secs(60)
             }
             _ => {
-                debug!("machine types not available");
+                debug!("machine types are not available");
                 Micros::from_secs(2)
             }
         };
