--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -158,7 +158,7 @@
                 println!("based on {}", w.basis);
             })
         }
-        Some(Command::History { mesh, follow }) => history(mesh, follow),
+        Some(Command::History { mesh, follow }) => print_history(mesh, follow),
         Some(Command::Staffed { word, span, mesh }) => staffed(word, span.as_deref(), mesh),
         Some(Command::Cwl { args }) => exec_cwl(&args),
         Some(Command::Policy {
@@ -177,7 +177,7 @@
 
 /// Sets or shows the operators' override of the staffed hours.
 fn staffed(word: Staffed, span: Option<&str>, mesh: SocketAddr) -> Result<(), String> {
-    let span_s = match span {
+    let duration_s = match span {
         None => 0,
         Some(text) => {
             let unit_start = text
@@ -209,11 +209,11 @@
         Staffed::Auto => "auto",
         Staffed::Show => "show",
     };
-    let by = std::env::var("USER").unwrap_or_default();
+    let set_by = std::env::var("USER").unwrap_or_default();
     let request = StaffedRequest {
         mode: word.to_owned(),
-        duration_s: span_s,
-        set_by: by,
+        duration_s,
+        set_by,
     };
     call_controller(mesh, client::call_staffed(mesh, request)).map(|a| println!("{}", a.text))
 }
@@ -398,7 +398,7 @@
 }
 
 /// Prints a header and the finished runs, and polls for further ones for `follow` seconds.
-fn history(mesh: SocketAddr, follow: u64) -> Result<(), String> {
+fn print_history(mesh: SocketAddr, follow: u64) -> Result<(), String> {
     let until = std::time::Instant::now() + std::time::Duration::from_secs(follow);
     let header = Writer::header();
     print!("{header}");
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -239,7 +239,7 @@
                 cost_us = cost.0,
                 machines = scheduler.machines.len(),
                 jobs = scheduler.jobs.len(),
-                "plan computed"
+                "plan made"
             );
             // While the processor is overloaded, heartbeats have priority.
             let factor = if node.is_cpu_overloaded() {
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -265,7 +265,7 @@
         response
             .await
             .map(tonic::Response::new)
-            .map_err(|_| Status::permission_denied("call rejected"))
+            .map_err(|_| Status::permission_denied("refused"))
     }
 }
 
