--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -46,7 +46,7 @@
 
 fn serve_as_leader(node: &Node, leadership: &Leadership, request: &Request) -> Response {
     let route = node.routes.borrow_mut().at_leader(
-        node.is_behind(),
+        node.is_cpu_overloaded(),
         node.open_connections.count(),
         node.max_open_connections(),
         runtime::now(),
--- a/crates/hopyoke/src/operations/estimates.rs
+++ b/crates/hopyoke/src/operations/estimates.rs
@@ -2,7 +2,7 @@
 //! requests and forwards them to the leader, which answers them.
 
 use crate::node::{Leadership, Node};
-use crate::peers::client::proto::{HistoryAnswer, HistoryRequest, WhenAnswer, WhenRequest};
+use crate::peers::client::proto::{HistoryRequest, HistoryResponse, WhenRequest, WhenResponse};
 use crate::peers::client::{GREET_TIMEOUT, PeerClient};
 use hopyoke_event_loop as runtime;
 use hopyoke_protocol::user::JobKind;
@@ -16,13 +16,13 @@
 const CALL_TIMEOUT: Micros = Micros(GREET_TIMEOUT.0 * 2);
 
 /// Estimates when a job will end or, if the request names no job, when GPUs will be free for a team.
-pub(crate) async fn estimate_completion(node: &Node, mut request: WhenRequest) -> WhenAnswer {
+pub(crate) async fn estimate_completion(node: &Node, mut request: WhenRequest) -> WhenResponse {
     if let Some(leadership) = node.leadership() {
         return estimate_locally(&leadership, request);
     }
-    let failed = |error: &str| WhenAnswer {
+    let failed = |error: &str| WhenResponse {
         error: error.to_owned(),
-        ..WhenAnswer::default()
+        ..WhenResponse::default()
     };
     let client = match leader_client(node, &request.node) {
         Ok(client) => client,
@@ -36,7 +36,7 @@
 }
 
 /// Answers a request for an estimate as the leader.
-fn estimate_locally(leadership: &Leadership, request: WhenRequest) -> WhenAnswer {
+fn estimate_locally(leadership: &Leadership, request: WhenRequest) -> WhenResponse {
     let scheduler = leadership.scheduler.borrow();
     let now = runtime::now();
     let estimate = if request.job.is_empty() {
@@ -56,15 +56,15 @@
         }
     };
     match estimate {
-        Ok(estimate) => WhenAnswer {
+        Ok(estimate) => WhenResponse {
             error: String::new(),
             p50_s: estimate.p50_s,
             p90_s: estimate.p90_s,
-            rests_on: estimate.basis,
+            basis: estimate.basis,
         },
-        Err(error) => WhenAnswer {
+        Err(error) => WhenResponse {
             error,
-            ..WhenAnswer::default()
+            ..WhenResponse::default()
         },
     }
 }
@@ -86,13 +86,13 @@
 }
 
 /// Returns completed task runs as comma-separated values, one page of at most [`MAX_RUNS_PER_ANSWER`].
-pub(crate) async fn completed_runs(node: &Node, mut request: HistoryRequest) -> HistoryAnswer {
+pub(crate) async fn completed_runs(node: &Node, mut request: HistoryRequest) -> HistoryResponse {
     if let Some(leadership) = node.leadership() {
         return completed_runs_locally(&leadership, &request);
     }
-    let failed = |error: &str| HistoryAnswer {
+    let failed = |error: &str| HistoryResponse {
         error: error.to_owned(),
-        ..HistoryAnswer::default()
+        ..HistoryResponse::default()
     };
     let client = match leader_client(node, &request.node) {
         Ok(client) => client,
@@ -109,7 +109,7 @@
 }
 
 /// Answers a request for completed runs as the leader.
-fn completed_runs_locally(leadership: &Leadership, request: &HistoryRequest) -> HistoryAnswer {
+fn completed_runs_locally(leadership: &Leadership, request: &HistoryRequest) -> HistoryResponse {
     let scheduler = leadership.scheduler.borrow();
     let token = scheduler.token.0;
     // Run numbers are valid within one leader's term only, so a client of an earlier term starts over.
@@ -122,9 +122,9 @@
     let mut writer = Writer::new(false);
     for run in completed.iter().take(MAX_RUNS_PER_ANSWER) {
         if let Err(error) = writer.add(&trace_run(run)) {
-            return HistoryAnswer {
+            return HistoryResponse {
                 error: error.to_string(),
-                ..HistoryAnswer::default()
+                ..HistoryResponse::default()
             };
         }
     }
@@ -133,7 +133,7 @@
         .take(MAX_RUNS_PER_ANSWER)
         .next_back()
         .map_or(after, |run| run.number);
-    HistoryAnswer {
+    HistoryResponse {
         error: String::new(),
         csv: writer.text(),
         token,
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -3,7 +3,7 @@
 
 use crate::node::{Leadership, Node};
 use crate::operations::settings;
-use crate::peers::client::proto::{StaffedAnswer, StaffedRequest};
+use crate::peers::client::proto::{StaffedRequest, StaffedResponse};
 use crate::store::client::TransactionOutcome;
 use crate::store::error::StoreError;
 use crate::store::keys::STAFFED_HOURS_KEY;
@@ -89,15 +89,15 @@
 }
 
 /// Serves an operator's request to set, remove or show the override.
-pub(crate) async fn serve(node: &Node, request: StaffedRequest) -> StaffedAnswer {
+pub(crate) async fn serve(node: &Node, request: StaffedRequest) -> StaffedResponse {
     match apply_request(node, request).await {
-        Ok(text) => StaffedAnswer {
+        Ok(text) => StaffedResponse {
             text,
-            ..StaffedAnswer::default()
+            ..StaffedResponse::default()
         },
-        Err(error) => StaffedAnswer {
+        Err(error) => StaffedResponse {
             error,
-            ..StaffedAnswer::default()
+            ..StaffedResponse::default()
         },
     }
 }
@@ -115,15 +115,15 @@
         .ok_or("no work is held outside of staffed hours: `hold` is off in this node's settings")?;
     let now = runtime::time_of_day();
     let (current_override, mod_revision) = read_override(node).await.map_err(unavailable)?;
-    let new_override = match request.word.as_str() {
+    let new_override = match request.mode.as_str() {
         "show" => current_override,
         "auto" => None,
-        "on" | "off" if !(1..=MAX_OVERRIDE_S).contains(&request.span_s) => {
+        "on" | "off" if !(1..=MAX_OVERRIDE_S).contains(&request.duration_s) => {
             return Err("the duration must be between 1 s and 31 days".into());
         }
         state @ ("on" | "off") => {
-            let until = now + Micros::from_secs(request.span_s);
-            let operator = request.by.chars().take(80).collect();
+            let until = now + Micros::from_secs(request.duration_s);
+            let operator = request.set_by.chars().take(80).collect();
             Some(StaffingOverride {
                 staffed: state == "on",
                 expires_at_us: until.0,
@@ -132,11 +132,11 @@
         }
         other => return Err(format!("expected on, off, auto or show, got '{other}'")),
     };
-    if request.word != "show" {
+    if request.mode != "show" {
         write_override(node, new_override.as_ref(), mod_revision).await?;
         info!(
-            state = request.word,
-            by = request.by,
+            state = request.mode,
+            by = request.set_by,
             "override of the staffed hours changed"
         );
     }
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -1,10 +1,10 @@
 //! Serves the RPCs by which clients submit, query, list, cancel and resume workflow runs. Any node that executes workflows
 //! answers from the key-value store; a change is committed before it is acknowledged.
 
-use crate::node::{Flows, Node};
-use crate::peers::client::proto::flow_request::Ask;
+use crate::node::{Node, WorkflowExecution};
+use crate::peers::client::proto::flow_request::Operation;
 use crate::peers::client::proto::{
-    FlowAnswer, FlowRequest, ResumeRun, RunInfo, RunList, RunQuestion, StepInfo, SubmitRun,
+    FlowRequest, FlowResponse, ResumeRun, RunInfo, RunList, RunQuestion, StepInfo, SubmitRun,
 };
 use crate::store::client::TransactionOutcome;
 use crate::store::error::StoreError;
@@ -45,7 +45,7 @@
     Store(#[from] StoreError),
 }
 
-type CallResult<T = FlowAnswer> = Result<T, CallError>;
+type CallResult<T = FlowResponse> = Result<T, CallError>;
 
 /// Fails a call with a status and an error text.
 fn reject<T>(status: u32, reason: impl Into<String>) -> CallResult<T> {
@@ -53,19 +53,19 @@
 }
 
 /// Serves one call.
-pub(crate) async fn serve(node: &Rc<Node>, request: FlowRequest) -> FlowAnswer {
-    let Some(workflows) = &node.flows else {
+pub(crate) async fn serve(node: &Rc<Node>, request: FlowRequest) -> FlowResponse {
+    let Some(workflows) = &node.workflows else {
         return error_answer(
             501,
             "this node does not execute workflows: `flows` is off in its settings".into(),
         );
     };
-    let answer = match request.ask {
-        Some(Ask::Submit(request)) => submit(node, workflows, request).await,
-        Some(Ask::Get(query)) => get(node, workflows, query).await,
-        Some(Ask::List(request)) => list(node, workflows, request).await,
-        Some(Ask::Cancel(query)) => cancel(node, query).await,
-        Some(Ask::Resume(request)) => resume(node, workflows, request).await,
+    let answer = match request.operation {
+        Some(Operation::Submit(request)) => submit(node, workflows, request).await,
+        Some(Operation::Get(query)) => get(node, workflows, query).await,
+        Some(Operation::List(request)) => list(node, workflows, request).await,
+        Some(Operation::Cancel(query)) => cancel(node, query).await,
+        Some(Operation::Resume(request)) => resume(node, workflows, request).await,
         None => reject(400, "the request is empty"),
     };
     match answer {
@@ -79,13 +79,13 @@
 }
 
 /// Returns an answer with an error status; after a 503 the client is to retry after a second.
-fn error_answer(status: u32, error: String) -> FlowAnswer {
+fn error_answer(status: u32, error: String) -> FlowResponse {
     let retry_after_s = if status == 503 { 1 } else { 0 };
-    FlowAnswer {
+    FlowResponse {
         status,
         error,
         retry_after_s,
-        ..FlowAnswer::default()
+        ..FlowResponse::default()
     }
 }
 
@@ -117,7 +117,7 @@
         done: head.done.max(done),
         in_flight,
         reason: head.reason.clone(),
-        resumes: head.resumes.map_or(0, RunId::number),
+        resumed_run: head.resumes.map_or(0, RunId::number),
         tags: head.tags.clone().into_iter().collect(),
     }
 }
@@ -134,16 +134,16 @@
 }
 
 /// Returns an answer that holds one run.
-fn run_answer(status: u32, info: RunInfo) -> FlowAnswer {
-    FlowAnswer {
+fn run_answer(status: u32, info: RunInfo) -> FlowResponse {
+    FlowResponse {
         status,
         runs: vec![info],
-        ..FlowAnswer::default()
+        ..FlowResponse::default()
     }
 }
 
 /// Submits a run. Idempotent: repeated with the same id, plan and owner, it returns the existing run.
-async fn submit(node: &Rc<Node>, workflows: &Flows, request: SubmitRun) -> CallResult {
+async fn submit(node: &Rc<Node>, workflows: &WorkflowExecution, request: SubmitRun) -> CallResult {
     let run = parse_run_id(request.run)?;
     let plan: Plan = match serde_json::from_slice(&request.plan) {
         Ok(p) => p,
@@ -175,7 +175,7 @@
         Ok(p) => p,
         Err(e) => return reject(422, e.to_string()),
     };
-    let on_error = if request.keep_on {
+    let on_error = if request.continue_on_error {
         OnError::Continue
     } else {
         OnError::Stop
@@ -229,7 +229,7 @@
 )]
 async fn write_plan(
     node: &Node,
-    workflows: &Flows,
+    workflows: &WorkflowExecution,
     run: RunId,
     pages: &[PlanPage],
 ) -> CallResult<()> {
@@ -343,13 +343,13 @@
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn get(node: &Node, workflows: &Flows, query: RunQuestion) -> CallResult {
+async fn get(node: &Node, workflows: &WorkflowExecution, query: RunQuestion) -> CallResult {
     let run = parse_run_id(query.run)?;
     let Some((head, _)) = read_head(node, run).await? else {
         return reject(404, "no such run");
     };
     let progress = workflows.engine.borrow().progress(run);
-    if query.most == 0 {
+    if query.limit == 0 {
         let p = progress.unwrap_or_default();
         return Ok(run_answer(200, run_info(&head, run, p.in_flight, p.done)));
     }
@@ -387,7 +387,7 @@
         StepState::Open if submitted.contains(&step) => "submitted",
         StepState::Open => "waiting",
     };
-    let max_steps = query.most.min(MAX_LISTED_STEPS);
+    let max_steps = query.limit.min(MAX_LISTED_STEPS);
     let steps = (0..)
         .map(StepNo)
         .zip(plan.steps.iter().zip(&states))
@@ -411,7 +411,7 @@
         String::new()
     };
     let info = run_info(&head, run, submitted.len() as u32, done);
-    Ok(FlowAnswer {
+    Ok(FlowResponse {
         steps,
         more,
         outputs,
@@ -424,8 +424,8 @@
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn list(node: &Node, workflows: &Flows, request: RunList) -> CallResult {
-    let max_runs = request.most.clamp(1, MAX_LISTED_RUNS) as usize;
+async fn list(node: &Node, workflows: &WorkflowExecution, request: RunList) -> CallResult {
+    let max_runs = request.limit.clamp(1, MAX_LISTED_RUNS) as usize;
     let mut after = RunId::folded(request.after);
     let mut runs = Vec::new();
     // An owner's runs may be sparse among all runs, so one call reads a bounded number of pages.
@@ -471,30 +471,30 @@
                 continue;
             }
             if runs.len() == max_runs {
-                return Ok(FlowAnswer {
+                return Ok(FlowResponse {
                     status: 200,
                     runs,
                     more: true,
-                    ..FlowAnswer::default()
+                    ..FlowResponse::default()
                 });
             }
             let progress = workflows.engine.borrow().progress(run).unwrap_or_default();
             runs.push(run_info(&head, run, progress.in_flight, progress.done));
         }
         if !more {
-            return Ok(FlowAnswer {
+            return Ok(FlowResponse {
                 status: 200,
                 runs,
-                ..FlowAnswer::default()
+                ..FlowResponse::default()
             });
         }
         after = limit.unwrap_or(after);
     }
-    Ok(FlowAnswer {
+    Ok(FlowResponse {
         status: 200,
         runs,
         more: true,
-        ..FlowAnswer::default()
+        ..FlowResponse::default()
     })
 }
 
@@ -546,7 +546,7 @@
     clippy::too_many_lines,
     reason = "to be split with the rest of this module, see docs/ROADMAP.md"
 )]
-async fn resume(node: &Node, workflows: &Flows, request: ResumeRun) -> CallResult {
+async fn resume(node: &Node, workflows: &WorkflowExecution, request: ResumeRun) -> CallResult {
     let (old_run, run) = (parse_run_id(request.run)?, parse_run_id(request.new_run)?);
     let Some((head, _)) = read_head(node, old_run).await? else {
         return reject(404, "no such run");
--- a/crates/hopyoke/src/workflows/runner.rs
+++ b/crates/hopyoke/src/workflows/runner.rs
@@ -2,7 +2,7 @@
 
 use super::actions::execute;
 use super::watches::{watch_job_ends, watch_runs};
-use crate::node::{Flows, Node};
+use crate::node::{Node, WorkflowExecution};
 use crate::store::error::StoreError;
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
@@ -16,7 +16,7 @@
 
 /// Starts the engine and its watches if this node executes workflows.
 pub(crate) fn start(node: &Rc<Node>) {
-    if node.flows.is_some() {
+    if node.workflows.is_some() {
         runtime::spawn_until(node.cancel.clone(), keep_lease_alive(node.clone()));
         runtime::spawn_until(node.cancel.clone(), watch_runs(node.clone()));
         runtime::spawn_until(node.cancel.clone(), watch_job_ends(node.clone()));
@@ -28,8 +28,8 @@
 ///
 /// # Panics
 /// If this node does not execute workflows: then no routine that calls this is started.
-pub(super) fn workflow_state(node: &Node) -> &Flows {
-    node.flows
+pub(super) fn workflow_state(node: &Node) -> &WorkflowExecution {
+    node.workflows
         .as_ref()
         .expect("only called on nodes that execute workflows")
 }
