--- a/crates/hopyoke-simulator/src/node/commands.rs
+++ b/crates/hopyoke-simulator/src/node/commands.rs
@@ -1,26 +1,26 @@
-//! Commands that a leader pushes to agents, besides those in heartbeat responses.
+//! Commands that a leader pushes to agents, in addition to those in heartbeat responses.
 
 use crate::{Host, Simulation};
 use hopyoke_protocol::worker::Command;
 use hopyoke_types::{FencingToken, MachineId, Micros};
 
-/// A push without a response within this has an unknown outcome.
+/// Duration after which a push without a response counts as having an unknown outcome.
 const PUSH_TIMEOUT: Micros = Micros::from_secs(3);
 
-/// Commands on their way to an agent.
+/// Commands in flight to an agent.
 pub(super) struct PushDelivery {
     pub(super) node: usize,
     pub(super) process: u64,
     pub(super) machine: MachineId,
     pub(super) token: FencingToken,
-    /// The agent's epoch for which the commands are meant.
+    /// The agent epoch to which the commands apply.
     pub(super) epoch: u64,
     pub(super) commands: Vec<Command>,
     pub(super) sent: Micros,
 }
 
 impl Simulation {
-    /// Pushes commands to an agent; fails at once where the node has no socket left.
+    /// Pushes commands to an agent; fails at once if the node has no sockets left.
     pub(super) fn push_commands(&mut self, push: PushDelivery) {
         let PushDelivery {
             node: i,
@@ -56,7 +56,7 @@
         });
     }
 
-    /// Commands reach a machine: they wait while it hangs or its link holds them, and some are delayed.
+    /// Delivers pushed commands to a machine, later if it hangs, its link holds them or the fault delays them.
     fn deliver_pushed_commands(&mut self, push: PushDelivery) {
         let held = self
             .machines
@@ -76,10 +76,10 @@
             sent,
         } = push;
         if self.draws_fault(self.delayed_commands) {
-            let late = Micros(self.random(2_000_000, 16_000_000));
-            // They reach the agent, whoever leads by then; nobody waits for the response.
-            return self.on_machine(&machine.clone(), late, move |w| {
-                w.log(|| format!("{machine} receives commands of token {} late", token.0));
+            let delay = Micros(self.random(2_000_000, 16_000_000));
+            // The commands reach the agent whichever node leads by then, and their response is dropped.
+            return self.on_machine(&machine.clone(), delay, move |w| {
+                w.log(|| format!("{machine} receives delayed commands of token {}", token.0));
                 w.receive_pushed_commands(&machine, token, epoch, commands);
             });
         }
--- a/crates/hopyoke-simulator/src/node/election.rs
+++ b/crates/hopyoke-simulator/src/node/election.rs
@@ -1,4 +1,4 @@
-//! Leader election: campaigns at the store, and stepping down.
+//! Leader election: campaigns at the store, and resignation.
 
 use super::OpenCampaign;
 use crate::kv_store::{Mutation, Value};
@@ -12,15 +12,15 @@
 struct Campaign {
     node: usize,
     process: u64,
-    /// The process has not led yet: it may take over the key of the node's former process.
+    /// Whether the process has not led yet, so that it may take over the key of the node's former process.
     is_first: bool,
-    /// It may succeed another node.
+    /// Whether it may succeed another node.
     may_take_over: bool,
     sent: Micros,
 }
 
 impl Simulation {
-    /// Asks the store who leads, and campaigns if nobody does; again until the node leads.
+    /// Reads the leader's key and campaigns if it is free; repeats until the node leads.
     pub(super) fn campaign(&mut self, i: usize, process: u64, is_first: bool) {
         if !self.alive(i, process) || self.nodes[i].leadership.is_some() {
             return;
@@ -60,13 +60,13 @@
         self.timer(i, pause, move |w| w.campaign(i, process, is_first));
     }
 
-    /// The node has won a lease that is still valid, and reads the records.
+    /// Returns whether the node holds a valid lease under which it reads the records.
     pub(super) fn is_taking_over(&self, i: usize) -> bool {
         let lease = self.nodes[i].acquired_lease;
         lease.is_some_and(|l| self.now < l.until)
     }
 
-    /// The answer to an earlier campaign may still come in time.
+    /// Returns whether an earlier campaign still waits for its response, and times it out when due.
     fn waits_for_campaign(&mut self, i: usize) -> bool {
         let Some(open) = self.nodes[i].open_campaign else {
             return false;
@@ -79,14 +79,14 @@
         false
     }
 
-    /// The node received the answer to its campaign.
+    /// Records the response to the node's campaign.
     pub(super) fn campaign_answered(&mut self, i: usize) {
         if let Some(open) = self.nodes[i].open_campaign.take() {
             self.store_answered(i, RequestKind::Lease, open.sent);
         }
     }
 
-    /// Reads who leads, grants a lease, and writes the leader's key with a shard for each zone.
+    /// Reads the leader's key, grants a lease, and writes the key with a shard for each zone.
     fn campaign_at_store(&mut self, campaign: Campaign) {
         let Campaign {
             node: i, process, ..
@@ -112,7 +112,7 @@
                 return self.send(Host::KvStore, Host::Node(i), completed);
             }
             None => 0,
-            // A former process of the same node: its lease need not expire.
+            // The holder is a former process of the same node, so its lease need not expire first.
             Some((h, mod_revision)) if h == i && campaign.is_first => mod_revision,
             Some((h, _)) => {
                 return self.send(Host::KvStore, Host::Node(i), move |w| {
@@ -125,7 +125,7 @@
         let lease = self.kv_store.grant(until);
         let put = Mutation::Put("leader".into(), Value::LeaseHolder(i), Some(lease));
         match self.transact(&[("leader".into(), mod_revision)], vec![put]) {
-            // A leader's campaign stays pending as long as its process lives: it never grants lease support.
+            // A won campaign stays pending for the life of the process, which thus never grants lease support.
             Some(Ok(token)) => self.send(Host::KvStore, Host::Node(i), move |w| {
                 if w.alive(i, process) {
                     w.campaign_answered(i);
@@ -133,14 +133,14 @@
                 w.lease_granted(i, process, lease, token, campaign.sent)
             }),
             Some(Err(_)) => self.send(Host::KvStore, Host::Node(i), completed),
-            // The lease is revoked before lease support is granted or another campaign begins.
+            // The outcome is unknown: the lease is revoked before the node grants lease support or campaigns again.
             None => self.timer(i, Micros::from_millis(2_500), move |w| {
                 w.revoke_lease(i, process, lease)
             }),
         }
     }
 
-    /// A campaign of the process can't succeed any more.
+    /// Ends a campaign of the process that can't succeed any more.
     fn campaign_completed(&mut self, i: usize, process: u64) {
         if self.alive(i, process) {
             self.campaign_answered(i);
@@ -167,7 +167,7 @@
         });
     }
 
-    /// Gives leadership up, as an isolated leader does that no agent reaches; others campaign first then.
+    /// Resigns, as an isolated leader that no agent reaches does, and lets other nodes campaign first.
     pub(crate) fn step_down(&mut self, i: usize) {
         let now = self.now;
         let n = &mut self.nodes[i];
--- a/crates/hopyoke-simulator/src/node/failover.rs
+++ b/crates/hopyoke-simulator/src/node/failover.rs
@@ -1,4 +1,4 @@
-//! Failover: a new leader reads the registry and the jobs, and starts its scheduler.
+//! Failover: a new leader reads the machine registry and the jobs, then starts its scheduler.
 
 use super::{AcquiredLease, Leadership, WATCH_TIMEOUT};
 use crate::kv_store::{KvStore, Value};
@@ -9,10 +9,10 @@
 use hopyoke_types::{FencingToken, JobId, Micros, ModRevision};
 use std::ops::Bound;
 
-/// Records on a page where the store has no limits; so few that a failover reads several pages.
+/// Job records per page if the store has no rate limits, few enough that a failover reads several pages.
 const RECORDS_PER_PAGE: usize = 4;
 
-/// What a new leader has read so far.
+/// The records that a new leader has read so far.
 #[derive(Default)]
 struct RecordScan {
     lease: u64,
@@ -22,15 +22,16 @@
     jobs: Vec<(JobId, JobRecord, ModRevision)>,
     registry: Vec<(String, ModRevision, Option<RegistryPage>)>,
     learned: Vec<(String, hopyoke_run_times::Page)>,
-    /// Of the first page of jobs: watching from there on misses nothing.
+    /// Revision of the first page of jobs, from which a watch misses no change.
     revision: Option<ModRevision>,
-    last: Option<String>,
+    /// Last key read; `None` before the registry is read.
+    last_key: Option<String>,
 }
 
 impl RecordScan {
-    /// Reads the registry, or a page of jobs; true if there is more.
-    fn take_page(&mut self, store: &KvStore, max_records: usize) -> bool {
-        let Some(last) = self.last.take() else {
+    /// Reads the registry, or the next page of jobs; returns whether more records follow.
+    fn read_page(&mut self, store: &KvStore, max_records: usize) -> bool {
+        let Some(last_key) = self.last_key.take() else {
             for (key, e) in &store.keys {
                 match (&e.value, key.split_once('/')) {
                     (Value::Page(p), Some((_, k))) => {
@@ -46,11 +47,14 @@
                     _ => {}
                 }
             }
-            self.last = Some("job/".to_owned());
+            self.last_key = Some("job/".to_owned());
             return true;
         };
         self.revision.get_or_insert(ModRevision(store.revision));
-        let after = (Bound::Excluded(last), Bound::Excluded("job0".to_owned()));
+        let after = (
+            Bound::Excluded(last_key),
+            Bound::Excluded("job0".to_owned()),
+        );
         let mut found = store.keys.range(after);
         for (key, e) in found.by_ref().take(max_records) {
             if let Value::Job(r) = &e.value {
@@ -60,14 +64,14 @@
                     ModRevision(e.mod_revision),
                 ));
             }
-            self.last = Some(key.clone());
+            self.last_key = Some(key.clone());
         }
         found.next().is_some()
     }
 }
 
 impl Simulation {
-    /// The node holds the leader's key: reads the records, then leads.
+    /// Reads the records under a lease that was granted with the leader's key, then leads.
     pub(super) fn lease_granted(
         &mut self,
         i: usize,
@@ -84,7 +88,7 @@
         if granted_at >= until {
             return;
         }
-        let reading = RecordScan {
+        let scan = RecordScan {
             lease,
             token,
             granted_at,
@@ -92,16 +96,16 @@
         };
         self.nodes[i].acquired_lease = Some(AcquiredLease { lease, until });
         self.renew_lease(i, process);
-        self.read_records(i, process, reading);
+        self.read_records(i, process, scan);
     }
 
-    /// Reads the registry, then the jobs page by page, each as of its own revision.
+    /// Reads the registry, then the jobs page by page, each page as of its own revision.
     fn read_records(&mut self, i: usize, process: u64, mut r: RecordScan) {
         self.send(Host::Node(i), Host::KvStore, move |w| {
-            // A refused page is asked for again.
+            // A rejected read is retried.
             if w.store_rejects(i) || !w.store_accepts(0) {
-                let again = Micros::from_millis(250);
-                return w.after(again, move |w| {
+                let retry_delay = Micros::from_millis(250);
+                return w.after(retry_delay, move |w| {
                     if w.may_take_over(i, process, r.lease) {
                         w.read_records(i, process, r);
                     } else {
@@ -109,11 +113,11 @@
                     }
                 });
             }
-            let page = w
+            let max_records = w
                 .limits
                 .as_ref()
                 .map_or(RECORDS_PER_PAGE, |l| if l.unpaced { 200 } else { 400 });
-            let more = r.take_page(&w.kv_store, page);
+            let more = r.read_page(&w.kv_store, max_records);
             w.send(Host::KvStore, Host::Node(i), move |w| {
                 if !w.may_take_over(i, process, r.lease) {
                     return w.give_up_takeover(i, process, r.lease);
@@ -127,7 +131,7 @@
         });
     }
 
-    /// The node still holds the lease under which it reads the records, and does not lead yet.
+    /// Returns whether the node still holds the lease under which it reads the records and does not lead yet.
     fn may_take_over(&self, i: usize, process: u64, lease: u64) -> bool {
         let node = &self.nodes[i];
         self.alive(i, process)
@@ -136,8 +140,8 @@
             && self.is_taking_over(i)
     }
 
-    /// The records are no longer read: the lease, which may be prolonged once more after an outage, is left to expire, and
-    /// the node campaigns again. (Scenario store_slow_then_outage.)
+    /// Abandons the failover: the lease, which a renewal may still extend after an outage, is left to expire, and the node
+    /// campaigns again. Tested by the scenario store_slow_then_outage.
     fn give_up_takeover(&mut self, i: usize, process: u64, lease: u64) {
         if !self.alive(i, process) {
             return;
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Takes over with what was read: the scheduler starts to reconcile.
+    /// Starts to lead with the records read; the scheduler begins reconciliation.
     fn failover(&mut self, i: usize, process: u64, r: RecordScan) {
         let (token, at, revision) = (r.token, r.granted_at, r.revision.unwrap_or_default());
         self.log(|| format!("node {i} leads with token {token}"));
@@ -183,7 +187,7 @@
             lease: r.lease,
             leader_lease,
             delivery_cursors: DeliveryCursors::new(self.nodes.len()),
-            watch: 0,
+            watch_number: 0,
             batch_in_flight: false,
             reconciling_since: Some(at),
             next_audit_at: Micros::ZERO,
@@ -191,7 +195,7 @@
         self.nodes[i].leadership = Some(leadership);
         self.nodes[i].observed_leader = Some(i);
         self.deliver_heartbeats_held_for_leader();
-        self.watch(i, process);
+        self.open_watch(i, process);
         self.request_lease_support(i, process);
         self.tick(i, process);
         self.poll_cloud_inventory(i, process);
--- a/crates/hopyoke-simulator/src/node/heartbeats.rs
+++ b/crates/hopyoke-simulator/src/node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of agents, and the cloud's list of machines.
+//! Heartbeats of agents, and polls of the cloud's list of machines.
 
 use crate::agent::{MAX_HEARTBEAT_CHARS, heartbeat_chars};
 use crate::digest::Channel;
@@ -7,55 +7,58 @@
 use hopyoke_types::Micros;
 
 impl Simulation {
-    /// A heartbeat reaches a node; `copy`: a duplicate whose response nobody waits for.
+    /// Handles a heartbeat that reaches a node; the response to a duplicate is dropped.
     pub(crate) fn node_heartbeat(
         &mut self,
         i: usize,
         heartbeat: Heartbeat,
         number: u64,
-        copy: bool,
+        is_duplicate: bool,
     ) {
-        if !self.nodes[i].up && copy {
+        if !self.nodes[i].up && is_duplicate {
             return;
         }
         if !self.nodes[i].up {
-            let (m, s) = (heartbeat.machine.clone(), heartbeat.epoch);
+            let (machine, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
             let sent = self.now;
             return self.after(Micros::from_millis(5), move |w| {
-                w.receive_heartbeat_response(&m, s, number, sent, Some(Err(None)))
+                w.receive_heartbeat_response(&machine, epoch, number, sent, Some(Err(None)))
             });
         }
         self.digest_message(Channel::Heartbeat, &heartbeat);
         let now = self.now;
         let lease_is_valid = self.lease_is_valid(i);
-        let seen = self.nodes[i].observed_leader;
-        let answer = match &mut self.nodes[i].leadership {
-            // No node accepts a longer body.
+        let observed_leader = self.nodes[i].observed_leader;
+        let result = match &mut self.nodes[i].leadership {
+            // Nodes reject longer bodies.
             _ if heartbeat_chars(&heartbeat) > MAX_HEARTBEAT_CHARS => Err(None),
             Some(l) if lease_is_valid && heartbeat.token <= l.scheduler.token => {
                 let (entities_before, plans) =
                     (l.scheduler.entities_visited(), l.scheduler.plans());
-                let a = l.scheduler.heartbeat(&heartbeat, now);
+                let response = l.scheduler.heartbeat(&heartbeat, now);
                 if l.scheduler.plans() == plans {
                     self.max_entities_per_heartbeat = self
                         .max_entities_per_heartbeat
                         .max(l.scheduler.entities_visited() - entities_before);
                 }
-                Ok((a.token, a.commands))
+                Ok((response.token, response.commands))
             }
             Some(_) => Err(None),
-            None => Err(seen.filter(|s| *s != i)),
+            None => Err(observed_leader.filter(|leader| *leader != i)),
         };
         let p = self.nodes[i].process;
-        if copy {
-            // Nobody waits for its answer.
+        if is_duplicate {
+            // The response to a duplicate is dropped.
             return self.run_scheduler(i, p);
         }
-        let (m, s) = (heartbeat.machine.clone(), heartbeat.epoch);
-        let sent = self.machines.get(&m).map_or(now, |m| m.last_heartbeat_at);
-        let to = self.agent_host(&m);
+        let (machine, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
+        let sent = self
+            .machines
+            .get(&machine)
+            .map_or(now, |m| m.last_heartbeat_at);
+        let to = self.agent_host(&machine);
         self.send(Host::Node(i), to, move |w| {
-            w.receive_heartbeat_response(&m, s, number, sent, Some(answer))
+            w.receive_heartbeat_response(&machine, epoch, number, sent, Some(result))
         });
         self.run_scheduler(i, p);
     }
--- a/crates/hopyoke-simulator/src/node/lease.rs
+++ b/crates/hopyoke-simulator/src/node/lease.rs
@@ -5,7 +5,7 @@
 use hopyoke_types::Micros;
 
 impl Simulation {
-    /// Renews the lease, four times in its time to live, from when it was won.
+    /// Renews the lease four times per time to live, from when it was granted.
     pub(super) fn renew_lease(&mut self, i: usize, process: u64) {
         let Some(lease) = self.held_lease(i, process) else {
             return;
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The lease under which the process leads, or reads the records.
+    /// Returns the lease under which the process leads or reads the records.
     fn held_lease(&mut self, i: usize, process: u64) -> Option<u64> {
         if let Some(leadership) = self.leadership(i, process) {
             return Some(leadership.lease);
@@ -32,8 +32,9 @@
         self.nodes[i].acquired_lease.map(|l| l.lease)
     }
 
-    /// Sends a renewal again until it is accepted. `sent`: when the first try was sent, from which the lease counts at the
-    /// earliest.
+    /// Sends a renewal and retries it until the store accepts it.
+    ///
+    /// `sent` is when the first try was sent; the renewed lease is counted from then, which is never too long.
     fn send_lease_renewal(&mut self, i: usize, process: u64, lease: u64, sent: Micros) {
         if self.held_lease(i, process) != Some(lease) {
             return;
@@ -43,7 +44,7 @@
                 return;
             }
             if !w.store_accepts(0) {
-                // Refused: tried again.
+                // A rejected renewal is retried.
                 return w.after(Micros::from_millis(250), move |w| {
                     w.send_lease_renewal(i, process, lease, sent)
                 });
@@ -67,7 +68,7 @@
         });
     }
 
-    /// The store answered a renewal of the lease that the process holds; `is_alive`: it has not expired.
+    /// Handles the response to a renewal of the lease that the process holds; `is_alive` is false if it has expired.
     fn renewal_answered(&mut self, i: usize, process: u64, sent: Micros, is_alive: bool) {
         let until = sent + self.lease_ttl.less_drift();
         match (self.leadership(i, process), is_alive) {
--- a/crates/hopyoke-simulator/src/node/lease_support.rs
+++ b/crates/hopyoke-simulator/src/node/lease_support.rs
@@ -1,4 +1,4 @@
-//! Peers' support for a leader whose lease can't be renewed because the store is unreachable.
+//! Lease support: peers extend the validity of a leader's lease while the store is unreachable.
 
 use crate::{Host, Simulation};
 use hopyoke_consistency::DeliveryCursors;
@@ -10,15 +10,15 @@
 struct SupportRequest {
     node: usize,
     process: u64,
-    /// Revision that the leader has applied: it needs to learn of later cancellations.
+    /// Revision that the leader has applied; it must learn of later cancellations.
     applied: ModRevision,
-    /// A leader without a valid lease gets no support.
+    /// Whether the leader's lease is valid; otherwise no support is granted.
     lease_is_valid: bool,
     sent: Micros,
 }
 
 impl Simulation {
-    /// Asks the peers for lease support, and for the cancellations that they confirmed to users.
+    /// Requests lease support from the peers, and the cancellations that they confirmed to users.
     pub(super) fn request_lease_support(&mut self, i: usize, process: u64) {
         let Some(leadership) = self.leadership(i, process) else {
             return;
@@ -40,7 +40,7 @@
                 w.lease_support_requested(j, request, &cursors)
             });
         }
-        // The leader counts among its own peers: what it confirmed itself counts as well.
+        // The leader counts as one of its own peers, with the cancellations that it confirmed itself.
         let support = self.nodes[i]
             .cancellation_log
             .covers(applied)
@@ -56,8 +56,8 @@
         });
     }
 
-    /// A peer answers a leader: it grants support if the store rejects it as well, and if it has sent the leader
-    /// all cancellations that it confirmed.
+    /// Answers a leader's request at a peer, which grants support only if the store is unreachable for the peer as well
+    /// and the response contains all cancellations that it confirmed.
     fn lease_support_requested(
         &mut self,
         j: usize,
@@ -95,7 +95,7 @@
                 .max(now + SUPPORT_DURATION.with_drift());
         }
         let peer_process = peer.process;
-        // The request carries the leader's demand for writes.
+        // The request carries the leader's write demand.
         let demand = self.nodes[i]
             .limits_of_node
             .as_mut()
--- a/crates/hopyoke-simulator/src/node/mod.rs
+++ b/crates/hopyoke-simulator/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes: the real scheduler, with leadership, reads and writes of the store and messages as the daemon does them.
+//! Nodes that run the real scheduler, with simulated leadership, store access and messages that follow the daemon's.
 
 mod commands;
 mod election;
@@ -22,47 +22,47 @@
 use hopyoke_types::{JobId, Micros, ModRevision};
 use std::collections::BTreeMap;
 
-/// Cancellations that a node remembers; so few that scenarios reach the bound.
+/// Capacity of a node's cancellation log, small enough that scenarios reach it.
 const CANCELLATION_LOG_CAPACITY: usize = 6;
 
-/// How long a watch stays open without a change.
+/// Duration after which a watch without a change ends.
 const WATCH_TIMEOUT: Micros = Micros::from_secs(2);
 
-/// A node and what its current process knows.
+/// A node and the state of its current process.
 pub(crate) struct Node {
-    /// Its share of the store's rates, where those are limited.
+    /// The node's share of the store's rates; `None` if the scenario sets no limits.
     pub(crate) limits_of_node: Option<NodeLimits>,
-    /// Its process runs.
+    /// Whether its process is running.
     pub(crate) up: bool,
-    /// Number of its current process: messages of an earlier one find it changed.
+    /// Incarnation of the process: messages that belong to an earlier one are dropped.
     pub(crate) process: u64,
-    /// What it knows as the leader.
+    /// The node's state as the leader; `None` if it doesn't lead.
     pub(crate) leadership: Option<Leadership>,
-    /// The leader, as far as it knows.
+    /// The leader that the node last learned of.
     pub(crate) observed_leader: Option<usize>,
-    /// It does not succeed another node before this: a former process may have granted lease support.
+    /// Earliest time to succeed another node, since a former process may have granted lease support.
     takeover_not_before: Micros,
-    /// It does not campaign at all before this: it has granted lease support, or stepped down.
+    /// Earliest time to campaign at all, since this process granted lease support or stepped down.
     campaign_not_before: Micros,
-    /// A campaign whose answer is waited for: no other one begins meanwhile.
+    /// The campaign that waits for its response; no other one begins meanwhile.
     open_campaign: Option<OpenCampaign>,
-    /// The lease that it has won, while it reads the records.
+    /// The lease under which the node reads the records before it leads.
     acquired_lease: Option<AcquiredLease>,
-    /// Campaigns whose outcome is unknown: they may succeed late.
+    /// Number of campaigns whose outcome is unknown; they may succeed late.
     pending_campaigns: u32,
-    /// Cancellations that this node has confirmed to users.
+    /// Cancellations that the node has confirmed to users.
     pub(crate) cancellation_log: CancellationLog,
-    /// Latency of the store as this process has measured it.
+    /// Latency of the store, measured by this process.
     pub(crate) store_latency: StoreLatency,
-    /// Final states that it has written or read.
+    /// Final job states that the node has written or read.
     pub(crate) terminal_states: BTreeMap<JobId, JobState>,
 }
 
-/// A campaign under way.
+/// A campaign in flight.
 #[derive(Debug, Clone, Copy)]
 struct OpenCampaign {
     sent: Micros,
-    /// Until when its answer is waited for.
+    /// When the response times out.
     until: Micros,
 }
 
@@ -70,25 +70,25 @@
 #[derive(Debug, Clone, Copy)]
 struct AcquiredLease {
     lease: u64,
-    /// Until when it is valid without a further renewal.
+    /// When the lease expires unless it is renewed again.
     until: Micros,
 }
 
-/// What a node knows as the leader.
+/// The state of a node as the leader.
 pub(crate) struct Leadership {
-    /// The real scheduler.
+    /// The daemon's scheduler.
     pub(crate) scheduler: Scheduler,
-    /// Its lease at the store.
+    /// The lease at the store.
     lease: u64,
-    /// Until when it may act.
+    /// Validity of the leadership: by renewals at the store and by lease support.
     leader_lease: LeaderLease,
-    /// Up to where peers have delivered the cancellations that they confirmed.
+    /// Positions up to which peers have delivered the cancellations that they confirmed.
     delivery_cursors: DeliveryCursors,
-    /// Number of the watch that is open.
-    watch: u64,
-    /// A batch of writes has no outcome yet.
+    /// Number of the open watch.
+    watch_number: u64,
+    /// Whether a batch of writes has no outcome yet.
     batch_in_flight: bool,
-    /// When it was elected, until its reconciliation is complete.
+    /// When the node was elected; `None` once reconciliation is complete.
     reconciling_since: Option<Micros>,
     next_audit_at: Micros,
 }
@@ -143,18 +143,18 @@
         }
     }
 
-    /// Ends a node's process; another one starts after `back`.
-    pub fn crash_node(&mut self, i: usize, back: Micros) {
+    /// Ends a node's process; another one starts after `restart_delay`.
+    pub fn crash_node(&mut self, i: usize, restart_delay: Micros) {
         let n = &mut self.nodes[i];
         n.up = false;
         n.leadership = None;
         n.process += 1;
         self.paused_nodes.remove(&i);
         self.log(|| format!("node {i} crashes"));
-        self.after(back, move |w| w.start_node(i));
+        self.after(restart_delay, move |w| w.start_node(i));
     }
 
-    /// Reads the revision at which the process began: former processes may have confirmed cancellations before it.
+    /// Reads the revision at which the process began, since former processes may have confirmed cancellations before it.
     fn read_start_revision(&mut self, i: usize, process: u64) {
         if !self.alive(i, process) {
             return;
@@ -174,12 +174,12 @@
         });
     }
 
-    /// The process is still the node's current one.
+    /// Returns whether the process is the node's current one and runs.
     pub(crate) fn alive(&self, i: usize, process: u64) -> bool {
         self.nodes[i].up && self.nodes[i].process == process
     }
 
-    /// The node leads, and its leader lease is valid.
+    /// Returns whether the node leads with a valid leader lease.
     pub(super) fn lease_is_valid(&self, i: usize) -> bool {
         self.nodes[i]
             .leadership
@@ -187,7 +187,7 @@
             .is_some_and(|l| l.leader_lease.is_valid(self.now))
     }
 
-    /// What the process knows as the leader; `None` if it doesn't lead or is gone.
+    /// Returns the process's state as the leader; `None` if it doesn't lead or has ended.
     pub(crate) fn leadership(&mut self, i: usize, process: u64) -> Option<&mut Leadership> {
         if !self.alive(i, process) {
             return None;
--- a/crates/hopyoke-simulator/src/node/persist.rs
+++ b/crates/hopyoke-simulator/src/node/persist.rs
@@ -1,4 +1,4 @@
-//! Batches of the scheduler's writes.
+//! Commits of the scheduler's batches of writes.
 
 use crate::kv_store::{Mutation, Value};
 use crate::{Host, Simulation};
@@ -9,14 +9,14 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A compare-and-swap transaction: the revisions that keys must have, and what is done then.
+/// A compare-and-swap transaction: the revisions that keys must have, and the mutations applied if they do.
 struct Transaction {
     compares: Vec<(String, u64)>,
     mutations: Vec<Mutation>,
 }
 
 impl Transaction {
-    /// The writes of a leader, fenced by its token.
+    /// Builds the transaction of a leader's batch, fenced by its token.
     fn of_batch(token: FencingToken, batch: &Batch) -> Transaction {
         let mut transaction = Transaction {
             compares: vec![("leader".to_owned(), token.0)],
@@ -73,7 +73,7 @@
     }
 }
 
-/// Why a batch failed whose compares on these keys did not hold.
+/// Returns why a batch failed, given the keys whose compares did not hold.
 fn conflict(keys: &[String]) -> BatchError {
     if keys.iter().any(|k| k == "leader") {
         return BatchError::LeadershipLost;
@@ -92,7 +92,7 @@
 }
 
 impl Simulation {
-    /// Sends a batch to the store; its outcome is unknown without a response in time.
+    /// Sends a batch to the store; without a response in time its outcome is unknown.
     pub(super) fn commit_batch(
         &mut self,
         i: usize,
@@ -108,7 +108,7 @@
         }
         let is_open = Rc::new(Cell::new(true));
         let (answered, timed_out) = (is_open.clone(), is_open);
-        let (batch, late) = (batch.clone(), batch);
+        let (batch, batch_on_timeout) = (batch.clone(), batch);
         self.send(Host::Node(i), Host::KvStore, move |w| {
             let refused = w.store_rejects(i) || !w.store_accepts(changes);
             let result = if refused {
@@ -120,7 +120,7 @@
                 result.map(ModRevision).map_err(|keys| conflict(&keys))
             };
             w.send(Host::KvStore, Host::Node(i), move |w| {
-                // A late response is left to the timer, which may be late as well.
+                // After the timeout the response is ignored, even if the timer itself fires late.
                 if w.now < sent + timeout && answered.replace(false) {
                     if w.alive(i, process) {
                         w.store_answered(i, RequestKind::Write, sent);
@@ -134,12 +134,17 @@
                 if w.alive(i, process) {
                     w.store_timed_out(i, RequestKind::Write, sent);
                 }
-                w.batch_completed(i, process, late, Err(BatchError::OutcomeUnknown));
+                w.batch_completed(
+                    i,
+                    process,
+                    batch_on_timeout,
+                    Err(BatchError::OutcomeUnknown),
+                );
             }
         });
     }
 
-    /// Hands a batch's outcome to the scheduler; a deposed leader campaigns again.
+    /// Passes a batch's outcome to the scheduler; a deposed leader campaigns again.
     fn batch_completed(
         &mut self,
         i: usize,
--- a/crates/hopyoke-simulator/src/node/record_watch.rs
+++ b/crates/hopyoke-simulator/src/node/record_watch.rs
@@ -1,4 +1,4 @@
-//! The leader's watch on the records of the jobs.
+//! The leader's watch on job records.
 
 use super::WATCH_TIMEOUT;
 use crate::kv_store::Value;
@@ -7,55 +7,62 @@
 use hopyoke_scheduler::JobRecord;
 use hopyoke_types::{JobId, Micros, ModRevision};
 
-/// A change of a job's record.
+/// A change of a job record.
 struct RecordChange {
     job: JobId,
-    /// The record, unless there is a later change of it or it is gone.
+    /// The record; `None` if it was deleted or has changed again since.
     record: Option<JobRecord>,
     mod_revision: ModRevision,
     is_deleted: bool,
 }
 
-/// Changes of jobs' records up to a revision.
+/// Changes of job records up to a revision.
 pub(crate) struct RecordChanges {
     changes: Vec<RecordChange>,
     revision: ModRevision,
 }
 
 impl Simulation {
-    /// Opens a watch on the records of the jobs, from what the scheduler has applied.
-    pub(super) fn watch(&mut self, i: usize, process: u64) {
+    /// Opens a watch on job records from the revision that the scheduler has applied.
+    pub(super) fn open_watch(&mut self, i: usize, process: u64) {
         let sent = self.now;
         let Some(leadership) = self.leadership(i, process) else {
             return;
         };
-        leadership.watch += 1;
-        let (since, number) = (leadership.scheduler.applied_revision(), leadership.watch);
+        leadership.watch_number += 1;
+        let (since, number) = (
+            leadership.scheduler.applied_revision(),
+            leadership.watch_number,
+        );
         self.send(Host::Node(i), Host::KvStore, move |w| {
             if w.store_rejects(i) {
-                // Only watches that are open wait; a new one is refused, and asked for again.
-                let again = Micros::from_millis(200);
+                // Open watches wait while the store rejects requests; a new one is rejected and retried.
+                let retry_delay = Micros::from_millis(200);
                 return w.send(Host::KvStore, Host::Node(i), move |w| {
-                    w.timer(i, again, move |w| {
-                        if w.leadership(i, process).is_some_and(|l| l.watch == number) {
-                            w.watch(i, process);
+                    w.timer(i, retry_delay, move |w| {
+                        if w.leadership(i, process)
+                            .is_some_and(|l| l.watch_number == number)
+                        {
+                            w.open_watch(i, process);
                         }
                     });
                 });
             }
             w.watch_at_store(i, process, since, number, sent);
         });
-        // An answer that got lost: ask again.
+        // Without a response, which may be lost, the watch is opened again.
         let timeout = self.store_timeout(i, RequestKind::Watch, Purpose::Term);
         self.timer(i, WATCH_TIMEOUT + timeout, move |w| {
-            if w.leadership(i, process).is_some_and(|l| l.watch == number) {
+            if w.leadership(i, process)
+                .is_some_and(|l| l.watch_number == number)
+            {
                 w.store_timed_out(i, RequestKind::Watch, sent);
-                w.watch(i, process);
+                w.open_watch(i, process);
             }
         });
     }
 
-    /// The store answers a watch once there is a change, or after its timeout.
+    /// Answers a watch at the store once there is a change, or after the watch's timeout.
     fn watch_at_store(
         &mut self,
         i: usize,
@@ -66,34 +73,36 @@
     ) {
         if self
             .leadership(i, process)
-            .is_none_or(|l| l.watch != number)
+            .is_none_or(|l| l.watch_number != number)
         {
             return;
         }
         let record_changes = self.record_changes_since(since);
-        let over = self.now >= sent + WATCH_TIMEOUT;
-        if (record_changes.changes.is_empty() && !over) || self.store_rejects(i) {
+        let has_timed_out = self.now >= sent + WATCH_TIMEOUT;
+        if (record_changes.changes.is_empty() && !has_timed_out) || self.store_rejects(i) {
             let wait = Micros::from_millis(20);
             return self.after(wait, move |w| {
                 w.watch_at_store(i, process, since, number, sent)
             });
         }
         self.send(Host::KvStore, Host::Node(i), move |w| {
-            if w.leadership(i, process).is_none_or(|l| l.watch != number) {
+            if w.leadership(i, process)
+                .is_none_or(|l| l.watch_number != number)
+            {
                 return;
             }
-            // The store has waited for a change, nobody knows how long.
+            // The store waited for a change for an unknown time, so the elapsed time is only an upper bound.
             let now = w.now;
             w.nodes[i]
                 .store_latency
                 .answered_within(RequestKind::Watch, now - sent, now);
             w.apply_record_changes(i, process, record_changes, sent);
             w.run_scheduler(i, process);
-            w.watch(i, process);
+            w.open_watch(i, process);
         });
     }
 
-    /// What has changed among the jobs' records after a revision.
+    /// Returns the changes of job records after a revision.
     pub(crate) fn record_changes_since(&self, since: ModRevision) -> RecordChanges {
         let mut changes = Vec::new();
         for (mod_revision, key, deleted) in self
@@ -123,7 +132,7 @@
         }
     }
 
-    /// Applies what the store answered to a request that was sent at `sent`.
+    /// Applies the changes that the store returned for a request sent at `sent`.
     pub(crate) fn apply_record_changes(
         &mut self,
         i: usize,
--- a/crates/hopyoke-simulator/src/node/scheduling.rs
+++ b/crates/hopyoke-simulator/src/node/scheduling.rs
@@ -1,4 +1,4 @@
-//! Runs of the scheduler, and the actions that it decides on.
+//! Runs of the scheduler, and execution of its actions.
 
 use super::Leadership;
 use super::commands::PushDelivery;
@@ -12,24 +12,24 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// From this delay on a leader counts as an overloaded receiver.
+/// Delivery delay from which a leader counts as an overloaded receiver.
 const OVERLOADED_DELAY: Micros = Micros::from_millis(400);
 
-/// Inputs of a run of the scheduler.
+/// Inputs of one run of the scheduler.
 struct RunInputs {
     now: Micros,
     time_of_day: Micros,
     receive_overloaded: bool,
-    /// Users' submissions wait for admission.
-    is_pressed: bool,
-    /// The scheduler's state is audited now and not only once a second.
+    /// Whether users' submissions wait for admission.
+    is_admission_saturated: bool,
+    /// Whether the scheduler's state is audited in every run instead of once a second.
     always_audit: bool,
 }
 
-/// What a run of the scheduler decided and found.
+/// Decisions and findings of one run of the scheduler.
 struct RunOutputs {
     entities_visited: u64,
-    /// Since when the reconciliation lasted that is now complete.
+    /// Start of the reconciliation, if this run completed it.
     reconciled_since: Option<Micros>,
     audit_faults: Vec<String>,
     actions: Vec<Action>,
@@ -39,7 +39,7 @@
 }
 
 impl Leadership {
-    /// Lets the scheduler decide.
+    /// Runs the scheduler once.
     fn run(&mut self, inputs: RunInputs) -> RunOutputs {
         let now = inputs.now;
         let entities_before = self.scheduler.entities_visited();
@@ -54,7 +54,7 @@
         } else {
             self.reconciling_since.take()
         };
-        // Auditing a whole fleet at every event would take minutes.
+        // Auditing a large fleet at every event would take minutes.
         let audit_faults = if !inputs.always_audit && now < self.next_audit_at {
             Vec::new()
         } else {
@@ -67,7 +67,8 @@
         while let Some(action) = self.scheduler.next_action() {
             actions.push(action);
         }
-        self.scheduler.set_admission_saturated(inputs.is_pressed);
+        self.scheduler
+            .set_admission_saturated(inputs.is_admission_saturated);
         let batch = if self.batch_in_flight {
             None
         } else {
@@ -97,7 +98,7 @@
         self.timer(i, Micros::from_millis(100), move |w| w.tick(i, process));
     }
 
-    /// Lets the scheduler decide, and carries out what it decided; not without a valid leader lease.
+    /// Runs the scheduler and executes its decisions; does nothing without a valid leader lease or while the node is paused.
     pub(super) fn run_scheduler(&mut self, i: usize, process: u64) {
         if !self.lease_is_valid(i) || self.is_paused(i) {
             return;
@@ -107,7 +108,7 @@
             now,
             time_of_day: self.time_of_day(i),
             receive_overloaded: self.delivery_delay(Host::Node(i)) >= OVERLOADED_DELAY,
-            is_pressed: self.nodes[i]
+            is_admission_saturated: self.nodes[i]
                 .limits_of_node
                 .as_mut()
                 .is_some_and(|p| p.admission.is_overloaded(now)),
@@ -174,7 +175,7 @@
                 commands,
                 ..
             } => {
-                self.log(|| format!("node {i} to {machine} epoch {epoch} {commands:?}"));
+                self.log(|| format!("node {i} pushes to {machine} epoch {epoch}: {commands:?}"));
                 let sent = self.now;
                 self.push_commands(PushDelivery {
                     node: i,
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Deletes machines at the cloud.
+    /// Deletes machines in the cloud.
     fn scale_in(&mut self, i: usize, process: u64, machines: Vec<MachineId>) {
         self.send(Host::Node(i), Host::Cloud, move |w| {
             for m in &machines {
@@ -205,17 +206,17 @@
         });
     }
 
-    /// Reads a job's record; without a response in time the read has failed.
+    /// Reads a job's record again; without a response in time the read fails.
     fn reload_record(&mut self, i: usize, process: u64, job: JobId) {
-        let open = Rc::new(Cell::new(true));
-        let (late, unanswered) = (job.clone(), open.clone());
+        let is_open = Rc::new(Cell::new(true));
+        let (job_on_timeout, timed_out) = (job.clone(), is_open.clone());
         let sent = self.now;
         let timeout = self.store_timeout(i, RequestKind::Read, Purpose::Term);
         self.timer(i, timeout, move |w| {
-            if w.leadership(i, process).is_some() && unanswered.replace(false) {
+            if w.leadership(i, process).is_some() && timed_out.replace(false) {
                 w.store_timed_out(i, RequestKind::Read, sent);
                 if let Some(l) = w.leadership(i, process) {
-                    l.scheduler.record_reload_failed(late);
+                    l.scheduler.record_reload_failed(job_on_timeout);
                 }
             }
         });
@@ -231,7 +232,7 @@
             let refused = w.store_rejects(i);
             w.send(Host::KvStore, Host::Node(i), move |w| {
                 let now = w.now;
-                if w.leadership(i, process).is_none() || !open.replace(false) {
+                if w.leadership(i, process).is_none() || !is_open.replace(false) {
                     return;
                 }
                 w.store_answered(i, RequestKind::Read, sent);
