--- a/crates/hopyoke-simulator/src/scenario/job_expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/job_expectations.rs
@@ -1,23 +1,23 @@
-//! Expectations about one job, and about what the leader predicts of jobs and classes.
+//! Expectations about one job, and about the leader's predictions for jobs, capacity and classes.
 
-use super::expectations::met;
+use super::expectations::check;
 use super::parser::{Words, next_word, number, seconds};
-use super::workload::job;
+use super::workload::build_job;
 use crate::Simulation;
 use hopyoke_protocol::user::JobState;
 use hopyoke_scheduler::CapacityQuery;
 use hopyoke_types::JobId;
 use std::collections::BTreeMap;
 
-/// `expect JOB done [by S]|told STATE|unfinished|cancelled|running N|starts most|least N`.
+/// `expect JOB done [by SECONDS]|told STATE|unfinished|cancelled|running N|starts most|least N`.
 pub(super) fn expect_job(
     w: &Simulation,
     id: &JobId,
-    what: &str,
+    property: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
     let job = w.jobs.get(id).ok_or("no such job")?;
-    match what {
+    match property {
         "done" => expect_done(w, id, words),
         "told" => {
             let expected = next_word(words);
@@ -26,18 +26,20 @@
                 Some(JobState::Done) => "done",
                 Some(_) => "cancelled",
             };
-            met(observed == expected, || {
-                format!("its user was told: {observed}")
+            check(observed == expected, || {
+                format!("its user observed: {observed}")
             })
         }
-        "unfinished" => met(w.end_of(id).is_none(), || "it is over".into()),
-        "cancelled" => met(w.end_of(id) == Some(JobState::Cancelled), || {
+        "unfinished" => check(w.end_of(id).is_none(), || "it has ended".into()),
+        "cancelled" => check(w.end_of(id) == Some(JobState::Cancelled), || {
             "not cancelled".into()
         }),
         "running" => {
             let n = number(next_word(words)) as usize;
             let running = w.running(id);
-            met(running == n, || format!("{running} of its tasks run"))
+            check(running == n, || {
+                format!("{running} of its tasks are running")
+            })
         }
         "starts" => {
             let bound = next_word(words);
@@ -47,13 +49,13 @@
             } else {
                 job.start_count >= n
             };
-            met(is_met, || format!("{} starts", job.start_count))
+            check(is_met, || format!("{} task starts", job.start_count))
         }
         other => Err(format!("unknown expectation {other}")),
     }
 }
 
-/// `expect JOB done [by SECONDS]`: recorded as done, its last task ended by then.
+/// `expect JOB done [by SECONDS]`: the job is recorded as done, and its last task ended by then.
 fn expect_done(w: &Simulation, id: &JobId, words: &mut Words<'_>) -> Result<(), String> {
     let job = w.jobs.get(id).ok_or("no such job")?;
     if w.end_of(id) != Some(JobState::Done) {
@@ -65,25 +67,31 @@
     }
     if let (Some(&"by"), Some(t)) = (words.next(), words.next()) {
         let at = w.done_after(id).unwrap_or_default();
-        return met(at <= seconds(t), || {
-            format!("done only at {:.1} s", at.as_secs_f64())
+        return check(at <= seconds(t), || {
+            format!("done at {:.1} s", at.as_secs_f64())
         });
     }
     Ok(())
 }
 
-/// `expect when JOB LOW HIGH`, `expect when TEAM GPUS ZONE|any LOW HIGH`: the median wait that the
-/// leader predicts, in seconds; `... error WORD`: why it can't predict it.
-pub(super) fn expect_when(w: &Simulation, what: &str, words: &mut Words<'_>) -> Result<(), String> {
-    let leader = w.leadership_of_leader().ok_or("nobody leads")?;
-    let found = if what.starts_with("req-") {
-        leader.scheduler.estimate_job_end(&JobId::new(what), w.now)
+/// `expect when JOB LOW HIGH`, `expect when TEAM GPUS ZONE|any LOW HIGH`: the median wait that the leader predicts, in
+/// seconds; `... error WORD`: the prediction fails with an error that contains WORD.
+pub(super) fn expect_when(
+    w: &Simulation,
+    subject: &str,
+    words: &mut Words<'_>,
+) -> Result<(), String> {
+    let leader = w.leadership_of_leader().ok_or("no node leads")?;
+    let found = if subject.starts_with("req-") {
+        leader
+            .scheduler
+            .estimate_job_end(&JobId::new(subject), w.now)
     } else {
         let (gpus, zone) = (number(next_word(words)), next_word(words));
         let zone = (zone != "any").then(|| zone.to_owned());
         leader.scheduler.estimate_capacity(
             &CapacityQuery {
-                team: what.to_owned(),
+                team: subject.to_owned(),
                 gpus,
                 zone,
             },
@@ -94,37 +102,41 @@
     match found {
         Err(e) if first == "error" && e.contains(second) => Ok(()),
         Err(e) => Err(e),
-        Ok(a) => {
-            let is_met = (number(first)..=number(second)).contains(&a.p50_s) && a.p90_s >= a.p50_s;
-            met(is_met, || {
-                format!("p50 {:.1} s, p90 {:.1} s, {}", a.p50_s, a.p90_s, a.rests_on)
+        Ok(estimate) => {
+            let is_met = (number(first)..=number(second)).contains(&estimate.p50_s)
+                && estimate.p90_s >= estimate.p50_s;
+            check(is_met, || {
+                format!(
+                    "p50 {:.1} s, p90 {:.1} s, {}",
+                    estimate.p50_s, estimate.p90_s, estimate.rests_on
+                )
             })
         }
     }
 }
 
-/// `expect class NAME p50 LOW HIGH`: the median run time that the leader has learned for the class, in
-/// seconds, the owner's estimate aside; `expect class NAME runs N`: at least so many ends were learned from.
+/// `expect class NAME p50 LOW HIGH`: the median run time that the leader has learned for the class without the owner's
+/// estimate, in seconds; `expect class NAME runs N`: it was learned from at least N ended tasks.
 pub(super) fn expect_class(
     w: &Simulation,
     class: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
-    let leader = w.leadership_of_leader().ok_or("nobody leads")?;
+    let leader = w.leadership_of_leader().ok_or("no node leads")?;
     let pairs = BTreeMap::from([("class", class)]);
-    let mut spec = (*job(&JobId::new("req-0"), "array", &pairs).spec).clone();
+    let mut spec = (*build_job(&JobId::new("req-0"), "array", &pairs).spec).clone();
     spec.estimate_s = 0.0;
     let found = leader.scheduler.expected(&spec);
     match next_word(words) {
         "p50" => {
             let (low, high) = (number(next_word(words)), number(next_word(words)));
             let p50 = found.distribution.quantile(0.5);
-            met((low..=high).contains(&p50), || format!("p50 is {p50:.2} s"))
+            check((low..=high).contains(&p50), || format!("p50 is {p50:.2} s"))
         }
         _ => {
             let bound = number(next_word(words)) as u32;
             let runs = found.basis.class_runs;
-            met(runs >= bound, || format!("{runs} runs"))
+            check(runs >= bound, || format!("learned from {runs} runs"))
         }
     }
 }
--- a/crates/hopyoke-simulator/src/scenario/machine_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/machine_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of machines and of the links of their agents.
+//! Faults of machines and of their agents' links.
 
 use super::parser::{Words, key_values, next_word, number, seconds};
 use super::selectors::{fault_end, machine};
@@ -6,11 +6,11 @@
 use crate::agent::Agent;
 use hopyoke_types::{MachineId, Micros};
 
-/// Executes an event that strikes machines; false if `name` is none.
+/// Injects a machine fault; returns false if `name` is not one.
 pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
-        "wave" => strike_many(w, words),
-        "deaf" | "mute" | "hold_orders" | "hold_answers" => strike_link(w, name, words),
+        "wave" => inject_on_many(w, words),
+        "deaf" | "mute" | "hold_orders" | "hold_answers" => inject_link_fault(w, name, words),
         "no_room" => {
             let id = machine(w, next_word(words));
             let until = fault_end(w, words);
@@ -51,12 +51,12 @@
     true
 }
 
-/// The agent of a machine that was found.
+/// Returns the agent of a machine; `None` if there is no such machine.
 fn agent_mut(w: &mut Simulation, id: Option<MachineId>) -> Option<&mut Agent> {
     id.and_then(|id| w.machines.get_mut(&id))
 }
 
-/// The cloud takes a spot machine back after a notice of `span`.
+/// Announces that the cloud takes a spot machine back after `span`, and removes it then.
 fn announce_preemption(w: &mut Simulation, id: MachineId, span: Micros) {
     let until = w.now + span;
     if let Some(agent) = w.machines.get_mut(&id) {
@@ -66,8 +66,8 @@
     w.at(until, move |w| w.remove_machine(&id));
 }
 
-/// `NAME MACHINE for SECONDS`: messages to or from one machine are lost or held.
-fn strike_link(w: &mut Simulation, name: &str, words: &mut Words<'_>) {
+/// `deaf|mute|hold_orders|hold_answers MACHINE for SECONDS`: messages to or from one machine are lost or held.
+fn inject_link_fault(w: &mut Simulation, name: &str, words: &mut Words<'_>) {
     let id = machine(w, next_word(words));
     let until = fault_end(w, words);
     if let Some(agent) = agent_mut(w, id) {
@@ -81,16 +81,16 @@
 }
 
 /// `wave hang|deaf|mute|spot|lost COUNT [for SECONDS]`: the same fault on many machines at once.
-fn strike_many(w: &mut Simulation, words: &mut Words<'_>) {
+fn inject_on_many(w: &mut Simulation, words: &mut Words<'_>) {
     let (fault, n) = (next_word(words), number(next_word(words)) as usize);
     let until = w.now + seconds(key_values(words).get("for").copied().unwrap_or("0"));
     let up = w
         .machines
         .values()
         .filter(|m| m.up && (fault != "spot" || m.spot));
-    // Every third, so that the whole fleet is struck evenly.
-    let struck: Vec<MachineId> = up.map(|m| m.id.clone()).step_by(3).take(n).collect();
-    for id in struck {
+    // Every third machine, so that the fault spreads evenly over the fleet.
+    let affected: Vec<MachineId> = up.map(|m| m.id.clone()).step_by(3).take(n).collect();
+    for id in affected {
         match w.machines.get_mut(&id) {
             Some(m) if fault == "hang" => m.hangs_until = until,
             Some(m) if fault == "deaf" => m.responses_lost_until = until,
--- a/crates/hopyoke-simulator/src/scenario/mod.rs
+++ b/crates/hopyoke-simulator/src/scenario/mod.rs
@@ -1,5 +1,6 @@
-//! The scenario language: one statement a line, `#` starts a comment. The statements are listed in
-//! `crates/hopyoke/tests/scenarios/README.md`.
+//! The scenario language: one statement per line; `#` starts a comment.
+//!
+//! `crates/hopyoke/tests/scenarios/README.md` lists the statements.
 
 mod expectations;
 mod job_expectations;
@@ -18,19 +19,20 @@
 use parser::{Words, next_word, number};
 use sweep::{Sweep, substitute};
 
-/// Statements that need no simulation: given its first word and the line, the result if the statement is known.
+/// Handler of statements that need no simulation: takes the first word and the line, and returns `None` for a statement
+/// that it doesn't know.
 pub type StatementHandler<'a> = &'a dyn Fn(&str, &str) -> Option<Result<(), String>>;
 
-/// Runs one scenario; what `handler` knows is left to it. The result is a digest of all that happened in virtual
-/// time; that of a sweep combines those of its runs.
+/// Runs one scenario and returns a digest of its events in virtual time, which for a sweep combines those of its runs.
+/// Statements that `handler` knows are left to it.
 ///
 /// # Errors
 ///
-/// The line that failed, with what was expected and what was found, or the invariant that was violated.
+/// Names the line that failed, with what was expected and what was found, or the invariant that was violated.
 ///
 /// # Panics
 ///
-/// If a statement can't be read: the scenario is at fault.
+/// Panics if a statement is malformed.
 pub fn run(text: &str, handler: StatementHandler<'_>) -> Result<u64, String> {
     let Some((line, sweep)) = text.lines().find_map(|l| Some((l, Sweep::parse(l)?))) else {
         return run_once(text, handler);
@@ -66,7 +68,7 @@
         }
         let w = simulation
             .as_mut()
-            .ok_or_else(|| fail("a scenario starts with `seed N`".into()))?;
+            .ok_or_else(|| fail("no `seed N` before this statement".into()))?;
         statement(w, &words).map_err(fail)?;
         if let Some(violation) = w.violations.first() {
             return Err(fail(violation.clone()));
@@ -102,7 +104,7 @@
     }
 }
 
-/// Executes an event now: work of the users, or a fault.
+/// Executes an event now: a request of users, or a fault.
 fn inject(w: &mut Simulation, words: &[&str]) {
     w.faults_end_at = w.faults_end_at.max(w.now + selectors::duration_of(words));
     let mut it: Words<'_> = words.iter();
--- a/crates/hopyoke-simulator/src/scenario/network_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/network_faults.rs
@@ -1,18 +1,18 @@
-//! Faults of nodes and of the network between nodes, agents, store and cloud.
+//! Faults of nodes, and of the network between nodes, agents, store and cloud.
 
 use super::parser::{Words, key_values, next_word, seconds};
 use super::selectors::{fault_end, next_nodes, nodes};
 use crate::{DeliveryDelay, Host, NetworkPartition, Simulation};
 use std::collections::BTreeMap;
 
-/// Executes an event that strikes nodes or links; false if `name` is none.
+/// Injects a fault of nodes or of the network; returns false if `name` is not one.
 pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
         "crash" => {
             let selector = next_word(words);
-            let back = seconds(key_values(words).get("back").copied().unwrap_or("6"));
+            let restart_delay = seconds(key_values(words).get("back").copied().unwrap_or("6"));
             for i in nodes(w, selector) {
-                w.crash_node(i, back);
+                w.crash_node(i, restart_delay);
             }
         }
         "give_up" => {
@@ -54,7 +54,7 @@
     true
 }
 
-/// Packets of a partition are delivered at its end instead of lost.
+/// Returns whether packets of a partition are delivered at its end instead of lost.
 fn has_held_packets(pairs: &BTreeMap<&str, &str>) -> bool {
     pairs.get("packets") == Some(&"held")
 }
--- a/crates/hopyoke-simulator/src/scenario/parser.rs
+++ b/crates/hopyoke-simulator/src/scenario/parser.rs
@@ -3,14 +3,14 @@
 use hopyoke_types::Micros;
 use std::collections::BTreeMap;
 
-/// The words of a line that have not been read yet.
+/// The remaining words of a line.
 pub(super) type Words<'a> = std::slice::Iter<'a, &'a str>;
 
-/// A duration or a time, written in seconds.
+/// Parses a duration or a time in seconds.
 ///
 /// # Panics
 ///
-/// If the word is not a number: the scenario is at fault.
+/// Panics if the word is not a number.
 pub(super) fn seconds(word: &str) -> Micros {
     Micros::from_secs_f64(
         word.parse()
@@ -18,26 +18,30 @@
     )
 }
 
-/// A number.
+/// Parses a number.
 ///
 /// # Panics
 ///
-/// If the word is not a number: the scenario is at fault.
+/// Panics if the word is not a number.
 pub(super) fn number(word: &str) -> f64 {
     word.parse()
         .unwrap_or_else(|_| panic!("not a number: {word}"))
 }
 
-/// The next word of the line.
+/// Returns the next word of the line.
 ///
 /// # Panics
 ///
-/// If the line is over: the scenario is at fault.
+/// Panics if the line has no further word.
 pub(super) fn next_word<'a>(words: &mut Words<'a>) -> &'a str {
     words.next().copied().expect("another word")
 }
 
-/// The rest of the line, as `key value` pairs.
+/// Reads the rest of the line as `key value` pairs.
+///
+/// # Panics
+///
+/// Panics if a key has no value.
 pub(super) fn key_values<'a>(words: &mut Words<'a>) -> BTreeMap<&'a str, &'a str> {
     let mut pairs = BTreeMap::new();
     while let Some(key) = words.next() {
--- a/crates/hopyoke-simulator/src/scenario/random_day.rs
+++ b/crates/hopyoke-simulator/src/scenario/random_day.rs
@@ -1,15 +1,15 @@
-//! Random days: random jobs and random faults. Only the invariants are expected to hold, and that all work begins.
+//! Random days: runs with random jobs and random faults, in which the invariants must hold and all jobs must begin.
 
 use super::inject;
 use crate::Simulation;
 use hopyoke_types::Micros;
 
-/// Highest number of a job that random faults name.
+/// Highest job number that random faults name.
 const MAX_FAULT_JOB: u64 = 40;
 
-/// Schedules work and faults over `duration_s` seconds.
+/// Schedules jobs and faults over `duration_s` seconds.
 pub(super) fn schedule(w: &mut Simulation, duration_s: u64) {
-    // Decisions that rest on learned run times must not violate invariants either.
+    // Decisions based on learned run times must not violate invariants either.
     if w.random(0, 1) == 1 {
         let t = &mut w.tuning;
         (t.use_for_victims, t.use_for_backfill, t.use_for_demand) = (true, true, true);
@@ -19,7 +19,7 @@
     schedule_faults(w, duration_s, jobs);
 }
 
-/// Schedules submissions and some cancellations; how many jobs there are.
+/// Schedules submissions and some cancellations; returns the number of jobs.
 fn schedule_jobs(w: &mut Simulation, duration_s: u64) -> u64 {
     let mut t = 1;
     let mut n = 0;
@@ -49,25 +49,25 @@
     n
 }
 
-/// Schedules faults that overlap, and cancellations among them.
+/// Schedules overlapping faults, and cancellations during them.
 fn schedule_faults(w: &mut Simulation, duration_s: u64, jobs: u64) {
     let mut t = 20;
     while t < duration_s {
-        // The second begins while the first lasts, or just after.
-        let first = w.random(5, 40);
-        let (line, other) = (random_fault(w, first), w.random(1, 40));
-        let within = t + w.random(0, first);
-        let second = random_fault(w, other);
+        // The second fault begins while the first lasts or at its end.
+        let first_span = w.random(5, 40);
+        let (line, second_span) = (random_fault(w, first_span), w.random(1, 40));
+        let second_at = t + w.random(0, first_span);
+        let second = random_fault(w, second_span);
         schedule_event(w, t, line);
-        schedule_event(w, within, second);
-        // In half of the cases a third begins soon after the second.
+        schedule_event(w, second_at, second);
+        // In half of the cases a third fault begins soon after the second.
         if w.random(0, 1) == 0 {
-            let (span, at) = (w.random(1, 40), within + w.random(0, 5));
+            let (span, at) = (w.random(1, 40), second_at + w.random(0, 5));
             let third = random_fault(w, span);
             schedule_event(w, at, third);
         }
         if jobs > 0 && w.random(0, 1) == 0 {
-            let at = within + w.random(0, 3);
+            let at = second_at + w.random(0, 3);
             let id = w.random(1, jobs);
             schedule_event(w, at, format!("cancel req-{id:06}"));
         }
@@ -75,23 +75,23 @@
     }
 }
 
-/// What a random fault is made of; all of it is drawn for every fault.
+/// Parameters of a random fault; all of them are drawn for every fault.
 struct FaultParameters {
-    /// Nodes that it strikes.
+    /// Selector of the affected nodes.
     nodes: &'static str,
-    /// What becomes of packets in a partition.
+    /// Whether packets of a partition are held or lost.
     packets: &'static str,
     /// Seconds after which a crashed node restarts.
     restart_s: &'static str,
-    /// Share of messages that it strikes, in percent.
+    /// Share of affected messages, in percent.
     percent: u64,
-    /// Number of the job whose machine it strikes.
+    /// Number of the job whose machine is affected.
     job: u64,
-    /// How long it lasts, in seconds.
+    /// Duration of the fault, in seconds.
     span: u64,
 }
 
-/// A random fault that lasts about `span` seconds, as a line of the scenario language.
+/// Draws a fault that lasts about `span` seconds, as a line of the scenario language.
 fn random_fault(w: &mut Simulation, span: u64) -> String {
     let fault = FaultParameters {
         nodes: ["leader", "leader", "follower", "followers", "0", "1", "2"]
@@ -108,7 +108,7 @@
     }
 }
 
-/// Faults of nodes, links, machines, the store and the cloud.
+/// Returns a fault of nodes, links, machines, the store or the cloud.
 fn cluster_fault(w: &mut Simulation, kind: u64, fault: &FaultParameters) -> String {
     let FaultParameters {
         nodes,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Lost, late and repeated messages, and requests of users that race with other changes.
+/// Returns a fault of lost, late or repeated messages, or users' requests that race with other changes.
 fn message_or_user_fault(w: &mut Simulation, kind: u64, fault: &FaultParameters) -> String {
     let FaultParameters {
         percent, job, span, ..
@@ -186,7 +186,7 @@
     }
 }
 
-/// Any machine, or one of the first.
+/// Draws a machine selector: any machine, or one of the first.
 fn any_machine(w: &mut Simulation) -> &'static str {
     ["any", "m-000001", "m-000002"][w.random(0, 2) as usize]
 }
--- a/crates/hopyoke-simulator/src/scenario/selectors.rs
+++ b/crates/hopyoke-simulator/src/scenario/selectors.rs
@@ -1,15 +1,15 @@
-//! Names of nodes and machines in a scenario, and the time for which a fault lasts.
+//! Selectors of nodes and machines in scenarios, and durations of faults.
 
 use super::parser::{Words, key_values, next_word, number, seconds};
 use crate::Simulation;
 use hopyoke_types::{JobId, MachineId, Micros};
 
-/// When a fault ends: `for SECONDS` among the pairs of the line.
+/// Returns when a fault ends, by the pair `for SECONDS` of the line.
 pub(super) fn fault_end(w: &Simulation, words: &mut Words<'_>) -> Micros {
     w.now + seconds(key_values(words)["for"])
 }
 
-/// How long an event's fault lasts; zero if it is none.
+/// Returns the duration of an event's fault; zero if the event is not a lasting fault.
 pub(super) fn duration_of(words: &[&str]) -> Micros {
     let after = |key: &str| {
         words
@@ -28,7 +28,7 @@
     }
 }
 
-/// Nodes by role or number: `all`, `leader`, `follower` (the first), `followers` or `0` and up.
+/// Returns nodes by role or number: `all`, `leader`, `follower` (the first), `followers`, or a number from 0.
 pub(super) fn nodes(w: &Simulation, selector: &str) -> Vec<usize> {
     match selector {
         "all" => (0..w.nodes.len()).collect(),
@@ -40,17 +40,17 @@
             .find(|i| w.leader() != Some(*i))
             .into_iter()
             .collect(),
-        // Random days name nodes of larger clusters as well.
+        // Random days also name nodes that smaller clusters lack.
         n => vec![number(n) as usize % w.nodes.len()],
     }
 }
 
-/// Nodes named by the next word.
+/// Returns the nodes that the next word selects.
 pub(super) fn next_nodes(w: &Simulation, words: &mut Words<'_>) -> Vec<usize> {
     nodes(w, next_word(words))
 }
 
-/// A machine by name, the first that runs a task of a job (`of:req-1`), or the first of all (`any`).
+/// Returns a machine by name, the first with a task of a job (`of:req-1`), or the first of all (`any`).
 pub(super) fn machine(w: &Simulation, selector: &str) -> Option<MachineId> {
     if let Some(id) = selector.strip_prefix("of:") {
         let id = JobId::new(id);
--- a/crates/hopyoke-simulator/src/scenario/service_expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/service_expectations.rs
@@ -1,13 +1,13 @@
-//! Expectations about how many of the users' jobs were accepted, begun and served.
+//! Expectations about the shares of users' jobs that were accepted, started and served.
 
-use super::expectations::met;
+use super::expectations::check;
 use super::parser::{Words, key_values, next_word, number, seconds};
 use crate::{JobGroundTruth, Simulation};
 use hopyoke_protocol::user::JobKind;
 use hopyoke_types::JobId;
 use std::collections::BTreeMap;
 
-/// `expect began all`: every accepted job whose user has not cancelled it has begun, the largest ones too.
+/// `expect began all`: every accepted job that its user has not cancelled has begun.
 pub(super) fn expect_begun(w: &Simulation) -> Result<(), String> {
     let is_waiting = |j: &JobGroundTruth| {
         j.accepted_at.is_some()
@@ -30,18 +30,19 @@
         .filter(|(_, j)| is_waiting(j))
         .map(|(id, _)| format!("{id} ({})", reason(id)))
         .collect();
-    met(waiting.is_empty(), || {
-        format!("never begun: {}", waiting.join(" "))
+    check(waiting.is_empty(), || {
+        format!("jobs that never began: {}", waiting.join(" "))
     })
 }
 
-/// `expect accepted least N` jobs; `expect accepted from S to S`: all whose users first submitted them then.
+/// `expect accepted least N`: jobs accepted by now; `expect accepted from SECONDS to SECONDS`: all jobs first submitted
+/// in that period are.
 pub(super) fn expect_accepted(
     w: &Simulation,
-    what: &str,
+    comparison: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
-    if what == "from" {
+    if comparison == "from" {
         let (first, last) = (
             seconds(next_word(words)),
             seconds(words.nth(1).copied().expect("`to T`")),
@@ -52,18 +53,18 @@
         };
         let jobs: Vec<&JobGroundTruth> = w.jobs.values().filter(submitted).collect();
         let waiting = jobs.iter().filter(|j| j.accepted_at.is_none()).count();
-        return met(waiting == 0, || {
+        return check(waiting == 0, || {
             format!("{waiting} of {} jobs are not accepted", jobs.len())
         });
     }
     let n = w.jobs.values().filter(|j| j.accepted_at.is_some()).count();
-    let is_met = what == "least" && n >= number(next_word(words)) as usize;
-    met(is_met, || {
+    let is_met = comparison == "least" && n >= number(next_word(words)) as usize;
+    check(is_met, || {
         format!("{n} of {} jobs are accepted", w.jobs.len())
     })
 }
 
-/// Jobs of a tenant.
+/// Served jobs and all jobs of a tenant.
 #[derive(Default)]
 struct ServedCount {
     served: u32,
@@ -76,13 +77,14 @@
     }
 }
 
-/// `expect served least SHARE`: of the jobs of each tenant (a team with a class) so many have started,
-/// of those that were submitted, accepted or not, and not cancelled; `expect ended least SHARE`: of the
-/// jobs of each team and of each class so many are done, services aside.
+/// `expect served least SHARE`: for each tenant (a team with a class), the share of its jobs that have started;
+/// `expect ended least SHARE`: for each team and for each class, the share of its jobs that are done, without services.
+///
+/// Shares are of all submitted jobs that are not cancelled, accepted or not.
 pub(super) fn expect_served(
     w: &Simulation,
     ended: bool,
-    what: &str,
+    comparison: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
     let mut tenants: BTreeMap<(String, String), ServedCount> = BTreeMap::new();
@@ -96,14 +98,14 @@
             _ if ended => job.done_at.is_some(),
             _ => job.start_count > 0,
         };
-        // The users count classes and teams, each for itself.
+        // Ended jobs count once for their team and once for their class.
         let (team, class) = (job.spec.team.clone(), job.spec.class.clone());
-        let counted = if ended {
+        let counted_tenants = if ended {
             vec![(team, "any".into()), ("any".into(), class)]
         } else {
             vec![(team, class)]
         };
-        for tenant in counted {
+        for tenant in counted_tenants {
             let count = tenants.entry(tenant).or_default();
             count.served += u32::from(served);
             count.all += 1;
@@ -113,20 +115,20 @@
         .iter()
         .min_by(|a, b| a.1.share().total_cmp(&b.1.share()));
     let ((team, class), count) = lowest.ok_or("no jobs")?;
-    let is_met = what == "least" && count.share() >= number(next_word(words));
-    met(is_met, || {
+    let is_met = comparison == "least" && count.share() >= number(next_word(words));
+    check(is_met, || {
         format!(
-            "of team {team}, class {class} {} of {} are served",
+            "team {team}, class {class}: {} of {} jobs are served",
             count.served, count.all
         )
     })
 }
 
-/// `expect largest least SHARE within SECONDS`: of the largest quarter of each class's jobs that were not cancelled
-/// that share began so soon after their users first submitted them.
+/// `expect largest least SHARE within SECONDS`: of the largest quarter of each class's jobs that were not cancelled,
+/// that share began within SECONDS after their users first submitted them.
 pub(super) fn expect_largest(
     w: &Simulation,
-    what: &str,
+    comparison: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
     let (share, within) = (
@@ -150,9 +152,9 @@
                 .is_some_and(|(started, submitted)| started <= submitted + within)
         };
         let served = jobs.iter().filter(in_time).count();
-        if what != "least" || (served as f64) < share * jobs.len() as f64 {
+        if comparison != "least" || (served as f64) < share * jobs.len() as f64 {
             return Err(format!(
-                "of class {class} {served} of its {} largest jobs began in time",
+                "class {class}: {served} of its {} largest jobs began in time",
                 jobs.len()
             ));
         }
--- a/crates/hopyoke-simulator/src/scenario/setup.rs
+++ b/crates/hopyoke-simulator/src/scenario/setup.rs
@@ -1,4 +1,4 @@
-//! Setup of a scenario: the simulated cluster, the settings of the scheduler and the machines at the beginning.
+//! Setup of a scenario: the simulated cluster, the scheduler's settings and the initial machines.
 
 use super::parser::{Words, key_values, next_word, number, seconds};
 use crate::limits::Limits;
@@ -8,7 +8,7 @@
 use hopyoke_scheduler::Team;
 use hopyoke_types::Micros;
 
-/// `seed N [nodes K]`: a cluster of K nodes (3 unless said) with the defaults of the scenarios.
+/// `seed N [nodes K]`: a cluster of K nodes, 3 by default, with the defaults of scenarios.
 pub(super) fn new_simulation(words: &[&str]) -> Simulation {
     let nodes = words.get(3).map_or(3, |n| number(n) as usize);
     let mut w = Simulation::new(number(words[1]) as u64, nodes);
@@ -16,7 +16,7 @@
     w
 }
 
-/// One machine type, two teams, a little capacity in each zone, all nodes up.
+/// Adds one machine type, two teams and some capacity in each zone, and starts all nodes.
 fn apply_defaults(w: &mut Simulation) {
     w.machine_types.push(MachineType {
         name: "std".into(),
@@ -52,11 +52,11 @@
     }
 }
 
-/// Executes a statement that sets the simulation up.
+/// Executes a setup statement.
 ///
 /// # Errors
 ///
-/// The statement is unknown, or a value is out of its range.
+/// Says that the statement is unknown or which value is invalid.
 pub(super) fn statement(
     w: &mut Simulation,
     name: &str,
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// `ZONE KIND COUNT` of machines.
+/// Reads `ZONE ordinary|spot COUNT`.
 fn machine_group<'a>(words: &mut Words<'a>) -> (&'a str, &'a str, u32) {
     (
         next_word(words),
@@ -98,7 +98,7 @@
     )
 }
 
-/// `team NAME [cpus N] [cpus_max N] [gpus N] [gpus_max N]`: replaces the team's quota.
+/// `team NAME [cpus N] [cpus_max N] [gpus N] [gpus_max N]`: adds a team, or replaces its quota.
 fn set_team(w: &mut Simulation, words: &mut Words<'_>) {
     let name = next_word(words).to_owned();
     let pairs = key_values(words);
@@ -113,7 +113,7 @@
     });
 }
 
-/// `use PURPOSE ...`: decisions that rest on learned run times.
+/// `use PURPOSE ...`: enables decisions based on learned run times.
 fn enable_estimates(w: &mut Simulation, words: &mut Words<'_>) -> Result<(), String> {
     let tuning = &mut w.tuning;
     for name in words.by_ref() {
@@ -130,7 +130,7 @@
     Ok(())
 }
 
-/// `hours HELD drain|keep FROM-TO ...`: staffed hours in seconds of virtual time, and what is held outside them.
+/// `hours HELD drain|keep FROM-TO ...`: staffed hours in seconds of virtual time, and the jobs held outside them.
 fn staffed_hours(words: &mut Words<'_>) -> Result<StaffedHours, String> {
     let (held, drain) = (next_word(words), next_word(words) == "drain");
     let clock = |s: &str| {
@@ -155,13 +155,14 @@
     })
 }
 
-/// `limits REQUESTS CHANGES [unpaced]`: rates of the key-value store per second. The nodes restart with their
-/// shares, so this stands before all events.
+/// `limits REQUESTS CHANGES [unpaced]`: rate limits of the key-value store per second.
+///
+/// The nodes restart with their shares, so the statement must precede all events.
 fn set_store_limits(w: &mut Simulation, words: &mut Words<'_>) {
     let (requests, changes) = (number(next_word(words)), number(next_word(words)));
     let is_unpaced = words.next() == Some(&"unpaced");
     w.limits = Some(Limits::new(requests, changes, is_unpaced));
-    // With so many users, checks of all invariants at every event would take minutes.
+    // Scenarios with limits have many users: checking all invariants at every event would take minutes.
     w.exhaustive_checks = false;
     for i in 0..w.nodes.len() {
         w.start_node(i);
--- a/crates/hopyoke-simulator/src/scenario/store_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/store_faults.rs
@@ -1,11 +1,11 @@
-//! Faults of the key-value store and of the cloud, and lost, late or repeated messages.
+//! Faults of the key-value store, of the cloud, and of messages that are lost, late or repeated.
 
 use super::parser::{Words, key_values, next_word, number, seconds};
 use super::selectors::{fault_end, nodes};
 use crate::Simulation;
 use crate::kv_store::FaultWindow;
 
-/// Executes an event that strikes the store, the cloud or messages; false if `name` is none.
+/// Injects a fault of the store, the cloud or messages; returns false if `name` is not one.
 pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
         "boots" => {
@@ -15,8 +15,8 @@
         "duds" => w.failed_boots_left = number(next_word(words)) as u32,
         "old_lists" => w.cloud.stale_lists_until = fault_end(w, words),
         "slow_state" => {
-            let by = seconds(next_word(words));
-            w.kv_store.slow = (by, fault_end(w, words));
+            let delay = seconds(next_word(words));
+            w.kv_store.slow = (delay, fault_end(w, words));
         }
         "refuse" => {
             let selector = next_word(words);
@@ -33,8 +33,8 @@
     true
 }
 
-/// `NAME PERCENT for SECONDS [next SECONDS]`: a share of the messages of a kind meets the fault; with `next` the
-/// heartbeats reach the next leader, so long after its election.
+/// `NAME PERCENT for SECONDS [next SECONDS]`: opens the window in which a fault affects that share of a kind of message;
+/// with `next`, heartbeats arrive that many seconds after the next election.
 fn open_fault_window(w: &mut Simulation, name: &str, words: &mut Words<'_>) {
     let percent = number(next_word(words)) as u64;
     let pairs = key_values(words);
--- a/crates/hopyoke-simulator/src/scenario/sweep.rs
+++ b/crates/hopyoke-simulator/src/scenario/sweep.rs
@@ -1,8 +1,8 @@
-//! Sweeps: a scenario that is run once for each value of a parameter.
+//! Sweeps: a scenario runs once for each value of a parameter.
 
 use super::parser::number;
 
-/// The parameter of a sweep and the values that it takes.
+/// A sweep's parameter and its values.
 pub(super) struct Sweep<'a> {
     /// Name of the parameter.
     pub(super) parameter: &'a str,
@@ -11,7 +11,7 @@
 }
 
 impl<'a> Sweep<'a> {
-    /// Reads `sweep NAME FROM TO STEP`; `None` if the line is another statement.
+    /// Parses `sweep NAME FROM TO STEP`; returns `None` if the line is another statement.
     pub(super) fn parse(line: &'a str) -> Option<Sweep<'a>> {
         let words: Vec<&str> = line.split_whitespace().collect();
         let ["sweep", parameter, from, to, step] = words[..] else {
@@ -26,20 +26,20 @@
     }
 }
 
-/// Replaces `{NAME}` by the parameter's value, and `{NAME+2.5}` by the value plus the offset.
+/// Replaces `{NAME}` with the parameter's value, and `{NAME+2.5}` with the value plus the offset.
 pub(super) fn substitute(text: &str, parameter: &str, value: f64) -> String {
     let open = format!("{{{parameter}");
     let mut parts = text.split(open.as_str());
     let mut out = parts.next().unwrap_or("").to_owned();
     for part in parts {
         let (offset, rest) = part.split_once('}').expect("a closing brace");
-        let shown = value
+        let substituted = value
             + if offset.is_empty() {
                 0.0
             } else {
                 number(offset)
             };
-        out.push_str(&format!("{}{rest}", (shown * 1e6).round() / 1e6));
+        out.push_str(&format!("{}{rest}", (substituted * 1e6).round() / 1e6));
     }
     out
 }
--- a/crates/hopyoke-simulator/src/scenario/workload.rs
+++ b/crates/hopyoke-simulator/src/scenario/workload.rs
@@ -1,4 +1,4 @@
-//! Events of the workload: submissions, cancellations and what users do besides.
+//! Workload events: submissions, cancellations, and other requests of users and operators.
 
 use super::parser::{Words, key_values, next_word, number, seconds};
 use super::selectors::fault_end;
@@ -10,18 +10,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Executes an event of the workload; false if `name` is none.
+/// Executes a workload event; returns false if `name` is not one.
 pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
         "submit" => {
             let (id, kind) = (JobId::new(next_word(words)), next_word(words));
-            let truth = job(&id, kind, &key_values(words));
+            let truth = build_job(&id, kind, &key_values(words));
             w.jobs.insert(id.clone(), truth);
             w.submit(id);
         }
         "many" => {
             let n = number(next_word(words)) as u64;
-            for id in new_jobs(w, n, words) {
+            for id in add_jobs(w, n, words) {
                 w.submit(id);
             }
         }
@@ -51,53 +51,57 @@
     true
 }
 
-/// `stream COUNT PER_SECOND PERCENT KIND KEY VALUE ...`: jobs at an even rate, of which a share is cancelled soon
-/// after its submission.
+/// `stream COUNT PER_SECOND PERCENT KIND KEY VALUE ...`: submits jobs at an even rate and cancels that share of them soon
+/// after their submission.
 fn submit_stream(w: &mut Simulation, words: &mut Words<'_>) {
     let (n, rate, cancelled_percent) = (
         number(next_word(words)) as u64,
         number(next_word(words)),
         number(next_word(words)) as u64,
     );
-    for (k, id) in (0..).zip(new_jobs(w, n, words)) {
-        let begins = Micros::from_secs_f64(k as f64 / rate);
+    for (k, id) in (0..).zip(add_jobs(w, n, words)) {
+        let submit_delay = Micros::from_secs_f64(k as f64 / rate);
         if k * cancelled_percent % 100 < cancelled_percent {
-            let (id, later) = (id.clone(), Micros(w.random(500_000, 10_000_000)));
-            w.after(begins + later, move |w| w.cancel(id));
+            let (id, cancel_delay) = (id.clone(), Micros(w.random(500_000, 10_000_000)));
+            w.after(submit_delay + cancel_delay, move |w| w.cancel(id));
         }
-        w.after(begins, move |w| w.submit(id));
+        w.after(submit_delay, move |w| w.submit(id));
     }
 }
 
 /// `staffed on|off UNTIL`: an operator overrides the calendar.
 fn override_staffed_hours(w: &mut Simulation, words: &mut Words<'_>) {
     let (staffed, until) = (next_word(words) == "on", seconds(next_word(words)));
-    let switch = Some(StaffingOverride {
+    let staffing_override = Some(StaffingOverride {
         staffed,
         expires_at_us: (START_TIME_OF_DAY + until).0,
         operator: "operator".into(),
     });
     if let Some(hours) = &mut w.hours {
-        hours.staffing_override.clone_from(&switch);
+        hours.staffing_override.clone_from(&staffing_override);
     }
     for leadership in w.nodes.iter_mut().filter_map(|n| n.leadership.as_mut()) {
-        leadership.scheduler.set_switch(switch.clone());
+        leadership.scheduler.set_switch(staffing_override.clone());
     }
 }
 
-/// So many jobs of one kind that nobody has submitted yet: `KIND KEY VALUE ...`.
-fn new_jobs(w: &mut Simulation, n: u64, words: &mut Words<'_>) -> Vec<JobId> {
+/// Adds `n` jobs of one kind, `KIND KEY VALUE ...`, which are not submitted yet.
+fn add_jobs(w: &mut Simulation, n: u64, words: &mut Words<'_>) -> Vec<JobId> {
     let (kind, pairs) = (next_word(words), key_values(words));
     let add = |_| {
         let id = JobId::new(&format!("req-{:06}", 1000 + w.jobs.len()));
-        w.jobs.insert(id.clone(), job(&id, kind, &pairs));
+        w.jobs.insert(id.clone(), build_job(&id, kind, &pairs));
         id
     };
     (0..n).map(add).collect()
 }
 
-/// A job of a kind (`array`, `gang`, `service`) with what the pairs say of it.
-pub(super) fn job(id: &JobId, kind: &str, pairs: &BTreeMap<&str, &str>) -> JobGroundTruth {
+/// Builds a job of a kind (`array`, `gang`, `service`) with the given properties, and defaults for the others.
+///
+/// # Panics
+///
+/// Panics if the kind is unknown or a property is not a number.
+pub(super) fn build_job(id: &JobId, kind: &str, pairs: &BTreeMap<&str, &str>) -> JobGroundTruth {
     let get = |k: &str, d: f64| pairs.get(k).map_or(d, |v| number(v));
     let yes = |k: &str| pairs.get(k) == Some(&"yes");
     let tasks = get("tasks", 1.0) as u32;
