--- a/crates/hopyoke/tests/frozen_forms.rs
+++ b/crates/hopyoke/tests/frozen_forms.rs
@@ -1,5 +1,5 @@
-//! The messages between controllers keep their bytes: field numbers and types of `proto/mesh.proto`. Each message
-//! is written with all of its fields, compared with its fixture, read, and written again.
+//! Wire compatibility of the messages between controllers: field numbers and types of `proto/mesh.proto`. Each message
+//! is encoded with all of its fields and compared with its fixture, and the fixture is decoded again.
 
 #[path = "../../hopyoke-protocol/tests/frozen/mod.rs"]
 mod frozen;
@@ -18,11 +18,11 @@
 
 fn assert_message<T: Message + Default + PartialEq + Debug>(name: &str, message: &T) {
     assert_bytes(name, &message.encode_to_vec());
-    let again = T::decode(&bytes(name)[..]).unwrap_or_else(|e| panic!("{name}: {e}"));
-    assert_eq!(&again, message, "{name}: read as another message");
+    let decoded = T::decode(&bytes(name)[..]).unwrap_or_else(|e| panic!("{name}: {e}"));
+    assert_eq!(&decoded, message, "{name}: decoded to a different message");
 }
 
-/// One entry only: a map's order on the wire is not fixed.
+/// Returns a single entry, since a map's order on the wire is not fixed.
 fn tags() -> HashMap<String, String> {
     HashMap::from([("color".into(), "red".into())])
 }
@@ -91,7 +91,7 @@
         heartbeats: vec![vec![0x81, 0xc0], vec![0x80]],
     };
     assert_message("reports", &heartbeats);
-    // An empty response keeps its place.
+    // An empty response keeps its position.
     assert_message(
         "report-answers",
         &HeartbeatResponses {
@@ -236,10 +236,10 @@
     assert_message("flow-answer", &answer);
 }
 
-/// Names of the package, the service and its calls are in the requests' paths.
+/// Request paths contain the names of the package, the service and its calls.
 #[test]
 fn calls() {
-    let old = frozen::text("calls.txt");
+    let expected = frozen::text("calls.txt");
     let source = include_str!("../proto/mesh.proto");
     let package = source
         .lines()
@@ -251,11 +251,11 @@
         .find_map(|l| l.strip_prefix("service "))
         .expect("a service")
         .trim_end_matches(" {");
-    let call = |l: &str| Some(l.trim().strip_prefix("rpc ")?.split('(').next()?.to_owned());
+    let method = |l: &str| Some(l.trim().strip_prefix("rpc ")?.split('(').next()?.to_owned());
     let paths: String = source
         .lines()
-        .filter_map(call)
-        .map(|c| format!("/{package}.{service}/{c}\n"))
+        .filter_map(method)
+        .map(|method| format!("/{package}.{service}/{method}\n"))
         .collect();
-    assert_eq!(paths, old);
+    assert_eq!(paths, expected);
 }
--- a/crates/hopyoke/tests/scenarios.rs
+++ b/crates/hopyoke/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The one runner of all scenarios: every file under `tests/scenarios` is a test by its name.
+//! Runs every file under `tests/scenarios` as a test named after it.
 
 mod checks;
 
@@ -26,12 +26,12 @@
     files.sort();
     assert!(!files.is_empty(), "no scenarios found");
     let mut trials: Vec<Trial> = files.into_iter().map(trial).collect();
-    // Long; for hunting.
+    // Ignored by default, since it runs long.
     trials.push(Trial::test("many_days", many_days).with_ignored_flag(true));
     libtest_mimic::run(&Arguments::from_args(), trials).exit_code()
 }
 
-/// `DIGESTS=1` prints a digest of each run. Two builds with equal digests have decided alike.
+/// Returns whether `DIGESTS` is set, to print a digest of each run. Builds with equal digests made the same decisions.
 fn prints_digests() -> bool {
     std::env::var_os("DIGESTS").is_some()
 }
@@ -51,8 +51,9 @@
     })
 }
 
-/// A random day: two faults at a time, in a cluster of a random size, and then time until all is over.
-fn day(seed: u64) -> String {
+/// Returns a scenario with random jobs and overlapping faults in a cluster whose size depends on the seed, and time for
+/// all jobs to begin afterwards.
+fn random_day(seed: u64) -> String {
     let nodes = [3, 3, 3, 5, 2, 1][seed as usize % 6];
     let machines = [
         "machines a ordinary 2\nmachines b ordinary 1",
@@ -62,7 +63,7 @@
     format!("seed {seed} nodes {nodes}\n{machines}\nrandom 300\nuntil 700\nexpect began all\n")
 }
 
-/// Many random days, to look for violated invariants: `DAYS=500 cargo test --release -- --ignored`; `FIRST` is the
+/// Searches random days for violations of invariants: `DAYS=500 cargo test --release -- --ignored`; `FIRST` sets the
 /// first seed.
 fn many_days() -> Result<(), Failed> {
     let days: u64 = std::env::var("DAYS")
@@ -82,7 +83,7 @@
                     if seed >= first + days {
                         return;
                     }
-                    match scenario::run(&day(seed), &checks::statement) {
+                    match scenario::run(&random_day(seed), &checks::statement) {
                         Ok(digest) if prints_digests() => {
                             println!("digest day_{seed} {digest:016x}")
                         }
@@ -105,6 +106,6 @@
     if failed == 0 {
         Ok(())
     } else {
-        Err(format!("{failed} days failed").into())
+        Err(format!("{failed} random days failed").into())
     }
 }
--- a/crates/hopyoke/tests/settings.rs
+++ b/crates/hopyoke/tests/settings.rs
@@ -1,10 +1,10 @@
-//! The operators' settings and the scheduler's tuning agree.
+//! Agreement of the policy language's defaults with the scheduler's tuning.
 
 use hopyoke::operations::settings::scheduler_tuning;
 use hopyoke_policy::{Figures, Policy};
 use hopyoke_scheduler::Tuning;
 
-/// The scheduler's defaults are those of the policy language's built-in file.
+/// The scheduler's default tuning equals the values of the built-in policy file.
 #[test]
 fn defaults_agree() {
     let values = Policy::defaults().evaluate(&Figures::default());
