--- a/crates/hopyoke-experiments/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -226,14 +226,14 @@
         memory_gb: 1.0,
         image: "img-1".into(),
         image_gb: 0.0,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: false,
         estimate_s: run.estimate_s,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     };
     JobGroundTruth {
--- a/crates/hopyoke-settings/tests/frozen_forms.rs
+++ b/crates/hopyoke-settings/tests/frozen_forms.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file keeps its names: every field of a full example is read as it was.
+//! Compatibility of the settings file: every field of a complete file is read under its name.
 
 use hopyoke_settings::Settings;
 use std::path::Path;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_full_file() {
+fn complete_node_settings() {
     let s = load("full.toml");
     assert_eq!((s.node.as_str(), s.zone.as_str()), ("node-1", "east"));
     assert_eq!(
@@ -31,19 +31,28 @@
         ]
     );
     assert_eq!(s.endpoints.cloud.to_string(), "127.0.0.1:8443");
-    assert_eq!(s.endpoints.state.to_string(), "127.0.0.1:2379");
+    assert_eq!(s.endpoints.store.to_string(), "127.0.0.1:2379");
 }
 
 #[test]
-fn a_full_file_of_facts() {
+#[expect(clippy::too_many_lines, reason = "one comparison per field")]
+fn complete_platform_settings() {
     let s = load("full.toml");
-    let f = &s.facts;
-    assert_eq!((f.nodes, f.clock_skew_ms), (3, 250.5));
-    assert_eq!(f.zones, ["east", "west", "north"]);
-    let teams: Vec<_> = f
+    let platform = &s.platform;
+    assert_eq!((platform.nodes, platform.clock_skew_ms), (3, 250.5));
+    assert_eq!(platform.zones, ["east", "west", "north"]);
+    let teams: Vec<_> = platform
         .teams
         .iter()
-        .map(|t| (t.name.as_str(), t.cpus, t.cpus_max, t.gpus, t.gpus_max))
+        .map(|t| {
+            (
+                t.name.as_str(),
+                t.guaranteed_cpus,
+                t.max_cpus,
+                t.guaranteed_gpus,
+                t.max_gpus,
+            )
+        })
         .collect();
     assert_eq!(
         teams,
@@ -52,7 +61,7 @@
             ("tools", 0.0, 0.0, 0.0, 0.0)
         ]
     );
-    let objectives: Vec<_> = f
+    let objectives: Vec<_> = platform
         .objectives
         .iter()
         .map(|o| (o.kind.as_str(), o.class.as_deref(), o.within_s, o.share))
@@ -65,41 +74,53 @@
         ]
     );
 
-    let w = f.workers;
+    let agents = platform.agents;
     assert_eq!(
         (
-            w.report_s,
-            w.lease_s,
-            w.gang_wait_s,
-            w.gang_peer_s,
-            w.cancel_s
+            agents.heartbeat_interval_s,
+            agents.lease_s,
+            agents.gang_wait_s,
+            agents.gang_loss_detection_s,
+            agents.cancellation_bound_s
         ),
         (2.0, 14.0, 50.0, 6.0, 34.0)
     );
-    let state = f.state;
+    let store = platform.store;
     assert_eq!(
-        (state.rps, state.write_rps, state.value_kb, state.txn_ops),
+        (
+            store.max_requests_per_s,
+            store.max_writes_per_s,
+            store.max_value_kib,
+            store.max_txn_mutations
+        ),
         (150.0, 25.0, 8.0, 16)
     );
-    assert_eq!((f.cloud.rps, f.cloud.list_lag_s), (5.0, 4.0));
+    assert_eq!(
+        (platform.cloud.max_requests_per_s, platform.cloud.list_lag_s),
+        (5.0, 4.0)
+    );
     assert_eq!(
         (
-            f.limits.cpu_share,
-            f.limits.memory_mb,
-            f.limits.max_connections
+            platform.limits.cpu_cores,
+            platform.limits.memory_mib,
+            platform.limits.max_connections
         ),
         (0.1, 56.0, 1500)
     );
 }
 
-/// What has a default may be left out.
+/// Fields with a default may be omitted.
 #[test]
-fn a_least_file() {
+fn minimal_settings() {
     let s = load("least.toml");
     assert_eq!(
-        (s.peers.len(), s.facts.teams.len(), s.facts.objectives.len()),
+        (
+            s.peers.len(),
+            s.platform.teams.len(),
+            s.platform.objectives.len()
+        ),
         (0, 0, 0)
     );
-    assert_eq!(s.facts.clock_skew_ms, 0.0);
-    assert_eq!(s.facts.nodes, 1);
+    assert_eq!(s.platform.clock_skew_ms, 0.0);
+    assert_eq!(s.platform.nodes, 1);
 }
--- a/crates/hopyoke-simulator/src/simulation.rs
+++ b/crates/hopyoke-simulator/src/simulation.rs
@@ -123,13 +123,13 @@
         teams: Vec::new(),
         heartbeat_interval: Micros::from_secs(2),
         lease: Micros::from_secs(14),
-        gang_wait: Micros::from_secs(50),
-        gang_peer: Micros::from_secs(6),
-        list_lag: Micros::from_secs(4),
-        value_bytes: 8192,
-        txn_ops: 16,
-        write_rps: 25.0,
-        margin: Micros::from_millis(500),
+        gang_start_timeout: Micros::from_secs(50),
+        gang_peer_timeout: Micros::from_secs(6),
+        max_list_lag: Micros::from_secs(4),
+        max_value_bytes: 8192,
+        max_txn_ops: 16,
+        max_writes_per_s: 25.0,
+        response_margin: Micros::from_millis(500),
     }
 }
 
@@ -192,7 +192,7 @@
 
     /// The time of day by a node's clock: off by as much as the hours' bound allows, each another way.
     pub(crate) fn time_of_day(&self, node: usize) -> Micros {
-        let skew = self.hours.as_ref().map_or(0, |h| h.skew.0);
+        let skew = self.hours.as_ref().map_or(0, |h| h.max_clock_skew.0);
         Micros(START_TIME_OF_DAY.0 + self.now.0 + skew * node as u64) - Micros(skew)
     }
 
--- a/crates/hopyoke-wes/src/calls.rs
+++ b/crates/hopyoke-wes/src/calls.rs
@@ -1,9 +1,9 @@
 //! The controllers, whichever of them answers. Every call here may be repeated: it changes nothing
 //! the second time.
 
-use hopyoke::peers::client::ask_flow;
-use hopyoke::peers::client::proto::flow_request::Ask;
-use hopyoke::peers::client::proto::{FlowAnswer, FlowRequest};
+use hopyoke::peers::client::call_flow;
+use hopyoke::peers::client::proto::flow_request::Operation;
+use hopyoke::peers::client::proto::{FlowRequest, FlowResponse};
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use std::cell::Cell;
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// What the last one said.
-    pub async fn ask(&self, ask: Ask, patience: Micros) -> Result<FlowAnswer, Refused> {
+    pub async fn ask(&self, ask: Operation, patience: Micros) -> Result<FlowResponse, Refused> {
         let until = runtime::now() + patience;
         let mut last = Refused::new(503, "no controller answers");
         let mut pause = Micros::from_millis(100);
@@ -56,10 +56,10 @@
             for i in 0..self.addrs.len() {
                 let at = (self.first.get() + i) % self.addrs.len();
                 let addr = self.addrs[at];
-                match ask_flow(
+                match call_flow(
                     addr,
                     FlowRequest {
-                        ask: Some(ask.clone()),
+                        operation: Some(ask.clone()),
                     },
                 )
                 .await
--- a/crates/hopyoke/src/leadership/failover.rs
+++ b/crates/hopyoke/src/leadership/failover.rs
@@ -43,11 +43,11 @@
     let jobs = jobs.pairs.into_iter().filter_map(decode_job).collect();
     let mut scheduler = Scheduler::new(node.config.clone(), token, jobs, registry, granted_at);
     scheduler.records_applied_to(revision, granted_at);
-    scheduler.set_tuning(settings::tuning_of(
+    scheduler.set_tuning(settings::scheduler_tuning(
         &node.policy.evaluate(&Figures::default()),
     ));
-    scheduler.set_time_of_day(runtime::now(), runtime::time_of_day());
-    scheduler.set_hours(staffed_hours::initial(node));
+    scheduler.record_grant_time(runtime::now(), runtime::time_of_day());
+    scheduler.set_staffed_hours(staffed_hours::initial(node));
     scheduler.set_catalog(node.catalog.borrow().clone());
     Some(scheduler)
 }
@@ -58,7 +58,7 @@
     pair: KeyValue<RegistryPage>,
 ) -> Option<(String, ModRevision, Option<RegistryPage>)> {
     let key = pair.key.strip_prefix(REGISTRY_PREFIX)?.to_owned();
-    let page = pair.value.readable();
+    let page = pair.value.decoded();
     if page.is_none() {
         warn!(page = %key, "cannot decode registry page");
     }
@@ -73,5 +73,5 @@
         scheduler.job_removed(&id, now);
     }
     // A process that has just started may not have read a revision of the store yet; this revision serves as well.
-    cancellation_log.started_before(scheduler.applied_revision());
+    cancellation_log.set_start_revision(scheduler.applied_revision());
 }
--- a/crates/hopyoke/src/leadership/keep_alive.rs
+++ b/crates/hopyoke/src/leadership/keep_alive.rs
@@ -47,7 +47,7 @@
     /// abandoned but executed by a slow store, it would extend the lease of a leader that does not know of the
     /// extension and must not act, while no other node can be elected.
     pub(super) async fn run(self) {
-        let ttl = self.node.settings.leader_ttl();
+        let ttl = self.node.settings.leader_lease_ttl();
         let keep_alive = Rc::new(self);
         loop {
             let sent_at = runtime::now();
@@ -77,7 +77,7 @@
         let timeout = store
             .timeouts
             .timeout(RequestKind::Lease, RequestPriority::Critical);
-        let ttl = self.node.settings.leader_ttl();
+        let ttl = self.node.settings.leader_lease_ttl();
         let mut answer = std::pin::pin!(store.critical().renew_within(self.lease, ttl));
         let result = match runtime::timeout(timeout, answer.as_mut()).await {
             Ok(result) => result,
--- a/crates/hopyoke/src/leadership/term.rs
+++ b/crates/hopyoke/src/leadership/term.rs
@@ -69,7 +69,7 @@
         let granted_at = runtime::now();
         let leader_lease = Rc::new(RefCell::new(LeaderLease::new(
             held.valid_until,
-            node.settings.leader_ttl(),
+            node.settings.leader_lease_ttl(),
             MAX_WATCH_WAIT,
             node.peers.all().len(),
         )));
@@ -173,7 +173,7 @@
     spawn(node, leadership, server::confirm_reads);
     spawn(node, leadership, record_writer::run);
     spawn(node, leadership, refresh::poll_machine_list);
-    spawn(node, leadership, staffed_hours::follow);
+    spawn(node, leadership, staffed_hours::sync_override);
     spawn(node, leadership, actions::run);
     spawn(node, leadership, refresh::load_run_times);
     if node.policy.is_live() {
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -1,5 +1,5 @@
-//! From the operators' settings to the scheduler's tuning, and from the scheduler to the live figures that settings may
-//! refer to.
+//! Converts the operators' settings to the scheduler's tuning, the staffed hours and the limits on workflows, and computes
+//! the live figures that expressions in the settings may refer to.
 
 use crate::node::Leadership;
 use hopyoke_calendar::{Calendar, CalendarError, HoldSelector, StaffedHours};
@@ -11,9 +11,9 @@
 use hopyoke_workflow::Limits;
 use tracing::info;
 
-/// The scheduler's tuning by these values of the settings.
+/// Returns the scheduler's tuning for these values of the settings.
 #[must_use]
-pub fn tuning_of(v: &Values) -> Tuning {
+pub fn scheduler_tuning(v: &Values) -> Tuning {
     Tuning {
         idle_return: v.duration("idle_return"),
         keep_ready: v.count("keep_ready"),
@@ -52,40 +52,40 @@
     }
 }
 
-/// The staffed hours by these values; `None`: no work is held outside of staffed hours. `skew` is the bound of the
-/// nodes' clock skew.
+/// Returns the staffed hours for these values of the settings, or `None` if no work is held outside of staffed hours. `skew`
+/// is the upper bound on clock skew between nodes.
 ///
 /// # Errors
-/// The malformed setting and its part, even if no work is held.
-pub fn hours_of(v: &Values, skew: Micros) -> Result<Option<StaffedHours>, CalendarError> {
+/// Returns which setting is malformed, and where, even if no work is held.
+pub fn staffed_hours(v: &Values, skew: Micros) -> Result<Option<StaffedHours>, CalendarError> {
     let hours = StaffedHours {
         calendar: Calendar::parse(v.text("hours"), v.text("hours_zone"), v.text("holidays"))?,
-        held: HoldSelector::parse(v.text("held"))?,
+        hold_selector: HoldSelector::parse(v.text("held"))?,
         drain: v.boolean("hold_drain"),
-        margin: v.duration("hold_margin"),
-        skew,
+        placement_margin: v.duration("hold_margin"),
+        max_clock_skew: skew,
         staffing_override: None,
     };
     Ok(v.boolean("hold").then_some(hours))
 }
 
-/// What the execution of workflows may use of this node and of the key-value store.
-pub(crate) fn flow_limits(v: &Values, settings: &Settings) -> Limits {
-    let facts = &settings.facts;
-    let nodes = f64::from(facts.nodes.max(1));
+/// Returns the limits on workflow execution at this node, including its share of the key-value store's rates.
+pub(crate) fn workflow_limits(v: &Values, settings: &Settings) -> Limits {
+    let platform = &settings.platform;
+    let nodes = f64::from(platform.nodes.max(1));
     Limits {
         max_run_steps_in_flight: v.count("flow_steps"),
         max_team_steps_in_flight: v.count("flow_team_steps"),
         max_owned_runs: v.count("flow_runs"),
         max_owned_steps: v.count("flow_steps_carried"),
-        max_writes_per_s: facts.state.write_rps * v.share("flow_write_share") / nodes,
-        max_reads_per_s: facts.state.rps * v.share("flow_read_share") / nodes,
+        max_writes_per_s: platform.store.max_writes_per_s * v.share("flow_write_share") / nodes,
+        max_reads_per_s: platform.store.max_requests_per_s * v.share("flow_read_share") / nodes,
         write_batch_delay: v.duration("flow_gather"),
         ..Limits::default()
     }
 }
 
-/// The live figures. Visits all machines and jobs, so it is not for every plan.
+/// Computes the live figures. Visits all machines and jobs, so it is too expensive for every scheduling cycle.
 fn live_figures(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
     let up = || {
         scheduler
@@ -119,8 +119,8 @@
         .number("hour", hour)
 }
 
-/// Evaluates the settings with the present live figures, and updates the scheduler's tuning if it has changed.
-pub(crate) fn refresh(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
+/// Evaluates the settings with the current live figures, and updates the scheduler's tuning if it has changed.
+pub(crate) fn refresh_tuning(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
     let now = runtime::now();
     let mut scheduler = leadership.scheduler.borrow_mut();
     let values = policy.evaluate(&live_figures(
@@ -128,9 +128,9 @@
         leadership.plan_utilization(),
         now,
     ));
-    let tuning = tuning_of(&values);
+    let tuning = scheduler_tuning(&values);
     if tuning != scheduler.tuning {
-        info!(?tuning, "tuning changed with live figures");
+        info!(?tuning, "scheduler tuning changed");
         scheduler.set_tuning(tuning);
     }
 }
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -79,7 +79,7 @@
                     .lease_support
                     .cancellation_log
                     .borrow_mut()
-                    .started_before(ModRevision(page.revision));
+                    .set_start_revision(ModRevision(page.revision));
             }
             Err(e) => debug!(error = %e, "store revision at process start not read"),
         }
@@ -270,7 +270,7 @@
         .unwrap_or(runtime::now() + MAX_CANCEL_TIME);
     loop {
         let (record, mod_revision) = match lookup(node, client, id).await? {
-            Lookup::Unfinished(record, mod_revision) => (record.readable(), mod_revision),
+            Lookup::Unfinished(record, mod_revision) => (record.decoded(), mod_revision),
             found => return Ok(Some(found)),
         };
         let done_tasks = record.as_ref().map_or(0, |r| r.done.count());
--- a/crates/hopyoke/src/store/timeouts.rs
+++ b/crates/hopyoke/src/store/timeouts.rs
@@ -6,7 +6,7 @@
     Purpose, RequestKind, SpeedChange, StoreLatency, TimeoutPolicy,
 };
 use hopyoke_event_loop as runtime;
-use hopyoke_settings::JOB_WATCH_WAIT;
+use hopyoke_settings::JOB_WATCH_TIMEOUT;
 use hopyoke_types::Micros;
 use std::cell::{Cell, RefCell};
 use tracing::warn;
@@ -24,7 +24,7 @@
     pub(crate) fn new(leader_ttl: Micros) -> RequestTimeouts {
         RequestTimeouts {
             latency: RefCell::default(),
-            policy: TimeoutPolicy::new(leader_ttl, JOB_WATCH_WAIT),
+            policy: TimeoutPolicy::new(leader_ttl, JOB_WATCH_TIMEOUT),
             timeout_counts: Default::default(),
         }
     }
@@ -67,7 +67,7 @@
     pub(crate) fn record_response(&self, kind: RequestKind, latency: Micros) {
         self.latency
             .borrow_mut()
-            .answered(kind, latency, runtime::now());
+            .record_response(kind, latency, runtime::now());
         self.log_speed_change(kind);
     }
 
@@ -75,7 +75,7 @@
     pub(crate) fn record_watch_response(&self, latency: Micros) {
         self.latency
             .borrow_mut()
-            .answered_within(RequestKind::Watch, latency, runtime::now());
+            .record_upper_bound(RequestKind::Watch, latency, runtime::now());
     }
 
     /// Records that a request sent at `sent_at` was not answered within its timeout.
@@ -89,7 +89,7 @@
         count.set(count.get() + 1);
         self.latency
             .borrow_mut()
-            .timed_out(kind, sent_at, runtime::now());
+            .record_timeout(kind, sent_at, runtime::now());
         self.log_speed_change(kind);
     }
 
--- a/crates/hopyoke/src/store/watch.rs
+++ b/crates/hopyoke/src/store/watch.rs
@@ -15,7 +15,7 @@
 
 /// Maximum time for which the store waits for changes before it answers the leader's watch. If a response is lost, a
 /// cancellation can remain unknown for this long.
-pub(crate) const MAX_WATCH_WAIT: Micros = hopyoke_settings::JOB_WATCH_WAIT;
+pub(crate) const MAX_WATCH_WAIT: Micros = hopyoke_settings::JOB_WATCH_TIMEOUT;
 
 /// Minimum interval between two watch requests.
 const MIN_WATCH_INTERVAL: Micros = Micros::from_millis(80);
