--- a/crates/hopyoke-cwl/benches/documents.rs
+++ b/crates/hopyoke-cwl/benches/documents.rs
@@ -1,7 +1,7 @@
 //! What reading and expanding documents costs.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use hopyoke_cwl::{Faults, Options, expand, open, yaml};
+use hopyoke_cwl::{Diagnostics, Options, expand, open, yaml};
 use hopyoke_workflow::RunId;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -48,7 +48,7 @@
         for i in 0..pages {
             let _ = writeln!(job, "- {{class: File, location: p{i}.csv}}");
         }
-        let inputs = yaml::parse(&job, 0, &mut 0, &mut Faults::default()).expect("inputs");
+        let inputs = yaml::parse(&job, 0, &mut 0, &mut Diagnostics::default()).expect("inputs");
         c.bench_function(&format!("read and check {name}"), |b| {
             b.iter(|| open(&files, "main.cwl").expect("sound"))
         });
@@ -59,7 +59,7 @@
                     team: Some("crew".into()),
                     ..Options::new(RunId::new(1).expect("in range"))
                 };
-                expand(&process, &inputs, &options, &mut Faults::default()).expect("sound")
+                expand(&process, &inputs, &options, &mut Diagnostics::default()).expect("sound")
             })
         });
     }
--- a/crates/hopyoke-cwl/src/check.rs
+++ b/crates/hopyoke-cwl/src/check.rs
@@ -1,53 +1,55 @@
 //! What documents ask of each other and of the features that they use, without any inputs.
 
+use crate::diagnostic::{Diagnostics, Pos};
 use crate::expr::{self, Part};
-use crate::fault::{Faults, Pos};
 use crate::hints;
-use crate::model::{Kind, Merge, Output, Pick, Process, Scope, Sources, Step, Text, Tool, Wants};
+use crate::model::{
+    Kind, LinkMerge, Output, PickValue, Process, RequirementSet, Scope, Sources, Step, Text, Tool,
+};
 use crate::types::Type;
 use crate::yaml::{Data, Node};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Checks a process and all that it runs.
-pub fn check(process: &Process, faults: &mut Faults) {
-    let scope = Scope::default().inside(&process.wants);
-    Checker { faults }.process(process, &scope);
+pub fn check(process: &Process, diagnostics: &mut Diagnostics) {
+    let scope = Scope::default().nested(&process.requirement_set);
+    Checker { diagnostics }.process(process, &scope);
 }
 
 struct Checker<'f> {
-    faults: &'f mut Faults,
+    diagnostics: &'f mut Diagnostics,
 }
 
 impl Checker<'_> {
     fn process(&mut self, p: &Process, scope: &Scope) {
-        self.wants(&p.wants, scope);
+        self.requirements(&p.requirement_set, scope);
         for i in &p.inputs {
             if let Some(default) = &i.default
-                && !i.ty.takes(default)
+                && !i.ty.accepts(default)
             {
-                self.faults.error(
-                    i.at,
+                self.diagnostics.error(
+                    i.pos,
                     format!("the default of '{}' is no {}", i.id, i.ty),
                     "InputParameter: default",
                 );
             }
-            for s in &i.secondary {
-                self.text(&s.pattern, scope);
+            for s in &i.secondary_files {
+                self.expression(&s.pattern, scope);
             }
             for b in i.binding.iter().chain(&i.item_binding) {
                 b.position
                     .iter()
                     .chain(&b.value_from)
-                    .for_each(|t| self.text(t, scope));
+                    .for_each(|t| self.expression(t, scope));
             }
         }
         match &p.kind {
             Kind::Tool(tool) => self.tool(p, tool, scope),
             Kind::Expression(text) => {
-                self.text(text, scope);
+                self.expression(text, scope);
                 for o in p.outputs.iter().filter(|o| !o.source.from.is_empty()) {
-                    self.faults.error(
-                        o.at,
+                    self.diagnostics.error(
+                        o.pos,
                         "an ExpressionTool's output has no source",
                         "ExpressionToolOutputParameter",
                     );
@@ -58,80 +60,85 @@
     }
 
     fn tool(&mut self, p: &Process, tool: &Tool, scope: &Scope) {
-        if tool.base.is_empty() && tool.arguments.is_empty() {
-            let asks = "CommandLineTool: baseCommand or arguments";
-            self.faults.error(p.at, "the tool has no command", asks);
+        if tool.base_command.is_empty() && tool.arguments.is_empty() {
+            let expected = "CommandLineTool: baseCommand or arguments";
+            self.diagnostics
+                .error(p.pos, "the tool has no command", expected);
         }
         for b in &tool.arguments {
             b.position
                 .iter()
                 .chain(&b.value_from)
-                .for_each(|t| self.text(t, scope));
+                .for_each(|t| self.expression(t, scope));
         }
         for t in [&tool.stdin, &tool.stdout, &tool.stderr]
             .into_iter()
             .flatten()
         {
-            self.text(t, scope);
+            self.expression(t, scope);
         }
         for o in &p.outputs {
             o.glob
                 .iter()
                 .chain(&o.output_eval)
-                .for_each(|t| self.text(t, scope));
-            o.secondary
+                .for_each(|t| self.expression(t, scope));
+            o.secondary_files
                 .iter()
-                .for_each(|s| self.text(&s.pattern, scope));
+                .for_each(|s| self.expression(&s.pattern, scope));
         }
     }
 
     /// An expression that can be read, and that may be used here.
-    fn text(&mut self, t: &Text, scope: &Scope) {
+    fn expression(&mut self, t: &Text, scope: &Scope) {
         match expr::parts(&t.text) {
-            Err(e) => self.faults.error(
-                t.at,
+            Err(e) => self.diagnostics.error(
+                t.pos,
                 e.to_string(),
                 "Expressions: brackets and quotes that match",
             ),
             Ok(parts) => {
-                let more = parts.iter().any(|p| match p {
+                let needs_js = parts.iter().any(|p| match p {
                     Part::Plain(_) => false,
                     Part::Call(code) => !expr::is_reference(code),
                     Part::Block(_) => true,
                 });
-                if more && scope.find("InlineJavascriptRequirement").is_none() {
-                    let asks = "InlineJavascriptRequirement, or a parameter reference such as $(inputs.name)";
-                    self.faults.error(
-                        t.at,
+                if needs_js && scope.find("InlineJavascriptRequirement").is_none() {
+                    let expected = "InlineJavascriptRequirement, or a parameter reference such as $(inputs.name)";
+                    self.diagnostics.error(
+                        t.pos,
                         "an expression that is more than a parameter reference",
-                        asks,
+                        expected,
                     );
                 }
             }
         }
     }
 
-    fn wants(&mut self, wants: &Wants, scope: &Scope) {
-        for w in wants.requirements.iter().chain(&wants.hints) {
+    fn requirements(&mut self, requirement_set: &RequirementSet, scope: &Scope) {
+        for w in requirement_set
+            .requirements
+            .iter()
+            .chain(&requirement_set.hints)
+        {
             match w.class.as_str() {
                 hints::CLASS => {
-                    hints::read(&w.body, self.faults);
+                    hints::read(&w.body, self.diagnostics);
                 }
                 "ResourceRequirement" | "ToolTimeLimit" | "cwltool:CUDARequirement" => {
-                    self.amounts(&w.body, scope)
+                    self.check_amounts(&w.body, scope)
                 }
                 "DockerRequirement"
                     if w.body.get("dockerPull").and_then(Node::as_str).is_none() =>
                 {
-                    let asks = "DockerRequirement: dockerPull, the image's name";
-                    self.faults.error(w.at, "no image is named", asks);
+                    let expected = "DockerRequirement: dockerPull, the image's name";
+                    self.diagnostics.error(w.pos, "no image is named", expected);
                 }
                 _ => {}
             }
         }
     }
 
-    fn amounts(&mut self, body: &Node, scope: &Scope) {
+    fn check_amounts(&mut self, body: &Node, scope: &Scope) {
         for e in body
             .as_map()
             .unwrap_or_default()
@@ -142,9 +149,9 @@
                 Data::Int(n) if *n >= 0 => {}
                 Data::Float(x) if *x >= 0.0 => {}
                 Data::Str(s) if expr::has_expression(s) => {
-                    self.text(
+                    self.expression(
                         &Text {
-                            at: e.node.at,
+                            pos: e.node.pos,
                             text: s.clone(),
                         },
                         scope,
@@ -153,8 +160,8 @@
                 // A version, such as that of CUDA, is a text or a list.
                 Data::Str(_) | Data::Seq(_)
                     if e.key.contains("Version") || e.key.contains("Capability") => {}
-                _ => self.faults.error(
-                    e.node.at,
+                _ => self.diagnostics.error(
+                    e.node.pos,
                     format!("{} must be an amount", e.key),
                     "a number of at least 0",
                 ),
@@ -162,18 +169,18 @@
         }
     }
 
-    fn needs(&mut self, scope: &Scope, class: &str, at: Pos, what: &str) {
+    fn require_feature(&mut self, scope: &Scope, class: &str, pos: Pos, feature: &str) {
         if scope.find(class).is_none() {
-            self.faults.error(
-                at,
-                format!("{what} without {class}"),
+            self.diagnostics.error(
+                pos,
+                format!("{feature} without {class}"),
                 format!("requirements: {class}"),
             );
         }
     }
 
     fn workflow(&mut self, p: &Process, steps: &[Step], scope: &Scope) {
-        let mut known: BTreeMap<String, Type> = p
+        let mut sources: BTreeMap<String, Type> = p
             .inputs
             .iter()
             .map(|i| (i.id.clone(), i.ty.clone()))
@@ -182,15 +189,15 @@
             for id in &step.outputs {
                 match step.run.output(id) {
                     Some(o) => {
-                        known.insert(format!("{}/{id}", step.id), yields(step, o));
+                        sources.insert(format!("{}/{id}", step.id), step_output_type(step, o));
                     }
                     None => {
                         let ids: Vec<&str> =
                             step.run.outputs.iter().map(|o| o.id.as_str()).collect();
-                        let what = format!("{} has no output '{id}'", step.run.class());
-                        self.faults.error(
-                            step.at,
-                            what,
+                        let message = format!("{} has no output '{id}'", step.run.class());
+                        self.diagnostics.error(
+                            step.pos,
+                            message,
                             format!("WorkflowStep: out, of {}", ids.join(", ")),
                         );
                     }
@@ -198,52 +205,61 @@
             }
         }
         for step in steps {
-            let inner = scope.inside(&step.wants);
-            self.wants(&step.wants, &inner);
-            self.step(step, &known, &inner);
-            self.process(&step.run, &inner.inside(&step.run.wants));
+            let inner = scope.nested(&step.requirement_set);
+            self.requirements(&step.requirement_set, &inner);
+            self.step(step, &sources, &inner);
+            self.process(&step.run, &inner.nested(&step.run.requirement_set));
         }
         for o in &p.outputs {
-            if let Some(ty) = self.flow(&o.source, &known, scope)
-                && !ty.may_go_to(&o.ty)
+            if let Some(ty) = self.source_type(&o.source, &sources, scope)
+                && !ty.assignable_to(&o.ty)
             {
-                let what = format!("output '{}' is {}, and {ty} flows into it", o.id, o.ty);
-                self.faults
-                    .error(o.at, what, "WorkflowOutputParameter: types that fit");
+                let message = format!("output '{}' is {}, and {ty} flows into it", o.id, o.ty);
+                self.diagnostics
+                    .error(o.pos, message, "WorkflowOutputParameter: types that fit");
             }
         }
-        self.circles(steps);
+        self.detect_cycles(steps);
     }
 
     /// The type of what flows into one place; `None`: nothing, or a fault was noted.
-    fn flow(&mut self, s: &Sources, known: &BTreeMap<String, Type>, scope: &Scope) -> Option<Type> {
+    fn source_type(
+        &mut self,
+        s: &Sources,
+        sources: &BTreeMap<String, Type>,
+        scope: &Scope,
+    ) -> Option<Type> {
         let mut types = Vec::new();
         for t in &s.from {
-            match known.get(&t.text) {
+            match sources.get(&t.text) {
                 Some(ty) => types.push(ty.clone()),
                 None => {
-                    let near: Vec<&str> = known.keys().map(String::as_str).take(12).collect();
-                    let asks = format!("a source: {}", near.join(", "));
-                    self.faults
-                        .error(t.at, format!("nothing is called '{}'", t.text), asks);
+                    let candidates: Vec<&str> =
+                        sources.keys().map(String::as_str).take(12).collect();
+                    let expected = format!("a source: {}", candidates.join(", "));
+                    self.diagnostics.error(
+                        t.pos,
+                        format!("nothing is called '{}'", t.text),
+                        expected,
+                    );
                     return None;
                 }
             }
         }
         if s.from.len() > 1 {
-            self.needs(
+            self.require_feature(
                 scope,
                 "MultipleInputFeatureRequirement",
-                s.from[0].at,
+                s.from[0].pos,
                 "several sources",
             );
         }
-        if !s.many {
+        if !s.is_list {
             return types.pop();
         }
         let flat = |t: &Type| match s.merge {
-            Merge::Flattened => t.items().unwrap_or_else(|| t.clone()),
-            Merge::Nested => t.clone(),
+            LinkMerge::Flattened => t.items().unwrap_or_else(|| t.clone()),
+            LinkMerge::Nested => t.clone(),
         };
         let mut items: Vec<Type> = Vec::new();
         for t in types.iter().map(flat) {
@@ -258,32 +274,32 @@
         };
         Some(match s.pick {
             None => Type::Array(Box::new(item)),
-            Some(Pick::AllNonNull) => Type::Array(Box::new(not_null(item))),
-            Some(_) => not_null(item),
+            Some(PickValue::AllNonNull) => Type::Array(Box::new(without_null(item))),
+            Some(_) => without_null(item),
         })
     }
 
-    fn step(&mut self, step: &Step, known: &BTreeMap<String, Type>, scope: &Scope) {
+    fn step(&mut self, step: &Step, sources: &BTreeMap<String, Type>, scope: &Scope) {
         if !step.scatter.is_empty() {
-            self.needs(scope, "ScatterFeatureRequirement", step.at, "scatter");
+            self.require_feature(scope, "ScatterFeatureRequirement", step.pos, "scatter");
         }
         if matches!(step.run.kind, Kind::Workflow(_)) {
-            self.needs(
+            self.require_feature(
                 scope,
                 "SubworkflowFeatureRequirement",
-                step.at,
+                step.pos,
                 "a workflow as a step",
             );
         }
-        if step.scatter.len() > 1 && step.method.is_none() {
-            self.faults.error(
-                step.at,
+        if step.scatter.len() > 1 && step.scatter_method.is_none() {
+            self.diagnostics.error(
+                step.pos,
                 "several inputs are scattered and scatterMethod is missing",
                 "scatterMethod",
             );
         }
         if let Some(when) = &step.when {
-            self.text(when, scope);
+            self.expression(when, scope);
         }
         let ids: BTreeSet<&str> = step.inputs.iter().map(|i| i.id.as_str()).collect();
         for s in step
@@ -291,31 +307,31 @@
             .iter()
             .filter(|s| !ids.contains(s.text.as_str()))
         {
-            self.faults.error(
-                s.at,
+            self.diagnostics.error(
+                s.pos,
                 format!("the step has no input '{}'", s.text),
                 "scatter: inputs of the step",
             );
         }
         for i in &step.inputs {
             if let Some(from) = &i.value_from {
-                self.needs(
+                self.require_feature(
                     scope,
                     "StepInputExpressionRequirement",
-                    from.at,
+                    from.pos,
                     "valueFrom of a step's input",
                 );
-                self.text(from, scope);
+                self.expression(from, scope);
             }
-            let Some(mut ty) = self.flow(&i.source, known, scope) else {
+            let Some(mut ty) = self.source_type(&i.source, sources, scope) else {
                 continue;
             };
             if step.scatter.iter().any(|s| s.text == i.id) {
                 match ty.items() {
                     Some(item) => ty = item,
                     None => {
-                        let what = format!("'{}' is scattered, and {ty} flows into it", i.id);
-                        self.faults.error(i.at, what, "scatter: a list");
+                        let message = format!("'{}' is scattered, and {ty} flows into it", i.id);
+                        self.diagnostics.error(i.pos, message, "scatter: a list");
                         continue;
                     }
                 }
@@ -325,35 +341,35 @@
             };
             // A default stands in for null.
             if i.default.is_some() || input.default.is_some() {
-                ty = not_null(ty);
+                ty = without_null(ty);
             }
-            if i.value_from.is_none() && !ty.may_go_to(&input.ty) {
-                let what = format!("input '{}' is {}, and {ty} flows into it", i.id, input.ty);
-                self.faults
-                    .error(i.at, what, "WorkflowStepInput: types that fit");
+            if i.value_from.is_none() && !ty.assignable_to(&input.ty) {
+                let message = format!("input '{}' is {}, and {ty} flows into it", i.id, input.ty);
+                self.diagnostics
+                    .error(i.pos, message, "WorkflowStepInput: types that fit");
             }
         }
         for input in &step.run.inputs {
-            if input.default.is_some() || input.ty.takes_null() {
+            if input.default.is_some() || input.ty.accepts_null() {
                 continue;
             }
-            let given = step.inputs.iter().find(|i| i.id == input.id);
-            let some = given.is_some_and(|i| {
+            let step_input = step.inputs.iter().find(|i| i.id == input.id);
+            let is_given = step_input.is_some_and(|i| {
                 !i.source.from.is_empty() || i.default.is_some() || i.value_from.is_some()
             });
-            if !some {
-                let what = format!("input '{}' of {} is not given", input.id, step.run.class());
-                self.faults.error(
-                    step.at,
-                    what,
+            if !is_given {
+                let message = format!("input '{}' of {} is not given", input.id, step.run.class());
+                self.diagnostics.error(
+                    step.pos,
+                    message,
                     format!("WorkflowStep: in, {}: {}", input.id, input.ty),
                 );
             }
         }
     }
 
-    fn circles(&mut self, steps: &[Step]) {
-        let needs: BTreeMap<&str, BTreeSet<&str>> = steps
+    fn detect_cycles(&mut self, steps: &[Step]) {
+        let dependencies: BTreeMap<&str, BTreeSet<&str>> = steps
             .iter()
             .map(|s| {
                 let sources = s.inputs.iter().flat_map(|i| &i.source.from);
@@ -366,29 +382,29 @@
                 )
             })
             .collect();
-        let mut left: BTreeSet<&str> = needs.keys().copied().collect();
+        let mut remaining: BTreeSet<&str> = dependencies.keys().copied().collect();
         loop {
-            let ready: Vec<&str> = left
+            let ready: Vec<&str> = remaining
                 .iter()
                 .copied()
-                .filter(|s| needs[s].is_disjoint(&left))
+                .filter(|s| dependencies[s].is_disjoint(&remaining))
                 .collect();
             if ready.is_empty() {
                 break;
             }
-            left.retain(|s| !ready.contains(s));
+            remaining.retain(|s| !ready.contains(s));
         }
-        if let Some(step) = steps.iter().find(|s| left.contains(s.id.as_str())) {
-            let list: Vec<&str> = left.into_iter().collect();
-            let what = format!("steps wait for each other in a circle: {}", list.join(", "));
-            self.faults
-                .error(step.at, what, "Workflow: steps without circles");
+        if let Some(step) = steps.iter().find(|s| remaining.contains(s.id.as_str())) {
+            let list: Vec<&str> = remaining.into_iter().collect();
+            let message = format!("steps wait for each other in a circle: {}", list.join(", "));
+            self.diagnostics
+                .error(step.pos, message, "Workflow: steps without circles");
         }
     }
 }
 
 /// What a step's output is, seen from the workflow.
-fn yields(step: &Step, o: &Output) -> Type {
+fn step_output_type(step: &Step, o: &Output) -> Type {
     let mut ty = match &o.ty {
         Type::Stdout | Type::Stderr => Type::File,
         t => t.clone(),
@@ -396,14 +412,14 @@
     if step.when.is_some() {
         ty = ty.optional();
     }
-    let levels = match step.method {
-        Some(crate::model::Method::Nested) => step.scatter.len(),
+    let levels = match step.scatter_method {
+        Some(crate::model::ScatterMethod::Nested) => step.scatter.len(),
         _ => step.scatter.len().min(1),
     };
     (0..levels).fold(ty, |t, _| Type::Array(Box::new(t)))
 }
 
-fn not_null(t: Type) -> Type {
+fn without_null(t: Type) -> Type {
     match t {
         Type::Union(mut list) => {
             list.retain(|t| *t != Type::Null);
--- a/crates/hopyoke-cwl/src/command.rs
+++ b/crates/hopyoke-cwl/src/command.rs
@@ -1,6 +1,6 @@
 //! A tool with its inputs as a task's description: what a worker is to run, and what it yields.
 
-use crate::expr::{EvalError, Evaluator, Names, is_later};
+use crate::expr::{EvalContext, EvalError, Evaluator, is_deferred};
 use crate::model::{Binding, Input, Process, Scope, Tool};
 use crate::types::Type;
 use crate::yaml::{Data, Node};
@@ -45,22 +45,22 @@
 
 /// A word's place on the command line.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Place {
+enum SortKey {
     Argument(usize),
     Input(String),
 }
 
 /// Why there is no description.
 #[derive(Debug)]
-pub(crate) struct Wrong {
-    pub(crate) at: crate::fault::Pos,
-    pub(crate) what: String,
+pub(crate) struct CommandError {
+    pub(crate) pos: crate::diagnostic::Pos,
+    pub(crate) message: String,
 }
 
-fn wrong(at: crate::fault::Pos) -> impl Fn(EvalError) -> Wrong {
-    move |e| Wrong {
-        at,
-        what: e.to_string(),
+fn error_at(pos: crate::diagnostic::Pos) -> impl Fn(EvalError) -> CommandError {
+    move |e| CommandError {
+        pos,
+        message: e.to_string(),
     }
 }
 
@@ -71,63 +71,77 @@
     tool: &Tool,
     scope: &Scope,
     eval: &Evaluator<'_>,
-    names: &Names,
-) -> Result<Description, Wrong> {
-    let mut words: Vec<(i64, Place, Vec<Value>)> = Vec::new();
+    context: &EvalContext,
+) -> Result<Description, CommandError> {
+    let mut words: Vec<(i64, SortKey, Vec<Value>)> = Vec::new();
     for (i, b) in tool.arguments.iter().enumerate() {
         let Some(from) = &b.value_from else { continue };
-        let value = eval.value(&from.text, names).map_err(wrong(from.at))?;
+        let value = eval
+            .value(&from.text, context)
+            .map_err(error_at(from.pos))?;
         words.push((
-            position(b, eval, names)?,
-            Place::Argument(i),
-            bound(b, None, &value),
+            position(b, eval, context)?,
+            SortKey::Argument(i),
+            bind(b, None, &value),
         ));
     }
     for input in &process.inputs {
         let Some(b) = &input.binding else { continue };
-        let mut value = names.inputs.get(&input.id).cloned().unwrap_or(Value::Null);
-        let names = Names {
-            this: value.clone(),
-            ..names.clone()
+        let mut value = context
+            .inputs
+            .get(&input.id)
+            .cloned()
+            .unwrap_or(Value::Null);
+        let context = EvalContext {
+            self_value: value.clone(),
+            ..context.clone()
         };
         if let Some(from) = b.value_from.as_ref().filter(|_| !value.is_null()) {
-            value = eval.value(&from.text, &names).map_err(wrong(from.at))?;
+            value = eval
+                .value(&from.text, &context)
+                .map_err(error_at(from.pos))?;
         }
         let item = input.item_binding.as_ref();
         words.push((
-            position(b, eval, &names)?,
-            Place::Input(input.id.clone()),
-            bound(b, item, &value),
+            position(b, eval, &context)?,
+            SortKey::Input(input.id.clone()),
+            bind(b, item, &value),
         ));
     }
     words.sort_by(|a, b| (a.0, &a.1).cmp(&(b.0, &b.1)));
-    let mut argv: Vec<Value> = tool.base.iter().map(|w| Value::from(w.as_str())).collect();
+    let mut argv: Vec<Value> = tool
+        .base_command
+        .iter()
+        .map(|w| Value::from(w.as_str()))
+        .collect();
     argv.extend(words.into_iter().flat_map(|w| w.2));
     let shell = scope.find("ShellCommandRequirement").is_some();
     if shell {
-        argv = vec![Value::from(line(&argv).map_err(wrong(process.at))?)];
+        argv = vec![Value::from(
+            shell_line(&argv).map_err(error_at(process.pos))?,
+        )];
     }
     let text = |t: &Option<crate::model::Text>| {
         t.as_ref()
-            .map(|t| eval.text(&t.text, names).map_err(wrong(t.at)))
+            .map(|t| eval.text(&t.text, context).map_err(error_at(t.pos)))
             .transpose()
     };
     let stdin = match &tool.stdin {
-        Some(t) => Some(eval.value(&t.text, names).map_err(wrong(t.at))?),
+        Some(t) => Some(eval.value(&t.text, context).map_err(error_at(t.pos))?),
         None => None,
     };
     let stdout = text(&tool.stdout)?;
     let stderr = text(&tool.stderr)?;
-    let wants = |ty: Type| process.outputs.iter().any(|o| o.ty == ty);
+    let captures = |ty: Type| process.outputs.iter().any(|o| o.ty == ty);
     Ok(Description {
         step: step.to_owned(),
         argv,
         shell,
         stdin,
-        stdout: stdout.or_else(|| wants(Type::Stdout).then(|| "stdout.txt".to_owned())),
-        stderr: stderr.or_else(|| wants(Type::Stderr).then(|| "stderr.txt".to_owned())),
-        environment: environment(scope, eval, names)?,
-        time_limit_s: amount(scope, "ToolTimeLimit", "timelimit", eval, names)?
+        stdout: stdout.or_else(|| captures(Type::Stdout).then(|| "stdout.txt".to_owned())),
+        stderr: stderr.or_else(|| captures(Type::Stderr).then(|| "stderr.txt".to_owned())),
+        environment: environment(scope, eval, context)?,
+        time_limit_s: amount(scope, "ToolTimeLimit", "timelimit", eval, context)?
             .filter(|t| *t > 0.0),
         network: scope
             .find("NetworkAccess")
@@ -138,35 +152,35 @@
         } else {
             tool.success_codes.clone()
         },
-        files: files(process, &names.inputs),
+        files: files(process, &context.inputs),
         outputs: Map::new(),
     })
 }
 
-fn position(b: &Binding, eval: &Evaluator<'_>, names: &Names) -> Result<i64, Wrong> {
+fn position(b: &Binding, eval: &Evaluator<'_>, context: &EvalContext) -> Result<i64, CommandError> {
     let Some(p) = &b.position else { return Ok(0) };
-    let value = eval.value(&p.text, names).map_err(wrong(p.at))?;
+    let value = eval.value(&p.text, context).map_err(error_at(p.pos))?;
     let number = value
         .as_i64()
         .or_else(|| value.as_str().and_then(|s| s.parse().ok()));
-    number.ok_or_else(|| Wrong {
-        at: p.at,
-        what: format!("position must be a whole number, not {value}"),
+    number.ok_or_else(|| CommandError {
+        pos: p.pos,
+        message: format!("position must be a whole number, not {value}"),
     })
 }
 
 /// A value as words.
-fn bound(b: &Binding, item: Option<&Binding>, value: &Value) -> Vec<Value> {
+fn bind(b: &Binding, item: Option<&Binding>, value: &Value) -> Vec<Value> {
     let prefixed = |word: Value| match (&b.prefix, b.separate) {
         (None, _) => vec![word],
         (Some(p), true) => vec![Value::from(p.as_str()), word],
         (Some(p), false) => match word {
             Value::String(s) => vec![Value::from(format!("{p}{s}"))],
-            mut later => {
-                if let Some(o) = later.as_object_mut() {
+            mut deferred => {
+                if let Some(o) = deferred.as_object_mut() {
                     o.insert("prefix".into(), Value::from(p.as_str()));
                 }
-                vec![later]
+                vec![deferred]
             }
         },
     };
@@ -179,11 +193,11 @@
             Some(sep) => {
                 let words: Vec<String> = list
                     .iter()
-                    .map(|v| word(v).as_str().unwrap_or_default().to_owned())
+                    .map(|v| to_word(v).as_str().unwrap_or_default().to_owned())
                     .collect();
-                if list.iter().any(is_later) {
+                if list.iter().any(is_deferred) {
                     return prefixed(
-                        json!({ "class": crate::expr::LATER, "join": list, "separator": sep }),
+                        json!({ "class": crate::expr::DEFERRED_CLASS, "join": list, "separator": sep }),
                     );
                 }
                 prefixed(Value::from(words.join(sep)))
@@ -196,7 +210,7 @@
                 };
                 let each = list
                     .iter()
-                    .flat_map(|v| bound(item.unwrap_or(&plain), None, v));
+                    .flat_map(|v| bind(item.unwrap_or(&plain), None, v));
                 b.prefix
                     .iter()
                     .map(|p| Value::from(p.as_str()))
@@ -204,15 +218,15 @@
                     .collect()
             }
         },
-        v => prefixed(word(v)),
+        v => prefixed(to_word(v)),
     }
 }
 
 /// A single value as a word.
-fn word(value: &Value) -> Value {
+fn to_word(value: &Value) -> Value {
     match value {
         Value::String(_) => value.clone(),
-        Value::Object(o) if !is_later(value) => match o.get("path").or(o.get("location")) {
+        Value::Object(o) if !is_deferred(value) => match o.get("path").or(o.get("location")) {
             Some(p) => p.clone(),
             None => Value::from(value.to_string()),
         },
@@ -222,14 +236,14 @@
 }
 
 /// Words as one line for a shell.
-fn line(argv: &[Value]) -> Result<String, EvalError> {
+fn shell_line(argv: &[Value]) -> Result<String, EvalError> {
     let mut out = Vec::new();
     for w in argv {
         match w.as_str() {
             Some(s) => out.push(format!("'{}'", s.replace('\'', r"'\''"))),
             None => {
-                let of = crate::expr::find_later(w).unwrap_or_default().to_owned();
-                return Err(EvalError::Later(of));
+                let of = crate::expr::find_deferred(w).unwrap_or_default().to_owned();
+                return Err(EvalError::Deferred(of));
             }
         }
     }
@@ -239,23 +253,23 @@
 fn environment(
     scope: &Scope,
     eval: &Evaluator<'_>,
-    names: &Names,
-) -> Result<Map<String, Value>, Wrong> {
+    context: &EvalContext,
+) -> Result<Map<String, Value>, CommandError> {
     let mut out = Map::new();
-    let Some(want) = scope.find("EnvVarRequirement") else {
+    let Some(requirement) = scope.find("EnvVarRequirement") else {
         return Ok(out);
     };
-    let mut add = |name: &str, node: &Node| -> Result<(), Wrong> {
+    let mut add = |name: &str, node: &Node| -> Result<(), CommandError> {
         let text = node
             .as_str()
             .map_or_else(|| node.to_value().to_string(), str::to_owned);
         out.insert(
             name.to_owned(),
-            Value::from(eval.text(&text, names).map_err(wrong(node.at))?),
+            Value::from(eval.text(&text, context).map_err(error_at(node.pos))?),
         );
         Ok(())
     };
-    match want.body.get("envDef").map(|n| &n.data) {
+    match requirement.body.get("envDef").map(|n| &n.data) {
         Some(Data::Map(entries)) => {
             for e in entries {
                 add(&e.key, e.node.get("envValue").unwrap_or(&e.node))?;
@@ -267,18 +281,18 @@
                 match (name, n.get("envValue")) {
                     (Some(name), Some(value)) => add(name, value)?,
                     _ => {
-                        return Err(Wrong {
-                            at: n.at,
-                            what: "envName and envValue are needed".into(),
+                        return Err(CommandError {
+                            pos: n.pos,
+                            message: "envName and envValue are needed".into(),
                         });
                     }
                 }
             }
         }
         _ => {
-            return Err(Wrong {
-                at: want.at,
-                what: "envDef is missing".into(),
+            return Err(CommandError {
+                pos: requirement.pos,
+                message: "envDef is missing".into(),
             });
         }
     }
@@ -291,20 +305,20 @@
     class: &str,
     field: &str,
     eval: &Evaluator<'_>,
-    names: &Names,
-) -> Result<Option<f64>, Wrong> {
+    context: &EvalContext,
+) -> Result<Option<f64>, CommandError> {
     let Some(node) = scope.find(class).and_then(|w| w.body.get(field)) else {
         return Ok(None);
     };
     let value = match node.as_str() {
-        Some(text) => eval.value(text, names).map_err(wrong(node.at))?,
+        Some(text) => eval.value(text, context).map_err(error_at(node.pos))?,
         None => node.to_value(),
     };
     match value.as_f64() {
         Some(n) if n >= 0.0 && n.is_finite() => Ok(Some(n)),
-        _ => Err(Wrong {
-            at: node.at,
-            what: format!("{field} must be a number of at least 0, not {value}"),
+        _ => Err(CommandError {
+            pos: node.pos,
+            message: format!("{field} must be a number of at least 0, not {value}"),
         }),
     }
 }
--- a/crates/hopyoke-cwl/src/fault.rs
+++ b/crates/hopyoke-cwl/src/diagnostic.rs
@@ -1,6 +1,6 @@
 //! What is wrong with documents, and where.
 
-use annotate_snippets::{AnnotationKind, Level as Look, Renderer, Snippet};
+use annotate_snippets::{AnnotationKind, Level as SnippetLevel, Renderer, Snippet};
 use std::fmt;
 use std::sync::Arc;
 
@@ -21,29 +21,29 @@
 
 /// One fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     pub level: Level,
-    pub at: Pos,
+    pub pos: Pos,
     /// What is wrong.
     pub message: String,
     /// What the specification, or this project's hint, asks there.
-    pub asks: String,
+    pub expected: String,
 }
 
 /// All faults of the files that were read.
 #[derive(Debug, Clone, Default)]
-pub struct Faults {
+pub struct Diagnostics {
     files: Vec<(String, Arc<str>)>,
-    list: Vec<Fault>,
+    entries: Vec<Diagnostic>,
     unsupported: bool,
 }
 
 /// More than this are counted, not kept.
-const MOST: usize = 200;
+const MAX_DIAGNOSTICS: usize = 200;
 
-impl Faults {
+impl Diagnostics {
     /// Names a file; its number goes into [`Pos::file`].
-    pub(crate) fn file(&mut self, name: &str, text: &str) -> u32 {
+    pub(crate) fn add_file(&mut self, name: &str, text: &str) -> u32 {
         self.files.push((name.to_owned(), Arc::from(text)));
         self.files.len() as u32 - 1
     }
@@ -51,38 +51,48 @@
     pub(crate) fn add(
         &mut self,
         level: Level,
-        at: Pos,
+        pos: Pos,
         message: impl Into<String>,
-        asks: impl Into<String>,
+        expected: impl Into<String>,
     ) {
-        let fault = Fault {
+        let diagnostic = Diagnostic {
             level,
-            at,
+            pos,
             message: message.into(),
-            asks: asks.into(),
+            expected: expected.into(),
         };
-        if self.list.len() < MOST && !self.list.contains(&fault) {
-            self.list.push(fault);
+        if self.entries.len() < MAX_DIAGNOSTICS && !self.entries.contains(&diagnostic) {
+            self.entries.push(diagnostic);
         }
     }
 
-    pub(crate) fn error(&mut self, at: Pos, message: impl Into<String>, asks: impl Into<String>) {
-        self.add(Level::Error, at, message, asks);
+    pub(crate) fn error(
+        &mut self,
+        pos: Pos,
+        message: impl Into<String>,
+        expected: impl Into<String>,
+    ) {
+        self.add(Level::Error, pos, message, expected);
     }
 
-    pub(crate) fn warn(&mut self, at: Pos, message: impl Into<String>, asks: impl Into<String>) {
-        self.add(Level::Warning, at, message, asks);
+    pub(crate) fn warn(
+        &mut self,
+        pos: Pos,
+        message: impl Into<String>,
+        expected: impl Into<String>,
+    ) {
+        self.add(Level::Warning, pos, message, expected);
     }
 
     /// A requirement that is not supported: an error of its own kind to callers.
     pub(crate) fn unsupported(
         &mut self,
-        at: Pos,
+        pos: Pos,
         message: impl Into<String>,
-        asks: impl Into<String>,
+        expected: impl Into<String>,
     ) {
         self.unsupported = true;
-        self.error(at, message, asks);
+        self.error(pos, message, expected);
     }
 
     /// Some error is a requirement that is not supported.
@@ -91,64 +101,64 @@
     }
 
     pub fn has_errors(&self) -> bool {
-        self.list.iter().any(|f| f.level == Level::Error)
+        self.entries.iter().any(|f| f.level == Level::Error)
     }
 
     pub fn is_empty(&self) -> bool {
-        self.list.is_empty()
+        self.entries.is_empty()
     }
 
     /// In the order of files and lines.
-    pub fn sorted(&self) -> Vec<&Fault> {
-        let mut list: Vec<&Fault> = self.list.iter().collect();
-        list.sort_by_key(|f| (f.at.file, f.at.line, f.at.column));
-        list
+    pub fn sorted(&self) -> Vec<&Diagnostic> {
+        let mut entries: Vec<&Diagnostic> = self.entries.iter().collect();
+        entries.sort_by_key(|f| (f.pos.file, f.pos.line, f.pos.column));
+        entries
     }
 
     /// The same with places, message and advice as texts.
-    pub fn sorted_places(&self) -> Vec<(Level, String, String)> {
-        let said = |f: &Fault| {
+    pub fn sorted_texts(&self) -> Vec<(Level, String, String)> {
+        let as_texts = |f: &Diagnostic| {
             (
                 f.level,
-                self.place(f.at),
-                format!("{}; {}", f.message, f.asks),
+                self.format_pos(f.pos),
+                format!("{}; {}", f.message, f.expected),
             )
         };
-        self.sorted().into_iter().map(said).collect()
+        self.sorted().into_iter().map(as_texts).collect()
     }
 
     /// A place as people write it.
-    pub fn place(&self, at: Pos) -> String {
+    pub fn format_pos(&self, pos: Pos) -> String {
         let name = self
             .files
-            .get(at.file as usize)
+            .get(pos.file as usize)
             .map_or("", |f| f.0.as_str());
-        if at.line == 0 {
+        if pos.line == 0 {
             name.to_owned()
         } else {
-            format!("{name}:{}:{}", at.line, at.column)
+            format!("{name}:{}:{}", pos.line, pos.column)
         }
     }
 
-    fn show(&self, fault: &Fault) -> String {
-        let look = match fault.level {
-            Level::Error => Look::ERROR,
-            Level::Warning => Look::WARNING,
+    fn render(&self, diagnostic: &Diagnostic) -> String {
+        let level = match diagnostic.level {
+            Level::Error => SnippetLevel::ERROR,
+            Level::Warning => SnippetLevel::WARNING,
         };
-        let Some((name, text)) = self.files.get(fault.at.file as usize) else {
-            return format!("{}: {}", look_name(fault.level), fault.message);
+        let Some((name, text)) = self.files.get(diagnostic.pos.file as usize) else {
+            return format!("{}: {}", level_name(diagnostic.level), diagnostic.message);
         };
-        let start = offset(text, fault.at);
+        let start = offset(text, diagnostic.pos);
         let len = text[start..].split(['\n', ' ']).next().map_or(0, str::len);
-        let mark = AnnotationKind::Primary
+        let annotation = AnnotationKind::Primary
             .span(start..start + len)
-            .label(&fault.asks);
-        let snippet = Snippet::source(&**text).path(name).annotation(mark);
-        Renderer::plain().render(&[look.primary_title(&fault.message).element(snippet)])
+            .label(&diagnostic.expected);
+        let snippet = Snippet::source(&**text).path(name).annotation(annotation);
+        Renderer::plain().render(&[level.primary_title(&diagnostic.message).element(snippet)])
     }
 }
 
-fn look_name(level: Level) -> &'static str {
+fn level_name(level: Level) -> &'static str {
     match level {
         Level::Error => "error",
         Level::Warning => "warning",
@@ -156,16 +166,16 @@
 }
 
 /// The byte at which a place is.
-fn offset(text: &str, at: Pos) -> usize {
+fn offset(text: &str, pos: Pos) -> usize {
     let mut start = 0;
-    for _ in 1..at.line {
+    for _ in 1..pos.line {
         match text[start..].find('\n') {
             Some(n) => start += n + 1,
             None => return text.len(),
         }
     }
     let line = text[start..].split('\n').next().unwrap_or("");
-    let column = at.column.saturating_sub(1) as usize;
+    let column = pos.column.saturating_sub(1) as usize;
     start
         + line
             .char_indices()
@@ -173,12 +183,12 @@
             .map_or(line.len(), |(i, _)| i)
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for fault in self.sorted() {
-            writeln!(f, "{}", self.show(fault))?;
+        for diagnostic in self.sorted() {
+            writeln!(f, "{}", self.render(diagnostic))?;
         }
-        let count = |level| self.list.iter().filter(|f| f.level == level).count();
+        let count = |level| self.entries.iter().filter(|f| f.level == level).count();
         let plural = |n: usize| if n == 1 { "" } else { "s" };
         let (errors, warnings) = (count(Level::Error), count(Level::Warning));
         write!(
@@ -190,4 +200,4 @@
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for Diagnostics {}
--- a/crates/hopyoke-cwl/src/expand.rs
+++ b/crates/hopyoke-cwl/src/expand.rs
@@ -1,14 +1,14 @@
 //! A checked document and its inputs into a plan: every task that will run, and what each waits for.
 
-use crate::command::{Description, IN_DIR, OUT_DIR, Wrong, amount, describe};
-use crate::expr::{EvalError, Evaluator, Names, find_later, is_later, later};
-use crate::fault::{Faults, Pos};
+use crate::command::{CommandError, Description, IN_DIR, OUT_DIR, amount, describe};
+use crate::diagnostic::{Diagnostics, Pos};
+use crate::expr::{EvalContext, EvalError, Evaluator, deferred, find_deferred, is_deferred};
 use crate::hints::{self, Scheduling};
-use crate::js::{Bounds, Js};
+use crate::js::{JsEngine, Limits};
 use crate::load::Source;
 use crate::model::{
-    Input, Kind, Merge, Method, Output, Pick, Process, Scope, Secondary, Sources, Step, StepInput,
-    Tool,
+    Input, Kind, LinkMerge, Output, PickValue, Process, ScatterMethod, Scope, SecondaryFile,
+    Sources, Step, StepInput, Tool,
 };
 use crate::scatter;
 use crate::types::Type;
@@ -21,11 +21,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The most tasks of a run.
-pub const MOST_TASKS: usize = 1_000_000;
+pub const MAX_RUN_TASKS: usize = 1_000_000;
 /// The most values that the places of one scatter may hold together.
-const MOST_COPIES: usize = 20_000_000;
+const MAX_SCATTER_VALUES: usize = 20_000_000;
 /// Files whose contents are asked for are read up to this size, as the specification has it.
-const MOST_CONTENTS: usize = 64 * 1024;
+const MAX_CONTENTS_BYTES: usize = 64 * 1024;
 
 /// What the submitter says beside the document.
 pub struct Options<'a> {
@@ -40,7 +40,7 @@
     pub image: String,
     /// Where files whose contents are asked for are read.
     pub source: Option<&'a dyn Source>,
-    pub bounds: Bounds,
+    pub limits: Limits,
 }
 
 impl Options<'_> {
@@ -52,7 +52,7 @@
             class: None,
             image: "default".into(),
             source: None,
-            bounds: Bounds::default(),
+            limits: Limits::default(),
         }
     }
 }
@@ -74,68 +74,68 @@
     process: &Process,
     inputs: &Node,
     options: &Options<'_>,
-    faults: &mut Faults,
+    diagnostics: &mut Diagnostics,
 ) -> Option<Expanded> {
-    let js = match Js::new(options.bounds) {
+    let js = match JsEngine::new(options.limits) {
         Ok(js) => js,
         Err(e) => {
-            faults.error(process.at, e.to_string(), "an engine for expressions");
+            diagnostics.error(process.pos, e.to_string(), "an engine for expressions");
             return None;
         }
     };
     let mut e = Expander {
         options,
         js: &js,
-        faults,
+        diagnostics,
         plan: Plan::default(),
         shapes: BTreeMap::new(),
         tasks: BTreeMap::new(),
         count: 0,
         team: options.team.clone(),
-        floor: (BTreeSet::new(), 0),
+        barrier: (BTreeSet::new(), 0),
     };
-    let scope = Scope::default().inside(&process.wants);
-    let given = e.given(process, inputs).ok()?;
+    let scope = Scope::default().nested(&process.requirement_set);
+    let values = e.input_values(process, inputs).ok()?;
     let out = e
-        .process(process, "", process.id.as_str(), given, &scope)
+        .process(process, "", process.id.as_str(), values, &scope)
         .ok()?;
     let outputs: Map<String, Value> = out.into_iter().map(|(k, v)| (k, v.value)).collect();
     e.plan.outputs = Value::Object(outputs).to_string();
     let team = e.team.clone().unwrap_or_default();
     let (plan, tasks) = (e.plan, e.tasks);
     if plan.steps.iter().any(|s| s.shape.is_some()) && team.is_empty() {
-        faults.error(
-            process.at,
+        diagnostics.error(
+            process.pos,
             "no team is named",
             format!("{}: team, or --team", hints::CLASS),
         );
         return None;
     }
     if let Err(e) = plan.check(&team) {
-        faults.error(process.at, e.to_string(), "a plan that can run");
+        diagnostics.error(process.pos, e.to_string(), "a plan that can run");
         return None;
     }
     Some(Expanded { plan, team, tasks })
 }
 
 /// A fault was noted.
-struct Noted;
+struct Reported;
 
-type Result<T> = std::result::Result<T, Noted>;
+type Result<T> = std::result::Result<T, Reported>;
 
 /// A value, and the steps that must be done before it is there.
 #[derive(Debug, Clone, Default)]
-struct Bound {
+struct TrackedValue {
     value: Value,
     deps: BTreeSet<StepNo>,
 }
 
-type Values = IndexMap<String, Bound>;
+type Values = IndexMap<String, TrackedValue>;
 
 struct Expander<'a, 'f> {
     options: &'a Options<'a>,
-    js: &'a Js,
-    faults: &'f mut Faults,
+    js: &'a JsEngine,
+    diagnostics: &'f mut Diagnostics,
     plan: Plan,
     /// Shapes by their description, to find equal ones.
     shapes: BTreeMap<String, u32>,
@@ -145,33 +145,38 @@
     team: Option<String>,
     /// What the step that is being expanded waits for as a whole, and the first plan step of its own:
     /// whatever waits for one of those waits for all that already.
-    floor: (BTreeSet<StepNo>, u32),
+    barrier: (BTreeSet<StepNo>, u32),
 }
 
 /// One task of a tool before tasks of equal shape are put together.
 struct Task {
     shape: u32,
     description: Description,
-    names: Names,
+    context: EvalContext,
 }
 
 impl<'a> Expander<'a, '_> {
-    fn fail<T>(&mut self, at: Pos, what: impl Into<String>, asks: impl Into<String>) -> Result<T> {
-        self.faults.error(at, what, asks);
-        Err(Noted)
+    fn fail<T>(
+        &mut self,
+        pos: Pos,
+        message: impl Into<String>,
+        expected: impl Into<String>,
+    ) -> Result<T> {
+        self.diagnostics.error(pos, message, expected);
+        Err(Reported)
     }
 
-    fn wrong<T>(&mut self, w: Wrong) -> Result<T> {
+    fn fail_with<T>(&mut self, e: CommandError) -> Result<T> {
         self.fail(
-            w.at,
-            w.what,
+            e.pos,
+            e.message,
             "a value that can be told before the task runs",
         )
     }
 
     fn evaluator(&self, scope: &Scope) -> Evaluator<'a> {
-        let want = scope.find("InlineJavascriptRequirement");
-        let library = want
+        let requirement = scope.find("InlineJavascriptRequirement");
+        let library = requirement
             .and_then(|w| w.body.get("expressionLib"))
             .and_then(Node::as_seq)
             .unwrap_or_default()
@@ -179,64 +184,64 @@
             .filter_map(|n| n.as_str().map(str::to_owned))
             .collect();
         Evaluator {
-            js: want.map(|_| self.js),
+            js: requirement.map(|_| self.js),
             library,
         }
     }
 
     /// The inputs that the submitter gives, checked.
-    fn given(&mut self, process: &Process, inputs: &Node) -> Result<Values> {
+    fn input_values(&mut self, process: &Process, inputs: &Node) -> Result<Values> {
         let entries = match &inputs.data {
             Data::Map(entries) => entries.as_slice(),
             Data::Null => &[],
             _ => {
                 return self.fail(
-                    inputs.at,
+                    inputs.pos,
                     "inputs must be a map",
                     "a map by the ids of the process's inputs",
                 );
             }
         };
-        let mut well = true;
+        let mut valid = true;
         for e in entries {
             if process.input(&e.key).is_none() && !e.key.contains(':') && e.key != "id" {
                 let ids: Vec<&str> = process.inputs.iter().map(|i| i.id.as_str()).collect();
-                let asks = format!("one of {}", ids.join(", "));
-                self.faults.error(
-                    e.at,
+                let expected = format!("one of {}", ids.join(", "));
+                self.diagnostics.error(
+                    e.pos,
                     format!("{} has no input '{}'", process.class(), e.key),
-                    asks,
+                    expected,
                 );
-                well = false;
+                valid = false;
             }
         }
         let mut out = Values::new();
         for input in &process.inputs {
             let entry = entries.iter().find(|e| e.key == input.id);
-            let given = entry.map(|e| e.node.to_value()).filter(|v| !v.is_null());
-            let value = given
+            let provided = entry.map(|e| e.node.to_value()).filter(|v| !v.is_null());
+            let value = provided
                 .or_else(|| input.default.clone())
                 .unwrap_or(Value::Null);
-            if !input.ty.takes(&value) {
-                let (at, what) = match entry {
+            if !input.ty.accepts(&value) {
+                let (pos, message) = match entry {
                     Some(e) => (
-                        e.node.at,
+                        e.node.pos,
                         format!("input '{}' can't be {}", input.id, e.node.kind()),
                     ),
-                    None => (inputs.at, format!("input '{}' is missing", input.id)),
+                    None => (inputs.pos, format!("input '{}' is missing", input.id)),
                 };
-                self.faults.error(at, what, input.ty.to_string());
-                well = false;
+                self.diagnostics.error(pos, message, input.ty.to_string());
+                valid = false;
             }
             out.insert(
                 input.id.clone(),
-                Bound {
+                TrackedValue {
                     value,
                     deps: BTreeSet::new(),
                 },
             );
         }
-        if well { Ok(out) } else { Err(Noted) }
+        if valid { Ok(out) } else { Err(Reported) }
     }
 
     /// What a process yields with these inputs; its tasks go into the plan.
@@ -245,37 +250,37 @@
         p: &Process,
         path: &str,
         name: &str,
-        given: Values,
+        inputs: Values,
         scope: &Scope,
     ) -> Result<Values> {
         match &p.kind {
             Kind::Tool(tool) => {
-                let mut all = self.tool(p, tool, path, name, vec![given], scope)?;
-                all.pop().ok_or(Noted)
+                let mut all = self.tool(p, tool, path, name, vec![inputs], scope)?;
+                all.pop().ok_or(Reported)
             }
             Kind::Expression(text) => {
-                let given = self.prepared(p, given, scope)?;
-                let names = names_of(&given, Value::Null, json!({}));
-                let value = match self.evaluator(scope).value(&text.text, &names) {
+                let inputs = self.prepare_inputs(p, inputs, scope)?;
+                let context = eval_context(&inputs, Value::Null, json!({}));
+                let value = match self.evaluator(scope).value(&text.text, &context) {
                     Ok(v) => v,
                     Err(e) => {
-                        return self.fail(text.at, e.to_string(), "ExpressionTool: expression");
+                        return self.fail(text.pos, e.to_string(), "ExpressionTool: expression");
                     }
                 };
-                let deps = all_deps(given.values());
+                let deps = all_deps(inputs.values());
                 let mut out = Values::new();
                 for o in &p.outputs {
                     let v = value.get(&o.id).cloned().unwrap_or(Value::Null);
-                    if !o.ty.takes(&v) {
+                    if !o.ty.accepts(&v) {
                         return self.fail(
-                            o.at,
+                            o.pos,
                             format!("output '{}' can't be {v}", o.id),
                             o.ty.to_string(),
                         );
                     }
                     out.insert(
                         o.id.clone(),
-                        Bound {
+                        TrackedValue {
                             value: v,
                             deps: deps.clone(),
                         },
@@ -283,7 +288,7 @@
                 }
                 Ok(out)
             }
-            Kind::Workflow(steps) => self.workflow(p, steps, path, given, scope),
+            Kind::Workflow(steps) => self.workflow(p, steps, path, inputs, scope),
         }
     }
 
@@ -292,24 +297,24 @@
         p: &Process,
         steps: &[Step],
         path: &str,
-        given: Values,
+        inputs: Values,
         scope: &Scope,
     ) -> Result<Values> {
-        let given = self.prepared(p, given, scope)?;
-        let mut known: IndexMap<String, Bound> = given;
+        let inputs = self.prepare_inputs(p, inputs, scope)?;
+        let mut known: IndexMap<String, TrackedValue> = inputs;
         // Steps whose sources are all there, until none is left.
-        let mut left: Vec<&Step> = steps.iter().collect();
-        while !left.is_empty() {
-            let ids: BTreeSet<&str> = left.iter().map(|s| s.id.as_str()).collect();
+        let mut remaining: Vec<&Step> = steps.iter().collect();
+        while !remaining.is_empty() {
+            let ids: BTreeSet<&str> = remaining.iter().map(|s| s.id.as_str()).collect();
             let waits = |s: &Step| {
                 let sources = s.inputs.iter().flat_map(|i| &i.source.from);
                 sources
                     .filter_map(|t| t.text.split_once('/'))
                     .any(|(step, _)| ids.contains(step))
             };
-            let (ready, later): (Vec<&Step>, Vec<&Step>) =
-                left.iter().copied().partition(|s| !waits(s));
-            let Some(first) = later.first().filter(|_| ready.is_empty()) else {
+            let (ready, deferred): (Vec<&Step>, Vec<&Step>) =
+                remaining.iter().copied().partition(|s| !waits(s));
+            let Some(first) = deferred.first().filter(|_| ready.is_empty()) else {
                 for step in ready {
                     let path = if path.is_empty() {
                         step.id.clone()
@@ -317,62 +322,62 @@
                         format!("{path}/{}", step.id)
                     };
                     let out = self.step(step, &path, &known, scope)?;
-                    for (id, bound) in out {
-                        known.insert(format!("{}/{id}", step.id), bound);
+                    for (id, tracked) in out {
+                        known.insert(format!("{}/{id}", step.id), tracked);
                     }
                 }
-                left = later;
+                remaining = deferred;
                 continue;
             };
             return self.fail(
-                first.at,
+                first.pos,
                 format!("step '{}' waits for itself", first.id),
                 "steps without circles",
             );
         }
         let mut out = Values::new();
         for o in &p.outputs {
-            let bound = self.gather(&o.source, &known, o.at)?;
-            if !o.ty.takes(&bound.value) {
-                let what = format!("output '{}' can't be {}", o.id, short(&bound.value));
-                return self.fail(o.at, what, o.ty.to_string());
+            let tracked = self.gather(&o.source, &known, o.pos)?;
+            if !o.ty.accepts(&tracked.value) {
+                let message = format!("output '{}' can't be {}", o.id, abbreviate(&tracked.value));
+                return self.fail(o.pos, message, o.ty.to_string());
             }
-            out.insert(o.id.clone(), bound);
+            out.insert(o.id.clone(), tracked);
         }
         Ok(out)
     }
 
     /// The value that flows into one place.
-    fn gather(&mut self, s: &Sources, known: &Values, at: Pos) -> Result<Bound> {
+    fn gather(&mut self, s: &Sources, known: &Values, pos: Pos) -> Result<TrackedValue> {
         let mut list = Vec::new();
         let mut deps = BTreeSet::new();
         for source in &s.from {
-            let Some(bound) = known.get(&source.text) else {
+            let Some(tracked) = known.get(&source.text) else {
                 return self.fail(
-                    source.at,
+                    source.pos,
                     format!("nothing is called '{}'", source.text),
                     "a source",
                 );
             };
-            deps.extend(bound.deps.iter().copied());
-            list.push(bound.value.clone());
+            deps.extend(tracked.deps.iter().copied());
+            list.push(tracked.value.clone());
         }
-        if !s.many {
-            return Ok(Bound {
+        if !s.is_list {
+            return Ok(TrackedValue {
                 value: list.pop().unwrap_or(Value::Null),
                 deps,
             });
         }
-        if s.merge == Merge::Flattened {
+        if s.merge == LinkMerge::Flattened {
             let mut flat = Vec::new();
             for v in list {
                 match v {
                     Value::Array(items) => flat.extend(items),
-                    v if is_later(&v) && may_be_list(&v) => {
-                        let of = find_later(&v).unwrap_or_default().to_owned();
+                    v if is_deferred(&v) && may_be_list(&v) => {
+                        let of = find_deferred(&v).unwrap_or_default().to_owned();
                         return self.fail(
-                            at,
-                            EvalError::Later(of).to_string(),
+                            pos,
+                            EvalError::Deferred(of).to_string(),
                             "linkMerge: lists of known length",
                         );
                     }
@@ -382,212 +387,221 @@
             list = flat;
         }
         let Some(pick) = s.pick else {
-            return Ok(Bound {
+            return Ok(TrackedValue {
                 value: Value::Array(list),
                 deps,
             });
         };
         if let Some(v) = list
             .iter()
-            .find(|v| is_later(v) && v.get("optional").is_some())
+            .find(|v| is_deferred(v) && v.get("optional").is_some())
         {
-            let of = find_later(v).unwrap_or_default().to_owned();
+            let of = find_deferred(v).unwrap_or_default().to_owned();
             return self.fail(
-                at,
-                EvalError::Later(of).to_string(),
+                pos,
+                EvalError::Deferred(of).to_string(),
                 "pickValue: values of which it is known whether they are null",
             );
         }
-        let mut some: Vec<Value> = list.into_iter().filter(|v| !v.is_null()).collect();
+        let mut non_null: Vec<Value> = list.into_iter().filter(|v| !v.is_null()).collect();
         let value = match pick {
-            Pick::AllNonNull => Value::Array(some),
-            Pick::FirstNonNull if some.is_empty() => {
-                return self.fail(at, "all values are null", "pickValue: first_non_null");
+            PickValue::AllNonNull => Value::Array(non_null),
+            PickValue::FirstNonNull if non_null.is_empty() => {
+                return self.fail(pos, "all values are null", "pickValue: first_non_null");
             }
-            Pick::OnlyNonNull if some.len() != 1 => {
-                let what = format!("{} values are not null", some.len());
-                return self.fail(at, what, "pickValue: the_only_non_null");
+            PickValue::OnlyNonNull if non_null.len() != 1 => {
+                let message = format!("{} values are not null", non_null.len());
+                return self.fail(pos, message, "pickValue: the_only_non_null");
             }
-            _ => some.swap_remove(0),
+            _ => non_null.swap_remove(0),
         };
-        Ok(Bound { value, deps })
+        Ok(TrackedValue { value, deps })
     }
 
     fn step(&mut self, step: &Step, path: &str, known: &Values, scope: &Scope) -> Result<Values> {
-        let scope = scope.inside(&step.wants).inside(&step.run.wants);
-        let mut given = Values::new();
+        let scope = scope
+            .nested(&step.requirement_set)
+            .nested(&step.run.requirement_set);
+        let mut inputs = Values::new();
         for input in &step.inputs {
-            let mut bound = self.gather(&input.source, known, input.at)?;
-            if bound.value.is_null()
+            let mut tracked = self.gather(&input.source, known, input.pos)?;
+            if tracked.value.is_null()
                 && let Some(default) = &input.default
             {
-                bound.value = default.clone();
+                tracked.value = default.clone();
             }
-            given.insert(input.id.clone(), bound);
+            inputs.insert(input.id.clone(), tracked);
         }
         // A step waits for all its sources, also for those that its process does not ask for.
-        let mut floor = all_deps(given.values());
-        if floor.iter().all(|s| s.0 < self.floor.1) {
-            floor.extend(self.floor.0.iter().copied());
+        let mut barrier = all_deps(inputs.values());
+        if barrier.iter().all(|s| s.0 < self.barrier.1) {
+            barrier.extend(self.barrier.0.iter().copied());
         }
-        let floor = self.meet(floor, path, step.at)?;
-        let outer = std::mem::replace(&mut self.floor, (floor, self.plan.steps.len() as u32));
-        let out = self.step_at_floor(step, path, given, &scope);
-        self.floor = outer;
+        let barrier = self.limit_fan_in(barrier, path, step.pos)?;
+        let outer = std::mem::replace(&mut self.barrier, (barrier, self.plan.steps.len() as u32));
+        let out = self.step_inside_barrier(step, path, inputs, &scope);
+        self.barrier = outer;
         Ok(out?
             .into_iter()
             .filter(|(id, _)| step.outputs.contains(id))
             .collect())
     }
 
-    fn step_at_floor(
+    fn step_inside_barrier(
         &mut self,
         step: &Step,
         path: &str,
-        given: Values,
+        inputs: Values,
         scope: &Scope,
     ) -> Result<Values> {
         if step.scatter.is_empty() {
-            let deps = all_deps(given.values());
-            match self.chosen(step, given, scope)? {
-                None => Ok(nulls(step, &deps)),
-                Some(given) => {
-                    let given = self.step_inputs(step, given)?;
-                    self.process(&step.run, path, &step.id, given, scope)
+            let deps = all_deps(inputs.values());
+            match self.evaluate_inputs(step, inputs, scope)? {
+                None => Ok(null_outputs(step, &deps)),
+                Some(inputs) => {
+                    let inputs = self.step_inputs(step, inputs)?;
+                    self.process(&step.run, path, &step.id, inputs, scope)
                 }
             }
         } else {
-            self.scattered(step, path, given, scope)
+            self.scatter_step(step, path, inputs, scope)
         }
     }
 
     /// `valueFrom` and `when` of one place; `None`: it is not to run.
-    fn chosen(&mut self, step: &Step, given: Values, scope: &Scope) -> Result<Option<Values>> {
+    fn evaluate_inputs(
+        &mut self,
+        step: &Step,
+        inputs: Values,
+        scope: &Scope,
+    ) -> Result<Option<Values>> {
         let eval = self.evaluator(scope);
-        let mut out = given.clone();
+        let mut out = inputs.clone();
         for StepInput { id, value_from, .. } in &step.inputs {
             let Some(from) = value_from else { continue };
-            let this = given.get(id).map_or(Value::Null, |b| b.value.clone());
-            let names = names_of(&given, this, json!({}));
-            match eval.value(&from.text, &names) {
+            let self_value = inputs.get(id).map_or(Value::Null, |b| b.value.clone());
+            let context = eval_context(&inputs, self_value, json!({}));
+            match eval.value(&from.text, &context) {
                 // It may use any of the step's inputs.
                 Ok(value) => {
                     out.insert(
                         id.clone(),
-                        Bound {
+                        TrackedValue {
                             value,
-                            deps: all_deps(given.values()),
+                            deps: all_deps(inputs.values()),
                         },
                     );
                 }
-                Err(e) => return self.fail(from.at, e.to_string(), "WorkflowStepInput: valueFrom"),
+                Err(e) => {
+                    return self.fail(from.pos, e.to_string(), "WorkflowStepInput: valueFrom");
+                }
             }
         }
         let Some(when) = &step.when else {
             return Ok(Some(out));
         };
-        match eval.value(&when.text, &names_of(&out, Value::Null, json!({}))) {
+        match eval.value(&when.text, &eval_context(&out, Value::Null, json!({}))) {
             Ok(Value::Bool(true)) => Ok(Some(out)),
             Ok(Value::Bool(false)) => Ok(None),
             Ok(v) => self.fail(
-                when.at,
+                when.pos,
                 format!("when must be true or false, not {v}"),
                 "WorkflowStep: when",
             ),
-            Err(e) => self.fail(when.at, e.to_string(), "WorkflowStep: when"),
+            Err(e) => self.fail(when.pos, e.to_string(), "WorkflowStep: when"),
         }
     }
 
     /// A step's values as its process's inputs: only those that it has, with its defaults.
-    fn step_inputs(&mut self, step: &Step, mut given: Values) -> Result<Values> {
+    fn step_inputs(&mut self, step: &Step, mut inputs: Values) -> Result<Values> {
         let mut out = Values::new();
         for input in &step.run.inputs {
-            let mut bound = given.swap_remove(&input.id).unwrap_or_default();
-            if bound.value.is_null()
+            let mut tracked = inputs.swap_remove(&input.id).unwrap_or_default();
+            if tracked.value.is_null()
                 && let Some(default) = &input.default
             {
-                bound.value = default.clone();
+                tracked.value = default.clone();
             }
-            if !input.ty.takes(&bound.value) {
-                let at = step
+            if !input.ty.accepts(&tracked.value) {
+                let pos = step
                     .inputs
                     .iter()
                     .find(|i| i.id == input.id)
-                    .map_or(step.at, |i| i.at);
-                let what = format!(
+                    .map_or(step.pos, |i| i.pos);
+                let message = format!(
                     "input '{}' of step '{}' can't be {}",
                     input.id,
                     step.id,
-                    short(&bound.value)
+                    abbreviate(&tracked.value)
                 );
-                return self.fail(at, what, input.ty.to_string());
+                return self.fail(pos, message, input.ty.to_string());
             }
-            out.insert(input.id.clone(), bound);
+            out.insert(input.id.clone(), tracked);
         }
         Ok(out)
     }
 
-    fn scattered(
+    fn scatter_step(
         &mut self,
         step: &Step,
         path: &str,
-        mut given: Values,
+        mut inputs: Values,
         scope: &Scope,
     ) -> Result<Values> {
         let mut lists: Vec<(&str, Vec<Value>)> = Vec::new();
         for s in &step.scatter {
-            let value = given
+            let value = inputs
                 .get_mut(&s.text)
                 .map_or(Value::Null, |b| std::mem::take(&mut b.value));
             match value {
                 Value::Array(list) => lists.push((&s.text, list)),
                 v => {
-                    let why = match find_later(&v) {
-                        Some(of) => EvalError::Later(of.to_owned()).to_string(),
-                        None => format!("it is {}", short(&v)),
+                    let why = match find_deferred(&v) {
+                        Some(of) => EvalError::Deferred(of.to_owned()).to_string(),
+                        None => format!("it is {}", abbreviate(&v)),
                     };
-                    let what = format!("'{}' can't be scattered: {why}", s.text);
-                    return self.fail(s.at, what, "scatter: a list whose length is known");
+                    let message = format!("'{}' can't be scattered: {why}", s.text);
+                    return self.fail(s.pos, message, "scatter: a list whose length is known");
                 }
             }
         }
-        let method = step.method.unwrap_or(Method::Dot);
+        let scatter_method = step.scatter_method.unwrap_or(ScatterMethod::Dot);
         let lengths: Vec<usize> = lists.iter().map(|(_, l)| l.len()).collect();
-        let most = MOST_TASKS - self.count;
-        let places = match scatter::places(method, &lengths, most) {
+        let limit = MAX_RUN_TASKS - self.count;
+        let invocations = match scatter::invocations(scatter_method, &lengths, limit) {
             Ok(p) => p,
-            Err(e) => return self.fail(step.at, e, "WorkflowStep: scatter"),
+            Err(e) => return self.fail(step.pos, e, "WorkflowStep: scatter"),
         };
         // Every place has its own copy of what is not scattered.
-        let copies = places
+        let copies = invocations
             .len()
-            .saturating_mul(given.values().map(|b| weight(&b.value)).sum());
-        if copies > MOST_COPIES {
-            let what = format!(
+            .saturating_mul(inputs.values().map(|b| value_count(&b.value)).sum());
+        if copies > MAX_SCATTER_VALUES {
+            let message = format!(
                 "{} places with {} values each",
-                places.len(),
-                copies / places.len().max(1)
+                invocations.len(),
+                copies / invocations.len().max(1)
             );
             return self.fail(
-                step.at,
-                what,
-                format!("at most {MOST_COPIES} values in all places of a scatter"),
+                step.pos,
+                message,
+                format!("at most {MAX_SCATTER_VALUES} values in all places of a scatter"),
             );
         }
-        let deps = all_deps(given.values());
+        let deps = all_deps(inputs.values());
         let mut running: Vec<(usize, Values)> = Vec::new();
-        for (k, place) in places.iter().enumerate() {
-            let mut one = given.clone();
-            for ((id, list), i) in lists.iter().zip(place) {
-                if let Some(bound) = one.get_mut(*id) {
-                    bound.value = list[*i].clone();
+        for (k, indices) in invocations.iter().enumerate() {
+            let mut one = inputs.clone();
+            for ((id, list), i) in lists.iter().zip(indices) {
+                if let Some(tracked) = one.get_mut(*id) {
+                    tracked.value = list[*i].clone();
                 }
             }
-            if let Some(chosen) = self.chosen(step, one, scope)? {
-                running.push((k, self.step_inputs(step, chosen)?));
+            if let Some(evaluated) = self.evaluate_inputs(step, one, scope)? {
+                running.push((k, self.step_inputs(step, evaluated)?));
             }
         }
-        let mut results: Vec<Option<Values>> = places.iter().map(|_| None).collect();
+        let mut results: Vec<Option<Values>> = invocations.iter().map(|_| None).collect();
         match &step.run.kind {
             // Equal tasks are one job.
             Kind::Tool(tool) => {
@@ -614,15 +628,15 @@
                 deps.clone()
             };
             for r in &results {
-                let bound = r.as_ref().and_then(|r| r.get(id));
-                values.push(bound.map_or(Value::Null, |b| b.value.clone()));
-                all.extend(bound.iter().flat_map(|b| b.deps.iter().copied()));
+                let tracked = r.as_ref().and_then(|r| r.get(id));
+                values.push(tracked.map_or(Value::Null, |b| b.value.clone()));
+                all.extend(tracked.iter().flat_map(|b| b.deps.iter().copied()));
             }
-            let deps = self.meet(all, path, step.at)?;
+            let deps = self.limit_fan_in(all, path, step.pos)?;
             out.insert(
                 id.clone(),
-                Bound {
-                    value: scatter::collect(method, &lengths, values),
+                TrackedValue {
+                    value: scatter::collect_outputs(scatter_method, &lengths, values),
                     deps,
                 },
             );
@@ -631,11 +645,11 @@
     }
 
     /// Few steps that stand for many: joins without work.
-    fn meet(
+    fn limit_fan_in(
         &mut self,
         mut deps: BTreeSet<StepNo>,
         path: &str,
-        at: Pos,
+        pos: Pos,
     ) -> Result<BTreeSet<StepNo>> {
         while deps.len() > MAX_DEPENDENCIES / 4 {
             let all: Vec<StepNo> = deps.into_iter().collect();
@@ -647,16 +661,16 @@
                     shape: None,
                     tasks: 0,
                 };
-                deps.insert(self.add_step(step, at)?);
+                deps.insert(self.add_step(step, pos)?);
             }
         }
         Ok(deps)
     }
 
-    fn add_step(&mut self, step: PlanStep, at: Pos) -> Result<StepNo> {
+    fn add_step(&mut self, step: PlanStep, pos: Pos) -> Result<StepNo> {
         if self.plan.steps.len() >= MAX_STEPS {
             return self.fail(
-                at,
+                pos,
                 format!("the run has more than {MAX_STEPS} steps"),
                 "fewer steps",
             );
@@ -672,73 +686,73 @@
         tool: &Tool,
         path: &str,
         name: &str,
-        places: Vec<Values>,
+        invocations: Vec<Values>,
         scope: &Scope,
     ) -> Result<Vec<Values>> {
         let path = if path.is_empty() { name } else { path };
         let path = if path.is_empty() { "tool" } else { path };
-        self.count += places.len();
-        if self.count > MOST_TASKS {
+        self.count += invocations.len();
+        if self.count > MAX_RUN_TASKS {
             return self.fail(
-                p.at,
-                format!("the run has more than {MOST_TASKS} tasks"),
+                p.pos,
+                format!("the run has more than {MAX_RUN_TASKS} tasks"),
                 "fewer tasks",
             );
         }
-        let scheduling = hints::of(scope, self.faults);
-        if self.faults.has_errors() {
-            return Err(Noted);
+        let scheduling = hints::scheduling_in(scope, self.diagnostics);
+        if self.diagnostics.has_errors() {
+            return Err(Reported);
         }
-        let want_image = scope
+        let image_name = scope
             .find("DockerRequirement")
             .and_then(|w| w.body.get("dockerPull"))
             .and_then(Node::as_str);
-        let image = want_image.map_or_else(|| self.options.image.clone(), str::to_owned);
+        let image = image_name.map_or_else(|| self.options.image.clone(), str::to_owned);
         let eval = self.evaluator(scope);
-        let mut tasks: Vec<Task> = Vec::with_capacity(places.len());
+        let mut tasks: Vec<Task> = Vec::with_capacity(invocations.len());
         let mut deps = BTreeSet::new();
-        let n = places.len();
-        for given in places {
-            let given = self.prepared(p, given, scope)?;
-            deps.extend(all_deps(given.values()));
-            let staged: Values = given
+        let n = invocations.len();
+        for inputs in invocations {
+            let inputs = self.prepare_inputs(p, inputs, scope)?;
+            deps.extend(all_deps(inputs.values()));
+            let staged: Values = inputs
                 .into_iter()
-                .map(|(id, b)| (id.clone(), stage(b, &id)))
+                .map(|(id, b)| (id.clone(), stage_files(b, &id)))
                 .collect();
-            let names = names_of(&staged, Value::Null, runtime(1.0, 256.0));
-            let shape = match self.shape(p, name, &scheduling, &image, &eval, scope, &names) {
+            let context = eval_context(&staged, Value::Null, runtime(1.0, 256.0));
+            let shape = match self.shape(p, name, &scheduling, &image, &eval, scope, &context) {
                 Ok(s) => s,
-                Err(w) => return self.wrong(w),
+                Err(e) => return self.fail_with(e),
             };
-            let Some(spec) = self.shapes_at(shape) else {
-                return Err(Noted);
+            let Some(spec) = self.shape_spec(shape) else {
+                return Err(Reported);
             };
-            let names = Names {
+            let context = EvalContext {
                 runtime: runtime(spec.cpus, spec.memory_gb * 1024.0),
-                ..names
+                ..context
             };
-            let description = match describe(path, p, tool, scope, &eval, &names) {
+            let description = match describe(path, p, tool, scope, &eval, &context) {
                 Ok(d) => d,
-                Err(w) => return self.wrong(w),
+                Err(e) => return self.fail_with(e),
             };
             tasks.push(Task {
                 shape,
                 description,
-                names,
+                context,
             });
         }
         // Either of these stands for the other where it holds steps of the same level.
-        if deps.iter().all(|s| s.0 < self.floor.1) {
-            deps.clone_from(&self.floor.0);
+        if deps.iter().all(|s| s.0 < self.barrier.1) {
+            deps.clone_from(&self.barrier.0);
         }
-        let after: Vec<StepNo> = self.meet(deps, path, p.at)?.into_iter().collect();
+        let after: Vec<StepNo> = self.limit_fan_in(deps, path, p.pos)?.into_iter().collect();
         // Groups of equal shape, in the order in which they first appear, each within a job's size.
         let mut groups: IndexMap<u32, Vec<usize>> = IndexMap::new();
         for (i, t) in tasks.iter().enumerate() {
             groups.entry(t.shape).or_default().push(i);
         }
         let mut steps = BTreeSet::new();
-        let mut homes = vec![(StepNo(0), 0); n];
+        let mut assignments = vec![(StepNo(0), 0); n];
         for (shape, members) in &groups {
             for chunk in members.chunks(MAX_TASKS as usize) {
                 let step = PlanStep {
@@ -747,29 +761,29 @@
                     shape: Some(*shape),
                     tasks: chunk.len() as u32,
                 };
-                let no = self.add_step(step, p.at)?;
+                let no = self.add_step(step, p.pos)?;
                 steps.insert(no);
                 for (index, i) in chunk.iter().enumerate() {
-                    homes[*i] = (no, index);
+                    assignments[*i] = (no, index);
                 }
             }
         }
-        let done = self.meet(steps, path, p.at)?;
+        let done = self.limit_fan_in(steps, path, p.pos)?;
         let mut out = Vec::with_capacity(n);
         let mut described: BTreeMap<StepNo, Vec<Description>> = BTreeMap::new();
         for (i, mut t) in tasks.into_iter().enumerate() {
-            let (step, index) = homes[i];
-            let at = format!("hopyoke:{}/{}/{index}", self.options.run, step.0);
+            let (step, index) = assignments[i];
+            let location = format!("hopyoke:{}/{}/{index}", self.options.run, step.0);
             let mut values = Values::new();
             for o in &p.outputs {
-                let (value, collect) = match self.output(o, &t, &at, path, &eval) {
+                let (value, collect) = match self.output(o, &t, &location, path, &eval) {
                     Ok(x) => x,
-                    Err(w) => return self.wrong(w),
+                    Err(e) => return self.fail_with(e),
                 };
                 t.description.outputs.insert(o.id.clone(), collect);
                 values.insert(
                     o.id.clone(),
-                    Bound {
+                    TrackedValue {
                         value,
                         deps: done.clone(),
                     },
@@ -782,7 +796,7 @@
         Ok(out)
     }
 
-    fn shapes_at(&self, shape: u32) -> Option<&JobSpec> {
+    fn shape_spec(&self, shape: u32) -> Option<&JobSpec> {
         self.plan.shapes.get(shape as usize)
     }
 
@@ -796,21 +810,21 @@
         image: &str,
         eval: &Evaluator<'_>,
         scope: &Scope,
-        names: &Names,
-    ) -> std::result::Result<u32, Wrong> {
-        let ask = |class: &str, field: &str| amount(scope, class, field, eval, names);
+        context: &EvalContext,
+    ) -> std::result::Result<u32, CommandError> {
+        let amount_of = |class: &str, field: &str| amount(scope, class, field, eval, context);
         let resource = "ResourceRequirement";
-        let cores = ask(resource, "coresMin")?
-            .or(ask(resource, "coresMax")?)
+        let cores = amount_of(resource, "coresMin")?
+            .or(amount_of(resource, "coresMax")?)
             .unwrap_or(1.0);
-        let ram = ask(resource, "ramMin")?
-            .or(ask(resource, "ramMax")?)
+        let ram = amount_of(resource, "ramMin")?
+            .or(amount_of(resource, "ramMax")?)
             .unwrap_or(256.0);
         let cuda = "cwltool:CUDARequirement";
         let gpus = match scope.find(cuda) {
             None => 0.0,
-            Some(_) => ask(cuda, "cudaDeviceCountMin")?
-                .or(ask(cuda, "cudaDeviceCount")?)
+            Some(_) => amount_of(cuda, "cudaDeviceCountMin")?
+                .or(amount_of(cuda, "cudaDeviceCount")?)
                 .unwrap_or(1.0),
         };
         let team = match (&self.team, &s.team) {
@@ -819,8 +833,12 @@
                 t.clone()
             }
             (Some(t), Some(other)) if t != other => {
-                let what = format!("its team is {other}, and the run's is {t}; a run has one team");
-                return Err(Wrong { at: p.at, what });
+                let message =
+                    format!("its team is {other}, and the run's is {t}; a run has one team");
+                return Err(CommandError {
+                    pos: p.pos,
+                    message,
+                });
             }
             (Some(t), _) => t.clone(),
             (None, None) => {
@@ -842,7 +860,7 @@
                 class
             },
             team,
-            kind: if s.together {
+            kind: if s.gang {
                 JobKind::Gang
             } else {
                 JobKind::Array
@@ -860,17 +878,17 @@
             spread: s.spread,
             spot: s.spot,
             estimate_s: s.estimate_s,
-            checkpoint_interval_s: s.checkpoint_s,
-            checkpoint_save_s: s.save_s,
+            checkpoint_interval_s: s.checkpoint_interval_s,
+            checkpoint_save_s: s.checkpoint_save_s,
             deadline_s: s.deadline_s,
         };
         let key = serde_json::to_string(&spec).unwrap_or_default();
         let next = self.plan.shapes.len() as u32;
-        let at = *self.shapes.entry(key).or_insert(next);
-        if at == next {
+        let index = *self.shapes.entry(key).or_insert(next);
+        if index == next {
             self.plan.shapes.push(spec);
         }
-        Ok(at)
+        Ok(index)
     }
 
     /// What a task yields, as far as that is known before it runs; and what a worker collects.
@@ -878,25 +896,25 @@
         &mut self,
         o: &Output,
         t: &Task,
-        at: &str,
+        location: &str,
         path: &str,
         eval: &Evaluator<'_>,
-    ) -> std::result::Result<(Value, Value), Wrong> {
+    ) -> std::result::Result<(Value, Value), CommandError> {
         let d = &t.description;
         let mut globs = Vec::new();
         for g in &o.glob {
-            match eval.value(&g.text, &t.names).map_err(|e| Wrong {
-                at: g.at,
-                what: e.to_string(),
+            match eval.value(&g.text, &t.context).map_err(|e| CommandError {
+                pos: g.pos,
+                message: e.to_string(),
             })? {
                 Value::Array(list) => {
                     globs.extend(list.iter().filter_map(|v| v.as_str().map(str::to_owned)))
                 }
                 Value::String(s) => globs.push(s),
                 v => {
-                    return Err(Wrong {
-                        at: g.at,
-                        what: format!("glob must be a text, not {v}"),
+                    return Err(CommandError {
+                        pos: g.pos,
+                        message: format!("glob must be a text, not {v}"),
                     });
                 }
             }
@@ -911,26 +929,30 @@
                 c.insert("outputEval".into(), json!(text));
             }
         }
-        let mut unknown = later(path, &o.id);
+        let mut unknown = deferred(path, &o.id);
         if let Some(u) = unknown.as_object_mut() {
-            if o.ty.takes_null() {
+            if o.ty.accepts_null() {
                 u.insert("optional".into(), Value::Bool(true));
             }
             if o.ty.may_be_array() {
                 u.insert("list".into(), Value::Bool(true));
             }
         }
-        let named = |name: &str, class: &str| file(&format!("{at}/{name}"), class);
+        let named = |name: &str, class: &str| file(&format!("{location}/{name}"), class);
         let literal = |g: &str| !g.contains(['*', '?', '[']) && !g.is_empty();
         let value = match (&o.ty, globs.as_slice(), &eval_text) {
             (_, _, Some(text)) => {
                 // What does not look at the files is known.
-                let names = Names {
-                    this: unknown.clone(),
-                    ..t.names.clone()
+                let context = EvalContext {
+                    self_value: unknown.clone(),
+                    ..t.context.clone()
                 };
-                match eval.value(text, &names) {
-                    Ok(v) if !o.load_contents && find_later(&v).is_none() && o.ty.takes(&v) => v,
+                match eval.value(text, &context) {
+                    Ok(v)
+                        if !o.load_contents && find_deferred(&v).is_none() && o.ty.accepts(&v) =>
+                    {
+                        v
+                    }
                     _ => unknown,
                 }
             }
@@ -940,55 +962,57 @@
             (Type::Directory, [g], None) if literal(g) => named(g, "Directory"),
             _ => unknown,
         };
-        let value = self.with_secondary(value, &o.secondary, eval, &t.names)?;
+        let value = self.with_secondary_files(value, &o.secondary_files, eval, &t.context)?;
         Ok((value, collect))
     }
 
     /// A process's inputs with what it asks of its files.
-    fn prepared(&mut self, p: &Process, mut given: Values, scope: &Scope) -> Result<Values> {
+    fn prepare_inputs(&mut self, p: &Process, mut inputs: Values, scope: &Scope) -> Result<Values> {
         let eval = self.evaluator(scope);
         for Input {
             id,
-            at,
-            secondary,
+            pos,
+            secondary_files,
             load_contents,
             ..
         } in &p.inputs
         {
-            let Some(bound) = given.get(id) else { continue };
-            let mut value = tidy(bound.value.clone());
-            if !secondary.is_empty() {
-                let names = names_of(&given, Value::Null, json!({}));
-                value = match self.with_secondary(value, secondary, &eval, &names) {
+            let Some(tracked) = inputs.get(id) else {
+                continue;
+            };
+            let mut value = normalize_files(tracked.value.clone());
+            if !secondary_files.is_empty() {
+                let context = eval_context(&inputs, Value::Null, json!({}));
+                value = match self.with_secondary_files(value, secondary_files, &eval, &context) {
                     Ok(v) => v,
-                    Err(w) => return self.wrong(w),
+                    Err(e) => return self.fail_with(e),
                 };
             }
             if *load_contents {
-                value = self.with_contents(value, *at)?;
+                value = self.with_contents(value, *pos)?;
             }
-            if let Some(bound) = given.get_mut(id) {
-                bound.value = value;
+            if let Some(tracked) = inputs.get_mut(id) {
+                tracked.value = value;
             }
         }
-        Ok(given)
+        Ok(inputs)
     }
 
-    fn with_contents(&mut self, mut value: Value, at: Pos) -> Result<Value> {
-        let asks = "loadContents: a file of at most 64 KiB that the submitter has";
+    fn with_contents(&mut self, mut value: Value, pos: Pos) -> Result<Value> {
+        let expected = "loadContents: a file of at most 64 KiB that the submitter has";
         if let Value::Array(list) = value {
             let list: Result<Vec<Value>> = list
                 .into_iter()
-                .map(|v| self.with_contents(v, at))
+                .map(|v| self.with_contents(v, pos))
                 .collect();
             return Ok(Value::Array(list?));
         }
         if value.is_null() || value.get("contents").is_some() {
             return Ok(value);
         }
-        if let Some(of) = find_later(&value) {
-            let what = EvalError::Later(of.to_owned()).to_string();
-            return self.fail(at, what, asks);
+        if let Some(of) = find_deferred(&value) {
+            let message = EvalError::Deferred(of.to_owned()).to_string();
+            return self.fail(pos, message, expected);
         }
         let location = value
             .get("location")
@@ -1001,44 +1025,48 @@
             .filter(|_| !location.starts_with("hopyoke:"))
         else {
             return self.fail(
-                at,
+                pos,
                 format!("the contents of {location} are not known here"),
-                asks,
+                expected,
             );
         };
         match source.read(location.strip_prefix("file://").unwrap_or(&location)) {
-            Ok(text) if text.len() <= MOST_CONTENTS => {
+            Ok(text) if text.len() <= MAX_CONTENTS_BYTES => {
                 if let Some(o) = value.as_object_mut() {
                     o.insert("contents".into(), Value::from(text));
                 }
                 Ok(value)
             }
-            Ok(text) => self.fail(at, format!("{location} has {} bytes", text.len()), asks),
-            Err(e) => self.fail(at, format!("{location} cannot be read: {e}"), asks),
+            Ok(text) => self.fail(
+                pos,
+                format!("{location} has {} bytes", text.len()),
+                expected,
+            ),
+            Err(e) => self.fail(pos, format!("{location} cannot be read: {e}"), expected),
         }
     }
 
     /// Names the files beside a file, or beside each of a list.
-    fn with_secondary(
+    fn with_secondary_files(
         &mut self,
         value: Value,
-        secondary: &[Secondary],
+        secondary_files: &[SecondaryFile],
         eval: &Evaluator<'_>,
-        names: &Names,
-    ) -> std::result::Result<Value, Wrong> {
-        if secondary.is_empty() || is_later(&value) {
+        context: &EvalContext,
+    ) -> std::result::Result<Value, CommandError> {
+        if secondary_files.is_empty() || is_deferred(&value) {
             return Ok(value);
         }
         match value {
             Value::Array(list) => {
-                let list: std::result::Result<Vec<Value>, Wrong> = list
+                let list: std::result::Result<Vec<Value>, CommandError> = list
                     .into_iter()
-                    .map(|v| self.with_secondary(v, secondary, eval, names))
+                    .map(|v| self.with_secondary_files(v, secondary_files, eval, context))
                     .collect();
                 Ok(Value::Array(list?))
             }
             Value::Object(mut o) if o.get("class").and_then(Value::as_str) == Some("File") => {
-                let mut have = match o.remove("secondaryFiles") {
+                let mut files = match o.remove("secondaryFiles") {
                     Some(Value::Array(list)) => list,
                     _ => Vec::new(),
                 };
@@ -1053,28 +1081,29 @@
                     .unwrap_or_default()
                     .to_owned();
                 let dir = location.strip_suffix(&base).unwrap_or("").to_owned();
-                for s in secondary.iter().filter(|s| s.required) {
+                for s in secondary_files.iter().filter(|s| s.required) {
                     let pattern = &s.pattern;
                     let name = if crate::expr::has_expression(&pattern.text) {
-                        let names = Names {
-                            this: Value::Object(o.clone()),
-                            ..names.clone()
+                        let context = EvalContext {
+                            self_value: Value::Object(o.clone()),
+                            ..context.clone()
                         };
-                        eval.text(&pattern.text, &names).map_err(|e| Wrong {
-                            at: pattern.at,
-                            what: e.to_string(),
-                        })?
+                        eval.text(&pattern.text, &context)
+                            .map_err(|e| CommandError {
+                                pos: pattern.pos,
+                                message: e.to_string(),
+                            })?
                     } else {
-                        beside(&base, &pattern.text)
+                        apply_pattern(&base, &pattern.text)
                     };
-                    let there = |v: &Value| {
+                    let is_present = |v: &Value| {
                         v.get("basename").and_then(Value::as_str) == Some(name.as_str())
                     };
-                    if !have.iter().any(there) {
-                        have.push(file(&format!("{dir}{name}"), "File"));
+                    if !files.iter().any(is_present) {
+                        files.push(file(&format!("{dir}{name}"), "File"));
                     }
                 }
-                o.insert("secondaryFiles".into(), Value::Array(have));
+                o.insert("secondaryFiles".into(), Value::Array(files));
                 Ok(Value::Object(o))
             }
             v => Ok(v),
@@ -1083,7 +1112,7 @@
 }
 
 /// A pattern such as `.bai` or `^.bai`: each `^` takes an extension off.
-fn beside(base: &str, pattern: &str) -> String {
+fn apply_pattern(base: &str, pattern: &str) -> String {
     let mut stem = base;
     let mut rest = pattern;
     while let Some(r) = rest.strip_prefix('^') {
@@ -1096,17 +1125,17 @@
     format!("{stem}{rest}")
 }
 
-fn all_deps<'x>(bounds: impl Iterator<Item = &'x Bound>) -> BTreeSet<StepNo> {
-    bounds.flat_map(|b| b.deps.iter().copied()).collect()
+fn all_deps<'x>(values: impl Iterator<Item = &'x TrackedValue>) -> BTreeSet<StepNo> {
+    values.flat_map(|b| b.deps.iter().copied()).collect()
 }
 
-fn nulls(step: &Step, deps: &BTreeSet<StepNo>) -> Values {
+fn null_outputs(step: &Step, deps: &BTreeSet<StepNo>) -> Values {
     step.outputs
         .iter()
         .map(|o| {
             (
                 o.clone(),
-                Bound {
+                TrackedValue {
                     value: Value::Null,
                     deps: deps.clone(),
                 },
@@ -1115,14 +1144,14 @@
         .collect()
 }
 
-fn names_of(given: &Values, this: Value, runtime: Value) -> Names {
-    let inputs = given
+fn eval_context(values: &Values, self_value: Value, runtime: Value) -> EvalContext {
+    let inputs = values
         .iter()
         .map(|(k, b)| (k.clone(), b.value.clone()))
         .collect();
-    Names {
+    EvalContext {
         inputs: Value::Object(inputs),
-        this,
+        self_value,
         runtime,
     }
 }
@@ -1139,16 +1168,16 @@
 }
 
 /// How many values a value is.
-fn weight(v: &Value) -> usize {
+fn value_count(v: &Value) -> usize {
     match v {
-        Value::Array(list) => 1 + list.iter().map(weight).sum::<usize>(),
-        Value::Object(o) => 1 + o.values().map(weight).sum::<usize>(),
+        Value::Array(list) => 1 + list.iter().map(value_count).sum::<usize>(),
+        Value::Object(o) => 1 + o.values().map(value_count).sum::<usize>(),
         _ => 1,
     }
 }
 
 /// A value for a message.
-fn short(v: &Value) -> String {
+fn abbreviate(v: &Value) -> String {
     let text = v.to_string();
     if text.chars().count() <= 80 {
         text
@@ -1159,13 +1188,13 @@
 
 /// A file by its location.
 fn file(location: &str, class: &str) -> Value {
-    tidy(json!({ "class": class, "location": location }))
+    normalize_files(json!({ "class": class, "location": location }))
 }
 
 /// Files with the fields that the specification promises to expressions.
-fn tidy(value: Value) -> Value {
+fn normalize_files(value: Value) -> Value {
     match value {
-        Value::Array(list) => Value::Array(list.into_iter().map(tidy).collect()),
+        Value::Array(list) => Value::Array(list.into_iter().map(normalize_files).collect()),
         Value::Object(mut o) => {
             let class = o
                 .get("class")
@@ -1199,24 +1228,28 @@
                 }
                 o.insert("basename".into(), Value::from(base));
                 if let Some(list) = o.remove("secondaryFiles") {
-                    o.insert("secondaryFiles".into(), tidy(list));
+                    o.insert("secondaryFiles".into(), normalize_files(list));
                 }
                 return Value::Object(o);
             }
-            Value::Object(o.into_iter().map(|(k, v)| (k, tidy(v))).collect())
+            Value::Object(
+                o.into_iter()
+                    .map(|(k, v)| (k, normalize_files(v)))
+                    .collect(),
+            )
         }
         v => v,
     }
 }
 
 /// Says where a task will find its files.
-fn stage(bound: Bound, id: &str) -> Bound {
-    fn place(value: Value, dir: &str) -> Value {
+fn stage_files(tracked: TrackedValue, id: &str) -> TrackedValue {
+    fn stage_value(value: Value, dir: &str) -> Value {
         match value {
             Value::Array(list) => Value::Array(
                 list.into_iter()
                     .enumerate()
-                    .map(|(i, v)| place(v, &format!("{dir}/{i}")))
+                    .map(|(i, v)| stage_value(v, &format!("{dir}/{i}")))
                     .collect(),
             ),
             Value::Object(mut o) => {
@@ -1232,18 +1265,22 @@
                     o.insert("dirname".into(), Value::from(dir));
                     if let Some(Value::Array(list)) = o.remove("secondaryFiles") {
                         // Beside the file itself.
-                        let list = list.into_iter().map(|v| place(v, dir)).collect();
+                        let list = list.into_iter().map(|v| stage_value(v, dir)).collect();
                         o.insert("secondaryFiles".into(), Value::Array(list));
                     }
                     return Value::Object(o);
                 }
-                Value::Object(o.into_iter().map(|(k, v)| (k, place(v, dir))).collect())
+                Value::Object(
+                    o.into_iter()
+                        .map(|(k, v)| (k, stage_value(v, dir)))
+                        .collect(),
+                )
             }
             v => v,
         }
     }
-    Bound {
-        value: place(bound.value, &format!("{IN_DIR}/{id}")),
-        deps: bound.deps,
+    TrackedValue {
+        value: stage_value(tracked.value, &format!("{IN_DIR}/{id}")),
+        deps: tracked.deps,
     }
 }
--- a/crates/hopyoke-cwl/src/expr.rs
+++ b/crates/hopyoke-cwl/src/expr.rs
@@ -1,6 +1,6 @@
 //! Texts with expressions: parameter references are followed here, anything more is JavaScript.
 
-use crate::js::Js;
+use crate::js::JsEngine;
 use pest::Parser;
 use serde_json::{Value, json};
 
@@ -14,28 +14,28 @@
 use grammar::{ExprParser, Rule};
 
 /// Longest text with expressions, and its deepest brackets.
-pub const MOST_BYTES: usize = 64 * 1024;
-const MOST_BRACKETS: usize = 128;
+pub const MAX_BYTES: usize = 64 * 1024;
+const MAX_BRACKET_DEPTH: usize = 128;
 
 /// A value that is known only once a task has run.
-pub const LATER: &str = "hopyoke:Later";
+pub const DEFERRED_CLASS: &str = "hopyoke:Later";
 
 /// The stand-in for a value that step `path` will compute.
-pub fn later(path: &str, output: &str) -> Value {
-    json!({ "class": LATER, "of": format!("{path}/{output}") })
+pub fn deferred(path: &str, output: &str) -> Value {
+    json!({ "class": DEFERRED_CLASS, "of": format!("{path}/{output}") })
 }
 
 /// It is one.
-pub fn is_later(value: &Value) -> bool {
-    value.get("class").and_then(Value::as_str) == Some(LATER)
+pub fn is_deferred(value: &Value) -> bool {
+    value.get("class").and_then(Value::as_str) == Some(DEFERRED_CLASS)
 }
 
 /// The first stand-in inside of a value, by what it stands for.
-pub fn find_later(value: &Value) -> Option<&str> {
+pub fn find_deferred(value: &Value) -> Option<&str> {
     match value {
-        Value::Object(_) if is_later(value) => value.get("of").and_then(Value::as_str),
-        Value::Object(o) => o.values().find_map(find_later),
-        Value::Array(l) => l.iter().find_map(find_later),
+        Value::Object(_) if is_deferred(value) => value.get("of").and_then(Value::as_str),
+        Value::Object(o) => o.values().find_map(find_deferred),
+        Value::Array(l) => l.iter().find_map(find_deferred),
         _ => None,
     }
 }
@@ -49,11 +49,11 @@
     Missing(String),
     /// Only a task's run can tell it.
     #[error("it depends on {0}, which is known only once that task has run")]
-    Later(String),
+    Deferred(String),
     #[error("an expression that is more than a reference needs InlineJavascriptRequirement")]
-    NeedsJs,
+    JavaScriptRequired,
     #[error("{0}")]
-    Js(String),
+    Script(String),
 }
 
 /// A part of a text.
@@ -68,9 +68,9 @@
 
 /// What expressions can name.
 #[derive(Debug, Clone, Default)]
-pub struct Names {
+pub struct EvalContext {
     pub inputs: Value,
-    pub this: Value,
+    pub self_value: Value,
     pub runtime: Value,
 }
 
@@ -82,30 +82,30 @@
     if !text.contains("$(") && !text.contains("${") {
         return Ok(vec![Part::Plain(text.to_owned())]);
     }
-    if text.len() > MOST_BYTES {
+    if text.len() > MAX_BYTES {
         return Err(EvalError::Syntax(format!(
-            "an expression of {} bytes; at most {MOST_BYTES} are read",
+            "an expression of {} bytes; at most {MAX_BYTES} are read",
             text.len()
         )));
     }
     // The grammar calls itself once a bracket.
-    let (mut depth, mut most) = (0usize, 0);
+    let (mut depth, mut max_depth) = (0usize, 0);
     for b in text.bytes() {
         match b {
             b'(' | b'[' | b'{' => depth += 1,
             b')' | b']' | b'}' => depth = depth.saturating_sub(1),
             _ => {}
         }
-        most = most.max(depth);
+        max_depth = max_depth.max(depth);
     }
-    if most > MOST_BRACKETS {
+    if max_depth > MAX_BRACKET_DEPTH {
         return Err(EvalError::Syntax(format!(
-            "an expression with more than {MOST_BRACKETS} brackets in each other"
+            "an expression with more than {MAX_BRACKET_DEPTH} brackets in each other"
         )));
     }
-    let broken =
+    let mismatched =
         |_| EvalError::Syntax("an expression whose brackets or quotes do not match".into());
-    let pairs = ExprParser::parse(Rule::text, text).map_err(broken)?;
+    let pairs = ExprParser::parse(Rule::text, text).map_err(mismatched)?;
     let mut out: Vec<Part> = Vec::new();
     for pair in pairs.flat_map(|p| p.into_inner()) {
         let code = |p: pest::iterators::Pair<'_, Rule>| {
@@ -171,22 +171,22 @@
     reference(code).is_some()
 }
 
-fn follow(steps: &[Step], names: &Names) -> Result<Value, EvalError> {
+fn follow(steps: &[Step], context: &EvalContext) -> Result<Value, EvalError> {
     let Some(Step::Name(first)) = steps.first() else {
-        return Err(EvalError::NeedsJs);
+        return Err(EvalError::JavaScriptRequired);
     };
     let mut value = match first.as_str() {
-        "inputs" => &names.inputs,
-        "self" => &names.this,
-        "runtime" => &names.runtime,
+        "inputs" => &context.inputs,
+        "self" => &context.self_value,
+        "runtime" => &context.runtime,
         "null" if steps.len() == 1 => return Ok(Value::Null),
         other => return Err(EvalError::Missing(other.to_owned())),
     };
     let mut path = first.clone();
     for (i, step) in steps.iter().enumerate().skip(1) {
-        if is_later(value) {
-            return Err(EvalError::Later(
-                find_later(value).unwrap_or_default().to_owned(),
+        if is_deferred(value) {
+            return Err(EvalError::Deferred(
+                find_deferred(value).unwrap_or_default().to_owned(),
             ));
         }
         let next = match step {
@@ -207,49 +207,49 @@
 
 /// Follows expressions; with JavaScript if the document asks for it.
 pub struct Evaluator<'a> {
-    pub js: Option<&'a Js>,
+    pub js: Option<&'a JsEngine>,
     /// InlineJavascriptRequirement's `expressionLib`.
     pub library: Vec<String>,
 }
 
 impl Evaluator<'_> {
-    fn one(&self, part: &Part, names: &Names) -> Result<Value, EvalError> {
+    fn evaluate_part(&self, part: &Part, context: &EvalContext) -> Result<Value, EvalError> {
         let (code, block) = match part {
             Part::Plain(s) => return Ok(Value::from(s.as_str())),
             Part::Call(c) => (c, false),
             Part::Block(c) => (c, true),
         };
         if let Some(steps) = reference(code).filter(|_| !block) {
-            match follow(&steps, names) {
+            match follow(&steps, context) {
                 // JavaScript has `undefined` there, and other properties.
                 Err(EvalError::Missing(_)) if self.js.is_some() => {}
                 result => return result,
             }
         }
-        let js = self.js.ok_or(EvalError::NeedsJs)?;
-        js.evaluate(code, block, &self.library, names)
+        let js = self.js.ok_or(EvalError::JavaScriptRequired)?;
+        js.evaluate(code, block, &self.library, context)
     }
 
     /// The value of a text: of a single expression its own, else a text with all parts put in.
     ///
     /// # Errors
     /// Why there is none.
-    pub fn value(&self, text: &str, names: &Names) -> Result<Value, EvalError> {
+    pub fn value(&self, text: &str, context: &EvalContext) -> Result<Value, EvalError> {
         let parts = parts(text)?;
         // Blanks around a single expression do not make it a text.
-        let solid: Vec<&Part> = parts
+        let significant: Vec<&Part> = parts
             .iter()
             .filter(|p| !matches!(p, Part::Plain(s) if s.trim().is_empty()))
             .collect();
-        if let [only @ (Part::Call(_) | Part::Block(_))] = solid.as_slice() {
-            return self.one(only, names);
+        if let [only @ (Part::Call(_) | Part::Block(_))] = significant.as_slice() {
+            return self.evaluate_part(only, context);
         }
         let mut out = String::new();
         for part in &parts {
-            match self.one(part, names)? {
+            match self.evaluate_part(part, context)? {
                 Value::String(s) => out.push_str(&s),
-                v => match find_later(&v) {
-                    Some(of) => return Err(EvalError::Later(of.to_owned())),
+                v => match find_deferred(&v) {
+                    Some(of) => return Err(EvalError::Deferred(of.to_owned())),
                     None => out.push_str(&v.to_string()),
                 },
             }
@@ -261,11 +261,11 @@
     ///
     /// # Errors
     /// Why there is none.
-    pub fn text(&self, text: &str, names: &Names) -> Result<String, EvalError> {
-        match self.value(text, names)? {
+    pub fn text(&self, text: &str, context: &EvalContext) -> Result<String, EvalError> {
+        match self.value(text, context)? {
             Value::String(s) => Ok(s),
-            v => match find_later(&v) {
-                Some(of) => Err(EvalError::Later(of.to_owned())),
+            v => match find_deferred(&v) {
+                Some(of) => Err(EvalError::Deferred(of.to_owned())),
                 None => Ok(v.to_string()),
             },
         }
--- a/crates/hopyoke-cwl/src/graph.rs
+++ b/crates/hopyoke-cwl/src/graph.rs
@@ -6,53 +6,53 @@
 use svg::node::element::{Path, Rectangle, Text, Title};
 
 /// A node of the picture.
-struct Dot {
+struct GraphNode {
     name: String,
     label: String,
-    what: What,
+    kind: NodeKind,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum What {
+enum NodeKind {
     Input,
     Step,
     Output,
 }
 
 /// Nodes, and arrows by their places.
-struct Picture {
-    dots: Vec<Dot>,
-    arrows: Vec<(usize, usize, String)>,
+struct Graph {
+    nodes: Vec<GraphNode>,
+    edges: Vec<(usize, usize, String)>,
 }
 
 /// Steps of a workflow, or the one tool; steps of workflows inside of it come with their paths.
-fn picture(process: &Process) -> Picture {
-    let mut p = Picture {
-        dots: Vec::new(),
-        arrows: Vec::new(),
+fn build_graph(process: &Process) -> Graph {
+    let mut p = Graph {
+        nodes: Vec::new(),
+        edges: Vec::new(),
     };
-    let mut known: BTreeMap<String, usize> = BTreeMap::new();
+    let mut nodes_by_source: BTreeMap<String, usize> = BTreeMap::new();
     for i in &process.inputs {
-        known.insert(
+        nodes_by_source.insert(
             i.id.clone(),
-            p.add(&i.id, format!("{}: {}", i.id, i.ty), What::Input),
+            p.add(&i.id, format!("{}: {}", i.id, i.ty), NodeKind::Input),
         );
     }
     if let Kind::Workflow(steps) = &process.kind {
         let nodes: Vec<usize> = steps
             .iter()
-            .map(|s| p.add(&s.id, label(s), What::Step))
+            .map(|s| p.add(&s.id, label(s), NodeKind::Step))
             .collect();
         for (s, n) in steps.iter().zip(&nodes) {
             for o in &s.outputs {
-                known.insert(format!("{}/{o}", s.id), *n);
+                nodes_by_source.insert(format!("{}/{o}", s.id), *n);
             }
         }
         for (s, n) in steps.iter().zip(&nodes) {
             for i in &s.inputs {
                 for source in &i.source.from {
-                    if let Some(from) = known.get(&source.text) {
-                        p.arrows.push((*from, *n, i.id.clone()));
+                    if let Some(from) = nodes_by_source.get(&source.text) {
+                        p.edges.push((*from, *n, i.id.clone()));
                     }
                 }
             }
@@ -63,16 +63,16 @@
         } else {
             &process.id
         };
-        let n = p.add(name, format!("{name}\n{}", process.class()), What::Step);
-        p.arrows
-            .extend(known.values().map(|i| (*i, n, String::new())));
-        known.extend(process.outputs.iter().map(|o| (format!("out/{}", o.id), n)));
+        let n = p.add(name, format!("{name}\n{}", process.class()), NodeKind::Step);
+        p.edges
+            .extend(nodes_by_source.values().map(|i| (*i, n, String::new())));
+        nodes_by_source.extend(process.outputs.iter().map(|o| (format!("out/{}", o.id), n)));
     }
     for o in &process.outputs {
         let n = p.add(
             &format!("out:{}", o.id),
             format!("{}: {}", o.id, o.ty),
-            What::Output,
+            NodeKind::Output,
         );
         let own = [format!("out/{}", o.id)];
         let sources: Vec<&String> = o.source.from.iter().map(|t| &t.text).collect();
@@ -81,8 +81,8 @@
         } else {
             sources
         } {
-            if let Some(from) = known.get(s) {
-                p.arrows.push((*from, n, String::new()));
+            if let Some(from) = nodes_by_source.get(s) {
+                p.edges.push((*from, n, String::new()));
             }
         }
     }
@@ -104,23 +104,23 @@
     out
 }
 
-impl Picture {
-    fn add(&mut self, name: &str, label: String, what: What) -> usize {
-        self.dots.push(Dot {
+impl Graph {
+    fn add(&mut self, name: &str, label: String, kind: NodeKind) -> usize {
+        self.nodes.push(GraphNode {
             name: name.to_owned(),
             label,
-            what,
+            kind,
         });
-        self.dots.len() - 1
+        self.nodes.len() - 1
     }
 
     /// Each node's row: one below the lowest that it needs. A circle ends at as many rows as nodes.
     fn rows(&self) -> Vec<usize> {
-        let mut rows = vec![0; self.dots.len()];
-        for _ in 0..self.dots.len() {
+        let mut rows = vec![0; self.nodes.len()];
+        for _ in 0..self.nodes.len() {
             let mut moved = false;
-            for (a, b, _) in &self.arrows {
-                if rows[*b] <= rows[*a] && rows[*a] < self.dots.len() {
+            for (a, b, _) in &self.edges {
+                if rows[*b] <= rows[*a] && rows[*a] < self.nodes.len() {
                     rows[*b] = rows[*a] + 1;
                     moved = true;
                 }
@@ -135,7 +135,7 @@
 
 /// The workflow in Graphviz's language.
 pub fn dot(process: &Process) -> String {
-    let p = picture(process);
+    let p = build_graph(process);
     let quoted = |s: &str| {
         format!(
             "\"{}\"",
@@ -145,21 +145,21 @@
         )
     };
     let mut out = String::from("digraph workflow {\n  node [shape=box];\n");
-    for d in &p.dots {
-        let look = match d.what {
-            What::Input => ", style=filled, fillcolor=\"#d5e8f7\"",
-            What::Step => ", style=filled, fillcolor=\"#fff4cc\"",
-            What::Output => ", style=filled, fillcolor=\"#d9f0d9\"",
+    for d in &p.nodes {
+        let style = match d.kind {
+            NodeKind::Input => ", style=filled, fillcolor=\"#d5e8f7\"",
+            NodeKind::Step => ", style=filled, fillcolor=\"#fff4cc\"",
+            NodeKind::Output => ", style=filled, fillcolor=\"#d9f0d9\"",
         };
         let _ = writeln!(
             out,
-            "  {} [label={}{look}];",
+            "  {} [label={}{style}];",
             quoted(&d.name),
             quoted(&d.label)
         );
     }
-    for (a, b, label) in &p.arrows {
-        let (a, b) = (quoted(&p.dots[*a].name), quoted(&p.dots[*b].name));
+    for (a, b, label) in &p.edges {
+        let (a, b) = (quoted(&p.nodes[*a].name), quoted(&p.nodes[*b].name));
         let label = if label.is_empty() {
             String::new()
         } else {
@@ -177,10 +177,10 @@
 
 /// The workflow as an SVG picture: rows from inputs down to outputs.
 pub fn svg(process: &Process) -> String {
-    let p = picture(process);
+    let p = build_graph(process);
     let rows = p.rows();
     let mut filled: BTreeMap<usize, usize> = BTreeMap::new();
-    let places: Vec<(usize, usize)> = rows
+    let positions: Vec<(usize, usize)> = rows
         .iter()
         .map(|r| {
             let n = filled.entry(*r).or_default();
@@ -210,9 +210,9 @@
                 .set("height", h)
                 .set("fill", "white"),
         );
-    for (a, b, _) in &p.arrows {
-        let (x1, y1) = (places[*a].0 + WIDTH / 2, places[*a].1 + HEIGHT);
-        let (x2, y2) = (places[*b].0 + WIDTH / 2, places[*b].1);
+    for (a, b, _) in &p.edges {
+        let (x1, y1) = (positions[*a].0 + WIDTH / 2, positions[*a].1 + HEIGHT);
+        let (x2, y2) = (positions[*b].0 + WIDTH / 2, positions[*b].1);
         let curve = format!(
             "M{x1},{y1} C{x1},{} {x2},{} {x2},{y2}",
             y1 + 30,
@@ -224,14 +224,14 @@
                 .set("fill", "none")
                 .set("stroke", "#777777"),
         );
-        let tip = format!("M{},{} L{x2},{y2} L{},{} Z", x2 - 4, y2 - 8, x2 + 4, y2 - 8);
-        doc = doc.add(Path::new().set("d", tip).set("fill", "#777777"));
+        let arrowhead = format!("M{},{} L{x2},{y2} L{},{} Z", x2 - 4, y2 - 8, x2 + 4, y2 - 8);
+        doc = doc.add(Path::new().set("d", arrowhead).set("fill", "#777777"));
     }
-    for (d, (x, y)) in p.dots.iter().zip(&places) {
-        let fill = match d.what {
-            What::Input => "#d5e8f7",
-            What::Step => "#fff4cc",
-            What::Output => "#d9f0d9",
+    for (d, (x, y)) in p.nodes.iter().zip(&positions) {
+        let fill = match d.kind {
+            NodeKind::Input => "#d5e8f7",
+            NodeKind::Step => "#fff4cc",
+            NodeKind::Output => "#d9f0d9",
         };
         let shape = Rectangle::new()
             .set("x", *x)
@@ -250,10 +250,10 @@
             } else {
                 line.to_owned()
             };
-            let at = Text::new(text)
+            let element = Text::new(text)
                 .set("x", x + WIDTH / 2)
                 .set("y", y + 20 + i * 15);
-            doc = doc.add(at.set("text-anchor", "middle"));
+            doc = doc.add(element.set("text-anchor", "middle"));
         }
     }
     format!("{doc}\n")
--- a/crates/hopyoke-cwl/src/hints.rs
+++ b/crates/hopyoke-cwl/src/hints.rs
@@ -1,6 +1,6 @@
 //! `hopyoke:Scheduling`: what the scheduler needs to know that CWL has no word for.
 
-use crate::fault::Faults;
+use crate::diagnostic::Diagnostics;
 use crate::model::Scope;
 use crate::yaml::{Data, Node};
 use hopyoke_protocol::user::Priority;
@@ -24,12 +24,12 @@
     /// The owner's estimate of a task's run time in seconds.
     pub estimate_s: f64,
     /// Progress after which a task saves by itself; 0: never.
-    pub checkpoint_s: f64,
-    pub save_s: f64,
+    pub checkpoint_interval_s: f64,
+    pub checkpoint_save_s: f64,
     /// Size of the image, for those that fetch it.
     pub image_gb: f64,
     /// All tasks of a scatter run at the same time, or none.
-    pub together: bool,
+    pub gang: bool,
     pub one_zone: bool,
     pub spread: bool,
 }
@@ -45,10 +45,10 @@
             spot: false,
             deadline_s: None,
             estimate_s: 60.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            checkpoint_interval_s: 0.0,
+            checkpoint_save_s: 0.0,
             image_gb: 1.0,
-            together: false,
+            gang: false,
             one_zone: false,
             spread: false,
         }
@@ -59,19 +59,20 @@
                       imageGb, together, oneZone, spread";
 
 /// Reads the hint that holds in a scope.
-pub fn of(scope: &Scope, faults: &mut Faults) -> Scheduling {
+pub fn scheduling_in(scope: &Scope, diagnostics: &mut Diagnostics) -> Scheduling {
     scope
         .find(CLASS)
-        .map_or_else(Scheduling::default, |w| read(&w.body, faults))
+        .map_or_else(Scheduling::default, |w| read(&w.body, diagnostics))
 }
 
 /// Reads a hint; what is wrong with it is noted.
-pub fn read(node: &Node, faults: &mut Faults) -> Scheduling {
+pub fn read(node: &Node, diagnostics: &mut Diagnostics) -> Scheduling {
     let mut s = Scheduling::default();
     for e in node.as_map().unwrap_or_default() {
         let n = &e.node;
-        let mut wrong =
-            |asks: &str| faults.error(n.at, format!("{} can't be {}", e.key, n.kind()), asks);
+        let mut reject = |expected: &str| {
+            diagnostics.error(n.pos, format!("{} can't be {}", e.key, n.kind()), expected)
+        };
         let text = || n.as_str().map(str::to_owned);
         let number = || match n.data {
             Data::Int(i) if i >= 0 => Some(i as f64),
@@ -82,21 +83,21 @@
             Data::Bool(b) => Some(b),
             _ => None,
         };
-        macro_rules! take {
-            ($slot:expr, $read:expr, $asks:expr) => {
+        macro_rules! assign {
+            ($slot:expr, $read:expr, $expected:expr) => {
                 match $read {
                     Some(v) => $slot = v,
-                    None => wrong($asks),
+                    None => reject($expected),
                 }
             };
         }
         match e.key.as_str() {
             "class" if n.as_str().is_some_and(|c| c.ends_with("Scheduling")) => {}
-            "class" | "jobClass" => take!(s.class, text().map(Some), "a text"),
-            "team" => take!(s.team, text().map(Some), "a team's name"),
-            "zone" => take!(s.zone, text().map(Some), "a zone's name"),
+            "class" | "jobClass" => assign!(s.class, text().map(Some), "a text"),
+            "team" => assign!(s.team, text().map(Some), "a team's name"),
+            "zone" => assign!(s.zone, text().map(Some), "a zone's name"),
             "priority" => {
-                take!(
+                assign!(
                     s.priority,
                     text().and_then(|t| priority(&t)),
                     "prod, high, standard or best_effort"
@@ -109,19 +110,19 @@
                         .map(|n| n.as_str().map(str::to_owned))
                         .collect::<Option<Vec<_>>>()
                 };
-                take!(s.machine_types, names().map(Some), "a list of names");
+                assign!(s.machine_types, names().map(Some), "a list of names");
             }
-            "spot" => take!(s.spot, flag(), "a boolean"),
-            "together" => take!(s.together, flag(), "a boolean"),
-            "oneZone" => take!(s.one_zone, flag(), "a boolean"),
-            "spread" => take!(s.spread, flag(), "a boolean"),
-            "deadline" => take!(s.deadline_s, number().map(Some), "seconds, at least 0"),
-            "estimate" => take!(s.estimate_s, number(), "seconds, at least 0"),
-            "checkpoint" => take!(s.checkpoint_s, number(), "seconds, at least 0"),
-            "save" => take!(s.save_s, number(), "seconds, at least 0"),
-            "imageGb" => take!(s.image_gb, number(), "gigabytes, at least 0"),
-            other => faults.error(
-                e.at,
+            "spot" => assign!(s.spot, flag(), "a boolean"),
+            "together" => assign!(s.gang, flag(), "a boolean"),
+            "oneZone" => assign!(s.one_zone, flag(), "a boolean"),
+            "spread" => assign!(s.spread, flag(), "a boolean"),
+            "deadline" => assign!(s.deadline_s, number().map(Some), "seconds, at least 0"),
+            "estimate" => assign!(s.estimate_s, number(), "seconds, at least 0"),
+            "checkpoint" => assign!(s.checkpoint_interval_s, number(), "seconds, at least 0"),
+            "save" => assign!(s.checkpoint_save_s, number(), "seconds, at least 0"),
+            "imageGb" => assign!(s.image_gb, number(), "gigabytes, at least 0"),
+            other => diagnostics.error(
+                e.pos,
                 format!("unknown field '{other}'"),
                 format!("{CLASS}: {FIELDS}"),
             ),
--- a/crates/hopyoke-cwl/src/js.rs
+++ b/crates/hopyoke-cwl/src/js.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing but the language itself can be reached: no files, no network, no clock but the engine's.
 
-use crate::expr::{EvalError, LATER, Names};
+use crate::expr::{DEFERRED_CLASS, EvalContext, EvalError};
 use rquickjs::{Context, Runtime};
 use serde_json::Value;
 use std::cell::Cell;
@@ -13,19 +13,19 @@
 
 /// Bounds of one engine.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct Limits {
     /// Of one expression.
-    pub time: Duration,
+    pub per_expression: Duration,
     /// Of all expressions of a document together.
     pub total: Duration,
     pub memory: usize,
     pub stack: usize,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
-            time: Duration::from_secs(1),
+impl Default for Limits {
+    fn default() -> Limits {
+        Limits {
+            per_expression: Duration::from_secs(1),
             total: Duration::from_secs(20),
             memory: 64 << 20,
             stack: 256 << 10,
@@ -34,12 +34,12 @@
 }
 
 /// The longest result, as JSON.
-const MOST_RESULT: usize = 1 << 20;
+const MAX_RESULT_BYTES: usize = 1 << 20;
 
 /// An engine; each expression gets a context of its own, so none sees what another left.
-pub struct Js {
+pub struct JsEngine {
     runtime: Runtime,
-    bounds: Bounds,
+    limits: Limits,
     /// Milliseconds since `START` at which the running expression is stopped.
     deadline: Arc<AtomicU64>,
     spent: Rc<Cell<Duration>>,
@@ -47,25 +47,25 @@
 
 static START: LazyLock<Instant> = LazyLock::new(Instant::now);
 
-fn since_start() -> u64 {
+fn millis_since_start() -> u64 {
     START.elapsed().as_millis() as u64
 }
 
-impl Js {
+impl JsEngine {
     /// # Errors
     /// If the engine cannot be set up.
-    pub fn new(bounds: Bounds) -> Result<Js, EvalError> {
-        let runtime = Runtime::new().map_err(|e| EvalError::Js(e.to_string()))?;
-        runtime.set_memory_limit(bounds.memory);
-        runtime.set_max_stack_size(bounds.stack);
+    pub fn new(limits: Limits) -> Result<JsEngine, EvalError> {
+        let runtime = Runtime::new().map_err(|e| EvalError::Script(e.to_string()))?;
+        runtime.set_memory_limit(limits.memory);
+        runtime.set_max_stack_size(limits.stack);
         let deadline = Arc::new(AtomicU64::new(u64::MAX));
         let until = deadline.clone();
         runtime.set_interrupt_handler(Some(Box::new(move || {
-            since_start() > until.load(Ordering::Relaxed)
+            millis_since_start() > until.load(Ordering::Relaxed)
         })));
-        Ok(Js {
+        Ok(JsEngine {
             runtime,
-            bounds,
+            limits,
             deadline,
             spent: Rc::default(),
         })
@@ -80,40 +80,44 @@
         code: &str,
         block: bool,
         library: &[String],
-        names: &Names,
+        context: &EvalContext,
     ) -> Result<Value, EvalError> {
-        let left = self
-            .bounds
+        let budget = self
+            .limits
             .total
             .saturating_sub(self.spent.get())
-            .min(self.bounds.time);
-        if left.is_zero() {
-            let took = self.bounds.total.as_secs();
-            return Err(EvalError::Js(format!(
-                "the document's expressions took more than {took} s together"
+            .min(self.limits.per_expression);
+        if budget.is_zero() {
+            let limit = self.limits.total.as_secs();
+            return Err(EvalError::Script(format!(
+                "the document's expressions took more than {limit} s together"
             )));
         }
-        let began = Instant::now();
-        self.deadline
-            .store(since_start() + left.as_millis() as u64, Ordering::Relaxed);
-        let result = self.run(&program(code, block, library, names));
+        let started = Instant::now();
+        self.deadline.store(
+            millis_since_start() + budget.as_millis() as u64,
+            Ordering::Relaxed,
+        );
+        let result = self.run(&program(code, block, library, context));
         self.deadline.store(u64::MAX, Ordering::Relaxed);
-        self.spent.set(self.spent.get() + began.elapsed());
-        let text = result.map_err(|message| match message.split_once(LATER_ERROR) {
-            Some((_, of)) => EvalError::Later(of.split('\'').next().unwrap_or_default().to_owned()),
-            None if began.elapsed() >= left => {
-                EvalError::Js(format!("it took more than {:.1} s", left.as_secs_f64()))
+        self.spent.set(self.spent.get() + started.elapsed());
+        let text = result.map_err(|message| match message.split_once(DEFERRED_ERROR) {
+            Some((_, of)) => {
+                EvalError::Deferred(of.split('\'').next().unwrap_or_default().to_owned())
             }
-            None => EvalError::Js(message),
+            None if started.elapsed() >= budget => {
+                EvalError::Script(format!("it took more than {:.1} s", budget.as_secs_f64()))
+            }
+            None => EvalError::Script(message),
         })?;
-        if text.len() > MOST_RESULT {
-            return Err(EvalError::Js(format!(
-                "its value has {} bytes; at most {MOST_RESULT} are taken",
+        if text.len() > MAX_RESULT_BYTES {
+            return Err(EvalError::Script(format!(
+                "its value has {} bytes; at most {MAX_RESULT_BYTES} are taken",
                 text.len()
             )));
         }
         serde_json::from_str(&text)
-            .map_err(|e| EvalError::Js(format!("its value is not JSON: {e}")))
+            .map_err(|e| EvalError::Script(format!("its value is not JSON: {e}")))
     }
 
     fn run(&self, program: &str) -> Result<String, String> {
@@ -121,11 +125,12 @@
         context.with(|ctx| {
             ctx.eval::<String, _>(program).map_err(|e| {
                 let thrown = ctx.catch();
-                let said = thrown
+                let message = thrown
                     .as_exception()
                     .map(|x| x.message().unwrap_or_default());
                 let text = || thrown.as_string().and_then(|s| s.to_string().ok());
-                said.or_else(text)
+                message
+                    .or_else(text)
                     .filter(|s| !s.is_empty())
                     .unwrap_or_else(|| e.to_string())
             })
@@ -133,10 +138,10 @@
     }
 }
 
-const LATER_ERROR: &str = "hopyoke: not known yet: '";
+const DEFERRED_ERROR: &str = "hopyoke: not known yet: '";
 
 /// Values that are not known yet throw when they are looked into.
-fn program(code: &str, block: bool, library: &[String], names: &Names) -> String {
+fn program(code: &str, block: bool, library: &[String], context: &EvalContext) -> String {
     let value = |v: &Value| serde_json::to_string(&v.to_string()).unwrap_or_default();
     let body = if block {
         code.to_owned()
@@ -147,23 +152,23 @@
         r#""use strict";
 const __later = (v) => {{
   if (v === null || typeof v !== 'object') return v;
-  if (v['class'] === '{LATER}') {{
-    const no = () => {{ throw new Error("{LATER_ERROR}" + v.of + "'"); }};
+  if (v['class'] === '{DEFERRED_CLASS}') {{
+    const no = () => {{ throw new Error("{DEFERRED_ERROR}" + v.of + "'"); }};
     return new Proxy(v, {{ get: (t, k) => k === 'toJSON' ? () => v : no(), has: no, ownKeys: no }});
   }}
   for (const k of Object.keys(v)) v[k] = __later(v[k]);
   return v;
 }};
 const inputs = __later(JSON.parse({inputs}));
-const self = __later(JSON.parse({this}));
+const self = __later(JSON.parse({self_value}));
 const runtime = __later(JSON.parse({runtime}));
 const __value = (0, function () {{ {library}
 ;return (function () {{ {body}
 }})(); }})();
 JSON.stringify(__value === undefined ? null : __value)"#,
-        inputs = value(&names.inputs),
-        this = value(&names.this),
-        runtime = value(&names.runtime),
+        inputs = value(&context.inputs),
+        self_value = value(&context.self_value),
+        runtime = value(&context.runtime),
         library = library.join("\n;"),
     )
 }
--- a/crates/hopyoke-cwl/src/lib.rs
+++ b/crates/hopyoke-cwl/src/lib.rs
@@ -16,9 +16,9 @@
 
 pub mod check;
 pub mod command;
+pub mod diagnostic;
 pub mod expand;
 pub mod expr;
-pub mod fault;
 pub mod graph;
 pub mod hints;
 pub mod js;
@@ -29,8 +29,8 @@
 pub mod types;
 pub mod yaml;
 
+pub use diagnostic::{Diagnostic, Diagnostics, Level, Pos};
 pub use expand::{Expanded, Options, expand};
-pub use fault::{Fault, Faults, Level, Pos};
 pub use load::{Documents, Source};
 pub use model::Process;
 
@@ -38,17 +38,20 @@
 ///
 /// # Errors
 /// Every fault, with its place. Warnings alone are no error; they come with the process.
-pub fn open(source: &dyn Source, name: &str) -> Result<(std::rc::Rc<Process>, Faults), Faults> {
-    let mut faults = Faults::default();
+pub fn open(
+    source: &dyn Source,
+    name: &str,
+) -> Result<(std::rc::Rc<Process>, Diagnostics), Diagnostics> {
+    let mut diagnostics = Diagnostics::default();
     let mut documents = Documents::new(source);
-    let process = documents.process(name, &mut faults);
+    let process = documents.process(name, &mut diagnostics);
     if let Some(p) = &process
-        && !faults.has_errors()
+        && !diagnostics.has_errors()
     {
-        check::check(p, &mut faults);
+        check::check(p, &mut diagnostics);
     }
     match process {
-        Some(p) if !faults.has_errors() => Ok((p, faults)),
-        _ => Err(faults),
+        Some(p) if !diagnostics.has_errors() => Ok((p, diagnostics)),
+        _ => Err(diagnostics),
     }
 }
--- a/crates/hopyoke-cwl/src/load.rs
+++ b/crates/hopyoke-cwl/src/load.rs
@@ -1,6 +1,6 @@
 //! Files that belong together: references between them, `$import`, `$include` and `$graph`.
 
-use crate::fault::{Faults, Pos};
+use crate::diagnostic::{Diagnostics, Pos};
 use crate::model::Process;
 use crate::read;
 use crate::yaml::{self, Data, Entry, Node};
@@ -18,15 +18,15 @@
 }
 
 /// Files on this machine.
-pub struct Files;
+pub struct LocalFiles;
 
-impl Source for Files {
+impl Source for LocalFiles {
     fn read(&self, path: &str) -> Result<String, String> {
         let size = std::fs::metadata(path).map_err(|e| e.to_string())?.len();
-        if size > yaml::MOST_BYTES as u64 {
+        if size > yaml::MAX_BYTES as u64 {
             return Err(format!(
                 "it has {size} bytes; at most {} are read",
-                yaml::MOST_BYTES
+                yaml::MAX_BYTES
             ));
         }
         std::fs::read_to_string(path).map_err(|e| e.to_string())
@@ -42,8 +42,8 @@
     }
 }
 
-const MOST_FILES: usize = 256;
-const MOST_IMPORTS: usize = 16;
+const MAX_FILES: usize = 256;
+const MAX_IMPORT_DEPTH: usize = 16;
 
 /// The documents that were read so far.
 pub struct Documents<'a> {
@@ -62,7 +62,7 @@
 }
 
 /// A reference that a file makes, as a path: `..` and `.` resolved.
-fn join(base: &str, reference: &str) -> String {
+fn resolve_path(base: &str, reference: &str) -> String {
     if reference.starts_with('/') {
         return reference.to_owned();
     }
@@ -93,45 +93,45 @@
     }
 
     /// The process of a file, or its part after a `#`; of a `$graph` without one, `main`.
-    pub fn process(&mut self, name: &str, faults: &mut Faults) -> Option<Rc<Process>> {
+    pub fn process(&mut self, name: &str, diagnostics: &mut Diagnostics) -> Option<Rc<Process>> {
         let (path, fragment) = name.split_once('#').unwrap_or((name, ""));
-        self.find(path, fragment, None, faults)
+        self.find(path, fragment, None, diagnostics)
     }
 
     /// The process that `reference`, made in `base`, names.
-    pub(crate) fn referred(
+    pub(crate) fn resolve(
         &mut self,
         base: &str,
         reference: &str,
-        at: Pos,
-        faults: &mut Faults,
+        pos: Pos,
+        diagnostics: &mut Diagnostics,
     ) -> Option<Rc<Process>> {
         let (path, fragment) = reference.split_once('#').unwrap_or((reference, ""));
         let path = if path.is_empty() {
             base.to_owned()
         } else {
-            join(base, path)
+            resolve_path(base, path)
         };
-        self.find(&path, fragment, Some(at), faults)
+        self.find(&path, fragment, Some(pos), diagnostics)
     }
 
     fn find(
         &mut self,
         path: &str,
         fragment: &str,
-        at: Option<Pos>,
-        faults: &mut Faults,
+        pos: Option<Pos>,
+        diagnostics: &mut Diagnostics,
     ) -> Option<Rc<Process>> {
-        let root = self.file(path, at, faults)?;
-        let asks = "a process, or an id of one of those in the file's `$graph`";
+        let root = self.file(path, pos, diagnostics)?;
+        let expected = "a process, or an id of one of those in the file's `$graph`";
         let (node, id) = match root.get("$graph") {
             None => {
-                let id = root.get("id").and_then(Node::as_str).map(read::bare);
-                if !fragment.is_empty() && id != Some(read::bare(fragment)) {
-                    faults.error(
-                        at.unwrap_or(root.at),
+                let id = root.get("id").and_then(Node::as_str).map(read::short_id);
+                if !fragment.is_empty() && id != Some(read::short_id(fragment)) {
+                    diagnostics.error(
+                        pos.unwrap_or(root.pos),
                         format!("no process '{fragment}' in {path}"),
-                        asks,
+                        expected,
                     );
                     return None;
                 }
@@ -139,7 +139,7 @@
             }
             Some(graph) => {
                 let list = graph.as_seq().unwrap_or_default();
-                let want = if fragment.is_empty() {
+                let wanted = if fragment.is_empty() {
                     "main"
                 } else {
                     fragment
@@ -147,32 +147,32 @@
                 let id_of = |n: &Node| {
                     n.get("id")
                         .and_then(Node::as_str)
-                        .map(|s| read::bare(s).to_owned())
+                        .map(|s| read::short_id(s).to_owned())
                 };
-                let by_id = list.iter().find(|n| id_of(n).as_deref() == Some(want));
+                let by_id = list.iter().find(|n| id_of(n).as_deref() == Some(wanted));
                 let only = if fragment.is_empty() && list.len() == 1 {
                     list.first()
                 } else {
                     None
                 };
                 let Some(node) = by_id.or(only) else {
-                    faults.error(
-                        at.unwrap_or(graph.at),
-                        format!("no process '{want}' in {path}"),
-                        asks,
+                    diagnostics.error(
+                        pos.unwrap_or(graph.pos),
+                        format!("no process '{wanted}' in {path}"),
+                        expected,
                     );
                     return None;
                 };
-                (node, want.to_owned())
+                (node, wanted.to_owned())
             }
         };
         let key = (path.to_owned(), id);
         match self.processes.get(&key) {
             Some(Some(p)) => return Some(p.clone()),
             Some(None) => {
-                let place = at.unwrap_or(node.at);
-                faults.error(
-                    place,
+                let position = pos.unwrap_or(node.pos);
+                diagnostics.error(
+                    position,
                     format!("{path} runs itself, through its own steps"),
                     "a process without circles",
                 );
@@ -182,7 +182,7 @@
         }
         self.processes.insert(key.clone(), None);
         let version = root.get("cwlVersion").or(node.get("cwlVersion"));
-        let process = read::process(self, node, version, path, faults).map(Rc::new);
+        let process = read::process(self, node, version, path, diagnostics).map(Rc::new);
         match &process {
             Some(p) => self.processes.insert(key, Some(p.clone())),
             None => self.processes.remove(&key),
@@ -190,32 +190,42 @@
         process
     }
 
-    fn file(&mut self, path: &str, at: Option<Pos>, faults: &mut Faults) -> Option<Rc<Node>> {
+    fn file(
+        &mut self,
+        path: &str,
+        pos: Option<Pos>,
+        diagnostics: &mut Diagnostics,
+    ) -> Option<Rc<Node>> {
         if let Some(known) = self.files.get(path) {
             return known.clone();
         }
-        let node = self.read_file(path, at, 0, faults).map(Rc::new);
+        let node = self.read_file(path, pos, 0, diagnostics).map(Rc::new);
         self.files.insert(path.to_owned(), node.clone());
         node
     }
 
-    fn text(&mut self, path: &str, at: Option<Pos>, faults: &mut Faults) -> Option<String> {
-        let place = |faults: &mut Faults| {
-            at.unwrap_or_else(|| Pos {
-                file: faults.file(path, ""),
+    fn text(
+        &mut self,
+        path: &str,
+        pos: Option<Pos>,
+        diagnostics: &mut Diagnostics,
+    ) -> Option<String> {
+        let position = |diagnostics: &mut Diagnostics| {
+            pos.unwrap_or_else(|| Pos {
+                file: diagnostics.add_file(path, ""),
                 ..Pos::default()
             })
         };
         self.opened += 1;
-        if self.opened > MOST_FILES {
-            let at = place(faults);
-            faults.error(at, format!("more than {MOST_FILES} files"), "fewer files");
+        if self.opened > MAX_FILES {
+            let pos = position(diagnostics);
+            diagnostics.error(pos, format!("more than {MAX_FILES} files"), "fewer files");
             return None;
         }
         if path.contains("://") {
-            let at = place(faults);
-            faults.error(
-                at,
+            let pos = position(diagnostics);
+            diagnostics.error(
+                pos,
                 format!("{path} is not fetched"),
                 "a file beside the document, or in its `$graph`",
             );
@@ -224,9 +234,9 @@
         match self.source.read(path) {
             Ok(text) => Some(text),
             Err(e) => {
-                let at = place(faults);
-                faults.error(
-                    at,
+                let pos = position(diagnostics);
+                diagnostics.error(
+                    pos,
                     format!("{path} cannot be read: {e}"),
                     "a file that is there",
                 );
@@ -238,42 +248,51 @@
     fn read_file(
         &mut self,
         path: &str,
-        at: Option<Pos>,
+        pos: Option<Pos>,
         depth: usize,
-        faults: &mut Faults,
+        diagnostics: &mut Diagnostics,
     ) -> Option<Node> {
-        let text = self.text(path, at, faults)?;
-        let file = faults.file(path, &text);
-        let mut node = yaml::parse(&text, file, &mut self.nodes, faults)?;
-        self.import(&mut node, path, depth, faults).then_some(node)
+        let text = self.text(path, pos, diagnostics)?;
+        let file = diagnostics.add_file(path, &text);
+        let mut node = yaml::parse(&text, file, &mut self.nodes, diagnostics)?;
+        self.import(&mut node, path, depth, diagnostics)
+            .then_some(node)
     }
 
     /// Replaces `$import` and `$include` by what they name. False: a fault was noted.
-    fn import(&mut self, node: &mut Node, base: &str, depth: usize, faults: &mut Faults) -> bool {
+    fn import(
+        &mut self,
+        node: &mut Node,
+        base: &str,
+        depth: usize,
+        diagnostics: &mut Diagnostics,
+    ) -> bool {
         let named = |key: &str| match &node.data {
             Data::Map(entries) => match entries.as_slice() {
-                [Entry { key: k, node, .. }] if k == key => node.as_str().map(|s| join(base, s)),
+                [Entry { key: k, node, .. }] if k == key => {
+                    node.as_str().map(|s| resolve_path(base, s))
+                }
                 _ => None,
             },
             _ => None,
         };
         if let Some(path) = named("$include") {
-            let Some(text) = self.text(&path, Some(node.at), faults) else {
+            let Some(text) = self.text(&path, Some(node.pos), diagnostics) else {
                 return false;
             };
             node.data = Data::Str(text);
             return true;
         }
         if let Some(path) = named("$import") {
-            if depth >= MOST_IMPORTS {
-                faults.error(
-                    node.at,
-                    format!("more than {MOST_IMPORTS} files import each other"),
+            if depth >= MAX_IMPORT_DEPTH {
+                diagnostics.error(
+                    node.pos,
+                    format!("more than {MAX_IMPORT_DEPTH} files import each other"),
                     "no circles",
                 );
                 return false;
             }
-            let Some(found) = self.read_file(&path, Some(node.at), depth + 1, faults) else {
+            let Some(found) = self.read_file(&path, Some(node.pos), depth + 1, diagnostics) else {
                 return false;
             };
             *node = found;
@@ -281,11 +300,11 @@
         }
         match &mut node.data {
             Data::Seq(list) => {
-                let mut well = true;
+                let mut valid = true;
                 let mut flat = Vec::with_capacity(list.len());
                 for mut n in std::mem::take(list) {
                     let imported = n.get("$import").is_some();
-                    well &= self.import(&mut n, base, depth, faults);
+                    valid &= self.import(&mut n, base, depth, diagnostics);
                     // A list that is imported into a list becomes part of it.
                     match n.data {
                         Data::Seq(items) if imported => flat.extend(items),
@@ -293,14 +312,14 @@
                     }
                 }
                 *list = flat;
-                well
+                valid
             }
             Data::Map(entries) => {
-                let mut well = true;
+                let mut valid = true;
                 for e in entries {
-                    well &= self.import(&mut e.node, base, depth, faults);
+                    valid &= self.import(&mut e.node, base, depth, diagnostics);
                 }
-                well
+                valid
             }
             _ => true,
         }
@@ -314,14 +333,14 @@
 
 #[cfg(test)]
 mod tests {
-    use super::join;
+    use super::resolve_path;
 
     #[test]
     fn references_resolve() {
-        assert_eq!(join("a/b/main.cwl", "tool.cwl"), "a/b/tool.cwl");
-        assert_eq!(join("a/b/main.cwl", "../tool.cwl"), "a/tool.cwl");
-        assert_eq!(join("main.cwl", "../x.cwl"), "../x.cwl");
-        assert_eq!(join("/a/main.cwl", "./b/x.cwl"), "/a/b/x.cwl");
-        assert_eq!(join("main.cwl", "/x.cwl"), "/x.cwl");
+        assert_eq!(resolve_path("a/b/main.cwl", "tool.cwl"), "a/b/tool.cwl");
+        assert_eq!(resolve_path("a/b/main.cwl", "../tool.cwl"), "a/tool.cwl");
+        assert_eq!(resolve_path("main.cwl", "../x.cwl"), "../x.cwl");
+        assert_eq!(resolve_path("/a/main.cwl", "./b/x.cwl"), "/a/b/x.cwl");
+        assert_eq!(resolve_path("main.cwl", "/x.cwl"), "/x.cwl");
     }
 }
--- a/crates/hopyoke-cwl/src/model.rs
+++ b/crates/hopyoke-cwl/src/model.rs
@@ -1,6 +1,6 @@
 //! Processes as the specification has them, with the places where they stand.
 
-use crate::fault::Pos;
+use crate::diagnostic::Pos;
 use crate::types::Type;
 use crate::yaml::Node;
 use serde_json::Value;
@@ -10,11 +10,11 @@
 #[derive(Debug)]
 pub struct Process {
     pub id: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub kind: Kind,
     pub inputs: Vec<Input>,
     pub outputs: Vec<Output>,
-    pub wants: Wants,
+    pub requirement_set: RequirementSet,
 }
 
 #[derive(Debug)]
@@ -27,17 +27,17 @@
 /// A text that may hold expressions, and its place.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Text {
-    pub at: Pos,
+    pub pos: Pos,
     pub text: String,
 }
 
 #[derive(Debug)]
 pub struct Input {
     pub id: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub ty: Type,
     pub default: Option<Value>,
-    pub secondary: Vec<Secondary>,
+    pub secondary_files: Vec<SecondaryFile>,
     pub binding: Option<Binding>,
     /// Of the elements, if its type is a list that has one.
     pub item_binding: Option<Binding>,
@@ -47,7 +47,7 @@
 
 /// A file beside another, such as an index.
 #[derive(Debug, Clone)]
-pub struct Secondary {
+pub struct SecondaryFile {
     pub pattern: Text,
     pub required: bool,
 }
@@ -55,7 +55,7 @@
 /// How a value goes onto the command line.
 #[derive(Debug, Clone, Default)]
 pub struct Binding {
-    pub at: Pos,
+    pub pos: Pos,
     pub position: Option<Text>,
     pub prefix: Option<String>,
     pub separate: bool,
@@ -67,13 +67,13 @@
 #[derive(Debug)]
 pub struct Output {
     pub id: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub ty: Type,
     /// Of a tool: the files that it collects.
     pub glob: Vec<Text>,
     pub output_eval: Option<Text>,
     pub load_contents: bool,
-    pub secondary: Vec<Secondary>,
+    pub secondary_files: Vec<SecondaryFile>,
     /// Of a workflow: where it comes from.
     pub source: Sources,
 }
@@ -83,20 +83,20 @@
 pub struct Sources {
     pub from: Vec<Text>,
     /// It was written as a list, even if of one.
-    pub many: bool,
-    pub merge: Merge,
-    pub pick: Option<Pick>,
+    pub is_list: bool,
+    pub merge: LinkMerge,
+    pub pick: Option<PickValue>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Merge {
+pub enum LinkMerge {
     #[default]
     Nested,
     Flattened,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pick {
+pub enum PickValue {
     FirstNonNull,
     OnlyNonNull,
     AllNonNull,
@@ -104,7 +104,7 @@
 
 #[derive(Debug, Default)]
 pub struct Tool {
-    pub base: Vec<String>,
+    pub base_command: Vec<String>,
     pub arguments: Vec<Binding>,
     pub stdin: Option<Text>,
     pub stdout: Option<Text>,
@@ -115,27 +115,27 @@
 #[derive(Debug)]
 pub struct Step {
     pub id: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub run: Rc<Process>,
     pub inputs: Vec<StepInput>,
     pub outputs: Vec<String>,
     pub scatter: Vec<Text>,
-    pub method: Option<Method>,
+    pub scatter_method: Option<ScatterMethod>,
     pub when: Option<Text>,
-    pub wants: Wants,
+    pub requirement_set: RequirementSet,
 }
 
 #[derive(Debug)]
 pub struct StepInput {
     pub id: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub source: Sources,
     pub default: Option<Value>,
     pub value_from: Option<Text>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Method {
+pub enum ScatterMethod {
     Dot,
     Nested,
     Flat,
@@ -143,33 +143,33 @@
 
 /// Requirements and hints of one process or step.
 #[derive(Debug, Default, Clone)]
-pub struct Wants {
-    pub requirements: Vec<Want>,
-    pub hints: Vec<Want>,
+pub struct RequirementSet {
+    pub requirements: Vec<Requirement>,
+    pub hints: Vec<Requirement>,
 }
 
 #[derive(Debug, Clone)]
-pub struct Want {
+pub struct Requirement {
     pub class: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub body: Rc<Node>,
 }
 
 /// Requirements and hints that hold somewhere: the innermost comes first.
 #[derive(Debug, Clone, Default)]
-pub struct Scope(Vec<Wants>);
+pub struct Scope(Vec<RequirementSet>);
 
 impl Scope {
     /// What holds inside of something that wants this as well.
-    pub fn inside(&self, wants: &Wants) -> Scope {
-        let mut list = vec![wants.clone()];
+    pub fn nested(&self, requirement_set: &RequirementSet) -> Scope {
+        let mut list = vec![requirement_set.clone()];
         list.extend(self.0.iter().cloned());
         Scope(list)
     }
 
     /// The requirement of this class that holds, or else the hint: the innermost.
-    pub fn find(&self, class: &str) -> Option<&Want> {
-        let of = |list: fn(&Wants) -> &Vec<Want>| {
+    pub fn find(&self, class: &str) -> Option<&Requirement> {
+        let of = |list: fn(&RequirementSet) -> &Vec<Requirement>| {
             self.0.iter().flat_map(list).find(|w| w.class == class)
         };
         of(|w| &w.requirements).or_else(|| of(|w| &w.hints))
--- a/crates/hopyoke-cwl/src/read.rs
+++ b/crates/hopyoke-cwl/src/read.rs
@@ -1,12 +1,12 @@
 //! A tree of nodes into a process. Every fault is noted, and reading goes on.
 
-use crate::fault::{Faults, Pos};
+use crate::diagnostic::{Diagnostics, Pos};
 use crate::load::Documents;
 use crate::model::{
-    Binding, Input, Kind, Merge, Method, Output, Pick, Process, Secondary, Sources, Step,
-    StepInput, Text, Tool, Want, Wants,
+    Binding, Input, Kind, LinkMerge, Output, PickValue, Process, Requirement, RequirementSet,
+    ScatterMethod, SecondaryFile, Sources, Step, StepInput, Text, Tool,
 };
-use crate::types::{MOST_WORD, Type};
+use crate::types::{MAX_TYPE_NAME_BYTES, Type};
 use crate::yaml::{Data, Entry, Node};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -66,13 +66,13 @@
 ];
 
 /// An id without its document's or process's part: `#main/step/out` is `out`.
-pub(crate) fn bare(id: &str) -> &str {
+pub(crate) fn short_id(id: &str) -> &str {
     let id = id.rsplit('#').next().unwrap_or(id);
     id.rsplit('/').next().unwrap_or(id)
 }
 
 /// A source, as `input` or `step/output`.
-fn source_name(text: &str, process: &str) -> String {
+fn normalize_source(text: &str, process: &str) -> String {
     let text = text.rsplit('#').next().unwrap_or(text);
     let parts: Vec<&str> = text.split('/').collect();
     match parts.as_slice() {
@@ -84,7 +84,7 @@
 
 struct Reader<'d, 'a, 'f> {
     documents: &'d mut Documents<'a>,
-    faults: &'f mut Faults,
+    diagnostics: &'f mut Diagnostics,
     /// The file whose references are resolved.
     base: String,
     /// Types that SchemaDefRequirement names.
@@ -99,25 +99,25 @@
     node: &Node,
     version: Option<&Node>,
     base: &str,
-    faults: &mut Faults,
+    diagnostics: &mut Diagnostics,
 ) -> Option<Process> {
-    let asks = "cwlVersion: v1.2";
+    let expected = "cwlVersion: v1.2";
     match version.map(|v| (v, v.as_str())) {
         Some((_, Some("v1.2"))) => {}
         Some((v, Some(other))) => {
-            faults.error(v.at, format!("cwlVersion {other} is not read"), asks)
+            diagnostics.error(v.pos, format!("cwlVersion {other} is not read"), expected)
         }
-        Some((v, None)) => faults.error(v.at, "cwlVersion must be a text", asks),
-        None => faults.error(node.at, "cwlVersion is missing", asks),
+        Some((v, None)) => diagnostics.error(v.pos, "cwlVersion must be a text", expected),
+        None => diagnostics.error(node.pos, "cwlVersion is missing", expected),
     }
     let id = node
         .get("id")
         .and_then(Node::as_str)
-        .map(|s| bare(s).to_owned())
+        .map(|s| short_id(s).to_owned())
         .unwrap_or_default();
     let mut r = Reader {
         documents,
-        faults,
+        diagnostics,
         base: base.to_owned(),
         types: BTreeMap::new(),
         id,
@@ -213,8 +213,8 @@
 impl Reader<'_, '_, '_> {
     fn process(&mut self, node: &Node) -> Option<Process> {
         if node.as_map().is_none() {
-            self.faults.error(
-                node.at,
+            self.diagnostics.error(
+                node.pos,
                 format!("a process must be a map, not {}", node.kind()),
                 "Process",
             );
@@ -226,31 +226,31 @@
             Some("ExpressionTool") => &["expression"],
             Some("Workflow") => &["steps"],
             Some("Operation") => {
-                self.faults.error(
-                    node.at,
+                self.diagnostics.error(
+                    node.pos,
                     "an Operation has no implementation to run",
                     "a process that runs",
                 );
                 return None;
             }
             Some(other) => {
-                let asks = "CommandLineTool, ExpressionTool or Workflow";
-                self.faults
-                    .error(node.at, format!("unknown class {other}"), asks);
+                let expected = "CommandLineTool, ExpressionTool or Workflow";
+                self.diagnostics
+                    .error(node.pos, format!("unknown class {other}"), expected);
                 return None;
             }
             None => {
-                self.faults.error(
-                    node.at,
+                self.diagnostics.error(
+                    node.pos,
                     "class is missing",
                     "CommandLineTool, ExpressionTool or Workflow",
                 );
                 return None;
             }
         };
-        self.known_fields(node, &[PROCESS_FIELDS, known], "Process");
-        let wants = self.wants(node);
-        self.schema_types(&wants);
+        self.check_fields(node, &[PROCESS_FIELDS, known], "Process");
+        let requirement_set = self.requirements(node);
+        self.schema_types(&requirement_set);
         let inputs = self.inputs(node);
         let outputs = self.outputs(node, class.as_deref() == Some("Workflow"));
         let kind = match class.as_deref() {
@@ -258,8 +258,8 @@
             Some("ExpressionTool") => match node.get("expression").and_then(|n| self.text(n)) {
                 Some(t) => Kind::Expression(t),
                 None => {
-                    self.faults.error(
-                        node.at,
+                    self.diagnostics.error(
+                        node.pos,
                         "expression is missing",
                         "ExpressionTool: expression",
                     );
@@ -268,24 +268,24 @@
             },
             _ => Kind::Tool(self.tool(node)),
         };
-        self.twice(inputs.iter().map(|i| (&i.id, i.at)), "input");
-        self.twice(outputs.iter().map(|o| (&o.id, o.at)), "output");
+        self.check_unique(inputs.iter().map(|i| (&i.id, i.pos)), "input");
+        self.check_unique(outputs.iter().map(|o| (&o.id, o.pos)), "output");
         Some(Process {
             id: self.id.clone(),
-            at: node.at,
+            pos: node.pos,
             kind,
             inputs,
             outputs,
-            wants,
+            requirement_set,
         })
     }
 
-    fn twice<'x>(&mut self, ids: impl Iterator<Item = (&'x String, Pos)>, what: &str) {
+    fn check_unique<'x>(&mut self, ids: impl Iterator<Item = (&'x String, Pos)>, what: &str) {
         let mut seen = std::collections::BTreeSet::new();
-        for (id, at) in ids {
+        for (id, pos) in ids {
             if !seen.insert(id.clone()) {
-                self.faults.error(
-                    at,
+                self.diagnostics.error(
+                    pos,
                     format!("the {what} '{id}' stands here twice"),
                     "ids that differ",
                 );
@@ -293,13 +293,13 @@
         }
     }
 
-    fn known_fields(&mut self, node: &Node, known: &[&[&str]], section: &str) {
+    fn check_fields(&mut self, node: &Node, known: &[&[&str]], section: &str) {
         for e in node.as_map().unwrap_or_default() {
-            let ours = known.iter().any(|list| list.contains(&e.key.as_str()));
+            let is_known = known.iter().any(|list| list.contains(&e.key.as_str()));
             // Fields with a prefix are extensions; whoever wrote them knows that others may not.
-            if !ours && !e.key.contains(':') && !e.key.starts_with('$') {
-                self.faults.error(
-                    e.at,
+            if !is_known && !e.key.contains(':') && !e.key.starts_with('$') {
+                self.diagnostics.error(
+                    e.pos,
                     format!("unknown field '{}'", e.key),
                     format!("a field of {section}"),
                 );
@@ -310,24 +310,24 @@
     fn text(&mut self, node: &Node) -> Option<Text> {
         match &node.data {
             Data::Str(s) => Some(Text {
-                at: node.at,
+                pos: node.pos,
                 text: s.clone(),
             }),
             Data::Int(n) => Some(Text {
-                at: node.at,
+                pos: node.pos,
                 text: n.to_string(),
             }),
             Data::Float(x) => Some(Text {
-                at: node.at,
+                pos: node.pos,
                 text: x.to_string(),
             }),
             Data::Bool(b) => Some(Text {
-                at: node.at,
+                pos: node.pos,
                 text: b.to_string(),
             }),
             _ => {
-                self.faults.error(
-                    node.at,
+                self.diagnostics.error(
+                    node.pos,
                     format!("a text is needed, not {}", node.kind()),
                     "a text or an expression",
                 );
@@ -336,15 +336,15 @@
         }
     }
 
-    fn text_field(&mut self, node: &Node, field: &str, asks: &str) -> Option<String> {
+    fn text_field(&mut self, node: &Node, field: &str, expected: &str) -> Option<String> {
         let n = node.get(field)?;
         match n.as_str() {
             Some(s) => Some(s.to_owned()),
             None => {
-                self.faults.error(
-                    n.at,
+                self.diagnostics.error(
+                    n.pos,
                     format!("{field} must be a text, not {}", n.kind()),
-                    asks,
+                    expected,
                 );
                 None
             }
@@ -352,12 +352,12 @@
     }
 
     fn bool_field(&mut self, node: &Node, field: &str, default: bool) -> bool {
-        match node.get(field).map(|n| (n.at, &n.data)) {
+        match node.get(field).map(|n| (n.pos, &n.data)) {
             None => default,
             Some((_, Data::Bool(b))) => *b,
-            Some((at, _)) => {
-                self.faults
-                    .error(at, format!("{field} must be true or false"), "a boolean");
+            Some((pos, _)) => {
+                self.diagnostics
+                    .error(pos, format!("{field} must be true or false"), "a boolean");
                 default
             }
         }
@@ -385,46 +385,48 @@
                         }
                         // A type written as a map, or as a word or a list.
                         _ => Node {
-                            at: e.node.at,
+                            pos: e.node.pos,
                             data: Data::Map(vec![Entry {
                                 key: short.to_owned(),
-                                at: e.node.at,
+                                pos: e.node.pos,
                                 node: e.node.clone(),
                             }]),
                         },
                     };
-                    (bare(&e.key).to_owned(), e.at, body)
+                    (short_id(&e.key).to_owned(), e.pos, body)
                 })
                 .collect(),
             Data::Seq(list) => {
                 let mut out = Vec::new();
                 for n in list {
                     match n.get("id").and_then(Node::as_str) {
-                        Some(id) => out.push((bare(id).to_owned(), n.at, n.clone())),
-                        None => self
-                            .faults
-                            .error(n.at, "id is missing", format!("{section}: id")),
+                        Some(id) => out.push((short_id(id).to_owned(), n.pos, n.clone())),
+                        None => {
+                            self.diagnostics
+                                .error(n.pos, "id is missing", format!("{section}: id"))
+                        }
                     }
                 }
                 out
             }
             _ => {
                 let message = format!("a list or a map is needed, not {}", node.kind());
-                self.faults.error(node.at, message, section.to_owned());
+                self.diagnostics
+                    .error(node.pos, message, section.to_owned());
                 Vec::new()
             }
         }
     }
 
-    fn wants(&mut self, node: &Node) -> Wants {
-        let hints = self.want_list(node.get("hints"), true);
-        Wants {
-            requirements: self.want_list(node.get("requirements"), false),
+    fn requirements(&mut self, node: &Node) -> RequirementSet {
+        let hints = self.requirement_list(node.get("hints"), true);
+        RequirementSet {
+            requirements: self.requirement_list(node.get("requirements"), false),
             hints,
         }
     }
 
-    fn want_list(&mut self, node: Option<&Node>, hint: bool) -> Vec<Want> {
+    fn requirement_list(&mut self, node: Option<&Node>, hint: bool) -> Vec<Requirement> {
         let Some(node) = node else { return Vec::new() };
         let mut list: Vec<(String, Pos, Node)> = Vec::new();
         match &node.data {
@@ -432,68 +434,70 @@
                 list.extend(
                     entries
                         .iter()
-                        .map(|e| (e.key.clone(), e.at, e.node.clone())),
+                        .map(|e| (e.key.clone(), e.pos, e.node.clone())),
                 );
             }
             Data::Seq(nodes) => {
                 for n in nodes {
                     match n.get("class").and_then(Node::as_str) {
-                        Some(class) => list.push((class.to_owned(), n.at, n.clone())),
-                        None => {
-                            self.faults
-                                .error(n.at, "class is missing", "ProcessRequirement: class")
-                        }
+                        Some(class) => list.push((class.to_owned(), n.pos, n.clone())),
+                        None => self.diagnostics.error(
+                            n.pos,
+                            "class is missing",
+                            "ProcessRequirement: class",
+                        ),
                     }
                 }
             }
             Data::Null => {}
-            _ => self.faults.error(
-                node.at,
+            _ => self.diagnostics.error(
+                node.pos,
                 "a list or a map is needed",
                 "Process: requirements",
             ),
         }
         let mut out = Vec::new();
-        for (class, at, body) in list {
+        for (class, pos, body) in list {
             let class = canonical(&class);
             let known = SUPPORTED.iter().any(|(name, _)| *name == class);
             if let Some((_, why)) = REFUSED.iter().find(|(name, _)| *name == class) {
                 let message = format!("{class} is not supported: {why}");
                 if hint {
-                    self.faults.warn(at, message, "the hint is left aside");
+                    self.diagnostics
+                        .warn(pos, message, "the hint is left aside");
                 } else {
-                    self.faults.unsupported(
-                        at,
+                    self.diagnostics.unsupported(
+                        pos,
                         message,
                         "a requirement that docs/CWL.md lists, or a hint",
                     );
                 }
             } else if known {
-                out.push(Want {
+                out.push(Requirement {
                     class,
-                    at,
+                    pos,
                     body: Rc::new(body),
                 });
             } else if hint {
-                self.faults.warn(
-                    at,
+                self.diagnostics.warn(
+                    pos,
                     format!("unknown hint {class}"),
                     "the hint is left aside",
                 );
             } else {
-                let asks = "a requirement that docs/CWL.md lists";
-                self.faults
-                    .unsupported(at, format!("unknown requirement {class}"), asks);
+                let expected = "a requirement that docs/CWL.md lists";
+                self.diagnostics
+                    .unsupported(pos, format!("unknown requirement {class}"), expected);
             }
         }
         out
     }
 
-    fn schema_types(&mut self, wants: &Wants) {
-        for w in wants
+    fn schema_types(&mut self, requirement_set: &RequirementSet) {
+        for w in requirement_set
             .requirements
             .iter()
-            .chain(&wants.hints)
+            .chain(&requirement_set.hints)
             .filter(|w| w.class == "SchemaDefRequirement")
         {
             for t in w
@@ -504,10 +508,10 @@
             {
                 match t.get("name").and_then(Node::as_str) {
                     Some(name) => {
-                        self.types.insert(bare(name).to_owned(), t.clone());
+                        self.types.insert(short_id(name).to_owned(), t.clone());
                     }
-                    None => self.faults.error(
-                        t.at,
+                    None => self.diagnostics.error(
+                        t.pos,
                         "name is missing",
                         "SchemaDefRequirement: types with names",
                     ),
@@ -518,8 +522,8 @@
 
     fn ty(&mut self, node: &Node, depth: usize) -> Type {
         if depth > 32 {
-            self.faults.error(
-                node.at,
+            self.diagnostics.error(
+                node.pos,
                 "a type that contains itself",
                 "a type without circles",
             );
@@ -529,8 +533,8 @@
             Data::Str(s) => {
                 let word = s.rsplit('#').next().unwrap_or(s);
                 let stem = word.trim_end_matches(['?', '[', ']']);
-                if word.len() <= MOST_WORD
-                    && let Some(named) = self.types.get(bare(stem)).cloned()
+                if word.len() <= MAX_TYPE_NAME_BYTES
+                    && let Some(named) = self.types.get(short_id(stem)).cloned()
                 {
                     let mut t = self.ty(&named, depth + 1);
                     let mut rest = &word[stem.len()..];
@@ -544,9 +548,9 @@
                     return t;
                 }
                 Type::parse(word).unwrap_or_else(|| {
-                    let asks = "CWLType, or a name that SchemaDefRequirement has";
-                    self.faults
-                        .error(node.at, format!("unknown type '{s}'"), asks);
+                    let expected = "CWLType, or a name that SchemaDefRequirement has";
+                    self.diagnostics
+                        .error(node.pos, format!("unknown type '{s}'"), expected);
                     Type::Any
                 })
             }
@@ -558,10 +562,10 @@
                     Type::Union(list)
                 }
             }
-            Data::Map(_) => self.written_out(node, depth),
+            Data::Map(_) => self.schema_type(node, depth),
             _ => {
-                self.faults.error(
-                    node.at,
+                self.diagnostics.error(
+                    node.pos,
                     format!("a type is needed, not {}", node.kind()),
                     "CWLType",
                 );
@@ -570,13 +574,13 @@
         }
     }
 
-    fn written_out(&mut self, node: &Node, depth: usize) -> Type {
+    fn schema_type(&mut self, node: &Node, depth: usize) -> Type {
         match node.get("type") {
             Some(n) if n.as_str() == Some("array") => match node.get("items") {
                 Some(items) => Type::Array(Box::new(self.ty(items, depth + 1))),
                 None => {
-                    self.faults
-                        .error(node.at, "items is missing", "ArraySchema: items");
+                    self.diagnostics
+                        .error(node.pos, "items is missing", "ArraySchema: items");
                     Type::Any
                 }
             },
@@ -588,11 +592,11 @@
                 let symbols: Vec<String> = symbols
                     .iter()
                     .filter_map(Node::as_str)
-                    .map(|s| bare(s).to_owned())
+                    .map(|s| short_id(s).to_owned())
                     .collect();
                 if symbols.is_empty() {
-                    self.faults
-                        .error(node.at, "symbols is missing", "EnumSchema: symbols");
+                    self.diagnostics
+                        .error(node.pos, "symbols is missing", "EnumSchema: symbols");
                 }
                 Type::Enum(symbols)
             }
@@ -616,18 +620,19 @@
                 };
                 for (name, body) in list {
                     let Some(name) = name else {
-                        self.faults
-                            .error(body.at, "name is missing", "RecordField: name");
+                        self.diagnostics
+                            .error(body.pos, "name is missing", "RecordField: name");
                         continue;
                     };
                     let t = body.get("type").unwrap_or(&body).clone();
-                    fields.push((bare(&name).to_owned(), self.ty(&t, depth + 1)));
+                    fields.push((short_id(&name).to_owned(), self.ty(&t, depth + 1)));
                 }
                 Type::Record(fields)
             }
             Some(n) => self.ty(&n.clone(), depth + 1),
             None => {
-                self.faults.error(node.at, "type is missing", "CWLType");
+                self.diagnostics
+                    .error(node.pos, "type is missing", "CWLType");
                 Type::Any
             }
         }
@@ -637,8 +642,8 @@
         match node.get("type") {
             Some(t) => self.ty(&t.clone(), 0),
             None => {
-                self.faults
-                    .error(node.at, "type is missing", format!("{section}: type"));
+                self.diagnostics
+                    .error(node.pos, "type is missing", format!("{section}: type"));
                 Type::Any
             }
         }
@@ -647,15 +652,15 @@
     fn inputs(&mut self, node: &Node) -> Vec<Input> {
         let section = "InputParameter";
         if node.get("inputs").is_none() {
-            self.faults.error(
-                node.at,
+            self.diagnostics.error(
+                node.pos,
                 "inputs is missing",
                 "Process: inputs, a list or a map, perhaps empty",
             );
         }
         let mut out = Vec::new();
-        for (id, at, body) in self.items(node.get("inputs"), "type", section) {
-            self.known_fields(&body, &[INPUT_FIELDS], section);
+        for (id, pos, body) in self.items(node.get("inputs"), "type", section) {
+            self.check_fields(&body, &[INPUT_FIELDS], section);
             let ty = self.type_field(&body, section);
             let item_binding = body
                 .get("type")
@@ -667,19 +672,19 @@
                     .is_some_and(|b| self.bool_field(b, "loadContents", false));
             out.push(Input {
                 default: body.get("default").map(Node::to_value),
-                secondary: self.secondary(body.get("secondaryFiles")),
+                secondary_files: self.secondary_files(body.get("secondaryFiles")),
                 binding: body.get("inputBinding").cloned().map(|n| self.binding(&n)),
                 item_binding: item_binding.map(|n| self.binding(&n)),
                 load_contents,
                 ty,
                 id,
-                at,
+                pos,
             });
         }
         out
     }
 
-    fn secondary(&mut self, node: Option<&Node>) -> Vec<Secondary> {
+    fn secondary_files(&mut self, node: Option<&Node>) -> Vec<SecondaryFile> {
         let Some(node) = node else { return Vec::new() };
         let one = [node.clone()];
         let list = node.as_seq().unwrap_or(&one).to_vec();
@@ -694,7 +699,7 @@
                 if optional {
                     pattern.text.pop();
                 }
-                out.push(Secondary {
+                out.push(SecondaryFile {
                     pattern,
                     required: required && !optional,
                 });
@@ -704,10 +709,10 @@
     }
 
     fn binding(&mut self, node: &Node) -> Binding {
-        self.known_fields(node, &[BINDING_FIELDS], "CommandLineBinding");
+        self.check_fields(node, &[BINDING_FIELDS], "CommandLineBinding");
         let text = |r: &mut Self, field: &str| node.get(field).cloned().and_then(|n| r.text(&n));
         Binding {
-            at: node.at,
+            pos: node.pos,
             position: text(self, "position"),
             prefix: text(self, "prefix").map(|t| t.text),
             separate: self.bool_field(node, "separate", true),
@@ -720,15 +725,15 @@
     fn outputs(&mut self, node: &Node, workflow: bool) -> Vec<Output> {
         let section = "OutputParameter";
         if node.get("outputs").is_none() {
-            self.faults.error(
-                node.at,
+            self.diagnostics.error(
+                node.pos,
                 "outputs is missing",
                 "Process: outputs, a list or a map, perhaps empty",
             );
         }
         let mut out = Vec::new();
-        for (id, at, body) in self.items(node.get("outputs"), "type", section) {
-            self.known_fields(&body, &[OUTPUT_FIELDS], section);
+        for (id, pos, body) in self.items(node.get("outputs"), "type", section) {
+            self.check_fields(&body, &[OUTPUT_FIELDS], section);
             let ty = self.type_field(&body, section);
             let binding = body.get("outputBinding").cloned();
             let glob = binding.as_ref().and_then(|b| b.get("glob")).cloned();
@@ -740,8 +745,8 @@
             let glob = globs.iter().filter_map(|n| self.text(n)).collect();
             let source = self.sources(&body, "outputSource");
             if workflow && source.from.is_empty() {
-                self.faults.error(
-                    at,
+                self.diagnostics.error(
+                    pos,
                     "outputSource is missing",
                     "WorkflowOutputParameter: outputSource",
                 );
@@ -756,11 +761,11 @@
                 load_contents: binding
                     .as_ref()
                     .is_some_and(|b| self.bool_field(b, "loadContents", false)),
-                secondary: self.secondary(body.get("secondaryFiles")),
+                secondary_files: self.secondary_files(body.get("secondaryFiles")),
                 source,
                 ty,
                 id,
-                at,
+                pos,
             });
         }
         out
@@ -769,10 +774,10 @@
     fn sources(&mut self, node: &Node, field: &str) -> Sources {
         let id = self.id.clone();
         let named = |t: Text| Text {
-            at: t.at,
-            text: source_name(&t.text, &id),
+            pos: t.pos,
+            text: normalize_source(&t.text, &id),
         };
-        let (from, many) = match node.get(field) {
+        let (from, is_list) = match node.get(field) {
             None => (Vec::new(), false),
             Some(n) => match n.as_seq() {
                 Some(list) => (
@@ -789,23 +794,23 @@
                 ),
             },
         };
-        let merge = match node.get("linkMerge").map(|n| (n.at, n.as_str())) {
-            None | Some((_, Some("merge_nested"))) => Merge::Nested,
-            Some((_, Some("merge_flattened"))) => Merge::Flattened,
-            Some((at, _)) => {
-                self.faults
-                    .error(at, "unknown linkMerge", "merge_nested or merge_flattened");
-                Merge::Nested
+        let merge = match node.get("linkMerge").map(|n| (n.pos, n.as_str())) {
+            None | Some((_, Some("merge_nested"))) => LinkMerge::Nested,
+            Some((_, Some("merge_flattened"))) => LinkMerge::Flattened,
+            Some((pos, _)) => {
+                self.diagnostics
+                    .error(pos, "unknown linkMerge", "merge_nested or merge_flattened");
+                LinkMerge::Nested
             }
         };
-        let pick = match node.get("pickValue").map(|n| (n.at, n.as_str())) {
+        let pick = match node.get("pickValue").map(|n| (n.pos, n.as_str())) {
             None => None,
-            Some((_, Some("first_non_null"))) => Some(Pick::FirstNonNull),
-            Some((_, Some("the_only_non_null"))) => Some(Pick::OnlyNonNull),
-            Some((_, Some("all_non_null"))) => Some(Pick::AllNonNull),
-            Some((at, _)) => {
-                self.faults.error(
-                    at,
+            Some((_, Some("first_non_null"))) => Some(PickValue::FirstNonNull),
+            Some((_, Some("the_only_non_null"))) => Some(PickValue::OnlyNonNull),
+            Some((_, Some("all_non_null"))) => Some(PickValue::AllNonNull),
+            Some((pos, _)) => {
+                self.diagnostics.error(
+                    pos,
                     "unknown pickValue",
                     "first_non_null, the_only_non_null or all_non_null",
                 );
@@ -814,7 +819,7 @@
         };
         let explicit = node.get("linkMerge").is_some();
         Sources {
-            many: many || explicit,
+            is_list: is_list || explicit,
             from,
             merge,
             pick,
@@ -829,7 +834,7 @@
                 None => r.text(&n.clone()).into_iter().collect(),
             }
         };
-        let base = words(self, node.get("baseCommand"))
+        let base_command = words(self, node.get("baseCommand"))
             .into_iter()
             .map(|t| t.text)
             .collect();
@@ -844,7 +849,7 @@
                 arguments.push(self.binding(&n));
             } else if let Some(t) = self.text(&n) {
                 arguments.push(Binding {
-                    at: t.at,
+                    pos: t.pos,
                     separate: true,
                     shell_quote: true,
                     value_from: Some(t),
@@ -858,7 +863,7 @@
             .and_then(Node::as_seq)
             .unwrap_or_default();
         Tool {
-            base,
+            base_command,
             arguments,
             stdin: text(self, "stdin"),
             stdout: text(self, "stdout"),
@@ -875,35 +880,36 @@
 
     fn steps(&mut self, node: &Node) -> Vec<Step> {
         if node.get("steps").is_none() {
-            self.faults
-                .error(node.at, "steps is missing", "Workflow: steps");
+            self.diagnostics
+                .error(node.pos, "steps is missing", "Workflow: steps");
         }
         let mut out: Vec<Step> = Vec::new();
-        for (id, at, body) in self.items(node.get("steps"), "run", "WorkflowStep") {
-            self.known_fields(&body, &[STEP_FIELDS], "WorkflowStep");
+        for (id, pos, body) in self.items(node.get("steps"), "run", "WorkflowStep") {
+            self.check_fields(&body, &[STEP_FIELDS], "WorkflowStep");
             let run = match body.get("run") {
                 None => {
-                    self.faults.error(at, "run is missing", "WorkflowStep: run");
+                    self.diagnostics
+                        .error(pos, "run is missing", "WorkflowStep: run");
                     None
                 }
                 Some(n) => match n.as_str() {
                     Some(name) => {
                         self.documents
-                            .referred(&self.base.clone(), name, n.at, self.faults)
+                            .resolve(&self.base.clone(), name, n.pos, self.diagnostics)
                     }
                     None => {
                         let mut inner = n.clone();
                         let id = inner
                             .get("id")
                             .and_then(Node::as_str)
-                            .map_or_else(|| id.clone(), |s| bare(s).into());
+                            .map_or_else(|| id.clone(), |s| short_id(s).into());
                         if let Data::Map(entries) = &mut inner.data {
                             entries.retain(|e| e.key != "cwlVersion");
                         }
                         let types = self.types.clone();
                         let mut r = Reader {
                             documents: self.documents,
-                            faults: self.faults,
+                            diagnostics: self.diagnostics,
                             base: self.base.clone(),
                             types,
                             id,
@@ -913,29 +919,30 @@
                 },
             };
             let mut inputs = Vec::new();
-            for (id, at, input) in self.items(body.get("in"), "source", "WorkflowStepInput") {
-                self.known_fields(&input, &[STEP_INPUT_FIELDS], "WorkflowStepInput");
+            for (id, pos, input) in self.items(body.get("in"), "source", "WorkflowStepInput") {
+                self.check_fields(&input, &[STEP_INPUT_FIELDS], "WorkflowStepInput");
                 inputs.push(StepInput {
                     source: self.sources(&input, "source"),
                     default: input.get("default").map(Node::to_value),
                     value_from: input.get("valueFrom").cloned().and_then(|n| self.text(&n)),
                     id,
-                    at,
+                    pos,
                 });
             }
             let mut outputs = Vec::new();
             for n in body.get("out").and_then(Node::as_seq).unwrap_or_default() {
                 match n.as_str().or_else(|| n.get("id").and_then(Node::as_str)) {
-                    Some(id) => outputs.push(bare(id).to_owned()),
-                    None => {
-                        self.faults
-                            .error(n.at, "an output's id is needed", "WorkflowStep: out")
-                    }
+                    Some(id) => outputs.push(short_id(id).to_owned()),
+                    None => self.diagnostics.error(
+                        n.pos,
+                        "an output's id is needed",
+                        "WorkflowStep: out",
+                    ),
                 }
             }
             if body.get("out").is_none() {
-                self.faults.error(
-                    at,
+                self.diagnostics.error(
+                    pos,
                     "out is missing",
                     "WorkflowStep: out, a list, perhaps empty",
                 );
@@ -949,39 +956,40 @@
                     texts
                         .into_iter()
                         .map(|t| Text {
-                            at: t.at,
-                            text: bare(&t.text).to_owned(),
+                            pos: t.pos,
+                            text: short_id(&t.text).to_owned(),
                         })
                         .collect()
                 }
             };
-            let method = match body.get("scatterMethod").map(|n| (n.at, n.as_str())) {
+            let scatter_method = match body.get("scatterMethod").map(|n| (n.pos, n.as_str())) {
                 None => None,
-                Some((_, Some("dotproduct"))) => Some(Method::Dot),
-                Some((_, Some("nested_crossproduct"))) => Some(Method::Nested),
-                Some((_, Some("flat_crossproduct"))) => Some(Method::Flat),
-                Some((at, _)) => {
-                    let asks = "dotproduct, nested_crossproduct or flat_crossproduct";
-                    self.faults.error(at, "unknown scatterMethod", asks);
+                Some((_, Some("dotproduct"))) => Some(ScatterMethod::Dot),
+                Some((_, Some("nested_crossproduct"))) => Some(ScatterMethod::Nested),
+                Some((_, Some("flat_crossproduct"))) => Some(ScatterMethod::Flat),
+                Some((pos, _)) => {
+                    let expected = "dotproduct, nested_crossproduct or flat_crossproduct";
+                    self.diagnostics
+                        .error(pos, "unknown scatterMethod", expected);
                     None
                 }
             };
-            let wants = self.wants(&body);
+            let requirement_set = self.requirements(&body);
             let when = body.get("when").cloned().and_then(|n| self.text(&n));
             let Some(run) = run else { continue };
             out.push(Step {
                 id,
-                at,
+                pos,
                 run,
                 inputs,
                 outputs,
                 scatter,
-                method,
+                scatter_method,
                 when,
-                wants,
+                requirement_set,
             });
         }
-        self.twice(out.iter().map(|s| (&s.id, s.at)), "step");
+        self.check_unique(out.iter().map(|s| (&s.id, s.pos)), "step");
         out
     }
 }
--- a/crates/hopyoke-cwl/src/scatter.rs
+++ b/crates/hopyoke-cwl/src/scatter.rs
@@ -1,52 +1,52 @@
 //! The places of a scatter: which elements each takes, and how their outputs are put together.
 
-use crate::model::Method;
+use crate::model::ScatterMethod;
 use serde_json::Value;
 
 /// For each place, the element of each scattered input, in the order of `lengths`.
 ///
 /// # Errors
 /// Lists of different lengths, by dot product.
-pub(crate) fn places(
-    method: Method,
+pub(crate) fn invocations(
+    scatter_method: ScatterMethod,
     lengths: &[usize],
-    most: usize,
+    limit: usize,
 ) -> Result<Vec<Vec<usize>>, String> {
-    match method {
-        Method::Dot => {
+    match scatter_method {
+        ScatterMethod::Dot => {
             let n = lengths.first().copied().unwrap_or(0);
             if lengths.iter().any(|l| *l != n) {
                 return Err(format!(
                     "the lists to scatter have different lengths: {lengths:?}"
                 ));
             }
-            within(n, most)?;
+            check_limit(n, limit)?;
             Ok((0..n).map(|i| vec![i; lengths.len()]).collect())
         }
-        Method::Nested | Method::Flat => {
+        ScatterMethod::Nested | ScatterMethod::Flat => {
             let n = lengths
                 .iter()
                 .try_fold(1usize, |a, b| a.checked_mul(*b))
                 .unwrap_or(usize::MAX);
-            within(n, most)?;
+            check_limit(n, limit)?;
             let mut out = Vec::with_capacity(n);
             for mut k in 0..n {
-                let mut place = vec![0; lengths.len()];
+                let mut indices = vec![0; lengths.len()];
                 for (i, l) in lengths.iter().enumerate().rev() {
-                    place[i] = k % l;
+                    indices[i] = k % l;
                     k /= l;
                 }
-                out.push(place);
+                out.push(indices);
             }
             Ok(out)
         }
     }
 }
 
-fn within(n: usize, most: usize) -> Result<(), String> {
-    if n > most {
+fn check_limit(n: usize, limit: usize) -> Result<(), String> {
+    if n > limit {
         Err(format!(
-            "it has {n} places; at most {most} are left for the run"
+            "it has {n} places; at most {limit} are left for the run"
         ))
     } else {
         Ok(())
@@ -54,21 +54,30 @@
 }
 
 /// An output's values, place by place, as the step yields them.
-pub(crate) fn collect(method: Method, lengths: &[usize], values: Vec<Value>) -> Value {
-    if method != Method::Nested || lengths.len() < 2 {
+pub(crate) fn collect_outputs(
+    scatter_method: ScatterMethod,
+    lengths: &[usize],
+    values: Vec<Value>,
+) -> Value {
+    if scatter_method != ScatterMethod::Nested || lengths.len() < 2 {
         return Value::Array(values);
     }
     let inner: usize = lengths[1..].iter().product();
     if inner == 0 {
         return Value::Array(
             (0..lengths[0])
-                .map(|_| collect(method, &lengths[1..], Vec::new()))
+                .map(|_| collect_outputs(scatter_method, &lengths[1..], Vec::new()))
                 .collect(),
         );
     }
     let mut values = values.into_iter();
-    let rows = (0..lengths[0])
-        .map(|_| collect(method, &lengths[1..], values.by_ref().take(inner).collect()));
+    let rows = (0..lengths[0]).map(|_| {
+        collect_outputs(
+            scatter_method,
+            &lengths[1..],
+            values.by_ref().take(inner).collect(),
+        )
+    });
     Value::Array(rows.collect())
 }
 
@@ -78,21 +87,21 @@
 
     #[test]
     fn products() {
-        let dot = places(Method::Dot, &[2, 2], 10).expect("equal lengths");
+        let dot = invocations(ScatterMethod::Dot, &[2, 2], 10).expect("equal lengths");
         assert_eq!(dot, [[0, 0], [1, 1]]);
-        assert!(places(Method::Dot, &[2, 3], 10).is_err());
-        let flat = places(Method::Flat, &[2, 3], 10).expect("few");
+        assert!(invocations(ScatterMethod::Dot, &[2, 3], 10).is_err());
+        let flat = invocations(ScatterMethod::Flat, &[2, 3], 10).expect("few");
         assert_eq!(flat, [[0, 0], [0, 1], [0, 2], [1, 0], [1, 1], [1, 2]]);
-        assert!(places(Method::Flat, &[1 << 40, 1 << 40], 10).is_err());
+        assert!(invocations(ScatterMethod::Flat, &[1 << 40, 1 << 40], 10).is_err());
         let values = (0..6).map(Value::from).collect();
         assert_eq!(
-            collect(Method::Nested, &[2, 3], values),
+            collect_outputs(ScatterMethod::Nested, &[2, 3], values),
             serde_json::json!([[0, 1, 2], [3, 4, 5]])
         );
         assert_eq!(
-            collect(Method::Nested, &[2, 0], Vec::new()),
+            collect_outputs(ScatterMethod::Nested, &[2, 0], Vec::new()),
             serde_json::json!([[], []])
         );
-        assert_eq!(places(Method::Nested, &[0, 3], 10), Ok(vec![]));
+        assert_eq!(invocations(ScatterMethod::Nested, &[0, 3], 10), Ok(vec![]));
     }
 }
