--- a/crates/hopyoke-cwl/src/types.rs
+++ b/crates/hopyoke-cwl/src/types.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 /// The longest word that is a type: its brackets are lists in lists.
-pub const MOST_WORD: usize = 64;
+pub const MAX_TYPE_NAME_BYTES: usize = 64;
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Type {
@@ -43,7 +43,7 @@
 
     /// A type that is written as one word, such as `File[]?`.
     pub fn parse(text: &str) -> Option<Type> {
-        if text.len() > MOST_WORD {
+        if text.len() > MAX_TYPE_NAME_BYTES {
             return None;
         }
         if let Some(t) = text.strip_suffix('?') {
@@ -70,10 +70,10 @@
         })
     }
 
-    pub fn takes_null(&self) -> bool {
+    pub fn accepts_null(&self) -> bool {
         match self {
             Type::Null => true,
-            Type::Union(list) => list.iter().any(Type::takes_null),
+            Type::Union(list) => list.iter().any(Type::accepts_null),
             _ => false,
         }
     }
@@ -98,8 +98,8 @@
     }
 
     /// The value is of this type. A value that only a task's run can tell is taken for one.
-    pub fn takes(&self, value: &Value) -> bool {
-        if crate::expr::is_later(value) {
+    pub fn accepts(&self, value: &Value) -> bool {
+        if crate::expr::is_deferred(value) {
             return true;
         }
         let class = || value.get("class").and_then(Value::as_str);
@@ -115,27 +115,27 @@
             Type::Directory => class() == Some("Directory"),
             Type::Array(t) => value
                 .as_array()
-                .is_some_and(|l| l.iter().all(|v| t.takes(v))),
+                .is_some_and(|l| l.iter().all(|v| t.accepts(v))),
             Type::Enum(symbols) => value
                 .as_str()
                 .is_some_and(|s| symbols.iter().any(|x| x == s)),
             Type::Record(fields) => value.as_object().is_some_and(|o| {
                 fields
                     .iter()
-                    .all(|(k, t)| t.takes(o.get(k).unwrap_or(&Value::Null)))
+                    .all(|(k, t)| t.accepts(o.get(k).unwrap_or(&Value::Null)))
             }),
-            Type::Union(list) => list.iter().any(|t| t.takes(value)),
+            Type::Union(list) => list.iter().any(|t| t.accepts(value)),
         }
     }
 
     /// Some value of this type may be given where `to` is asked. (As lenient as the specification:
     /// types need to overlap.)
-    pub fn may_go_to(&self, to: &Type) -> bool {
+    pub fn assignable_to(&self, to: &Type) -> bool {
         match (self, to) {
             (Type::Any, _) | (_, Type::Any) => true,
-            (Type::Union(list), to) => list.iter().any(|t| t.may_go_to(to)),
-            (from, Type::Union(list)) => list.iter().any(|t| from.may_go_to(t)),
-            (Type::Array(a), Type::Array(b)) => a.may_go_to(b),
+            (Type::Union(list), to) => list.iter().any(|t| t.assignable_to(to)),
+            (from, Type::Union(list)) => list.iter().any(|t| from.assignable_to(t)),
+            (Type::Array(a), Type::Array(b)) => a.assignable_to(b),
             (Type::Int, Type::Long | Type::Float | Type::Double) => true,
             (Type::Long, Type::Int | Type::Float | Type::Double) => true,
             (Type::Float, Type::Double) | (Type::Double, Type::Float) => true,
@@ -144,8 +144,8 @@
             (Type::Enum(a), Type::Enum(b)) => a.iter().any(|s| b.contains(s)),
             (Type::Record(a), Type::Record(b)) => {
                 b.iter().all(|(k, t)| match a.iter().find(|f| f.0 == *k) {
-                    Some((_, from)) => from.may_go_to(t),
-                    None => t.takes_null(),
+                    Some((_, from)) => from.assignable_to(t),
+                    None => t.accepts_null(),
                 })
             }
             (a, b) => a == b,
--- a/crates/hopyoke-cwl/src/yaml.rs
+++ b/crates/hopyoke-cwl/src/yaml.rs
@@ -3,19 +3,19 @@
 //! Bounded: a document has at most [`MOST_BYTES`], [`MOST_NODES`] after all aliases are followed, and
 //! [`MOST_DEPTH`] levels; whatever goes beyond is a fault at its place.
 
-use crate::fault::{Faults, Pos};
+use crate::diagnostic::{Diagnostics, Pos};
 use saphyr_parser::{Event, Parser, ScalarStyle, Span};
 use serde_json::Value;
 use std::collections::HashMap;
 
-pub const MOST_BYTES: usize = 4 << 20;
-pub const MOST_NODES: usize = 400_000;
-pub const MOST_DEPTH: usize = 64;
+pub const MAX_BYTES: usize = 4 << 20;
+pub const MAX_NODES: usize = 400_000;
+pub const MAX_DEPTH: usize = 64;
 
 /// A node and where it begins.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Node {
-    pub at: Pos,
+    pub pos: Pos,
     pub data: Data,
 }
 
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     pub key: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub node: Node,
 }
 
@@ -103,30 +103,35 @@
 }
 
 /// Something that is open while the events come in.
-enum Open {
+enum OpenNode {
     Seq(Pos, usize, Vec<Node>),
     Map(Pos, usize, Vec<Entry>, Option<(String, Pos)>),
 }
 
 /// Reads one document under a name of its own.
-pub fn parse_as(name: &str, text: &str, faults: &mut Faults) -> Option<Node> {
-    let file = faults.file(name, text);
-    parse(text, file, &mut 0, faults)
+pub fn parse_as(name: &str, text: &str, diagnostics: &mut Diagnostics) -> Option<Node> {
+    let file = diagnostics.add_file(name, text);
+    parse(text, file, &mut 0, diagnostics)
 }
 
 /// Reads one document. `used`: values read so far, of all documents. `None`: it has a fault, which
 /// is noted.
-pub fn parse(text: &str, file: u32, used: &mut usize, faults: &mut Faults) -> Option<Node> {
+pub fn parse(
+    text: &str,
+    file: u32,
+    used: &mut usize,
+    diagnostics: &mut Diagnostics,
+) -> Option<Node> {
     let start = Pos {
         file,
         line: 1,
         column: 1,
     };
-    if text.len() > MOST_BYTES {
-        faults.error(
+    if text.len() > MAX_BYTES {
+        diagnostics.error(
             start,
             format!("the file has {} bytes", text.len()),
-            format!("at most {MOST_BYTES} are read"),
+            format!("at most {MAX_BYTES} are read"),
         );
         return None;
     }
@@ -150,17 +155,17 @@
             }
             Ok((event, span)) => b.event(event, span),
             Err(e) => {
-                let at = Pos {
+                let pos = Pos {
                     file,
                     line: e.marker().line() as u32,
                     column: e.marker().col() as u32 + 1,
                 };
-                Err((at, e.info().to_owned()))
+                Err((pos, e.info().to_owned()))
             }
         };
-        if let Err((at, message)) = result {
-            faults.error(
-                at,
+        if let Err((pos, message)) = result {
+            diagnostics.error(
+                pos,
                 message,
                 "one YAML or JSON document, within the bounds that docs/CWL.md states",
             );
@@ -169,7 +174,7 @@
     }
     *used = b.nodes;
     if b.root.is_none() {
-        faults.error(start, "the file is empty", "one YAML or JSON document");
+        diagnostics.error(start, "the file is empty", "one YAML or JSON document");
     }
     b.root
 }
@@ -177,7 +182,7 @@
 struct Builder {
     file: u32,
     nodes: usize,
-    open: Vec<Open>,
+    open: Vec<OpenNode>,
     /// Anchored nodes, and how many nodes each has.
     anchors: HashMap<usize, (Node, usize)>,
     root: Option<Node>,
@@ -194,57 +199,59 @@
         }
     }
 
-    fn count(&mut self, n: usize, at: Pos) -> Result<(), Failure> {
+    fn count(&mut self, n: usize, pos: Pos) -> Result<(), Failure> {
         self.nodes += n;
-        if self.nodes > MOST_NODES {
+        if self.nodes > MAX_NODES {
             return Err((
-                at,
-                format!("more than {MOST_NODES} values, aliases followed"),
+                pos,
+                format!("more than {MAX_NODES} values, aliases followed"),
             ));
         }
         Ok(())
     }
 
     fn event(&mut self, event: Event<'_>, span: Span) -> Result<(), Failure> {
-        let at = self.pos(span);
+        let pos = self.pos(span);
         match event {
             Event::Scalar(text, style, anchor, _) => {
-                self.count(1, at)?;
+                self.count(1, pos)?;
                 let data = if style == ScalarStyle::Plain {
-                    plain(&text)
+                    parse_plain_scalar(&text)
                 } else {
                     Data::Str(text.into_owned())
                 };
-                let node = Node { at, data };
+                let node = Node { pos, data };
                 // A key is taken as it is written.
-                if let Some(Open::Map(_, _, _, key @ None)) = self.open.last_mut() {
-                    *key = Some((text_of(&node), at));
+                if let Some(OpenNode::Map(_, _, _, key @ None)) = self.open.last_mut() {
+                    *key = Some((key_text(&node), pos));
                     return Ok(());
                 }
                 self.anchor(anchor, &node, 1);
                 self.add(node)
             }
-            Event::SequenceStart(anchor, _) => self.begin(Open::Seq(at, anchor, Vec::new()), at),
+            Event::SequenceStart(anchor, _) => {
+                self.open_node(OpenNode::Seq(pos, anchor, Vec::new()), pos)
+            }
             Event::MappingStart(anchor, _) => {
-                self.begin(Open::Map(at, anchor, Vec::new(), None), at)
+                self.open_node(OpenNode::Map(pos, anchor, Vec::new(), None), pos)
             }
             Event::SequenceEnd | Event::MappingEnd => {
                 let (node, anchor) = match self.open.pop() {
-                    Some(Open::Seq(at, anchor, list)) => (
+                    Some(OpenNode::Seq(pos, anchor, list)) => (
                         Node {
-                            at,
+                            pos,
                             data: Data::Seq(list),
                         },
                         anchor,
                     ),
-                    Some(Open::Map(at, anchor, entries, _)) => (
+                    Some(OpenNode::Map(pos, anchor, entries, _)) => (
                         Node {
-                            at,
+                            pos,
                             data: Data::Map(entries),
                         },
                         anchor,
                     ),
-                    None => return Err((at, "an end without its beginning".into())),
+                    None => return Err((pos, "an end without its beginning".into())),
                 };
                 if anchor > 0 {
                     let size = size(&node);
@@ -255,16 +262,16 @@
             Event::Alias(anchor) => {
                 let Some((node, size)) = self.anchors.get(&anchor).cloned() else {
                     return Err((
-                        at,
+                        pos,
                         "an alias of a value that contains it, or of none".into(),
                     ));
                 };
-                if self.open.len() + depth(&node) > MOST_DEPTH {
-                    return Err((at, format!("more than {MOST_DEPTH} levels")));
+                if self.open.len() + depth(&node) > MAX_DEPTH {
+                    return Err((pos, format!("more than {MAX_DEPTH} levels")));
                 }
-                self.count(size, at)?;
-                if let Some(Open::Map(_, _, _, key @ None)) = self.open.last_mut() {
-                    *key = Some((text_of(&node), at));
+                self.count(size, pos)?;
+                if let Some(OpenNode::Map(_, _, _, key @ None)) = self.open.last_mut() {
+                    *key = Some((key_text(&node), pos));
                     return Ok(());
                 }
                 self.add(node)
@@ -273,13 +280,13 @@
         }
     }
 
-    fn begin(&mut self, open: Open, at: Pos) -> Result<(), Failure> {
-        self.count(1, at)?;
-        if let Some(Open::Map(_, _, _, None)) = self.open.last() {
-            return Err((at, "a key must be a text".into()));
+    fn open_node(&mut self, open: OpenNode, pos: Pos) -> Result<(), Failure> {
+        self.count(1, pos)?;
+        if let Some(OpenNode::Map(_, _, _, None)) = self.open.last() {
+            return Err((pos, "a key must be a text".into()));
         }
-        if self.open.len() >= MOST_DEPTH {
-            return Err((at, format!("more than {MOST_DEPTH} levels")));
+        if self.open.len() >= MAX_DEPTH {
+            return Err((pos, format!("more than {MAX_DEPTH} levels")));
         }
         self.open.push(open);
         Ok(())
@@ -294,17 +301,17 @@
     fn add(&mut self, node: Node) -> Result<(), Failure> {
         match self.open.last_mut() {
             None => self.root = Some(node),
-            Some(Open::Seq(_, _, list)) => list.push(node),
-            Some(Open::Map(_, _, entries, key)) => {
-                let Some((key, at)) = key.take() else {
-                    return Err((node.at, "a value without its key".into()));
+            Some(OpenNode::Seq(_, _, list)) => list.push(node),
+            Some(OpenNode::Map(_, _, entries, key)) => {
+                let Some((key, pos)) = key.take() else {
+                    return Err((node.pos, "a value without its key".into()));
                 };
                 if key == "<<" {
-                    merge(entries, &node)?;
+                    apply_merge_key(entries, &node)?;
                 } else if entries.iter().any(|e| e.key == key) {
-                    return Err((at, format!("'{key}' stands here twice")));
+                    return Err((pos, format!("'{key}' stands here twice")));
                 } else {
-                    entries.push(Entry { key, at, node });
+                    entries.push(Entry { key, pos, node });
                 }
             }
         }
@@ -313,14 +320,14 @@
 }
 
 /// YAML's merge key: what is not said yet is taken over.
-fn merge(entries: &mut Vec<Entry>, node: &Node) -> Result<(), Failure> {
+fn apply_merge_key(entries: &mut Vec<Entry>, node: &Node) -> Result<(), Failure> {
     let maps = match &node.data {
         Data::Seq(list) => list.iter().collect(),
         _ => vec![node],
     };
     for map in maps {
         let Some(more) = map.as_map() else {
-            return Err((map.at, "only a map can be merged".into()));
+            return Err((map.pos, "only a map can be merged".into()));
         };
         for e in more {
             if !entries.iter().any(|x| x.key == e.key) {
@@ -347,7 +354,7 @@
     }
 }
 
-fn text_of(node: &Node) -> String {
+fn key_text(node: &Node) -> String {
     match &node.data {
         Data::Str(s) => s.clone(),
         Data::Int(i) => i.to_string(),
@@ -358,7 +365,7 @@
 }
 
 /// A plain scalar by the core schema of YAML 1.2.
-fn plain(text: &str) -> Data {
+fn parse_plain_scalar(text: &str) -> Data {
     match text {
         "" | "~" | "null" | "Null" | "NULL" => return Data::Null,
         "true" | "True" | "TRUE" => return Data::Bool(true),
--- a/crates/hopyoke-cwl/tests/cases.rs
+++ b/crates/hopyoke-cwl/tests/cases.rs
@@ -17,7 +17,7 @@
 //! The main file is `main.cwl`, inputs are in `inputs.yml`. Faults that no line expects fail the case.
 
 use hopyoke_cwl::yaml;
-use hopyoke_cwl::{Faults, Level, Options, expand, open};
+use hopyoke_cwl::{Diagnostics, Level, Options, expand, open};
 use hopyoke_workflow::{RunId, StepNo};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -51,10 +51,10 @@
         .get("inputs.yml")
         .cloned()
         .unwrap_or_else(|| "{}".into());
-    let (expanded, faults) = match open(&files, "main.cwl") {
-        Err(faults) => (None, faults),
-        Ok((process, mut faults)) => {
-            let mut given = Faults::default();
+    let (expanded, diagnostics) = match open(&files, "main.cwl") {
+        Err(diagnostics) => (None, diagnostics),
+        Ok((process, mut diagnostics)) => {
+            let mut given = Diagnostics::default();
             match yaml::parse(&inputs, 0, &mut 0, &mut given) {
                 None => (None, given),
                 Some(node) => {
@@ -64,14 +64,14 @@
                         source: Some(&files),
                         ..Options::new(run)
                     };
-                    let expanded = expand(&process, &node, &options, &mut faults);
-                    (expanded, faults)
+                    let expanded = expand(&process, &node, &options, &mut diagnostics);
+                    (expanded, diagnostics)
                 }
             }
         }
     };
-    let said = faults.sorted_places();
-    let mut matched = vec![false; said.len()];
+    let reported = diagnostics.sorted_texts();
+    let mut matched = vec![false; reported.len()];
     for (n, line) in (1..).zip(expect.lines()) {
         let line = line.split(" #").next().unwrap_or("").trim();
         if line.is_empty() || line.starts_with('#') {
@@ -91,17 +91,17 @@
                 Level::Warning
             };
             let (place, text) = rest.split_once(' ').unwrap_or((rest, ""));
-            let hit = said
+            let hit = reported
                 .iter()
                 .position(|(l, p, f)| *l == level && p == place && f.contains(text));
             match hit {
                 Some(i) => matched[i] = true,
-                None => return fail(format!("said: {said:#?}")),
+                None => return fail(format!("said: {reported:#?}")),
             }
             continue;
         }
         let Some(x) = &expanded else {
-            return fail(format!("not expanded: {said:#?}"));
+            return fail(format!("not expanded: {reported:#?}"));
         };
         let number = |k: usize| {
             rest.split(' ')
@@ -130,7 +130,7 @@
                     continue;
                 }
                 let after: Vec<String> = step.after.iter().map(|s| s.0.to_string()).collect();
-                let said = match after.is_empty() {
+                let actual = match after.is_empty() {
                     true => format!("{} {} {}", number(0), step.path, step.tasks),
                     false => format!(
                         "{} {} {} after {}",
@@ -140,8 +140,8 @@
                         after.join(",")
                     ),
                 };
-                if said != rest {
-                    return fail(format!("it is `{said}`"));
+                if actual != rest {
+                    return fail(format!("it is `{actual}`"));
                 }
             }
             "shape" => {
@@ -177,7 +177,7 @@
             _ => return fail("unknown statement".into()),
         }
     }
-    match said
+    match reported
         .iter()
         .zip(&matched)
         .find(|(s, m)| !**m && s.0 == Level::Error)
--- a/crates/hopyoke-cwl/tests/properties.rs
+++ b/crates/hopyoke-cwl/tests/properties.rs
@@ -1,7 +1,7 @@
 //! Whatever a file holds, reading it ends, within bounds, in a process or in faults with places;
 //! and random graphs expand as a plain reference does.
 
-use hopyoke_cwl::{Faults, Options, expand, expr, open, yaml};
+use hopyoke_cwl::{Diagnostics, Options, expand, expr, open, yaml};
 use hopyoke_workflow::RunId;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,19 +31,21 @@
 fn read(text: &str) {
     let files: BTreeMap<String, String> = [("main.cwl".to_owned(), text.to_owned())].into();
     match open(&files, "main.cwl") {
-        Err(faults) => assert!(faults.has_errors() && !faults.to_string().is_empty()),
-        Ok((process, mut faults)) => {
-            let mut none = Faults::default();
+        Err(diagnostics) => {
+            assert!(diagnostics.has_errors() && !diagnostics.to_string().is_empty())
+        }
+        Ok((process, mut diagnostics)) => {
+            let mut none = Diagnostics::default();
             let inputs = yaml::parse("xs: [p, q]", 0, &mut 0, &mut none).expect("inputs");
             let run = RunId::new(1).expect("in range");
             let options = Options {
                 team: Some("crew".into()),
                 ..Options::new(run)
             };
-            if let Some(x) = expand(&process, &inputs, &options, &mut faults) {
+            if let Some(x) = expand(&process, &inputs, &options, &mut diagnostics) {
                 assert!(x.plan.check("crew").is_ok());
             } else {
-                assert!(faults.has_errors());
+                assert!(diagnostics.has_errors());
             }
         }
     }
@@ -94,7 +96,7 @@
         let mut text = String::from(
             "cwlVersion: v1.2\nclass: Workflow\nrequirements: {ScatterFeatureRequirement: {}, \
              MultipleInputFeatureRequirement: {}}\ninputs: {n: \"int[]\"}\noutputs: {}\nsteps:\n");
-        let mut needs: Vec<BTreeSet<usize>> = Vec::new();
+        let mut dependencies: Vec<BTreeSet<usize>> = Vec::new();
         for (i, (after, width)) in steps.iter().enumerate() {
             let after: BTreeSet<usize> =
                 if i == 0 { BTreeSet::new() } else { after.iter().map(|x| x.index(i)).collect() };
@@ -111,22 +113,22 @@
                 "  s{i}: {{{scatter}run: {TOOL}, in: {{a: {{source: [{}]}}{list}}}, out: [out]}}",
                 sources.join(", ")
             );
-            needs.push(after);
+            dependencies.push(after);
         }
         let files: BTreeMap<String, String> = [("main.cwl".to_owned(), text.clone())].into();
-        let (process, mut faults) = open(&files, "main.cwl").map_err(|f| TestCaseError::fail(format!("{f}\n{text}")))?;
-        let inputs = yaml::parse("n: []", 0, &mut 0, &mut Faults::default()).expect("inputs");
+        let (process, mut diagnostics) = open(&files, "main.cwl").map_err(|f| TestCaseError::fail(format!("{f}\n{text}")))?;
+        let inputs = yaml::parse("n: []", 0, &mut 0, &mut Diagnostics::default()).expect("inputs");
         let options = Options { team: Some("crew".into()), ..Options::new(RunId::new(1).expect("in range")) };
-        let x = expand(&process, &inputs, &options, &mut faults)
-            .ok_or_else(|| TestCaseError::fail(format!("{faults}\n{text}")))?;
+        let x = expand(&process, &inputs, &options, &mut diagnostics)
+            .ok_or_else(|| TestCaseError::fail(format!("{diagnostics}\n{text}")))?;
         prop_assert_eq!(x.plan.steps.len(), steps.len());
         // Steps come in an order of their own: by name.
-        let place: BTreeMap<&str, usize> = x.plan.steps.iter().enumerate().map(|(i, s)| (s.path.as_str(), i)).collect();
+        let index_by_path: BTreeMap<&str, usize> = x.plan.steps.iter().enumerate().map(|(i, s)| (s.path.as_str(), i)).collect();
         for (i, (_, width)) in steps.iter().enumerate() {
-            let step = &x.plan.steps[place[format!("s{i}").as_str()]];
+            let step = &x.plan.steps[index_by_path[format!("s{i}").as_str()]];
             prop_assert_eq!(step.tasks as usize, (*width).max(1));
             let after: BTreeSet<usize> = step.after.iter().map(|s| s.0 as usize).collect();
-            let want: BTreeSet<usize> = needs[i].iter().map(|s| place[format!("s{s}").as_str()]).collect();
+            let want: BTreeSet<usize> = dependencies[i].iter().map(|s| index_by_path[format!("s{s}").as_str()]).collect();
             prop_assert_eq!(after, want);
         }
     }
--- a/crates/hopyoke-wes/src/compile.rs
+++ b/crates/hopyoke-wes/src/compile.rs
@@ -1,7 +1,7 @@
 //! Documents into plans, away from the event loop: a thread for each, a bounded number of them.
 
 use hopyoke_cwl::command::Description;
-use hopyoke_cwl::{Faults, Options, Source, expand, open, yaml};
+use hopyoke_cwl::{Diagnostics, Options, Source, expand, open, yaml};
 use hopyoke_event_loop as runtime;
 use hopyoke_types::Micros;
 use hopyoke_workflow::{Plan, RunId, StepNo};
@@ -28,7 +28,7 @@
     pub plan: Plan,
     pub team: String,
     pub tasks: BTreeMap<StepNo, Vec<Description>>,
-    pub warnings: Faults,
+    pub warnings: Diagnostics,
 }
 
 /// The same as it leaves the thread that read it.
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// Every fault.
-pub fn compile(source: &dyn Source, work: &Work) -> Result<Compiled, Faults> {
+pub fn compile(source: &dyn Source, work: &Work) -> Result<Compiled, Diagnostics> {
     let (process, mut faults) = open(source, &work.document)?;
     let Some(inputs) = yaml::parse_as("inputs", &work.inputs, &mut faults) else {
         return Err(faults);
@@ -86,7 +86,7 @@
     #[error("the document took too long to read")]
     TooLong,
     #[error("{0}")]
-    Faults(Faults),
+    Faults(Diagnostics),
 }
 
 /// Longest time that a client waits for a document to be read; expressions have bounds of their own.
--- a/crates/hopyoke-wes/src/main.rs
+++ b/crates/hopyoke-wes/src/main.rs
@@ -3,8 +3,8 @@
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use hopyoke::peers::client::proto::flow_request::Operation;
 use hopyoke::peers::client::proto::{ResumeRun, RunInfo, RunList, RunQuestion, SubmitRun};
-use hopyoke_cwl::load::{Files, Source, name_of};
-use hopyoke_cwl::{Faults, graph, open, yaml};
+use hopyoke_cwl::load::{LocalFiles, Source, name_of};
+use hopyoke_cwl::{Diagnostics, graph, open, yaml};
 use hopyoke_event_loop::{self as runtime, CancellationToken};
 use hopyoke_types::Micros;
 use hopyoke_wes::access::Access;
@@ -206,7 +206,7 @@
     }
 }
 
-fn of_faults(faults: &Faults) -> End {
+fn of_faults(faults: &Diagnostics) -> End {
     if faults.has_unsupported() {
         End::Unsupported(faults.to_string())
     } else {
@@ -217,7 +217,7 @@
 fn check(files: &[PathBuf]) -> Done {
     let mut end = Ok(());
     for file in files {
-        match open(&Files, &name_of(file)) {
+        match open(&LocalFiles, &name_of(file)) {
             Ok((process, faults)) if faults.is_empty() => {
                 println!("{}: a sound {}", file.display(), process.class())
             }
@@ -255,7 +255,7 @@
 
 impl Source for Recorded {
     fn read(&self, path: &str) -> Result<String, String> {
-        let text = Files.read(path)?;
+        let text = LocalFiles.read(path)?;
         self.0.borrow_mut().insert(path.to_owned(), text.clone());
         Ok(text)
     }
@@ -263,7 +263,7 @@
 
 fn run_document(run: &Run) -> Done {
     if run.print_graph {
-        let (process, _) = open(&Files, &run.document).map_err(|f| of_faults(&f))?;
+        let (process, _) = open(&LocalFiles, &run.document).map_err(|f| of_faults(&f))?;
         print!(
             "{}",
             if run.format == GraphFormat::Dot {
@@ -375,7 +375,7 @@
             _ => {}
         }
     }
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let name = file.map_or_else(|| "inputs".to_owned(), name_of);
     let Some(node) = yaml::parse_as(&name, text, &mut faults) else {
         return Err(of_faults(&faults));
