--- a/crates/hopyoke-cwl/benches/documents.rs
+++ b/crates/hopyoke-cwl/benches/documents.rs
@@ -50,17 +50,16 @@
         }
         let inputs = yaml::parse(&job, 0, &mut 0, &mut Diagnostics::default()).expect("inputs");
         c.bench_function(&format!("read and check {name}"), |b| {
-            b.iter(|| open(&files, "main.cwl").expect("a valid document"))
+            b.iter(|| open(&files, "main.cwl").expect("sound"))
         });
-        let (process, _) = open(&files, "main.cwl").expect("a valid document");
+        let (process, _) = open(&files, "main.cwl").expect("sound");
         c.bench_function(&format!("expand {name}"), |b| {
             b.iter(|| {
                 let options = Options {
                     team: Some("crew".into()),
                     ..Options::new(RunId::new(1).expect("in range"))
                 };
-                expand(&process, &inputs, &options, &mut Diagnostics::default())
-                    .expect("a valid document")
+                expand(&process, &inputs, &options, &mut Diagnostics::default()).expect("sound")
             })
         });
     }
