--- a/crates/hopyoke-cwl/src/model.rs
+++ b/crates/hopyoke-cwl/src/model.rs
@@ -1,20 +1,20 @@
-//! Processes as the specification has them, with the places where they stand.
+//! The CWL process model, with source positions.
 
-use crate::fault::Pos;
+use crate::diagnostic::Pos;
 use crate::types::Type;
 use crate::yaml::Node;
 use serde_json::Value;
 use std::rc::Rc;
 
-/// A tool, an expression or a workflow.
+/// A CommandLineTool, an ExpressionTool or a Workflow.
 #[derive(Debug)]
 pub struct Process {
     pub id: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub kind: Kind,
     pub inputs: Vec<Input>,
     pub outputs: Vec<Output>,
-    pub wants: Wants,
+    pub requirement_set: RequirementSet,
 }
 
 #[derive(Debug)]
@@ -24,38 +24,38 @@
     Workflow(Vec<Step>),
 }
 
-/// A text that may hold expressions, and its place.
+/// A string that may contain expressions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Text {
-    pub at: Pos,
+    pub pos: Pos,
     pub text: String,
 }
 
 #[derive(Debug)]
 pub struct Input {
     pub id: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub ty: Type,
     pub default: Option<Value>,
-    pub secondary: Vec<Secondary>,
+    pub secondary_files: Vec<SecondaryFile>,
     pub binding: Option<Binding>,
-    /// Of the elements, if its type is a list that has one.
+    /// The binding of the elements, if the type is an array that declares one.
     pub item_binding: Option<Binding>,
-    /// Its file's contents are to be known before the step starts.
+    /// `loadContents`: the file's contents must be known before the step starts.
     pub load_contents: bool,
 }
 
-/// A file beside another, such as an index.
+/// A secondary file, such as an index.
 #[derive(Debug, Clone)]
-pub struct Secondary {
+pub struct SecondaryFile {
     pub pattern: Text,
     pub required: bool,
 }
 
-/// How a value goes onto the command line.
+/// How a value is added to the command line.
 #[derive(Debug, Clone, Default)]
 pub struct Binding {
-    pub at: Pos,
+    pub pos: Pos,
     pub position: Option<Text>,
     pub prefix: Option<String>,
     pub separate: bool,
@@ -67,36 +67,38 @@
 #[derive(Debug)]
 pub struct Output {
     pub id: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub ty: Type,
-    /// Of a tool: the files that it collects.
+    /// The files to collect; used by tools only.
     pub glob: Vec<Text>,
     pub output_eval: Option<Text>,
     pub load_contents: bool,
-    pub secondary: Vec<Secondary>,
-    /// Of a workflow: where it comes from.
+    pub secondary_files: Vec<SecondaryFile>,
+    /// The source of the value; used by workflows only.
     pub source: Sources,
 }
 
-/// Values that flow into one place.
+/// The sources of one input or workflow output.
 #[derive(Debug, Clone, Default)]
 pub struct Sources {
     pub from: Vec<Text>,
-    /// It was written as a list, even if of one.
-    pub many: bool,
-    pub merge: Merge,
-    pub pick: Option<Pick>,
+    /// The value is a list: the source was written as a list, even of one, or linkMerge was given.
+    pub is_list: bool,
+    pub merge: LinkMerge,
+    pub pick: Option<PickValue>,
 }
 
+/// `linkMerge`: how several sources are combined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Merge {
+pub enum LinkMerge {
     #[default]
     Nested,
     Flattened,
 }
 
+/// `pickValue`: which of several source values are used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pick {
+pub enum PickValue {
     FirstNonNull,
     OnlyNonNull,
     AllNonNull,
@@ -104,7 +106,7 @@
 
 #[derive(Debug, Default)]
 pub struct Tool {
-    pub base: Vec<String>,
+    pub base_command: Vec<String>,
     pub arguments: Vec<Binding>,
     pub stdin: Option<Text>,
     pub stdout: Option<Text>,
@@ -115,64 +117,66 @@
 #[derive(Debug)]
 pub struct Step {
     pub id: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub run: Rc<Process>,
     pub inputs: Vec<StepInput>,
     pub outputs: Vec<String>,
     pub scatter: Vec<Text>,
-    pub method: Option<Method>,
+    pub scatter_method: Option<ScatterMethod>,
     pub when: Option<Text>,
-    pub wants: Wants,
+    pub requirement_set: RequirementSet,
 }
 
 #[derive(Debug)]
 pub struct StepInput {
     pub id: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub source: Sources,
     pub default: Option<Value>,
     pub value_from: Option<Text>,
 }
 
+/// `scatterMethod`: dot product, nested or flat cross product.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Method {
+pub enum ScatterMethod {
     Dot,
     Nested,
     Flat,
 }
 
-/// Requirements and hints of one process or step.
+/// The requirements and hints of one process or step.
 #[derive(Debug, Default, Clone)]
-pub struct Wants {
-    pub requirements: Vec<Want>,
-    pub hints: Vec<Want>,
+pub struct RequirementSet {
+    pub requirements: Vec<Requirement>,
+    pub hints: Vec<Requirement>,
 }
 
+/// One requirement or hint.
 #[derive(Debug, Clone)]
-pub struct Want {
+pub struct Requirement {
     pub class: String,
-    pub at: Pos,
+    pub pos: Pos,
     pub body: Rc<Node>,
 }
 
-/// Requirements and hints that hold somewhere: the innermost comes first.
+/// The requirements and hints in effect at some point of a document, innermost first.
 #[derive(Debug, Clone, Default)]
-pub struct Scope(Vec<Wants>);
+pub struct Scope(Vec<RequirementSet>);
 
 impl Scope {
-    /// What holds inside of something that wants this as well.
-    pub fn inside(&self, wants: &Wants) -> Scope {
-        let mut list = vec![wants.clone()];
+    /// Returns the scope inside a process or step with these requirements and hints.
+    pub fn nested(&self, requirement_set: &RequirementSet) -> Scope {
+        let mut list = vec![requirement_set.clone()];
         list.extend(self.0.iter().cloned());
         Scope(list)
     }
 
-    /// The requirement of this class that holds, or else the hint: the innermost.
-    pub fn find(&self, class: &str) -> Option<&Want> {
-        let of = |list: fn(&Wants) -> &Vec<Want>| {
+    /// Returns the innermost requirement of this class or, if there is none, the innermost hint.
+    pub fn find(&self, class: &str) -> Option<&Requirement> {
+        let find_in = |list: fn(&RequirementSet) -> &Vec<Requirement>| {
             self.0.iter().flat_map(list).find(|w| w.class == class)
         };
-        of(|w| &w.requirements).or_else(|| of(|w| &w.hints))
+        find_in(|w| &w.requirements).or_else(|| find_in(|w| &w.hints))
     }
 }
 
@@ -185,7 +189,7 @@
         self.outputs.iter().find(|o| o.id == id)
     }
 
-    /// What messages call it.
+    /// Returns the class name of the process.
     pub fn class(&self) -> &'static str {
         match self.kind {
             Kind::Tool(_) => "CommandLineTool",
--- a/crates/hopyoke-cwl/src/types.rs
+++ b/crates/hopyoke-cwl/src/types.rs
@@ -1,10 +1,10 @@
-//! CWL's types, and what values they take.
+//! CWL types and the values they accept.
 
 use serde_json::Value;
 use std::fmt;
 
-/// The longest word that is a type: its brackets are lists in lists.
-pub const MOST_WORD: usize = 64;
+/// The maximum length of a type name. Limits recursion, as each `[]` suffix nests the type in an array.
+pub const MAX_TYPE_NAME_BYTES: usize = 64;
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Type {
@@ -18,8 +18,9 @@
     String,
     File,
     Directory,
-    /// The file to which the tool's standard output goes.
+    /// The file that captures the tool's standard output.
     Stdout,
+    /// The file that captures the tool's standard error.
     Stderr,
     Array(Box<Type>),
     Enum(Vec<String>),
@@ -28,7 +29,7 @@
 }
 
 impl Type {
-    /// `T?`
+    /// Returns the optional type `T?`.
     pub fn optional(self) -> Type {
         match self {
             Type::Union(mut list) => {
@@ -41,9 +42,9 @@
         }
     }
 
-    /// A type that is written as one word, such as `File[]?`.
+    /// Parses a type name such as `File[]?`. Returns `None` if it is unknown or too long.
     pub fn parse(text: &str) -> Option<Type> {
-        if text.len() > MOST_WORD {
+        if text.len() > MAX_TYPE_NAME_BYTES {
             return None;
         }
         if let Some(t) = text.strip_suffix('?') {
@@ -70,15 +71,15 @@
         })
     }
 
-    pub fn takes_null(&self) -> bool {
+    pub fn accepts_null(&self) -> bool {
         match self {
             Type::Null => true,
-            Type::Union(list) => list.iter().any(Type::takes_null),
+            Type::Union(list) => list.iter().any(Type::accepts_null),
             _ => false,
         }
     }
 
-    /// Some value of it may be a list.
+    /// Returns true if some value of this type is a list.
     pub fn may_be_array(&self) -> bool {
         match self {
             Type::Array(_) | Type::Any => true,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// What the elements of its lists are.
+    /// Returns the element type of an array. Returns `None` if the type has no array.
     pub fn items(&self) -> Option<Type> {
         match self {
             Type::Array(t) => Some((**t).clone()),
@@ -97,9 +98,9 @@
         }
     }
 
-    /// The value is of this type. A value that only a task's run can tell is taken for one.
-    pub fn takes(&self, value: &Value) -> bool {
-        if crate::expr::is_later(value) {
+    /// Returns true if the value is of this type. Deferred values are always accepted.
+    pub fn accepts(&self, value: &Value) -> bool {
+        if crate::expr::is_deferred(value) {
             return true;
         }
         let class = || value.get("class").and_then(Value::as_str);
@@ -115,27 +116,27 @@
             Type::Directory => class() == Some("Directory"),
             Type::Array(t) => value
                 .as_array()
-                .is_some_and(|l| l.iter().all(|v| t.takes(v))),
+                .is_some_and(|l| l.iter().all(|v| t.accepts(v))),
             Type::Enum(symbols) => value
                 .as_str()
                 .is_some_and(|s| symbols.iter().any(|x| x == s)),
             Type::Record(fields) => value.as_object().is_some_and(|o| {
                 fields
                     .iter()
-                    .all(|(k, t)| t.takes(o.get(k).unwrap_or(&Value::Null)))
+                    .all(|(k, t)| t.accepts(o.get(k).unwrap_or(&Value::Null)))
             }),
-            Type::Union(list) => list.iter().any(|t| t.takes(value)),
+            Type::Union(list) => list.iter().any(|t| t.accepts(value)),
         }
     }
 
-    /// Some value of this type may be given where `to` is asked. (As lenient as the specification:
-    /// types need to overlap.)
-    pub fn may_go_to(&self, to: &Type) -> bool {
+    /// Returns true if some value of this type can be used as `to`. As in CWL v1.2, it suffices that the types
+    /// overlap.
+    pub fn assignable_to(&self, to: &Type) -> bool {
         match (self, to) {
             (Type::Any, _) | (_, Type::Any) => true,
-            (Type::Union(list), to) => list.iter().any(|t| t.may_go_to(to)),
-            (from, Type::Union(list)) => list.iter().any(|t| from.may_go_to(t)),
-            (Type::Array(a), Type::Array(b)) => a.may_go_to(b),
+            (Type::Union(list), to) => list.iter().any(|t| t.assignable_to(to)),
+            (from, Type::Union(list)) => list.iter().any(|t| from.assignable_to(t)),
+            (Type::Array(a), Type::Array(b)) => a.assignable_to(b),
             (Type::Int, Type::Long | Type::Float | Type::Double) => true,
             (Type::Long, Type::Int | Type::Float | Type::Double) => true,
             (Type::Float, Type::Double) | (Type::Double, Type::Float) => true,
@@ -144,8 +145,8 @@
             (Type::Enum(a), Type::Enum(b)) => a.iter().any(|s| b.contains(s)),
             (Type::Record(a), Type::Record(b)) => {
                 b.iter().all(|(k, t)| match a.iter().find(|f| f.0 == *k) {
-                    Some((_, from)) => from.may_go_to(t),
-                    None => t.takes_null(),
+                    Some((_, from)) => from.assignable_to(t),
+                    None => t.accepts_null(),
                 })
             }
             (a, b) => a == b,
