--- a/crates/hopyoke-cwl/src/expand.rs
+++ b/crates/hopyoke-cwl/src/expand.rs
@@ -103,7 +103,7 @@
     e.plan.outputs = Value::Object(outputs).to_string();
     let team = e.team.clone().unwrap_or_default();
     let (plan, tasks) = (e.plan, e.tasks);
-    if plan.steps.iter().any(|s| s.shape.is_some()) && team.is_empty() {
+    if plan.steps.iter().any(|s| s.job_template.is_some()) && team.is_empty() {
         faults.error(
             process.at,
             "no team is named",
@@ -643,8 +643,8 @@
             for chunk in all.chunks(MAX_DEPENDENCIES) {
                 let step = PlanStep {
                     path: format!("{path} (join)"),
-                    after: chunk.to_vec(),
-                    shape: None,
+                    dependencies: chunk.to_vec(),
+                    job_template: None,
                     tasks: 0,
                 };
                 deps.insert(self.add_step(step, at)?);
@@ -743,8 +743,8 @@
             for chunk in members.chunks(MAX_TASKS as usize) {
                 let step = PlanStep {
                     path: path.to_owned(),
-                    after: after.clone(),
-                    shape: Some(*shape),
+                    dependencies: after.clone(),
+                    job_template: Some(*shape),
                     tasks: chunk.len() as u32,
                 };
                 let no = self.add_step(step, p.at)?;
@@ -783,7 +783,7 @@
     }
 
     fn shapes_at(&self, shape: u32) -> Option<&JobSpec> {
-        self.plan.shapes.get(shape as usize)
+        self.plan.job_templates.get(shape as usize)
     }
 
     /// The shape of one task's job; equal ones are one.
@@ -865,10 +865,10 @@
             deadline_s: s.deadline_s,
         };
         let key = serde_json::to_string(&spec).unwrap_or_default();
-        let next = self.plan.shapes.len() as u32;
+        let next = self.plan.job_templates.len() as u32;
         let at = *self.shapes.entry(key).or_insert(next);
         if at == next {
-            self.plan.shapes.push(spec);
+            self.plan.job_templates.push(spec);
         }
         Ok(at)
     }
--- a/crates/hopyoke-cwl/tests/cases.rs
+++ b/crates/hopyoke-cwl/tests/cases.rs
@@ -124,12 +124,13 @@
                     return fail("no such step".into());
                 };
                 if verb == "join" {
-                    if step.shape.is_some() {
+                    if step.job_template.is_some() {
                         return fail("it has work".into());
                     }
                     continue;
                 }
-                let after: Vec<String> = step.after.iter().map(|s| s.0.to_string()).collect();
+                let after: Vec<String> =
+                    step.dependencies.iter().map(|s| s.0.to_string()).collect();
                 let said = match after.is_empty() {
                     true => format!("{} {} {}", number(0), step.path, step.tasks),
                     false => format!(
@@ -145,7 +146,7 @@
                 }
             }
             "shape" => {
-                let shape = x.plan.shapes.get(number(0) as usize);
+                let shape = x.plan.job_templates.get(number(0) as usize);
                 let value = shape
                     .and_then(|s| serde_json::to_value(s).ok())
                     .unwrap_or_default();
--- a/crates/hopyoke-cwl/tests/properties.rs
+++ b/crates/hopyoke-cwl/tests/properties.rs
@@ -125,7 +125,7 @@
         for (i, (_, width)) in steps.iter().enumerate() {
             let step = &x.plan.steps[place[format!("s{i}").as_str()]];
             prop_assert_eq!(step.tasks as usize, (*width).max(1));
-            let after: BTreeSet<usize> = step.after.iter().map(|s| s.0 as usize).collect();
+            let after: BTreeSet<usize> = step.dependencies.iter().map(|s| s.0 as usize).collect();
             let want: BTreeSet<usize> = needs[i].iter().map(|s| place[format!("s{s}").as_str()]).collect();
             prop_assert_eq!(after, want);
         }
--- a/crates/hopyoke-experiments/src/flows.rs
+++ b/crates/hopyoke-experiments/src/flows.rs
@@ -9,7 +9,7 @@
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
 use hopyoke_wes::calls::Controllers;
-use hopyoke_workflow::{Plan, PlanStep, RunId, StepNo, parts_of};
+use hopyoke_workflow::{Plan, PlanStep, RunId, StepNo, parse_job_id};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -37,16 +37,16 @@
 fn plan(chains: u32, length: u32) -> Plan {
     let step = |i: u32| PlanStep {
         path: format!("chain{}/step{}", i / length, i % length),
-        after: if i.is_multiple_of(length) {
+        dependencies: if i.is_multiple_of(length) {
             Vec::new()
         } else {
             vec![StepNo(i - 1)]
         },
-        shape: Some(0),
+        job_template: Some(0),
         tasks: 1,
     };
     Plan {
-        shapes: vec![spec(JobId::new("req-0"), 1)],
+        job_templates: vec![spec(JobId::new("req-0"), 1)],
         steps: (0..chains * length).map(step).collect(),
         outputs: "{}".into(),
     }
@@ -103,7 +103,7 @@
 }
 
 fn run(n: u64) -> RunId {
-    RunId::folded(n + 1)
+    RunId::wrapping_new(n + 1)
 }
 
 /// What a step costs one controller beside what a native job costs it, and how long after a step's
@@ -162,7 +162,7 @@
         .ok_or("the run takes too long")?;
     let run_ms = (processor_ms(&site) - before) / f64::from(total);
     let run_gap = gap(&site, |job| {
-        let (r, step, _) = parts_of(job)?;
+        let (r, step, _) = parse_job_id(job)?;
         (r == run(1)).then_some((u64::from(step.0 / length), step.0 % length))
     });
     let bytes = |prefix: &str| {
@@ -327,7 +327,7 @@
     let jobs = site.store.keys("end/req-9");
     let steps_seen: std::collections::BTreeSet<(RunId, StepNo)> = jobs
         .iter()
-        .filter_map(|k| parts_of(&JobId::parse(k.strip_prefix("end/")?)?))
+        .filter_map(|k| parse_job_id(&JobId::parse(k.strip_prefix("end/")?)?))
         .map(|(r, s, _)| (r, s))
         .collect();
     let twice = jobs.len() - steps_seen.len();
@@ -375,7 +375,7 @@
 fn accepted(site: &Cluster, run: RunId) -> u64 {
     let under = |first: &str| {
         site.store
-            .keys(&format!("{first}/{}", hopyoke_workflow::job_prefix(run)))
+            .keys(&format!("{first}/{}", hopyoke_workflow::job_id_prefix(run)))
             .len() as u64
     };
     under("job") + under("end")
--- a/crates/hopyoke-wes/src/main.rs
+++ b/crates/hopyoke-wes/src/main.rs
@@ -283,7 +283,7 @@
         .key
         .clone()
         .unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
-    let id = RunId::folded(xxhash_rust::xxh3::xxh3_64(key.as_bytes()));
+    let id = RunId::wrapping_new(xxhash_rust::xxh3::xxh3_64(key.as_bytes()));
     let source = Recorded(RefCell::default());
     let work = Work {
         run: id,
@@ -661,7 +661,7 @@
                 });
                 let page = c.ask(ask, patience).await.map_err(|e| e.to_string())?;
                 for r in &page.runs {
-                    let id = RunId::folded(r.run);
+                    let id = RunId::wrapping_new(r.run);
                     println!(
                         "{id} {} team {} {} of {} steps {}",
                         r.state, r.team, r.done, r.steps, r.name
@@ -682,7 +682,7 @@
         Whom::Mesh(c, patience) => {
             let old =
                 RunId::parse(&run).ok_or_else(|| format!("{run} is no run's id: twelve digits"))?;
-            let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(
+            let new = RunId::wrapping_new(xxhash_rust::xxh3::xxh3_64(
                 format!("resume/{old}").as_bytes(),
             ));
             let ask = match verb {
--- a/crates/hopyoke-wes/src/publish.rs
+++ b/crates/hopyoke-wes/src/publish.rs
@@ -2,7 +2,7 @@
 
 use hopyoke_cwl::command::Description;
 use hopyoke_types::JobId;
-use hopyoke_workflow::{RunId, StepNo, job_id, job_prefix, parts_of};
+use hopyoke_workflow::{RunId, StepNo, job_id, job_id_prefix, parse_job_id};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
@@ -37,14 +37,14 @@
 /// # Errors
 /// Why a file could not be read or written.
 pub fn take_over(dir: &Path, old: RunId, new: RunId) -> io::Result<()> {
-    let prefix = job_prefix(old);
+    let prefix = job_id_prefix(old);
     for entry in std::fs::read_dir(dir)? {
         let name = entry?.file_name().to_string_lossy().into_owned();
         let job = name
             .strip_suffix(".json")
             .filter(|n| n.starts_with(&prefix))
             .and_then(JobId::parse);
-        if let Some((_, step, _)) = job.as_ref().and_then(parts_of) {
+        if let Some((_, step, _)) = job.as_ref().and_then(parse_job_id) {
             put(dir, &job_id(new, step, 0), &std::fs::read(dir.join(&name))?)?;
         }
     }
--- a/crates/hopyoke-wes/src/server.rs
+++ b/crates/hopyoke-wes/src/server.rs
@@ -15,7 +15,7 @@
 use hopyoke_event_loop::http::{self, Method, OpenConnections, Request, Response, ServerLimits};
 use hopyoke_event_loop::{CancellationToken, TcpListener};
 use hopyoke_types::{JobId, Micros};
-use hopyoke_workflow::{RunId, is_reserved, parts_of};
+use hopyoke_workflow::{RunId, is_step_job_id, parse_job_id};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -279,9 +279,9 @@
         let run = match param("key") {
             Some(key) => {
                 let text = format!("{}/{key}", client.name);
-                RunId::folded(xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
+                RunId::wrapping_new(xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
             }
-            None => RunId::folded(rand::random()),
+            None => RunId::wrapping_new(rand::random()),
         };
         let work = Work {
             run,
@@ -423,7 +423,7 @@
     async fn resume(&self, client: &Client, run: &str) -> Answer {
         let (old, _, _) = self.run(client, run, 0, 0).await?;
         // The same run however often it is asked.
-        let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(
+        let new = RunId::wrapping_new(xxhash_rust::xxh3::xxh3_64(
             format!("{}/resume/{old}", client.name).as_bytes(),
         ));
         if let Some(dir) = &self.config.descriptions
@@ -459,7 +459,7 @@
             .runs
             .iter()
             .map(|info| RunSummary {
-                run_id: RunId::folded(info.run).to_string(),
+                run_id: RunId::wrapping_new(info.run).to_string(),
                 state: State::of_run(info),
                 start_time: time(info.submitted_us),
                 end_time: time(info.ended_us),
@@ -502,9 +502,9 @@
 
     async fn task(&self, client: &Client, run: &str, task: &str) -> Answer {
         let parts = JobId::parse(task)
-            .filter(is_reserved)
+            .filter(is_step_job_id)
             .as_ref()
-            .and_then(parts_of);
+            .and_then(parse_job_id);
         let Some((_, step, _)) = parts.filter(|(r, ..)| r.to_string() == run) else {
             return refuse(404, "no such task");
         };
--- a/crates/hopyoke-workflow/benches/engine.rs
+++ b/crates/hopyoke-workflow/benches/engine.rs
@@ -21,12 +21,12 @@
     };
     let steps = (0..steps).map(|i| PlanStep {
         path: format!("chain{}/s{}", i / 10, i % 10),
-        after: after(i),
-        shape: Some(0),
+        dependencies: after(i),
+        job_template: Some(0),
         tasks: 1,
     });
     Plan {
-        shapes: vec![shape],
+        job_templates: vec![shape],
         steps: steps.collect(),
         outputs: "{}".into(),
     }
@@ -77,8 +77,8 @@
                 claim_revision: Some(ModRevision(2)),
                 plan: Some(plan.clone()),
                 pages: Vec::new(),
-                jobs: Vec::new(),
-                ends: Vec::new(),
+                unfinished_jobs: Vec::new(),
+                ended_jobs: Vec::new(),
             };
             e.read_finished(*run, *epoch, Some(records), now);
         }
--- a/crates/hopyoke-workflow/src/engine/dispatch.rs
+++ b/crates/hopyoke-workflow/src/engine/dispatch.rs
@@ -114,17 +114,18 @@
         };
         let spec = table
             .plan
-            .spec(step, job_id(run, step, table.attempts(step)));
+            .job_spec(step, job_id(run, step, table.attempts(step)));
         if let Some(spec) = spec.filter(|_| table.is_open(step)) {
             table.in_flight.insert(step, StepJob::Submitting);
-            let (epoch, claim_revision, head) = (r.epoch, r.claim_revision, r.head_revision);
+            let (epoch, claim_revision, head_revision) =
+                (r.epoch, r.claim_revision, r.head_revision);
             self.actions.push_back(Action::Submit {
                 run,
                 epoch,
                 step,
                 spec,
                 claim_revision,
-                head,
+                head_revision,
             });
         }
         self.recount_in_flight(run);
@@ -204,7 +205,7 @@
         let Some(r) = self.runs.get_mut(&run) else {
             return;
         };
-        if r.head.state.starts_steps() || r.phase != Phase::Executing {
+        if r.head.state.allows_submission() || r.phase != Phase::Executing {
             return;
         }
         let Some(table) = r.table.as_mut().filter(|t| !t.is_stopping) else {
--- a/crates/hopyoke-workflow/src/engine/outcomes.rs
+++ b/crates/hopyoke-workflow/src/engine/outcomes.rs
@@ -129,32 +129,35 @@
         if table.in_flight.get(&step) != Some(&StepJob::Submitting) {
             return;
         }
-        let is_stopping = !r.head.state.starts_steps();
+        let is_stopping = !r.head.state.allows_submission();
         match outcome {
-            JobOutcome::Accepted | JobOutcome::Known if !is_stopping => {
+            JobOutcome::Accepted | JobOutcome::AlreadyAccepted if !is_stopping => {
                 table.failures.remove(&step);
                 table.in_flight.insert(step, StepJob::Submitted);
             }
             JobOutcome::Ended(end) => table.job_ended(step, end, &r.head),
-            JobOutcome::Never(why) => table.fail(step, &why, &r.head),
+            JobOutcome::Invalid(why) => table.fail(step, &why, &r.head),
             // Even if this submission was certainly not executed, an earlier one may have been.
             _ if is_stopping => table.queue_cancellation(step),
-            JobOutcome::Taken if !table.next_attempt(step) => {
+            JobOutcome::IdTaken if !table.next_attempt(step) => {
                 table.fail(step, "all its ids are taken by other jobs", &r.head);
             }
-            JobOutcome::Taken => {
+            JobOutcome::IdTaken => {
                 table.in_flight.remove(&step);
                 table.ready.push_front(step);
             }
-            JobOutcome::Later(_) | JobOutcome::Unknown => {
+            JobOutcome::RetryAfter(_) | JobOutcome::Unknown => {
                 table.in_flight.insert(step, StepJob::OutcomeUnknown);
-                if let JobOutcome::Later(pause) = outcome {
+                if let JobOutcome::RetryAfter(pause) = outcome {
                     self.paused_until = self.paused_until.max(now + pause);
                 }
                 self.retry_step_later(run, step, now);
                 return;
             }
-            JobOutcome::Accepted | JobOutcome::Known | JobOutcome::Stale | JobOutcome::Missing => {
+            JobOutcome::Accepted
+            | JobOutcome::AlreadyAccepted
+            | JobOutcome::Stale
+            | JobOutcome::NotFound => {
                 self.read_again(run, now);
                 return;
             }
@@ -186,7 +189,7 @@
         match outcome {
             JobOutcome::Ended(end) => table.job_ended(step, end, &r.head),
             // A late submission can't be executed any more either: the head's revision has changed.
-            JobOutcome::Missing | JobOutcome::Taken => table.skip(step),
+            JobOutcome::NotFound | JobOutcome::IdTaken => table.skip(step),
             _ => {
                 table.in_flight.insert(step, StepJob::CancelQueued);
                 self.retry_step_later(run, step, now);
@@ -242,7 +245,7 @@
                 self.begin_stop(run, now);
                 self.write_progress(run, now);
             }
-            WriteOutcome::Refused => {
+            WriteOutcome::Rejected => {
                 table.dirty_pages.extend(pages.iter().map(|p| p.0));
                 table.dirty_since = Some(now);
                 r.failures += 1;
--- a/crates/hopyoke-workflow/src/engine/watch.rs
+++ b/crates/hopyoke-workflow/src/engine/watch.rs
@@ -1,7 +1,7 @@
 //! Changes of records, as the node's watches report them.
 
 use super::Engine;
-use crate::ids::{RunId, parts_of};
+use crate::ids::{RunId, parse_job_id};
 use crate::messages::JobEnd;
 use crate::record::Head;
 use crate::run::{Phase, Run};
@@ -113,7 +113,7 @@
 
     /// A job under one of the runs' ids has ended.
     pub fn job_ended(&mut self, job: &JobId, end: JobEnd, now: Micros) {
-        let Some((run, step, attempt)) = parts_of(job) else {
+        let Some((run, step, attempt)) = parse_job_id(job) else {
             return;
         };
         let Some(r) = self.runs.get_mut(&run) else {
--- a/crates/hopyoke-workflow/src/ids.rs
+++ b/crates/hopyoke-workflow/src/ids.rs
@@ -19,7 +19,7 @@
     }
 
     /// A run's id by any number, modulo 10¹².
-    pub fn folded(number: u64) -> RunId {
+    pub fn wrapping_new(number: u64) -> RunId {
         RunId(number % RUN_COUNT)
     }
 
@@ -52,7 +52,7 @@
 
 /// What the ids of all jobs of runs begin with. They have twenty digits and a leading 9, so as
 /// numbers they lie above 2⁶⁴, where no counter of a user's can reach.
-pub const RESERVED_JOB_PREFIX: &str = "req-9";
+pub const RESERVED_JOB_ID_PREFIX: &str = "req-9";
 
 /// A step is submitted under at most this many ids.
 pub const MAX_ATTEMPTS: u8 = 100;
@@ -60,24 +60,24 @@
 /// The id of a step's job: `req-9`, the run, five digits for the step and two for the attempt.
 pub fn job_id(run: RunId, step: StepNo, attempt: u8) -> JobId {
     JobId::new(&format!(
-        "{RESERVED_JOB_PREFIX}{run}{:05}{:02}",
+        "{RESERVED_JOB_ID_PREFIX}{run}{:05}{:02}",
         step.0, attempt
     ))
 }
 
 /// What the ids of a run's jobs begin with.
-pub fn job_prefix(run: RunId) -> String {
-    format!("{RESERVED_JOB_PREFIX}{run}")
+pub fn job_id_prefix(run: RunId) -> String {
+    format!("{RESERVED_JOB_ID_PREFIX}{run}")
 }
 
 /// Whether the id has the form of those that runs use.
-pub fn is_reserved(job: &JobId) -> bool {
-    parts_of(job).is_some()
+pub fn is_step_job_id(job: &JobId) -> bool {
+    parse_job_id(job).is_some()
 }
 
 /// The run, step and attempt of a job's id.
-pub fn parts_of(job: &JobId) -> Option<(RunId, StepNo, u8)> {
-    let digits = job.as_str().strip_prefix(RESERVED_JOB_PREFIX)?;
+pub fn parse_job_id(job: &JobId) -> Option<(RunId, StepNo, u8)> {
+    let digits = job.as_str().strip_prefix(RESERVED_JOB_ID_PREFIX)?;
     if digits.len() != 19 || !digits.is_ascii() {
         return None;
     }
--- a/crates/hopyoke-workflow/src/lib.rs
+++ b/crates/hopyoke-workflow/src/lib.rs
@@ -26,7 +26,8 @@
 
 pub use engine::Engine;
 pub use ids::{
-    MAX_ATTEMPTS, RESERVED_JOB_PREFIX, RunId, StepNo, is_reserved, job_id, job_prefix, parts_of,
+    MAX_ATTEMPTS, RESERVED_JOB_ID_PREFIX, RunId, StepNo, is_step_job_id, job_id, job_id_prefix,
+    parse_job_id,
 };
 pub use limits::Limits;
 pub use messages::{Action, JobEnd, JobOutcome, RunRecords, WriteOutcome};
--- a/crates/hopyoke-workflow/src/messages.rs
+++ b/crates/hopyoke-workflow/src/messages.rs
@@ -38,7 +38,7 @@
         /// The revision that the claim must have.
         claim_revision: ModRevision,
         /// The revision that the head must have.
-        head: ModRevision,
+        head_revision: ModRevision,
     },
     /// Cancel this job.
     Cancel {
@@ -76,7 +76,7 @@
     /// It was cancelled.
     Cancelled,
     /// Its tasks failed so often that the scheduler gave it up.
-    GivenUp,
+    Failed,
 }
 
 /// How a submission or a cancellation ended.
@@ -85,21 +85,21 @@
     /// The job is accepted now.
     Accepted,
     /// It is this step's job, accepted earlier, and not over.
-    Known,
+    AlreadyAccepted,
     /// It is this step's job, and over.
     Ended(JobEnd),
     /// The id belongs to another submitter's job.
-    Taken,
+    IdTaken,
     /// It can never run; says why.
-    Never(String),
+    Invalid(String),
     /// Certainly not executed; to be retried, but not before this time has passed.
-    Later(Micros),
+    RetryAfter(Micros),
     /// The head or the claim has another revision: certainly not executed.
     Stale,
     /// It may have been executed, or may yet be.
     Unknown,
     /// Of a cancellation alone: no such job is known.
-    Missing,
+    NotFound,
 }
 
 /// How a write ended.
@@ -110,7 +110,7 @@
     /// A record had another revision than required: certainly not written.
     Conflict,
     /// Certainly not written, for another reason.
-    Refused,
+    Rejected,
     /// It may have been written, or may yet be.
     Unknown,
 }
@@ -129,7 +129,7 @@
     /// Pages of steps' states by number, with their revisions.
     pub pages: Vec<(u32, ModRevision, StepPage)>,
     /// Unfinished jobs under the run's ids, and whether they are its own.
-    pub jobs: Vec<(JobId, bool)>,
+    pub unfinished_jobs: Vec<(JobId, bool)>,
     /// Ended jobs under the run's ids, and whether they are its own.
-    pub ends: Vec<(JobId, JobEnd, bool)>,
+    pub ended_jobs: Vec<(JobId, JobEnd, bool)>,
 }
--- a/crates/hopyoke-workflow/src/plan.rs
+++ b/crates/hopyoke-workflow/src/plan.rs
@@ -19,11 +19,11 @@
     /// Its path in the workflow, such as `convert/split`.
     pub path: String,
     /// Its dependencies: steps that must be done before it starts.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub after: Vec<StepNo>,
+    #[serde(rename = "after", default, skip_serializing_if = "Vec::is_empty")]
+    pub dependencies: Vec<StepNo>,
     /// Its job's template, as an index of [`Plan::shapes`]; `None`: no job.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub shape: Option<u32>,
+    #[serde(rename = "shape", default, skip_serializing_if = "Option::is_none")]
+    pub job_template: Option<u32>,
     /// How many tasks its job has.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub tasks: u32,
@@ -37,7 +37,8 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Plan {
     /// Job templates that steps share; id and number of tasks are a step's own.
-    pub shapes: Vec<JobSpec>,
+    #[serde(rename = "shapes")]
+    pub job_templates: Vec<JobSpec>,
     /// The steps; a step's number is its index.
     pub steps: Vec<PlanStep>,
     /// What the run yields once all steps are done, as JSON.
@@ -48,8 +49,8 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct PlanPage {
     /// The next job templates.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub shapes: Vec<JobSpec>,
+    #[serde(rename = "shapes", default, skip_serializing_if = "Vec::is_empty")]
+    pub job_templates: Vec<JobSpec>,
     /// The next steps.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub steps: Vec<PlanStep>,
@@ -63,10 +64,10 @@
 pub enum PlanError {
     /// More than [`MAX_STEPS`] steps.
     #[error("{0} steps; a run may have at most {MAX_STEPS}")]
-    TooMany(usize),
+    TooManySteps(usize),
     /// A step is invalid.
     #[error("step {path}: {what}")]
-    Step {
+    InvalidStep {
         /// The step's path.
         path: String,
         /// What is wrong with it.
@@ -91,11 +92,11 @@
     pub fn check(&self, team: &str) -> Result<(), PlanError> {
         let n = self.steps.len();
         if n > MAX_STEPS {
-            return Err(PlanError::TooMany(n));
+            return Err(PlanError::TooManySteps(n));
         }
         for (i, step) in self.steps.iter().enumerate() {
             let fault = |what: String| {
-                Err(PlanError::Step {
+                Err(PlanError::InvalidStep {
                     path: step.path.clone(),
                     what,
                 })
@@ -103,17 +104,19 @@
             if step.path.is_empty() || step.path.len() > MAX_PATH_BYTES {
                 return fault(format!("its name must have 1 to {MAX_PATH_BYTES} bytes"));
             }
-            if step.after.len() > MAX_DEPENDENCIES {
+            if step.dependencies.len() > MAX_DEPENDENCIES {
                 return fault(format!(
                     "it waits for {} steps; at most {MAX_DEPENDENCIES} are allowed",
-                    step.after.len()
+                    step.dependencies.len()
                 ));
             }
-            if let Some(s) = step.after.iter().find(|s| s.0 as usize >= n) {
+            if let Some(s) = step.dependencies.iter().find(|s| s.0 as usize >= n) {
                 return fault(format!("it waits for step {}, and there are {n}", s.0));
             }
-            let Some(shape) = step.shape else { continue };
-            let Some(shape) = self.shapes.get(shape as usize) else {
+            let Some(shape) = step.job_template else {
+                continue;
+            };
+            let Some(shape) = self.job_templates.get(shape as usize) else {
                 return fault(format!("its shape {shape} is not in the plan"));
             };
             if shape.team != team {
@@ -122,7 +125,7 @@
             if shape.kind == JobKind::Service {
                 return fault("a service never ends, so it can't be a step".into());
             }
-            let spec = self.spec(StepNo(i as u32), JobId::new("req-0"));
+            let spec = self.job_spec(StepNo(i as u32), JobId::new("req-0"));
             if let Some(Err(e)) = spec.map(|s| s.check()) {
                 return fault(e.to_string());
             }
@@ -139,7 +142,8 @@
     /// A step on a cycle, or after one.
     pub fn topological_order(&self) -> Result<Vec<StepNo>, StepNo> {
         let n = self.steps.len();
-        let mut open_dependencies: Vec<usize> = self.steps.iter().map(|s| s.after.len()).collect();
+        let mut open_dependencies: Vec<usize> =
+            self.steps.iter().map(|s| s.dependencies.len()).collect();
         let dependents = self.dependents();
         let mut ready: VecDeque<u32> = (0..n as u32)
             .filter(|i| open_dependencies[*i as usize] == 0)
@@ -164,7 +168,7 @@
     pub fn dependents(&self) -> Vec<Vec<u32>> {
         let mut out = vec![Vec::new(); self.steps.len()];
         for (i, step) in self.steps.iter().enumerate() {
-            for s in &step.after {
+            for s in &step.dependencies {
                 if let Some(list) = out.get_mut(s.0 as usize) {
                     list.push(i as u32);
                 }
@@ -174,9 +178,9 @@
     }
 
     /// The job of a step under this id; `None`: it has none.
-    pub fn spec(&self, step: StepNo, id: JobId) -> Option<JobSpec> {
+    pub fn job_spec(&self, step: StepNo, id: JobId) -> Option<JobSpec> {
         let step = self.steps.get(step.0 as usize)?;
-        let shape = self.shapes.get(step.shape? as usize)?;
+        let shape = self.job_templates.get(step.job_template? as usize)?;
         Some(JobSpec {
             id,
             tasks: step.tasks,
@@ -211,7 +215,7 @@
             used += bytes;
             Ok(())
         };
-        for shape in &self.shapes {
+        for shape in &self.job_templates {
             place(
                 &mut pages,
                 size(serde_json::to_string(shape)),
@@ -220,7 +224,7 @@
             pages
                 .last_mut()
                 .expect("at least one page")
-                .shapes
+                .job_templates
                 .push(shape.clone());
         }
         for step in &self.steps {
@@ -258,7 +262,7 @@
     pub fn from_pages(pages: impl IntoIterator<Item = PlanPage>) -> Plan {
         let mut plan = Plan::default();
         for p in pages {
-            plan.shapes.extend(p.shapes);
+            plan.job_templates.extend(p.job_templates);
             plan.steps.extend(p.steps);
             plan.outputs.push_str(&p.outputs);
         }
--- a/crates/hopyoke-workflow/src/record.rs
+++ b/crates/hopyoke-workflow/src/record.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether steps may be submitted.
-    pub fn starts_steps(self) -> bool {
+    pub fn allows_submission(self) -> bool {
         self == RunState::Running
     }
 }
@@ -86,8 +86,8 @@
     #[serde(default)]
     pub resumes: Option<RunId>,
     /// The run under whose id the plan's pages stand, if that is another.
-    #[serde(default)]
-    pub plan_of: Option<RunId>,
+    #[serde(rename = "plan_of", default)]
+    pub plan_source: Option<RunId>,
     /// The submitter's own labels, returned as they are.
     #[serde(default)]
     pub tags: BTreeMap<String, String>,
@@ -117,7 +117,7 @@
             reason: String::new(),
             done: 0,
             resumes: None,
-            plan_of: None,
+            plan_source: None,
             tags: BTreeMap::new(),
         }
     }
@@ -171,7 +171,7 @@
     }
 
     /// Whether the state is final.
-    pub fn is_over(self) -> bool {
+    pub fn is_final(self) -> bool {
         self != StepState::Open
     }
 }
@@ -207,7 +207,7 @@
     }
 
     /// The page of a run that goes on from the done steps of this one, under ids of its own.
-    pub fn only_done(&self) -> StepPage {
+    pub fn for_resumed_run(&self) -> StepPage {
         let letter = |b: u8| match StepState::of_letter(b) {
             StepState::Done => StepState::Done,
             _ => StepState::Open,
--- a/crates/hopyoke-workflow/src/run.rs
+++ b/crates/hopyoke-workflow/src/run.rs
@@ -98,6 +98,6 @@
 
     /// Whether its steps may be submitted.
     pub(crate) fn may_submit(&self) -> bool {
-        self.phase == Phase::Executing && self.head.state.starts_steps()
+        self.phase == Phase::Executing && self.head.state.allows_submission()
     }
 }
--- a/crates/hopyoke-workflow/src/step_table.rs
+++ b/crates/hopyoke-workflow/src/step_table.rs
@@ -1,6 +1,6 @@
 //! The steps of a run that this node executes.
 
-use crate::ids::{MAX_ATTEMPTS, StepNo, parts_of};
+use crate::ids::{MAX_ATTEMPTS, StepNo, parse_job_id};
 use crate::messages::{JobEnd, RunRecords};
 use crate::plan::Plan;
 use crate::record::{Head, OnError, RunState, STEPS_PER_PAGE, StepPage, StepState};
@@ -68,13 +68,13 @@
         table.skip_taken_ids(records);
         table.count_ended();
         // Reconnect to unfinished jobs.
-        for (job, is_own) in &records.jobs {
+        for (job, is_own) in &records.unfinished_jobs {
             if let Some(step) = table.open_step_of(job).filter(|_| *is_own) {
                 table.in_flight.insert(step, StepJob::Submitted);
             }
         }
         // Take the results of ended ones.
-        for (job, end, is_own) in &records.ends {
+        for (job, end, is_own) in &records.ended_jobs {
             if let Some(step) = table.open_step_of(job).filter(|_| *is_own) {
                 table.job_ended(step, *end, head);
             }
@@ -88,7 +88,11 @@
     fn new(plan: Rc<Plan>, head: &Head) -> StepTable {
         let steps = plan.steps.len();
         StepTable {
-            open_dependencies: plan.steps.iter().map(|s| s.after.len() as u32).collect(),
+            open_dependencies: plan
+                .steps
+                .iter()
+                .map(|s| s.dependencies.len() as u32)
+                .collect(),
             dependents: Rc::new(plan.dependents()),
             plan,
             steps: vec![(StepState::Open, 0); steps],
@@ -122,10 +126,14 @@
     /// Of ids under which another submitter has a job, the next one is the step's. Records of such jobs never vanish, so
     /// every owner comes to the same id.
     fn skip_taken_ids(&mut self, records: &RunRecords) {
-        let jobs = records.jobs.iter().filter(|j| !j.1).map(|j| &j.0);
-        let ends = records.ends.iter().filter(|e| !e.2).map(|e| &e.0);
+        let jobs = records
+            .unfinished_jobs
+            .iter()
+            .filter(|j| !j.1)
+            .map(|j| &j.0);
+        let ends = records.ended_jobs.iter().filter(|e| !e.2).map(|e| &e.0);
         for job in jobs.chain(ends) {
-            if let Some((_, step, attempt)) = parts_of(job)
+            if let Some((_, step, attempt)) = parse_job_id(job)
                 && let Some(s) = self.steps.get_mut(step.0 as usize)
             {
                 s.1 = s.1.max(attempt.saturating_add(1).min(MAX_ATTEMPTS));
@@ -136,7 +144,7 @@
     fn count_ended(&mut self) {
         for i in 0..self.steps.len() {
             let state = self.steps[i].0;
-            if state.is_over() {
+            if state.is_final() {
                 self.count(StepNo(i as u32), state);
             }
         }
@@ -144,7 +152,7 @@
 
     /// The open step whose current attempt a job is.
     fn open_step_of(&self, job: &JobId) -> Option<StepNo> {
-        let (_, step, attempt) = parts_of(job)?;
+        let (_, step, attempt) = parse_job_id(job)?;
         (self.is_open(step) && self.attempts(step) == attempt).then_some(step)
     }
 
@@ -246,7 +254,7 @@
     fn make_ready(&mut self, step: StepNo) {
         let mut list = vec![step];
         while let Some(step) = list.pop() {
-            if self.plan.steps[step.0 as usize].shape.is_some() {
+            if self.plan.steps[step.0 as usize].job_template.is_some() {
                 self.ready.push_back(step);
                 continue;
             }
@@ -277,15 +285,15 @@
                     }
                 }
             }
-            JobEnd::Cancelled | JobEnd::GivenUp if head.state == RunState::Running => {
-                let why = if end == JobEnd::GivenUp {
+            JobEnd::Cancelled | JobEnd::Failed if head.state == RunState::Running => {
+                let why = if end == JobEnd::Failed {
                     "its tasks keep failing"
                 } else {
                     "its job was cancelled"
                 };
                 self.fail(step, why, head);
             }
-            JobEnd::Cancelled | JobEnd::GivenUp => self.settle(step, StepState::Cancelled),
+            JobEnd::Cancelled | JobEnd::Failed => self.settle(step, StepState::Cancelled),
         }
     }
 
--- a/crates/hopyoke-workflow/tests/frozen_forms.rs
+++ b/crates/hopyoke-workflow/tests/frozen_forms.rs
@@ -19,12 +19,12 @@
 fn plan() -> Plan {
     let step = |path: &str, after: &[u32], shape, tasks| PlanStep {
         path: path.into(),
-        after: after.iter().map(|n| StepNo(*n)).collect(),
-        shape,
+        dependencies: after.iter().map(|n| StepNo(*n)).collect(),
+        job_template: shape,
         tasks,
     };
     Plan {
-        shapes: vec![JobSpec::with_defaults(
+        job_templates: vec![JobSpec::with_defaults(
             JobId::new("req-0"),
             "convert",
             "vision",
@@ -60,7 +60,7 @@
         reason: "step convert: exit 2".into(),
         done: 2,
         resumes: run(41_000_000_007),
-        plan_of: run(41_000_000_005),
+        plan_source: run(41_000_000_005),
         tags: BTreeMap::from([
             ("color".into(), "red".into()),
             ("shift".into(), "night".into()),
--- a/crates/hopyoke-workflow/tests/model/actions.rs
+++ b/crates/hopyoke-workflow/tests/model/actions.rs
@@ -4,7 +4,7 @@
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
-    Action, JobEnd, JobOutcome, RunId, RunRecords, StepNo, WriteOutcome, job_prefix,
+    Action, JobEnd, JobOutcome, RunId, RunRecords, StepNo, WriteOutcome, job_id_prefix,
 };
 
 impl Model {
@@ -22,10 +22,10 @@
                 step,
                 spec,
                 claim_revision,
-                head,
+                head_revision,
             } => {
                 let is_current = self.claim_of(*run) == *claim_revision
-                    && self.mod_revision(&format!("flow/head/{run}")) == *head;
+                    && self.mod_revision(&format!("flow/head/{run}")) == *head_revision;
                 let outcome = self.submit_job(*run, *step, spec, is_current);
                 Reply::Submitted(*run, *epoch, *step, outcome)
             }
@@ -65,7 +65,7 @@
             Some((Value::Head(h), mod_revision, _)) => (h.clone(), *mod_revision),
             _ => return None,
         };
-        let prefix = job_prefix(run);
+        let prefix = job_id_prefix(run);
         let id = |rest: &str| JobId::new(&format!("{prefix}{rest}"));
         let pages = self.under(&format!("flowpage/{run}/"));
         let jobs = self.under(&format!("job/{prefix}"));
@@ -81,13 +81,13 @@
                     _ => None,
                 })
                 .collect(),
-            jobs: jobs
+            unfinished_jobs: jobs
                 .filter_map(|(k, v, _)| match v {
                     Value::Job(is_own) => Some((id(k), *is_own)),
                     _ => None,
                 })
                 .collect(),
-            ends: ends
+            ended_jobs: ends
                 .filter_map(|(k, v, _)| match v {
                     Value::End(end, is_own) => Some((id(k), *end, *is_own)),
                     _ => None,
@@ -109,9 +109,9 @@
             self.store.get(&format!("end/{job}")),
         );
         match (open, ended) {
-            (Some((Value::Job(true), ..)), _) => return JobOutcome::Known,
+            (Some((Value::Job(true), ..)), _) => return JobOutcome::AlreadyAccepted,
             (_, Some((Value::End(end, true), ..))) => return JobOutcome::Ended(*end),
-            (Some(_), _) | (_, Some(_)) => return JobOutcome::Taken,
+            (Some(_), _) | (_, Some(_)) => return JobOutcome::IdTaken,
             _ if !is_current => return JobOutcome::Stale,
             _ => {}
         }
@@ -142,8 +142,8 @@
                 JobOutcome::Ended(JobEnd::Cancelled)
             }
             (_, Some((Value::End(end, true), ..))) => JobOutcome::Ended(*end),
-            (Some(_), _) | (_, Some(_)) => JobOutcome::Taken,
-            _ => JobOutcome::Missing,
+            (Some(_), _) | (_, Some(_)) => JobOutcome::IdTaken,
+            _ => JobOutcome::NotFound,
         }
     }
 
@@ -193,7 +193,7 @@
         if is_unknown {
             JobOutcome::Unknown
         } else {
-            JobOutcome::Later(Micros::from_secs(1))
+            JobOutcome::RetryAfter(Micros::from_secs(1))
         }
     };
     match action {
@@ -209,7 +209,7 @@
             let outcome = if is_unknown {
                 WriteOutcome::Unknown
             } else {
-                WriteOutcome::Refused
+                WriteOutcome::Rejected
             };
             Reply::Written(Box::new(action.clone()), outcome)
         }
--- a/crates/hopyoke-workflow/tests/model/nodes.rs
+++ b/crates/hopyoke-workflow/tests/model/nodes.rs
@@ -3,7 +3,7 @@
 use super::actions::reply_to_failure;
 use super::{Change, Event, Fault, JobBehavior, LEASE_TTL, Model, Reply, Value, node_name};
 use hopyoke_types::{JobId, Micros};
-use hopyoke_workflow::{Action, Engine, Head, JobEnd, RunId, RunState, parts_of};
+use hopyoke_workflow::{Action, Engine, Head, JobEnd, RunId, RunState, parse_job_id};
 use rand::RngExt;
 
 /// After this a node gives up waiting for a response.
@@ -186,9 +186,9 @@
         }
         let record = self.store.get(&format!("job/{job}"));
         if matches!(record, Some((Value::Job(true), ..))) {
-            let (run, step, _) = parts_of(&job).expect("a step's job");
+            let (run, step, _) = parse_job_id(&job).expect("a step's job");
             let end = match self.runs[&run].behaviors.get(&step) {
-                Some(JobBehavior::GivenUp(_)) => JobEnd::GivenUp,
+                Some(JobBehavior::GivenUp(_)) => JobEnd::Failed,
                 _ => JobEnd::Done,
             };
             self.end_job(&job, end);
--- a/crates/hopyoke-workflow/tests/model/store.rs
+++ b/crates/hopyoke-workflow/tests/model/store.rs
@@ -2,7 +2,7 @@
 
 use super::{Change, Event, Model, Value, node_name};
 use hopyoke_types::{JobId, Micros, ModRevision};
-use hopyoke_workflow::{Head, JobEnd, Plan, RunId, RunState, StepNo, parts_of};
+use hopyoke_workflow::{Head, JobEnd, Plan, RunId, RunState, StepNo, parse_job_id};
 use std::collections::BTreeSet;
 
 /// How long a change takes to the nodes' watches.
@@ -82,7 +82,7 @@
                 self.store.keys().any(|k| {
                     let job = k.strip_prefix("job/").map(JobId::new);
                     job.is_some_and(|j| {
-                        parts_of(&j).is_some_and(|(r, step, _)| r == run && step == *s)
+                        parse_job_id(&j).is_some_and(|(r, step, _)| r == run && step == *s)
                             && matches!(self.store[k].0, Value::Job(true))
                     })
                 })
@@ -96,7 +96,7 @@
     /// A step's job is accepted once, after its dependencies, and while the run's state permits it.
     fn check_job(&mut self, key: &str) {
         let job = JobId::new(&key[4..]);
-        let (run, step, _) = parts_of(&job).expect("a step's id");
+        let (run, step, _) = parse_job_id(&job).expect("a step's id");
         let head = match self.store.get(&format!("flow/head/{run}")) {
             Some((Value::Head(h), ..)) => h.state,
             _ => panic!("a job of no run"),
@@ -174,14 +174,14 @@
     }
 
     pub(super) fn end_job(&mut self, job: &JobId, end: JobEnd) {
-        let team = match parts_of(job) {
+        let team = match parse_job_id(job) {
             Some((run, step, _)) => {
                 let r = self.runs.get_mut(&run).expect("a run");
                 if end == JobEnd::Done {
                     r.done.insert(step);
                 }
-                let shape = r.plan.steps[step.0 as usize].shape.unwrap_or(0);
-                r.plan.shapes[shape as usize].team.clone()
+                let shape = r.plan.steps[step.0 as usize].job_template.unwrap_or(0);
+                r.plan.job_templates[shape as usize].team.clone()
             }
             None => String::new(),
         };
@@ -195,14 +195,17 @@
 
 /// A dependency that has a job and is not done; a step without a job stands for its own dependencies.
 fn unfinished_dependency(plan: &Plan, done: &BTreeSet<StepNo>, step: StepNo) -> Option<StepNo> {
-    let (mut list, mut visited) = (plan.steps[step.0 as usize].after.clone(), BTreeSet::new());
+    let (mut list, mut visited) = (
+        plan.steps[step.0 as usize].dependencies.clone(),
+        BTreeSet::new(),
+    );
     while let Some(s) = list.pop() {
         let dependency = &plan.steps[s.0 as usize];
-        if dependency.shape.is_some() && !done.contains(&s) {
+        if dependency.job_template.is_some() && !done.contains(&s) {
             return Some(s);
         }
-        if dependency.shape.is_none() && visited.insert(s) {
-            list.extend(&dependency.after);
+        if dependency.job_template.is_none() && visited.insert(s) {
+            list.extend(&dependency.dependencies);
         }
     }
     None
--- a/crates/hopyoke-workflow/tests/properties.rs
+++ b/crates/hopyoke-workflow/tests/properties.rs
@@ -78,12 +78,12 @@
         .enumerate()
         .map(|(i, (after, work, _))| PlanStep {
             path: format!("s{i}"),
-            after: after.iter().map(|d| StepNo(*d as u32)).collect(),
-            shape: work.then_some(0),
+            dependencies: after.iter().map(|d| StepNo(*d as u32)).collect(),
+            job_template: work.then_some(0),
             tasks: 1,
         });
     Plan {
-        shapes: vec![shape()],
+        job_templates: vec![shape()],
         steps: steps.collect(),
         outputs: "{}".into(),
     }
@@ -153,14 +153,14 @@
 #[test]
 fn plan_errors_name_the_fault() {
     let plan = |steps: Vec<PlanStep>| Plan {
-        shapes: vec![shape()],
+        job_templates: vec![shape()],
         steps,
         outputs: String::new(),
     };
     let step = |path: &str, after: Vec<u32>, shape: Option<u32>| PlanStep {
         path: path.into(),
-        after: after.into_iter().map(StepNo).collect(),
-        shape,
+        dependencies: after.into_iter().map(StepNo).collect(),
+        job_template: shape,
         tasks: 1,
     };
     let error_of = |p: Plan, team: &str| p.check(team).expect_err("a fault").to_string();
--- a/crates/hopyoke-workflow/tests/scenarios.rs
+++ b/crates/hopyoke-workflow/tests/scenarios.rs
@@ -66,8 +66,8 @@
         let shape = if fate == "join" { None } else { Some(0) };
         plan.steps.push(PlanStep {
             path: format!("{name}{k}"),
-            after: after.clone(),
-            shape,
+            dependencies: after.clone(),
+            job_template: shape,
             tasks: 1,
         });
         match fate {
@@ -121,7 +121,7 @@
         ["run", id, team, rest @ ..] => {
             let continue_on_error = rest.first() == Some(&"keep-on");
             let mut plan = Plan {
-                shapes: vec![shape(team)],
+                job_templates: vec![shape(team)],
                 ..Plan::default()
             };
             let (mut behaviors, mut known) = (BTreeMap::new(), BTreeMap::new());
--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -58,9 +58,9 @@
             step,
             spec,
             claim_revision,
-            head,
+            head_revision,
         } => {
-            let outcome = submit(node, *run, spec, *claim_revision, *head)
+            let outcome = submit(node, *run, spec, *claim_revision, *head_revision)
                 .await
                 .unwrap_or_else(|e| outcome_of_error(&e));
             workflows.engine.borrow_mut().submission_finished(
@@ -81,8 +81,8 @@
                 Ok(Some(Lookup::Finished(end))) if end.is_workflow_step => {
                     JobOutcome::Ended(job_end_of(end))
                 }
-                Ok(Some(Lookup::NotFound)) => JobOutcome::Missing,
-                Ok(Some(Lookup::Finished(_))) => JobOutcome::Taken,
+                Ok(Some(Lookup::NotFound)) => JobOutcome::NotFound,
+                Ok(Some(Lookup::Finished(_))) => JobOutcome::IdTaken,
                 Ok(_) => JobOutcome::Unknown,
                 Err(e) => outcome_of_error(&e),
             };
@@ -118,7 +118,7 @@
 fn outcome_of_error(e: &StoreError) -> JobOutcome {
     match e {
         StoreError::Refused(_) | StoreError::RateLimited => {
-            JobOutcome::Later(Micros::from_millis(500))
+            JobOutcome::RetryAfter(Micros::from_millis(500))
         }
         _ => JobOutcome::Unknown,
     }
@@ -188,7 +188,7 @@
     let unschedulable = {
         let types = node.catalog.borrow();
         if types.is_empty() {
-            return Ok(JobOutcome::Later(Micros::from_secs(1)));
+            return Ok(JobOutcome::RetryAfter(Micros::from_secs(1)));
         }
         unschedulable_reason(spec, &types, &node.config.zones, &node.config.teams)
     };
@@ -196,7 +196,7 @@
         // A job that was accepted under an earlier catalog stays accepted.
         return Ok(
             match lookup(node, node.store.background(), &spec.id).await? {
-                Lookup::NotFound => JobOutcome::Never(reason),
+                Lookup::NotFound => JobOutcome::Invalid(reason),
                 found => outcome_of_lookup(&found),
             },
         );
@@ -231,12 +231,12 @@
     match found {
         Lookup::Finished(end) if end.is_workflow_step => JobOutcome::Ended(job_end_of(*end)),
         Lookup::Unfinished(Stored::Value(record), _) if record.is_workflow_step => {
-            JobOutcome::Known
+            JobOutcome::AlreadyAccepted
         }
         Lookup::NotFound | Lookup::Unreadable | Lookup::Unfinished(Stored::Unreadable(_), _) => {
             JobOutcome::Unknown
         }
-        _ => JobOutcome::Taken,
+        _ => JobOutcome::IdTaken,
     }
 }
 
@@ -296,7 +296,7 @@
     match node.store.background().txn(compares, mutations).await {
         Ok(TransactionOutcome::Applied(mod_revision)) => WriteOutcome::Applied(mod_revision),
         Ok(TransactionOutcome::Failed(_)) => WriteOutcome::Conflict,
-        Err(e) if e.is_refusal() => WriteOutcome::Refused,
+        Err(e) if e.is_refusal() => WriteOutcome::Rejected,
         Err(_) => WriteOutcome::Unknown,
     }
 }
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -19,7 +19,8 @@
 use hopyoke_scheduler::{JobRecord, unschedulable_reason};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
-    Head, OnError, Plan, PlanPage, RunId, RunState, StepNo, StepState, job_id, job_prefix, parts_of,
+    Head, OnError, Plan, PlanPage, RunId, RunState, StepNo, StepState, job_id, job_id_prefix,
+    parse_job_id,
 };
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -206,7 +207,7 @@
         return reject(503, "the machine types are not known yet");
     }
     for (i, step) in plan.steps.iter().enumerate() {
-        let Some(spec) = plan.spec(StepNo(i as u32), JobId::new("req-0")) else {
+        let Some(spec) = plan.job_spec(StepNo(i as u32), JobId::new("req-0")) else {
             continue;
         };
         if let Some(reason) =
@@ -370,13 +371,14 @@
         let jobs = node
             .store
             .background()
-            .list::<JobRecord>(&format!("job/{}", job_prefix(run)))
+            .list::<JobRecord>(&format!("job/{}", job_id_prefix(run)))
             .await?
             .pairs;
         let step_jobs = jobs
             .iter()
             .filter(|p| matches!(&p.value, Stored::Value(record) if record.is_workflow_step));
-        submitted.extend(step_jobs.filter_map(|p| Some(parts_of(&job_id_from_key(&p.key)?)?.1)));
+        submitted
+            .extend(step_jobs.filter_map(|p| Some(parse_job_id(&job_id_from_key(&p.key)?)?.1)));
     }
     let done = states.iter().filter(|s| s.0 == StepState::Done).count() as u32;
     let step_state_name = |step: StepNo, state: StepState| match state {
@@ -399,7 +401,7 @@
             path: step.path.clone(),
             tasks: step.tasks,
             state: step_state_name(step_no, *state).to_owned(),
-            job: step.shape.map_or(String::new(), |_| {
+            job: step.job_template.map_or(String::new(), |_| {
                 job_id(run, step_no, *attempts).to_string()
             }),
         })
@@ -426,7 +428,7 @@
 )]
 async fn list(node: &Node, workflows: &Flows, request: RunList) -> CallResult {
     let max_runs = request.most.clamp(1, MAX_LISTED_RUNS) as usize;
-    let mut after = RunId::folded(request.after);
+    let mut after = RunId::wrapping_new(request.after);
     let mut runs = Vec::new();
     // An owner's runs may be sparse among all runs, so one call reads a bounded number of pages.
     for _ in 0..8 {
@@ -570,7 +572,7 @@
         reason: String::new(),
         done: 0,
         resumes: Some(old_run),
-        plan_of: Some(head.plan_of.unwrap_or(old_run)),
+        plan_source: Some(head.plan_source.unwrap_or(old_run)),
         ..head
     };
     if let Some((existing, _)) = read_head(node, run).await? {
@@ -586,7 +588,7 @@
         let key = workflow_page_key(run, page);
         let mutation = Mutation::Put {
             key: key.clone(),
-            value: WorkflowRecord::Page(value.only_done()),
+            value: WorkflowRecord::Page(value.for_resumed_run()),
             lease: None,
         };
         let compares = vec![
--- a/crates/hopyoke/src/workflows/records.rs
+++ b/crates/hopyoke/src/workflows/records.rs
@@ -10,7 +10,9 @@
 use hopyoke_protocol::state::{KeyValue, Stored};
 use hopyoke_scheduler::{EndRecord, JobRecord};
 use hopyoke_types::{JobId, ModRevision};
-use hopyoke_workflow::{Head, Plan, PlanPage, RunClaim, RunId, RunRecords, StepPage, job_prefix};
+use hopyoke_workflow::{
+    Head, Plan, PlanPage, RunClaim, RunId, RunRecords, StepPage, job_id_prefix,
+};
 use serde::{Deserialize, Serialize};
 use tracing::warn;
 
@@ -76,7 +78,7 @@
     let pairs = node
         .store
         .background()
-        .list::<PlanPage>(&workflow_plan_prefix(head.plan_of.unwrap_or(run)))
+        .list::<PlanPage>(&workflow_plan_prefix(head.plan_source.unwrap_or(run)))
         .await?
         .pairs;
     let pages: Option<Vec<PlanPage>> = pairs.into_iter().map(|p| p.value.decoded()).collect();
@@ -110,7 +112,7 @@
     };
     let pages = read_step_pages(node, run).await?;
     // Unfinished jobs are read first: a record only ever moves from `job/` to `end/`, so none is missed.
-    let prefix = job_prefix(run);
+    let prefix = job_id_prefix(run);
     let jobs = node
         .store
         .background()
@@ -130,7 +132,7 @@
         claim_revision,
         plan,
         pages,
-        jobs: jobs
+        unfinished_jobs: jobs
             .iter()
             .filter_map(|p| {
                 Some((
@@ -139,7 +141,7 @@
                 ))
             })
             .collect(),
-        ends: ends
+        ended_jobs: ends
             .iter()
             .filter_map(|p| match &p.value {
                 Stored::Value(e) => {
--- a/crates/hopyoke/src/workflows/watches.rs
+++ b/crates/hopyoke/src/workflows/watches.rs
@@ -10,7 +10,7 @@
 use hopyoke_protocol::user::JobState;
 use hopyoke_scheduler::EndRecord;
 use hopyoke_types::{JobId, Micros, ModRevision};
-use hopyoke_workflow::{JobEnd, RESERVED_JOB_PREFIX, RunId};
+use hopyoke_workflow::{JobEnd, RESERVED_JOB_ID_PREFIX, RunId};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use tracing::{debug, warn};
@@ -138,7 +138,7 @@
 /// Watches for ended jobs of workflow steps. Their ids have a reserved prefix, so the ends of users' jobs are not received.
 pub(super) async fn watch_job_ends(node: Rc<Node>) {
     let workflows = workflow_state(&node);
-    let prefix = format!("end/{RESERVED_JOB_PREFIX}");
+    let prefix = format!("end/{RESERVED_JOB_ID_PREFIX}");
     let mut since: Option<u64> = None;
     loop {
         let from = match since {
@@ -195,7 +195,7 @@
 pub(super) fn job_end_of(end: EndRecord) -> JobEnd {
     match end.state {
         JobState::Done => JobEnd::Done,
-        _ if end.given_up => JobEnd::GivenUp,
+        _ if end.given_up => JobEnd::Failed,
         _ => JobEnd::Cancelled,
     }
 }
