--- a/crates/hopyoke-workflow/src/engine/audit.rs
+++ b/crates/hopyoke-workflow/src/engine/audit.rs
@@ -1,20 +1,26 @@
-//! A check of the engine's counters.
+//! Verification of the engine's incremental counters.
 
 use super::Engine;
 use crate::run::{Phase, Run};
 
 impl Engine {
-    /// Compares the incrementally kept counters with the runs they count, and says which differ; for tests.
+    /// Recomputes the engine's counters from its runs and returns a description of each mismatch. Intended for tests.
     pub fn audit(&self) -> Vec<String> {
-        let mut faults = Vec::new();
+        let mut mismatches = Vec::new();
         let owned = || self.runs.values().filter(|r| r.is_owned());
         let runs = owned().count();
         if runs != self.owned_runs {
-            faults.push(format!("{runs} runs are owned, not {}", self.owned_runs));
+            mismatches.push(format!(
+                "{runs} owned runs, but the counter is {}",
+                self.owned_runs
+            ));
         }
         let steps: usize = owned().map(|r| r.head.steps as usize).sum();
         if steps != self.owned_steps {
-            faults.push(format!("{steps} steps are owned, not {}", self.owned_steps));
+            mismatches.push(format!(
+                "{steps} owned steps, but the counter is {}",
+                self.owned_steps
+            ));
         }
         for (name, team) in &self.teams {
             let is_executing = |r: &&Run| r.phase == Phase::Executing && r.head.team == *name;
@@ -27,11 +33,11 @@
                 .sum();
             if in_flight != team.in_flight {
                 let counted = team.in_flight;
-                faults.push(format!(
-                    "team {name} has {in_flight} steps in flight, not {counted}"
+                mismatches.push(format!(
+                    "team {name} has {in_flight} steps in flight, but its counter is {counted}"
                 ));
             }
         }
-        faults
+        mismatches
     }
 }
--- a/crates/hopyoke-workflow/src/engine/dispatch.rs
+++ b/crates/hopyoke-workflow/src/engine/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which steps are submitted, and which jobs cancelled, in which order.
+//! The order of submissions and cancellations.
 
 use super::{Engine, Team, Timer};
 use crate::ids::{RunId, StepNo, job_id};
@@ -9,6 +9,7 @@
 use std::collections::VecDeque;
 
 impl Engine {
+    /// Returns the team of a run.
     pub(super) fn team(&mut self, run: RunId) -> &mut Team {
         let name = self
             .runs
@@ -20,14 +21,14 @@
         })
     }
 
-    /// Steps are no longer in flight or have become ready, or the run's state has changed.
+    /// Updates counters, queues and recorded progress after steps or the state of a run have changed.
     pub(super) fn steps_changed(&mut self, run: RunId, now: Micros) {
         self.recount_in_flight(run);
         self.enqueue_run(run);
         self.write_progress(run, now);
     }
 
-    /// Queues the run for submissions and cancellations, if it has any.
+    /// Queues a run for submission and cancellation if it has steps for them.
     fn enqueue_run(&mut self, run: RunId) {
         let max_in_flight = self.limits.max_run_steps_in_flight;
         let Some(r) = self.runs.get_mut(&run) else {
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Emits cancellations and submissions as the rate limit permits, alternating, so that neither waits for all of the
-    /// other: round robin over teams, and over the runs of a team.
+    /// Emits submissions and cancellations as the rate limit permits. The two alternate so that neither starves the
+    /// other; submissions are served round robin over teams and over the runs of a team.
     pub(super) fn dispatch(&mut self, now: Micros) {
         let rate = self.limits.max_writes_per_s;
         loop {
@@ -62,21 +63,21 @@
             };
             match (cancellation, team) {
                 (Some(run), team) if team.is_none() || !self.last_was_cancellation => {
-                    // The record moves: two operations.
-                    if !self.writes.take(2.0, rate, now) {
+                    // Two operations, because the job's record moves to another key.
+                    if !self.writes.try_take(2.0, rate, now) {
                         return;
                     }
                     self.last_was_cancellation = true;
                     self.cancel_next(run);
                 }
                 (_, Some(name)) => {
-                    if !self.writes.take(1.0, rate, now) {
+                    if !self.writes.try_take(1.0, rate, now) {
                         return;
                     }
                     self.last_was_cancellation = false;
-                    let turn = self.teams.get_mut(&name).and_then(|t| t.queue.pop_front());
+                    let next_run = self.teams.get_mut(&name).and_then(|t| t.queue.pop_front());
                     self.last_team = name;
-                    if let Some(run) = turn {
+                    if let Some(run) = next_run {
                         self.submit_next(run);
                     }
                 }
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The next team after the last one that has steps to submit and capacity for them.
+    /// Returns the next team in the round robin that has steps to submit and is below its limit.
     fn next_team(&self) -> Option<String> {
         use std::ops::Bound::{Excluded, Unbounded};
         let after = self
@@ -97,6 +98,7 @@
             .map(|(name, _)| name.clone())
     }
 
+    /// Emits the submission of a run's next ready step.
     fn submit_next(&mut self, run: RunId) {
         self.entities_visited += 1;
         let Some(r) = self.runs.get_mut(&run) else {
@@ -132,8 +134,8 @@
         self.enqueue_run(run);
     }
 
-    /// Sets a timer, after an exponential delay, for a step whose submission or cancellation failed.
-    pub(super) fn retry_step_later(&mut self, run: RunId, step: StepNo, now: Micros) {
+    /// Schedules a retry with exponential backoff for a step whose submission or cancellation failed.
+    pub(super) fn schedule_step_retry(&mut self, run: RunId, step: StepNo, now: Micros) {
         let Some(table) = self.runs.get_mut(&run).and_then(|r| r.table.as_mut()) else {
             return;
         };
@@ -145,8 +147,8 @@
             .insert((now + delay, run, Timer::RetryStep(step)));
     }
 
-    /// Queues a step's submission or cancellation again.
-    pub(super) fn retry_step(&mut self, run: RunId, step: StepNo) {
+    /// Queues the submission or cancellation of a step again.
+    pub(super) fn requeue_step(&mut self, run: RunId, step: StepNo) {
         let Some(r) = self
             .runs
             .get_mut(&run)
@@ -169,6 +171,7 @@
         self.enqueue_run(run);
     }
 
+    /// Emits the next queued cancellation of a run.
     fn cancel_next(&mut self, run: RunId) {
         self.entities_visited += 1;
         self.runs_to_cancel.remove(&run);
@@ -200,7 +203,8 @@
         }
     }
 
-    /// If the run's recorded state is to be stopped: skips what was not submitted, cancels what was.
+    /// Stops a run whose recorded state no longer allows submissions: skips the steps that were not submitted and
+    /// queues the cancellation of those that were.
     pub(super) fn begin_stop(&mut self, run: RunId, now: Micros) {
         let Some(r) = self.runs.get_mut(&run) else {
             return;
--- a/crates/hopyoke-workflow/src/engine/mod.rs
+++ b/crates/hopyoke-workflow/src/engine/mod.rs
@@ -1,10 +1,11 @@
-//! One node's decisions about all runs.
+//! The workflow engine of one node.
 //!
-//! - `watch`: changes of records, as the node's watches report them.
-//! - `outcomes`: how the actions ended.
-//! - `ownership`: which runs this node claims, reads and releases.
-//! - `dispatch`: which steps are submitted, and which jobs cancelled, in which order.
-//! - `progress`: when which pages are written.
+//! - `watch`: handles changes of records that the node's watches report.
+//! - `outcomes`: handles the outcomes of actions.
+//! - `ownership`: claims, reads and releases runs.
+//! - `dispatch`: orders submissions and cancellations.
+//! - `progress`: writes the progress of runs.
+//! - `audit`: verifies the engine's counters in tests.
 
 mod audit;
 mod dispatch;
@@ -24,65 +25,66 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Requests that reading a run's records may take.
+/// The maximum number of requests for reading a run's records.
 const REQUESTS_PER_READ: f64 = 5.0;
-/// Added to the time at which a rate limit permits something, against rounding.
+/// Added to the time at which a rate limiter grants a request, to compensate for rounding.
 const RATE_LIMIT_MARGIN: Micros = Micros(1000);
-/// How long an engine without timers sleeps.
+/// The sleep of an engine without timers.
 const MAX_SLEEP: Micros = Micros::from_secs(60);
 
-/// Runs of one team that have steps to submit.
+/// The submission queue of a team.
 struct Team {
-    /// Steps in flight of all its runs that this node owns.
+    /// The number of steps in flight of all the team's runs that this node owns.
     in_flight: usize,
-    /// Runs with ready steps, in the order of their turns.
+    /// Runs with steps to submit, in round-robin order.
     queue: VecDeque<RunId>,
 }
 
-/// The decisions of one node: a state machine that is driven by records' changes, outcomes and the time.
+/// The workflow engine of one node: a state machine that is driven by changes of records, outcomes of actions and the
+/// time.
 pub struct Engine {
-    /// The operators' limits; they may change at any time.
+    /// Limits that operators set. They may change at any time.
     pub limits: Limits,
     node: String,
-    /// All nodes, this one too.
+    /// The names of all nodes, including this one.
     nodes: Vec<String>,
-    /// The most operations of a transaction.
+    /// The maximum number of operations in a transaction.
     max_txn_ops: usize,
     runs: BTreeMap<RunId, Run>,
     teams: BTreeMap<String, Team>,
-    /// The team whose turn it was last.
+    /// The team that was last served in the round robin.
     last_team: String,
-    /// Runs that this node owns or claims.
+    /// The number of runs that this node owns or is claiming.
     owned_runs: usize,
-    /// Steps of these runs.
+    /// The number of steps of these runs.
     owned_steps: usize,
-    /// Runs with jobs to cancel; they take turns with submissions.
+    /// Runs with queued cancellations.
     runs_to_cancel: BTreeSet<RunId>,
-    /// Whether the last turn was a cancellation's.
+    /// Whether the last dispatched request was a cancellation; submissions and cancellations alternate.
     last_was_cancellation: bool,
     timers: BTreeSet<(Micros, RunId, Timer)>,
     writes: TokenBucket,
     reads: TokenBucket,
-    /// The key-value store asked for a pause of submissions.
+    /// Submissions are paused until then, at the request of the key-value store.
     paused_until: Micros,
     rng: StdRng,
     actions: VecDeque<Action>,
     entities_visited: u64,
 }
 
-/// What is to be done at a time. The order decides between timers of one run and time.
+/// A timer's purpose. The order of the variants breaks ties between timers of the same run and time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Claim,
     Read,
     WriteProgress,
-    /// Submit or cancel the step's job again.
+    /// Retries the submission or cancellation of the step's job.
     RetryStep(StepNo),
 }
 
 impl Engine {
-    /// The engine of `node`, which knows of no runs yet. `nodes`: the names of all nodes, this one too; `max_txn_ops`:
-    /// the most operations of a transaction; `seed`: for the jitter of retries.
+    /// Returns an engine for `node` without any runs. `nodes` holds the names of all nodes, including this one,
+    /// `max_txn_ops` is the maximum number of operations in a transaction, and `seed` seeds the jitter of retries.
     pub fn new(
         limits: Limits,
         node: &str,
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Fires the timers that have expired, and emits the submissions and cancellations that the limits permit.
+    /// Fires expired timers and emits the submissions and cancellations that the limits permit.
     pub fn tick(&mut self, now: Micros) {
         while let Some((at, run, timer)) = self.timers.pop_first() {
             if at > now {
@@ -123,37 +125,37 @@
             self.entities_visited += 1;
             match timer {
                 Timer::Claim => self.claim(run, now),
-                Timer::Read => self.read_if_permitted(run, now),
+                Timer::Read => self.read_within_rate(run, now),
                 Timer::WriteProgress => self.write_progress(run, now),
-                Timer::RetryStep(step) => self.retry_step(run, step),
+                Timer::RetryStep(step) => self.requeue_step(run, step),
             }
         }
         self.dispatch(now);
     }
 
-    fn read_if_permitted(&mut self, run: RunId, now: Micros) {
+    fn read_within_rate(&mut self, run: RunId, now: Micros) {
         let rate = self.limits.max_reads_per_s;
-        if self.reads.take(REQUESTS_PER_READ, rate, now) {
-            self.read(run);
+        if self.reads.try_take(REQUESTS_PER_READ, rate, now) {
+            self.emit_read(run);
         } else {
             let at = self.reads.available_at(REQUESTS_PER_READ, rate, now) + RATE_LIMIT_MARGIN;
             self.timers.insert((at, run, Timer::Read));
         }
     }
 
-    /// The next action to carry out, if any.
+    /// Returns the next action to execute, if any.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// When [`Engine::tick`] has something to do again, if no event comes before.
+    /// Returns when [`Engine::tick`] is due next, unless an event arrives earlier.
     pub fn next_due(&self, now: Micros) -> Micros {
         let timer_at = self.timers.first().map_or(now + MAX_SLEEP, |t| t.0);
-        let has_turns = self
+        let has_queued_submissions = self
             .teams
             .values()
             .any(|t| self.has_capacity(t) && !t.queue.is_empty());
-        if !has_turns && self.runs_to_cancel.is_empty() {
+        if !has_queued_submissions && self.runs_to_cancel.is_empty() {
             return timer_at;
         }
         let permitted_at = self
@@ -163,14 +165,14 @@
         timer_at.min(turn_at.max(now + RATE_LIMIT_MARGIN))
     }
 
-    /// Runs that are not over, with the progress of those whose records this node has read.
+    /// Returns all runs that have not ended, with the progress of those whose records this node has read.
     pub fn runs(&self) -> impl Iterator<Item = (RunId, &Head, Option<Progress>)> {
         self.runs
             .iter()
             .map(|(id, r)| (*id, &r.head, r.table.as_ref().map(StepTable::progress)))
     }
 
-    /// The progress of a run that this node executes.
+    /// Returns the progress of a run, or `None` if this node does not execute it.
     pub fn progress(&self, run: RunId) -> Option<Progress> {
         let r = self.runs.get(&run)?;
         r.table
@@ -179,7 +181,8 @@
             .map(StepTable::progress)
     }
 
-    /// How many runs, steps and pages were visited so far: a measure of work that does not depend on the machine.
+    /// Returns the number of runs, steps and pages visited so far, a measure of work that is independent of the
+    /// hardware.
     pub fn entities_visited(&self) -> u64 {
         self.entities_visited
     }
@@ -188,7 +191,7 @@
         team.in_flight < self.limits.max_team_steps_in_flight
     }
 
-    /// The delay of a retry after so many failures in a row: exponential, half of it random.
+    /// Returns the delay of a retry after this many consecutive failures: exponential backoff, of which half is jitter.
     fn retry_delay(&mut self, failures: u32) -> Micros {
         let full = self
             .limits
--- a/crates/hopyoke-workflow/src/engine/outcomes.rs
+++ b/crates/hopyoke-workflow/src/engine/outcomes.rs
@@ -1,4 +1,4 @@
-//! How the actions ended.
+//! Handling of the outcomes of actions.
 
 use super::{Engine, Timer};
 use crate::ids::{RunId, StepNo};
@@ -10,7 +10,8 @@
 use tracing::{debug, info};
 
 impl Engine {
-    /// How a claim ended. `Ok`: its revision. `Err` with a revision: another owner's claim has it. `Err(None)`: not known.
+    /// Handles the outcome of a claim: `Ok` holds its revision, `Err(Some)` the revision of another owner's claim, and
+    /// `Err(None)` stands for an unknown outcome.
     pub fn claim_finished(
         &mut self,
         run: RunId,
@@ -27,7 +28,7 @@
         match result {
             Ok(claim_revision) => {
                 r.claim_revision = claim_revision;
-                r.claimed_revision = r.claimed_revision.max(claim_revision);
+                r.latest_claim_revision = r.latest_claim_revision.max(claim_revision);
                 r.failures = 0;
                 r.phase = Phase::Reading;
                 info!(%run, claim_revision = claim_revision.0, "run claimed");
@@ -35,19 +36,21 @@
             }
             Err(other_claim) => {
                 r.phase = Phase::NotOwned;
-                r.refused_revision = r.refused_revision.max(other_claim.unwrap_or_default());
-                r.claimed_revision = r.claimed_revision.max(r.refused_revision);
+                r.foreign_claim_revision = r
+                    .foreign_claim_revision
+                    .max(other_claim.unwrap_or_default());
+                r.latest_claim_revision = r.latest_claim_revision.max(r.foreign_claim_revision);
                 r.failures += 1;
                 let may_claim = r.may_claim();
-                self.uncount_run(run);
+                self.uncount_owned_run(run);
                 if may_claim {
-                    self.claim_later(run, now);
+                    self.schedule_claim(run, now);
                 }
             }
         }
     }
 
-    /// A run's records as they were read; `None`: they could not be read.
+    /// Handles the records of a run that were read, or `None` if the read failed.
     pub fn read_finished(
         &mut self,
         run: RunId,
@@ -66,7 +69,7 @@
             let plan = records.plan.take().map(Rc::new).or(known_plan)?;
             Some((records, plan))
         }) else {
-            self.read_again(run, now);
+            self.schedule_reread(run, now);
             return;
         };
         r.failures = 0;
@@ -79,14 +82,14 @@
             r.head_revision = records.head_revision;
         }
         if r.head.state.is_final() {
-            self.run_ended(run);
+            self.remove_run(run);
             return;
         }
         self.entities_visited += plan.steps.len() as u64;
         if plan.steps.len() != r.head.steps as usize || plan.digest() != r.head.digest {
-            // The pages were written before the head, so this is no partial write but corruption.
-            debug!(%run, "plan does not match its head");
-            self.read_again(run, now);
+            // Pages are written before the head, so this is corruption and not a partial write.
+            debug!(%run, "plan does not match the run's head");
+            self.schedule_reread(run, now);
             return;
         }
         let table = StepTable::reconcile(plan, &r.head, &records);
@@ -100,15 +103,15 @@
             "run records read");
         r.table = Some(table);
         r.phase = Phase::Executing;
-        let early_ends = std::mem::take(&mut r.early_ends);
+        let buffered_job_ends = std::mem::take(&mut r.buffered_job_ends);
         self.begin_stop(run, now);
-        for (job, end) in early_ends {
+        for (job, end) in buffered_job_ends {
             self.job_ended(&job, end, now);
         }
         self.steps_changed(run, now);
     }
 
-    /// How a submission ended.
+    /// Handles the outcome of a submission.
     pub fn submission_finished(
         &mut self,
         run: RunId,
@@ -136,8 +139,8 @@
                 table.in_flight.insert(step, StepJob::Submitted);
             }
             JobOutcome::Ended(end) => table.job_ended(step, end, &r.head),
-            JobOutcome::Invalid(why) => table.fail(step, &why, &r.head),
-            // Even if this submission was certainly not executed, an earlier one may have been.
+            JobOutcome::Invalid(reason) => table.fail(step, &reason, &r.head),
+            // Even if this submission was not executed, an earlier one may have been.
             _ if is_stopping => table.queue_cancellation(step),
             JobOutcome::IdTaken if !table.next_attempt(step) => {
                 table.fail(step, "all its ids are taken by other jobs", &r.head);
@@ -151,21 +154,22 @@
                 if let JobOutcome::RetryAfter(pause) = outcome {
                     self.paused_until = self.paused_until.max(now + pause);
                 }
-                self.retry_step_later(run, step, now);
+                self.schedule_step_retry(run, step, now);
                 return;
             }
             JobOutcome::Accepted
             | JobOutcome::AlreadyAccepted
             | JobOutcome::Stale
             | JobOutcome::NotFound => {
-                self.read_again(run, now);
+                self.schedule_reread(run, now);
                 return;
             }
         }
         self.steps_changed(run, now);
     }
 
-    /// How a cancellation ended: `Ended`, `Missing`, `Taken`, or any other for "not known".
+    /// Handles the outcome of a cancellation. Any outcome other than `Ended`, `NotFound` and `IdTaken` counts as
+    /// unknown.
     pub fn cancellation_finished(
         &mut self,
         run: RunId,
@@ -188,18 +192,18 @@
         }
         match outcome {
             JobOutcome::Ended(end) => table.job_ended(step, end, &r.head),
-            // A late submission can't be executed any more either: the head's revision has changed.
+            // A delayed submission can't be executed any more either, because the head's revision has changed.
             JobOutcome::NotFound | JobOutcome::IdTaken => table.skip(step),
             _ => {
                 table.in_flight.insert(step, StepJob::CancelQueued);
-                self.retry_step_later(run, step, now);
+                self.schedule_step_retry(run, step, now);
                 return;
             }
         }
         self.steps_changed(run, now);
     }
 
-    /// How a write ended; `action` is the one that asked for it.
+    /// Handles the outcome of a write, which `action` requested.
     pub fn write_finished(
         &mut self,
         run: RunId,
@@ -239,7 +243,7 @@
                 }
                 if *release {
                     info!(%run, state = ?r.head.state, done = r.head.done, "run ended");
-                    self.run_ended(run);
+                    self.remove_run(run);
                     return;
                 }
                 self.begin_stop(run, now);
@@ -253,7 +257,7 @@
                 let delay = self.retry_delay(failures);
                 self.timers.insert((now + delay, run, Timer::WriteProgress));
             }
-            WriteOutcome::Conflict | WriteOutcome::Unknown => self.read_again(run, now),
+            WriteOutcome::Conflict | WriteOutcome::Unknown => self.schedule_reread(run, now),
         }
     }
 }
--- a/crates/hopyoke-workflow/src/engine/ownership.rs
+++ b/crates/hopyoke-workflow/src/engine/ownership.rs
@@ -1,4 +1,4 @@
-//! Which runs this node claims, reads and releases.
+//! Ownership of runs: claims, reads and releases.
 
 use super::{Engine, Timer};
 use crate::ids::RunId;
@@ -8,14 +8,14 @@
 use rand::RngExt;
 use tracing::debug;
 
-/// Of the first attempt to claim a run.
+/// The maximum jitter of the first attempt to claim a run.
 const MAX_CLAIM_JITTER: Micros = Micros::from_millis(50);
-/// At the earliest then, a node without capacity checks again whether it may claim a run.
+/// The minimum interval at which a node without capacity retries a claim.
 const MIN_CLAIM_RETRY: Micros = Micros::from_secs(1);
 
 impl Engine {
-    /// This node's rank in the order in which nodes claim a run, from 0, by rendezvous hashing: runs spread over the
-    /// nodes, and all nodes agree without communication.
+    /// Returns this node's rank, from 0, in the order in which nodes claim a run. Rendezvous hashing spreads runs over
+    /// the nodes, and all nodes agree on it without communication.
     fn rank(&self, run: RunId) -> u64 {
         let weight =
             |node: &str| xxhash_rust::xxh3::xxh3_64_with_seed(node.as_bytes(), run.number());
@@ -26,8 +26,8 @@
             .count() as u64
     }
 
-    /// Sets the timer of a claim: nodes of lower rank come first, each by `claim_stagger`.
-    pub(super) fn claim_later(&mut self, run: RunId, now: Micros) {
+    /// Schedules a claim, delayed by `claim_stagger` for each node of lower rank.
+    pub(super) fn schedule_claim(&mut self, run: RunId, now: Micros) {
         let failures = self.runs.get(&run).map_or(0, |r| r.failures);
         let stagger = self.limits.claim_stagger.times(self.rank(run));
         let delay = if failures > 0 {
@@ -39,7 +39,7 @@
             .insert((now + stagger + delay, run, Timer::Claim));
     }
 
-    /// Claims a run, if it is not claimed and this node has capacity.
+    /// Claims a run if it is unclaimed and this node has capacity.
     pub(super) fn claim(&mut self, run: RunId, now: Micros) {
         let Some(r) = self.runs.get_mut(&run) else {
             return;
@@ -51,45 +51,46 @@
         if self.owned_runs >= self.limits.max_owned_runs
             || (self.owned_runs > 0 && steps > self.limits.max_owned_steps)
         {
-            // Other nodes may have capacity; if none has, some run here will end.
+            // Another node may have capacity; otherwise this one has once one of its runs ends.
             let at = now + self.limits.claim_stagger.max(MIN_CLAIM_RETRY);
             self.timers.insert((at, run, Timer::Claim));
             return;
         }
         r.phase = Phase::Claiming;
-        self.count_run(run);
+        self.count_owned_run(run);
         self.actions.push_back(Action::Claim { run });
     }
 
-    /// Counts a run as owned.
-    fn count_run(&mut self, run: RunId) {
+    /// Adds a run to the counters of owned runs and steps.
+    fn count_owned_run(&mut self, run: RunId) {
         self.owned_runs += 1;
         self.owned_steps += self.runs.get(&run).map_or(0, |r| r.head.steps as usize);
     }
 
-    /// Counts a run as no longer owned.
-    pub(super) fn uncount_run(&mut self, run: RunId) {
+    /// Removes a run from the counters of owned runs and steps.
+    pub(super) fn uncount_owned_run(&mut self, run: RunId) {
         self.owned_runs -= 1;
         self.owned_steps -= self.runs.get(&run).map_or(0, |r| r.head.steps as usize);
     }
 
-    /// Another node owns the run, or none does: outcomes of earlier actions are stale.
+    /// Gives up the ownership of a run that another node owns or none does. Outcomes of earlier actions become stale.
     pub(super) fn release(&mut self, run: RunId, now: Micros) {
-        self.uncount_steps(run);
+        self.start_new_epoch(run);
         let Some(r) = self.runs.get_mut(&run) else {
             return;
         };
         debug!(%run, "run released");
         r.phase = Phase::NotOwned;
         r.claim_revision = ModRevision(0);
-        r.early_ends.clear();
-        self.uncount_run(run);
-        // This node's own claim may stand for a while yet; the watch reports its deletion.
-        self.claim_later(run, now);
+        r.buffered_job_ends.clear();
+        self.uncount_owned_run(run);
+        // This node's own claim may persist for a while; the watch reports its deletion.
+        self.schedule_claim(run, now);
     }
 
-    /// Takes a run's steps out of all counters, and makes outcomes of earlier actions stale.
-    pub(super) fn uncount_steps(&mut self, run: RunId) {
+    /// Starts a new epoch of a run: outcomes of earlier actions become stale, and its steps in flight and queued
+    /// cancellations are no longer counted.
+    pub(super) fn start_new_epoch(&mut self, run: RunId) {
         let Some(r) = self.runs.get_mut(&run) else {
             return;
         };
@@ -99,7 +100,7 @@
         self.team(run).in_flight -= counted_in_flight;
     }
 
-    /// Updates the team's counter to the run's steps in flight.
+    /// Updates the in-flight counter of a run's team.
     pub(super) fn recount_in_flight(&mut self, run: RunId) {
         let Some(r) = self
             .runs
@@ -114,13 +115,13 @@
         team.in_flight = team.in_flight + in_flight - before;
     }
 
-    /// Forgets a run that is over.
-    pub(super) fn run_ended(&mut self, run: RunId) {
+    /// Removes a run that has ended.
+    pub(super) fn remove_run(&mut self, run: RunId) {
         let Some(r) = self.runs.get(&run) else { return };
         if r.is_owned() {
-            self.uncount_run(run);
+            self.uncount_owned_run(run);
         }
-        self.uncount_steps(run);
+        self.start_new_epoch(run);
         let name = self
             .runs
             .remove(&run)
@@ -134,9 +135,10 @@
         }
     }
 
-    /// The run's records differ from what this node knows: reads all of them again after a delay.
-    pub(super) fn read_again(&mut self, run: RunId, now: Micros) {
-        self.uncount_steps(run);
+    /// Schedules another read of a run's records, with backoff, after a failed read or when they may differ from this
+    /// node's state.
+    pub(super) fn schedule_reread(&mut self, run: RunId, now: Micros) {
+        self.start_new_epoch(run);
         let Some(r) = self.runs.get_mut(&run) else {
             return;
         };
@@ -147,8 +149,8 @@
         self.timers.insert((now + delay, run, Timer::Read));
     }
 
-    /// Emits the reading of a run's records.
-    pub(super) fn read(&mut self, run: RunId) {
+    /// Emits the read of a run's records.
+    pub(super) fn emit_read(&mut self, run: RunId) {
         let Some(r) = self
             .runs
             .get_mut(&run)
--- a/crates/hopyoke-workflow/src/engine/progress.rs
+++ b/crates/hopyoke-workflow/src/engine/progress.rs
@@ -1,4 +1,4 @@
-//! When which pages of steps, and which head, are written.
+//! Writing of step pages and heads.
 
 use super::{Engine, RATE_LIMIT_MARGIN, Timer};
 use crate::ids::RunId;
@@ -8,11 +8,12 @@
 use crate::step_table::StepTable;
 use hopyoke_types::{Micros, ModRevision};
 
-/// Operations of a transaction beside its pages: the head's move (two), and the claim's deletion.
+/// The number of operations in a transaction besides its pages: the head's move takes two, the claim's deletion one.
 const HEAD_OPS: usize = 3;
 
 impl Engine {
-    /// Writes what must or may be written now; what is left gets a timer.
+    /// Emits a write of a run's dirty pages and head if it is due, or sets a timer for it. The end and the failure of a
+    /// run are written at once, other progress in batches.
     pub(super) fn write_progress(&mut self, run: RunId, now: Micros) {
         let batch_delay = self.limits.write_batch_delay;
         let Some(r) = self
@@ -25,11 +26,11 @@
         let Some(table) = r.table.as_mut().filter(|t| !t.is_writing) else {
             return;
         };
-        let fails = table.failed > 0
+        let is_failing = table.failed > 0
             && r.head.on_error == OnError::Stop
             && r.head.state == RunState::Running;
-        let ends = table.is_settled();
-        if !fails && !ends {
+        let is_finished = table.all_steps_final();
+        if !is_failing && !is_finished {
             if table.dirty_pages.is_empty() {
                 return;
             }
@@ -42,18 +43,18 @@
         }
         let max_pages = self.max_txn_ops.saturating_sub(HEAD_OPS).max(1);
         let pages: Vec<u32> = table.dirty_pages.iter().copied().take(max_pages).collect();
-        // The head of a run that ends is written with the last of its pages.
-        let ends = ends && pages.len() == table.dirty_pages.len();
-        let cost = pages.len() as f64 + if ends { HEAD_OPS as f64 } else { 1.0 };
+        // The final head is written in the same transaction as the last dirty pages.
+        let is_finished = is_finished && pages.len() == table.dirty_pages.len();
+        let cost = pages.len() as f64 + if is_finished { HEAD_OPS as f64 } else { 1.0 };
         let rate = self.limits.max_writes_per_s;
-        if !self.writes.take(cost, rate, now) {
+        if !self.writes.try_take(cost, rate, now) {
             let at = self.writes.available_at(cost, rate, now) + RATE_LIMIT_MARGIN;
             self.timers.insert((at, run, Timer::WriteProgress));
             return;
         }
-        let head = if ends {
+        let head = if is_finished {
             Some(final_head(&r.head, table))
-        } else if fails {
+        } else if is_failing {
             Some(failing_head(&r.head, table))
         } else {
             None
@@ -63,6 +64,7 @@
     }
 }
 
+/// Returns the head of a run whose steps are all final.
 fn final_head(head: &Head, table: &StepTable) -> Head {
     let state = match head.state {
         RunState::Cancelling => RunState::Cancelled,
@@ -83,6 +85,7 @@
     }
 }
 
+/// Returns the head of a run that stops because a step failed.
 fn failing_head(head: &Head, table: &StepTable) -> Head {
     Head {
         state: RunState::Failing,
@@ -91,7 +94,7 @@
     }
 }
 
-/// Takes the pages from the dirty ones.
+/// Returns a write of these pages and the head, and marks the pages as clean.
 fn write_action(run: RunId, r: &mut Run, pages: &[u32], head: Option<Head>) -> Action {
     let mut contents = Vec::with_capacity(pages.len());
     if let Some(table) = r.table.as_mut() {
--- a/crates/hopyoke-workflow/src/engine/watch.rs
+++ b/crates/hopyoke-workflow/src/engine/watch.rs
@@ -1,4 +1,4 @@
-//! Changes of records, as the node's watches report them.
+//! Handling of record changes that the node's watches report.
 
 use super::Engine;
 use crate::ids::{RunId, parse_job_id};
@@ -8,13 +8,13 @@
 use hopyoke_types::{JobId, Micros, ModRevision};
 
 impl Engine {
-    /// A run's head was written at this revision.
+    /// Handles a run's head that was written at this revision.
     pub fn head_changed(&mut self, run: RunId, head: Head, mod_revision: ModRevision, now: Micros) {
         let r = match self.runs.get_mut(&run) {
             None if head.state.is_final() => return,
             None => {
                 self.runs.insert(run, Run::new(head, mod_revision));
-                self.claim_later(run, now);
+                self.schedule_claim(run, now);
                 return;
             }
             Some(r) if mod_revision <= r.head_revision => return,
@@ -23,26 +23,26 @@
         r.head = head;
         r.head_revision = mod_revision;
         if r.head.state.is_final() {
-            self.run_ended(run);
+            self.remove_run(run);
         } else if r.phase == Phase::Executing {
-            // Cancelled, or written by this node, which changes nothing. (Guards against steps that start after a
-            // cancellation was answered.)
+            // Guards against steps that start after a cancellation was confirmed. Has no effect on a head that this
+            // node wrote itself.
             self.begin_stop(run, now);
         }
     }
 
-    /// At this revision the run's head was not among those of unfinished runs: the run is over.
+    /// Handles the absence of a run's head, as of this revision, from the heads of unfinished runs: the run has ended.
     pub fn head_deleted(&mut self, run: RunId, mod_revision: ModRevision) {
         if self
             .runs
             .get(&run)
             .is_some_and(|r| mod_revision > r.head_revision)
         {
-            self.run_ended(run);
+            self.remove_run(run);
         }
     }
 
-    /// A node claimed the run, at this revision.
+    /// Handles a claim of a run by `node` at this revision.
     pub fn claim_changed(
         &mut self,
         run: RunId,
@@ -53,16 +53,16 @@
         let Some(r) = self.runs.get_mut(&run) else {
             return;
         };
-        if mod_revision > r.claimed_revision {
-            r.claimed_revision = mod_revision;
-            r.claimed_by_this_node = node == self.node;
+        if mod_revision > r.latest_claim_revision {
+            r.latest_claim_revision = mod_revision;
+            r.is_latest_claim_own = node == self.node;
         }
-        if r.phase == Phase::NotOwned && r.claimed_by_this_node && r.may_claim() {
-            // The response to this node's claim was lost. (Guards against a run that no node executes.)
-            self.claim_later(run, now);
+        if r.phase == Phase::NotOwned && r.is_latest_claim_own && r.may_claim() {
+            // The response to this node's claim was lost. Guards against a run that no node executes.
+            self.schedule_claim(run, now);
             return;
         }
-        // A claim older than this node's own is of no consequence.
+        // Claims older than this node's own are ignored.
         if r.is_owned()
             && node != self.node
             && mod_revision > r.claim_revision
@@ -72,14 +72,14 @@
         }
     }
 
-    /// At this revision the run was not claimed.
+    /// Handles the absence of a claim of a run, as of this revision.
     pub fn claim_deleted(&mut self, run: RunId, mod_revision: ModRevision, now: Micros) {
         let Some(r) = self.runs.get_mut(&run) else {
             return;
         };
-        r.released_revision = r.released_revision.max(mod_revision);
+        r.latest_unclaimed_revision = r.latest_unclaimed_revision.max(mod_revision);
         match r.phase {
-            Phase::NotOwned if r.may_claim() => self.claim_later(run, now),
+            Phase::NotOwned if r.may_claim() => self.schedule_claim(run, now),
             Phase::Reading | Phase::Executing if mod_revision > r.claim_revision => {
                 self.release(run, now)
             }
@@ -87,18 +87,19 @@
         }
     }
 
-    /// Changes may have been missed: reads the records of all runs that this node owns again.
+    /// Handles an interruption of the watches, which may have missed changes: schedules another read of the records of
+    /// all runs that this node owns.
     pub fn watch_interrupted(&mut self, now: Micros) {
         let owned = self
             .runs
             .iter()
             .filter(|(_, r)| matches!(r.phase, Phase::Reading | Phase::Executing));
         for run in owned.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.read_again(run, now);
+            self.schedule_reread(run, now);
         }
     }
 
-    /// This node's lease expired, and all its claims with it.
+    /// Handles the expiry of this node's lease, which deleted all its claims: releases all runs.
     pub fn lease_lost(&mut self, now: Micros) {
         let owned: Vec<RunId> = self
             .runs
@@ -111,7 +112,7 @@
         }
     }
 
-    /// A job under one of the runs' ids has ended.
+    /// Handles the end of a job with an id of a workflow step.
     pub fn job_ended(&mut self, job: &JobId, end: JobEnd, now: Micros) {
         let Some((run, step, attempt)) = parse_job_id(job) else {
             return;
@@ -120,14 +121,14 @@
             return;
         };
         if r.phase == Phase::Reading {
-            // It may have ended after its record was read. (Guards against a run that never ends.)
-            r.early_ends.push((job.clone(), end));
+            // The job may have ended after its record was read. Guards against a run that never ends.
+            r.buffered_job_ends.push((job.clone(), end));
             return;
         }
         let Some(table) = r.table.as_mut().filter(|_| r.phase == Phase::Executing) else {
             return;
         };
-        // Only a step in flight: the record may be of another submitter, or of an earlier attempt.
+        // Only a step in flight counts: the record may belong to another submitter or to an earlier attempt.
         if table.attempts(step) == attempt && table.in_flight.contains_key(&step) {
             table.job_ended(step, end, &r.head);
             self.steps_changed(run, now);
--- a/crates/hopyoke-workflow/src/lib.rs
+++ b/crates/hopyoke-workflow/src/lib.rs
@@ -1,19 +1,21 @@
-//! Workflow runs as durable state machines, without any I/O: events and the time go in, actions come out.
+//! The workflow engine: durable state machines of workflow runs, without any I/O. Its inputs are events and the current
+//! time, its outputs are actions.
 //!
-//! A run is a graph of steps; each step is one job. The run's records outlive engines, nodes and all controllers, in
-//! the spirit of AIP-103's per-task record. Any node may execute a run; it claims the run by a key on the node's lease,
-//! and every write and every submission is conditional on that key's revision and on the revision of the run's head.
-//! So a stale owner can't act late, and nothing starts once a cancellation is written.
+//! A run is a DAG of steps; each step is one job or a join without a job. All state of a run is recorded in the
+//! key-value store, so a run survives the failure of any node or of all of them. Any node may execute a run. It claims
+//! the run with a key that is attached to the node's lease. Submissions and writes are fenced by the revision of that
+//! key, submissions also by the revision of the run's head. A stale owner therefore can't submit or write, and no step
+//! starts after a cancellation is recorded.
 //!
-//! - [`RunId`], [`StepNo`], [`job_id`]: a step's job id follows from run, step and attempt, so that a repeated
-//!   submission can never start a second job.
-//! - [`Plan`]: the graph, validated, and its pages.
-//! - [`Head`], [`StepPage`]: what is recorded of a run's progress.
-//! - [`Engine`]: one node's decisions: which runs to claim, which steps to submit or cancel, what to write, with limits
-//!   and retries. It emits an [`Action`] and is told its outcome.
+//! - [`RunId`], [`StepNo`], [`job_id`]: the id of a step's job is derived from run, step and attempt, which makes
+//!   submissions idempotent.
+//! - [`Plan`]: the DAG, its validation and its division into pages.
+//! - [`Head`], [`StepPage`]: the recorded state of a run and of its steps.
+//! - [`Engine`]: the decisions of one node: which runs to claim, which steps to submit or cancel and what to write,
+//!   within rate limits and with retries. It emits each [`Action`] and is told the outcome.
 //!
-//! Before a step is started (again), reconciliation compares it with its job's record: reconnect to an unfinished job,
-//! take the result of a finished one, or start anew.
+//! Before a new owner submits a step, it reconciles the step with its job's record: it reattaches to an unfinished job,
+//! takes the result of an ended one, or submits the step.
 
 mod engine;
 mod ids;
--- a/crates/hopyoke-workflow/src/limits.rs
+++ b/crates/hopyoke-workflow/src/limits.rs
@@ -1,29 +1,29 @@
-//! How much of the key-value store and of the job queue the engine may use.
+//! Limits on the engine's concurrency, memory and use of the key-value store.
 
 use hopyoke_types::Micros;
 
-/// The operators' limits; see `docs/POLICY.md`.
+/// Limits that operators set; see `docs/POLICY.md`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Steps in flight of one run.
+    /// The maximum number of steps in flight of one run.
     pub max_run_steps_in_flight: usize,
-    /// Steps in flight of all runs of one team that this node owns.
+    /// The maximum number of steps in flight of all runs of one team that this node owns.
     pub max_team_steps_in_flight: usize,
-    /// Runs that this node owns at once.
+    /// The maximum number of runs that this node owns at once.
     pub max_owned_runs: usize,
-    /// Steps of all runs that this node owns; a single run may have more. Bounds memory.
+    /// The maximum number of steps of all runs that this node owns, which bounds memory. A single run may have more.
     pub max_owned_steps: usize,
-    /// Writes per second of all runs: submissions, cancellations, progress.
+    /// Writes per second of all runs: submissions, cancellations and progress.
     pub max_writes_per_s: f64,
-    /// Requests per second that reading runs' records may take.
+    /// Requests per second for reading the records of runs.
     pub max_reads_per_s: f64,
-    /// Progress waits this long for more to be written in the same transaction.
+    /// How long a change of progress is held back to batch it with later ones in a transaction.
     pub write_batch_delay: Micros,
-    /// The delay of the first retry, at most; doubled by each further failure, up to `max_retry_delay`.
+    /// The base of the exponential backoff: doubled by each consecutive failure, up to `max_retry_delay`.
     pub min_retry_delay: Micros,
-    /// The longest delay of a retry.
+    /// The maximum delay of a retry.
     pub max_retry_delay: Micros,
-    /// Time that each node of lower rank has to claim a run before this one does.
+    /// The interval between the claim attempts of nodes of successive rank.
     pub claim_stagger: Micros,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// A token bucket that holds one second's tokens, but at least one. The rate may change at any time.
+/// A token bucket whose capacity is the tokens of one second, but at least one. The rate may change at any time.
 #[derive(Debug, Clone)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -59,14 +59,15 @@
         }
     }
 
-    /// Takes `n` tokens if there are so many; of more than it can hold, it takes on debt once it is full.
-    pub(crate) fn take(&mut self, n: f64, per_s: f64, now: Micros) -> bool {
+    /// Takes `n` tokens if they are available and returns whether it did. If `n` exceeds the capacity, a full bucket
+    /// grants it and its balance becomes negative.
+    pub(crate) fn try_take(&mut self, n: f64, per_s: f64, now: Micros) -> bool {
         self.refill(per_s, now);
-        let is_enough = self.tokens >= n.min(per_s.max(1.0));
-        if is_enough {
+        let is_permitted = self.tokens >= n.min(per_s.max(1.0));
+        if is_permitted {
             self.tokens -= n;
         }
-        is_enough
+        is_permitted
     }
 
     fn refill(&mut self, per_s: f64, now: Micros) {
@@ -75,7 +76,7 @@
         self.refilled_at = now.max(self.refilled_at);
     }
 
-    /// When `n` tokens can be taken.
+    /// Returns the time at which `n` tokens become available.
     pub(crate) fn available_at(&self, n: f64, per_s: f64, now: Micros) -> Micros {
         let missing = n.min(per_s.max(1.0)) - self.tokens;
         if missing <= 0.0 {
--- a/crates/hopyoke-workflow/src/messages.rs
+++ b/crates/hopyoke-workflow/src/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into and out of the engine: actions to carry out, and their outcomes.
+//! The engine's actions and their outcomes.
 
 use crate::ids::{RunId, StepNo};
 use crate::plan::Plan;
@@ -6,64 +6,66 @@
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros, ModRevision};
 
-/// What the engine wants done. Outcomes carry run and epoch back, so that stale ones are recognized.
+/// An action that the engine requests. Its outcome is reported with the same run and epoch, so that the engine can
+/// discard stale ones.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Write `flow/hold/RUN` on this node's lease, on the condition that the run is not claimed.
+    /// Create `flow/hold/RUN` with this node's lease, provided that the run is not claimed.
     Claim {
         /// The run to claim.
         run: RunId,
     },
-    /// Read the run's records, in this order: head, plan (unless it is known), pages, unfinished jobs, ended jobs. A
-    /// job's record only moves from unfinished to ended, so none is missed.
+    /// Read the run's records in this order: head, plan (if requested), pages, unfinished jobs, ended jobs. A job's
+    /// record only ever moves from unfinished to ended, so this order misses none.
     Read {
         /// The run to read.
         run: RunId,
-        /// For [`crate::Engine::read_finished`].
+        /// The epoch to pass to [`crate::Engine::read_finished`].
         epoch: u64,
-        /// Whether the plan is to be read, too.
+        /// Whether to read the plan, too.
         with_plan: bool,
     },
-    /// Accept this job, on the condition that it is not known, that the run's head has this revision, and that its
-    /// claim stands.
+    /// Create this job's record, provided that none exists under its id and that the run's head and claim have these
+    /// revisions.
     Submit {
         /// The run of the step.
         run: RunId,
-        /// For [`crate::Engine::submission_finished`].
+        /// The epoch to pass to [`crate::Engine::submission_finished`].
         epoch: u64,
         /// The step whose job it is.
         step: StepNo,
-        /// The job.
+        /// The job's specification.
         spec: JobSpec,
-        /// The revision that the claim must have.
+        /// The expected revision of the claim.
         claim_revision: ModRevision,
-        /// The revision that the head must have.
+        /// The expected revision of the head.
         head_revision: ModRevision,
     },
     /// Cancel this job.
     Cancel {
         /// The run of the step.
         run: RunId,
-        /// For [`crate::Engine::cancellation_finished`].
+        /// The epoch to pass to [`crate::Engine::cancellation_finished`].
         epoch: u64,
         /// The step whose job it is.
         step: StepNo,
-        /// The job.
+        /// The job's id.
         job: JobId,
     },
-    /// Write pages and the head in one transaction, on the condition that the claim stands.
+    /// Write pages and the head in one transaction, provided that the claim and the written records have these
+    /// revisions.
     Write {
         /// The run.
         run: RunId,
-        /// For [`crate::Engine::write_finished`].
+        /// The epoch to pass to [`crate::Engine::write_finished`].
         epoch: u64,
-        /// The revision that the claim must have.
+        /// The expected revision of the claim.
         claim_revision: ModRevision,
-        /// Pages by number, with the revisions that they must have (0: none yet).
+        /// Pages with their numbers and expected revisions (0: the page does not exist yet).
         pages: Vec<(u32, ModRevision, StepPage)>,
-        /// The head, with the revision that it must have, if it changes.
+        /// The new head with the expected revision of the old one, if the head changes.
         head: Option<(ModRevision, Head)>,
-        /// Delete the claim in the same transaction.
+        /// Whether to delete the claim in the same transaction.
         release: bool,
     },
 }
@@ -71,65 +73,65 @@
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobEnd {
-    /// All its tasks succeeded.
+    /// All tasks succeeded.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
-    /// Its tasks failed so often that the scheduler gave it up.
+    /// The scheduler stopped retrying its tasks.
     Failed,
 }
 
-/// How a submission or a cancellation ended.
+/// The outcome of a submission or a cancellation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// The job is accepted now.
+    /// The job was accepted.
     Accepted,
-    /// It is this step's job, accepted earlier, and not over.
+    /// This step's job was accepted earlier and has not ended.
     AlreadyAccepted,
-    /// It is this step's job, and over.
+    /// This step's job was accepted earlier and has ended.
     Ended(JobEnd),
-    /// The id belongs to another submitter's job.
+    /// Another submitter's job has the id.
     IdTaken,
-    /// It can never run; says why.
+    /// The job can never be scheduled, for this reason.
     Invalid(String),
-    /// Certainly not executed; to be retried, but not before this time has passed.
+    /// The request was not executed and is to be retried after this delay.
     RetryAfter(Micros),
-    /// The head or the claim has another revision: certainly not executed.
+    /// The head or the claim has another revision; the request was not executed.
     Stale,
-    /// It may have been executed, or may yet be.
+    /// The request may have been executed, or may still be.
     Unknown,
-    /// Of a cancellation alone: no such job is known.
+    /// No such job exists. Only a cancellation has this outcome.
     NotFound,
 }
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Written, at this revision.
+    /// The records were written at this revision.
     Applied(ModRevision),
-    /// A record had another revision than required: certainly not written.
+    /// A record had another revision than expected; nothing was written.
     Conflict,
-    /// Certainly not written, for another reason.
+    /// Nothing was written, for another reason.
     Rejected,
-    /// It may have been written, or may yet be.
+    /// The records may have been written, or may still be.
     Unknown,
 }
 
-/// A run's records as they were read.
+/// The records of a run, as read from the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunRecords {
     /// The head.
     pub head: Head,
     /// The head's revision.
     pub head_revision: ModRevision,
-    /// The revision of the run's claim, whoever owns it.
+    /// The revision of the run's claim, by whichever node, or `None` if the run is not claimed.
     pub claim_revision: Option<ModRevision>,
-    /// `None` if it was not to be read.
+    /// The plan, or `None` if it was not requested.
     pub plan: Option<Plan>,
-    /// Pages of steps' states by number, with their revisions.
+    /// Pages of step states with their numbers and revisions.
     pub pages: Vec<(u32, ModRevision, StepPage)>,
-    /// Unfinished jobs under the run's ids, and whether they are its own.
+    /// Unfinished jobs with ids of this run, and whether the run submitted them.
     pub unfinished_jobs: Vec<(JobId, bool)>,
-    /// Ended jobs under the run's ids, and whether they are its own.
+    /// Ended jobs with ids of this run, how they ended, and whether the run submitted them.
     pub ended_jobs: Vec<(JobId, JobEnd, bool)>,
 }
--- a/crates/hopyoke-workflow/src/record.rs
+++ b/crates/hopyoke-workflow/src/record.rs
@@ -1,41 +1,41 @@
-//! What is recorded of a run.
+//! The records of runs in the key-value store.
 
 use crate::ids::{RunId, StepNo};
 use crate::plan::Plan;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What happens to a run's other steps once one has failed.
+/// The policy for a run's other steps after one has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum OnError {
-    /// Jobs in flight are cancelled, nothing else starts.
+    /// Jobs in flight are cancelled, and no further step starts.
     #[default]
     Stop,
-    /// All that does not depend on the failed step goes on.
+    /// Steps that don't depend on the failed step continue.
     Continue,
 }
 
-/// The state of a run. `Done`, `Failed` and `Cancelled` are final and never change.
+/// The state of a run. `Done`, `Failed` and `Cancelled` are final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunState {
     /// Steps are submitted as they become ready.
     Running,
-    /// A step failed and the others are being cancelled; becomes `Failed`.
+    /// A step failed and the jobs in flight are being cancelled; the next state is `Failed`.
     Failing,
-    /// A client got its cancellation confirmed; becomes `Cancelled`.
+    /// A client's cancellation was confirmed; the next state is `Cancelled`.
     Cancelling,
     /// All steps are done.
     Done,
     /// A step failed.
     Failed,
-    /// It was cancelled before its end.
+    /// The run was cancelled before it ended.
     Cancelled,
 }
 
 impl RunState {
-    /// Whether the state never changes again.
+    /// Returns whether the state is final.
     pub fn is_final(self) -> bool {
         matches!(
             self,
@@ -43,58 +43,58 @@
         )
     }
 
-    /// Whether steps may be submitted.
+    /// Returns whether steps may be submitted in this state.
     pub fn allows_submission(self) -> bool {
         self == RunState::Running
     }
 }
 
-/// A run's head, under `flow/head/RUN`, and under `flowend/RUN` once its state is final. Its
-/// revision changes when the run's state does, and only then: submissions are conditional on it.
+/// The head of a run: its metadata and state. Stored under `flow/head/RUN`, and under `flowend/RUN` once the state is
+/// final. Its revision changes when the run's state does, and only then, because submissions are conditional on it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The submitter's name for it.
+    /// The run's name, given by the submitter.
     pub name: String,
-    /// The team whose quota applies to all its steps.
+    /// The team whose quota applies to all steps.
     pub team: String,
-    /// Who submitted it, as the gateway authenticated them; only they and operators see it.
+    /// The submitter, as authenticated by the gateway. Only the submitter and operators may see the run.
     #[serde(default)]
     pub owner: String,
-    /// Time of day in microseconds.
+    /// The time of submission, in microseconds since the Unix epoch.
     pub submitted_us: u64,
-    /// Time of day in microseconds; 0 until it has ended.
+    /// The time of the end, in microseconds since the Unix epoch; 0 until the run has ended.
     #[serde(default)]
     pub ended_us: u64,
-    /// How many steps the plan has.
+    /// The number of steps in the plan.
     pub steps: u32,
-    /// How many pages the plan has.
+    /// The number of pages of the plan.
     pub plan_pages: u32,
-    /// A digest of the plan: a repeated submission of another plan under this id is refused.
+    /// The plan's digest. A submission of a different plan under the same run id is refused.
     pub digest: u64,
-    /// What happens once a step has failed.
+    /// The policy for the other steps after one has failed.
     #[serde(default)]
     pub on_error: OnError,
-    /// Where the run stands.
+    /// The run's state.
     pub state: RunState,
-    /// Why it failed; empty if it did not.
+    /// Why the run failed; empty if it did not.
     #[serde(default)]
     pub reason: String,
-    /// Steps that were done when it ended.
+    /// The number of steps that were done when the run ended.
     #[serde(default)]
     pub done: u32,
-    /// The run from whose done steps this one goes on.
+    /// The run that this one resumes, reusing its done steps.
     #[serde(default)]
     pub resumes: Option<RunId>,
-    /// The run under whose id the plan's pages stand, if that is another.
+    /// The run under whose id the plan's pages are stored, if it is another run.
     #[serde(rename = "plan_of", default)]
     pub plan_source: Option<RunId>,
-    /// The submitter's own labels, returned as they are.
+    /// Labels given by the submitter, returned unchanged.
     #[serde(default)]
     pub tags: BTreeMap<String, String>,
 }
 
 impl Head {
-    /// The head of a run that is submitted now.
+    /// Returns the head of a newly submitted run.
     pub fn new(
         name: &str,
         team: &str,
@@ -123,33 +123,34 @@
     }
 }
 
-/// A node's claim of a run, under `flow/hold/RUN`, on the owner's lease. Its revision fences the owner's writes.
+/// A node's claim to a run, stored under `flow/hold/RUN` and attached to the owner's lease. Its revision is the fencing
+/// token of the owner's submissions and writes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunClaim {
-    /// The owner.
+    /// The owner's name.
     pub node: String,
-    /// The owner's lease: tells a process from an earlier one of its node.
+    /// The owner's lease, which distinguishes a process from an earlier one of the same node.
     pub lease: u64,
 }
 
 /// The recorded state of one step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StepState {
-    /// Not over, as far as the page says; the job's own record may be newer.
+    /// The page records no end; the job's own record may be newer.
     #[default]
     Open,
-    /// Its job succeeded, or it has none.
+    /// The step's job succeeded, or its dependencies are done and it has no job.
     Done,
-    /// Its job failed, or was cancelled while the run went on.
+    /// The step's job failed, or was cancelled while the run was not.
     Failed,
-    /// Its job was cancelled because its run was cancelled or failed.
+    /// The step's job was cancelled because the run was cancelled or failed.
     Cancelled,
-    /// It never started, because a dependency failed or its run stopped.
+    /// The step never started, because a dependency failed or the run was stopped.
     Skipped,
 }
 
 impl StepState {
-    fn letter(self) -> u8 {
+    fn code(self) -> u8 {
         match self {
             StepState::Open => b'.',
             StepState::Done => b'd',
@@ -159,63 +160,67 @@
         }
     }
 
-    fn of_letter(b: u8) -> StepState {
+    fn from_code(b: u8) -> StepState {
         match b {
             b'd' => StepState::Done,
             b'f' => StepState::Failed,
             b'w' => StepState::Cancelled,
             b's' => StepState::Skipped,
-            // An unknown letter is no information: the job's record decides.
+            // An unknown code counts as no end, so that the job's record decides.
             _ => StepState::Open,
         }
     }
 
-    /// Whether the state is final.
+    /// Returns whether the state is final.
     pub fn is_final(self) -> bool {
         self != StepState::Open
     }
 }
 
-/// Steps on one page: two thousand letters and some attempts fit into 4 KiB.
+/// The number of steps per page. Their states and some attempts fit into 4 KiB.
 pub const STEPS_PER_PAGE: u32 = 2000;
 
-/// A page of steps' progress, under `flowpage/RUN/PAGE`.
+/// A page of step states, stored under `flowpage/RUN/PAGE`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct StepPage {
-    /// One letter per step.
+    /// The state of each step, encoded as one letter.
     #[serde(rename = "marks")]
     pub states: String,
-    /// Attempts of steps whose first id was taken by another submitter, by step.
+    /// The attempt of each step whose first job id was in use by another submitter.
     #[serde(rename = "tries", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub attempts: BTreeMap<u32, u8>,
 }
 
 impl StepPage {
-    /// The number of the page on which a step is.
-    pub fn of(step: StepNo) -> u32 {
+    /// Returns the number of the page that holds a step.
+    pub fn number_of(step: StepNo) -> u32 {
         step.0 / STEPS_PER_PAGE
     }
 
-    pub(crate) fn write(first: u32, steps: &[(StepState, u8)]) -> StepPage {
-        let states = steps.iter().map(|(m, _)| m.letter() as char).collect();
+    pub(crate) fn encode(first: u32, steps: &[(StepState, u8)]) -> StepPage {
+        let states = steps
+            .iter()
+            .map(|(state, _)| state.code() as char)
+            .collect();
         let attempts = (first..)
             .zip(steps)
-            .filter(|(_, (_, t))| *t > 0)
-            .map(|(i, (_, t))| (i, *t))
+            .filter(|(_, (_, attempt))| *attempt > 0)
+            .map(|(i, (_, attempt))| (i, *attempt))
             .collect();
         StepPage { states, attempts }
     }
 
-    /// The page of a run that goes on from the done steps of this one, under ids of its own.
+    /// Returns the page for a run that resumes this one: done steps stay done, all others are open. The new run's job
+    /// ids are its own, so attempts are reset.
     pub fn for_resumed_run(&self) -> StepPage {
-        let letter = |b: u8| match StepState::of_letter(b) {
+        let kept_state = |b: u8| match StepState::from_code(b) {
             StepState::Done => StepState::Done,
             _ => StepState::Open,
         };
         let states = self
             .states
             .bytes()
-            .map(|b| letter(b).letter() as char)
+            .map(|b| kept_state(b).code() as char)
             .collect();
         StepPage {
             states,
@@ -223,14 +228,14 @@
         }
     }
 
-    /// The states and attempts on this page, whose number is `page`, in the order of steps.
-    pub fn read(&self, page: u32) -> impl Iterator<Item = (StepNo, StepState, u8)> + '_ {
+    /// Returns step, state and attempt of each step on this page, whose number is `page`, in order.
+    pub fn decode(&self, page: u32) -> impl Iterator<Item = (StepNo, StepState, u8)> + '_ {
         let first = page * STEPS_PER_PAGE;
         (first..)
             .zip(self.states.bytes().take(STEPS_PER_PAGE as usize))
             .map(|(i, b)| {
                 let attempts = self.attempts.get(&i).copied().unwrap_or(0);
-                (StepNo(i), StepState::of_letter(b), attempts)
+                (StepNo(i), StepState::from_code(b), attempts)
             })
     }
 }
--- a/crates/hopyoke-workflow/src/run.rs
+++ b/crates/hopyoke-workflow/src/run.rs
@@ -1,24 +1,24 @@
-//! One run as this node knows it.
+//! The in-memory state of one run on this node.
 
 use crate::messages::JobEnd;
 use crate::record::Head;
 use crate::step_table::StepTable;
 use hopyoke_types::{JobId, ModRevision};
 
-/// A run's phase on this node.
+/// The phase of a run on this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Another node owns it, or none does.
+    /// Another node owns the run, or none does.
     NotOwned,
     /// The claim is being written.
     Claiming,
-    /// It is claimed; its records are being read.
+    /// The run is claimed; its records are being read, or are to be read.
     Reading,
-    /// Its steps are submitted and followed.
+    /// The records have been read; steps are submitted and tracked.
     Executing,
 }
 
-/// The progress of a run, in steps.
+/// The progress of a run, in numbers of steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Progress {
     /// All steps.
@@ -29,37 +29,37 @@
     pub in_flight: u32,
     /// Steps that failed.
     pub failed: u32,
-    /// Steps that may be submitted.
+    /// Steps that are ready to be submitted.
     pub ready: u32,
 }
 
-/// A run as this node knows it.
+/// The state of a run that has not ended, as known to this node.
 pub(crate) struct Run {
     pub(crate) head: Head,
     pub(crate) head_revision: ModRevision,
     /// The revision of this node's claim, `flow/hold/RUN`.
     pub(crate) claim_revision: ModRevision,
     pub(crate) phase: Phase,
-    /// Incremented by each read of the records and each release; outcomes of an earlier epoch are stale.
+    /// Incremented by each read of the records and each release. Outcomes of an earlier epoch are stale.
     pub(crate) epoch: u64,
-    /// The latest claim by any node that is known.
-    pub(crate) claimed_revision: ModRevision,
-    /// The latest revision without a claim that is known.
-    pub(crate) released_revision: ModRevision,
-    /// The latest claim is by this node, as the watch reported; the claim's own response may be lost.
-    pub(crate) claimed_by_this_node: bool,
-    /// The claim at this revision is by another process, maybe of the same node.
-    pub(crate) refused_revision: ModRevision,
-    /// Failures in a row to claim, read or write it.
+    /// The revision of the latest known claim by any node.
+    pub(crate) latest_claim_revision: ModRevision,
+    /// The latest revision at which the run is known to have been unclaimed.
+    pub(crate) latest_unclaimed_revision: ModRevision,
+    /// Whether the watch reported the latest claim as this node's own. The response to the claim itself may be lost.
+    pub(crate) is_latest_claim_own: bool,
+    /// The revision of the latest claim by another process, which may be an earlier one of this node.
+    pub(crate) foreign_claim_revision: ModRevision,
+    /// Consecutive failures to claim, read or write the run.
     pub(crate) failures: u32,
-    /// Once the records were read.
+    /// The steps, or `None` until the records are first read.
     pub(crate) table: Option<StepTable>,
-    /// In its team's queue.
+    /// Whether the run is in its team's queue.
     pub(crate) is_queued: bool,
-    /// Steps in flight that its team's counter includes.
+    /// The number of the run's steps that its team's in-flight counter includes.
     pub(crate) counted_in_flight: usize,
     /// Jobs that ended while the records were being read.
-    pub(crate) early_ends: Vec<(JobId, JobEnd)>,
+    pub(crate) buffered_job_ends: Vec<(JobId, JobEnd)>,
 }
 
 impl Run {
@@ -70,25 +70,27 @@
             claim_revision: ModRevision(0),
             phase: Phase::NotOwned,
             epoch: 0,
-            claimed_revision: ModRevision(0),
-            released_revision: ModRevision(0),
-            claimed_by_this_node: false,
-            refused_revision: ModRevision(0),
+            latest_claim_revision: ModRevision(0),
+            latest_unclaimed_revision: ModRevision(0),
+            is_latest_claim_own: false,
+            foreign_claim_revision: ModRevision(0),
             failures: 0,
             table: None,
             is_queued: false,
             counted_in_flight: 0,
-            early_ends: Vec::new(),
+            buffered_job_ends: Vec::new(),
         }
     }
 
-    /// Whether the run is not claimed, or claimed by this process without its knowledge.
+    /// Returns whether the run is unclaimed, or may be claimed by this process although the response to the claim was
+    /// lost.
     pub(crate) fn may_claim(&self) -> bool {
-        self.claimed_revision <= self.released_revision
-            || (self.claimed_by_this_node && self.claimed_revision > self.refused_revision)
+        self.latest_claim_revision <= self.latest_unclaimed_revision
+            || (self.is_latest_claim_own
+                && self.latest_claim_revision > self.foreign_claim_revision)
     }
 
-    /// Whether this node owns or claims it.
+    /// Returns whether this node owns the run or is claiming it.
     pub(crate) fn is_owned(&self) -> bool {
         matches!(
             self.phase,
@@ -96,7 +98,7 @@
         )
     }
 
-    /// Whether its steps may be submitted.
+    /// Returns whether steps of the run may be submitted.
     pub(crate) fn may_submit(&self) -> bool {
         self.phase == Phase::Executing && self.head.state.allows_submission()
     }
--- a/crates/hopyoke-workflow/src/step_table.rs
+++ b/crates/hopyoke-workflow/src/step_table.rs
@@ -1,4 +1,4 @@
-//! The steps of a run that this node executes.
+//! The in-memory state of the steps of a run that this node owns.
 
 use crate::ids::{MAX_ATTEMPTS, StepNo, parse_job_id};
 use crate::messages::{JobEnd, RunRecords};
@@ -12,79 +12,79 @@
 /// The job of a step in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StepJob {
-    /// The submission has not been answered.
+    /// The submission is in progress.
     Submitting,
-    /// The submission may have been executed, or may yet be while the head has the same revision.
+    /// The submission may have been executed, or may still be as long as the head's revision is unchanged.
     OutcomeUnknown,
     /// The job is accepted and has not ended.
     Submitted,
-    /// The cancellation has not been answered.
+    /// The cancellation is in progress.
     Cancelling,
-    /// The job is to be cancelled.
+    /// The cancellation is queued or awaits a retry.
     CancelQueued,
 }
 
 /// The steps of a run that this node owns.
 pub(crate) struct StepTable {
     pub(crate) plan: Rc<Plan>,
-    /// Steps that depend on each step, by step; once for each time that they name it.
+    /// The dependents of each step, indexed by step. A dependent that lists a step several times appears as often.
     dependents: Rc<Vec<Vec<u32>>>,
-    /// How many dependencies of each step are not done, by step.
+    /// The number of dependencies of each step that are not done, indexed by step.
     open_dependencies: Vec<u32>,
-    /// State and attempts, by step.
+    /// State and attempt of each step, indexed by step.
     steps: Vec<(StepState, u8)>,
-    /// Steps that may be submitted, in the order in which they became ready.
+    /// Steps that are ready to be submitted, in the order in which they became ready.
     pub(crate) ready: VecDeque<StepNo>,
     pub(crate) in_flight: BTreeMap<StepNo, StepJob>,
-    /// Failures in a row of a step's submission or cancellation.
+    /// Consecutive failures of each step's submission or cancellation.
     pub(crate) failures: BTreeMap<StepNo, u32>,
-    /// Of pages that are recorded.
+    /// The revisions of the pages that exist in the key-value store.
     pub(crate) page_revisions: BTreeMap<u32, ModRevision>,
-    /// Pages to be written.
+    /// Pages that have changed since they were last written.
     pub(crate) dirty_pages: BTreeSet<u32>,
-    /// When the first of them became dirty.
+    /// When the first of the dirty pages became dirty.
     pub(crate) dirty_since: Option<Micros>,
-    /// A write has not been answered.
+    /// Whether a write is in progress.
     pub(crate) is_writing: bool,
-    /// The run stops: nothing more is submitted.
+    /// Whether the run is being stopped, so that no further step is submitted.
     pub(crate) is_stopping: bool,
-    /// Steps whose jobs are to be cancelled, in this order.
+    /// Steps whose jobs are to be cancelled, in order.
     pub(crate) cancel_queue: VecDeque<StepNo>,
-    /// How many steps are open.
+    /// The number of open steps.
     open: u32,
-    /// How many steps are done.
+    /// The number of done steps.
     done: u32,
-    /// How many steps failed.
+    /// The number of failed steps.
     pub(crate) failed: u32,
-    /// The first failure, for the run's head.
+    /// The reason of the first failure, which the run's head records; empty if no step failed.
     pub(crate) reason: String,
 }
 
 impl StepTable {
-    /// Reconciles all steps at once: the pages' states, the jobs' records, and what follows for the rest.
+    /// Builds the table from a run's records, by reconciling the states on the pages with the records of the jobs.
     pub(crate) fn reconcile(plan: Rc<Plan>, head: &Head, records: &RunRecords) -> StepTable {
         let mut table = StepTable::new(plan, head);
         table.load_pages(records);
-        table.skip_taken_ids(records);
-        table.count_ended();
-        // Reconnect to unfinished jobs.
+        table.advance_past_taken_ids(records);
+        table.count_final_steps();
+        // Reattach to unfinished jobs.
         for (job, is_own) in &records.unfinished_jobs {
             if let Some(step) = table.open_step_of(job).filter(|_| *is_own) {
                 table.in_flight.insert(step, StepJob::Submitted);
             }
         }
-        // Take the results of ended ones.
+        // Take the results of ended jobs.
         for (job, end, is_own) in &records.ended_jobs {
             if let Some(step) = table.open_step_of(job).filter(|_| *is_own) {
                 table.job_ended(step, *end, head);
             }
         }
-        table.skip_after_failures(head);
-        table.find_ready();
+        table.skip_dependents_of_failed(head);
+        table.enqueue_ready_steps();
         table
     }
 
-    /// All steps open, as before any record is known.
+    /// Returns a table in which all steps are open.
     fn new(plan: Rc<Plan>, head: &Head) -> StepTable {
         let steps = plan.steps.len();
         StepTable {
@@ -115,7 +115,7 @@
     fn load_pages(&mut self, records: &RunRecords) {
         for (page, revision, content) in &records.pages {
             self.page_revisions.insert(*page, *revision);
-            for (step, state, attempts) in content.read(*page) {
+            for (step, state, attempts) in content.decode(*page) {
                 if let Some(s) = self.steps.get_mut(step.0 as usize) {
                     *s = (state, attempts);
                 }
@@ -123,9 +123,9 @@
         }
     }
 
-    /// Of ids under which another submitter has a job, the next one is the step's. Records of such jobs never vanish, so
-    /// every owner comes to the same id.
-    fn skip_taken_ids(&mut self, records: &RunRecords) {
+    /// Advances each step past the job ids that other submitters' jobs have. The records of such jobs are never
+    /// deleted, so every owner of the run arrives at the same id.
+    fn advance_past_taken_ids(&mut self, records: &RunRecords) {
         let jobs = records
             .unfinished_jobs
             .iter()
@@ -141,35 +141,35 @@
         }
     }
 
-    fn count_ended(&mut self) {
+    fn count_final_steps(&mut self) {
         for i in 0..self.steps.len() {
             let state = self.steps[i].0;
             if state.is_final() {
-                self.count(StepNo(i as u32), state);
+                self.count_final(StepNo(i as u32), state);
             }
         }
     }
 
-    /// The open step whose current attempt a job is.
+    /// Returns the open step whose current attempt this job is, if any.
     fn open_step_of(&self, job: &JobId) -> Option<StepNo> {
         let (_, step, attempt) = parse_job_id(job)?;
         (self.is_open(step) && self.attempts(step) == attempt).then_some(step)
     }
 
-    /// Skips the dependents of failed steps, in case of a crash before that was recorded.
-    fn skip_after_failures(&mut self, head: &Head) {
+    /// Skips the dependents of failed steps, because the former owner may have crashed before it recorded that.
+    fn skip_dependents_of_failed(&mut self, head: &Head) {
         if head.on_error != OnError::Continue {
             return;
         }
         for i in 0..self.steps.len() {
             if matches!(self.steps[i].0, StepState::Failed | StepState::Skipped) {
-                self.skip_after(StepNo(i as u32));
+                self.skip_dependents(StepNo(i as u32));
             }
         }
     }
 
-    /// What is left may be started anew.
-    fn find_ready(&mut self) {
+    /// Queues all open steps whose dependencies are done and that have no job in flight.
+    fn enqueue_ready_steps(&mut self) {
         self.ready.clear();
         let is_ready = |s: &StepNo| {
             self.is_open(*s)
@@ -178,7 +178,7 @@
         };
         let steps = (0..self.steps.len() as u32).map(StepNo);
         for step in steps.filter(is_ready).collect::<Vec<_>>() {
-            self.make_ready(step);
+            self.mark_ready(step);
         }
     }
 
@@ -199,8 +199,8 @@
             .map_or("", |s| s.path.as_str())
     }
 
-    /// Whether no step is open.
-    pub(crate) fn is_settled(&self) -> bool {
+    /// Returns whether all steps are in a final state.
+    pub(crate) fn all_steps_final(&self) -> bool {
         self.open == 0
     }
 
@@ -218,8 +218,8 @@
         }
     }
 
-    /// Takes a step's final state into the counters.
-    fn count(&mut self, step: StepNo, state: StepState) {
+    /// Updates the counters for a step's final state.
+    fn count_final(&mut self, step: StepNo, state: StepState) {
         self.open -= 1;
         match state {
             StepState::Done => {
@@ -238,96 +238,97 @@
         }
     }
 
-    /// Gives an open step its final state, which makes its page dirty.
-    fn settle(&mut self, step: StepNo, state: StepState) {
+    /// Sets the final state of an open step and marks its page as dirty.
+    fn finalize(&mut self, step: StepNo, state: StepState) {
         if !self.is_open(step) {
             return;
         }
         self.steps[step.0 as usize].0 = state;
         self.in_flight.remove(&step);
         self.failures.remove(&step);
-        self.dirty_pages.insert(StepPage::of(step));
-        self.count(step, state);
+        self.dirty_pages.insert(StepPage::number_of(step));
+        self.count_final(step, state);
     }
 
-    /// All dependencies of a step are done: it may be submitted, or is done at once if it has no job.
-    fn make_ready(&mut self, step: StepNo) {
-        let mut list = vec![step];
-        while let Some(step) = list.pop() {
+    /// Handles a step whose dependencies are all done: queues it for submission or, if it has no job, sets it to done
+    /// and proceeds to its dependents.
+    fn mark_ready(&mut self, step: StepNo) {
+        let mut stack = vec![step];
+        while let Some(step) = stack.pop() {
             if self.plan.steps[step.0 as usize].job_template.is_some() {
                 self.ready.push_back(step);
                 continue;
             }
-            self.settle(step, StepState::Done);
-            list.extend(self.ready_after(step));
+            self.finalize(step, StepState::Done);
+            stack.extend(self.ready_dependents(step));
         }
     }
 
-    /// Open dependents of `step` whose dependencies are all done.
-    fn ready_after(&self, step: StepNo) -> Vec<StepNo> {
+    /// Returns the open dependents of `step` whose dependencies are all done.
+    fn ready_dependents(&self, step: StepNo) -> Vec<StepNo> {
         let mut ready: Vec<u32> = self.dependents[step.0 as usize].clone();
         ready.dedup();
-        ready.retain(|f| self.open_dependencies[*f as usize] == 0 && self.is_open(StepNo(*f)));
+        ready.retain(|s| self.open_dependencies[*s as usize] == 0 && self.is_open(StepNo(*s)));
         ready.into_iter().map(StepNo).collect()
     }
 
-    /// A step's job has ended.
+    /// Handles the end of a step's job.
     pub(crate) fn job_ended(&mut self, step: StepNo, end: JobEnd, head: &Head) {
         if !self.is_open(step) {
             return;
         }
         match end {
             JobEnd::Done => {
-                self.settle(step, StepState::Done);
-                for dependent in self.ready_after(step) {
+                self.finalize(step, StepState::Done);
+                for dependent in self.ready_dependents(step) {
                     if !self.in_flight.contains_key(&dependent) {
-                        self.make_ready(dependent);
+                        self.mark_ready(dependent);
                     }
                 }
             }
             JobEnd::Cancelled | JobEnd::Failed if head.state == RunState::Running => {
-                let why = if end == JobEnd::Failed {
+                let reason = if end == JobEnd::Failed {
                     "its tasks keep failing"
                 } else {
                     "its job was cancelled"
                 };
-                self.fail(step, why, head);
+                self.fail(step, reason, head);
             }
-            JobEnd::Cancelled | JobEnd::Failed => self.settle(step, StepState::Cancelled),
+            JobEnd::Cancelled | JobEnd::Failed => self.finalize(step, StepState::Cancelled),
         }
     }
 
-    /// A step failed, for this reason.
-    pub(crate) fn fail(&mut self, step: StepNo, why: &str, head: &Head) {
+    /// Sets a step to failed and, if the run continues on errors, skips its dependents.
+    pub(crate) fn fail(&mut self, step: StepNo, reason: &str, head: &Head) {
         if self.reason.is_empty() {
-            self.reason = format!("step {}: {why}", self.path(step));
+            self.reason = format!("step {}: {reason}", self.path(step));
         }
-        self.settle(step, StepState::Failed);
+        self.finalize(step, StepState::Failed);
         if head.on_error == OnError::Continue {
-            self.skip_after(step);
+            self.skip_dependents(step);
         }
     }
 
-    /// Skips all open transitive dependents of a step.
-    fn skip_after(&mut self, step: StepNo) {
-        let mut list = vec![step.0];
-        while let Some(s) = list.pop() {
-            for f in self.dependents.clone()[s as usize].iter().copied() {
-                if self.is_open(StepNo(f)) {
-                    self.settle(StepNo(f), StepState::Skipped);
-                    list.push(f);
+    /// Skips all open direct and transitive dependents of a step.
+    fn skip_dependents(&mut self, step: StepNo) {
+        let mut stack = vec![step.0];
+        while let Some(s) = stack.pop() {
+            for dependent in self.dependents.clone()[s as usize].iter().copied() {
+                if self.is_open(StepNo(dependent)) {
+                    self.finalize(StepNo(dependent), StepState::Skipped);
+                    stack.push(dependent);
                 }
             }
         }
     }
 
-    /// Stops the run: skips what was not submitted, queues the cancellation of what was.
+    /// Stops the run: skips steps that were not submitted and queues the cancellation of those that were.
     pub(crate) fn begin_stop(&mut self) {
         self.is_stopping = true;
         self.ready.clear();
         for i in 0..self.steps.len() as u32 {
             if !self.in_flight.contains_key(&StepNo(i)) {
-                self.settle(StepNo(i), StepState::Skipped);
+                self.finalize(StepNo(i), StepState::Skipped);
             }
         }
         let open: Vec<StepNo> = self.in_flight.keys().copied().collect();
@@ -347,26 +348,26 @@
         self.cancel_queue.push_back(step);
     }
 
-    /// A cancelled step's job was never accepted, and can't be any more.
+    /// Skips a step in flight whose job was never accepted and can no longer be.
     pub(crate) fn skip(&mut self, step: StepNo) {
-        self.settle(step, StepState::Skipped);
+        self.finalize(step, StepState::Skipped);
     }
 
-    /// Another submitter has a job under the step's id: goes on to the next id. False: there is none left.
+    /// Advances a step to its next job id. Returns false if no ids are left.
     pub(crate) fn next_attempt(&mut self, step: StepNo) -> bool {
         let Some(s) = self.steps.get_mut(step.0 as usize) else {
             return false;
         };
         s.1 = (s.1 + 1).min(MAX_ATTEMPTS);
         let has_next = s.1 < MAX_ATTEMPTS;
-        self.dirty_pages.insert(StepPage::of(step));
+        self.dirty_pages.insert(StepPage::number_of(step));
         has_next
     }
 
-    /// A page as it is to be recorded.
+    /// Returns the page with this number in its current state.
     pub(crate) fn page(&self, page: u32) -> StepPage {
         let first = page * STEPS_PER_PAGE;
         let end = (first + STEPS_PER_PAGE).min(self.steps.len() as u32);
-        StepPage::write(first, &self.steps[first as usize..end as usize])
+        StepPage::encode(first, &self.steps[first as usize..end as usize])
     }
 }
--- a/crates/hopyoke-workflow/tests/frozen_forms.rs
+++ b/crates/hopyoke-workflow/tests/frozen_forms.rs
@@ -111,7 +111,7 @@
         attempts: BTreeMap::from([(1, 3), (4, 1)]),
     };
     assert_stored("step-page", &page);
-    let states: Vec<_> = read::<StepPage>("step-page").read(0).collect();
+    let states: Vec<_> = read::<StepPage>("step-page").decode(0).collect();
     let want = [
         (StepNo(0), StepState::Done, 0),
         (StepNo(1), StepState::Failed, 3),
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -360,7 +360,7 @@
     };
     let mut states = vec![(StepState::Open, 0); plan.steps.len()];
     for (page, _, value) in &pages {
-        for (step, state, attempts) in value.read(*page) {
+        for (step, state, attempts) in value.decode(*page) {
             if let Some(entry) = states.get_mut(step.0 as usize) {
                 *entry = (state, attempts);
             }
