--- a/crates/hopyoke-workflow/benches/engine.rs
+++ b/crates/hopyoke-workflow/benches/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's cost per step: a run is claimed, read, submitted and ended, and each action succeeds at once.
+//! Benchmarks of the engine's cost per step, over the whole life of a run. Each action succeeds at once.
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use hopyoke_protocol::user::JobSpec;
@@ -11,7 +11,7 @@
 
 fn plan(steps: u32) -> Plan {
     let shape = JobSpec::with_defaults(JobId::new("req-0"), "convert", "crew", "img");
-    // Chains of ten, beside each other.
+    // Parallel chains of ten steps.
     let after = |i: u32| {
         if i.is_multiple_of(10) {
             Vec::new()
@@ -32,7 +32,7 @@
     }
 }
 
-/// Executes one run to its end; returns the entities visited.
+/// Executes one run to its end and returns the number of entities visited.
 fn execute_run(plan: &Plan) -> u64 {
     let run = RunId::new(1).expect("in range");
     let head = Head::new("bench", "crew", "", plan, 1, 0);
@@ -52,7 +52,7 @@
         now += Micros::from_millis(50);
         e.tick(now);
         while let Some(action) = e.next_action() {
-            answer(&mut e, &action, (&head, plan), now);
+            complete_action(&mut e, &action, (&head, plan), now);
             match &action {
                 Action::Submit { spec, .. } => submitted.push(spec.id.clone()),
                 Action::Write { pages: p, .. } => pages.extend(p.iter().map(|p| (p.0, now))),
@@ -66,8 +66,8 @@
     e.entities_visited()
 }
 
-/// Lets an action succeed at once.
-fn answer(e: &mut Engine, action: &Action, (head, plan): (&Head, &Plan), now: Micros) {
+/// Reports the success of an action.
+fn complete_action(e: &mut Engine, action: &Action, (head, plan): (&Head, &Plan), now: Micros) {
     match action {
         Action::Claim { run } => e.claim_finished(*run, Ok(ModRevision(2)), now),
         Action::Read { run, epoch, .. } => {
@@ -106,7 +106,11 @@
         .iter()
         .map(|p| serde_json::to_string(p).map_or(0, |t| t.len()))
         .sum();
-    println!("plan: {} pages, {} bytes a step", pages.len(), bytes / 1000);
+    println!(
+        "plan: {} pages, {} bytes per step",
+        pages.len(),
+        bytes / 1000
+    );
     c.bench_function("pages of 1000 steps", |b| b.iter(|| plan.pages(8192)));
 }
 
--- a/crates/hopyoke-workflow/tests/frozen_forms.rs
+++ b/crates/hopyoke-workflow/tests/frozen_forms.rs
@@ -1,5 +1,5 @@
-//! Records of workflow runs keep their bytes, and a plan keeps its digest: any node may go on with a run that
-//! a node of another version began.
+//! The stored form of workflow records and the digest of a plan are stable across versions, because a node of one
+//! version may take over a run from a node of another.
 
 #[path = "../../hopyoke-protocol/tests/frozen/mod.rs"]
 mod frozen;
@@ -39,7 +39,7 @@
     }
 }
 
-fn fresh() -> Head {
+fn new_head() -> Head {
     Head::new(
         "nightly",
         "vision",
@@ -52,7 +52,7 @@
 
 #[test]
 fn heads() {
-    assert_stored("head-fresh", &fresh());
+    assert_stored("head-fresh", &new_head());
     let full = Head {
         ended_us: 1_700_000_360_000_000,
         on_error: OnError::Continue,
@@ -65,7 +65,7 @@
             ("color".into(), "red".into()),
             ("shift".into(), "night".into()),
         ]),
-        ..fresh()
+        ..new_head()
     };
     assert_stored("head-full", &full);
     assert_stored(
@@ -82,19 +82,19 @@
     assert_stored("on-error", &vec![OnError::Stop, OnError::Continue]);
 }
 
-/// Without the fields that have a default.
+/// Heads that lack the fields with a default can be read.
 #[test]
 fn heads_of_earlier_versions() {
-    let older = Head {
+    let earlier = Head {
         owner: String::new(),
         digest: 12_345_678_901_234_567_890,
-        ..fresh()
+        ..new_head()
     };
-    assert_read_as("head-older", &older);
+    assert_read_as("head-older", &earlier);
 }
 
 #[test]
-fn holds() {
+fn run_claims() {
     assert_stored(
         "hold",
         &RunClaim {
@@ -141,7 +141,7 @@
     assert_stored("plan-page-empty", &PlanPage::default());
 }
 
-/// Clients send plans as JSON; a repeated submission is told by the digest.
+/// Clients submit plans as JSON, and the digest identifies a repeated submission.
 #[test]
 fn plans_as_json() {
     let old = text("plan.json");
--- a/crates/hopyoke-workflow/tests/ids.rs
+++ b/crates/hopyoke-workflow/tests/ids.rs
@@ -1,9 +1,9 @@
-//! Ids of runs, steps and their jobs.
+//! Tests of the ids of runs, steps and their jobs.
 
 use hopyoke_types::JobId;
 use hopyoke_workflow::{RunId, StepNo, is_step_job_id, job_id, parse_job_id};
 
-/// Runs are numbered below this.
+/// The exclusive upper bound of run numbers.
 const RUN_COUNT: u64 = 1_000_000_000_000;
 
 #[test]
--- a/crates/hopyoke-workflow/tests/model/actions.rs
+++ b/crates/hopyoke-workflow/tests/model/actions.rs
@@ -1,4 +1,4 @@
-//! What the model does for each action of an engine.
+//! Execution of the engines' actions against the model's key-value store.
 
 use super::{Event, JobBehavior, Model, Reply, Value};
 use hopyoke_protocol::user::JobSpec;
@@ -67,9 +67,9 @@
         };
         let prefix = job_id_prefix(run);
         let id = |rest: &str| JobId::new(&format!("{prefix}{rest}"));
-        let pages = self.under(&format!("flowpage/{run}/"));
-        let jobs = self.under(&format!("job/{prefix}"));
-        let ends = self.under(&format!("end/{prefix}"));
+        let pages = self.list_prefix(&format!("flowpage/{run}/"));
+        let jobs = self.list_prefix(&format!("job/{prefix}"));
+        let ends = self.list_prefix(&format!("end/{prefix}"));
         Some(RunRecords {
             head,
             head_revision,
@@ -124,7 +124,7 @@
         let behavior = self.runs[&run].behaviors.get(&step).copied();
         match behavior.unwrap_or(JobBehavior::Endless) {
             JobBehavior::Done(t) | JobBehavior::GivenUp(t) => {
-                self.after(t, Event::JobEnds(job.clone()));
+                self.after(t, Event::EndJob(job.clone()));
             }
             JobBehavior::Endless => {}
         }
@@ -157,7 +157,7 @@
             ..
         } = action
         else {
-            unreachable!("only writes are written");
+            unreachable!("not a write");
         };
         let page_key = |p: &u32| format!("flowpage/{run}/{p}");
         let is_permitted = self.claim_of(*run) == *claim_revision
@@ -168,7 +168,10 @@
                 self.mod_revision(&format!("flow/head/{run}")) == *mod_revision
             });
         let ops = pages.len() + usize::from(head.is_some()) + usize::from(*release);
-        assert!(ops <= self.max_txn_ops, "{ops} changes in a transaction");
+        assert!(
+            ops <= self.max_txn_ops,
+            "{ops} operations exceed the limit of a transaction"
+        );
         if !is_permitted {
             return WriteOutcome::Conflict;
         }
@@ -187,7 +190,7 @@
     }
 }
 
-/// What a node makes of no response, or of a refusal.
+/// Returns the reply that a node derives from a timeout (`is_unknown`) or from a refusal.
 pub(super) fn reply_to_failure(action: &Action, is_unknown: bool) -> Reply {
     let outcome = || {
         if is_unknown {
--- a/crates/hopyoke-workflow/tests/model/mod.rs
+++ b/crates/hopyoke-workflow/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A model in virtual time around the real engine: a key-value store with conditional writes and leases, jobs that take
-//! time, nodes that crash, stall and lose messages. Invariants are checked at every change.
+//! A discrete-event simulation of nodes that run the real engine against a key-value store with leases and conditional
+//! writes. Jobs take time, and nodes crash, stall and lose messages. Invariants are checked at every change.
 
 mod actions;
 mod nodes;
@@ -15,18 +15,18 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// What is done to one action, counted over all nodes from 0.
+/// A fault that is injected into one action. Actions are numbered over all nodes from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Its node crashes before the action reaches the store.
+    /// The node crashes before the action reaches the store.
     CrashBefore,
-    /// Its node crashes after the action was executed, before the response.
+    /// The node crashes after sending the action, before the response.
     CrashAfter,
-    /// It is executed long after its node has given up waiting for the response.
+    /// The action is executed long after the node's response timeout.
     Late,
-    /// It is executed, and the response is lost.
+    /// The action is executed, but the response is lost.
     NoAnswer,
-    /// Its node stalls beyond its lease, and goes on.
+    /// The node stalls for longer than its lease and then resumes.
     Stall,
 }
 
@@ -38,23 +38,24 @@
     Fault::Stall,
 ];
 
-/// How a step's job behaves.
+/// The behavior of a step's job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum JobBehavior {
+    /// The job succeeds after this time.
     Done(Micros),
-    /// The scheduler gives it up.
+    /// The job fails after this time.
     GivenUp(Micros),
-    /// It runs until it is cancelled.
+    /// The job runs until it is cancelled.
     Endless,
 }
 
 pub(crate) struct ModelRun {
     pub(crate) plan: Plan,
     pub(crate) behaviors: BTreeMap<StepNo, JobBehavior>,
-    /// When a client got its cancellation confirmed.
+    /// When the client's cancellation was confirmed.
     pub(crate) cancelled: Option<Micros>,
     pub(crate) ended: Option<(RunState, Micros)>,
-    /// Steps whose job was accepted, and when; one accepted twice is a violation.
+    /// When the job of each step was accepted. A second job of a step is a violation.
     pub(crate) started: BTreeMap<StepNo, Micros>,
     pub(crate) done: BTreeSet<StepNo>,
 }
@@ -81,11 +82,11 @@
         node: usize,
         process: u64,
         action: Action,
-        answer: bool,
+        expects_reply: bool,
         lease: u64,
-        tried: bool,
+        is_abandoned: bool,
     },
-    Answer {
+    Reply {
         node: usize,
         process: u64,
         reply: Reply,
@@ -95,16 +96,16 @@
         process: u64,
         change: Change,
     },
-    JobEnds(JobId),
+    EndJob(JobId),
     Wake {
         node: usize,
         process: u64,
     },
-    Renew {
+    RenewLease {
         node: usize,
         process: u64,
     },
-    Expire,
+    ExpireLeases,
     Start(usize),
     Crash(usize),
     Cancel(RunId),
@@ -122,7 +123,7 @@
     process: u64,
     engine: Option<Engine>,
     lease: Option<u64>,
-    /// It stalls until then.
+    /// The time until which the node stalls.
     stalled_until: Micros,
 }
 
@@ -134,7 +135,7 @@
     pub(crate) max_txn_ops: usize,
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
     events: BTreeMap<usize, Event>,
-    next: u64,
+    next_sequence: u64,
     rng: StdRng,
     store: BTreeMap<String, (Value, ModRevision, Option<u64>)>,
     revision: u64,
@@ -142,13 +143,13 @@
     next_lease: u64,
     nodes: Vec<Node>,
     pub(crate) runs: BTreeMap<RunId, ModelRun>,
-    /// The `n`th actions meet these faults.
+    /// Faults by the number of the action.
     pub(crate) faults: Vec<(u64, Fault)>,
     pub(crate) actions: u64,
     pub(crate) submissions: u64,
     pub(crate) writes: u64,
     pub(crate) outage: (Micros, Micros),
-    /// How long reading a run's records takes.
+    /// The additional latency of reading a run's records.
     pub(crate) read_latency: Micros,
     pub(crate) violations: Vec<String>,
     pub(crate) max_in_flight: BTreeMap<String, usize>,
@@ -168,7 +169,7 @@
             max_txn_ops: 16,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            next: 0,
+            next_sequence: 0,
             rng: StdRng::seed_from_u64(seed),
             store: BTreeMap::new(),
             revision: 0,
@@ -196,15 +197,16 @@
             });
             m.at(Micros::ZERO, Event::Start(i));
         }
-        m.at(Micros::ZERO, Event::Expire);
+        m.at(Micros::ZERO, Event::ExpireLeases);
         m
     }
 
     fn at(&mut self, t: Micros, event: Event) {
-        self.next += 1;
-        let key = self.next as usize;
+        self.next_sequence += 1;
+        let key = self.next_sequence as usize;
         self.events.insert(key, event);
-        self.queue.push(Reverse((t.max(self.now), self.next, key)));
+        self.queue
+            .push(Reverse((t.max(self.now), self.next_sequence, key)));
     }
 
     fn after(&mut self, span: Micros, event: Event) {
@@ -215,18 +217,18 @@
         Micros(self.rng.random_range(500..8_000))
     }
 
-    fn log(&self, what: impl FnOnce() -> String) {
+    fn log(&self, message: impl FnOnce() -> String) {
         if self.trace {
-            eprintln!("{:9.4} {}", self.now.as_secs_f64(), what());
+            eprintln!("{:9.4} {}", self.now.as_secs_f64(), message());
         }
     }
 
-    fn violate(&mut self, violation: String) {
+    fn record_violation(&mut self, violation: String) {
         self.violations
             .push(format!("{:.3} s: {violation}", self.now.as_secs_f64()));
     }
 
-    /// A client submits a run.
+    /// Submits a run as a client.
     pub(crate) fn submit(
         &mut self,
         run: RunId,
@@ -242,7 +244,7 @@
         if let Err(e) = plan.check(team) {
             panic!("{e}");
         }
-        let truth = ModelRun {
+        let model_run = ModelRun {
             plan,
             behaviors,
             cancelled: None,
@@ -250,7 +252,7 @@
             started: BTreeMap::new(),
             done: BTreeSet::new(),
         };
-        self.runs.insert(run, truth);
+        self.runs.insert(run, model_run);
         self.apply(vec![(
             format!("flow/head/{run}"),
             Some(Value::Head(head)),
@@ -266,9 +268,9 @@
         self.at(t, Event::Crash(node));
     }
 
-    /// Another submitter has a job under this id.
-    pub(crate) fn add_foreign_job(&mut self, job: &JobId, over: bool) {
-        let (key, value) = if over {
+    /// Adds a job of another submitter under this id.
+    pub(crate) fn add_foreign_job(&mut self, job: &JobId, has_ended: bool) {
+        let (key, value) = if has_ended {
             (format!("end/{job}"), Value::End(JobEnd::Done, false))
         } else {
             (format!("job/{job}"), Value::Job(false))
--- a/crates/hopyoke-workflow/tests/model/nodes.rs
+++ b/crates/hopyoke-workflow/tests/model/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes of the model: their processes, leases and engines, and the faults that their actions meet.
+//! The nodes of the model: their processes, leases and engines, and the injection of faults.
 
 use super::actions::reply_to_failure;
 use super::{Change, Event, Fault, JobBehavior, LEASE_TTL, Model, Reply, Value, node_name};
@@ -6,25 +6,25 @@
 use hopyoke_workflow::{Action, Engine, Head, JobEnd, RunId, RunState, parse_job_id};
 use rand::RngExt;
 
-/// After this a node gives up waiting for a response.
+/// How long a node waits for a response.
 const RESPONSE_TIMEOUT: Micros = Micros::from_millis(2_500);
-/// When an action that meets [`Fault::Late`] is executed.
+/// The delay of an action with [`Fault::Late`], longer than [`RESPONSE_TIMEOUT`] and the lease.
 const LATE_EXECUTION: Micros = Micros::from_secs(12);
-/// How long a node that meets [`Fault::Stall`] stands still: longer than its lease.
+/// The duration of [`Fault::Stall`], longer than the lease.
 const STALL: Micros = Micros::from_secs(9);
 
 impl Event {
-    /// The node and process that an event is for, if it is for one.
-    fn addressee(&self) -> Option<(usize, u64)> {
+    /// Returns the node and process that receive the event, if any.
+    fn recipient(&self) -> Option<(usize, u64)> {
         match self {
-            Event::Renew { node, process }
+            Event::RenewLease { node, process }
             | Event::Wake { node, process }
-            | Event::Answer { node, process, .. }
+            | Event::Reply { node, process, .. }
             | Event::Change { node, process, .. } => Some((*node, *process)),
-            // What a dead process sent is still on its way.
+            // Requests of a crashed process are still executed.
             Event::Execute { .. }
-            | Event::JobEnds(_)
-            | Event::Expire
+            | Event::EndJob(_)
+            | Event::ExpireLeases
             | Event::Start(_)
             | Event::Crash(_)
             | Event::Cancel(_) => None,
@@ -34,7 +34,7 @@
 
 impl Model {
     pub(super) fn handle(&mut self, event: Event) {
-        if let Some((node, process)) = event.addressee() {
+        if let Some((node, process)) = event.recipient() {
             if !self.is_running(node, process) {
                 return;
             }
@@ -46,31 +46,31 @@
         match event {
             Event::Start(i) => self.start(i),
             Event::Crash(i) => self.crash(i),
-            Event::Expire => {
-                if !self.is_down() {
+            Event::ExpireLeases => {
+                if !self.is_store_down() {
                     self.expire_leases();
                 }
-                self.after(Micros::from_millis(50), Event::Expire);
+                self.after(Micros::from_millis(50), Event::ExpireLeases);
             }
-            Event::Renew { node, process } => self.renew(node, process),
+            Event::RenewLease { node, process } => self.renew_lease(node, process),
             Event::Wake { node, process } => self.wake(node, process),
             Event::Execute {
                 node,
                 process,
                 action,
-                answer,
+                expects_reply,
                 lease,
-                tried,
+                is_abandoned,
             } => {
-                let reply = if !self.is_down() {
+                let reply = if !self.is_store_down() {
                     self.log(|| format!("{} {action:?}", node_name(node)));
-                    Some(self.execute(node, lease, &action)).filter(|_| answer)
-                } else if answer && !tried {
+                    Some(self.execute(node, lease, &action)).filter(|_| expects_reply)
+                } else if expects_reply && !is_abandoned {
                     let t = self.now + Micros::from_millis(5);
                     let reply = reply_to_failure(&action, false);
                     return self.at(
                         t,
-                        Event::Answer {
+                        Event::Reply {
                             node,
                             process,
                             reply,
@@ -80,17 +80,17 @@
                     None
                 };
                 if let Some(reply) = reply {
-                    self.answer(node, process, reply);
+                    self.send_reply(node, process, reply);
                 }
             }
-            Event::Answer { node, reply, .. } => self.deliver_reply(node, reply),
+            Event::Reply { node, reply, .. } => self.deliver_reply(node, reply),
             Event::Change { node, change, .. } => self.deliver_change(node, change),
-            Event::JobEnds(job) => self.job_ends(job),
+            Event::EndJob(job) => self.end_running_job(job),
             Event::Cancel(run) => self.cancel(run),
         }
     }
 
-    fn answer(&mut self, node: usize, process: u64, reply: Reply) {
+    fn send_reply(&mut self, node: usize, process: u64, reply: Reply) {
         let reading = if matches!(reply, Reply::Read(..)) {
             self.read_latency
         } else {
@@ -99,7 +99,7 @@
         let latency = self.latency() + reading;
         self.after(
             latency,
-            Event::Answer {
+            Event::Reply {
                 node,
                 process,
                 reply,
@@ -107,11 +107,11 @@
         );
     }
 
-    fn renew(&mut self, node: usize, process: u64) {
+    fn renew_lease(&mut self, node: usize, process: u64) {
         let lease = self.nodes[node]
             .lease
             .filter(|l| self.leases.contains_key(l));
-        if !self.is_down() {
+        if !self.is_store_down() {
             let expires_at = self.now + LEASE_TTL;
             if let Some(lease) = lease {
                 self.leases.insert(lease, expires_at);
@@ -127,7 +127,7 @@
                 self.tick_node(node);
             }
         }
-        self.after(Micros::from_secs(1), Event::Renew { node, process });
+        self.after(Micros::from_secs(1), Event::RenewLease { node, process });
     }
 
     fn wake(&mut self, node: usize, process: u64) {
@@ -180,13 +180,13 @@
         self.tick_node(node);
     }
 
-    fn job_ends(&mut self, job: JobId) {
-        if self.is_down() {
-            return self.after(Micros::from_millis(200), Event::JobEnds(job));
+    fn end_running_job(&mut self, job: JobId) {
+        if self.is_store_down() {
+            return self.after(Micros::from_millis(200), Event::EndJob(job));
         }
         let record = self.store.get(&format!("job/{job}"));
         if matches!(record, Some((Value::Job(true), ..))) {
-            let (run, step, _) = parse_job_id(&job).expect("a step's job");
+            let (run, step, _) = parse_job_id(&job).expect("job of a step");
             let end = match self.runs[&run].behaviors.get(&step) {
                 Some(JobBehavior::GivenUp(_)) => JobEnd::Failed,
                 _ => JobEnd::Done,
@@ -197,7 +197,7 @@
 
     fn cancel(&mut self, run: RunId) {
         let key = format!("flow/head/{run}");
-        if self.is_down() {
+        if self.is_store_down() {
             return self.after(Micros::from_millis(300), Event::Cancel(run));
         }
         if let Some((Value::Head(head), ..)) = self.store.get(&key)
@@ -209,7 +209,7 @@
             };
             self.apply(vec![(key, Some(Value::Head(head)), None)]);
             let now = self.now;
-            self.runs.get_mut(&run).expect("a run").cancelled = Some(now);
+            self.runs.get_mut(&run).expect("known run").cancelled = Some(now);
         }
     }
 
@@ -218,7 +218,7 @@
     }
 
     fn start(&mut self, node: usize) {
-        if self.is_down() {
+        if self.is_store_down() {
             return self.after(Micros::from_millis(200), Event::Start(node));
         }
         let names = (0..self.nodes.len()).map(node_name).collect();
@@ -233,7 +233,7 @@
             now,
         );
         let heads: Vec<_> = self
-            .under("flow/head/")
+            .list_prefix("flow/head/")
             .filter_map(|(k, v, mod_revision)| match v {
                 Value::Head(h) => Some((RunId::parse(k)?, h.clone(), mod_revision)),
                 _ => None,
@@ -243,7 +243,7 @@
             e.head_changed(run, head, mod_revision, now);
         }
         let claims: Vec<_> = self
-            .under("flow/hold/")
+            .list_prefix("flow/hold/")
             .filter_map(|(k, v, mod_revision)| match v {
                 Value::Claim(n, _) => Some((RunId::parse(k)?, node_name(*n), mod_revision)),
                 _ => None,
@@ -257,18 +257,18 @@
         n.engine = Some(e);
         n.lease = None;
         let process = n.process;
-        self.at(now, Event::Renew { node, process });
+        self.at(now, Event::RenewLease { node, process });
         self.at(now, Event::Wake { node, process });
     }
 
     fn crash(&mut self, node: usize) {
-        self.log(|| format!("{} ends", node_name(node)));
+        self.log(|| format!("{} crashes", node_name(node)));
         if self.nodes[node].engine.take().is_some() {
             self.after(Micros::from_secs(3), Event::Start(node));
         }
     }
 
-    /// Ticks a node's engine and sends its actions.
+    /// Ticks a node's engine and sends its actions, with the injected faults.
     fn tick_node(&mut self, node: usize) {
         let now = self.now;
         if now < self.nodes[node].stalled_until {
@@ -283,20 +283,20 @@
         let faults = e.audit();
         let actions: Vec<Action> = std::iter::from_fn(|| e.next_action()).collect();
         if let Some(f) = faults.first() {
-            self.violate(f.clone());
+            self.record_violation(f.clone());
         }
         for action in actions {
             let n = self.actions;
             self.actions += 1;
             let span = self.latency();
-            let execute = |m: &mut Model, span: Micros, answer: bool| {
+            let execute = |m: &mut Model, span: Micros, expects_reply: bool| {
                 let event = Event::Execute {
                     node,
                     process,
                     action: action.clone(),
-                    answer,
+                    expects_reply,
                     lease,
-                    tried: !answer,
+                    is_abandoned: !expects_reply,
                 };
                 m.after(span, event);
             };
@@ -317,7 +317,7 @@
                     let reply = reply_to_failure(&action, true);
                     self.after(
                         RESPONSE_TIMEOUT,
-                        Event::Answer {
+                        Event::Reply {
                             node,
                             process,
                             reply,
--- a/crates/hopyoke-workflow/tests/model/store.rs
+++ b/crates/hopyoke-workflow/tests/model/store.rs
@@ -1,23 +1,23 @@
-//! The key-value store of the model, and the invariants that each change is checked against.
+//! The key-value store of the model, and the invariants that are checked at each change.
 
 use super::{Change, Event, Model, Value, node_name};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{Head, JobEnd, Plan, RunId, RunState, StepNo, parse_job_id};
 use std::collections::BTreeSet;
 
-/// How long a change takes to the nodes' watches.
+/// The latency of the nodes' watches.
 const WATCH_LATENCY: Micros = Micros(4_000);
 
-/// A mutation: key, value (`None`: delete) and lease.
+/// A mutation: the key, the value (`None` deletes the key) and the lease.
 pub(super) type KeyMutation = (String, Option<Value>, Option<u64>);
 
 fn run_of_key(key: &str) -> RunId {
     let id = key.rsplit('/').next().and_then(RunId::parse);
-    id.expect("a run's key")
+    id.expect("key of a run")
 }
 
 impl Model {
-    pub(super) fn is_down(&self) -> bool {
+    pub(super) fn is_store_down(&self) -> bool {
         self.now >= self.outage.0 && self.now < self.outage.1
     }
 
@@ -25,8 +25,8 @@
         self.store.get(key).map_or(ModRevision(0), |v| v.1)
     }
 
-    /// Keys under a prefix, without it, in their order.
-    pub(super) fn under<'a>(
+    /// Returns the entries under a prefix in key order, with the prefix removed from the keys.
+    pub(super) fn list_prefix<'a>(
         &'a self,
         prefix: &str,
     ) -> impl Iterator<Item = (&'a str, &'a Value, ModRevision)> + use<'a> {
@@ -60,14 +60,14 @@
         mod_revision
     }
 
-    /// A final head never changes, and no job of the run is open once it is written.
+    /// Checks that a final head never changes and that no job of the run is unfinished when it is written.
     fn check_head(&mut self, key: &str, head: &Head) {
         let before = match self.store.get(key) {
             Some((Value::Head(h), ..)) => Some(h.clone()),
             _ => None,
         };
         if before.is_some_and(|b| b.state.is_final()) {
-            self.violate(format!("went_back: {key} is final and changes"));
+            self.record_violation(format!("went_back: final head {key} changed"));
         }
         let run = run_of_key(key);
         let now = self.now;
@@ -89,42 +89,43 @@
             });
         }
         if !open.is_empty() {
-            self.violate(format!("run {run} is over and jobs of {open:?} are not"));
+            self.record_violation(format!("run {run} ended before the jobs of {open:?}"));
         }
     }
 
-    /// A step's job is accepted once, after its dependencies, and while the run's state permits it.
+    /// Checks that a step has only one job, which is accepted after the step's dependencies are done and while the
+    /// run's state allows submissions.
     fn check_job(&mut self, key: &str) {
         let job = JobId::new(&key[4..]);
-        let (run, step, _) = parse_job_id(&job).expect("a step's id");
+        let (run, step, _) = parse_job_id(&job).expect("job id of a step");
         let head = match self.store.get(&format!("flow/head/{run}")) {
             Some((Value::Head(h), ..)) => h.state,
-            _ => panic!("a job of no run"),
+            _ => panic!("job without a run"),
         };
-        let r = self.runs.get_mut(&run).expect("a submitted run");
+        let r = self.runs.get_mut(&run).expect("submitted run");
         let unfinished = unfinished_dependency(&r.plan, &r.done, step);
-        let is_second = r.started.insert(step, self.now).is_some();
-        if is_second {
-            self.violate(format!(
-                "ran_twice: step {} of run {run} has a second job",
+        let is_duplicate = r.started.insert(step, self.now).is_some();
+        if is_duplicate {
+            self.record_violation(format!(
+                "ran_twice: second job for step {} of run {run}",
                 step.0
             ));
         }
         if let Some(s) = unfinished {
-            self.violate(format!(
-                "step {} of run {run} starts before step {} is done",
+            self.record_violation(format!(
+                "step {} of run {run} started before step {} was done",
                 step.0, s.0
             ));
         }
         if head != RunState::Running {
-            self.violate(format!(
-                "ran_cancelled: step {} of run {run} starts in state {head:?}",
+            self.record_violation(format!(
+                "ran_cancelled: step {} of run {run} started in state {head:?}",
                 step.0
             ));
         }
     }
 
-    /// Sends a change to all nodes' watches, in order: each has one connection.
+    /// Sends a change to the watches of all nodes. Each node receives changes in order.
     fn notify_nodes(&mut self, key: &str, mod_revision: ModRevision) {
         let value = self.store.get(key).map(|v| v.0.clone());
         let change = match value {
@@ -176,7 +177,7 @@
     pub(super) fn end_job(&mut self, job: &JobId, end: JobEnd) {
         let team = match parse_job_id(job) {
             Some((run, step, _)) => {
-                let r = self.runs.get_mut(&run).expect("a run");
+                let r = self.runs.get_mut(&run).expect("known run");
                 if end == JobEnd::Done {
                     r.done.insert(step);
                 }
@@ -193,7 +194,8 @@
     }
 }
 
-/// A dependency that has a job and is not done; a step without a job stands for its own dependencies.
+/// Returns a dependency that has a job and is not done, if any. A step without a job is replaced by its own
+/// dependencies.
 fn unfinished_dependency(plan: &Plan, done: &BTreeSet<StepNo>, step: StepNo) -> Option<StepNo> {
     let (mut list, mut visited) = (
         plan.steps[step.0 as usize].dependencies.clone(),
--- a/crates/hopyoke-workflow/tests/properties.rs
+++ b/crates/hopyoke-workflow/tests/properties.rs
@@ -1,7 +1,7 @@
-//! Random graphs under random faults against a plain reference: what can be done is done, once, in
-//! order, and nothing else.
+//! Property tests that compare runs of random DAGs under random faults with a simple reference: every step that can be
+//! done is done, once and in order, and no other step is.
 
-#[expect(dead_code, reason = "the scenarios use more of the model")]
+#[expect(dead_code, reason = "the scenario tests use more of the model")]
 mod model;
 
 use hopyoke_protocol::user::JobSpec;
@@ -13,7 +13,7 @@
 
 #[derive(Debug, Clone)]
 struct Graph {
-    /// Steps needed, and whether there is work, and whether it fails.
+    /// For each step, its dependencies, whether it has a job, and whether that job fails.
     steps: Vec<(Vec<usize>, bool, bool)>,
     continue_on_error: bool,
     cancel: Option<u8>,
@@ -37,14 +37,14 @@
         .prop_map(|(steps, continue_on_error, cancel, faults)| {
             let steps = (0..)
                 .zip(steps)
-                .map(|(i, (after, work, fails))| {
+                .map(|(i, (after, has_job, fails))| {
                     let mut after: Vec<usize> = if i == 0 {
                         Vec::new()
                     } else {
                         after.iter().map(|x| x.index(i)).collect()
                     };
                     after.sort_unstable();
-                    (after, work > 1, fails == 0)
+                    (after, has_job > 1, fails == 0)
                 })
                 .collect();
             Graph {
@@ -56,11 +56,11 @@
         })
 }
 
-/// The plain reference: which steps can be done at all.
+/// Returns the steps that can be done, computed without the engine.
 fn reachable(g: &Graph) -> BTreeSet<usize> {
     let mut done = BTreeSet::new();
-    for (i, (after, work, fails)) in g.steps.iter().enumerate() {
-        if after.iter().all(|d| done.contains(d)) && !(*work && *fails) {
+    for (i, (after, has_job, fails)) in g.steps.iter().enumerate() {
+        if after.iter().all(|d| done.contains(d)) && !(*has_job && *fails) {
             done.insert(i);
         }
     }
@@ -76,10 +76,10 @@
         .steps
         .iter()
         .enumerate()
-        .map(|(i, (after, work, _))| PlanStep {
+        .map(|(i, (after, has_job, _))| PlanStep {
             path: format!("s{i}"),
             dependencies: after.iter().map(|d| StepNo(*d as u32)).collect(),
-            job_template: work.then_some(0),
+            job_template: has_job.then_some(0),
             tasks: 1,
         });
     Plan {
@@ -109,14 +109,14 @@
         m.run_until(Micros::from_secs(400));
         prop_assert!(m.violations.is_empty(), "{:?}", m.violations);
         let r = &m.runs[&run];
-        let (state, _) = r.ended.ok_or_else(|| TestCaseError::fail("it never ended"))?;
+        let (state, _) = r.ended.ok_or_else(|| TestCaseError::fail("the run did not end"))?;
         let reachable_steps = reachable(&g);
         let steps_with_jobs: BTreeSet<StepNo> =
             reachable_steps.iter().filter(|i| g.steps[**i].1).map(|i| StepNo(*i as u32)).collect();
-        // Only what fails keeps a step from being done; one that nothing leads to may fail unseen.
+        // A failing step counts only if its dependencies can be done; otherwise its job is never submitted.
         let fails = (0..g.steps.len()).any(|i| {
-            let (after, work, fails) = &g.steps[i];
-            *work && *fails && after.iter().all(|d| reachable_steps.contains(d))
+            let (after, has_job, fails) = &g.steps[i];
+            *has_job && *fails && after.iter().all(|d| reachable_steps.contains(d))
         });
         if r.cancelled.is_some() {
             prop_assert_eq!(state, RunState::Cancelled);
@@ -140,13 +140,13 @@
         let pages = plan.pages(bytes).map_err(|e| TestCaseError::fail(e.to_string()))?;
         for p in &pages {
             let size = serde_json::to_string(p).map_or(0, |t| t.len());
-            prop_assert!(size <= bytes, "a page of {} bytes", size);
+            prop_assert!(size <= bytes, "page has {} bytes", size);
         }
         let text: Vec<String> = pages.iter().map(|p| serde_json::to_string(p).unwrap_or_default()).collect();
-        let read = text.iter().map(|t| serde_json::from_str::<PlanPage>(t).expect("its own page"));
-        let back = Plan::from_pages(read);
-        prop_assert_eq!(back.digest(), plan.digest());
-        prop_assert_eq!(back, plan);
+        let read = text.iter().map(|t| serde_json::from_str::<PlanPage>(t).expect("valid page"));
+        let restored = Plan::from_pages(read);
+        prop_assert_eq!(restored.digest(), plan.digest());
+        prop_assert_eq!(restored, plan);
     }
 }
 
@@ -163,7 +163,7 @@
         job_template: shape,
         tasks: 1,
     };
-    let error_of = |p: Plan, team: &str| p.check(team).expect_err("a fault").to_string();
+    let error_of = |p: Plan, team: &str| p.check(team).expect_err("invalid plan").to_string();
     let cycle = plan(vec![
         step("a", vec![1], Some(0)),
         step("b", vec![0], Some(0)),
--- a/crates/hopyoke-workflow/tests/scenarios.rs
+++ b/crates/hopyoke-workflow/tests/scenarios.rs
@@ -1,20 +1,28 @@
-//! The one runner of the engine's scenarios: every file under `tests/scenarios` is a test.
+//! Runs the scenario tests of the engine: all files in `tests/scenarios`, or only the one that the environment variable
+//! `SCENARIO` names.
 //!
 //! ```text
-//! seed N                                start; three nodes
-//! limit NAME VALUE                      one of the engine's limits
-//! run N TEAM [keep-on] STEP...          submit; STEP is NAME[<DEP,DEP...][=FATE][*COUNT|~COUNT]
-//! cancel N at T | crash NODE at T | outage FROM SPAN | foreign N STEP [over]
-//! fetch SPAN                            reading a run's records takes so long
-//! each FAULT|all                        the file again for each action under the fault
-//! pairs N                               the file again under N pairs of faults, drawn with the seed
-//! until T                               run on
+//! seed N                                creates a model with three nodes and this seed
+//! limit NAME VALUE                      sets one of the engine's limits
+//! run N TEAM [keep-on] STEP...          submits a run; STEP is NAME[<DEP,DEP...][=BEHAVIOR][*COUNT|~COUNT];
+//!                                       with `keep-on`, independent steps continue after a failure
+//! cancel N at T                         cancels a run
+//! crash NODE at T                       crashes a node, which restarts later
+//! outage FROM SPAN                      makes the key-value store unavailable
+//! foreign N STEP [over]                 adds another submitter's job, or an ended one, under the step's first id
+//! fetch SPAN                            sets the latency of reading a run's records
+//! each FAULT|all                        repeats the file once for each action, with the fault on that action
+//! pairs N                               repeats the file with N random pairs of faults; N is also their seed
+//! until T                               advances the time
 //! expect run N done|failed|cancelled [by T]
-//! expect steps N done K | most TEAM K | writes K | looks K   (at most, but for `steps`)
+//! expect steps N done K                 expects exactly K done steps
+//! expect most TEAM K                    expects at most K jobs of the team in flight at once
+//! expect writes K                       expects at most K written keys
+//! expect looks K                        expects at most K entities visited by the engines
 //! ```
 //!
-//! FATE is seconds that the job takes, `gives-up`, or `never` (it runs until it is cancelled).
-//! `*COUNT` makes so many steps that differ by number, `~COUNT` a chain of so many.
+//! BEHAVIOR is the job's run time in seconds (default 2), `gives-up` (the job fails), `never` (it runs until it is
+//! cancelled) or `join` (the step has no job). `*COUNT` creates that many parallel steps, `~COUNT` a chain of them.
 
 mod model;
 
@@ -36,57 +44,60 @@
 }
 
 fn run_id(s: &str) -> RunId {
-    RunId::new(s.parse().unwrap_or_else(|_| panic!("not a run: {s}"))).expect("a run in range")
+    RunId::new(s.parse().unwrap_or_else(|_| panic!("not a run: {s}"))).expect("run id in range")
 }
 
 fn shape(team: &str) -> JobSpec {
     JobSpec::with_defaults(JobId::new("req-0"), "convert", team, "img")
 }
 
-/// `NAME[<DEP,DEP...][=FATE][*COUNT]`
-fn step(
+/// Parses `NAME[<DEP,DEP...][=BEHAVIOR][*COUNT|~COUNT]` and adds its steps to the plan.
+fn add_steps(
     text: &str,
     plan: &mut Plan,
     behaviors: &mut BTreeMap<StepNo, JobBehavior>,
-    known: &mut BTreeMap<String, Vec<StepNo>>,
+    steps_by_name: &mut BTreeMap<String, Vec<StepNo>>,
 ) {
-    let chain = text.contains('~');
+    let is_chain = text.contains('~');
     let (text, count) = text
         .split_once(['*', '~'])
         .map_or((text, 1), |(t, n)| (t, num(n) as usize));
-    let (text, fate) = text.split_once('=').map_or((text, "2"), |(t, f)| (t, f));
+    let (text, behavior) = text.split_once('=').map_or((text, "2"), |(t, f)| (t, f));
     let (name, after) = text.split_once('<').unwrap_or((text, ""));
     let mut after: Vec<StepNo> = after
         .split(',')
         .filter(|d| !d.is_empty())
-        .flat_map(|d| known[d].clone())
+        .flat_map(|d| steps_by_name[d].clone())
         .collect();
     for k in 0..count {
         let no = StepNo(plan.steps.len() as u32);
-        let shape = if fate == "join" { None } else { Some(0) };
+        let shape = if behavior == "join" { None } else { Some(0) };
         plan.steps.push(PlanStep {
             path: format!("{name}{k}"),
             dependencies: after.clone(),
             job_template: shape,
             tasks: 1,
         });
-        match fate {
+        match behavior {
             "join" => None,
             "never" => behaviors.insert(no, JobBehavior::Endless),
             "gives-up" => behaviors.insert(no, JobBehavior::GivenUp(Micros::from_secs(3))),
             t => behaviors.insert(no, JobBehavior::Done(secs(t))),
         };
-        let of_name = known.entry(name.to_owned()).or_default();
-        if chain {
-            (after, *of_name) = (vec![no], vec![no]);
+        let named_steps = steps_by_name.entry(name.to_owned()).or_default();
+        if is_chain {
+            (after, *named_steps) = (vec![no], vec![no]);
         } else {
-            of_name.push(no);
+            named_steps.push(no);
         }
     }
 }
 
-/// Runs a scenario's lines; with `faults` at the given actions.
-fn play(lines: &[(usize, Vec<&str>)], faults: &[(u64, Fault)]) -> Result<Model, String> {
+/// Executes the lines of a scenario, with faults on the given actions.
+fn execute_scenario(
+    lines: &[(usize, Vec<&str>)],
+    faults: &[(u64, Fault)],
+) -> Result<Model, String> {
     let mut model: Option<Model> = None;
     for (n, words) in lines {
         let fail = |e: String| format!("line {n}: `{}`: {e}", words.join(" "));
@@ -98,7 +109,7 @@
         }
         let m = model
             .as_mut()
-            .ok_or_else(|| fail("a scenario starts with `seed N`".into()))?;
+            .ok_or_else(|| fail("the scenario must start with `seed N`".into()))?;
         match words.as_slice() {
             ["expect", expectation @ ..] => check(m, expectation).map_err(fail)?,
             statement => execute(m, statement).map_err(fail)?,
@@ -107,7 +118,7 @@
             return Err(fail(violation.clone()));
         }
     }
-    model.ok_or_else(|| "an empty scenario".into())
+    model.ok_or_else(|| "the scenario is empty".into())
 }
 
 fn execute(m: &mut Model, statement: &[&str]) -> Result<(), String> {
@@ -124,9 +135,9 @@
                 job_templates: vec![shape(team)],
                 ..Plan::default()
             };
-            let (mut behaviors, mut known) = (BTreeMap::new(), BTreeMap::new());
+            let (mut behaviors, mut steps_by_name) = (BTreeMap::new(), BTreeMap::new());
             for text in &rest[usize::from(continue_on_error)..] {
-                step(text, &mut plan, &mut behaviors, &mut known);
+                add_steps(text, &mut plan, &mut behaviors, &mut steps_by_name);
             }
             m.submit(run_id(id), team, plan, behaviors, continue_on_error);
         }
@@ -158,22 +169,22 @@
                     if let ["by", t] = rest
                         && at > secs(t)
                     {
-                        return Err(format!("only at {:.2} s", at.as_secs_f64()));
+                        return Err(format!("it ended at {:.2} s", at.as_secs_f64()));
                     }
                 }
-                other => return Err(format!("it is {other:?}")),
+                other => return Err(format!("its state is {other:?}")),
             }
         }
         ["steps", id, "done", k] => {
             let done = m.runs[&run_id(id)].done.len();
             if done != num(k) as usize {
-                return Err(format!("{done} are done"));
+                return Err(format!("{done} steps are done"));
             }
         }
         ["most", team, k] => {
             let max = m.max_in_flight.get(*team).copied().unwrap_or(0);
             if max > num(k) as usize {
-                return Err(format!("{max} were in flight"));
+                return Err(format!("{max} jobs were in flight"));
             }
         }
         ["writes", k] if m.writes > num(k) as u64 => {
@@ -188,10 +199,10 @@
     Ok(())
 }
 
-/// One file; returns how often it was played.
-fn scenario(text: &str) -> Result<u64, String> {
+/// Executes a scenario file and returns the number of executions.
+fn execute_file(text: &str) -> Result<u64, String> {
     let mut lines: Vec<(usize, Vec<&str>)> = Vec::new();
-    let mut each: Vec<Fault> = Vec::new();
+    let mut faults: Vec<Fault> = Vec::new();
     let mut pairs = 0;
     for (n, line) in (1..).zip(text.lines()) {
         let words: Vec<&str> = line
@@ -202,26 +213,27 @@
             .collect();
         match words.as_slice() {
             [] => {}
-            ["each", which] => {
-                each.extend(
+            ["each", name] => {
+                faults.extend(
                     FAULTS
                         .iter()
-                        .filter(|f| *which == "all" || format!("{f:?}") == *which),
+                        .filter(|f| *name == "all" || format!("{f:?}") == *name),
                 );
-                if each.is_empty() {
-                    return Err(format!("line {n}: unknown fault {which}"));
+                if faults.is_empty() {
+                    return Err(format!("line {n}: unknown fault {name}"));
                 }
             }
             ["pairs", n] => pairs = num(n) as u64,
             _ => lines.push((n, words)),
         }
     }
-    let actions = play(&lines, &[])?.actions;
-    let mut played = 1;
-    for fault in each {
+    let actions = execute_scenario(&lines, &[])?.actions;
+    let mut executions = 1;
+    for fault in faults {
         for n in 0..actions {
-            play(&lines, &[(n, fault)]).map_err(|e| format!("action {n} meets {fault:?}: {e}"))?;
-            played += 1;
+            execute_scenario(&lines, &[(n, fault)])
+                .map_err(|e| format!("fault {fault:?} on action {n}: {e}"))?;
+            executions += 1;
         }
     }
     let mut rng = StdRng::seed_from_u64(pairs);
@@ -232,23 +244,24 @@
                 FAULTS[rng.random_range(0..FAULTS.len())],
             )
         };
-        let two = [draw(), draw()];
-        play(&lines, &two).map_err(|e| format!("{two:?}: {e}"))?;
-        played += 1;
+        let fault_pair = [draw(), draw()];
+        execute_scenario(&lines, &fault_pair).map_err(|e| format!("faults {fault_pair:?}: {e}"))?;
+        executions += 1;
     }
-    Ok(played)
+    Ok(executions)
 }
 
 #[test]
 fn scenarios() {
     let dir = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-    let only = std::env::var("SCENARIO").ok();
+    let selected = std::env::var("SCENARIO").ok();
     let mut files: Vec<PathBuf> = std::fs::read_dir(&dir)
-        .expect("tests/scenarios")
+        .expect("readable directory tests/scenarios")
         .filter_map(|e| e.ok().map(|e| e.path()))
         .filter(|p| p.extension().is_some_and(|e| e == "scn"))
         .filter(|p| {
-            only.as_ref()
+            selected
+                .as_ref()
                 .is_none_or(|o| p.file_stem().is_some_and(|s| s == o.as_str()))
         })
         .collect();
@@ -260,10 +273,13 @@
             .file_stem()
             .map(|s| s.to_string_lossy().into_owned())
             .unwrap_or_default();
-        let text = std::fs::read_to_string(file).expect("a readable scenario");
+        let text = std::fs::read_to_string(file).expect("readable scenario file");
         let began = std::time::Instant::now();
-        match scenario(&text) {
-            Ok(n) => println!("ok   {name}: {n} days ({} ms)", began.elapsed().as_millis()),
+        match execute_file(&text) {
+            Ok(n) => println!(
+                "ok   {name}: {n} executions ({} ms)",
+                began.elapsed().as_millis()
+            ),
             Err(e) => {
                 failed += 1;
                 println!("FAIL {name}: {e}");
