--- a/crates/hopyoke-workflow/tests/scenarios.rs
+++ b/crates/hopyoke-workflow/tests/scenarios.rs
@@ -4,24 +4,24 @@
 //! ```text
 //! seed N                                creates a model with three nodes and this seed
 //! limit NAME VALUE                      sets one of the engine's limits
-//! run N TEAM [keep-on] STEP...          submits a run; STEP is NAME[<DEP,DEP...][=BEHAVIOR][*COUNT|~COUNT];
-//!                                       with `keep-on`, independent steps continue after a failure
+//! run N TEAM [continue-on-error] STEP... submits a run; STEP is NAME[<DEP,DEP...][=BEHAVIOR][*COUNT|~COUNT];
+//!                                       with `continue-on-error`, independent steps continue after a failure
 //! cancel N at T                         cancels a run
 //! crash NODE at T                       crashes a node, which restarts later
 //! outage FROM SPAN                      makes the key-value store unavailable
-//! foreign N STEP [over]                 adds another submitter's job, or an ended one, under the step's first id
-//! fetch SPAN                            sets the latency of reading a run's records
+//! foreign N STEP [ended]                adds another submitter's job, or an ended one, under the step's first id
+//! read-latency SPAN                     sets the latency of reading a run's records
 //! each FAULT|all                        repeats the file once for each action, with the fault on that action
 //! pairs N                               repeats the file with N random pairs of faults; N is also their seed
 //! until T                               advances the time
 //! expect run N done|failed|cancelled [by T]
 //! expect steps N done K                 expects exactly K done steps
-//! expect most TEAM K                    expects at most K jobs of the team in flight at once
+//! expect in-flight TEAM K               expects at most K jobs of the team in flight at once
 //! expect writes K                       expects at most K written keys
-//! expect looks K                        expects at most K entities visited by the engines
+//! expect visits K                       expects at most K entities visited by the engines
 //! ```
 //!
-//! BEHAVIOR is the job's run time in seconds (default 2), `gives-up` (the job fails), `never` (it runs until it is
+//! BEHAVIOR is the job's run time in seconds (default 2), `fails` (the job fails), `never` (it runs until it is
 //! cancelled) or `join` (the step has no job). `*COUNT` creates that many parallel steps, `~COUNT` a chain of them.
 
 mod model;
@@ -81,7 +81,7 @@
         match behavior {
             "join" => None,
             "never" => behaviors.insert(no, JobBehavior::Endless),
-            "gives-up" => behaviors.insert(no, JobBehavior::GivenUp(Micros::from_secs(3))),
+            "fails" => behaviors.insert(no, JobBehavior::GivenUp(Micros::from_secs(3))),
             t => behaviors.insert(no, JobBehavior::Done(secs(t))),
         };
         let named_steps = steps_by_name.entry(name.to_owned()).or_default();
@@ -127,10 +127,10 @@
         ["limit", "team_steps_in_flight", v] => {
             m.limits.max_team_steps_in_flight = num(v) as usize;
         }
-        ["limit", "runs_carried", v] => m.limits.max_owned_runs = num(v) as usize,
+        ["limit", "owned_runs", v] => m.limits.max_owned_runs = num(v) as usize,
         ["limit", "writes_per_s", v] => m.limits.max_writes_per_s = num(v),
         ["run", id, team, rest @ ..] => {
-            let continue_on_error = rest.first() == Some(&"keep-on");
+            let continue_on_error = rest.first() == Some(&"continue-on-error");
             let mut plan = Plan {
                 job_templates: vec![shape(team)],
                 ..Plan::default()
@@ -143,11 +143,11 @@
         }
         ["cancel", id, "at", t] => m.cancel_at(run_id(id), secs(t)),
         ["crash", node, "at", t] => m.crash_at(num(node) as usize, secs(t)),
-        ["fetch", span] => m.read_latency = secs(span),
+        ["read-latency", span] => m.read_latency = secs(span),
         ["outage", from, span] => m.outage = (secs(from), secs(from) + secs(span)),
         ["foreign", id, step, rest @ ..] => {
             let job = job_id(run_id(id), StepNo(num(step) as u32), 0);
-            m.add_foreign_job(&job, rest == ["over"]);
+            m.add_foreign_job(&job, rest == ["ended"]);
         }
         ["until", t] => m.run_until(secs(t)),
         _ => return Err("unknown statement".into()),
@@ -181,7 +181,7 @@
                 return Err(format!("{done} steps are done"));
             }
         }
-        ["most", team, k] => {
+        ["in-flight", team, k] => {
             let max = m.max_in_flight.get(*team).copied().unwrap_or(0);
             if max > num(k) as usize {
                 return Err(format!("{max} jobs were in flight"));
@@ -190,10 +190,10 @@
         ["writes", k] if m.writes > num(k) as u64 => {
             return Err(format!("{} writes", m.writes));
         }
-        ["looks", k] if m.entities_visited() > num(k) as u64 => {
+        ["visits", k] if m.entities_visited() > num(k) as u64 => {
             return Err(format!("{} entities visited", m.entities_visited()));
         }
-        ["writes" | "looks", _] => {}
+        ["writes" | "visits", _] => {}
         _ => return Err("unknown statement".into()),
     }
     Ok(())
