--- a/crates/hopyoke-workflow/src/engine/mod.rs
+++ b/crates/hopyoke-workflow/src/engine/mod.rs
@@ -65,7 +65,7 @@
     timers: BTreeSet<(Micros, RunId, Timer)>,
     writes: TokenBucket,
     reads: TokenBucket,
-    /// Submissions are paused until then, at the request of the key-value store.
+    /// Submissions are paused until then, after a [`crate::JobOutcome::RetryAfter`].
     paused_until: Micros,
     rng: StdRng,
     actions: VecDeque<Action>,
--- a/crates/hopyoke-workflow/tests/model/actions.rs
+++ b/crates/hopyoke-workflow/tests/model/actions.rs
@@ -123,7 +123,7 @@
         self.apply(vec![(format!("job/{job}"), Some(Value::Job(true)), None)]);
         let behavior = self.runs[&run].behaviors.get(&step).copied();
         match behavior.unwrap_or(JobBehavior::Endless) {
-            JobBehavior::Done(t) | JobBehavior::GivenUp(t) => {
+            JobBehavior::Done(t) | JobBehavior::Failed(t) => {
                 self.after(t, Event::EndJob(job.clone()));
             }
             JobBehavior::Endless => {}
--- a/crates/hopyoke-workflow/tests/model/mod.rs
+++ b/crates/hopyoke-workflow/tests/model/mod.rs
@@ -44,7 +44,7 @@
     /// The job succeeds after this time.
     Done(Micros),
     /// The job fails after this time.
-    GivenUp(Micros),
+    Failed(Micros),
     /// The job runs until it is cancelled.
     Endless,
 }
--- a/crates/hopyoke-workflow/tests/model/nodes.rs
+++ b/crates/hopyoke-workflow/tests/model/nodes.rs
@@ -188,7 +188,7 @@
         if matches!(record, Some((Value::Job(true), ..))) {
             let (run, step, _) = parse_job_id(&job).expect("job of a step");
             let end = match self.runs[&run].behaviors.get(&step) {
-                Some(JobBehavior::GivenUp(_)) => JobEnd::Failed,
+                Some(JobBehavior::Failed(_)) => JobEnd::Failed,
                 _ => JobEnd::Done,
             };
             self.end_job(&job, end);
--- a/crates/hopyoke-workflow/tests/properties.rs
+++ b/crates/hopyoke-workflow/tests/properties.rs
@@ -100,7 +100,7 @@
         let mut behaviors = BTreeMap::new();
         for (i, (_, _, fails)) in g.steps.iter().enumerate() {
             let t = Micros::from_millis(300 + 97 * i as u64 % 2000);
-            behaviors.insert(StepNo(i as u32), if *fails { JobBehavior::GivenUp(t) } else { JobBehavior::Done(t) });
+            behaviors.insert(StepNo(i as u32), if *fails { JobBehavior::Failed(t) } else { JobBehavior::Done(t) });
         }
         m.submit(run, "crew", plan_of(&g), behaviors, g.continue_on_error);
         if let Some(t) = g.cancel {
--- a/crates/hopyoke-workflow/tests/scenarios.rs
+++ b/crates/hopyoke-workflow/tests/scenarios.rs
@@ -12,7 +12,7 @@
 //! foreign N STEP [ended]                adds another submitter's job, or an ended one, under the step's first id
 //! read-latency SPAN                     sets the latency of reading a run's records
 //! each FAULT|all                        repeats the file once for each action, with the fault on that action
-//! pairs N                               repeats the file with N random pairs of faults; N is also their seed
+//! pairs N                               repeats the file with N random pairs of faults; N also seeds them
 //! until T                               advances the time
 //! expect run N done|failed|cancelled [by T]
 //! expect steps N done K                 expects exactly K done steps
@@ -81,7 +81,7 @@
         match behavior {
             "join" => None,
             "never" => behaviors.insert(no, JobBehavior::Endless),
-            "fails" => behaviors.insert(no, JobBehavior::GivenUp(Micros::from_secs(3))),
+            "fails" => behaviors.insert(no, JobBehavior::Failed(Micros::from_secs(3))),
             t => behaviors.insert(no, JobBehavior::Done(secs(t))),
         };
         let named_steps = steps_by_name.entry(name.to_owned()).or_default();
