--- a/crates/hopyoke-cwl/src/expand.rs
+++ b/crates/hopyoke-cwl/src/expand.rs
@@ -103,7 +103,7 @@
     e.plan.outputs = Value::Object(outputs).to_string();
     let team = e.team.clone().unwrap_or_default();
     let (plan, tasks) = (e.plan, e.tasks);
-    if plan.steps.iter().any(|s| s.shape.is_some()) && team.is_empty() {
+    if plan.steps.iter().any(|s| s.job_template.is_some()) && team.is_empty() {
         diagnostics.error(
             process.pos,
             "no team is set",
@@ -667,8 +667,8 @@
             for chunk in all.chunks(MAX_DEPENDENCIES) {
                 let step = PlanStep {
                     path: format!("{path} (join)"),
-                    after: chunk.to_vec(),
-                    shape: None,
+                    dependencies: chunk.to_vec(),
+                    job_template: None,
                     tasks: 0,
                 };
                 deps.insert(self.add_step(step, pos)?);
@@ -768,8 +768,8 @@
             for chunk in members.chunks(MAX_TASKS as usize) {
                 let step = PlanStep {
                     path: path.to_owned(),
-                    after: after.clone(),
-                    shape: Some(*shape),
+                    dependencies: after.clone(),
+                    job_template: Some(*shape),
                     tasks: chunk.len() as u32,
                 };
                 let no = self.add_step(step, p.pos)?;
@@ -808,7 +808,7 @@
     }
 
     fn shape_spec(&self, shape: u32) -> Option<&JobSpec> {
-        self.plan.shapes.get(shape as usize)
+        self.plan.job_templates.get(shape as usize)
     }
 
     /// Returns the index of the shape of a task's job; equal shapes share an index.
@@ -894,10 +894,10 @@
             deadline_s: s.deadline_s,
         };
         let key = serde_json::to_string(&spec).unwrap_or_default();
-        let next = self.plan.shapes.len() as u32;
+        let next = self.plan.job_templates.len() as u32;
         let index = *self.shapes.entry(key).or_insert(next);
         if index == next {
-            self.plan.shapes.push(spec);
+            self.plan.job_templates.push(spec);
         }
         Ok(index)
     }
--- a/crates/hopyoke-workflow/tests/frozen_forms.rs
+++ b/crates/hopyoke-workflow/tests/frozen_forms.rs
@@ -1,5 +1,5 @@
-//! Records of workflow runs keep their bytes, and a plan keeps its digest: any node may go on with a run that
-//! a node of another version began.
+//! The stored form of workflow records and the digest of a plan are stable across versions, because a node of one
+//! version may take over a run from a node of another.
 
 #[path = "../../hopyoke-protocol/tests/frozen/mod.rs"]
 mod frozen;
@@ -19,12 +19,12 @@
 fn plan() -> Plan {
     let step = |path: &str, after: &[u32], shape, tasks| PlanStep {
         path: path.into(),
-        after: after.iter().map(|n| StepNo(*n)).collect(),
-        shape,
+        dependencies: after.iter().map(|n| StepNo(*n)).collect(),
+        job_template: shape,
         tasks,
     };
     Plan {
-        shapes: vec![JobSpec::with_defaults(
+        job_templates: vec![JobSpec::with_defaults(
             JobId::new("req-0"),
             "convert",
             "vision",
@@ -39,7 +39,7 @@
     }
 }
 
-fn fresh() -> Head {
+fn new_head() -> Head {
     Head::new(
         "nightly",
         "vision",
@@ -52,7 +52,7 @@
 
 #[test]
 fn heads() {
-    assert_stored("head-fresh", &fresh());
+    assert_stored("head-fresh", &new_head());
     let full = Head {
         ended_us: 1_700_000_360_000_000,
         on_error: OnError::Continue,
@@ -60,12 +60,12 @@
         reason: "step convert: exit 2".into(),
         done: 2,
         resumes: run(41_000_000_007),
-        plan_of: run(41_000_000_005),
+        plan_source: run(41_000_000_005),
         tags: BTreeMap::from([
             ("color".into(), "red".into()),
             ("shift".into(), "night".into()),
         ]),
-        ..fresh()
+        ..new_head()
     };
     assert_stored("head-full", &full);
     assert_stored(
@@ -82,19 +82,19 @@
     assert_stored("on-error", &vec![OnError::Stop, OnError::Continue]);
 }
 
-/// Without the fields that have a default.
+/// Heads that lack the fields with a default can be read.
 #[test]
 fn heads_of_earlier_versions() {
-    let older = Head {
+    let earlier = Head {
         owner: String::new(),
         digest: 12_345_678_901_234_567_890,
-        ..fresh()
+        ..new_head()
     };
-    assert_read_as("head-older", &older);
+    assert_read_as("head-older", &earlier);
 }
 
 #[test]
-fn holds() {
+fn run_claims() {
     assert_stored(
         "hold",
         &RunClaim {
@@ -111,7 +111,7 @@
         attempts: BTreeMap::from([(1, 3), (4, 1)]),
     };
     assert_stored("step-page", &page);
-    let states: Vec<_> = read::<StepPage>("step-page").read(0).collect();
+    let states: Vec<_> = read::<StepPage>("step-page").decode(0).collect();
     let want = [
         (StepNo(0), StepState::Done, 0),
         (StepNo(1), StepState::Failed, 3),
@@ -141,7 +141,7 @@
     assert_stored("plan-page-empty", &PlanPage::default());
 }
 
-/// Clients send plans as JSON; a repeated submission is told by the digest.
+/// Clients submit plans as JSON, and the digest identifies a repeated submission.
 #[test]
 fn plans_as_json() {
     let old = text("plan.json");
