--- a/crates/hopyoke-experiments/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -247,7 +247,7 @@
 /// Twice a second, whoever leads is asked about jobs that are newly seen running.
 fn look(w: &mut Simulation, watch: Rc<RefCell<Watch>>) {
     let now = w.now;
-    if let Some(scheduler) = w.leading_scheduler() {
+    if let Some(scheduler) = w.leader_scheduler() {
         let mut watch_now = watch.borrow_mut();
         let mut told = Vec::new();
         for (id, n) in &watch_now.open {
--- a/crates/hopyoke-simulator/src/agent/gangs.rs
+++ b/crates/hopyoke-simulator/src/agent/gangs.rs
@@ -7,11 +7,11 @@
 
 impl Simulation {
     /// Tasks of a job's attempt that have not ended, and their machines.
-    pub(super) fn members(&self, job: &JobId, attempt: Attempt) -> Vec<(MachineId, TaskId)> {
+    pub(super) fn active_tasks(&self, job: &JobId, attempt: Attempt) -> Vec<(MachineId, TaskId)> {
         let mut out = Vec::new();
         for m in self.machines.values() {
-            for ((t, a), x) in &m.tasks {
-                if t.job == *job && *a == attempt && x.state != TaskState::Ended {
+            for ((t, a), status) in &m.tasks {
+                if t.job == *job && *a == attempt && status.state != TaskState::Ended {
                     out.push((m.id.clone(), t.clone()));
                 }
             }
@@ -20,26 +20,26 @@
     }
 
     /// Begins a gang once all its tasks wait for it.
-    pub(super) fn gang_ready(&mut self, job: &JobId, attempt: Attempt) {
-        let members = self.members(job, attempt);
+    pub(super) fn run_gang_if_ready(&mut self, job: &JobId, attempt: Attempt) {
+        let members = self.active_tasks(job, attempt);
         let Some(truth) = self.jobs.get(job) else {
             return;
         };
-        let is_waiting = |w: &Simulation, m: &MachineId, t: &TaskId| {
-            w.machines[m].tasks[&(t.clone(), attempt)].state == TaskState::Waiting
+        let is_waiting = |sim: &Simulation, m: &MachineId, t: &TaskId| {
+            sim.machines[m].tasks[&(t.clone(), attempt)].state == TaskState::Waiting
         };
         if members.len() == truth.spec.tasks as usize
             && members.iter().all(|(m, t)| is_waiting(self, m, t))
         {
             for (m, t) in members {
                 let s = self.agent_epoch(&m);
-                self.begin(&m, s, &(t, attempt));
+                self.run_task(&m, s, &(t, attempt));
             }
         }
     }
 
     /// The other tasks of a running gang notice that one is gone.
-    pub(crate) fn gang_lost(&mut self, job: &JobId, attempt: Attempt) {
+    pub(crate) fn end_gang_on_member_loss(&mut self, job: &JobId, attempt: Attempt) {
         let peer = self.config.gang_peer;
         if self
             .jobs
@@ -48,15 +48,15 @@
         {
             return;
         }
-        for (m, t) in self.members(job, attempt) {
+        for (m, t) in self.active_tasks(job, attempt) {
             let key = (t, attempt);
             let running = self.machines[&m].tasks[&key].state;
             if matches!(running, TaskState::Running | TaskState::Saving) {
                 let s = self.agent_epoch(&m);
                 let wait = Micros(self.random(0, peer.0));
-                self.on_machine(&m.clone(), wait, move |w| {
-                    if w.live(&m, s, &key).is_some() {
-                        w.exit(&m, &key, ExitReason::GangPeersLost, false);
+                self.schedule_on_machine(&m.clone(), wait, move |sim| {
+                    if sim.active_task(&m, s, &key).is_some() {
+                        sim.end_task(&m, &key, ExitReason::GangPeersLost, false);
                     }
                 });
             }
--- a/crates/hopyoke-simulator/src/agent/heartbeats.rs
+++ b/crates/hopyoke-simulator/src/agent/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats of agents, their responses and pushed commands, and the agent's lease.
 
-use super::Answer;
+use super::HeartbeatResult;
 use crate::{Host, Simulation};
 use hopyoke_protocol::worker::{Command, Heartbeat};
 use hopyoke_types::{Attempt, FencingToken, MachineId, Micros, TaskId};
@@ -30,24 +30,24 @@
         let base = self.config.heartbeat_interval.0;
         let wait = Micros(self.random(base * 3 / 4, base * 5 / 4));
         let m = id.clone();
-        self.after(wait, move |w| {
-            if w.machines.contains_key(&m) {
-                w.send_heartbeat(&m);
-                w.run_heartbeat_timer(&m);
+        self.after(wait, move |sim| {
+            if sim.machines.contains_key(&m) {
+                sim.send_heartbeat(&m);
+                sim.run_heartbeat_timer(&m);
             }
         });
         let m = id.clone();
-        self.lease_check(&m);
+        self.check_agent_lease(&m);
     }
 
     /// Kills all tasks when the last answered heartbeat was sent too long ago: the epoch ends.
-    fn lease_check(&mut self, id: &MachineId) {
+    fn check_agent_lease(&mut self, id: &MachineId) {
         let lease = self.config.lease;
         let now = self.now;
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        let limit = Micros((lease.0 as f64 * (1.0 + m.drift)) as u64);
+        let limit = Micros((lease.0 as f64 * (1.0 + m.clock_drift)) as u64);
         if now > m.lease_started_at + limit {
             m.epoch += 1;
             self.expired_epochs += 1;
@@ -56,12 +56,12 @@
             let gone: Vec<(TaskId, Attempt)> = std::mem::take(&mut m.tasks).into_keys().collect();
             self.log(|| format!("{id} session over, {} tasks killed", gone.len()));
             for (t, a) in gone {
-                self.gang_lost(&t.job, a);
+                self.end_gang_on_member_loss(&t.job, a);
             }
         } else {
             let at = m.lease_started_at + limit + Micros(1);
             let id = id.clone();
-            self.at(at, move |w| w.lease_check(&id));
+            self.at(at, move |sim| sim.check_agent_lease(&id));
         }
     }
 
@@ -76,10 +76,10 @@
         }
         let at = now.max(m.last_heartbeat_at + Micros::from_millis(500));
         let id = id.clone();
-        self.at(at, move |w| {
-            if let Some(m) = w.machines.get_mut(&id) {
+        self.at(at, move |sim| {
+            if let Some(m) = sim.machines.get_mut(&id) {
                 m.heartbeat_scheduled = false;
-                w.send_heartbeat(&id);
+                sim.send_heartbeat(&id);
             }
         });
     }
@@ -88,7 +88,7 @@
     fn send_heartbeat(&mut self, id: &MachineId) {
         if let Some(t) = self.paused_until(id) {
             let m = id.clone();
-            return self.at(t, move |w| w.send_heartbeat(&m));
+            return self.at(t, move |sim| sim.send_heartbeat(&m));
         }
         let now = self.now;
         let Some(m) = self.machines.get_mut(id) else {
@@ -97,7 +97,7 @@
         if !m.up || m.in_flight.is_some() {
             return;
         }
-        let heartbeat = m.heartbeat(now);
+        let heartbeat = m.next_heartbeat(now);
         let (number, epoch) = (m.sequence, m.epoch);
         m.in_flight = Some(number);
         m.last_heartbeat_at = now;
@@ -109,15 +109,15 @@
             .get(id)
             .is_some_and(|t| now < *t)
         {
-            return self.after(Micros::from_millis(1), move |w| {
-                w.receive_heartbeat_response(&machine, epoch, number, now, Some(Err(None)));
+            return self.after(Micros::from_millis(1), move |sim| {
+                sim.receive_heartbeat_response(&machine, epoch, number, now, Some(Err(None)));
             });
         }
         if !is_outbound_lost {
             self.transmit_heartbeat(node, heartbeat);
         }
-        self.after(HEARTBEAT_TIMEOUT, move |w| {
-            w.receive_heartbeat_response(&machine, epoch, number, now, None);
+        self.after(HEARTBEAT_TIMEOUT, move |sim| {
+            sim.receive_heartbeat_response(&machine, epoch, number, now, None);
         });
     }
 
@@ -128,10 +128,10 @@
             // A copy arrives again, up to well over a lease later.
             let copy = heartbeat.clone();
             let span = Micros(self.random(2_000_000, self.config.lease.0 * 8 / 5));
-            self.after(span, move |w| {
-                let from = w.agent_host(&copy.machine);
-                w.send(from, Host::Node(node), move |w| {
-                    w.node_heartbeat(node, copy, number, true)
+            self.after(span, move |sim| {
+                let from = sim.agent_host(&copy.machine);
+                sim.send(from, Host::Node(node), move |sim| {
+                    sim.node_heartbeat(node, copy, number, true)
                 });
             });
         }
@@ -142,8 +142,8 @@
             self.heartbeats_for_next_leader.kept.push(heartbeat);
         } else {
             let from = self.agent_host(&heartbeat.machine);
-            self.send(from, Host::Node(node), move |w| {
-                w.node_heartbeat(node, heartbeat, number, false)
+            self.send(from, Host::Node(node), move |sim| {
+                sim.node_heartbeat(node, heartbeat, number, false)
             });
         }
     }
@@ -153,10 +153,10 @@
         for heartbeat in std::mem::take(&mut self.heartbeats_for_next_leader.kept) {
             for node in 0..self.nodes.len() {
                 let (heartbeat, sequence) = (heartbeat.clone(), heartbeat.sequence);
-                self.after(self.heartbeats_for_next_leader.after, move |w| {
-                    let from = w.agent_host(&heartbeat.machine);
-                    w.send(from, Host::Node(node), move |w| {
-                        w.node_heartbeat(node, heartbeat, sequence, true)
+                self.after(self.heartbeats_for_next_leader.after, move |sim| {
+                    let from = sim.agent_host(&heartbeat.machine);
+                    sim.send(from, Host::Node(node), move |sim| {
+                        sim.node_heartbeat(node, heartbeat, sequence, true)
                     });
                 });
             }
@@ -170,12 +170,12 @@
         epoch: u64,
         number: u64,
         sent: Micros,
-        answer: Option<Answer>,
+        response: Option<HeartbeatResult>,
     ) {
         if let Some(t) = self.paused_until(id) {
             let id = id.clone();
-            return self.at(t, move |w| {
-                w.receive_heartbeat_response(&id, epoch, number, sent, answer)
+            return self.at(t, move |sim| {
+                sim.receive_heartbeat_response(&id, epoch, number, sent, response)
             });
         }
         let nodes = self.nodes.len();
@@ -183,23 +183,23 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        if now < m.responses_lost_until && answer.is_some() {
+        if now < m.responses_lost_until && response.is_some() {
             return;
         }
-        if now < m.responses_held_until && answer.is_some() {
+        if now < m.responses_held_until && response.is_some() {
             let (id, until) = (id.clone(), m.responses_held_until);
-            return self.at(until, move |w| {
-                w.receive_heartbeat_response(&id, epoch, number, sent, answer)
+            return self.at(until, move |sim| {
+                sim.receive_heartbeat_response(&id, epoch, number, sent, response)
             });
         }
         if m.in_flight != Some(number) || m.epoch != epoch {
             return;
         }
-        if now > sent + HEARTBEAT_TIMEOUT && answer.is_some() {
+        if now > sent + HEARTBEAT_TIMEOUT && response.is_some() {
             return;
         }
         m.in_flight = None;
-        match answer {
+        match response {
             Some(Ok((token, commands))) => {
                 self.digest_heartbeat_response(token, &commands);
                 let Some(m) = self.machines.get_mut(id) else {
@@ -212,18 +212,18 @@
                     if higher {
                         self.schedule_heartbeat(id);
                     }
-                    self.execute(id, commands);
+                    self.execute_commands(id, commands);
                 }
             }
             Some(Err(Some(to))) if to != m.node => {
                 m.node = to;
                 let id = id.clone();
-                self.after(Micros::from_millis(100), move |w| w.send_heartbeat(&id));
+                self.after(Micros::from_millis(100), move |sim| sim.send_heartbeat(&id));
             }
             _ => {
                 m.node = (m.node + 1) % nodes;
                 let id = id.clone();
-                self.after(Micros::from_secs(1), move |w| w.send_heartbeat(&id));
+                self.after(Micros::from_secs(1), move |sim| sim.send_heartbeat(&id));
             }
         }
     }
@@ -245,9 +245,9 @@
         let ok = token >= m.token && epoch == m.epoch;
         if ok {
             m.token = token;
-            self.execute(id, commands);
+            self.execute_commands(id, commands);
         }
         let m = self.machines.get_mut(id)?;
-        Some((ok, m.heartbeat(now)))
+        Some((ok, m.next_heartbeat(now)))
     }
 }
--- a/crates/hopyoke-simulator/src/agent/mod.rs
+++ b/crates/hopyoke-simulator/src/agent/mod.rs
@@ -17,25 +17,25 @@
 pub(crate) struct Task {
     pub(crate) state: TaskState,
     /// Why it ended.
-    pub(crate) why: Option<ExitReason>,
+    pub(crate) exit_reason: Option<ExitReason>,
     /// Its progress was saved before it ended.
-    pub(crate) saved: bool,
+    pub(crate) checkpoint_saved: bool,
     /// When it was commanded, then when it began to run.
-    pub(crate) started: Micros,
+    pub(crate) started_at: Micros,
 }
 
 /// A node's response to a heartbeat: the leader's token with commands, or a rejection, perhaps with the node to go to.
-pub(crate) type Answer = Result<(FencingToken, Vec<Command>), Option<usize>>;
+pub(crate) type HeartbeatResult = Result<(FencingToken, Vec<Command>), Option<usize>>;
 
 /// The agent of a machine.
 pub(crate) struct Agent {
     pub(crate) id: MachineId,
     /// Name of the machine's type.
-    pub(crate) kind: String,
+    pub(crate) machine_type: String,
     pub(crate) zone: String,
     pub(crate) spot: bool,
     /// Rate by which its clock is fast; negative: slow.
-    pub(crate) drift: f64,
+    pub(crate) clock_drift: f64,
     /// The machine has booted.
     pub(crate) up: bool,
     /// When the cloud created the machine.
@@ -80,18 +80,18 @@
     /// The agent of a machine that has not booted yet.
     pub(crate) fn new(
         id: MachineId,
-        kind: &str,
+        machine_type: &str,
         zone: &str,
         spot: bool,
-        drift: f64,
+        clock_drift: f64,
         now: Micros,
     ) -> Agent {
         Agent {
             id,
-            kind: kind.to_owned(),
+            machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot,
-            drift,
+            clock_drift,
             up: false,
             created_at: now,
             hangs_until: Micros::ZERO,
@@ -116,7 +116,7 @@
     }
 
     /// The next heartbeat, with the status of all tasks.
-    pub(crate) fn heartbeat(&mut self, now: Micros) -> Heartbeat {
+    pub(crate) fn next_heartbeat(&mut self, now: Micros) -> Heartbeat {
         self.sequence += 1;
         let tasks = self
             .tasks
@@ -125,8 +125,8 @@
                 task: task.to_string(),
                 attempt: *attempt,
                 state: t.state,
-                exit_reason: t.why,
-                checkpoint_saved: t.saved,
+                exit_reason: t.exit_reason,
+                checkpoint_saved: t.checkpoint_saved,
             })
             .collect();
         Heartbeat {
@@ -135,7 +135,7 @@
                 "10.1.0.1:{}",
                 1000 + self.id.as_str()[2..].parse::<u32>().unwrap_or(0)
             ),
-            machine_type: self.kind.clone(),
+            machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             epoch: self.epoch,
@@ -169,16 +169,16 @@
     }
 
     /// Something happens on a machine after `span`; on one that hangs by then, when it goes on.
-    pub(crate) fn on_machine(
+    pub(crate) fn schedule_on_machine(
         &mut self,
         id: &MachineId,
         span: Micros,
         step: impl FnOnce(&mut Simulation) + 'static,
     ) {
         let id = id.clone();
-        self.after(span, move |w| match w.paused_until(&id) {
-            Some(t) => w.on_machine(&id, t - w.now, step),
-            None => step(w),
+        self.after(span, move |sim| match sim.paused_until(&id) {
+            Some(t) => sim.schedule_on_machine(&id, t - sim.now, step),
+            None => step(sim),
         });
     }
 }
--- a/crates/hopyoke-simulator/src/agent/tasks.rs
+++ b/crates/hopyoke-simulator/src/agent/tasks.rs
@@ -8,21 +8,21 @@
 
 impl Simulation {
     /// Executes commands in their order.
-    pub(crate) fn execute(&mut self, id: &MachineId, commands: Vec<Command>) {
+    pub(crate) fn execute_commands(&mut self, id: &MachineId, commands: Vec<Command>) {
         for command in commands {
             self.log(|| format!("{id} {command:?}"));
             match command {
-                Command::Start { task, attempt } => self.start(id, &task, attempt),
+                Command::Start { task, attempt } => self.start_task(id, &task, attempt),
                 Command::Stop {
                     task,
                     attempt,
                     grace_s,
-                } => self.stop(id, &task, attempt, grace_s),
+                } => self.stop_task(id, &task, attempt, grace_s),
                 Command::Acknowledge { task, attempt } => {
                     if let (Some(t), Some(m)) = (TaskId::parse(&task), self.machines.get_mut(id))
                         && m.tasks
                             .get(&(t.clone(), attempt))
-                            .is_some_and(|x| x.state == TaskState::Ended)
+                            .is_some_and(|status| status.state == TaskState::Ended)
                     {
                         m.tasks.remove(&(t, attempt));
                     }
@@ -32,7 +32,7 @@
     }
 
     /// Starts a task, or says why it can't run here.
-    fn start(&mut self, id: &MachineId, task: &str, attempt: Attempt) {
+    fn start_task(&mut self, id: &MachineId, task: &str, attempt: Attempt) {
         let now = self.now;
         let Some(task) = TaskId::parse(task) else {
             return;
@@ -44,14 +44,14 @@
         if m.tasks.contains_key(&key) {
             return;
         }
-        let why = self.refusal(m, &task);
+        let exit_reason = self.rejection_reason(m, &task);
         let spec = self.jobs.get(&task.job).map(|j| j.spec.clone());
         let fetch_rate = self
             .machine_types
             .iter()
-            .find(|t| t.name == m.kind)
+            .find(|t| t.name == m.machine_type)
             .map_or(1.0, |t| t.fetch_gb_per_s);
-        let state = if why.is_some() {
+        let state = if exit_reason.is_some() {
             TaskState::Ended
         } else {
             TaskState::Fetching
@@ -63,12 +63,12 @@
             key,
             Task {
                 state,
-                why,
-                saved: false,
-                started: now,
+                exit_reason,
+                checkpoint_saved: false,
+                started_at: now,
             },
         );
-        let (Some(spec), None) = (spec, why) else {
+        let (Some(spec), None) = (spec, exit_reason) else {
             return self.schedule_heartbeat(id);
         };
         let cached = m.images.contains(&spec.image);
@@ -80,21 +80,28 @@
         let epoch = m.epoch;
         let machine = id.clone();
         self.schedule_heartbeat(id);
-        self.on_machine(id, fetch, move |w| {
-            w.fetched(&machine, epoch, task, attempt)
+        self.schedule_on_machine(id, fetch, move |sim| {
+            sim.image_fetched(&machine, epoch, task, attempt)
         });
     }
 
     /// Why a task can't start on a machine.
-    fn refusal(&self, m: &Agent, task: &TaskId) -> Option<ExitReason> {
+    fn rejection_reason(&self, m: &Agent, task: &TaskId) -> Option<ExitReason> {
         let Some(spec) = self.jobs.get(&task.job).map(|j| &j.spec) else {
             return Some(ExitReason::UnknownTask);
         };
-        let running = || m.tasks.iter().filter(|(_, x)| x.state != TaskState::Ended);
+        let running = || {
+            m.tasks
+                .iter()
+                .filter(|(_, status)| status.state != TaskState::Ended)
+        };
         if running().any(|((t, _), _)| t == task) {
             return Some(ExitReason::Busy);
         }
-        let machine_type = self.machine_types.iter().find(|t| t.name == m.kind)?;
+        let machine_type = self
+            .machine_types
+            .iter()
+            .find(|t| t.name == m.machine_type)?;
         let (mut cpus, mut gpus, mut memory_gb) = (0.0, 0.0, 0.0);
         for ((t, _), _) in running() {
             if let Some(job) = self.jobs.get(&t.job) {
@@ -110,7 +117,7 @@
     }
 
     /// A task that has not ended, in the epoch in which it was started.
-    pub(super) fn live(
+    pub(super) fn active_task(
         &mut self,
         id: &MachineId,
         epoch: u64,
@@ -124,10 +131,10 @@
     }
 
     /// A task has its image: it begins, or waits for its gang.
-    fn fetched(&mut self, id: &MachineId, epoch: u64, task: TaskId, attempt: Attempt) {
+    fn image_fetched(&mut self, id: &MachineId, epoch: u64, task: TaskId, attempt: Attempt) {
         let key = (task.clone(), attempt);
         if self
-            .live(id, epoch, &key)
+            .active_task(id, epoch, &key)
             .is_none_or(|t| t.state != TaskState::Fetching)
         {
             return;
@@ -150,36 +157,37 @@
         }
         let is_faulty = self.machines.get(id).is_some_and(|m| m.is_faulty);
         if done {
-            return self.exit(id, &key, ExitReason::Done, false);
+            return self.end_task(id, &key, ExitReason::Done, false);
         }
         if is_faulty || fails {
-            return self.exit(id, &key, ExitReason::Error, false);
+            return self.end_task(id, &key, ExitReason::Error, false);
         }
         if spec.kind == JobKind::Gang {
-            if let Some(t) = self.live(id, epoch, &key) {
+            if let Some(t) = self.active_task(id, epoch, &key) {
                 t.state = TaskState::Waiting;
             }
             let wait = self.config.gang_wait;
             let (me, k) = (id.clone(), key.clone());
-            self.on_machine(id, wait, move |w| {
-                if w.live(&me, epoch, &k)
+            self.schedule_on_machine(id, wait, move |sim| {
+                if sim
+                    .active_task(&me, epoch, &k)
                     .is_some_and(|t| t.state == TaskState::Waiting)
                 {
-                    w.exit(&me, &k, ExitReason::Incomplete, false);
+                    sim.end_task(&me, &k, ExitReason::Incomplete, false);
                 }
             });
             self.schedule_heartbeat(id);
-            return self.gang_ready(&task.job, attempt);
+            return self.run_gang_if_ready(&task.job, attempt);
         }
-        self.begin(id, epoch, &key);
+        self.run_task(id, epoch, &key);
     }
 
     /// A task begins to run; one that is no service ends after the rest of its run time.
-    pub(super) fn begin(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
+    pub(super) fn run_task(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
         let now = self.now;
-        if let Some(t) = self.live(id, epoch, key) {
+        if let Some(t) = self.active_task(id, epoch, key) {
             t.state = TaskState::Running;
-            t.started = now;
+            t.started_at = now;
         }
         self.schedule_heartbeat(id);
         let Some(job) = self.jobs.get(&key.0.job) else {
@@ -188,11 +196,11 @@
         if job.spec.kind == JobKind::Service {
             return;
         }
-        let left = job.run_time - job.checkpointed;
+        let left = job.run_time - job.checkpointed_progress;
         let gang = job.spec.kind == JobKind::Gang;
         // A gang runs at its slowest.
         let on = if gang {
-            self.members(&key.0.job, key.1)
+            self.active_tasks(&key.0.job, key.1)
         } else {
             vec![(id.clone(), key.0.clone())]
         };
@@ -207,14 +215,14 @@
         };
         let left = Micros((left.0 as f64 * slowest) as u64);
         let (me, k) = (id.clone(), key.clone());
-        self.task_ends_in(&key.0, left);
-        self.on_machine(id, left, move |w| w.complete(&me, epoch, &k));
+        self.schedule_cancel_at_end(&key.0, left);
+        self.schedule_on_machine(id, left, move |sim| sim.complete_task(&me, epoch, &k));
     }
 
     /// A task has run to its end, a gang's only together with the others.
-    fn complete(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
+    fn complete_task(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
         if self
-            .live(id, epoch, key)
+            .active_task(id, epoch, key)
             .is_none_or(|t| t.state != TaskState::Running)
         {
             return;
@@ -224,7 +232,7 @@
             .get(&key.0.job)
             .is_some_and(|j| j.spec.kind == JobKind::Gang);
         let members = if gang {
-            self.members(&key.0.job, key.1)
+            self.active_tasks(&key.0.job, key.1)
         } else {
             vec![(id.clone(), key.0.clone())]
         };
@@ -243,19 +251,19 @@
                     job.done_at.get_or_insert(self.now);
                 }
             }
-            self.exit(&m, &(task, key.1), ExitReason::Done, false);
+            self.end_task(&m, &(task, key.1), ExitReason::Done, false);
         }
         if self
             .jobs
             .get(&key.0.job)
             .is_some_and(|j| j.done_at.is_some())
         {
-            self.job_ending(&key.0.job);
+            self.cancel_at_job_end(&key.0.job);
         }
     }
 
     /// Stops a task; one with checkpoints saves its progress if the grace period allows.
-    fn stop(&mut self, id: &MachineId, task: &str, attempt: Attempt, grace_s: f64) {
+    fn stop_task(&mut self, id: &MachineId, task: &str, attempt: Attempt, grace_s: f64) {
         let Some(task) = TaskId::parse(task) else {
             return;
         };
@@ -265,7 +273,7 @@
             return;
         };
         let spec = job.spec.clone();
-        let Some(t) = self.live(id, epoch, &key) else {
+        let Some(t) = self.active_task(id, epoch, &key) else {
             return;
         };
         let saves = t.state == TaskState::Running
@@ -275,47 +283,49 @@
             return;
         }
         if !saves {
-            return self.exit(id, &key, ExitReason::Stopped, false);
+            return self.end_task(id, &key, ExitReason::Stopped, false);
         }
         t.state = TaskState::Saving;
-        let progress = self.now - self.machines[id].tasks[&key].started;
+        let progress = self.now - self.machines[id].tasks[&key].started_at;
         let me = id.clone();
         self.schedule_heartbeat(id);
-        self.on_machine(
+        self.schedule_on_machine(
             id,
             Micros::from_secs_f64(spec.checkpoint_save_s),
-            move |w| {
-                if w.live(&me, epoch, &key)
+            move |sim| {
+                if sim
+                    .active_task(&me, epoch, &key)
                     .is_none_or(|t| t.state != TaskState::Saving)
                 {
                     return;
                 }
-                let whole = w.members(&key.0.job, key.1).len() as u32 == spec.tasks;
-                if whole && let Some(job) = w.jobs.get_mut(&key.0.job) {
-                    job.checkpointed = (job.checkpointed + progress).min(job.run_time);
+                let whole = sim.active_tasks(&key.0.job, key.1).len() as u32 == spec.tasks;
+                if whole && let Some(job) = sim.jobs.get_mut(&key.0.job) {
+                    job.checkpointed_progress =
+                        (job.checkpointed_progress + progress).min(job.run_time);
                 }
-                w.exit(&me, &key, ExitReason::Stopped, whole);
+                sim.end_task(&me, &key, ExitReason::Stopped, whole);
             },
         );
     }
 
     /// Ends a task.
-    pub(super) fn exit(
+    pub(super) fn end_task(
         &mut self,
         id: &MachineId,
         key: &(TaskId, Attempt),
-        why: ExitReason,
-        saved: bool,
+        exit_reason: ExitReason,
+        checkpoint_saved: bool,
     ) {
         if let Some(t) = self.machines.get_mut(id).and_then(|m| m.tasks.get_mut(key)) {
             t.state = TaskState::Ended;
-            t.why = Some(why);
-            t.saved = saved;
+            t.exit_reason = Some(exit_reason);
+            t.checkpoint_saved = checkpoint_saved;
         }
-        self.log(|| format!("{id} {} exits: {why:?}", key.0));
+        self.log(|| format!("{id} {} exits: {exit_reason:?}", key.0));
         self.schedule_heartbeat(id);
-        if why != ExitReason::Done {
-            self.gang_lost(&key.0.job, key.1);
+        if exit_reason != ExitReason::Done {
+            self.end_gang_on_member_loss(&key.0.job, key.1);
         }
     }
 }
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -24,7 +24,7 @@
 
 /// What a user is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Answer {
+pub(crate) enum Response {
     /// 200, or 201: accepted and not over.
     Unfinished,
     /// 200: done or cancelled.
@@ -34,13 +34,13 @@
     /// 400.
     Malformed,
     /// 422.
-    NeverRuns,
+    Unschedulable,
     /// 503: to be asked again after so long.
     RetryAfter(Micros),
 }
 
 /// What becomes of an answer, where it arrives.
-pub(crate) type Reply = Box<dyn FnOnce(&mut Simulation, Answer)>;
+pub(crate) type ResponseHandler = Box<dyn FnOnce(&mut Simulation, Response)>;
 
 /// A user's request that a node forwards to a peer.
 struct Forwarded {
@@ -67,7 +67,13 @@
 
 impl Simulation {
     /// A user's request at a node. Where no answer can be had nothing is replied.
-    pub(crate) fn take_request(&mut self, i: usize, id: JobId, request: Request, reply: Reply) {
+    pub(crate) fn handle_request(
+        &mut self,
+        i: usize,
+        id: JobId,
+        request: Request,
+        respond: ResponseHandler,
+    ) {
         let user_timeout = if request == Request::Poll {
             USER_POLL_TIMEOUT
         } else {
@@ -78,7 +84,7 @@
             .observed_leader
             .filter(|l| *l != i && self.nodes[i].leadership.is_none());
         if let (Request::Poll, Some(peer)) = (request, leader)
-            && let Some(timeout) = self.leaders_share(i, peer, deadline)
+            && let Some(timeout) = self.forward_timeout(i, peer, deadline)
         {
             let forwarded = Forwarded {
                 node: i,
@@ -88,15 +94,15 @@
                 deadline: self.now + timeout,
             };
             // Without the leader's answer the node's own.
-            return self.forward(forwarded, reply, move |w, reply| {
-                w.own_or_peers_answer(i, id, request, deadline, reply);
+            return self.forward(forwarded, respond, move |sim, respond| {
+                sim.answer_or_forward(i, id, request, deadline, respond);
             });
         }
-        self.own_or_peers_answer(i, id, request, deadline, reply);
+        self.answer_or_forward(i, id, request, deadline, respond);
     }
 
     /// How long node `i` waits for the leader's answer to a poll, as the daemon does.
-    fn leaders_share(&self, i: usize, leader: usize, deadline: Micros) -> Option<Micros> {
+    fn forward_timeout(&self, i: usize, leader: usize, deadline: Micros) -> Option<Micros> {
         let latency = self.expected_latency(i, RequestKind::Read);
         leaders_share(
             latency.unwrap_or_default(),
@@ -111,21 +117,21 @@
     }
 
     /// A node that can't reach the store forwards the request to a peer that can.
-    fn own_or_peers_answer(
+    fn answer_or_forward(
         &mut self,
         i: usize,
         id: JobId,
         request: Request,
         deadline: Micros,
-        reply: Reply,
+        respond: ResponseHandler,
     ) {
         if self.reaches_store(i) {
-            return self.own_answer(i, id, request, deadline, reply);
+            return self.answer_locally(i, id, request, deadline, respond);
         }
         let is_reachable = |j: &usize| *j != i && self.nodes[*j].up && self.reaches_store(*j);
         let peer = (0..self.nodes.len()).find(is_reachable);
         let Some(peer) = peer else {
-            return reply(self, Answer::RetryAfter(RETRY_AFTER));
+            return respond(self, Response::RetryAfter(RETRY_AFTER));
         };
         let forwarded = Forwarded {
             node: i,
@@ -134,8 +140,8 @@
             request,
             deadline,
         };
-        self.forward(forwarded, reply, |w, reply| {
-            reply(w, Answer::RetryAfter(RETRY_AFTER));
+        self.forward(forwarded, respond, |sim, respond| {
+            respond(sim, Response::RetryAfter(RETRY_AFTER));
         });
     }
 
@@ -143,8 +149,8 @@
     fn forward(
         &mut self,
         forwarded: Forwarded,
-        reply: Reply,
-        fallback: impl FnOnce(&mut Simulation, Reply) + 'static,
+        respond: ResponseHandler,
+        fallback: impl FnOnce(&mut Simulation, ResponseHandler) + 'static,
     ) {
         let Forwarded {
             node: i,
@@ -154,116 +160,131 @@
             deadline,
         } = forwarded;
         let process = self.nodes[i].process;
-        let reply = Rc::new(RefCell::new(Some(reply)));
-        let late = reply.clone();
-        self.timer(i, deadline - self.now, move |w| {
-            if w.alive(i, process)
-                && let Some(reply) = late.take()
+        let respond = Rc::new(RefCell::new(Some(respond)));
+        let timed_out = respond.clone();
+        self.timer(i, deadline - self.now, move |sim| {
+            if sim.alive(i, process)
+                && let Some(respond) = timed_out.take()
             {
-                fallback(w, reply);
+                fallback(sim, respond);
             }
         });
-        self.send(Host::Node(i), Host::Node(peer), move |w| {
-            if !w.nodes[peer].up {
+        self.send(Host::Node(i), Host::Node(peer), move |sim| {
+            if !sim.nodes[peer].up {
                 return;
             }
-            let back = Box::new(move |w: &mut Simulation, answer: Answer| {
+            let respond = Box::new(move |sim: &mut Simulation, response: Response| {
                 // The peer could not decide either: as if it had not answered.
-                if matches!(answer, Answer::RetryAfter(_)) {
+                if matches!(response, Response::RetryAfter(_)) {
                     return;
                 }
-                w.send(Host::Node(peer), Host::Node(i), move |w| {
-                    if w.alive(i, process)
-                        && let Some(reply) = reply.take()
+                sim.send(Host::Node(peer), Host::Node(i), move |sim| {
+                    if sim.alive(i, process)
+                        && let Some(respond) = respond.take()
                     {
-                        reply(w, answer);
+                        respond(sim, response);
                     }
                 });
             });
-            w.own_answer(peer, id, request, deadline, back);
+            sim.answer_locally(peer, id, request, deadline, respond);
         });
     }
 
     /// What the node itself answers.
-    fn own_answer(
+    fn answer_locally(
         &mut self,
         i: usize,
         id: JobId,
         request: Request,
         deadline: Micros,
-        reply: Reply,
+        respond: ResponseHandler,
     ) {
         let process = self.nodes[i].process;
         match request {
-            Request::Submit => self.submit_at(i, process, id, deadline, reply),
-            Request::Poll => self.poll_at(i, process, id, deadline, reply),
-            Request::Cancel => self.cancel_at(i, process, id, deadline, reply),
+            Request::Submit => self.handle_submit(i, process, id, deadline, respond),
+            Request::Poll => self.handle_poll(i, process, id, deadline, respond),
+            Request::Cancel => self.handle_cancel(i, process, id, deadline, respond),
         }
     }
 
     /// What is known of a job: at the leader by a linearizable read of its changes, else by its record.
-    fn poll_at(&mut self, i: usize, process: u64, id: JobId, deadline: Micros, reply: Reply) {
+    fn handle_poll(
+        &mut self,
+        i: usize,
+        process: u64,
+        id: JobId,
+        deadline: Micros,
+        respond: ResponseHandler,
+    ) {
         if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
-            return reply(self, Answer::Finished(end));
+            return respond(self, Response::Finished(end));
         }
         let leads = self.leadership(i, process).is_some();
         let is_known = leads
             && self
                 .leadership(i, process)
                 .is_some_and(|l| l.scheduler.jobs.contains_key(&id));
-        if !leads || (!is_known && self.must_read_side_by_side(i, deadline)) {
-            return self.look_up(i, process, id, deadline, move |w, found| {
-                reply(w, found.answer())
+        if !leads || (!is_known && self.must_read_in_parallel(i, deadline)) {
+            return self.look_up(i, process, id, deadline, move |sim, found| {
+                respond(sim, found.response())
             });
         }
         // Whatever was written before the poll arrived is in the scheduler once a read that was sent
         // afterwards is answered; one serves all that wait.
-        let gather = Micros(self.random(0, READ_BATCH_WINDOW.0));
-        self.timer(i, gather, move |w| {
-            let Some(applied) = w
+        let batch_delay = Micros(self.random(0, READ_BATCH_WINDOW.0));
+        self.timer(i, batch_delay, move |sim| {
+            let Some(applied) = sim
                 .leadership(i, process)
                 .map(|l| l.scheduler.applied_revision())
             else {
                 return;
             };
-            let sent = w.now;
-            w.send(Host::Node(i), Host::KvStore, move |w| {
-                if w.store_rejects(i) {
+            let sent = sim.now;
+            sim.send(Host::Node(i), Host::KvStore, move |sim| {
+                if sim.store_rejects(i) {
                     return;
                 }
-                let changes = w.record_changes_since(applied);
-                w.send(Host::KvStore, Host::Node(i), move |w| {
-                    if w.leadership(i, process).is_none() {
+                let changes = sim.record_changes_since(applied);
+                sim.send(Host::KvStore, Host::Node(i), move |sim| {
+                    if sim.leadership(i, process).is_none() {
                         return;
                     }
-                    w.store_answered(i, RequestKind::Watch, sent);
-                    w.apply_record_changes(i, process, changes, sent);
-                    if w.leadership(i, process)
+                    sim.store_answered(i, RequestKind::Watch, sent);
+                    sim.apply_record_changes(i, process, changes, sent);
+                    if sim
+                        .leadership(i, process)
                         .is_some_and(|l| l.scheduler.jobs.contains_key(&id))
                     {
-                        return reply(w, Answer::Unfinished);
+                        return respond(sim, Response::Unfinished);
                     }
-                    w.look_up_ended(i, process, id, deadline, reply);
+                    sim.look_up_terminal_state(i, process, id, deadline, respond);
                 });
             });
         });
     }
 
     /// Accepts a job, or says why not; a repeated submission gets what became of the first.
-    fn submit_at(&mut self, i: usize, process: u64, id: JobId, deadline: Micros, reply: Reply) {
+    fn handle_submit(
+        &mut self,
+        i: usize,
+        process: u64,
+        id: JobId,
+        deadline: Micros,
+        respond: ResponseHandler,
+    ) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let (flow, body) = (
+        let (is_workflow_step, body) = (
             job.is_workflow_step,
             job.malformed_body.as_deref().map(JobSpec::parse),
         );
         let spec = match body {
             None => (*job.spec).clone(),
             Some(Ok(spec)) => spec,
-            Some(Err(_)) => return reply(self, Answer::Malformed),
+            Some(Err(_)) => return respond(self, Response::Malformed),
         };
-        if !flow
+        if !is_workflow_step
             && unschedulable_reason(
                 &spec,
                 &self.machine_types,
@@ -273,99 +294,116 @@
             .is_some()
         {
             // An accepted job stays accepted, whatever the catalog says now.
-            return self.look_up(i, process, id, deadline, move |w, found| match found {
-                Lookup::Missing => reply(w, Answer::NeverRuns),
-                found => reply(w, found.answer()),
+            return self.look_up(i, process, id, deadline, move |sim, found| match found {
+                Lookup::Missing => respond(sim, Response::Unschedulable),
+                found => respond(sim, found.response()),
             });
         }
         if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
-            return reply(self, Answer::Finished(end));
+            return respond(self, Response::Finished(end));
         }
         if let Err(after) = self.admit(i, &id) {
             let is_known = self
                 .leadership(i, process)
                 .is_some_and(|l| l.scheduler.jobs.contains_key(&id));
             return if is_known {
-                self.poll_at(i, process, id, deadline, reply)
+                self.handle_poll(i, process, id, deadline, respond)
             } else {
-                reply(self, Answer::RetryAfter(after))
+                respond(self, Response::RetryAfter(after))
             };
         }
         let submission = Submission {
             id,
             spec,
-            is_workflow_step: flow,
+            is_workflow_step,
             deadline,
         };
-        self.accept_at_store(i, process, submission, reply);
+        self.write_submission(i, process, submission, respond);
     }
 
     /// Writes the record of a submitted job, unless the store has one or the job is over.
-    fn accept_at_store(&mut self, i: usize, process: u64, submission: Submission, reply: Reply) {
+    fn write_submission(
+        &mut self,
+        i: usize,
+        process: u64,
+        submission: Submission,
+        respond: ResponseHandler,
+    ) {
         let Submission {
             id,
             spec,
             is_workflow_step,
             deadline,
         } = submission;
-        self.send(Host::Node(i), Host::KvStore, move |w| {
-            if w.store_rejects(i) || !w.store_accepts(1) {
+        self.send(Host::Node(i), Host::KvStore, move |sim| {
+            if sim.store_rejects(i) || !sim.store_accepts(1) {
                 return;
             }
-            let at = w.time_of_day(i).0;
+            let at = sim.time_of_day(i).0;
             let record = if is_workflow_step {
                 JobRecord::for_workflow_step(spec, at)
             } else {
                 JobRecord::accepted(spec, at)
             };
-            let when = [(format!("job/{id}"), 0), (format!("end/{id}"), 0)];
-            let put = Mutation::Put(format!("job/{id}"), Value::Job(record), None);
-            let Some(result) = w.transact(&when, vec![put]) else {
+            let compares = [(format!("job/{id}"), 0), (format!("end/{id}"), 0)];
+            let put = Mutation::Put(format!("job/{id}"), Value::JobRecord(record), None);
+            let Some(result) = sim.transact(&compares, vec![put]) else {
                 return;
             };
-            w.send(Host::KvStore, Host::Node(i), move |w| match result {
-                _ if !w.alive(i, process) => {}
-                Ok(_) => reply(w, Answer::Unfinished),
+            sim.send(Host::KvStore, Host::Node(i), move |sim| match result {
+                _ if !sim.alive(i, process) => {}
+                Ok(_) => respond(sim, Response::Unfinished),
                 // Accepted by an earlier try. It can't have vanished.
-                Err(_) => w.look_up(i, process, id, deadline, move |w, found| match found {
-                    Lookup::Missing => reply(w, Answer::RetryAfter(RETRY_AFTER)),
-                    found => reply(w, found.answer()),
+                Err(_) => sim.look_up(i, process, id, deadline, move |sim, found| match found {
+                    Lookup::Missing => respond(sim, Response::RetryAfter(RETRY_AFTER)),
+                    found => respond(sim, found.response()),
                 }),
             });
         });
     }
 
     /// Moves the job's record to its final place; again until its user no longer waits, for it may change meanwhile.
-    fn cancel_at(&mut self, i: usize, process: u64, id: JobId, deadline: Micros, reply: Reply) {
+    fn handle_cancel(
+        &mut self,
+        i: usize,
+        process: u64,
+        id: JobId,
+        deadline: Micros,
+        respond: ResponseHandler,
+    ) {
         let job = id.clone();
-        self.look_up(i, process, job, deadline, move |w, found| {
+        self.look_up(i, process, job, deadline, move |sim, found| {
             let Lookup::Unfinished(record, mod_revision) = found else {
-                return reply(w, found.answer());
+                return respond(sim, found.response());
             };
             let end = EndRecord {
                 is_workflow_step: record.is_workflow_step,
                 ..EndRecord::new(JobState::Cancelled, record.done.count())
             };
-            w.send(Host::Node(i), Host::KvStore, move |w| {
-                if w.store_rejects(i) || !w.store_accepts(2) {
+            sim.send(Host::Node(i), Host::KvStore, move |sim| {
+                if sim.store_rejects(i) || !sim.store_accepts(2) {
                     return;
                 }
-                let (job, over) = (format!("job/{id}"), format!("end/{id}"));
-                let apply = vec![
-                    Mutation::Delete(job.clone()),
-                    Mutation::Put(over.clone(), Value::End(end), None),
+                let (job_key, end_key) = (format!("job/{id}"), format!("end/{id}"));
+                let mutations = vec![
+                    Mutation::Delete(job_key.clone()),
+                    Mutation::Put(end_key.clone(), Value::EndRecord(end), None),
                 ];
-                let Some(result) = w.transact(&[(job, mod_revision.0), (over, 0)], apply) else {
+                let Some(result) =
+                    sim.transact(&[(job_key, mod_revision.0), (end_key, 0)], mutations)
+                else {
                     return;
                 };
-                w.send(Host::KvStore, Host::Node(i), move |w| match result {
-                    _ if !w.alive(i, process) => {}
+                sim.send(Host::KvStore, Host::Node(i), move |sim| match result {
+                    _ if !sim.alive(i, process) => {}
                     Ok(mod_revision) => {
-                        w.found_ended(i, &id, end.state, ModRevision(mod_revision));
-                        reply(w, Answer::Finished(end.state));
+                        sim.terminal_state_known(i, &id, end.state, ModRevision(mod_revision));
+                        respond(sim, Response::Finished(end.state));
+                    }
+                    Err(_) if sim.now < deadline => {
+                        sim.handle_cancel(i, process, id, deadline, respond)
                     }
-                    Err(_) if w.now < deadline => w.cancel_at(i, process, id, deadline, reply),
-                    Err(_) => reply(w, Answer::RetryAfter(RETRY_AFTER)),
+                    Err(_) => respond(sim, Response::RetryAfter(RETRY_AFTER)),
                 });
             });
         });
@@ -373,7 +411,7 @@
 
     /// A job's final record was written or read here, so that from now on users may observe it: before that a
     /// cancellation is logged for leaders that may not have seen it, and the node's own scheduler drops the job.
-    pub(crate) fn found_ended(
+    pub(crate) fn terminal_state_known(
         &mut self,
         i: usize,
         job: &JobId,
--- a/crates/hopyoke-simulator/src/cloud.rs
+++ b/crates/hopyoke-simulator/src/cloud.rs
@@ -8,35 +8,35 @@
 use std::collections::VecDeque;
 
 /// Listings that are remembered.
-const REMEMBERED_LISTS: usize = 16;
+const MAX_RECENT_LISTS: usize = 16;
 
 /// Faults of the cloud.
 #[derive(Debug, Default)]
 pub(crate) struct Cloud {
     /// Until when boots take so many times as long.
-    pub(crate) slow: Option<(f64, Micros)>,
+    pub(crate) slow_boots: Option<(f64, Micros)>,
     /// Until when a listing may be any that was true of late.
     pub(crate) stale_lists_until: Micros,
     /// Recent listings by time, newest last.
-    recent: VecDeque<(Micros, Vec<ListedMachine>)>,
+    recent_lists: VecDeque<(Micros, Vec<ListedMachine>)>,
 }
 
 impl Simulation {
     /// How long a boot takes that would take `boot`.
     pub(crate) fn scaled_boot_time(&self, boot: Micros) -> Micros {
-        match self.cloud.slow {
+        match self.cloud.slow_boots {
             Some((factor, until)) if self.now < until => Micros((boot.0 as f64 * factor) as u64),
             _ => boot,
         }
     }
 
     /// Lists the machines as they were, at least the list's lag ago, or at some time before that.
-    pub(crate) fn cloud_list(&mut self) -> Vec<ListedMachine> {
+    pub(crate) fn list_machines(&mut self) -> Vec<ListedMachine> {
         let now = self.now;
-        let there = self.machines.values().map(|m| ListedMachine {
+        let machines = self.machines.values().map(|m| ListedMachine {
             id: m.id.clone(),
             address: None,
-            machine_type: m.kind.clone(),
+            machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
             state: if m.up {
@@ -46,45 +46,45 @@
             },
             age_s: (now - m.created_at).as_secs_f64(),
         });
-        let there: Vec<ListedMachine> = there.collect();
+        let machines: Vec<ListedMachine> = machines.collect();
         let lag = self.config.list_lag;
-        self.cloud.recent.push_back((now, there.clone()));
-        if self.cloud.recent.len() > REMEMBERED_LISTS {
-            self.cloud.recent.pop_front();
+        self.cloud.recent_lists.push_back((now, machines.clone()));
+        if self.cloud.recent_lists.len() > MAX_RECENT_LISTS {
+            self.cloud.recent_lists.pop_front();
         }
         if now >= self.cloud.stale_lists_until {
             // As it is, but for machines that are younger than the lag.
-            return there
+            return machines
                 .into_iter()
                 .filter(|l| l.age_s >= lag.as_secs_f64())
                 .collect();
         }
-        let old: Vec<usize> = (0..self.cloud.recent.len())
-            .filter(|i| now >= self.cloud.recent[*i].0 + lag)
+        let visible: Vec<usize> = (0..self.cloud.recent_lists.len())
+            .filter(|i| now >= self.cloud.recent_lists[*i].0 + lag)
             .collect();
-        if old.is_empty() {
+        if visible.is_empty() {
             return Vec::new();
         }
-        let pick = self.random(0, old.len() as u64 - 1) as usize;
-        self.cloud.recent[old[pick]].1.clone()
+        let pick = self.random(0, visible.len() as u64 - 1) as usize;
+        self.cloud.recent_lists[visible[pick]].1.clone()
     }
 
     /// Adds a machine that boots for `boot`, or never.
     pub fn add_machine(
         &mut self,
-        kind: &str,
+        machine_type: &str,
         zone: &str,
         spot: bool,
         boot: Option<Micros>,
     ) -> MachineId {
         let id = MachineId::new(&format!("m-{:06}", self.next_machine));
         self.next_machine += 1;
-        let drift = self.random(0, 1000) as f64 / 1e6 - 0.0005;
-        let w = Agent::new(id.clone(), kind, zone, spot, drift, self.now);
-        self.machines.insert(id.clone(), w);
+        let clock_drift = self.random(0, 1000) as f64 / 1e6 - 0.0005;
+        let agent = Agent::new(id.clone(), machine_type, zone, spot, clock_drift, self.now);
+        self.machines.insert(id.clone(), agent);
         if let Some(boot) = boot {
             let m = id.clone();
-            self.after(boot, move |w| w.boot(&m));
+            self.after(boot, move |sim| sim.boot(&m));
         }
         id
     }
@@ -96,12 +96,12 @@
         };
         *self
             .capacity
-            .entry((m.kind.clone(), m.zone.clone(), m.spot))
+            .entry((m.machine_type.clone(), m.zone.clone(), m.spot))
             .or_default() += 1;
         let tasks: Vec<_> = m.tasks.keys().cloned().collect();
         self.machines.remove(id);
         for (task, attempt) in tasks {
-            self.gang_lost(&task.job, attempt);
+            self.end_gang_on_member_loss(&task.job, attempt);
         }
     }
 
@@ -109,7 +109,7 @@
     pub(crate) fn scale_out(
         &mut self,
         request: &str,
-        kind: &str,
+        machine_type: &str,
         zone: &str,
         spot: bool,
         count: u32,
@@ -117,22 +117,22 @@
         if let Some(ids) = self.scale_outs.get(request) {
             return ids.clone();
         }
-        let key = (kind.to_owned(), zone.to_owned(), spot);
-        let free = self.capacity.get(&key).copied().unwrap_or(0).min(count);
-        if free == 0 {
+        let key = (machine_type.to_owned(), zone.to_owned(), spot);
+        let created_count = self.capacity.get(&key).copied().unwrap_or(0).min(count);
+        if created_count == 0 {
             return Vec::new();
         }
         if let Some(c) = self.capacity.get_mut(&key) {
-            *c -= free;
+            *c -= created_count;
         }
-        let boot = Micros::from_secs_f64(self.machine_type(kind).boot_s);
-        let ids: Vec<MachineId> = (0..free)
+        let boot = Micros::from_secs_f64(self.machine_type(machine_type).boot_s);
+        let ids: Vec<MachineId> = (0..created_count)
             .map(|_| {
                 let fails = self.failed_boots_left > 0;
                 self.failed_boots_left = self.failed_boots_left.saturating_sub(1);
-                let spread = Micros(self.random(boot.0 * 6 / 10, boot.0 * 15 / 10));
-                let takes = self.scaled_boot_time(spread);
-                self.add_machine(kind, zone, spot, (!fails).then_some(takes))
+                let boot_time = Micros(self.random(boot.0 * 6 / 10, boot.0 * 15 / 10));
+                let scaled = self.scaled_boot_time(boot_time);
+                self.add_machine(machine_type, zone, spot, (!fails).then_some(scaled))
             })
             .collect();
         self.scale_outs.insert(request.to_owned(), ids.clone());
--- a/crates/hopyoke-simulator/src/digest.rs
+++ b/crates/hopyoke-simulator/src/digest.rs
@@ -54,12 +54,12 @@
 }
 
 /// A value in the form in which it is stored.
-fn stored(value: &Value) -> Vec<u8> {
+fn encode_stored_value(value: &Value) -> Vec<u8> {
     match value {
-        Value::Job(record) => hopyoke_protocol::encode(record),
-        Value::End(end) => hopyoke_protocol::encode(end),
-        Value::Page(page) => hopyoke_protocol::encode(page),
-        Value::Learned(page) => hopyoke_protocol::encode(page),
+        Value::JobRecord(record) => hopyoke_protocol::encode(record),
+        Value::EndRecord(end) => hopyoke_protocol::encode(end),
+        Value::RegistryPage(page) => hopyoke_protocol::encode(page),
+        Value::RunTimesPage(page) => hopyoke_protocol::encode(page),
         Value::LeaseHolder(node) => hopyoke_protocol::encode(&(*node as u64)),
     }
 }
@@ -78,11 +78,11 @@
 
     /// Adds the answer to a heartbeat.
     pub(crate) fn digest_heartbeat_response(&mut self, token: FencingToken, commands: &[Command]) {
-        let answer = HeartbeatResponse {
+        let response = HeartbeatResponse {
             token,
             commands: commands.to_vec(),
         };
-        self.digest_message(Channel::HeartbeatResponse, &answer);
+        self.digest_message(Channel::HeartbeatResponse, &response);
     }
 
     /// Adds commands that are pushed to an agent.
@@ -92,28 +92,32 @@
         epoch: u64,
         commands: &[Command],
     ) {
-        let direct = PushedCommands {
+        let pushed = PushedCommands {
             token,
             epoch,
             commands: commands.to_vec(),
         };
-        self.digest_message(Channel::PushedCommands, &direct);
+        self.digest_message(Channel::PushedCommands, &pushed);
     }
 
     /// Adds a transaction as the store receives it.
-    pub(crate) fn digest_transaction(&mut self, when: &[(String, u64)], apply: &[Mutation]) {
-        for (key, mod_revision) in when {
-            let condition = Compare {
+    pub(crate) fn digest_transaction(
+        &mut self,
+        compares: &[(String, u64)],
+        mutations: &[Mutation],
+    ) {
+        for (key, mod_revision) in compares {
+            let compare = Compare {
                 key: key.clone(),
                 mod_revision: hopyoke_types::ModRevision(*mod_revision),
             };
-            self.digest_message(Channel::Transaction, &condition);
+            self.digest_message(Channel::Transaction, &compare);
         }
-        for change in apply {
-            match change {
+        for mutation in mutations {
+            match mutation {
                 Mutation::Put(key, value, lease) => {
                     self.digest_bytes(Channel::Transaction, key.as_bytes());
-                    self.digest_bytes(Channel::Transaction, &stored(value));
+                    self.digest_bytes(Channel::Transaction, &encode_stored_value(value));
                     self.digest_message(Channel::Transaction, lease);
                 }
                 Mutation::Delete(key) => self.digest_bytes(Channel::Transaction, key.as_bytes()),
--- a/crates/hopyoke-simulator/src/event_queue.rs
+++ b/crates/hopyoke-simulator/src/event_queue.rs
@@ -15,13 +15,13 @@
 /// An event and when it is due; events of the same time run in the order in which they were scheduled.
 struct ScheduledEvent {
     due_at: Micros,
-    number: u64,
+    sequence: u64,
     handler: EventHandler,
 }
 
 impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &ScheduledEvent) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
@@ -35,7 +35,7 @@
 
 impl Ord for ScheduledEvent {
     fn cmp(&self, other: &ScheduledEvent) -> Ordering {
-        (self.due_at, self.number).cmp(&(other.due_at, other.number))
+        (self.due_at, self.sequence).cmp(&(other.due_at, other.sequence))
     }
 }
 
@@ -43,16 +43,16 @@
 #[derive(Default)]
 pub(crate) struct EventQueue {
     events: BinaryHeap<Reverse<ScheduledEvent>>,
-    last_number: u64,
+    last_sequence: u64,
 }
 
 impl EventQueue {
     /// Adds an event.
     fn push(&mut self, due_at: Micros, handler: EventHandler) {
-        self.last_number += 1;
+        self.last_sequence += 1;
         self.events.push(Reverse(ScheduledEvent {
             due_at,
-            number: self.last_number,
+            sequence: self.last_sequence,
             handler,
         }));
     }
--- a/crates/hopyoke-simulator/src/ground_truth.rs
+++ b/crates/hopyoke-simulator/src/ground_truth.rs
@@ -31,7 +31,7 @@
     /// The final state that its user observed.
     pub observed_end: Option<JobState>,
     /// When its user last got an answer.
-    pub last_answer_at: Micros,
+    pub last_response_at: Micros,
     /// Its tasks, by index, that ran to their end.
     pub done: Vec<bool>,
     /// When the last of its tasks ran to its end.
@@ -41,7 +41,7 @@
     /// When the first of its tasks started.
     pub first_started_at: Option<Micros>,
     /// Progress that a gang's checkpoints hold.
-    pub checkpointed: Micros,
+    pub checkpointed_progress: Micros,
 }
 
 impl JobGroundTruth {
@@ -60,12 +60,12 @@
             cancel_at_end_drawn: false,
             cancelled_at: None,
             observed_end: None,
-            last_answer_at: Micros::ZERO,
+            last_response_at: Micros::ZERO,
             done: vec![false],
             done_at: None,
             start_count: 0,
             first_started_at: None,
-            checkpointed: Micros::ZERO,
+            checkpointed_progress: Micros::ZERO,
         }
     }
 }
--- a/crates/hopyoke-simulator/src/invariants/mod.rs
+++ b/crates/hopyoke-simulator/src/invariants/mod.rs
@@ -26,11 +26,11 @@
     }
 
     /// Tasks that are on a machine: from when they have their image until they exit.
-    fn present(&self) -> Vec<(MachineId, TaskId, Attempt)> {
+    fn present_tasks(&self) -> Vec<(MachineId, TaskId, Attempt)> {
         let mut out = Vec::new();
         for m in self.machines.values() {
-            for ((t, a), x) in &m.tasks {
-                if !matches!(x.state, TaskState::Ended | TaskState::Fetching) {
+            for ((t, a), status) in &m.tasks {
+                if !matches!(status.state, TaskState::Ended | TaskState::Fetching) {
                     out.push((m.id.clone(), t.clone(), *a));
                 }
             }
@@ -46,7 +46,7 @@
             self.check_schedulable_jobs();
         }
         let mut violations = Vec::new();
-        violations.extend(self.unanswered_job());
+        violations.extend(self.unanswered_job_violation());
         self.check_count += 1;
         if self.check_count.is_multiple_of(CHECKS_PER_FULL_CHECK) {
             self.verified_jobs.clear();
@@ -57,8 +57,8 @@
             .iter()
             .filter(|(id, _)| !self.verified_jobs.contains(*id))
         {
-            let unfinished = self.kv_store.keys.contains_key(&format!("job/{id}"));
-            let end = self.end_of(id);
+            let unfinished = self.kv_store.entries.contains_key(&format!("job/{id}"));
+            let end = self.terminal_state(id);
             let found = record_violations(job, unfinished, end);
             violations.extend(found.into_iter().map(|rule| (rule, id.to_string())));
             if end.is_some() && !unfinished {
@@ -75,8 +75,8 @@
 
     /// Guards `ran_cancelled`: no task runs long after its user was told of the cancellation.
     fn check_cancelled_tasks(&mut self) {
-        let late: Vec<TaskId> = self
-            .present()
+        let overdue: Vec<TaskId> = self
+            .present_tasks()
             .into_iter()
             .map(|p| p.1)
             .filter(|t| {
@@ -85,48 +85,51 @@
                     .is_some_and(|c| self.now > c + self.cancellation_bound)
             })
             .collect();
-        for t in late {
+        for t in overdue {
             self.record_violation("ran_cancelled", format!("{t} is still there"));
         }
     }
 
     /// Guards `forgotten`: once all faults are over, a job whose requests all fail for long counts as forgotten.
-    fn unanswered_job(&self) -> Option<(&'static str, String)> {
+    fn unanswered_job_violation(&self) -> Option<(&'static str, String)> {
         if self.limits.is_some() || self.now <= self.faults_end_at + MAX_UNANSWERED {
             return None;
         }
         let is_unanswered = |j: &JobGroundTruth| {
             j.accepted_at
-                .is_some_and(|t| self.now > t.max(j.last_answer_at) + MAX_UNANSWERED)
+                .is_some_and(|t| self.now > t.max(j.last_response_at) + MAX_UNANSWERED)
         };
         let (id, _) = self.jobs.iter().find(|(_, j)| is_unanswered(j))?;
         Some(("forgotten", format!("{id} has had no answer")))
     }
 
     /// A job's final state, as the store has it.
-    pub(crate) fn end_of(&self, id: &JobId) -> Option<JobState> {
-        Some(self.end_with_revision(id)?.0)
+    pub(crate) fn terminal_state(&self, id: &JobId) -> Option<JobState> {
+        Some(self.terminal_state_with_revision(id)?.0)
     }
 
     /// A job's final state, and the revision that made it final.
-    pub(crate) fn end_with_revision(&self, id: &JobId) -> Option<(JobState, ModRevision)> {
-        let entry = self.kv_store.keys.get(&format!("end/{id}"))?;
+    pub(crate) fn terminal_state_with_revision(
+        &self,
+        id: &JobId,
+    ) -> Option<(JobState, ModRevision)> {
+        let entry = self.kv_store.entries.get(&format!("end/{id}"))?;
         match &entry.value {
-            Value::End(e) => Some((e.state, ModRevision(entry.mod_revision))),
+            Value::EndRecord(e) => Some((e.state, ModRevision(entry.mod_revision))),
             _ => None,
         }
     }
 
     /// Tasks of a job that run now.
-    pub(crate) fn running(&self, id: &JobId) -> usize {
+    pub(crate) fn running_task_count(&self, id: &JobId) -> usize {
         let states = self.machines.values().flat_map(|m| m.tasks.iter());
         states
-            .filter(|((t, _), x)| t.job == *id && x.state == TaskState::Running)
+            .filter(|((t, _), status)| t.job == *id && status.state == TaskState::Running)
             .count()
     }
 
     /// When the last task of a job ran to its end.
-    pub(crate) fn done_after(&self, id: &JobId) -> Option<Micros> {
+    pub(crate) fn completed_at(&self, id: &JobId) -> Option<Micros> {
         self.jobs.get(id).and_then(|j| j.done_at)
     }
 }
--- a/crates/hopyoke-simulator/src/invariants/schedulable.rs
+++ b/crates/hopyoke-simulator/src/invariants/schedulable.rs
@@ -16,7 +16,7 @@
 
 /// Free resources of a machine on which tasks can start.
 struct FreeMachine {
-    kind: String,
+    machine_type: String,
     zone: String,
     spot: bool,
     free: Resources,
@@ -62,13 +62,13 @@
                 );
             }
         }
-        let late = schedulable_since
+        let overdue = schedulable_since
             .iter()
             .find(|(_, since)| now > **since + MAX_SCHEDULABLE_WAIT)
             .map(|(id, _)| id.clone());
         self.schedulable_since = schedulable_since;
-        if let Some(id) = late {
-            let why = self.leading_scheduler().map_or("no leader", |c| {
+        if let Some(id) = overdue {
+            let why = self.leader_scheduler().map_or("no leader", |c| {
                 c.jobs.get(&id).map_or("unknown", |j| {
                     j.wait_reason
                         .map_or("", hopyoke_scheduler::WaitReason::as_str)
@@ -85,24 +85,24 @@
     fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         for m in self.machines.values() {
-            let mut free = Resources::of_type(&self.machine_type(&m.kind));
+            let mut free = Resources::of_type(&self.machine_type(&m.machine_type));
             for ((task, _), _) in m.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended) {
                 let spec = &self.jobs[&task.job].spec;
-                let takes = Resources::of_task(spec);
-                free = free - takes;
+                let required = Resources::of_task(spec);
+                free = free - required;
                 let team = usage.teams.entry(spec.team.clone()).or_default();
-                *team = *team + takes;
+                *team = *team + required;
                 let allocated = usage.jobs.entry(task.job.clone()).or_default();
                 allocated.tasks.insert(task.index);
                 *allocated.zones.entry(m.zone.clone()).or_default() += 1;
             }
-            if is_sound(m, self.now)
+            if is_healthy(m, self.now)
                 && m.preemption_at.is_none()
                 && m.tasks.len() < MAX_ATTEMPTS_PER_HEARTBEAT
                 && free.cpus > 0.0
             {
                 usage.free.push(FreeMachine {
-                    kind: m.kind.clone(),
+                    machine_type: m.machine_type.clone(),
                     zone: m.zone.clone(),
                     spot: m.spot,
                     free,
@@ -134,22 +134,22 @@
             let allowed = spec
                 .machine_types
                 .as_ref()
-                .is_none_or(|t| t.contains(&r.kind))
+                .is_none_or(|t| t.contains(&r.machine_type))
                 && spec.zone.as_ref().is_none_or(|z| *z == r.zone)
                 && (spec.spot || !r.spot);
             if allowed {
-                let room = by_zone.entry(&r.zone).or_default();
-                *room = room.saturating_add(r.free.holds(&task));
+                let fitting_tasks = by_zone.entry(&r.zone).or_default();
+                *fitting_tasks = fitting_tasks.saturating_add(r.free.holds(&task));
             }
         }
         let half = spec.tasks.div_ceil(2);
-        for (zone, room) in &mut by_zone {
-            let here = allocated.zones.get(*zone).copied().unwrap_or(0);
+        for (zone, fitting_tasks) in &mut by_zone {
+            let in_zone = allocated.zones.get(*zone).copied().unwrap_or(0);
             if spec.one_zone && allocated.zones.keys().any(|z| z != zone) {
-                *room = 0;
+                *fitting_tasks = 0;
             }
             if spec.spread {
-                *room = (*room).min(half.saturating_sub(here));
+                *fitting_tasks = (*fitting_tasks).min(half.saturating_sub(in_zone));
             }
         }
         let capacity = if spec.one_zone {
@@ -163,11 +163,11 @@
 
 /// Tasks of a job that is open, and of which more could run, hold no resources.
 fn lacks_tasks(job: &JobGroundTruth, allocated: &Allocated) -> bool {
-    let open = job.accepted_at.is_some()
+    let is_open = job.accepted_at.is_some()
         && job.observed_end.is_none()
         && !job.cancel_requested
         && !job.always_fails;
-    if !open || job.done_at.is_some() {
+    if !is_open || job.done_at.is_some() {
         return false;
     }
     if job.spec.kind == JobKind::Service {
@@ -178,7 +178,7 @@
 }
 
 /// A machine is up, reachable and neither faulty nor slow.
-fn is_sound(m: &Agent, now: Micros) -> bool {
+fn is_healthy(m: &Agent, now: Micros) -> bool {
     m.up && m.hangs_until <= now
         && m.responses_lost_until <= now
         && !m.is_faulty
--- a/crates/hopyoke-simulator/src/invariants/task_start.rs
+++ b/crates/hopyoke-simulator/src/invariants/task_start.rs
@@ -14,7 +14,7 @@
 impl Simulation {
     /// Checks the invariants that hold when a task starts on a machine.
     pub(crate) fn check_task_start(&mut self, id: &MachineId, task: &TaskId) {
-        let present = self.present();
+        let present = self.present_tasks();
         if let Some((other, _, _)) = present.iter().find(|(o, t, _)| t == task && o != id) {
             self.record_violation(
                 "ran_twice",
@@ -35,7 +35,7 @@
     /// Guards `wrong_place`: the constraints of the job allow the machine.
     fn check_placement(&mut self, id: &MachineId, task: &TaskId, present: &PresentTasks) {
         let m = &self.machines[id];
-        let (zone, kind, spot) = (m.zone.clone(), m.kind.clone(), m.spot);
+        let (zone, machine_type, spot) = (m.zone.clone(), m.machine_type.clone(), m.spot);
         let spec = self.jobs[&task.job].spec.clone();
         let siblings = || {
             present
@@ -48,14 +48,14 @@
         let types_ok = spec
             .machine_types
             .as_ref()
-            .is_none_or(|t| t.contains(&kind));
+            .is_none_or(|t| t.contains(&machine_type));
         let zone_ok = spec.zone.as_ref().is_none_or(|z| *z == zone);
-        let together = !spec.one_zone || in_zone == siblings().count();
-        let apart = !spec.spread || in_zone < spec.tasks.div_ceil(2) as usize;
-        if !types_ok || !zone_ok || !together || !apart || (spot && !spec.spot) {
+        let is_in_one_zone = !spec.one_zone || in_zone == siblings().count();
+        let is_spread = !spec.spread || in_zone < spec.tasks.div_ceil(2) as usize;
+        if !types_ok || !zone_ok || !is_in_one_zone || !is_spread || (spot && !spec.spot) {
             self.record_violation(
                 "wrong_place",
-                format!("{task} starts on {id} ({kind}, {zone}, spot {spot})"),
+                format!("{task} starts on {id} ({machine_type}, {zone}, spot {spot})"),
             );
         }
     }
--- a/crates/hopyoke-simulator/src/kv_store.rs
+++ b/crates/hopyoke-simulator/src/kv_store.rs
@@ -9,10 +9,10 @@
 
 #[derive(Debug, Clone)]
 pub(crate) enum Value {
-    Job(JobRecord),
-    End(EndRecord),
-    Page(RegistryPage),
-    Learned(hopyoke_run_times::Page),
+    JobRecord(JobRecord),
+    EndRecord(EndRecord),
+    RegistryPage(RegistryPage),
+    RunTimesPage(hopyoke_run_times::Page),
     LeaseHolder(usize),
 }
 
@@ -26,7 +26,7 @@
 #[derive(Default)]
 pub(crate) struct KvStore {
     /// Entries by key.
-    pub(crate) keys: BTreeMap<String, Entry>,
+    pub(crate) entries: BTreeMap<String, Entry>,
     /// Revision of the last transaction.
     pub(crate) revision: u64,
     /// (revision, key, dropped)
@@ -37,15 +37,15 @@
     /// Until then all requests are rejected.
     pub(crate) outage_until: Micros,
     /// Nodes that alone are refused, and until compares.
-    pub(crate) refused: BTreeMap<usize, Micros>,
+    pub(crate) rejected_nodes: BTreeMap<usize, Micros>,
     /// So much longer takes what reaches the service, and until compares.
-    pub(crate) slow: (Micros, Micros),
+    pub(crate) request_delay: (Micros, Micros),
     /// Share of the transactions that are applied, and whose responses are lost.
     pub(crate) lost_responses: FaultWindow,
     /// The same of renewals of leases.
     pub(crate) lost_renewals: FaultWindow,
     /// Share of the transactions that get no response and are applied late.
-    pub(crate) late_writes: FaultWindow,
+    pub(crate) delayed_writes: FaultWindow,
 }
 
 /// A change of a key.
@@ -59,37 +59,37 @@
     pub(crate) fn txn(
         &mut self,
         compares: &[(String, u64)],
-        apply: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> Result<u64, Vec<String>> {
-        let mod_revision = |key: &String| self.keys.get(key).map_or(0, |e| e.mod_revision);
-        let failed: Vec<String> = compares
+        let mod_revision = |key: &String| self.entries.get(key).map_or(0, |e| e.mod_revision);
+        let failed_keys: Vec<String> = compares
             .iter()
             .filter(|(k, m)| mod_revision(k) != *m)
             .map(|(k, _)| k.clone())
             .collect();
-        if !failed.is_empty() {
-            return Err(failed);
+        if !failed_keys.is_empty() {
+            return Err(failed_keys);
         }
         // A write on an expired lease is rejected.
-        let on_expired_lease = |c: &Mutation| matches!(c, Mutation::Put(_, _, Some(l)) if !self.leases.contains_key(l));
-        if apply.iter().any(on_expired_lease) {
+        let on_expired_lease = |mutation: &Mutation| matches!(mutation, Mutation::Put(_, _, Some(l)) if !self.leases.contains_key(l));
+        if mutations.iter().any(on_expired_lease) {
             return Err(Vec::new());
         }
         self.revision += 1;
         let mod_revision = self.revision;
-        for c in apply {
-            match c {
+        for mutation in mutations {
+            match mutation {
                 Mutation::Put(key, value, lease) => {
                     // What is written must fit: checked as the service would.
-                    if let Value::Job(record) = &value {
+                    if let Value::JobRecord(record) = &value {
                         let size = serde_json::to_vec(record).map_or(0, |v| v.len());
                         assert!(size <= 8192, "a record of {size} bytes was written");
                     }
-                    if let Value::Page(page) = &value {
+                    if let Value::RegistryPage(page) = &value {
                         let size = serde_json::to_vec(page).map_or(0, |v| v.len());
                         assert!(size <= 8192, "a page of {size} bytes was written");
                     }
-                    if let Value::Learned(page) = &value {
+                    if let Value::RunTimesPage(page) = &value {
                         let size = serde_json::to_vec(page).map_or(0, |v| v.len());
                         assert!(
                             size <= 8192,
@@ -97,7 +97,7 @@
                         );
                     }
                     self.log.push((mod_revision, key.clone(), false));
-                    self.keys.insert(
+                    self.entries.insert(
                         key,
                         Entry {
                             value,
@@ -107,7 +107,7 @@
                     );
                 }
                 Mutation::Delete(key) => {
-                    if self.keys.remove(&key).is_some() {
+                    if self.entries.remove(&key).is_some() {
                         self.log.push((mod_revision, key, true));
                     }
                 }
@@ -122,17 +122,17 @@
     }
 
     /// Grants a lease.
-    pub(crate) fn grant(&mut self, until: Micros) -> u64 {
+    pub(crate) fn grant_lease(&mut self, until: Micros) -> u64 {
         self.next_lease += 1;
         self.leases.insert(self.next_lease, until);
         self.next_lease
     }
 
     /// Revokes a lease, and deletes the keys on it.
-    pub(crate) fn end_lease(&mut self, lease: u64) {
+    pub(crate) fn revoke_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
-            .keys
+            .entries
             .iter()
             .filter(|(_, e)| e.lease == Some(lease))
             .map(|(k, _)| k.clone())
@@ -146,11 +146,11 @@
 /// What becomes of a transaction that the store does not reject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TransactionOutcome {
-    Usual,
+    Applied,
     /// It is applied, and its response is lost.
     ResponseLost,
     /// It gets no response and is applied so much later, after newer ones.
-    Late(Micros),
+    Delayed(Micros),
 }
 
 /// A fault that strikes a share of messages or transactions for a while.
@@ -177,18 +177,18 @@
 
 impl Simulation {
     /// Draws whether a fault strikes now.
-    pub(crate) fn draws_fault(&mut self, s: FaultWindow) -> bool {
-        self.now < s.until && self.random(0, 99) < s.percent
+    pub(crate) fn draws_fault(&mut self, window: FaultWindow) -> bool {
+        self.now < window.until && self.random(0, 99) < window.percent
     }
 
     /// Draws what becomes of a transaction.
     fn draw_transaction_outcome(&mut self) -> TransactionOutcome {
         if self.draws_fault(self.kv_store.lost_responses) {
             TransactionOutcome::ResponseLost
-        } else if self.draws_fault(self.kv_store.late_writes) {
-            TransactionOutcome::Late(Micros(self.random(2_000_000, 12_000_000)))
+        } else if self.draws_fault(self.kv_store.delayed_writes) {
+            TransactionOutcome::Delayed(Micros(self.random(2_000_000, 12_000_000)))
         } else {
-            TransactionOutcome::Usual
+            TransactionOutcome::Applied
         }
     }
 
@@ -196,22 +196,24 @@
     pub(crate) fn transact(
         &mut self,
         compares: &[(String, u64)],
-        apply: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> Option<Result<u64, Vec<String>>> {
-        self.digest_transaction(compares, &apply);
+        self.digest_transaction(compares, &mutations);
         match self.draw_transaction_outcome() {
-            TransactionOutcome::Usual => {
-                let result = self.kv_store.txn(compares, apply);
+            TransactionOutcome::Applied => {
+                let result = self.kv_store.txn(compares, mutations);
                 self.digest_message(Channel::TransactionResult, &result);
                 Some(result)
             }
             TransactionOutcome::ResponseLost => {
-                let _ = self.kv_store.txn(compares, apply);
+                let _ = self.kv_store.txn(compares, mutations);
                 None
             }
-            TransactionOutcome::Late(span) => {
+            TransactionOutcome::Delayed(span) => {
                 let compares = compares.to_vec();
-                self.after(span, move |w| drop(w.kv_store.txn(&compares, apply)));
+                self.after(span, move |sim| {
+                    drop(sim.kv_store.txn(&compares, mutations))
+                });
                 None
             }
         }
@@ -222,7 +224,7 @@
         self.store_is_down()
             || self
                 .kv_store
-                .refused
+                .rejected_nodes
                 .get(&node)
                 .is_some_and(|until| self.now < *until)
     }
@@ -236,15 +238,15 @@
     pub fn expire_leases(&mut self) {
         if !self.store_is_down() {
             let now = self.now;
-            let over: Vec<u64> = self
+            let expired: Vec<u64> = self
                 .kv_store
                 .leases
                 .iter()
                 .filter(|(_, t)| **t <= now)
                 .map(|(id, _)| *id)
                 .collect();
-            for id in over {
-                self.kv_store.end_lease(id);
+            for id in expired {
+                self.kv_store.revoke_lease(id);
             }
         }
         self.after(Micros::from_millis(20), Simulation::expire_leases);
@@ -254,9 +256,9 @@
     pub(crate) fn begin_outage(&mut self, span: Micros) {
         let end = self.now + span;
         self.kv_store.outage_until = end;
-        self.at(end, |w| {
-            let until = w.now + w.lease_ttl;
-            for t in w.kv_store.leases.values_mut() {
+        self.at(end, |sim| {
+            let until = sim.now + sim.lease_ttl;
+            for t in sim.kv_store.leases.values_mut() {
                 *t = until;
             }
         });
--- a/crates/hopyoke-simulator/src/lookup.rs
+++ b/crates/hopyoke-simulator/src/lookup.rs
@@ -1,6 +1,6 @@
 //! Reads of a job's record at the store, wherever it is, as the daemon does them.
 
-use crate::api::{Answer, Reply};
+use crate::api::{Response, ResponseHandler};
 use crate::kv_store::{Entry, Value};
 use crate::{Host, Simulation};
 use hopyoke_consistency::deadline::must_read_side_by_side;
@@ -19,11 +19,11 @@
 }
 
 impl Lookup {
-    pub(crate) fn answer(&self) -> Answer {
+    pub(crate) fn response(&self) -> Response {
         match self {
-            Lookup::Unfinished(..) => Answer::Unfinished,
-            Lookup::Finished(end) => Answer::Finished(*end),
-            Lookup::Missing => Answer::Missing,
+            Lookup::Unfinished(..) => Response::Unfinished,
+            Lookup::Finished(end) => Response::Finished(*end),
+            Lookup::Missing => Response::Missing,
         }
     }
 }
@@ -35,41 +35,41 @@
 }
 
 /// What becomes of a lookup.
-type Then = Box<dyn FnOnce(&mut Simulation, Lookup)>;
+type LookupHandler = Box<dyn FnOnce(&mut Simulation, Lookup)>;
 
 /// Two reads under way at once.
-struct SideBySide {
+struct ParallelReads {
     job: Option<KeyRead>,
     end: Option<KeyRead>,
-    then: Option<Then>,
+    then: Option<LookupHandler>,
 }
 
 impl Simulation {
     /// Node `i` has no time for two reads in turn before a deadline.
-    pub(crate) fn must_read_side_by_side(&self, i: usize, deadline: Micros) -> bool {
+    pub(crate) fn must_read_in_parallel(&self, i: usize, deadline: Micros) -> bool {
         let latency = self.expected_latency(i, RequestKind::Read);
         must_read_side_by_side(latency, deadline - self.now)
     }
 
     /// Reads the final state of a job that is not among the unfinished ones.
-    pub(crate) fn look_up_ended(
+    pub(crate) fn look_up_terminal_state(
         &mut self,
         i: usize,
         process: u64,
         id: JobId,
         deadline: Micros,
-        reply: Reply,
+        respond: ResponseHandler,
     ) {
         if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
-            return reply(self, Answer::Finished(end));
+            return respond(self, Response::Finished(end));
         }
-        self.read(i, process, format!("end/{id}"), move |w, read| {
-            match w.final_state(i, &id, &read) {
-                Some(end) => reply(w, Answer::Finished(end)),
-                None => w.look_up(i, process, id, deadline, move |w, found| {
-                    reply(w, found.answer())
-                }),
-            }
+        self.read(i, process, format!("end/{id}"), move |sim, read| match sim
+            .observe_end_record(i, &id, &read)
+        {
+            Some(end) => respond(sim, Response::Finished(end)),
+            None => sim.look_up(i, process, id, deadline, move |sim, found| {
+                respond(sim, found.response())
+            }),
         });
     }
 
@@ -85,53 +85,53 @@
         if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
             return then(self, Lookup::Finished(end));
         }
-        if self.must_read_side_by_side(i, deadline) {
-            return self.look_up_side_by_side(i, process, id, Box::new(then));
+        if self.must_read_in_parallel(i, deadline) {
+            return self.look_up_in_parallel(i, process, id, Box::new(then));
         }
         self.read(
             i,
             process,
             format!("job/{id}"),
-            move |w, read| match unfinished(&read) {
-                Some(found) => then(w, found),
-                None => w.look_up_final(i, process, id, Box::new(then)),
+            move |sim, read| match unfinished_job(&read) {
+                Some(found) => then(sim, found),
+                None => sim.read_end_record(i, process, id, Box::new(then)),
             },
         );
     }
 
-    fn look_up_final(&mut self, i: usize, process: u64, id: JobId, then: Then) {
-        self.read(i, process, format!("end/{id}"), move |w, read| {
-            let found = w.final_state(i, &id, &read);
-            then(w, found.map_or(Lookup::Missing, Lookup::Finished));
+    fn read_end_record(&mut self, i: usize, process: u64, id: JobId, then: LookupHandler) {
+        self.read(i, process, format!("end/{id}"), move |sim, read| {
+            let found = sim.observe_end_record(i, &id, &read);
+            then(sim, found.map_or(Lookup::Missing, Lookup::Finished));
         });
     }
 
     /// Reads both records at once. That neither is there proves the job missing only if `end/` was read at a revision
     /// that is not older than that of `job/`: else it may have moved in between, and `end/` is read again.
-    fn look_up_side_by_side(&mut self, i: usize, process: u64, id: JobId, then: Then) {
-        let reads = Rc::new(RefCell::new(SideBySide {
+    fn look_up_in_parallel(&mut self, i: usize, process: u64, id: JobId, then: LookupHandler) {
+        let reads = Rc::new(RefCell::new(ParallelReads {
             job: None,
             end: None,
             then: Some(then),
         }));
         let (job_reads, job_id) = (reads.clone(), id.clone());
-        self.read(i, process, format!("job/{id}"), move |w, read| {
+        self.read(i, process, format!("job/{id}"), move |sim, read| {
             job_reads.borrow_mut().job = Some(read);
-            w.side_by_side_read(i, process, job_id, &job_reads);
+            sim.parallel_read_completed(i, process, job_id, &job_reads);
         });
-        self.read(i, process, format!("end/{id}"), move |w, read| {
+        self.read(i, process, format!("end/{id}"), move |sim, read| {
             reads.borrow_mut().end = Some(read);
-            w.side_by_side_read(i, process, id, &reads);
+            sim.parallel_read_completed(i, process, id, &reads);
         });
     }
 
     /// Goes on once both reads are answered.
-    fn side_by_side_read(
+    fn parallel_read_completed(
         &mut self,
         i: usize,
         process: u64,
         id: JobId,
-        reads: &Rc<RefCell<SideBySide>>,
+        reads: &Rc<RefCell<ParallelReads>>,
     ) {
         let (job, end, then) = {
             let mut reads = reads.borrow_mut();
@@ -143,24 +143,24 @@
         let (Some(job), Some(end), Some(then)) = (job, end, then) else {
             return;
         };
-        if let Some(state) = self.final_state(i, &id, &end) {
+        if let Some(state) = self.observe_end_record(i, &id, &end) {
             return then(self, Lookup::Finished(state));
         }
-        match unfinished(&job) {
+        match unfinished_job(&job) {
             Some(found) => then(self, found),
             None if end.revision >= job.revision => then(self, Lookup::Missing),
-            None => self.look_up_final(i, process, id, then),
+            None => self.read_end_record(i, process, id, then),
         }
     }
 
     /// The final state that was read, if it was there; from now on users may be told of it.
-    fn final_state(&mut self, i: usize, id: &JobId, read: &KeyRead) -> Option<JobState> {
+    fn observe_end_record(&mut self, i: usize, id: &JobId, read: &KeyRead) -> Option<JobState> {
         let entry = read.found.as_ref()?;
-        let Value::End(end) = &entry.value else {
+        let Value::EndRecord(end) = &entry.value else {
             return None;
         };
         let state = end.state;
-        self.found_ended(i, id, state, ModRevision(entry.mod_revision));
+        self.terminal_state_known(i, id, state, ModRevision(entry.mod_revision));
         Some(state)
     }
 
@@ -173,18 +173,18 @@
         then: impl FnOnce(&mut Simulation, KeyRead) + 'static,
     ) {
         let sent = self.now;
-        self.send(Host::Node(i), Host::KvStore, move |w| {
-            if w.store_rejects(i) || !w.store_accepts(0) {
+        self.send(Host::Node(i), Host::KvStore, move |sim| {
+            if sim.store_rejects(i) || !sim.store_accepts(0) {
                 return;
             }
             let read = KeyRead {
-                found: w.kv_store.keys.get(&key).cloned(),
-                revision: w.kv_store.revision,
+                found: sim.kv_store.entries.get(&key).cloned(),
+                revision: sim.kv_store.revision,
             };
-            w.send(Host::KvStore, Host::Node(i), move |w| {
-                if w.alive(i, process) {
-                    w.store_answered(i, RequestKind::Read, sent);
-                    then(w, read);
+            sim.send(Host::KvStore, Host::Node(i), move |sim| {
+                if sim.alive(i, process) {
+                    sim.store_answered(i, RequestKind::Read, sent);
+                    then(sim, read);
                 }
             });
         });
@@ -192,10 +192,10 @@
 }
 
 /// The record of an unfinished job, if it was there.
-fn unfinished(read: &KeyRead) -> Option<Lookup> {
+fn unfinished_job(read: &KeyRead) -> Option<Lookup> {
     let entry = read.found.as_ref()?;
     match &entry.value {
-        Value::Job(record) => Some(Lookup::Unfinished(
+        Value::JobRecord(record) => Some(Lookup::Unfinished(
             record.clone(),
             ModRevision(entry.mod_revision),
         )),
--- a/crates/hopyoke-simulator/src/network.rs
+++ b/crates/hopyoke-simulator/src/network.rs
@@ -49,7 +49,7 @@
     /// The node.
     pub(crate) node: usize,
     /// How long messages wait.
-    pub(crate) by: Micros,
+    pub(crate) delay: Micros,
     /// When the node has caught up.
     pub(crate) until: Micros,
 }
@@ -71,7 +71,7 @@
         let (inside, outside): (Vec<usize>, Vec<usize>) =
             (0..nodes).partition(|i| i % zones == zone);
         let others = (0..zones).filter(|z| *z != zone).map(Host::AgentsInZone);
-        let region: Vec<Host> = [Host::KvStore, Host::Cloud]
+        let outside_hosts: Vec<Host> = [Host::KvStore, Host::Cloud]
             .into_iter()
             .chain(outside.iter().copied().map(Host::Node))
             .chain(others)
@@ -82,8 +82,11 @@
             until,
             holds_packets,
         };
-        self.partitions
-            .extend(inside.into_iter().map(|node| partition(node, &region)));
+        self.partitions.extend(
+            inside
+                .into_iter()
+                .map(|node| partition(node, &outside_hosts)),
+        );
         let agents = [Host::AgentsInZone(zone)];
         self.partitions
             .extend(outside.into_iter().map(|node| partition(node, &agents)));
@@ -104,7 +107,7 @@
         handler: impl FnOnce(&mut Simulation) + 'static,
     ) {
         let latency = Micros(self.random(400, 6_000)) + self.delivery_delay(to);
-        let handler = move |w: &mut Simulation| w.handle_on(to, handler);
+        let handler = move |sim: &mut Simulation| sim.handle_on(to, handler);
         let fault = self.partition_between(from, to);
         match fault.map(|p| (p.holds_packets, p.until)) {
             Some((true, until)) => self.at(until + latency, handler),
@@ -118,7 +121,7 @@
         match host {
             Host::Node(i) if self.is_paused(i) => {
                 let until = self.paused_nodes[&i];
-                self.at(until, move |w| w.handle_on(host, handler));
+                self.at(until, move |sim| sim.handle_on(host, handler));
             }
             _ => handler(self),
         }
@@ -138,19 +141,19 @@
         span: Micros,
         handler: impl FnOnce(&mut Simulation) + 'static,
     ) {
-        self.after(span, move |w| w.handle_on(Host::Node(i), handler));
+        self.after(span, move |sim| sim.handle_on(Host::Node(i), handler));
     }
 
     /// How long messages to a host wait before they are handled.
     pub(crate) fn delivery_delay(&self, to: Host) -> Micros {
         let now = self.now;
-        if to == Host::KvStore && now < self.kv_store.slow.1 {
-            return self.kv_store.slow.0;
+        if to == Host::KvStore && now < self.kv_store.request_delay.1 {
+            return self.kv_store.request_delay.0;
         }
         let delays = self
             .delivery_delays
             .iter()
-            .filter(|l| Host::Node(l.node) == to && now < l.until);
-        delays.map(|l| l.by).max().unwrap_or(Micros::ZERO)
+            .filter(|d| Host::Node(d.node) == to && now < d.until);
+        delays.map(|d| d.delay).max().unwrap_or(Micros::ZERO)
     }
 }
--- a/crates/hopyoke-simulator/src/node/commands.rs
+++ b/crates/hopyoke-simulator/src/node/commands.rs
@@ -78,7 +78,7 @@
         if self.draws_fault(self.delayed_commands) {
             let late = Micros(self.random(2_000_000, 16_000_000));
             // They reach the agent, whoever leads by then; nobody waits for the response.
-            return self.on_machine(&machine.clone(), late, move |w| {
+            return self.schedule_on_machine(&machine.clone(), late, move |w| {
                 w.log(|| format!("{machine} receives commands of token {} late", token.0));
                 w.receive_pushed_commands(&machine, token, epoch, commands);
             });
--- a/crates/hopyoke-simulator/src/node/election.rs
+++ b/crates/hopyoke-simulator/src/node/election.rs
@@ -100,7 +100,7 @@
         {
             return self.send(Host::KvStore, Host::Node(i), completed);
         }
-        let holder = match self.kv_store.keys.get("leader") {
+        let holder = match self.kv_store.entries.get("leader") {
             Some(e) => match e.value {
                 Value::LeaseHolder(h) => Some((h, e.mod_revision)),
                 _ => None,
@@ -122,7 +122,7 @@
             }
         };
         let until = self.now + self.lease_ttl;
-        let lease = self.kv_store.grant(until);
+        let lease = self.kv_store.grant_lease(until);
         let put = Mutation::Put("leader".into(), Value::LeaseHolder(i), Some(lease));
         match self.transact(&[("leader".into(), mod_revision)], vec![put]) {
             // A leader's campaign stays pending as long as its process lives: it never grants lease support.
@@ -160,7 +160,7 @@
                     w.revoke_lease(i, process, lease)
                 });
             }
-            w.kv_store.end_lease(lease);
+            w.kv_store.revoke_lease(lease);
             w.send(Host::KvStore, Host::Node(i), move |w| {
                 w.campaign_completed(i, process)
             });
--- a/crates/hopyoke-simulator/src/node/failover.rs
+++ b/crates/hopyoke-simulator/src/node/failover.rs
@@ -31,16 +31,16 @@
     /// Reads the registry, or a page of jobs; true if there is more.
     fn take_page(&mut self, store: &KvStore, max_records: usize) -> bool {
         let Some(last) = self.last.take() else {
-            for (key, e) in &store.keys {
+            for (key, e) in &store.entries {
                 match (&e.value, key.split_once('/')) {
-                    (Value::Page(p), Some((_, k))) => {
+                    (Value::RegistryPage(p), Some((_, k))) => {
                         self.registry.push((
                             k.to_owned(),
                             ModRevision(e.mod_revision),
                             Some(p.clone()),
                         ));
                     }
-                    (Value::Learned(p), Some((_, k))) => {
+                    (Value::RunTimesPage(p), Some((_, k))) => {
                         self.learned.push((k.to_owned(), p.clone()))
                     }
                     _ => {}
@@ -51,9 +51,9 @@
         };
         self.revision.get_or_insert(ModRevision(store.revision));
         let after = (Bound::Excluded(last), Bound::Excluded("job0".to_owned()));
-        let mut found = store.keys.range(after);
+        let mut found = store.entries.range(after);
         for (key, e) in found.by_ref().take(max_records) {
-            if let Value::Job(r) = &e.value {
+            if let Value::JobRecord(r) = &e.value {
                 self.jobs.push((
                     JobId::new(&key[4..]),
                     r.clone(),
@@ -109,10 +109,9 @@
                     }
                 });
             }
-            let page = w
-                .limits
-                .as_ref()
-                .map_or(RECORDS_PER_PAGE, |l| if l.unpaced { 200 } else { 400 });
+            let page = w.limits.as_ref().map_or(RECORDS_PER_PAGE, |l| {
+                if l.nodes_unlimited { 200 } else { 400 }
+            });
             let more = r.take_page(&w.kv_store, page);
             w.send(Host::KvStore, Host::Node(i), move |w| {
                 if !w.may_take_over(i, process, r.lease) {
--- a/crates/hopyoke-simulator/src/node/heartbeats.rs
+++ b/crates/hopyoke-simulator/src/node/heartbeats.rs
@@ -66,7 +66,7 @@
             return;
         }
         let now = self.now;
-        let listed = self.cloud_list();
+        let listed = self.list_machines();
         if let Some(l) = self.leadership(i, process) {
             l.scheduler.instances_listed(&listed, now);
         }
--- a/crates/hopyoke-simulator/src/node/mod.rs
+++ b/crates/hopyoke-simulator/src/node/mod.rs
@@ -120,7 +120,7 @@
         let limits_of_node = self
             .limits
             .as_ref()
-            .map(|l| l.limits_of_node(nodes, &self.config.teams, now));
+            .map(|l| l.node_limits(nodes, &self.config.teams, now));
         let n = &mut self.nodes[i];
         n.limits_of_node = limits_of_node;
         n.up = true;
--- a/crates/hopyoke-simulator/src/node/persist.rs
+++ b/crates/hopyoke-simulator/src/node/persist.rs
@@ -39,7 +39,7 @@
                 compares.push((format!("job/{job}"), mod_revision.0));
                 mutations.push(Mutation::Put(
                     format!("job/{job}"),
-                    Value::Job(record.clone()),
+                    Value::JobRecord(record.clone()),
                     None,
                 ));
             }
@@ -50,7 +50,11 @@
             } => {
                 compares.push((format!("job/{job}"), mod_revision.0));
                 mutations.push(Mutation::Delete(format!("job/{job}")));
-                mutations.push(Mutation::Put(format!("end/{job}"), Value::End(*end), None));
+                mutations.push(Mutation::Put(
+                    format!("end/{job}"),
+                    Value::EndRecord(*end),
+                    None,
+                ));
             }
             Write::Page {
                 key,
@@ -59,13 +63,15 @@
             } => {
                 compares.push((format!("fleet/{key}"), mod_revision.0));
                 mutations.push(match page {
-                    Some(p) => Mutation::Put(format!("fleet/{key}"), Value::Page(p.clone()), None),
+                    Some(p) => {
+                        Mutation::Put(format!("fleet/{key}"), Value::RegistryPage(p.clone()), None)
+                    }
                     None => Mutation::Delete(format!("fleet/{key}")),
                 });
             }
             Write::LearnedRunTimes { key, page } => mutations.push(Mutation::Put(
                 format!("learn/{key}"),
-                Value::Learned(page.clone()),
+                Value::RunTimesPage(page.clone()),
                 None,
             )),
             Write::DeletePage { key } => mutations.push(Mutation::Delete(format!("fleet/{key}"))),
--- a/crates/hopyoke-simulator/src/node/record_watch.rs
+++ b/crates/hopyoke-simulator/src/node/record_watch.rs
@@ -102,9 +102,9 @@
             .iter()
             .filter(|(_, k, _)| k.starts_with("job/"))
         {
-            let record = match self.kv_store.keys.get(key) {
+            let record = match self.kv_store.entries.get(key) {
                 Some(crate::kv_store::Entry {
-                    value: Value::Job(r),
+                    value: Value::JobRecord(r),
                     mod_revision: m,
                     ..
                 }) if m == mod_revision => Some(r.clone()),
--- a/crates/hopyoke-simulator/src/node/scheduling.rs
+++ b/crates/hopyoke-simulator/src/node/scheduling.rs
@@ -220,9 +220,9 @@
             }
         });
         self.send(Host::Node(i), Host::KvStore, move |w| {
-            let found = match w.kv_store.keys.get(&format!("job/{job}")) {
+            let found = match w.kv_store.entries.get(&format!("job/{job}")) {
                 Some(Entry {
-                    value: Value::Job(r),
+                    value: Value::JobRecord(r),
                     mod_revision,
                     ..
                 }) => Some((r.clone(), ModRevision(*mod_revision))),
--- a/crates/hopyoke-simulator/src/scenario/expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/expectations.rs
@@ -98,8 +98,8 @@
 ) -> Result<(), String> {
     let limits = w.limits.as_ref();
     let limits = limits.ok_or("the state service has no limits here")?;
-    let all = (limits.refused + limits.taken).max(1);
-    let percent = limits.refused as f64 * 100.0 / all as f64;
+    let all = (limits.rejected_count + limits.accepted_count).max(1);
+    let percent = limits.rejected_count as f64 * 100.0 / all as f64;
     let is_met = what == "most" && percent <= number(next_word(words));
     met(is_met, || {
         format!("{percent:.1}% of the requests were refused")
--- a/crates/hopyoke-simulator/src/scenario/job_expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/job_expectations.rs
@@ -30,13 +30,13 @@
                 format!("its user was told: {observed}")
             })
         }
-        "unfinished" => met(w.end_of(id).is_none(), || "it is over".into()),
-        "cancelled" => met(w.end_of(id) == Some(JobState::Cancelled), || {
+        "unfinished" => met(w.terminal_state(id).is_none(), || "it is over".into()),
+        "cancelled" => met(w.terminal_state(id) == Some(JobState::Cancelled), || {
             "not cancelled".into()
         }),
         "running" => {
             let n = number(next_word(words)) as usize;
-            let running = w.running(id);
+            let running = w.running_task_count(id);
             met(running == n, || format!("{running} of its tasks run"))
         }
         "starts" => {
@@ -56,7 +56,7 @@
 /// `expect JOB done [by SECONDS]`: recorded as done, its last task ended by then.
 fn expect_done(w: &Simulation, id: &JobId, words: &mut Words<'_>) -> Result<(), String> {
     let job = w.jobs.get(id).ok_or("no such job")?;
-    if w.end_of(id) != Some(JobState::Done) {
+    if w.terminal_state(id) != Some(JobState::Done) {
         let n = job.done.iter().filter(|d| **d).count();
         return Err(format!(
             "not recorded as done; {n} of {} tasks are",
@@ -64,7 +64,7 @@
         ));
     }
     if let (Some(&"by"), Some(t)) = (words.next(), words.next()) {
-        let at = w.done_after(id).unwrap_or_default();
+        let at = w.completed_at(id).unwrap_or_default();
         return met(at <= seconds(t), || {
             format!("done only at {:.1} s", at.as_secs_f64())
         });
@@ -75,7 +75,7 @@
 /// `expect when JOB LOW HIGH`, `expect when TEAM GPUS ZONE|any LOW HIGH`: the median wait that the
 /// leader predicts, in seconds; `... error WORD`: why it can't predict it.
 pub(super) fn expect_when(w: &Simulation, what: &str, words: &mut Words<'_>) -> Result<(), String> {
-    let leader = w.leadership_of_leader().ok_or("nobody leads")?;
+    let leader = w.current_leadership().ok_or("nobody leads")?;
     let found = if what.starts_with("req-") {
         leader.scheduler.estimate_job_end(&JobId::new(what), w.now)
     } else {
@@ -110,7 +110,7 @@
     class: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
-    let leader = w.leadership_of_leader().ok_or("nobody leads")?;
+    let leader = w.current_leadership().ok_or("nobody leads")?;
     let pairs = BTreeMap::from([("class", class)]);
     let mut spec = (*job(&JobId::new("req-0"), "array", &pairs).spec).clone();
     spec.estimate_s = 0.0;
--- a/crates/hopyoke-simulator/src/scenario/network_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/network_faults.rs
@@ -29,10 +29,10 @@
             w.partition_zone(zone.expect("a known zone"), until, has_held_packets(&pairs));
         }
         "lag" => {
-            let (selector, by) = (next_word(words), seconds(next_word(words)));
+            let (selector, delay) = (next_word(words), seconds(next_word(words)));
             let until = fault_end(w, words);
             for node in nodes(w, selector) {
-                w.delivery_delays.push(DeliveryDelay { node, by, until });
+                w.delivery_delays.push(DeliveryDelay { node, delay, until });
             }
         }
         "freeze" => {
--- a/crates/hopyoke-simulator/src/scenario/service_expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/service_expectations.rs
@@ -15,7 +15,7 @@
             && j.observed_end.is_none()
             && j.start_count == 0
     };
-    let scheduler = w.leadership_of_leader().map(|l| &l.scheduler);
+    let scheduler = w.current_leadership().map(|l| &l.scheduler);
     let reason = |id: &JobId| {
         scheduler.map_or("no leader", |c| {
             c.jobs.get(id).map_or("unknown", |j| {
--- a/crates/hopyoke-simulator/src/scenario/setup.rs
+++ b/crates/hopyoke-simulator/src/scenario/setup.rs
@@ -1,7 +1,7 @@
 //! Setup of a scenario: the simulated cluster, the settings of the scheduler and the machines at the beginning.
 
 use super::parser::{Words, key_values, next_word, number, seconds};
-use crate::limits::Limits;
+use crate::limits::StoreLimits;
 use crate::{START_TIME_OF_DAY, Simulation};
 use hopyoke_calendar::{Calendar, HoldSelector, StaffedHours};
 use hopyoke_protocol::cloud::MachineType;
@@ -160,7 +160,7 @@
 fn set_store_limits(w: &mut Simulation, words: &mut Words<'_>) {
     let (requests, changes) = (number(next_word(words)), number(next_word(words)));
     let is_unpaced = words.next() == Some(&"unpaced");
-    w.limits = Some(Limits::new(requests, changes, is_unpaced));
+    w.limits = Some(StoreLimits::new(requests, changes, is_unpaced));
     // With so many users, checks of all invariants at every event would take minutes.
     w.exhaustive_checks = false;
     for i in 0..w.nodes.len() {
--- a/crates/hopyoke-simulator/src/scenario/store_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/store_faults.rs
@@ -10,19 +10,19 @@
     match name {
         "boots" => {
             let factor = number(next_word(words));
-            w.cloud.slow = Some((factor, fault_end(w, words)));
+            w.cloud.slow_boots = Some((factor, fault_end(w, words)));
         }
         "duds" => w.failed_boots_left = number(next_word(words)) as u32,
         "old_lists" => w.cloud.stale_lists_until = fault_end(w, words),
         "slow_state" => {
             let by = seconds(next_word(words));
-            w.kv_store.slow = (by, fault_end(w, words));
+            w.kv_store.request_delay = (by, fault_end(w, words));
         }
         "refuse" => {
             let selector = next_word(words);
             let until = fault_end(w, words);
             for node in nodes(w, selector) {
-                w.kv_store.refused.insert(node, until);
+                w.kv_store.rejected_nodes.insert(node, until);
             }
         }
         "outage" => w.begin_outage(seconds(next_word(words))),
@@ -46,7 +46,7 @@
     let slot = match name {
         "lost_answers" => &mut w.kv_store.lost_responses,
         "lost_renewals" => &mut w.kv_store.lost_renewals,
-        "late_writes" => &mut w.kv_store.late_writes,
+        "late_writes" => &mut w.kv_store.delayed_writes,
         "late_commands" => &mut w.delayed_commands,
         "held_reports" => &mut w.heartbeats_for_next_leader.held,
         _ if next.is_some() => &mut w.heartbeats_for_next_leader.copied,
--- a/crates/hopyoke-simulator/src/scenario/workload.rs
+++ b/crates/hopyoke-simulator/src/scenario/workload.rs
@@ -39,7 +39,7 @@
             let max_jobs = number(next_word(words)) as usize;
             let pairs = key_values(words);
             let hang = pairs.get("hang").map_or(Micros::ZERO, |s| seconds(s));
-            w.cancel_now(max_jobs, hang);
+            w.cancel_running_jobs(max_jobs, hang);
         }
         "odd_requests" => {
             w.user_behavior.malformed_requests_until = fault_end(w, words);
--- a/crates/hopyoke-simulator/src/simulation.rs
+++ b/crates/hopyoke-simulator/src/simulation.rs
@@ -5,7 +5,7 @@
 use crate::digest::{Channel, Digest};
 use crate::event_queue::EventQueue;
 use crate::kv_store::{FaultWindow, HeartbeatsForNextLeader, KvStore};
-use crate::limits::Limits;
+use crate::limits::StoreLimits;
 use crate::node::{Leadership, Node};
 use crate::users::UserBehavior;
 use crate::{DeliveryDelay, JobGroundTruth, NetworkPartition};
@@ -65,7 +65,7 @@
     /// Nodes whose processes are paused, and until when.
     pub(crate) paused_nodes: BTreeMap<usize, Micros>,
     /// Rates that the key-value store accepts; `None`: any.
-    pub(crate) limits: Option<Limits>,
+    pub(crate) limits: Option<StoreLimits>,
     /// Users give up so long after their first submission; `None`: never.
     pub(crate) submission_timeout: Option<Micros>,
     /// Until when a node has no socket left for connections of its own to agents.
@@ -235,12 +235,12 @@
     }
 
     /// What the first node that leads knows.
-    pub(crate) fn leadership_of_leader(&self) -> Option<&Leadership> {
+    pub(crate) fn current_leadership(&self) -> Option<&Leadership> {
         self.nodes.iter().find_map(|n| n.leadership.as_ref())
     }
 
     /// The scheduler of the first node that leads.
-    pub fn leading_scheduler(&self) -> Option<&Scheduler> {
-        self.leadership_of_leader().map(|l| &l.scheduler)
+    pub fn leader_scheduler(&self) -> Option<&Scheduler> {
+        self.current_leadership().map(|l| &l.scheduler)
     }
 }
--- a/crates/hopyoke-simulator/src/user_observations.rs
+++ b/crates/hopyoke-simulator/src/user_observations.rs
@@ -2,7 +2,7 @@
 //! whatever node gave either.
 
 use super::Simulation;
-use super::api::{Answer, Request};
+use super::api::{Request, Response};
 use super::digest::Channel;
 use hopyoke_protocol::user::JobState;
 use hopyoke_types::{JobId, Micros};
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ObservedState {
     accepted: bool,
-    over: Option<JobState>,
+    end: Option<JobState>,
 }
 
 impl Simulation {
@@ -20,47 +20,48 @@
         let job = self.jobs.get(id);
         ObservedState {
             accepted: job.is_some_and(|j| j.accepted_at.is_some()),
-            over: job.and_then(|j| j.observed_end),
+            end: job.and_then(|j| j.observed_end),
         }
     }
 
     /// A user receives an answer to a request that began when so much was known.
-    pub(crate) fn observe_answer(
+    pub(crate) fn observe_response(
         &mut self,
         id: &JobId,
         request: Request,
         observed_state: ObservedState,
-        answer: Answer,
+        response: Response,
     ) {
-        if matches!(answer, Answer::RetryAfter(_)) {
+        if matches!(response, Response::RetryAfter(_)) {
             return;
         }
-        let code = match answer {
-            Answer::Unfinished => 1,
-            Answer::Finished(JobState::Done) => 2,
-            Answer::Finished(JobState::Cancelled) => 3,
-            Answer::Finished(_) => 4,
-            Answer::Missing => 5,
-            Answer::Malformed => 6,
-            Answer::NeverRuns => 7,
-            Answer::RetryAfter(_) => 8,
+        let code = match response {
+            Response::Unfinished => 1,
+            Response::Finished(JobState::Done) => 2,
+            Response::Finished(JobState::Cancelled) => 3,
+            Response::Finished(_) => 4,
+            Response::Missing => 5,
+            Response::Malformed => 6,
+            Response::Unschedulable => 7,
+            Response::RetryAfter(_) => 8,
         };
         self.digest_bytes(Channel::UserAnswer, &[code]);
         self.digest_bytes(Channel::UserAnswer, id.as_str().as_bytes());
         let now = self.now;
-        if let Some((rule, why)) = self.violation_in(id, request, observed_state, answer) {
-            self.record_violation(rule, format!("{id}: {why}"));
+        if let Some((rule, reason)) = self.response_violation(id, request, observed_state, response)
+        {
+            self.record_violation(rule, format!("{id}: {reason}"));
         }
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let end = match answer {
-            Answer::Finished(end) => Some(end),
-            Answer::Unfinished => None,
+        let end = match response {
+            Response::Finished(end) => Some(end),
+            Response::Unfinished => None,
             _ => return,
         };
-        job.last_answer_at = now;
-        let is_change = job.accepted_at.is_none() || (end.is_some() && job.observed_end.is_none());
+        job.last_response_at = now;
+        let changed = job.accepted_at.is_none() || (end.is_some() && job.observed_end.is_none());
         let first = job
             .accepted_at
             .replace(job.accepted_at.unwrap_or(now))
@@ -73,56 +74,58 @@
         }
         if first && self.limits.is_none() {
             let id = id.clone();
-            self.after(Micros::from_secs(1), move |w| w.poll(id));
+            self.after(Micros::from_secs(1), move |sim| sim.poll(id));
         }
-        if is_change {
-            self.news_observed(id, end);
+        if changed {
+            self.job_progress_observed(id, end);
         }
     }
 
     /// The rule that an answer breaks, and why.
-    fn violation_in(
+    fn response_violation(
         &self,
         id: &JobId,
         request: Request,
         observed_state: ObservedState,
-        answer: Answer,
+        response: Response,
     ) -> Option<(&'static str, String)> {
         let Some(job) = self.jobs.get(id) else {
-            let ok = matches!(answer, Answer::Unfinished | Answer::Finished(_));
+            let ok = matches!(response, Response::Unfinished | Response::Finished(_));
             return ok.then(|| {
                 (
                     "invented",
-                    format!("nobody submitted it, and a {request:?} gets {answer:?}"),
+                    format!("nobody submitted it, and a {request:?} gets {response:?}"),
                 )
             });
         };
-        match answer {
-            Answer::Missing | Answer::Malformed | Answer::NeverRuns if observed_state.accepted => {
+        match response {
+            Response::Missing | Response::Malformed | Response::Unschedulable
+                if observed_state.accepted =>
+            {
                 Some((
                     "forgotten",
-                    format!("accepted, and a {request:?} gets {answer:?}"),
+                    format!("accepted, and a {request:?} gets {response:?}"),
                 ))
             }
-            Answer::Unfinished | Answer::Finished(_) if job.malformed_body.is_some() => {
-                Some(("accepted_odd", format!("a {request:?} gets {answer:?}")))
+            Response::Unfinished | Response::Finished(_) if job.malformed_body.is_some() => {
+                Some(("accepted_odd", format!("a {request:?} gets {response:?}")))
             }
-            Answer::Unfinished => {
-                let over = observed_state.over?;
+            Response::Unfinished => {
+                let end = observed_state.end?;
                 Some((
                     "went_back",
-                    format!("was called {over:?}, and a {request:?} gets {answer:?}"),
+                    format!("was called {end:?}, and a {request:?} gets {response:?}"),
                 ))
             }
             // Final states exclude each other in whatever order their answers come.
-            Answer::Finished(end) if job.observed_end.is_some_and(|t| t != end) => Some((
+            Response::Finished(end) if job.observed_end.is_some_and(|t| t != end) => Some((
                 "went_back",
                 format!(
                     "was called {:?}, and a {request:?} gets {end:?}",
                     job.observed_end
                 ),
             )),
-            Answer::Finished(JobState::Cancelled)
+            Response::Finished(JobState::Cancelled)
                 if !job.cancel_requested && !job.is_workflow_step =>
             {
                 Some((
@@ -130,8 +133,8 @@
                     "its user did not cancel it, and it is called cancelled".to_owned(),
                 ))
             }
-            Answer::Finished(JobState::Done) if !job.done.iter().all(|d| *d) => {
-                Some(("not_done", format!("a {request:?} gets {answer:?}")))
+            Response::Finished(JobState::Done) if !job.done.iter().all(|d| *d) => {
+                Some(("not_done", format!("a {request:?} gets {response:?}")))
             }
             _ => None,
         }
--- a/crates/hopyoke-simulator/src/users.rs
+++ b/crates/hopyoke-simulator/src/users.rs
@@ -1,7 +1,7 @@
 //! Users: they submit, poll and cancel as the protocol describes it, and by faults of theirs concurrently or
 //! with malformed requests.
 
-use super::api::{Answer, Request};
+use super::api::{Request, Response};
 use super::kv_store::FaultWindow;
 use super::{JobGroundTruth, Simulation};
 use hopyoke_protocol::user::{JobKind, JobSpec, JobState};
@@ -40,41 +40,41 @@
 
 impl Simulation {
     /// A user sends a request to a node; `then` sees the answer, if one comes in time.
-    pub(crate) fn ask(
+    pub(crate) fn send_request(
         &mut self,
         i: usize,
         id: &JobId,
         request: Request,
-        then: impl FnOnce(&mut Simulation, Answer) + 'static,
+        then: impl FnOnce(&mut Simulation, Response) + 'static,
     ) {
         let (observed_state, sent, id) = (self.observed_state(id), self.now, id.clone());
-        let limit = if request == Request::Poll {
+        let timeout = if request == Request::Poll {
             POLL_TIMEOUT
         } else {
             REQUEST_TIMEOUT
         };
-        let way = Micros(self.random(200, 2_000)) + self.delivery_delay(super::Host::Node(i));
-        self.timer(i, way, move |w| {
-            if !w.nodes[i].up {
+        let latency = Micros(self.random(200, 2_000)) + self.delivery_delay(super::Host::Node(i));
+        self.timer(i, latency, move |sim| {
+            if !sim.nodes[i].up {
                 return;
             }
-            let process = w.nodes[i].process;
+            let process = sim.nodes[i].process;
             let job = id.clone();
-            let reply = move |w: &mut Simulation, answer: Answer| {
-                if !w.alive(i, process) {
+            let respond = move |sim: &mut Simulation, response: Response| {
+                if !sim.alive(i, process) {
                     return;
                 }
-                let way = Micros(w.random(200, 2_000));
-                w.after(way, move |w| {
-                    if w.now > sent + limit {
+                let latency = Micros(sim.random(200, 2_000));
+                sim.after(latency, move |sim| {
+                    if sim.now > sent + timeout {
                         return;
                     }
-                    w.log(|| format!("node {i} answers a {request:?} of {id}: {answer:?}"));
-                    w.observe_answer(&id, request, observed_state, answer);
-                    then(w, answer);
+                    sim.log(|| format!("node {i} answers a {request:?} of {id}: {response:?}"));
+                    sim.observe_response(&id, request, observed_state, response);
+                    then(sim, response);
                 });
             };
-            w.take_request(i, job, request, Box::new(reply));
+            sim.handle_request(i, job, request, Box::new(respond));
         });
     }
 
@@ -111,14 +111,14 @@
             1_500_000
         };
         let retry_at = self.now + Micros(pause);
-        self.ask(i, &id, Request::Submit, move |w, answer| {
-            if matches!(answer, Answer::Malformed | Answer::NeverRuns)
-                && let Some(job) = w.jobs.get_mut(&job)
+        self.send_request(i, &id, Request::Submit, move |sim, response| {
+            if matches!(response, Response::Malformed | Response::Unschedulable)
+                && let Some(job) = sim.jobs.get_mut(&job)
             {
                 job.is_rejected = true;
             }
         });
-        self.at(retry_at, move |w| w.submit(id));
+        self.at(retry_at, move |sim| sim.submit(id));
     }
 
     /// A user cancels a job and repeats that until it gets the job's final state.
@@ -128,8 +128,8 @@
         };
         job.cancel_requested = true;
         let i = self.pick_node();
-        self.ask(i, &id, Request::Cancel, |_, _| {});
-        self.after(Micros::from_millis(1500), move |w| w.cancel(id));
+        self.send_request(i, &id, Request::Cancel, |_, _| {});
+        self.after(Micros::from_millis(1500), move |sim| sim.cancel(id));
     }
 
     /// A user asks about a job, every few seconds until it is over, and now and then later on.
@@ -143,49 +143,51 @@
             5_000_000
         };
         let i = self.pick_node();
-        self.ask(i, &id, Request::Poll, |_, _| {});
-        self.after(Micros(pause), move |w| w.poll(id));
+        self.send_request(i, &id, Request::Poll, |_, _| {});
+        self.after(Micros(pause), move |sim| sim.poll(id));
     }
 
     /// A job's user first gets to know that it is accepted, or over. With concurrent reads it polls every node within
     /// milliseconds, several times, and repeats the submission; some cancel at once.
-    pub(crate) fn news_observed(&mut self, id: &JobId, end: Option<JobState>) {
+    pub(crate) fn job_progress_observed(&mut self, id: &JobId, end: Option<JobState>) {
         if self.now >= self.user_behavior.concurrent_reads_until {
             return;
         }
         for i in 0..self.nodes.len() {
             for request in [Request::Poll, Request::Poll, Request::Poll, Request::Submit] {
                 let (id, wait) = (id.clone(), Micros(self.random(0, 80_000)));
-                self.after(wait, move |w| w.ask(i, &id, request, |_, _| {}));
+                self.after(wait, move |sim| {
+                    sim.send_request(i, &id, request, |_, _| {})
+                });
             }
         }
         if end.is_none() && self.random(0, 3) == 0 {
             let (id, wait) = (id.clone(), Micros(self.random(0, 20_000)));
-            self.after(wait, move |w| w.cancel(id));
+            self.after(wait, move |sim| sim.cancel(id));
         }
     }
 
     /// A task ends after `left`, if nothing comes between: its user may call just before.
-    pub(crate) fn task_ends_in(&mut self, task: &TaskId, left: Micros) {
+    pub(crate) fn schedule_cancel_at_end(&mut self, task: &TaskId, left: Micros) {
         let task = task.clone();
-        self.after(left.max(CANCEL_LEAD_TIME) - CANCEL_LEAD_TIME, move |w| {
-            let open = w
+        self.after(left.max(CANCEL_LEAD_TIME) - CANCEL_LEAD_TIME, move |sim| {
+            let unfinished = sim
                 .jobs
                 .get(&task.job)
                 .map_or(0, |j| j.done.iter().filter(|d| !**d).count());
-            let gang = w
+            let gang = sim
                 .jobs
                 .get(&task.job)
                 .is_some_and(|j| j.spec.kind == JobKind::Gang);
-            if gang || open == 1 {
-                w.job_ending(&task.job);
+            if gang || unfinished == 1 {
+                sim.cancel_at_job_end(&task.job);
             }
         });
     }
 
     /// A job's last task ends now: some users cancel it, ask everywhere and repeat the submission just then, or
     /// when its end is being recorded.
-    pub(crate) fn job_ending(&mut self, id: &JobId) {
+    pub(crate) fn cancel_at_job_end(&mut self, id: &JobId) {
         let FaultWindow { percent, until } = self.user_behavior.cancel_at_end;
         let drawn = self.now < until
             && self
@@ -205,17 +207,19 @@
         }
         let span = [20_000, 800_000][self.random(0, 1) as usize];
         let (job, wait) = (id.clone(), Micros(self.random(0, span)));
-        self.after(wait, move |w| w.cancel(job));
+        self.after(wait, move |sim| sim.cancel(job));
         for i in 0..self.nodes.len() {
             for request in [Request::Poll, Request::Poll, Request::Submit] {
                 let (id, wait) = (id.clone(), Micros(self.random(0, span)));
-                self.after(wait, move |w| w.ask(i, &id, request, |_, _| {}));
+                self.after(wait, move |sim| {
+                    sim.send_request(i, &id, request, |_, _| {})
+                });
             }
         }
     }
 
     /// Users call off jobs that run and have long to go, at once; some of their machines hang for a while.
-    pub(crate) fn cancel_now(&mut self, max_jobs: usize, hang: Micros) {
+    pub(crate) fn cancel_running_jobs(&mut self, max_jobs: usize, hang_duration: Micros) {
         let now = self.now;
         let mut running: BTreeMap<JobId, Vec<MachineId>> = BTreeMap::new();
         for m in self.machines.values() {
@@ -227,9 +231,10 @@
                 let Some(job) = self.jobs.get(&task.job) else {
                     continue;
                 };
-                let long = job.spec.kind == JobKind::Service
-                    || job.run_time > job.checkpointed + (now - t.started) + MIN_REMAINING_RUN_TIME;
-                if long && job.observed_end.is_none() && !job.cancel_requested {
+                let is_long_running = job.spec.kind == JobKind::Service
+                    || job.run_time
+                        > job.checkpointed_progress + (now - t.started_at) + MIN_REMAINING_RUN_TIME;
+                if is_long_running && job.observed_end.is_none() && !job.cancel_requested {
                     running
                         .entry(task.job.clone())
                         .or_default()
@@ -237,7 +242,7 @@
                 }
             }
         }
-        let mut paused_until = 0;
+        let mut hanging = 0;
         for _ in 0..max_jobs.min(running.len()) {
             let at = self.random(0, running.len() as u64 - 1) as usize;
             let Some(id) = running.keys().nth(at).cloned() else {
@@ -247,15 +252,15 @@
                 if let Some(m) = self
                     .machines
                     .get_mut(&m)
-                    .filter(|m| hang.0 > 0 && m.hangs_until < now + hang)
-                    && paused_until < MAX_HANGING_MACHINES
+                    .filter(|m| hang_duration.0 > 0 && m.hangs_until < now + hang_duration)
+                    && hanging < MAX_HANGING_MACHINES
                 {
-                    m.hangs_until = now + hang;
-                    paused_until += 1;
+                    m.hangs_until = now + hang_duration;
+                    hanging += 1;
                 }
             }
             let wait = Micros(self.random(0, CANCEL_SPREAD));
-            self.after(wait, move |w| w.cancel(id));
+            self.after(wait, move |sim| sim.cancel(id));
         }
     }
 
@@ -270,12 +275,12 @@
                 if let Some(id) =
                     self.pick_job(|j| j.accepted_at.is_some() && j.observed_end.is_none())
                 {
-                    self.ask(i, &id, Request::Submit, |_, _| {});
+                    self.send_request(i, &id, Request::Submit, |_, _| {});
                 }
             }
             1 => {
                 if let Some(id) = self.pick_job(|j| j.observed_end == Some(JobState::Done)) {
-                    self.ask(i, &id, Request::Cancel, |_, _| {});
+                    self.send_request(i, &id, Request::Cancel, |_, _| {});
                 }
             }
             2 => self.submit_malformed(),
@@ -283,7 +288,7 @@
                 // Nobody ever submits these.
                 let id = JobId::new(&format!("req-{}", 990_000 + self.random(0, 9_999)));
                 let request = [Request::Poll, Request::Cancel][self.random(0, 1) as usize];
-                self.ask(i, &id, request, |_, _| {});
+                self.send_request(i, &id, request, |_, _| {});
             }
         }
         let pause = Micros(self.random(100_000, 700_000));
@@ -316,7 +321,7 @@
             .cloned()
             .unwrap_or_default();
         let mut spec = JobSpec::with_defaults(id.clone(), "c", &team.name, "img-1");
-        let mut lacks = None;
+        let mut missing_field = None;
         match self.random(0, 9) {
             0 => spec.cpus = 1e6,
             1 => spec.machine_types = Some(vec!["none".to_owned()]),
@@ -335,22 +340,24 @@
             7 => spec.tasks = 0,
             8 => spec.memory_gb = f64::NAN,
             _ => {
-                lacks = Some(["crew", "oars", "cpus", "cargo", "apart"][self.random(0, 4) as usize])
+                missing_field =
+                    Some(["crew", "oars", "cpus", "cargo", "apart"][self.random(0, 4) as usize])
             }
         }
         let mut body = encode(&spec);
-        if let (Some(field), Ok(mut map)) =
-            (lacks, decode::<BTreeMap<String, serde_json::Value>>(&body))
-        {
+        if let (Some(field), Ok(mut map)) = (
+            missing_field,
+            decode::<BTreeMap<String, serde_json::Value>>(&body),
+        ) {
             map.remove(field);
             body = encode(&map);
         }
-        let truth = JobGroundTruth {
+        let job = JobGroundTruth {
             spec: Rc::new(spec),
             malformed_body: Some(body),
             ..JobGroundTruth::new(id.clone())
         };
-        self.jobs.insert(id.clone(), truth);
+        self.jobs.insert(id.clone(), job);
         self.submit(id);
     }
 }
