--- a/crates/hopyoke-simulator/src/agent/gangs.rs
+++ b/crates/hopyoke-simulator/src/agent/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: tasks of a job that run only together.
+//! Gang scheduling on agents: the tasks of a gang run only all together.
 
 use crate::Simulation;
 use hopyoke_protocol::user::JobKind;
@@ -6,41 +6,41 @@
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, TaskId};
 
 impl Simulation {
-    /// Tasks of a job's attempt that have not ended, and their machines.
+    /// Returns the tasks of a job's attempt that have not ended, with their machines.
     pub(super) fn active_tasks(&self, job: &JobId, attempt: Attempt) -> Vec<(MachineId, TaskId)> {
-        let mut out = Vec::new();
+        let mut tasks = Vec::new();
         for m in self.machines.values() {
             for ((t, a), status) in &m.tasks {
                 if t.job == *job && *a == attempt && status.state != TaskState::Ended {
-                    out.push((m.id.clone(), t.clone()));
+                    tasks.push((m.id.clone(), t.clone()));
                 }
             }
         }
-        out
+        tasks
     }
 
-    /// Begins a gang once all its tasks wait for it.
+    /// Runs a gang once all its tasks are waiting.
     pub(super) fn run_gang_if_ready(&mut self, job: &JobId, attempt: Attempt) {
         let members = self.active_tasks(job, attempt);
-        let Some(truth) = self.jobs.get(job) else {
+        let Some(gang) = self.jobs.get(job) else {
             return;
         };
         let is_waiting = |sim: &Simulation, m: &MachineId, t: &TaskId| {
             sim.machines[m].tasks[&(t.clone(), attempt)].state == TaskState::Waiting
         };
-        if members.len() == truth.spec.tasks as usize
+        if members.len() == gang.spec.tasks as usize
             && members.iter().all(|(m, t)| is_waiting(self, m, t))
         {
             for (m, t) in members {
-                let s = self.agent_epoch(&m);
-                self.run_task(&m, s, &(t, attempt));
+                let epoch = self.agent_epoch(&m);
+                self.run_task(&m, epoch, &(t, attempt));
             }
         }
     }
 
-    /// The other tasks of a running gang notice that one is gone.
+    /// Ends the remaining tasks of a running gang that has lost one. Each notices the loss after a random delay.
     pub(crate) fn end_gang_on_member_loss(&mut self, job: &JobId, attempt: Attempt) {
-        let peer = self.config.gang_peer;
+        let detection_timeout = self.config.gang_peer;
         if self
             .jobs
             .get(job)
@@ -50,12 +50,12 @@
         }
         for (m, t) in self.active_tasks(job, attempt) {
             let key = (t, attempt);
-            let running = self.machines[&m].tasks[&key].state;
-            if matches!(running, TaskState::Running | TaskState::Saving) {
-                let s = self.agent_epoch(&m);
-                let wait = Micros(self.random(0, peer.0));
-                self.schedule_on_machine(&m.clone(), wait, move |sim| {
-                    if sim.active_task(&m, s, &key).is_some() {
+            let state = self.machines[&m].tasks[&key].state;
+            if matches!(state, TaskState::Running | TaskState::Saving) {
+                let epoch = self.agent_epoch(&m);
+                let delay = Micros(self.random(0, detection_timeout.0));
+                self.schedule_on_machine(&m.clone(), delay, move |sim| {
+                    if sim.active_task(&m, epoch, &key).is_some() {
                         sim.end_task(&m, &key, ExitReason::GangPeersLost, false);
                     }
                 });
--- a/crates/hopyoke-simulator/src/agent/heartbeats.rs
+++ b/crates/hopyoke-simulator/src/agent/heartbeats.rs
@@ -1,15 +1,15 @@
-//! Heartbeats of agents, their responses and pushed commands, and the agent's lease.
+//! Heartbeats of agents, responses to them, pushed commands, and the lease of an agent.
 
 use super::HeartbeatResult;
 use crate::{Host, Simulation};
 use hopyoke_protocol::worker::{Command, Heartbeat};
 use hopyoke_types::{Attempt, FencingToken, MachineId, Micros, TaskId};
 
-/// A heartbeat without a response within this has failed.
+/// Time after which an unanswered heartbeat counts as failed.
 const HEARTBEAT_TIMEOUT: Micros = Micros::from_secs(4);
 
 impl Simulation {
-    /// A machine is up: its agent starts.
+    /// Starts the agent of a machine that has booted.
     pub(crate) fn boot(&mut self, id: &MachineId) {
         let nodes = self.nodes.len() as u64;
         let node = self.random(0, nodes - 1) as usize;
@@ -25,12 +25,12 @@
         self.run_heartbeat_timer(&id);
     }
 
-    /// Sends heartbeats at intervals that vary by a quarter.
+    /// Sends heartbeats periodically, with a jitter of 25 % of the interval.
     fn run_heartbeat_timer(&mut self, id: &MachineId) {
         let base = self.config.heartbeat_interval.0;
-        let wait = Micros(self.random(base * 3 / 4, base * 5 / 4));
+        let interval = Micros(self.random(base * 3 / 4, base * 5 / 4));
         let m = id.clone();
-        self.after(wait, move |sim| {
+        self.after(interval, move |sim| {
             if sim.machines.contains_key(&m) {
                 sim.send_heartbeat(&m);
                 sim.run_heartbeat_timer(&m);
@@ -40,7 +40,8 @@
         self.check_agent_lease(&m);
     }
 
-    /// Kills all tasks when the last answered heartbeat was sent too long ago: the epoch ends.
+    /// Ends the epoch and kills all tasks once the lease has expired. The lease runs from the sending of the last
+    /// answered heartbeat, by the agent's own clock.
     fn check_agent_lease(&mut self, id: &MachineId) {
         let lease = self.config.lease;
         let now = self.now;
@@ -53,9 +54,9 @@
             self.expired_epochs += 1;
             m.lease_started_at = now;
             m.in_flight = None;
-            let gone: Vec<(TaskId, Attempt)> = std::mem::take(&mut m.tasks).into_keys().collect();
-            self.log(|| format!("{id} session over, {} tasks killed", gone.len()));
-            for (t, a) in gone {
+            let killed: Vec<(TaskId, Attempt)> = std::mem::take(&mut m.tasks).into_keys().collect();
+            self.log(|| format!("{id} lease expired, {} tasks killed", killed.len()));
+            for (t, a) in killed {
                 self.end_gang_on_member_loss(&t.job, a);
             }
         } else {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Sends a heartbeat because something has changed, at least half a second after the last.
+    /// Schedules a heartbeat that reports a change, at least half a second after the previous heartbeat.
     pub(crate) fn schedule_heartbeat(&mut self, id: &MachineId) {
         let now = self.now;
         let Some(m) = self.machines.get_mut(id) else {
@@ -84,7 +85,7 @@
         });
     }
 
-    /// Sends a heartbeat, unless one is in flight.
+    /// Sends a heartbeat unless one is in flight. A machine that hangs sends it when it resumes.
     fn send_heartbeat(&mut self, id: &MachineId) {
         if let Some(t) = self.paused_until(id) {
             let m = id.clone();
@@ -98,8 +99,8 @@
             return;
         }
         let heartbeat = m.next_heartbeat(now);
-        let (number, epoch) = (m.sequence, m.epoch);
-        m.in_flight = Some(number);
+        let (sequence, epoch) = (m.sequence, m.epoch);
+        m.in_flight = Some(sequence);
         m.last_heartbeat_at = now;
         let is_outbound_lost = now < m.outbound_lost_until;
         let node = m.node;
@@ -110,28 +111,28 @@
             .is_some_and(|t| now < *t)
         {
             return self.after(Micros::from_millis(1), move |sim| {
-                sim.receive_heartbeat_response(&machine, epoch, number, now, Some(Err(None)));
+                sim.receive_heartbeat_response(&machine, epoch, sequence, now, Some(Err(None)));
             });
         }
         if !is_outbound_lost {
             self.transmit_heartbeat(node, heartbeat);
         }
         self.after(HEARTBEAT_TIMEOUT, move |sim| {
-            sim.receive_heartbeat_response(&machine, epoch, number, now, None);
+            sim.receive_heartbeat_response(&machine, epoch, sequence, now, None);
         });
     }
 
-    /// Sends a heartbeat to a node; faults may repeat it, or hold it for the next leader.
+    /// Sends a heartbeat to a node. Injected faults may duplicate it or hold it back for the next leader.
     fn transmit_heartbeat(&mut self, node: usize, heartbeat: Heartbeat) {
-        let number = heartbeat.sequence;
+        let sequence = heartbeat.sequence;
         if self.draws_fault(self.duplicated_heartbeats) {
-            // A copy arrives again, up to well over a lease later.
+            // The duplicate may arrive after the lease has expired.
             let copy = heartbeat.clone();
-            let span = Micros(self.random(2_000_000, self.config.lease.0 * 8 / 5));
-            self.after(span, move |sim| {
+            let delay = Micros(self.random(2_000_000, self.config.lease.0 * 8 / 5));
+            self.after(delay, move |sim| {
                 let from = sim.agent_host(&copy.machine);
                 sim.send(from, Host::Node(node), move |sim| {
-                    sim.node_heartbeat(node, copy, number, true)
+                    sim.node_heartbeat(node, copy, sequence, true)
                 });
             });
         }
@@ -143,12 +144,12 @@
         } else {
             let from = self.agent_host(&heartbeat.machine);
             self.send(from, Host::Node(node), move |sim| {
-                sim.node_heartbeat(node, heartbeat, number, false)
+                sim.node_heartbeat(node, heartbeat, sequence, false)
             });
         }
     }
 
-    /// A new leader begins: heartbeats that were held for it reach every node, out of order.
+    /// Delivers the heartbeats that were held back for a new leader to every node, out of order.
     pub(crate) fn deliver_heartbeats_held_for_leader(&mut self) {
         for heartbeat in std::mem::take(&mut self.heartbeats_for_next_leader.kept) {
             for node in 0..self.nodes.len() {
@@ -163,19 +164,19 @@
         }
     }
 
-    /// A response to a heartbeat, or its absence (`None`).
+    /// Handles the response to a heartbeat that was sent at `sent`. `None` means that it timed out.
     pub(crate) fn receive_heartbeat_response(
         &mut self,
         id: &MachineId,
         epoch: u64,
-        number: u64,
+        sequence: u64,
         sent: Micros,
         response: Option<HeartbeatResult>,
     ) {
         if let Some(t) = self.paused_until(id) {
             let id = id.clone();
             return self.at(t, move |sim| {
-                sim.receive_heartbeat_response(&id, epoch, number, sent, response)
+                sim.receive_heartbeat_response(&id, epoch, sequence, sent, response)
             });
         }
         let nodes = self.nodes.len();
@@ -189,10 +190,10 @@
         if now < m.responses_held_until && response.is_some() {
             let (id, until) = (id.clone(), m.responses_held_until);
             return self.at(until, move |sim| {
-                sim.receive_heartbeat_response(&id, epoch, number, sent, response)
+                sim.receive_heartbeat_response(&id, epoch, sequence, sent, response)
             });
         }
-        if m.in_flight != Some(number) || m.epoch != epoch {
+        if m.in_flight != Some(sequence) || m.epoch != epoch {
             return;
         }
         if now > sent + HEARTBEAT_TIMEOUT && response.is_some() {
@@ -206,17 +207,17 @@
                     return;
                 };
                 if token >= m.token {
-                    let higher = token > m.token;
+                    let is_new_leader = token > m.token;
                     m.token = token;
                     m.lease_started_at = sent;
-                    if higher {
+                    if is_new_leader {
                         self.schedule_heartbeat(id);
                     }
                     self.execute_commands(id, commands);
                 }
             }
-            Some(Err(Some(to))) if to != m.node => {
-                m.node = to;
+            Some(Err(Some(redirect))) if redirect != m.node => {
+                m.node = redirect;
                 let id = id.clone();
                 self.after(Micros::from_millis(100), move |sim| sim.send_heartbeat(&id));
             }
@@ -228,7 +229,8 @@
         }
     }
 
-    /// Commands that a leader pushed to an agent; `None`: the machine is gone or its response is lost.
+    /// Handles commands that a leader pushed to an agent. Returns whether they were accepted and the agent's next
+    /// heartbeat. Returns `None` if the machine no longer exists or its response is lost.
     pub(crate) fn receive_pushed_commands(
         &mut self,
         id: &MachineId,
@@ -242,12 +244,12 @@
             .machines
             .get_mut(id)
             .filter(|m| now >= m.responses_lost_until)?;
-        let ok = token >= m.token && epoch == m.epoch;
-        if ok {
+        let is_accepted = token >= m.token && epoch == m.epoch;
+        if is_accepted {
             m.token = token;
             self.execute_commands(id, commands);
         }
         let m = self.machines.get_mut(id)?;
-        Some((ok, m.next_heartbeat(now)))
+        Some((is_accepted, m.next_heartbeat(now)))
     }
 }
--- a/crates/hopyoke-simulator/src/agent/mod.rs
+++ b/crates/hopyoke-simulator/src/agent/mod.rs
@@ -1,4 +1,5 @@
-//! Agents: each runs the tasks of one machine and sends heartbeats to the leader, as the protocol describes it.
+//! Simulated agents. Each runs the tasks of one machine and sends heartbeats to the leader as the worker protocol
+//! requires.
 
 mod gangs;
 mod heartbeats;
@@ -9,75 +10,77 @@
 use hopyoke_types::{Attempt, FencingToken, MachineId, Micros, TaskId};
 use std::collections::BTreeMap;
 
-/// Longest body of a heartbeat that a node accepts, in characters.
+/// Largest heartbeat body that a node accepts, in characters.
 pub(crate) const MAX_HEARTBEAT_CHARS: usize = 64 * 1024;
 
-/// A task on a machine.
+/// One attempt of a task on a machine.
 #[derive(Debug, Clone)]
 pub(crate) struct Task {
     pub(crate) state: TaskState,
-    /// Why it ended.
+    /// Why the attempt ended. `None` until it has.
     pub(crate) exit_reason: Option<ExitReason>,
-    /// Its progress was saved before it ended.
+    /// Whether a checkpoint was saved before the attempt ended.
     pub(crate) checkpoint_saved: bool,
-    /// When it was commanded, then when it began to run.
+    /// When the start command arrived and, once the task runs, when it began to run.
     pub(crate) started_at: Micros,
 }
 
-/// A node's response to a heartbeat: the leader's token with commands, or a rejection, perhaps with the node to go to.
+/// Response of a node to a heartbeat: the leader's fencing token with commands, or a rejection that may name the node
+/// to contact instead.
 pub(crate) type HeartbeatResult = Result<(FencingToken, Vec<Command>), Option<usize>>;
 
-/// The agent of a machine.
+/// A machine and its agent.
 pub(crate) struct Agent {
     pub(crate) id: MachineId,
-    /// Name of the machine's type.
+    /// Name of the machine type.
     pub(crate) machine_type: String,
     pub(crate) zone: String,
     pub(crate) spot: bool,
-    /// Rate by which its clock is fast; negative: slow.
+    /// Relative clock drift. A positive drift makes the agent's lease last longer.
     pub(crate) clock_drift: f64,
-    /// The machine has booted.
+    /// Whether the machine has booted.
     pub(crate) up: bool,
     /// When the cloud created the machine.
     pub(crate) created_at: Micros,
-    /// Until then nothing happens on the machine.
+    /// End of the period during which the whole machine hangs.
     pub(crate) hangs_until: Micros,
-    /// Until then its heartbeats arrive, but responses and pushed commands to it are lost.
+    /// End of the period during which its heartbeats arrive, but responses and pushed commands to it are lost.
     pub(crate) responses_lost_until: Micros,
-    /// Until then it reaches no node, while pushed commands reach it.
+    /// End of the period during which it reaches no node, while pushed commands still reach it.
     pub(crate) outbound_lost_until: Micros,
-    /// Until then pushed commands to it are under way, and arrive after it.
+    /// End of the period during which pushed commands to it are held back; they arrive afterwards.
     pub(crate) commands_held_until: Micros,
-    /// Until then responses to its heartbeats, and its own to pushed commands, are under way.
+    /// End of the period during which responses to its heartbeats, and its own responses to pushed commands, are held
+    /// back.
     pub(crate) responses_held_until: Micros,
-    /// Every task fails here.
+    /// Whether every task on this machine fails.
     pub(crate) is_faulty: bool,
-    /// How many times as long tasks take here.
+    /// Factor by which tasks on this machine take longer.
     pub(crate) slowdown: f64,
-    /// Number of the epoch; it ends when the lease expires.
+    /// Number of the agent epoch. An epoch ends when the lease expires.
     pub(crate) epoch: u64,
-    /// Sequence number of the last heartbeat.
+    /// Sequence number of the latest heartbeat.
     pub(crate) sequence: u64,
-    /// Highest fencing token that it has seen.
+    /// Highest fencing token received so far.
     pub(crate) token: FencingToken,
-    /// When the cloud takes it back, once that is announced.
+    /// When the cloud preempts the machine, once that has been announced.
     pub(crate) preemption_at: Option<Micros>,
     pub(crate) tasks: BTreeMap<(TaskId, Attempt), Task>,
-    /// Images in its cache.
+    /// Cached images.
     pub(crate) images: Vec<String>,
-    /// The lease runs from here.
+    /// Start of the current lease: when the last answered heartbeat was sent.
     pub(crate) lease_started_at: Micros,
-    /// The node that its heartbeats go to.
+    /// Node that heartbeats are sent to.
     pub(crate) node: usize,
-    /// Sequence number of the heartbeat in flight.
+    /// Sequence number of the heartbeat in flight, if any.
     pub(crate) in_flight: Option<u64>,
     pub(crate) last_heartbeat_at: Micros,
-    /// A heartbeat is due because something has changed.
+    /// Whether an extra heartbeat is scheduled because of a change.
     heartbeat_scheduled: bool,
 }
 
 impl Agent {
-    /// The agent of a machine that has not booted yet.
+    /// Creates the agent of a machine that has not booted yet.
     pub(crate) fn new(
         id: MachineId,
         machine_type: &str,
@@ -115,7 +118,7 @@
         }
     }
 
-    /// The next heartbeat, with the status of all tasks.
+    /// Builds the next heartbeat, with the status of all tasks, and advances the sequence number.
     pub(crate) fn next_heartbeat(&mut self, now: Micros) -> Heartbeat {
         self.sequence += 1;
         let tasks = self
@@ -147,20 +150,20 @@
     }
 }
 
-/// Length of a heartbeat in characters, as the protocol counts its limit.
+/// Estimates the length of an encoded heartbeat in characters, for comparison with [`MAX_HEARTBEAT_CHARS`].
 pub(crate) fn heartbeat_chars(heartbeat: &Heartbeat) -> usize {
     let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
-    let of = |t: &TaskStatus| 62 + t.task.len() + digits(t.attempt.0);
-    220 + heartbeat.tasks.iter().map(of).sum::<usize>()
+    let status_chars = |t: &TaskStatus| 62 + t.task.len() + digits(t.attempt.0);
+    220 + heartbeat.tasks.iter().map(status_chars).sum::<usize>()
 }
 
 impl Simulation {
-    /// Epoch of a machine's agent; 0 if the machine is gone.
+    /// Returns the epoch of a machine's agent, or 0 if the machine no longer exists.
     pub(crate) fn agent_epoch(&self, id: &MachineId) -> u64 {
         self.machines.get(id).map_or(0, |m| m.epoch)
     }
 
-    /// Until when a machine hangs, if it does.
+    /// Returns when a hanging machine resumes. Returns `None` if it doesn't hang.
     pub(crate) fn paused_until(&self, id: &MachineId) -> Option<Micros> {
         self.machines
             .get(id)
@@ -168,17 +171,17 @@
             .filter(|t| *t > self.now)
     }
 
-    /// Something happens on a machine after `span`; on one that hangs by then, when it goes on.
+    /// Runs `handler` on a machine after `delay`. If the machine hangs then, the handler runs when it resumes.
     pub(crate) fn schedule_on_machine(
         &mut self,
         id: &MachineId,
-        span: Micros,
-        step: impl FnOnce(&mut Simulation) + 'static,
+        delay: Micros,
+        handler: impl FnOnce(&mut Simulation) + 'static,
     ) {
         let id = id.clone();
-        self.after(span, move |sim| match sim.paused_until(&id) {
-            Some(t) => sim.schedule_on_machine(&id, t - sim.now, step),
-            None => step(sim),
+        self.after(delay, move |sim| match sim.paused_until(&id) {
+            Some(t) => sim.schedule_on_machine(&id, t - sim.now, handler),
+            None => handler(sim),
         });
     }
 }
--- a/crates/hopyoke-simulator/src/agent/tasks.rs
+++ b/crates/hopyoke-simulator/src/agent/tasks.rs
@@ -1,4 +1,4 @@
-//! Life cycle of tasks on a machine: start, image fetch, run, checkpoint, exit.
+//! Life cycle of tasks on a machine: start, image fetch, run, checkpoint and exit.
 
 use super::{Agent, Task};
 use crate::Simulation;
@@ -7,7 +7,7 @@
 use hopyoke_types::{Attempt, MachineId, Micros, TaskId};
 
 impl Simulation {
-    /// Executes commands in their order.
+    /// Executes commands in the given order.
     pub(crate) fn execute_commands(&mut self, id: &MachineId, commands: Vec<Command>) {
         for command in commands {
             self.log(|| format!("{id} {command:?}"));
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Starts a task, or says why it can't run here.
+    /// Starts a task, or records the attempt as ended with the reason why it can't run on this machine.
     fn start_task(&mut self, id: &MachineId, task: &str, attempt: Attempt) {
         let now = self.now;
         let Some(task) = TaskId::parse(task) else {
@@ -85,7 +85,7 @@
         });
     }
 
-    /// Why a task can't start on a machine.
+    /// Returns why a task can't start on a machine. Returns `None` if it can.
     fn rejection_reason(&self, m: &Agent, task: &TaskId) -> Option<ExitReason> {
         let Some(spec) = self.jobs.get(&task.job).map(|j| &j.spec) else {
             return Some(ExitReason::UnknownTask);
@@ -116,7 +116,8 @@
         exceeds.then_some(ExitReason::InsufficientResources)
     }
 
-    /// A task that has not ended, in the epoch in which it was started.
+    /// Returns a task that was started in `epoch` and has not ended. Returns `None` if the machine no longer exists or
+    /// has moved to another epoch.
     pub(super) fn active_task(
         &mut self,
         id: &MachineId,
@@ -130,7 +131,7 @@
         m.tasks.get_mut(key).filter(|t| t.state != TaskState::Ended)
     }
 
-    /// A task has its image: it begins, or waits for its gang.
+    /// Handles a completed image fetch: the task runs, or waits for the rest of its gang.
     fn image_fetched(&mut self, id: &MachineId, epoch: u64, task: TaskId, attempt: Attempt) {
         let key = (task.clone(), attempt);
         if self
@@ -144,7 +145,7 @@
         };
         job.start_count += 1;
         job.first_started_at.get_or_insert(self.now);
-        let (spec, done, fails) = (
+        let (spec, is_done, always_fails) = (
             job.spec.clone(),
             job.done[task.index as usize],
             job.always_fails,
@@ -156,24 +157,24 @@
             m.images.push(spec.image.clone());
         }
         let is_faulty = self.machines.get(id).is_some_and(|m| m.is_faulty);
-        if done {
+        if is_done {
             return self.end_task(id, &key, ExitReason::Done, false);
         }
-        if is_faulty || fails {
+        if is_faulty || always_fails {
             return self.end_task(id, &key, ExitReason::Error, false);
         }
         if spec.kind == JobKind::Gang {
             if let Some(t) = self.active_task(id, epoch, &key) {
                 t.state = TaskState::Waiting;
             }
-            let wait = self.config.gang_wait;
-            let (me, k) = (id.clone(), key.clone());
-            self.schedule_on_machine(id, wait, move |sim| {
+            let gang_timeout = self.config.gang_wait;
+            let (machine, waiting_key) = (id.clone(), key.clone());
+            self.schedule_on_machine(id, gang_timeout, move |sim| {
                 if sim
-                    .active_task(&me, epoch, &k)
+                    .active_task(&machine, epoch, &waiting_key)
                     .is_some_and(|t| t.state == TaskState::Waiting)
                 {
-                    sim.end_task(&me, &k, ExitReason::Incomplete, false);
+                    sim.end_task(&machine, &waiting_key, ExitReason::Incomplete, false);
                 }
             });
             self.schedule_heartbeat(id);
@@ -182,7 +183,7 @@
         self.run_task(id, epoch, &key);
     }
 
-    /// A task begins to run; one that is no service ends after the rest of its run time.
+    /// Runs a task. Unless it belongs to a service, it completes after the remainder of its run time.
     pub(super) fn run_task(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
         let now = self.now;
         if let Some(t) = self.active_task(id, epoch, key) {
@@ -196,30 +197,32 @@
         if job.spec.kind == JobKind::Service {
             return;
         }
-        let left = job.run_time - job.checkpointed_progress;
-        let gang = job.spec.kind == JobKind::Gang;
-        // A gang runs at its slowest.
-        let on = if gang {
+        let remaining = job.run_time - job.checkpointed_progress;
+        let is_gang = job.spec.kind == JobKind::Gang;
+        // A gang runs at the speed of its slowest machine.
+        let members = if is_gang {
             self.active_tasks(&key.0.job, key.1)
         } else {
             vec![(id.clone(), key.0.clone())]
         };
-        let slowest = on
+        let slowdown = members
             .iter()
             .filter_map(|(m, _)| Some(self.machines.get(m)?.slowdown))
             .fold(1.0, f64::max);
-        let slowest = if gang {
-            slowest
+        let slowdown = if is_gang {
+            slowdown
         } else {
             self.machines.get(id).map_or(1.0, |m| m.slowdown)
         };
-        let left = Micros((left.0 as f64 * slowest) as u64);
-        let (me, k) = (id.clone(), key.clone());
-        self.schedule_cancel_at_end(&key.0, left);
-        self.schedule_on_machine(id, left, move |sim| sim.complete_task(&me, epoch, &k));
+        let remaining = Micros((remaining.0 as f64 * slowdown) as u64);
+        let (machine, task_key) = (id.clone(), key.clone());
+        self.schedule_cancel_at_end(&key.0, remaining);
+        self.schedule_on_machine(id, remaining, move |sim| {
+            sim.complete_task(&machine, epoch, &task_key)
+        });
     }
 
-    /// A task has run to its end, a gang's only together with the others.
+    /// Completes a task that has run to its end. The tasks of a gang complete together.
     fn complete_task(&mut self, id: &MachineId, epoch: u64, key: &(TaskId, Attempt)) {
         if self
             .active_task(id, epoch, key)
@@ -227,21 +230,22 @@
         {
             return;
         }
-        let gang = self
+        let is_gang = self
             .jobs
             .get(&key.0.job)
             .is_some_and(|j| j.spec.kind == JobKind::Gang);
-        let members = if gang {
+        let members = if is_gang {
             self.active_tasks(&key.0.job, key.1)
         } else {
             vec![(id.clone(), key.0.clone())]
         };
-        // A gang that lost a task, or of which a machine hangs, makes no progress.
-        let whole = self
+        // A gang makes no progress while a task is missing or one of its machines hangs.
+        let is_complete = self
             .jobs
             .get(&key.0.job)
             .is_some_and(|j| members.len() == j.spec.tasks as usize);
-        if gang && (!whole || members.iter().any(|(m, _)| self.paused_until(m).is_some())) {
+        if is_gang && (!is_complete || members.iter().any(|(m, _)| self.paused_until(m).is_some()))
+        {
             return;
         }
         for (m, task) in members {
@@ -262,7 +266,7 @@
         }
     }
 
-    /// Stops a task; one with checkpoints saves its progress if the grace period allows.
+    /// Stops a task. A running task with checkpoints saves one first if the grace period is long enough.
     fn stop_task(&mut self, id: &MachineId, task: &str, attempt: Attempt, grace_s: f64) {
         let Some(task) = TaskId::parse(task) else {
             return;
@@ -276,40 +280,41 @@
         let Some(t) = self.active_task(id, epoch, &key) else {
             return;
         };
-        let saves = t.state == TaskState::Running
+        let saves_checkpoint = t.state == TaskState::Running
             && spec.checkpoint_interval_s > 0.0
             && grace_s >= spec.checkpoint_save_s;
         if t.state == TaskState::Saving && grace_s > 0.0 {
             return;
         }
-        if !saves {
+        if !saves_checkpoint {
             return self.end_task(id, &key, ExitReason::Stopped, false);
         }
         t.state = TaskState::Saving;
         let progress = self.now - self.machines[id].tasks[&key].started_at;
-        let me = id.clone();
+        let machine = id.clone();
         self.schedule_heartbeat(id);
         self.schedule_on_machine(
             id,
             Micros::from_secs_f64(spec.checkpoint_save_s),
             move |sim| {
                 if sim
-                    .active_task(&me, epoch, &key)
+                    .active_task(&machine, epoch, &key)
                     .is_none_or(|t| t.state != TaskState::Saving)
                 {
                     return;
                 }
-                let whole = sim.active_tasks(&key.0.job, key.1).len() as u32 == spec.tasks;
-                if whole && let Some(job) = sim.jobs.get_mut(&key.0.job) {
+                // A checkpoint is usable only if no task of the job is missing.
+                let is_complete = sim.active_tasks(&key.0.job, key.1).len() as u32 == spec.tasks;
+                if is_complete && let Some(job) = sim.jobs.get_mut(&key.0.job) {
                     job.checkpointed_progress =
                         (job.checkpointed_progress + progress).min(job.run_time);
                 }
-                sim.end_task(&me, &key, ExitReason::Stopped, whole);
+                sim.end_task(&machine, &key, ExitReason::Stopped, is_complete);
             },
         );
     }
 
-    /// Ends a task.
+    /// Ends a task. Unless it completed, the rest of its gang ends as well.
     pub(super) fn end_task(
         &mut self,
         id: &MachineId,
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -1,5 +1,5 @@
-//! The users' API of the nodes, as the daemon has it: any node answers by itself, from its terminal states, its
-//! scheduler or the records.
+//! User API of the simulated nodes, modelled on the daemon. Any node answers requests itself, from the terminal states
+//! that it knows, its scheduler or the records in the key-value store.
 
 use super::kv_store::{Mutation, Value};
 use super::lookup::Lookup;
@@ -14,7 +14,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// What a user asks of a job.
+/// A user's request about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Request {
     Submit,
@@ -22,51 +22,52 @@
     Cancel,
 }
 
-/// What a user is answered.
+/// A node's response to a user, with the HTTP status that it stands for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Response {
-    /// 200, or 201: accepted and not over.
+    /// 200 or 201: the job is accepted and not finished.
     Unfinished,
-    /// 200: done or cancelled.
+    /// 200: the job is done or cancelled.
     Finished(JobState),
-    /// 404.
+    /// 404: the job does not exist.
     Missing,
-    /// 400.
+    /// 400: the description is malformed.
     Malformed,
-    /// 422.
+    /// 422: the job can never be scheduled.
     Unschedulable,
-    /// 503: to be asked again after so long.
+    /// 503: the request is to be repeated after this delay.
     RetryAfter(Micros),
 }
 
-/// What becomes of an answer, where it arrives.
+/// Callback that receives the response to a request.
 pub(crate) type ResponseHandler = Box<dyn FnOnce(&mut Simulation, Response)>;
 
-/// A user's request that a node forwards to a peer.
+/// A user request that a node forwards to a peer.
 struct Forwarded {
     node: usize,
     peer: usize,
     id: JobId,
     request: Request,
-    /// Until when the node waits for the peer's answer.
+    /// Time until which the node waits for the peer's response.
     deadline: Micros,
 }
 
-/// A submission that was admitted.
+/// A submission that passed admission.
 struct Submission {
     id: JobId,
     spec: JobSpec,
     is_workflow_step: bool,
-    /// When its user no longer waits.
+    /// Time at which the user stops waiting.
     deadline: Micros,
 }
 
-// Times that the daemon sets for its replica of the jobs and for its users.
+/// Longest time for which a linearizable read is delayed so that one read serves several polls.
 const READ_BATCH_WINDOW: Micros = Micros::from_millis(40);
+/// Delay that a user is asked to wait if no node can answer.
 const RETRY_AFTER: Micros = Micros::from_secs(1);
 
 impl Simulation {
-    /// A user's request at a node. Where no answer can be had nothing is replied.
+    /// Handles a user's request at node `i`. `respond` is not called if the key-value store does not answer.
     pub(crate) fn handle_request(
         &mut self,
         i: usize,
@@ -93,7 +94,7 @@
                 request,
                 deadline: self.now + timeout,
             };
-            // Without the leader's answer the node's own.
+            // Without a response from the leader the node answers itself.
             return self.forward(forwarded, respond, move |sim, respond| {
                 sim.answer_or_forward(i, id, request, deadline, respond);
             });
@@ -101,7 +102,7 @@
         self.answer_or_forward(i, id, request, deadline, respond);
     }
 
-    /// How long node `i` waits for the leader's answer to a poll, as the daemon does.
+    /// Returns how long node `i` waits for the leader's response to a poll. Returns `None` if it does not forward it.
     fn forward_timeout(&self, i: usize, leader: usize, deadline: Micros) -> Option<Micros> {
         let latency = self.expected_latency(i, RequestKind::Read);
         leaders_share(
@@ -111,12 +112,13 @@
         )
     }
 
+    /// Returns whether the key-value store accepts requests of node `i` and no partition separates them.
     fn reaches_store(&self, i: usize) -> bool {
         let partition = self.partition_between(Host::Node(i), Host::KvStore);
         !self.store_rejects(i) && partition.is_none()
     }
 
-    /// A node that can't reach the store forwards the request to a peer that can.
+    /// Answers a request at node `i`, or forwards it to a peer if only the peer can reach the store.
     fn answer_or_forward(
         &mut self,
         i: usize,
@@ -145,7 +147,8 @@
         });
     }
 
-    /// Forwards a request to a peer; `fallback` replies if the peer doesn't in time. A later answer is ignored.
+    /// Forwards a request to a peer. If the peer misses the deadline, `fallback` responds and a later response of the
+    /// peer is ignored.
     fn forward(
         &mut self,
         forwarded: Forwarded,
@@ -174,7 +177,7 @@
                 return;
             }
             let respond = Box::new(move |sim: &mut Simulation, response: Response| {
-                // The peer could not decide either: as if it had not answered.
+                // The peer could not answer either, so the fallback responds.
                 if matches!(response, Response::RetryAfter(_)) {
                     return;
                 }
@@ -190,7 +193,7 @@
         });
     }
 
-    /// What the node itself answers.
+    /// Answers a request at the node itself.
     fn answer_locally(
         &mut self,
         i: usize,
@@ -207,7 +210,7 @@
         }
     }
 
-    /// What is known of a job: at the leader by a linearizable read of its changes, else by its record.
+    /// Handles a poll: the leader uses a linearizable read of the record changes, other nodes read the job's record.
     fn handle_poll(
         &mut self,
         i: usize,
@@ -229,8 +232,8 @@
                 respond(sim, found.response())
             });
         }
-        // Whatever was written before the poll arrived is in the scheduler once a read that was sent
-        // afterwards is answered; one serves all that wait.
+        // A read that is sent after the poll arrived returns every earlier write, so that once its changes are applied
+        // the scheduler holds them. One read serves all polls that wait.
         let batch_delay = Micros(self.random(0, READ_BATCH_WINDOW.0));
         self.timer(i, batch_delay, move |sim| {
             let Some(applied) = sim
@@ -263,7 +266,7 @@
         });
     }
 
-    /// Accepts a job, or says why not; a repeated submission gets what became of the first.
+    /// Accepts a job or returns why it is rejected. Submission is idempotent: a repeated one returns the job's state.
     fn handle_submit(
         &mut self,
         i: usize,
@@ -293,7 +296,7 @@
             )
             .is_some()
         {
-            // An accepted job stays accepted, whatever the catalog says now.
+            // A job that was accepted earlier stays accepted, whatever the current catalog contains.
             return self.look_up(i, process, id, deadline, move |sim, found| match found {
                 Lookup::Missing => respond(sim, Response::Unschedulable),
                 found => respond(sim, found.response()),
@@ -321,7 +324,7 @@
         self.write_submission(i, process, submission, respond);
     }
 
-    /// Writes the record of a submitted job, unless the store has one or the job is over.
+    /// Writes the record of a submitted job unless the store already holds its record or its final state.
     fn write_submission(
         &mut self,
         i: usize,
@@ -353,7 +356,7 @@
             sim.send(Host::KvStore, Host::Node(i), move |sim| match result {
                 _ if !sim.alive(i, process) => {}
                 Ok(_) => respond(sim, Response::Unfinished),
-                // Accepted by an earlier try. It can't have vanished.
+                // An earlier try was accepted. Its record can move but not vanish, so `Missing` is not passed on.
                 Err(_) => sim.look_up(i, process, id, deadline, move |sim, found| match found {
                     Lookup::Missing => respond(sim, Response::RetryAfter(RETRY_AFTER)),
                     found => respond(sim, found.response()),
@@ -362,7 +365,8 @@
         });
     }
 
-    /// Moves the job's record to its final place; again until its user no longer waits, for it may change meanwhile.
+    /// Cancels a job by moving its record from `job/` to `end/`. The record may change between read and write, so the
+    /// compare-and-swap is retried until the deadline.
     fn handle_cancel(
         &mut self,
         i: usize,
@@ -397,7 +401,7 @@
                 sim.send(Host::KvStore, Host::Node(i), move |sim| match result {
                     _ if !sim.alive(i, process) => {}
                     Ok(mod_revision) => {
-                        sim.terminal_state_known(i, &id, end.state, ModRevision(mod_revision));
+                        sim.register_terminal_state(i, &id, end.state, ModRevision(mod_revision));
                         respond(sim, Response::Finished(end.state));
                     }
                     Err(_) if sim.now < deadline => {
@@ -409,16 +413,17 @@
         });
     }
 
-    /// A job's final record was written or read here, so that from now on users may observe it: before that a
-    /// cancellation is logged for leaders that may not have seen it, and the node's own scheduler drops the job.
-    pub(crate) fn terminal_state_known(
+    /// Registers a final state that node `i` has written or read, so that from now on it may report it to users. Before
+    /// that a cancellation is appended to the cancellation log, for leaders that may not have seen it, and the node's own
+    /// scheduler drops the job.
+    pub(crate) fn register_terminal_state(
         &mut self,
         i: usize,
         job: &JobId,
         end: JobState,
         mod_revision: ModRevision,
     ) {
-        self.log(|| format!("node {i} tells that {job} is {end:?}"));
+        self.log(|| format!("node {i} reports the final state {end:?} of {job}"));
         let now = self.now;
         let n = &mut self.nodes[i];
         if end == JobState::Cancelled {
--- a/crates/hopyoke-simulator/src/cloud.rs
+++ b/crates/hopyoke-simulator/src/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud: machines come and go, and its faults: boots that take far longer or hardly any time, and listings
-//! that are stale, older than the one before, or miss machines that are up.
+//! Simulated cloud provider: creates, lists and deletes machines. Its faults are boots that are much slower or faster
+//! than usual, and listings that are stale, older than the previous one or lack machines that are up.
 
 use crate::Simulation;
 use crate::agent::Agent;
@@ -7,22 +7,22 @@
 use hopyoke_types::{MachineId, Micros};
 use std::collections::VecDeque;
 
-/// Listings that are remembered.
+/// Number of recent listings from which a stale one is drawn.
 const MAX_RECENT_LISTS: usize = 16;
 
-/// Faults of the cloud.
+/// Faults of the cloud and the listings that they draw on.
 #[derive(Debug, Default)]
 pub(crate) struct Cloud {
-    /// Until when boots take so many times as long.
+    /// Factor by which boots take longer, and until when. `None` if there was no such fault.
     pub(crate) slow_boots: Option<(f64, Micros)>,
-    /// Until when a listing may be any that was true of late.
+    /// End of the period during which a request may return any recent listing.
     pub(crate) stale_lists_until: Micros,
-    /// Recent listings by time, newest last.
+    /// Recent listings with their times, newest last.
     recent_lists: VecDeque<(Micros, Vec<ListedMachine>)>,
 }
 
 impl Simulation {
-    /// How long a boot takes that would take `boot`.
+    /// Returns the duration of a boot that takes `boot` without faults.
     pub(crate) fn scaled_boot_time(&self, boot: Micros) -> Micros {
         match self.cloud.slow_boots {
             Some((factor, until)) if self.now < until => Micros((boot.0 as f64 * factor) as u64),
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Lists the machines as they were, at least the list's lag ago, or at some time before that.
+    /// Lists the machines. Usually the listing is current but lacks machines younger than the list lag; while listings
+    /// are stale it is a random recent one that is at least as old as the lag.
     pub(crate) fn list_machines(&mut self) -> Vec<ListedMachine> {
         let now = self.now;
         let machines = self.machines.values().map(|m| ListedMachine {
@@ -53,7 +54,7 @@
             self.cloud.recent_lists.pop_front();
         }
         if now >= self.cloud.stale_lists_until {
-            // As it is, but for machines that are younger than the lag.
+            // New machines are listed only after the lag.
             return machines
                 .into_iter()
                 .filter(|l| l.age_s >= lag.as_secs_f64())
@@ -69,7 +70,7 @@
         self.cloud.recent_lists[visible[pick]].1.clone()
     }
 
-    /// Adds a machine that boots for `boot`, or never.
+    /// Adds a machine that boots within `boot`. With `None` it never comes up.
     pub fn add_machine(
         &mut self,
         machine_type: &str,
@@ -89,7 +90,7 @@
         id
     }
 
-    /// The cloud takes a machine back, or deletes it.
+    /// Removes a machine that was preempted or deleted, and returns its capacity.
     pub(crate) fn remove_machine(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get(id) else {
             return;
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Creates machines for a request, as many as there is capacity for; those of before, if it is repeated.
+    /// Creates machines for a scale-out request, as far as capacity allows. The request is idempotent: a repeated one
+    /// returns the machines that were created for it before.
     pub(crate) fn scale_out(
         &mut self,
         request: &str,
--- a/crates/hopyoke-simulator/src/digest.rs
+++ b/crates/hopyoke-simulator/src/digest.rs
@@ -1,5 +1,5 @@
-//! A digest of a whole run: each message that is delivered, in its protocol's form, with its virtual time,
-//! and each random draw. Two builds that decide alike have equal digests for a scenario and seed.
+//! Digest of a simulation run: a hash of each delivered message in its encoded form, with its virtual time, and of each
+//! random draw. Builds that make the same decisions have equal digests for the same scenario and seed.
 
 use super::Simulation;
 use super::kv_store::{Mutation, Value};
@@ -9,37 +9,37 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Which way a message goes.
+/// Kind of an item in the digest. The numbers are part of the digest.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Channel {
-    /// An agent's heartbeat as a node receives it.
+    /// A heartbeat as received by a node.
     Heartbeat = 1,
-    /// The answer to a heartbeat as the agent receives it.
+    /// A response to a heartbeat as received by the agent.
     HeartbeatResponse = 2,
     /// Commands pushed to an agent.
     PushedCommands = 3,
-    /// A transaction that reaches the key-value store.
+    /// A transaction as received by the key-value store.
     Transaction = 4,
-    /// The store's answer to a transaction.
+    /// The result of a transaction.
     TransactionResult = 5,
-    /// A request for machines.
+    /// A request to create machines.
     ScaleOut = 6,
-    /// A deletion of machines.
+    /// A request to delete machines.
     ScaleIn = 7,
-    /// An answer that a user receives.
+    /// A response as received by a user.
     UserAnswer = 8,
     /// A value drawn from the random number generator.
     Draw = 9,
-    /// A step of the event queue.
+    /// An event taken from the event queue.
     Step = 10,
 }
 
-/// The digest of what has happened so far.
+/// Incremental hash of a run.
 #[derive(Default)]
 pub(crate) struct Digest(Xxh3);
 
 impl Digest {
-    /// Adds bytes that were seen on a channel at a time in microseconds.
+    /// Adds bytes observed on a channel at `at_us` microseconds of virtual time.
     pub(crate) fn add(&mut self, channel: Channel, at_us: u64, bytes: &[u8]) {
         self.0.update(&[channel as u8]);
         self.0.update(&at_us.to_le_bytes());
@@ -47,13 +47,13 @@
         self.0.update(bytes);
     }
 
-    /// The digest's value.
+    /// Returns the digest of everything added so far.
     pub(crate) fn value(&self) -> u64 {
         self.0.digest()
     }
 }
 
-/// A value in the form in which it is stored.
+/// Encodes a value as it is stored in the key-value store.
 fn encode_stored_value(value: &Value) -> Vec<u8> {
     match value {
         Value::JobRecord(record) => hopyoke_protocol::encode(record),
@@ -65,18 +65,18 @@
 }
 
 impl Simulation {
-    /// Adds a message in its protocol's form to the run's digest.
+    /// Adds a message in its encoded form to the digest.
     pub(crate) fn digest_message(&mut self, channel: Channel, message: &impl Serialize) {
         let bytes = hopyoke_protocol::encode(message);
         self.digest_bytes(channel, &bytes);
     }
 
-    /// Adds bytes to the run's digest.
+    /// Adds bytes to the digest, with the current virtual time.
     pub(crate) fn digest_bytes(&mut self, channel: Channel, bytes: &[u8]) {
         self.digest.add(channel, self.now.0, bytes);
     }
 
-    /// Adds the answer to a heartbeat.
+    /// Adds a response to a heartbeat.
     pub(crate) fn digest_heartbeat_response(&mut self, token: FencingToken, commands: &[Command]) {
         let response = HeartbeatResponse {
             token,
@@ -85,7 +85,7 @@
         self.digest_message(Channel::HeartbeatResponse, &response);
     }
 
-    /// Adds commands that are pushed to an agent.
+    /// Adds commands that were pushed to an agent.
     pub(crate) fn digest_pushed_commands(
         &mut self,
         token: FencingToken,
@@ -100,7 +100,7 @@
         self.digest_message(Channel::PushedCommands, &pushed);
     }
 
-    /// Adds a transaction as the store receives it.
+    /// Adds a transaction as received by the key-value store.
     pub(crate) fn digest_transaction(
         &mut self,
         compares: &[(String, u64)],
--- a/crates/hopyoke-simulator/src/event_queue.rs
+++ b/crates/hopyoke-simulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of events in virtual time.
+//! Event queue of the simulation, ordered by virtual time.
 
 use crate::Simulation;
 use crate::digest::Channel;
@@ -6,13 +6,13 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// How long invariants of the whole cluster go unchecked where they aren't checked after each event.
+/// Interval between checks of the cluster-wide invariants if they aren't checked after each event.
 const CHECK_INTERVAL: Micros = Micros::from_millis(250);
 
-/// What an event does to the simulation.
+/// Effect of an event on the simulation.
 type EventHandler = Box<dyn FnOnce(&mut Simulation)>;
 
-/// An event and when it is due; events of the same time run in the order in which they were scheduled.
+/// An event with its due time. Events with equal due times run in the order in which they were scheduled.
 struct ScheduledEvent {
     due_at: Micros,
     sequence: u64,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Events that are still to come, the next one first.
+/// Priority queue of pending events, earliest first.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     events: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -57,7 +57,7 @@
         }));
     }
 
-    /// Takes the next event that is due at `end` or before.
+    /// Removes and returns the next event that is due by `end`. Returns `None` if there is none.
     fn pop_due(&mut self, end: Micros) -> Option<ScheduledEvent> {
         if self.events.peek()?.0.due_at > end {
             return None;
@@ -67,18 +67,18 @@
 }
 
 impl Simulation {
-    /// Schedules an event at a virtual time; now, if that is past.
+    /// Schedules an event at a virtual time, or now if that time has passed.
     pub fn at(&mut self, t: Micros, handler: impl FnOnce(&mut Simulation) + 'static) {
         let due_at = t.max(self.now);
         self.events.push(due_at, Box::new(handler));
     }
 
-    /// Schedules an event after a span of virtual time.
-    pub fn after(&mut self, span: Micros, handler: impl FnOnce(&mut Simulation) + 'static) {
-        self.at(self.now + span, handler);
+    /// Schedules an event after a delay in virtual time.
+    pub fn after(&mut self, delay: Micros, handler: impl FnOnce(&mut Simulation) + 'static) {
+        self.at(self.now + delay, handler);
     }
 
-    /// Runs the events that are due until `end`, and checks the invariants. Stops at the first violation.
+    /// Runs the events that are due by `end` and checks the invariants. Stops at the first violation.
     pub fn run_until(&mut self, end: Micros) {
         while let Some(event) = self.events.pop_due(end) {
             self.now = event.due_at;
--- a/crates/hopyoke-simulator/src/ground_truth.rs
+++ b/crates/hopyoke-simulator/src/ground_truth.rs
@@ -1,51 +1,51 @@
-//! What is true about a job, whatever nodes, agents and users believe.
+//! Ground truth of jobs, against which the state of nodes, agents and users is checked.
 
 use hopyoke_protocol::user::{JobSpec, JobState};
 use hopyoke_types::{JobId, Micros};
 use std::rc::Rc;
 
-/// What is true about a job.
+/// True state of a job, independent of what nodes, agents and its user have learned.
 pub struct JobGroundTruth {
-    /// Its description.
+    /// Job description.
     pub spec: Rc<JobSpec>,
-    /// How long a task runs on a sound machine.
+    /// Run time of a task on a healthy machine.
     pub run_time: Micros,
-    /// Fails on every machine.
+    /// Whether its tasks fail on every machine.
     pub always_fails: bool,
-    /// It is a step of a workflow's run.
+    /// Whether the job is a step of a workflow run.
     pub is_workflow_step: bool,
-    /// When its user first tried to submit it.
+    /// When the user first tried to submit the job.
     pub first_submitted_at: Option<Micros>,
-    /// When its user first observed that it is accepted.
+    /// When the user first observed that the job is accepted.
     pub accepted_at: Option<Micros>,
-    /// Its submission was rejected for good.
+    /// Whether the submission was rejected permanently.
     pub is_rejected: bool,
-    /// What is sent for it instead of its description, and must not be accepted.
+    /// Malformed body that is submitted instead of the description and must not be accepted.
     pub malformed_body: Option<Vec<u8>>,
-    /// Its user has asked for its cancellation.
+    /// Whether the user has requested cancellation.
     pub cancel_requested: bool,
-    /// Whether it is cancelled at its end has been drawn.
+    /// Whether it has been drawn if the user cancels the job at its end.
     pub cancel_at_end_drawn: bool,
-    /// When its user first observed that it is cancelled.
+    /// When the user first observed that the job is cancelled.
     pub cancelled_at: Option<Micros>,
-    /// The final state that its user observed.
+    /// Final state that the user has observed.
     pub observed_end: Option<JobState>,
-    /// When its user last got an answer.
+    /// When the user last received a response.
     pub last_response_at: Micros,
-    /// Its tasks, by index, that ran to their end.
+    /// Whether each task, by index, has run to its end.
     pub done: Vec<bool>,
-    /// When the last of its tasks ran to its end.
+    /// When the last task ran to its end.
     pub done_at: Option<Micros>,
-    /// Starts of its tasks, repeated ones too.
+    /// Number of task starts, including repeated ones.
     pub start_count: u32,
-    /// When the first of its tasks started.
+    /// When the first task started.
     pub first_started_at: Option<Micros>,
-    /// Progress that a gang's checkpoints hold.
+    /// Progress that its checkpoints hold.
     pub checkpointed_progress: Micros,
 }
 
 impl JobGroundTruth {
-    /// A job of one plain task that nobody has submitted yet.
+    /// Creates a job of a single task that has not been submitted yet.
     pub fn new(id: JobId) -> JobGroundTruth {
         JobGroundTruth {
             spec: Rc::new(JobSpec::with_defaults(id, "c", "crew", "img-1")),
--- a/crates/hopyoke-simulator/src/kv_store.rs
+++ b/crates/hopyoke-simulator/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! The key-value store: transactions, leases and their faults.
+//! Simulated key-value store with transactions, leases and their faults.
 
 use super::Simulation;
 use super::digest::Channel;
@@ -7,6 +7,7 @@
 use hopyoke_types::Micros;
 use std::collections::BTreeMap;
 
+/// A stored value.
 #[derive(Debug, Clone)]
 pub(crate) enum Value {
     JobRecord(JobRecord),
@@ -16,6 +17,7 @@
     LeaseHolder(usize),
 }
 
+/// A value with its revision and the lease that it is attached to.
 #[derive(Debug, Clone)]
 pub(crate) struct Entry {
     pub(crate) value: Value,
@@ -23,39 +25,44 @@
     pub(crate) lease: Option<u64>,
 }
 
+/// Contents and faults of the key-value store.
 #[derive(Default)]
 pub(crate) struct KvStore {
     /// Entries by key.
     pub(crate) entries: BTreeMap<String, Entry>,
     /// Revision of the last transaction.
     pub(crate) revision: u64,
-    /// (revision, key, dropped)
+    /// Changes as (revision, key, whether the key was deleted), oldest first.
     pub(crate) log: Vec<(u64, String, bool)>,
-    /// Leases and when they expire.
+    /// Expiry times by lease.
     pub(crate) leases: BTreeMap<u64, Micros>,
-    next_lease: u64,
-    /// Until then all requests are rejected.
+    last_lease: u64,
+    /// End of the outage during which all requests are rejected.
     pub(crate) outage_until: Micros,
-    /// Nodes that alone are refused, and until compares.
+    /// Nodes whose requests are rejected, and until when.
     pub(crate) rejected_nodes: BTreeMap<usize, Micros>,
-    /// So much longer takes what reaches the service, and until compares.
+    /// Additional delay of messages to the store, and until when.
     pub(crate) request_delay: (Micros, Micros),
-    /// Share of the transactions that are applied, and whose responses are lost.
+    /// Share of the transactions that are applied but whose responses are lost.
     pub(crate) lost_responses: FaultWindow,
-    /// The same of renewals of leases.
+    /// Share of the lease renewals that are applied but whose responses are lost.
     pub(crate) lost_renewals: FaultWindow,
-    /// Share of the transactions that get no response and are applied late.
+    /// Share of the transactions that get no response and are applied after a delay.
     pub(crate) delayed_writes: FaultWindow,
 }
 
-/// A change of a key.
+/// A write within a transaction. A put may attach the key to a lease.
 pub(crate) enum Mutation {
     Put(String, Value, Option<u64>),
     Delete(String),
 }
 
 impl KvStore {
-    /// Applies the changes if every condition holds; else says which did not.
+    /// Applies the mutations if each key has the expected revision (0: no such key), and returns the new revision.
+    ///
+    /// # Errors
+    ///
+    /// Returns the keys whose comparison failed, or no keys if a put uses an expired lease.
     pub(crate) fn txn(
         &mut self,
         compares: &[(String, u64)],
@@ -70,7 +77,7 @@
         if !failed_keys.is_empty() {
             return Err(failed_keys);
         }
-        // A write on an expired lease is rejected.
+
         let on_expired_lease = |mutation: &Mutation| matches!(mutation, Mutation::Put(_, _, Some(l)) if !self.leases.contains_key(l));
         if mutations.iter().any(on_expired_lease) {
             return Err(Vec::new());
@@ -80,20 +87,23 @@
         for mutation in mutations {
             match mutation {
                 Mutation::Put(key, value, lease) => {
-                    // What is written must fit: checked as the service would.
+                    // The real store rejects larger values.
                     if let Value::JobRecord(record) = &value {
                         let size = serde_json::to_vec(record).map_or(0, |v| v.len());
-                        assert!(size <= 8192, "a record of {size} bytes was written");
+                        assert!(size <= 8192, "job record of {size} bytes exceeds the limit");
                     }
                     if let Value::RegistryPage(page) = &value {
                         let size = serde_json::to_vec(page).map_or(0, |v| v.len());
-                        assert!(size <= 8192, "a page of {size} bytes was written");
+                        assert!(
+                            size <= 8192,
+                            "registry page of {size} bytes exceeds the limit"
+                        );
                     }
                     if let Value::RunTimesPage(page) = &value {
                         let size = serde_json::to_vec(page).map_or(0, |v| v.len());
                         assert!(
                             size <= 8192,
-                            "a page of learned run times of {size} bytes was written"
+                            "run times page of {size} bytes exceeds the limit"
                         );
                     }
                     self.log.push((mod_revision, key.clone(), false));
@@ -116,19 +126,19 @@
         Ok(mod_revision)
     }
 
-    /// What changed after a revision.
+    /// Returns the changes after a revision.
     pub(crate) fn since(&self, revision: u64) -> &[(u64, String, bool)] {
         &self.log[self.log.partition_point(|(r, ..)| *r <= revision)..]
     }
 
-    /// Grants a lease.
+    /// Grants a lease that expires at `until`.
     pub(crate) fn grant_lease(&mut self, until: Micros) -> u64 {
-        self.next_lease += 1;
-        self.leases.insert(self.next_lease, until);
-        self.next_lease
+        self.last_lease += 1;
+        self.leases.insert(self.last_lease, until);
+        self.last_lease
     }
 
-    /// Revokes a lease, and deletes the keys on it.
+    /// Revokes a lease and deletes the keys that are attached to it.
     pub(crate) fn revoke_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
@@ -143,45 +153,46 @@
     }
 }
 
-/// What becomes of a transaction that the store does not reject.
+/// Outcome of a transaction that the store does not reject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TransactionOutcome {
+    /// Evaluated at once, and its result is returned.
     Applied,
-    /// It is applied, and its response is lost.
+    /// Evaluated at once, but the response is lost.
     ResponseLost,
-    /// It gets no response and is applied so much later, after newer ones.
+    /// Evaluated after this delay, possibly after newer transactions, without a response.
     Delayed(Micros),
 }
 
-/// A fault that strikes a share of messages or transactions for a while.
+/// Fault that affects a share of messages or transactions until a given time.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct FaultWindow {
-    /// The share, in percent.
+    /// Share in percent.
     pub(crate) percent: u64,
-    /// When the fault is over.
+    /// End of the fault.
     pub(crate) until: Micros,
 }
 
-/// Heartbeats that are kept, and reach every node once a new leader begins.
+/// Heartbeats that are held back and delivered to every node once a new leader has started.
 #[derive(Debug, Default)]
 pub(crate) struct HeartbeatsForNextLeader {
-    /// Share of the heartbeats that arrive as usual and are kept as well.
+    /// Share of the heartbeats that are delivered normally and once more to the new leader.
     pub(crate) copied: FaultWindow,
-    /// Share of the heartbeats that arrive then only: their agents have given them up.
+    /// Share of the heartbeats that are delivered only then, when their agents have given up on them.
     pub(crate) held: FaultWindow,
-    /// How long after the beginning they arrive.
+    /// Delay of the delivery after the leader's start.
     pub(crate) after: Micros,
-    /// The heartbeats.
+    /// Heartbeats held back so far.
     pub(crate) kept: Vec<Heartbeat>,
 }
 
 impl Simulation {
-    /// Draws whether a fault strikes now.
+    /// Draws whether a fault occurs now.
     pub(crate) fn draws_fault(&mut self, window: FaultWindow) -> bool {
         self.now < window.until && self.random(0, 99) < window.percent
     }
 
-    /// Draws what becomes of a transaction.
+    /// Draws the outcome of a transaction.
     fn draw_transaction_outcome(&mut self) -> TransactionOutcome {
         if self.draws_fault(self.kv_store.lost_responses) {
             TransactionOutcome::ResponseLost
@@ -192,7 +203,7 @@
         }
     }
 
-    /// A transaction that the store does not reject; `None`: it gets no response.
+    /// Executes a transaction that the store does not reject. Returns `None` if it gets no response.
     pub(crate) fn transact(
         &mut self,
         compares: &[(String, u64)],
@@ -209,9 +220,9 @@
                 let _ = self.kv_store.txn(compares, mutations);
                 None
             }
-            TransactionOutcome::Delayed(span) => {
+            TransactionOutcome::Delayed(delay) => {
                 let compares = compares.to_vec();
-                self.after(span, move |sim| {
+                self.after(delay, move |sim| {
                     drop(sim.kv_store.txn(&compares, mutations))
                 });
                 None
@@ -219,7 +230,7 @@
         }
     }
 
-    /// The store rejects this node now, or everybody.
+    /// Returns whether the store now rejects requests of this node.
     pub(crate) fn store_rejects(&self, node: usize) -> bool {
         self.store_is_down()
             || self
@@ -229,12 +240,12 @@
                 .is_some_and(|until| self.now < *until)
     }
 
-    /// The store rejects everybody.
+    /// Returns whether the store now rejects all requests.
     pub(crate) fn store_is_down(&self) -> bool {
         self.now < self.kv_store.outage_until
     }
 
-    /// Ends leases that were not renewed; runs all the time.
+    /// Revokes expired leases and reschedules itself. During an outage no lease expires.
     pub fn expire_leases(&mut self) {
         if !self.store_is_down() {
             let now = self.now;
@@ -252,9 +263,9 @@
         self.after(Micros::from_millis(20), Simulation::expire_leases);
     }
 
-    /// After an outage every lease has its full time again.
-    pub(crate) fn begin_outage(&mut self, span: Micros) {
-        let end = self.now + span;
+    /// Starts an outage. When it ends, every lease is extended to its full term.
+    pub(crate) fn begin_outage(&mut self, duration: Micros) {
+        let end = self.now + duration;
         self.kv_store.outage_until = end;
         self.at(end, |sim| {
             let until = sim.now + sim.lease_ttl;
--- a/crates/hopyoke-simulator/src/lib.rs
+++ b/crates/hopyoke-simulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Simulation of a cluster in virtual time: agents, cloud, key-value store and users that follow the protocols,
-//! around nodes that run the real scheduler. Faults are injected by scenarios, and the invariants are checked
-//! after every event. A run is determined by its scenario and seed.
+//! Deterministic cluster simulation in virtual time. Nodes run the real scheduler; agents, cloud, key-value store and
+//! users are simulated and follow the protocols. Scenarios inject faults, and invariants are checked after every event,
+//! or periodically in large clusters. A run is determined by its scenario and seed.
 
 mod agent;
 mod api;
--- a/crates/hopyoke-simulator/src/limits.rs
+++ b/crates/hopyoke-simulator/src/limits.rs
@@ -1,38 +1,38 @@
-//! Rate limits of the key-value store, and the nodes' shares of them.
+//! Rate limits of the key-value store and the nodes' shares of them.
 
 use super::{Host, Simulation};
 use hopyoke_admission::{AdmissionController, RateLimiter, RequestPriority, SharedLimit};
 use hopyoke_scheduler::Team;
 use hopyoke_types::{JobId, Micros};
 
-/// How often nodes gossip about their waiting queues.
+/// Interval at which nodes gossip about their admission queues.
 const GOSSIP_INTERVAL: Micros = Micros::from_millis(400);
 
-/// The store's token buckets: it rejects above its rates, with bursts worth one second.
+/// Token buckets of the key-value store. Requests above its rates are rejected; bursts are limited to one second's worth.
 pub(crate) struct StoreLimits {
     requests_per_s: f64,
     writes_per_s: f64,
-    /// Requests and changes left in the buckets, at `at`.
+    /// Tokens for requests and for writes left at `refilled_at`.
     tokens: (f64, f64),
     refilled_at: Micros,
-    /// Nodes don't limit their own rates.
+    /// Whether nodes don't limit their own rates.
     pub(crate) nodes_unlimited: bool,
-    /// Requests that were accepted.
+    /// Number of accepted requests.
     pub(crate) accepted_count: u64,
-    /// Requests that were rejected.
+    /// Number of rejected requests.
     pub(crate) rejected_count: u64,
 }
 
-/// A node's share of the store's rates.
+/// A node's share of the store's rate limits.
 pub(crate) struct NodeLimits {
-    /// Of requests.
+    /// Limits the node's requests.
     pub(crate) rate_limiter: RateLimiter,
-    /// Of changes: submissions wait for admission.
+    /// Limits the node's writes: submissions wait for admission.
     pub(crate) admission: AdmissionController,
 }
 
 impl StoreLimits {
-    /// Limits of requests and changes per second.
+    /// Creates limits from rates per second. The buckets are full.
     pub(crate) fn new(
         requests_per_s: f64,
         writes_per_s: f64,
@@ -50,22 +50,23 @@
         }
     }
 
+    /// Accepts a request with `writes` writes if the buckets hold enough tokens.
     fn try_accept(&mut self, writes: usize, now: Micros) -> bool {
-        let span = (now - self.refilled_at).as_secs_f64();
+        let elapsed_s = (now - self.refilled_at).as_secs_f64();
         self.refilled_at = now;
-        self.tokens.0 = (self.tokens.0 + self.requests_per_s * span).min(self.requests_per_s);
-        self.tokens.1 = (self.tokens.1 + self.writes_per_s * span).min(self.writes_per_s);
-        let ok = self.tokens.0 >= 1.0 && self.tokens.1 >= writes as f64;
-        if ok {
+        self.tokens.0 = (self.tokens.0 + self.requests_per_s * elapsed_s).min(self.requests_per_s);
+        self.tokens.1 = (self.tokens.1 + self.writes_per_s * elapsed_s).min(self.writes_per_s);
+        let is_accepted = self.tokens.0 >= 1.0 && self.tokens.1 >= writes as f64;
+        if is_accepted {
             self.tokens = (self.tokens.0 - 1.0, self.tokens.1 - writes as f64);
             self.accepted_count += 1;
         } else {
             self.rejected_count += 1;
         }
-        ok
+        is_accepted
     }
 
-    /// The share of one of so many nodes.
+    /// Returns the limits of one of `nodes` nodes.
     pub(crate) fn node_limits(&self, nodes: usize, teams: &[Team], now: Micros) -> NodeLimits {
         let shared_limit = |per_second| SharedLimit {
             per_second,
@@ -80,7 +81,7 @@
 }
 
 impl Simulation {
-    /// The store accepts one more request with so many changes, or answers 429.
+    /// Returns whether the store accepts a request with `writes` writes. If not, it responds with 429.
     pub(crate) fn store_accepts(&mut self, writes: usize) -> bool {
         let now = self.now;
         self.limits
@@ -88,7 +89,11 @@
             .is_none_or(|l| l.try_accept(writes, now))
     }
 
-    /// A node may send a request within its share; else how long until it may.
+    /// Acquires a request from a node's share of the rate.
+    ///
+    /// # Errors
+    ///
+    /// Returns how long to wait if the share is used up.
     pub(crate) fn acquire_request(
         &mut self,
         i: usize,
@@ -104,14 +109,15 @@
             .map_or(Ok(()), |p| p.rate_limiter.take(priority, 1, now))
     }
 
-    /// Gossips about the node's waiting queue, again and again.
+    /// Gossips about the node's admission queue periodically.
     pub(crate) fn gossip_queue(&mut self, i: usize, process: u64) {
         if !self.nodes[i].up || self.nodes[i].process != process {
             return;
         }
         let now = self.now;
-        // A node's index among the peers of another.
-        let peer_index = |of: usize, at: usize| if of < at { of } else { of - 1 };
+        // Index of `node` among the peers of `observer`.
+        let peer_index =
+            |node: usize, observer: usize| if node < observer { node } else { node - 1 };
         for j in (0..self.nodes.len()).filter(|j| *j != i) {
             let Some(limits_of_node) = self.nodes[i].limits_of_node.as_mut() else {
                 return;
@@ -129,7 +135,11 @@
         self.timer(i, GOSSIP_INTERVAL, move |sim| sim.gossip_queue(i, process));
     }
 
-    /// A user's job is let in by a node; else when the user is to come back.
+    /// Admits a user's job at a node.
+    ///
+    /// # Errors
+    ///
+    /// Returns after how long the user should retry.
     pub(crate) fn admit(&mut self, i: usize, job: &JobId) -> Result<(), Micros> {
         if self.limits.as_ref().is_none_or(|l| l.nodes_unlimited) {
             return Ok(());
@@ -142,13 +152,16 @@
             .iter()
             .position(|t| t.name == team)
             .unwrap_or(self.config.teams.len());
-        let Some(p) = self.nodes[i].limits_of_node.as_mut() else {
+        let Some(limits) = self.nodes[i].limits_of_node.as_mut() else {
             return Ok(());
         };
-        let admitted = p.admission.admit(job, team, is_leader, now).and_then(|()| {
-            let admitted = p.rate_limiter.take(RequestPriority::Accepts, 1, now);
-            admitted.map_err(|_| p.admission.reject(job, team, is_leader, now))
-        });
-        admitted.map_err(|after| Micros::from_secs(u64::from(after.0)))
+        let admitted = limits
+            .admission
+            .admit(job, team, is_leader, now)
+            .and_then(|()| {
+                let admitted = limits.rate_limiter.take(RequestPriority::Accepts, 1, now);
+                admitted.map_err(|_| limits.admission.reject(job, team, is_leader, now))
+            });
+        admitted.map_err(|retry_after| Micros::from_secs(u64::from(retry_after.0)))
     }
 }
--- a/crates/hopyoke-simulator/src/lookup.rs
+++ b/crates/hopyoke-simulator/src/lookup.rs
@@ -160,7 +160,7 @@
             return None;
         };
         let state = end.state;
-        self.terminal_state_known(i, id, state, ModRevision(entry.mod_revision));
+        self.register_terminal_state(i, id, state, ModRevision(entry.mod_revision));
         Some(state)
     }
 
