--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -61,7 +61,7 @@
     deadline: Micros,
 }
 
-/// Longest time for which a linearizable read is delayed so that one read serves several polls.
+/// Longest delay of a linearizable read. The daemon batches the polls that arrive meanwhile.
 const READ_BATCH_WINDOW: Micros = Micros::from_millis(40);
 /// Delay that a user is asked to wait if no node can answer.
 const RETRY_AFTER: Micros = Micros::from_secs(1);
@@ -233,7 +233,7 @@
             });
         }
         // A read that is sent after the poll arrived returns every earlier write, so that once its changes are applied
-        // the scheduler holds them. One read serves all polls that wait.
+        // the scheduler holds them. The delay models the daemon, where one read serves all waiting polls.
         let batch_delay = Micros(self.random(0, READ_BATCH_WINDOW.0));
         self.timer(i, batch_delay, move |sim| {
             let Some(applied) = sim
--- a/crates/hopyoke-simulator/src/invariants/mod.rs
+++ b/crates/hopyoke-simulator/src/invariants/mod.rs
@@ -1,4 +1,4 @@
-//! The invariants, checked against what is true.
+//! Invariants of the cluster, checked against the ground truth.
 
 mod schedulable;
 mod task_start;
@@ -9,36 +9,38 @@
 use hopyoke_protocol::worker::TaskState;
 use hopyoke_types::{Attempt, JobId, MachineId, Micros, ModRevision, TaskId};
 
-/// Once all faults are over, no user's requests may all fail for so long.
+/// Longest time for which all requests of a user may fail once all faults are over.
 const MAX_UNANSWERED: Micros = Micros::from_secs(75);
 
-/// How often jobs are looked for that wait though they could run.
+/// Interval between checks for jobs that wait although they could run.
 const SCHEDULABLE_CHECK_INTERVAL: Micros = Micros::from_secs(2);
 
-/// Jobs that were verified are verified again after so many checks.
+/// Number of checks after which verified jobs are checked again.
 const CHECKS_PER_FULL_CHECK: u64 = 512;
 
 impl Simulation {
-    /// Records that an invariant is violated.
-    pub(crate) fn record_violation(&mut self, rule: &str, what: String) {
-        self.violations
-            .push(format!("{:.3} s: {rule}: {what}", self.now.as_secs_f64()));
+    /// Records the violation of an invariant.
+    pub(crate) fn record_violation(&mut self, rule: &str, details: String) {
+        self.violations.push(format!(
+            "{:.3} s: {rule}: {details}",
+            self.now.as_secs_f64()
+        ));
     }
 
-    /// Tasks that are on a machine: from when they have their image until they exit.
+    /// Returns the tasks that are present on machines: from the end of the image fetch until they exit.
     fn present_tasks(&self) -> Vec<(MachineId, TaskId, Attempt)> {
-        let mut out = Vec::new();
+        let mut tasks = Vec::new();
         for m in self.machines.values() {
             for ((t, a), status) in &m.tasks {
                 if !matches!(status.state, TaskState::Ended | TaskState::Fetching) {
-                    out.push((m.id.clone(), t.clone(), *a));
+                    tasks.push((m.id.clone(), t.clone(), *a));
                 }
             }
         }
-        out
+        tasks
     }
 
-    /// Checks the invariants of the whole cluster.
+    /// Checks the cluster-wide invariants.
     pub(crate) fn check_invariants(&mut self) {
         self.check_cancelled_tasks();
         if self.now >= self.next_schedulable_check_at {
@@ -51,7 +53,7 @@
         if self.check_count.is_multiple_of(CHECKS_PER_FULL_CHECK) {
             self.verified_jobs.clear();
         }
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (id, job) in self
             .jobs
             .iter()
@@ -62,18 +64,19 @@
             let found = record_violations(job, unfinished, end);
             violations.extend(found.into_iter().map(|rule| (rule, id.to_string())));
             if end.is_some() && !unfinished {
-                over.push(id.clone());
+                finished.push(id.clone());
             }
         }
         if violations.is_empty() {
-            self.verified_jobs.extend(over);
+            self.verified_jobs.extend(finished);
         }
-        for (rule, what) in violations {
-            self.record_violation(rule, what);
+        for (rule, details) in violations {
+            self.record_violation(rule, details);
         }
     }
 
-    /// Guards `ran_cancelled`: no task runs long after its user was told of the cancellation.
+    /// Guards the invariant `ran_cancelled`: no task is present on a machine later than the cancellation bound after its
+    /// user observed the cancellation.
     fn check_cancelled_tasks(&mut self) {
         let overdue: Vec<TaskId> = self
             .present_tasks()
@@ -86,11 +89,12 @@
             })
             .collect();
         for t in overdue {
-            self.record_violation("ran_cancelled", format!("{t} is still there"));
+            self.record_violation("ran_cancelled", format!("{t} is still on a machine"));
         }
     }
 
-    /// Guards `forgotten`: once all faults are over, a job whose requests all fail for long counts as forgotten.
+    /// Guards the invariant `forgotten`: an accepted job counts as forgotten if all requests for it fail for too long
+    /// after the end of all faults.
     fn unanswered_job_violation(&self) -> Option<(&'static str, String)> {
         if self.limits.is_some() || self.now <= self.faults_end_at + MAX_UNANSWERED {
             return None;
@@ -100,15 +104,18 @@
                 .is_some_and(|t| self.now > t.max(j.last_response_at) + MAX_UNANSWERED)
         };
         let (id, _) = self.jobs.iter().find(|(_, j)| is_unanswered(j))?;
-        Some(("forgotten", format!("{id} has had no answer")))
+        Some((
+            "forgotten",
+            format!("{id} received no response for {MAX_UNANSWERED:?}"),
+        ))
     }
 
-    /// A job's final state, as the store has it.
+    /// Returns a job's final state from the key-value store. Returns `None` if it has none yet.
     pub(crate) fn terminal_state(&self, id: &JobId) -> Option<JobState> {
         Some(self.terminal_state_with_revision(id)?.0)
     }
 
-    /// A job's final state, and the revision that made it final.
+    /// Returns a job's final state and the revision at which it was written. Returns `None` if it has none yet.
     pub(crate) fn terminal_state_with_revision(
         &self,
         id: &JobId,
@@ -120,21 +127,22 @@
         }
     }
 
-    /// Tasks of a job that run now.
+    /// Returns the number of running tasks of a job.
     pub(crate) fn running_task_count(&self, id: &JobId) -> usize {
-        let states = self.machines.values().flat_map(|m| m.tasks.iter());
-        states
+        let tasks = self.machines.values().flat_map(|m| m.tasks.iter());
+        tasks
             .filter(|((t, _), status)| t.job == *id && status.state == TaskState::Running)
             .count()
     }
 
-    /// When the last task of a job ran to its end.
+    /// Returns when the last task of a job ran to its end. Returns `None` if it has not.
     pub(crate) fn completed_at(&self, id: &JobId) -> Option<Micros> {
         self.jobs.get(id).and_then(|j| j.done_at)
     }
 }
 
-/// Invariants that a job's record violates: whether the record of an unfinished job is there, and its final state.
+/// Returns the invariants that a job's records violate. `unfinished` says whether a record exists at `job/`, and `end` is
+/// the final state recorded at `end/`, if any.
 fn record_violations(
     job: &JobGroundTruth,
     unfinished: bool,
--- a/crates/hopyoke-simulator/src/invariants/schedulable.rs
+++ b/crates/hopyoke-simulator/src/invariants/schedulable.rs
@@ -1,4 +1,4 @@
-//! No job waits long though it could run.
+//! Check that no job waits long although it could run.
 
 use crate::agent::Agent;
 use crate::{JobGroundTruth, Simulation};
@@ -8,13 +8,13 @@
 use hopyoke_types::{JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Once all faults are over, no job may wait for so long though it could run.
+/// Longest time for which a job that could run may wait once all faults are over.
 const MAX_SCHEDULABLE_WAIT: Micros = Micros::from_secs(90);
 
-/// A heartbeat holds so many attempts that no node puts more on the machine.
+/// Number of attempts on a machine from which it counts as full, because a heartbeat can't hold many more.
 const MAX_ATTEMPTS_PER_HEARTBEAT: usize = 500;
 
-/// Free resources of a machine on which tasks can start.
+/// A machine on which tasks can start, with its free resources.
 struct FreeMachine {
     machine_type: String,
     zone: String,
@@ -22,14 +22,14 @@
     free: Resources,
 }
 
-/// Tasks of a job that hold resources.
+/// Tasks of a job that hold resources, and their number by zone.
 #[derive(Default)]
 struct Allocated {
     tasks: BTreeSet<u32>,
     zones: BTreeMap<String, u32>,
 }
 
-/// What is allocated and free by what is true.
+/// True allocation of resources to jobs and teams, and free machines.
 #[derive(Default)]
 struct Usage {
     jobs: BTreeMap<JobId, Allocated>,
@@ -38,9 +38,9 @@
 }
 
 impl Simulation {
-    /// Guards `waits`: once all faults are over no job waits long while it could run by what is true: on a machine
-    /// that fits, is up and sound, and within its team's quota. A job could run of which no task holds resources, a
-    /// service of which any task lacks them.
+    /// Guards the invariant `waits`: once all faults are over no job waits long while, by the ground truth, it could run
+    /// on healthy machines with enough free resources and within its team's quota. A job waits while none of its tasks
+    /// holds resources, a service while any of its tasks does not.
     pub(super) fn check_schedulable_jobs(&mut self) {
         let now = self.now;
         if now < self.faults_end_at {
@@ -68,20 +68,20 @@
             .map(|(id, _)| id.clone());
         self.schedulable_since = schedulable_since;
         if let Some(id) = overdue {
-            let why = self.leader_scheduler().map_or("no leader", |c| {
-                c.jobs.get(&id).map_or("unknown", |j| {
+            let wait_reason = self.leader_scheduler().map_or("no leader", |scheduler| {
+                scheduler.jobs.get(&id).map_or("unknown", |j| {
                     j.wait_reason
                         .map_or("", hopyoke_scheduler::WaitReason::as_str)
                 })
             });
             self.record_violation(
                 "waits",
-                format!("{id} could have begun for {MAX_SCHEDULABLE_WAIT:?} ({why})"),
+                format!("{id} waited longer than {MAX_SCHEDULABLE_WAIT:?} although it could run (reported reason: {wait_reason:?})"),
             );
         }
     }
 
-    /// What is allocated and free now.
+    /// Returns the current allocation and the free machines.
     fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         for m in self.machines.values() {
@@ -112,16 +112,16 @@
         usage
     }
 
-    /// One more task of a job, or all of a gang's, could begin.
+    /// Returns whether one more task of a job, or all tasks of a gang, could start.
     fn could_run(&self, spec: &JobSpec, allocated: &Allocated, usage: &Usage) -> bool {
         if let Some(h) = &self.hours
             && h.holds(spec)
         {
             return false;
         }
-        let gang = spec.kind == JobKind::Gang;
+        let is_gang = spec.kind == JobKind::Gang;
         let task = Resources::of_task(spec);
-        let tasks = if gang { spec.tasks } else { 1 };
+        let tasks = if is_gang { spec.tasks } else { 1 };
         let taken = usage.teams.get(&spec.team).copied().unwrap_or_default();
         if !self
             .team(&spec.team)
@@ -142,14 +142,15 @@
                 *fitting_tasks = fitting_tasks.saturating_add(r.free.holds(&task));
             }
         }
-        let half = spec.tasks.div_ceil(2);
+        // A spread job may have at most half of its tasks in a zone.
+        let max_in_zone = spec.tasks.div_ceil(2);
         for (zone, fitting_tasks) in &mut by_zone {
             let in_zone = allocated.zones.get(*zone).copied().unwrap_or(0);
             if spec.one_zone && allocated.zones.keys().any(|z| z != zone) {
                 *fitting_tasks = 0;
             }
             if spec.spread {
-                *fitting_tasks = (*fitting_tasks).min(half.saturating_sub(in_zone));
+                *fitting_tasks = (*fitting_tasks).min(max_in_zone.saturating_sub(in_zone));
             }
         }
         let capacity = if spec.one_zone {
@@ -161,7 +162,7 @@
     }
 }
 
-/// Tasks of a job that is open, and of which more could run, hold no resources.
+/// Returns whether an accepted, unfinished job lacks tasks that hold resources.
 fn lacks_tasks(job: &JobGroundTruth, allocated: &Allocated) -> bool {
     let is_open = job.accepted_at.is_some()
         && job.observed_end.is_none()
@@ -177,7 +178,7 @@
     }
 }
 
-/// A machine is up, reachable and neither faulty nor slow.
+/// Returns whether a machine is up, reachable and neither faulty nor slow.
 fn is_healthy(m: &Agent, now: Micros) -> bool {
     m.up && m.hangs_until <= now
         && m.responses_lost_until <= now
--- a/crates/hopyoke-simulator/src/invariants/task_start.rs
+++ b/crates/hopyoke-simulator/src/invariants/task_start.rs
@@ -1,14 +1,14 @@
-//! Invariants of a task's start.
+//! Invariants that are checked when a task starts.
 
 use crate::{START_TIME_OF_DAY, Simulation};
 use hopyoke_calendar::StaffedHours;
 use hopyoke_types::{Attempt, MachineId, Micros, TaskId};
 use std::collections::BTreeMap;
 
-/// Rounding errors that a sum of resources may have.
+/// Tolerance for rounding errors in sums of resources.
 const TOLERANCE: f64 = 1e-6;
 
-/// Tasks that are on a machine, with their attempts.
+/// Tasks that are present on machines, with their attempts.
 type PresentTasks = [(MachineId, TaskId, Attempt)];
 
 impl Simulation {
@@ -18,7 +18,7 @@
         if let Some((other, _, _)) = present.iter().find(|(o, t, _)| t == task && o != id) {
             self.record_violation(
                 "ran_twice",
-                format!("{task} starts on {id} while on {other}"),
+                format!("{task} starts on {id} while it is on {other}"),
             );
         }
         self.check_placement(id, task, &present);
@@ -32,7 +32,7 @@
         self.check_quotas(task, &present);
     }
 
-    /// Guards `wrong_place`: the constraints of the job allow the machine.
+    /// Guards the invariant `wrong_place`: a task starts only on a machine that its job's constraints allow.
     fn check_placement(&mut self, id: &MachineId, task: &TaskId, present: &PresentTasks) {
         let m = &self.machines[id];
         let (zone, machine_type, spot) = (m.zone.clone(), m.machine_type.clone(), m.spot);
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Guards `unstaffed`, by true time and without any margin.
+    /// Guards the invariant `unstaffed`: a task that is held outside staffed hours starts only within them, by true time
+    /// and without any margin.
     fn check_staffed_hours(&mut self, id: &MachineId, task: &TaskId) {
         let Some(hours) = &self.hours else {
             return;
@@ -74,18 +75,18 @@
         if truth.holds(spec) && !truth.window_at(START_TIME_OF_DAY + self.now).staffed {
             self.record_violation(
                 "unstaffed",
-                format!("{task} starts on {id} while nobody is there"),
+                format!("{task} starts on {id} outside staffed hours"),
             );
         }
     }
 
-    /// Guards `quota`: what runs, and the task that starts, keep to the limits of all teams.
+    /// Guards the invariant `quota`: the present tasks and the one that starts stay within the limits of all teams.
     fn check_quotas(&mut self, task: &TaskId, present: &PresentTasks) {
         let mut used: BTreeMap<String, (f64, f64)> = BTreeMap::new();
         for t in present.iter().map(|p| &p.1).chain(std::iter::once(task)) {
-            let s = &self.jobs[&t.job].spec;
-            let u = used.entry(s.team.clone()).or_default();
-            *u = (u.0 + s.cpus, u.1 + s.gpus);
+            let spec = &self.jobs[&t.job].spec;
+            let u = used.entry(spec.team.clone()).or_default();
+            *u = (u.0 + spec.cpus, u.1 + spec.gpus);
         }
         for (name, (cpus, gpus)) in used {
             let team = self.team(&name);
--- a/crates/hopyoke-simulator/src/lookup.rs
+++ b/crates/hopyoke-simulator/src/lookup.rs
@@ -1,4 +1,5 @@
-//! Reads of a job's record at the store, wherever it is, as the daemon does them.
+//! Lookup of a job's record in the key-value store, modelled on the daemon. The record is at `job/` while the job is
+//! unfinished and at `end/` afterwards.
 
 use crate::api::{Response, ResponseHandler};
 use crate::kv_store::{Entry, Value};
@@ -11,7 +12,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A job's record, wherever it is.
+/// Result of a lookup.
 pub(crate) enum Lookup {
     Unfinished(JobRecord, ModRevision),
     Finished(JobState),
@@ -19,6 +20,7 @@
 }
 
 impl Lookup {
+    /// Returns the response to a user for this result.
     pub(crate) fn response(&self) -> Response {
         match self {
             Lookup::Unfinished(..) => Response::Unfinished,
@@ -28,16 +30,16 @@
     }
 }
 
-/// A key as read, and the store's revision then.
+/// Entry of a key, if any, and the store's revision at the time of the read.
 struct KeyRead {
     found: Option<Entry>,
     revision: u64,
 }
 
-/// What becomes of a lookup.
+/// Callback that receives the result of a lookup.
 type LookupHandler = Box<dyn FnOnce(&mut Simulation, Lookup)>;
 
-/// Two reads under way at once.
+/// Two reads in flight at the same time, with the results received so far.
 struct ParallelReads {
     job: Option<KeyRead>,
     end: Option<KeyRead>,
@@ -45,13 +47,13 @@
 }
 
 impl Simulation {
-    /// Node `i` has no time for two reads in turn before a deadline.
+    /// Returns whether node `i` has too little time for two consecutive reads before a deadline.
     pub(crate) fn must_read_in_parallel(&self, i: usize, deadline: Micros) -> bool {
         let latency = self.expected_latency(i, RequestKind::Read);
         must_read_side_by_side(latency, deadline - self.now)
     }
 
-    /// Reads the final state of a job that is not among the unfinished ones.
+    /// Reads the final state of a job that is not unfinished as far as the leader knows.
     pub(crate) fn look_up_terminal_state(
         &mut self,
         i: usize,
@@ -73,7 +75,8 @@
         });
     }
 
-    /// A record only ever moves from `job/` to `end/`: read in this order it can't be missed.
+    /// Looks up a job's record. A record only ever moves from `job/` to `end/`, so reading the keys in this order can't
+    /// miss it. If time is short both are read in parallel.
     pub(crate) fn look_up(
         &mut self,
         i: usize,
@@ -99,6 +102,7 @@
         );
     }
 
+    /// Reads the record at `end/`, after `job/` was found absent.
     fn read_end_record(&mut self, i: usize, process: u64, id: JobId, then: LookupHandler) {
         self.read(i, process, format!("end/{id}"), move |sim, read| {
             let found = sim.observe_end_record(i, &id, &read);
@@ -106,8 +110,8 @@
         });
     }
 
-    /// Reads both records at once. That neither is there proves the job missing only if `end/` was read at a revision
-    /// that is not older than that of `job/`: else it may have moved in between, and `end/` is read again.
+    /// Reads both keys in parallel. If neither exists, the job is missing only if `end/` was read at the revision of the
+    /// `job/` read or a later one. Otherwise the record may have moved in between, and `end/` is read again.
     fn look_up_in_parallel(&mut self, i: usize, process: u64, id: JobId, then: LookupHandler) {
         let reads = Rc::new(RefCell::new(ParallelReads {
             job: None,
@@ -125,7 +129,7 @@
         });
     }
 
-    /// Goes on once both reads are answered.
+    /// Evaluates parallel reads once both have completed.
     fn parallel_read_completed(
         &mut self,
         i: usize,
@@ -153,7 +157,8 @@
         }
     }
 
-    /// The final state that was read, if it was there; from now on users may be told of it.
+    /// Returns the final state from a read of `end/` and registers it, so that users may observe it from now on. Returns
+    /// `None` if there was no record.
     fn observe_end_record(&mut self, i: usize, id: &JobId, read: &KeyRead) -> Option<JobState> {
         let entry = read.found.as_ref()?;
         let Value::EndRecord(end) = &entry.value else {
@@ -164,7 +169,7 @@
         Some(state)
     }
 
-    /// Reads a key; there is no response from a store that rejects it.
+    /// Reads a key. `then` is not called if the store rejects the request.
     fn read(
         &mut self,
         i: usize,
@@ -191,7 +196,7 @@
     }
 }
 
-/// The record of an unfinished job, if it was there.
+/// Returns the record of an unfinished job from a read of `job/`. Returns `None` if there was no record.
 fn unfinished_job(read: &KeyRead) -> Option<Lookup> {
     let entry = read.found.as_ref()?;
     match &entry.value {
--- a/crates/hopyoke-simulator/src/network.rs
+++ b/crates/hopyoke-simulator/src/network.rs
@@ -1,61 +1,64 @@
-//! The network between nodes, agents, store and cloud: latency, partitions, overloaded receivers, paused nodes.
+//! Simulated network between nodes, agents, key-value store and cloud: latency, partitions, delayed delivery and paused
+//! nodes.
 
 use crate::Simulation;
 use hopyoke_types::{MachineId, Micros};
 
-/// Ends of a network path.
+/// Endpoint of a network path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Host {
-    /// A node, by its number.
+    /// A node, by its index.
     Node(usize),
     /// The agents of all machines.
     Agents,
-    /// The agents of a zone's machines, by the zone's place in the settings' list.
+    /// The agents of the machines in a zone, by the zone's index in the settings.
     AgentsInZone(usize),
     /// The key-value store.
     KvStore,
-    /// The cloud's API.
+    /// The cloud API.
     Cloud,
 }
 
-/// A node can't reach some hosts, nor they the node.
+/// Bidirectional partition between a node and other hosts.
 #[derive(Debug, Clone)]
 pub(crate) struct NetworkPartition {
-    /// The node.
+    /// Node that is cut off.
     pub(crate) node: usize,
     /// Hosts on the other side.
     pub(crate) unreachable: Vec<Host>,
     /// When the partition heals.
     pub(crate) until: Micros,
-    /// Packets are held back and delivered when the partition heals, instead of lost.
+    /// Whether packets are held back and delivered when the partition heals. Otherwise they are lost.
     pub(crate) holds_packets: bool,
 }
 
 impl NetworkPartition {
+    /// Returns whether a host is on the other side.
     fn covers(&self, host: Host) -> bool {
         let is_agent = matches!(host, Host::AgentsInZone(_));
         self.unreachable.contains(&host) || (is_agent && self.unreachable.contains(&Host::Agents))
     }
 
+    /// Returns whether the partition lies between two hosts.
     fn separates(&self, a: Host, b: Host) -> bool {
         let node = Host::Node(self.node);
         (a == node && self.covers(b)) || (b == node && self.covers(a))
     }
 }
 
-/// A node's process is behind: it handles messages so long after their arrival.
+/// Delay between the arrival of messages at an overloaded node and their handling.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DeliveryDelay {
-    /// The node.
+    /// Affected node.
     pub(crate) node: usize,
-    /// How long messages wait.
+    /// Time that messages wait.
     pub(crate) delay: Micros,
-    /// When the node has caught up.
+    /// End of the overload.
     pub(crate) until: Micros,
 }
 
 impl Simulation {
-    /// Where a machine's agent is, as an end of a network path.
+    /// Returns the network endpoint of a machine's agent.
     pub(crate) fn agent_host(&self, id: &MachineId) -> Host {
         let zone = self
             .machines
@@ -64,7 +67,7 @@
         zone.map_or(Host::Agents, Host::AgentsInZone)
     }
 
-    /// Separates a zone from all others, and from what belongs to no zone. Node `i` stands in zone `i` modulo the
+    /// Partitions a zone from all other zones, the key-value store and the cloud. Node `i` is in zone `i` modulo the
     /// number of zones.
     pub(crate) fn partition_zone(&mut self, zone: usize, until: Micros, holds_packets: bool) {
         let (nodes, zones) = (self.nodes.len(), self.config.zones.len());
@@ -92,14 +95,14 @@
             .extend(outside.into_iter().map(|node| partition(node, &agents)));
     }
 
-    /// The partition that separates two hosts now.
+    /// Returns a partition that currently separates two hosts. Returns `None` if they are connected.
     pub(crate) fn partition_between(&self, a: Host, b: Host) -> Option<&NetworkPartition> {
         self.partitions
             .iter()
             .find(|p| self.now < p.until && p.separates(a, b))
     }
 
-    /// Sends a message: it arrives after a while, late, or never.
+    /// Sends a message and runs `handler` when it is delivered. A partition delays or drops it.
     pub(crate) fn send(
         &mut self,
         from: Host,
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Handles something at a host now; at a paused node, when it goes on.
+    /// Runs a handler at a host now, or when the node resumes if it is paused.
     fn handle_on(&mut self, host: Host, handler: impl FnOnce(&mut Simulation) + 'static) {
         match host {
             Host::Node(i) if self.is_paused(i) => {
@@ -127,24 +130,24 @@
         }
     }
 
-    /// A node's process is paused (as by a debugger or a stalled machine) while its clocks run on.
+    /// Returns whether a node's process is paused. Its clocks keep running, as on a stalled machine.
     pub(crate) fn is_paused(&self, i: usize) -> bool {
         self.paused_nodes
             .get(&i)
             .is_some_and(|until| self.now < *until)
     }
 
-    /// A timer of a node.
+    /// Starts a timer of a node. It fires late if the node is paused then.
     pub(crate) fn timer(
         &mut self,
         i: usize,
-        span: Micros,
+        delay: Micros,
         handler: impl FnOnce(&mut Simulation) + 'static,
     ) {
-        self.after(span, move |sim| sim.handle_on(Host::Node(i), handler));
+        self.after(delay, move |sim| sim.handle_on(Host::Node(i), handler));
     }
 
-    /// How long messages to a host wait before they are handled.
+    /// Returns how long messages to a host currently wait before they are handled.
     pub(crate) fn delivery_delay(&self, to: Host) -> Micros {
         let now = self.now;
         if to == Host::KvStore && now < self.kv_store.request_delay.1 {
--- a/crates/hopyoke-simulator/src/simulation.rs
+++ b/crates/hopyoke-simulator/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The state of a simulation.
+//! State of a simulation.
 
 use crate::agent::Agent;
 use crate::cloud::Cloud;
@@ -17,106 +17,106 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// With more machines than this, invariants of the whole cluster are checked a few times a second of virtual time
-/// instead of after each event. Those of a task's start are always checked.
+/// Largest number of machines for which cluster-wide invariants are checked after each event. In larger clusters they are
+/// checked periodically; invariants of a task start are always checked.
 const MAX_MACHINES_CHECKED_EACH_EVENT: usize = 100;
 
-/// The true time of day at the beginning, after the epoch.
+/// True wall-clock time at the start of a simulation, since the Unix epoch.
 pub(crate) const START_TIME_OF_DAY: Micros = Micros::from_secs(10_000);
 
-/// A cluster in virtual time.
+/// A simulated cluster in virtual time.
 pub struct Simulation {
-    /// The virtual time, since the beginning.
+    /// Virtual time since the start.
     pub now: Micros,
-    /// Events that are still to come.
+    /// Pending events.
     pub(crate) events: EventQueue,
-    /// The source of all random draws.
+    /// Source of all random draws.
     rng: StdRng,
-    /// Settings of the scheduler.
+    /// Scheduler settings.
     pub config: SchedulerConfig,
-    /// Settings of the scheduler that can change while it runs.
+    /// Scheduler settings that can change at run time.
     pub tuning: Tuning,
-    /// Staffed hours; the simulation begins at [`START_TIME_OF_DAY`] on Thursday 1970-01-01 in UTC.
+    /// Staffed hours, if configured. The simulation starts at [`START_TIME_OF_DAY`] on Thursday, 1970-01-01 UTC.
     pub(crate) hours: Option<StaffedHours>,
-    /// How long a leader's lease lasts after a renewal.
+    /// Duration of a leader's lease after a renewal.
     pub(crate) lease_ttl: Micros,
-    /// So long after the confirmation of its cancellation no task of a job may run.
+    /// Time after the confirmation of a cancellation from which no task of the job may run.
     pub(crate) cancellation_bound: Micros,
     /// Machine types that the cloud offers.
     pub machine_types: Vec<MachineType>,
-    /// Capacity left by (type, zone, spot).
+    /// Number of machines that the cloud can still provide, by (machine type, zone, spot).
     pub(crate) capacity: BTreeMap<(String, String, bool), u32>,
-    /// Machines that exist, with their agents.
+    /// Existing machines with their agents.
     pub(crate) machines: BTreeMap<MachineId, Agent>,
-    /// Number of the next machine.
+    /// Number from which the next machine's ID is made.
     pub(crate) next_machine: u32,
-    /// Machines by the scale-out request that they were created for.
+    /// Created machines by scale-out request.
     pub(crate) scale_outs: BTreeMap<String, Vec<MachineId>>,
-    /// So many of the next machines never boot.
+    /// Number of upcoming machines that never boot.
     pub(crate) failed_boots_left: u32,
     pub(crate) cloud: Cloud,
     pub(crate) kv_store: KvStore,
-    /// The nodes, by number.
+    /// Nodes, by index.
     pub(crate) nodes: Vec<Node>,
-    /// Network partitions, healed ones too.
+    /// Network partitions, including healed ones.
     pub(crate) partitions: Vec<NetworkPartition>,
-    /// Nodes that handle messages late, past delays too.
+    /// Delays of messages at nodes, including past ones.
     pub(crate) delivery_delays: Vec<DeliveryDelay>,
-    /// Nodes whose processes are paused, and until when.
+    /// Paused nodes, and when they resume.
     pub(crate) paused_nodes: BTreeMap<usize, Micros>,
-    /// Rates that the key-value store accepts; `None`: any.
+    /// Rate limits of the key-value store. `None` if it has none.
     pub(crate) limits: Option<StoreLimits>,
-    /// Users give up so long after their first submission; `None`: never.
+    /// Time after the first submission at which users give up. `None` if they never do.
     pub(crate) submission_timeout: Option<Micros>,
-    /// Until when a node has no socket left for connections of its own to agents.
+    /// Until when a node has no sockets left for connections to agents.
     pub(crate) sockets_exhausted_until: BTreeMap<usize, Micros>,
-    /// Until when an agent's connections are refused by every node.
+    /// Until when every node refuses connections of an agent.
     pub(crate) connections_refused_until: BTreeMap<MachineId, Micros>,
-    /// Share of the heartbeats of which a copy arrives again.
+    /// Share of the heartbeats that are delivered a second time.
     pub(crate) duplicated_heartbeats: FaultWindow,
-    /// Share of the pushed commands that are held up unanswered.
+    /// Share of the pushed commands that are delayed without a response.
     pub(crate) delayed_commands: FaultWindow,
-    /// Heartbeats that reach the next leader.
+    /// Heartbeats that are held back for the next leader.
     pub(crate) heartbeats_for_next_leader: HeartbeatsForNextLeader,
-    /// When the last fault so far is over.
+    /// End of the last fault injected so far.
     pub(crate) faults_end_at: Micros,
-    /// What users do besides submitting and polling.
+    /// User behavior beyond submitting and polling.
     pub(crate) user_behavior: UserBehavior,
-    /// The jobs of all users.
+    /// Jobs of all users.
     pub jobs: BTreeMap<JobId, JobGroundTruth>,
-    /// Invariants that were violated.
+    /// Violations of invariants, as text.
     pub violations: Vec<String>,
-    /// Leaders that were elected so far.
+    /// Number of leaders elected so far.
     pub elected_leaders: u32,
-    /// Agent epochs that ended because no heartbeat was answered in time.
+    /// Number of agent epochs that ended by lease expiry.
     pub(crate) expired_epochs: u32,
-    /// Longest reconciliation: from an election until all registered machines were accounted for.
+    /// Longest reconciliation, from an election until all registered machines were accounted for.
     pub(crate) longest_reconciliation: Micros,
-    /// Starts of tasks of cancelled jobs: how long after the confirmation of the cancellation.
+    /// For each task start of a cancelled job, the time since the cancellation was confirmed.
     pub(crate) starts_after_cancellation: Vec<Micros>,
-    /// Since when jobs have waited though they could run.
+    /// Since when jobs have been waiting although they could run.
     pub(crate) schedulable_since: BTreeMap<JobId, Micros>,
-    /// When waiting jobs are checked next.
+    /// Time of the next check for such jobs.
     pub(crate) next_schedulable_check_at: Micros,
-    /// Most entities that the scheduler visited for a heartbeat without a placement.
+    /// Largest number of entities that the scheduler visited for a heartbeat without a placement.
     pub(crate) max_entities_per_heartbeat: u64,
-    /// Most entities that the scheduler visited for a tick.
+    /// Largest number of entities that the scheduler visited for a tick.
     pub(crate) max_entities_per_tick: u64,
-    /// When invariants of the whole cluster are checked next, where not after each event.
+    /// Time of the next check of cluster-wide invariants, if they aren't checked after each event.
     pub(crate) next_check_at: Micros,
-    /// Checks of the invariants of the whole cluster so far.
+    /// Number of checks of cluster-wide invariants so far.
     pub(crate) check_count: u64,
-    /// Jobs that were found over, with a record that agrees with the truth.
+    /// Finished jobs whose records were found to agree with the ground truth.
     pub(crate) verified_jobs: BTreeSet<JobId>,
-    /// What happens is printed to stderr.
+    /// Whether events are traced to stderr.
     trace: bool,
-    /// Of all messages and draws so far.
+    /// Digest of all messages and random draws so far.
     pub(crate) digest: Digest,
-    /// All invariants are checked after each event, unless there are too many machines.
+    /// Whether all invariants are checked after each event, unless there are too many machines.
     pub exhaustive_checks: bool,
 }
 
-/// The scheduler's settings, but for teams.
+/// Returns the scheduler settings, without teams.
 fn scheduler_config() -> SchedulerConfig {
     SchedulerConfig {
         zones: vec!["a".into(), "b".into(), "c".into()],
@@ -134,7 +134,7 @@
 }
 
 impl Simulation {
-    /// A cluster of so many nodes, none of them up yet, without machines and jobs.
+    /// Creates a cluster of `nodes` nodes, none of them up, without machines and jobs.
     pub fn new(seed: u64, nodes: usize) -> Simulation {
         Simulation {
             now: Micros::ZERO,
@@ -185,61 +185,70 @@
         }
     }
 
-    /// All invariants are checked after each event.
+    /// Returns whether all invariants are checked after each event.
     pub(crate) fn checks_each_event(&self) -> bool {
         self.exhaustive_checks && self.machines.len() <= MAX_MACHINES_CHECKED_EACH_EVENT
     }
 
-    /// The time of day by a node's clock: off by as much as the hours' bound allows, each another way.
+    /// Returns the wall-clock time at a node, since the Unix epoch. With staffed hours the clocks of nodes are skewed by
+    /// multiples of the skew bound: node 0 lags, node 1 is exact and later nodes are ahead.
     pub(crate) fn time_of_day(&self, node: usize) -> Micros {
         let skew = self.hours.as_ref().map_or(0, |h| h.max_clock_skew.0);
         Micros(START_TIME_OF_DAY.0 + self.now.0 + skew * node as u64) - Micros(skew)
     }
 
-    /// Prints what happens, where `SIM_TRACE` is set.
+    /// Prints an event to stderr if `SIM_TRACE` is set.
     pub(crate) fn log(&self, event: impl FnOnce() -> String) {
         if self.trace {
             eprintln!("{:10.4} {}", self.now.as_secs_f64(), event());
         }
     }
 
-    /// Draws a number between `low` and `high`, both included.
+    /// Draws a uniform random number from `low` to `high`, both inclusive.
     pub(crate) fn random(&mut self, low: u64, high: u64) -> u64 {
         let drawn = self.rng.random_range(low..=high);
         self.digest_bytes(Channel::Draw, &drawn.to_le_bytes());
         drawn
     }
 
-    /// The machine type of a name.
+    /// Returns the machine type with a name.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there is none.
     pub(crate) fn machine_type(&self, name: &str) -> MachineType {
         self.machine_types
             .iter()
             .find(|t| t.name == name)
             .cloned()
-            .expect("a known machine type")
+            .expect("machine type is in the catalog")
     }
 
-    /// The team of a name.
+    /// Returns the team with a name.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there is none.
     pub(crate) fn team(&self, name: &str) -> Team {
         self.config
             .teams
             .iter()
             .find(|t| t.name == name)
             .cloned()
-            .expect("a known team")
+            .expect("team is configured")
     }
 
-    /// The first node that leads, or has not learned yet that it was deposed.
+    /// Returns the first node that considers itself the leader. It may have been deposed without knowing yet.
     pub fn leader(&self) -> Option<usize> {
         self.nodes.iter().position(|n| n.leadership.is_some())
     }
 
-    /// What the first node that leads knows.
+    /// Returns the leadership state of the first node that considers itself the leader.
     pub(crate) fn current_leadership(&self) -> Option<&Leadership> {
         self.nodes.iter().find_map(|n| n.leadership.as_ref())
     }
 
-    /// The scheduler of the first node that leads.
+    /// Returns the scheduler of the first node that considers itself the leader.
     pub fn leader_scheduler(&self) -> Option<&Scheduler> {
         self.current_leadership().map(|l| &l.scheduler)
     }
--- a/crates/hopyoke-simulator/src/user_observations.rs
+++ b/crates/hopyoke-simulator/src/user_observations.rs
@@ -1,5 +1,5 @@
-//! Linearizability of the users' API: no request that begins after an answer was received may get an older one,
-//! whatever node gave either.
+//! Linearizability checks of the user API: a request that begins after a response was received must not return an older
+//! state, whichever nodes gave the responses.
 
 use super::Simulation;
 use super::api::{Request, Response};
@@ -7,7 +7,7 @@
 use hopyoke_protocol::user::JobState;
 use hopyoke_types::{JobId, Micros};
 
-/// What a job's user knows when a request of its begins.
+/// State of a job as its user has observed it, captured when a request begins.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ObservedState {
     accepted: bool,
@@ -15,7 +15,7 @@
 }
 
 impl Simulation {
-    /// What a job's user knows now.
+    /// Returns the state of a job as its user has observed it so far.
     pub(crate) fn observed_state(&self, id: &JobId) -> ObservedState {
         let job = self.jobs.get(id);
         ObservedState {
@@ -24,7 +24,8 @@
         }
     }
 
-    /// A user receives an answer to a request that began when so much was known.
+    /// Handles a response to a user: checks it against `observed_state`, the state known when the request began, and
+    /// updates what the user has observed.
     pub(crate) fn observe_response(
         &mut self,
         id: &JobId,
@@ -62,7 +63,7 @@
         };
         job.last_response_at = now;
         let changed = job.accepted_at.is_none() || (end.is_some() && job.observed_end.is_none());
-        let first = job
+        let is_first = job
             .accepted_at
             .replace(job.accepted_at.unwrap_or(now))
             .is_none();
@@ -72,7 +73,7 @@
         if end == Some(JobState::Cancelled) {
             job.cancelled_at.get_or_insert(now);
         }
-        if first && self.limits.is_none() {
+        if is_first && self.limits.is_none() {
             let id = id.clone();
             self.after(Micros::from_secs(1), move |sim| sim.poll(id));
         }
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The rule that an answer breaks, and why.
+    /// Returns the invariant that a response violates, and the reason. Returns `None` if it violates none.
     fn response_violation(
         &self,
         id: &JobId,
@@ -90,11 +91,13 @@
         response: Response,
     ) -> Option<(&'static str, String)> {
         let Some(job) = self.jobs.get(id) else {
-            let ok = matches!(response, Response::Unfinished | Response::Finished(_));
-            return ok.then(|| {
+            let is_known = matches!(response, Response::Unfinished | Response::Finished(_));
+            return is_known.then(|| {
                 (
                     "invented",
-                    format!("nobody submitted it, and a {request:?} gets {response:?}"),
+                    format!(
+                        "response {response:?} to {request:?} for a job that was never submitted"
+                    ),
                 )
             });
         };
@@ -104,24 +107,28 @@
             {
                 Some((
                     "forgotten",
-                    format!("accepted, and a {request:?} gets {response:?}"),
+                    format!("response {response:?} to {request:?} for an accepted job"),
                 ))
             }
-            Response::Unfinished | Response::Finished(_) if job.malformed_body.is_some() => {
-                Some(("accepted_odd", format!("a {request:?} gets {response:?}")))
-            }
+            Response::Unfinished | Response::Finished(_) if job.malformed_body.is_some() => Some((
+                "accepted_odd",
+                format!("response {response:?} to {request:?} for a malformed submission"),
+            )),
             Response::Unfinished => {
                 let end = observed_state.end?;
                 Some((
                     "went_back",
-                    format!("was called {end:?}, and a {request:?} gets {response:?}"),
+                    format!(
+                        "response {response:?} to {request:?} after the final state {end:?} was observed"
+                    ),
                 ))
             }
-            // Final states exclude each other in whatever order their answers come.
+            // Compared with the latest observation: two different final states are a violation even if the requests
+            // overlapped.
             Response::Finished(end) if job.observed_end.is_some_and(|t| t != end) => Some((
                 "went_back",
                 format!(
-                    "was called {:?}, and a {request:?} gets {end:?}",
+                    "observed the final state {:?}, then {request:?} returned {end:?}",
                     job.observed_end
                 ),
             )),
@@ -130,12 +137,13 @@
             {
                 Some((
                     "went_back",
-                    "its user did not cancel it, and it is called cancelled".to_owned(),
+                    "reported as cancelled although its user did not cancel it".to_owned(),
                 ))
             }
-            Response::Finished(JobState::Done) if !job.done.iter().all(|d| *d) => {
-                Some(("not_done", format!("a {request:?} gets {response:?}")))
-            }
+            Response::Finished(JobState::Done) if !job.done.iter().all(|d| *d) => Some((
+                "not_done",
+                format!("response {response:?} to {request:?} before all tasks completed"),
+            )),
             _ => None,
         }
     }
--- a/crates/hopyoke-simulator/src/users.rs
+++ b/crates/hopyoke-simulator/src/users.rs
@@ -1,5 +1,5 @@
-//! Users: they submit, poll and cancel as the protocol describes it, and by faults of theirs concurrently or
-//! with malformed requests.
+//! Simulated users. They submit, poll and cancel jobs as the user protocol requires. Injected behavior adds concurrent
+//! requests, cancellations at critical moments and malformed requests.
 
 use super::api::{Request, Response};
 use super::kv_store::FaultWindow;
@@ -11,35 +11,35 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long users wait for the answer to a poll.
+/// Time that users wait for the response to a poll.
 const POLL_TIMEOUT: Micros = Micros::from_secs(2);
-/// How long users wait for the answer to another request.
+/// Time that users wait for the response to any other request.
 const REQUEST_TIMEOUT: Micros = Micros::from_secs(5);
 
-/// Jobs that are cancelled while they run have at least this long to go.
+/// Minimum remaining run time of jobs that are cancelled together while they run.
 const MIN_REMAINING_RUN_TIME: Micros = Micros::from_secs(20);
-/// Jobs are cancelled together within this, in microseconds.
-const CANCEL_SPREAD: u64 = 200_000;
-/// Machines that hang while their jobs are cancelled.
+/// Interval within which jobs are cancelled together, in microseconds.
+const CANCEL_WINDOW_US: u64 = 200_000;
+/// Maximum number of machines that hang while their jobs are cancelled.
 const MAX_HANGING_MACHINES: usize = 8;
-/// A cancellation at a task's end may come so long before it.
+/// Time by which a cancellation at a task's end precedes it.
 const CANCEL_LEAD_TIME: Micros = Micros::from_millis(10);
 
-/// What users do besides, and until when.
+/// User behavior beyond submitting and polling, and until when it lasts.
 #[derive(Debug, Default)]
 pub(crate) struct UserBehavior {
-    /// Until then they read at all nodes right after each change.
+    /// End of the period during which users poll all nodes right after each change.
     pub(crate) concurrent_reads_until: Micros,
-    /// Share of the jobs that are cancelled at the moment of their end.
+    /// Share of the jobs that are cancelled at the moment they end.
     pub(crate) cancel_at_end: FaultWindow,
-    /// Until then they send malformed requests.
+    /// End of the period during which users send malformed or misdirected requests.
     pub(crate) malformed_requests_until: Micros,
-    /// Malformed submissions so far.
+    /// Number of malformed submissions so far.
     malformed_count: u64,
 }
 
 impl Simulation {
-    /// A user sends a request to a node; `then` sees the answer, if one comes in time.
+    /// Sends a user's request to node `i`. `then` receives the response if it arrives in time.
     pub(crate) fn send_request(
         &mut self,
         i: usize,
@@ -78,17 +78,17 @@
         });
     }
 
-    /// A node that can take users' requests; users try one after the other.
+    /// Returns a random node that is up and not paused, or a random node if there is none.
     fn pick_node(&mut self) -> usize {
-        let n = self.nodes.len() as u64;
-        let first = self.random(0, n - 1) as usize;
-        (0..n as usize)
-            .map(|k| (first + k) % n as usize)
-            .find(|&k| self.nodes[k].up && !self.is_paused(k))
+        let node_count = self.nodes.len() as u64;
+        let first = self.random(0, node_count - 1) as usize;
+        (0..node_count as usize)
+            .map(|offset| (first + offset) % node_count as usize)
+            .find(|&i| self.nodes[i].up && !self.is_paused(i))
             .unwrap_or(first)
     }
 
-    /// A user submits a job and repeats that until it is accepted or refused.
+    /// Submits a job, and repeats the submission until the job is accepted or rejected or its user gives up.
     pub fn submit(&mut self, id: JobId) {
         let now = self.now;
         let Some(job) = self
@@ -104,13 +104,13 @@
         }
         let i = self.pick_node();
         let job = id.clone();
-        // Users retry after a second or so, or as `Retry-After` says.
-        let pause = if self.limits.is_some() {
+        // With rate limits the delay is random, as with `Retry-After`.
+        let retry_delay = if self.limits.is_some() {
             self.random(1_000_000, 2_000_000)
         } else {
             1_500_000
         };
-        let retry_at = self.now + Micros(pause);
+        let retry_at = self.now + Micros(retry_delay);
         self.send_request(i, &id, Request::Submit, move |sim, response| {
             if matches!(response, Response::Malformed | Response::Unschedulable)
                 && let Some(job) = sim.jobs.get_mut(&job)
@@ -121,7 +121,7 @@
         self.at(retry_at, move |sim| sim.submit(id));
     }
 
-    /// A user cancels a job and repeats that until it gets the job's final state.
+    /// Cancels a job, and repeats the request until its user has observed a final state.
     pub(crate) fn cancel(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id).filter(|j| j.observed_end.is_none()) else {
             return;
@@ -132,23 +132,23 @@
         self.after(Micros::from_millis(1500), move |sim| sim.cancel(id));
     }
 
-    /// A user asks about a job, every few seconds until it is over, and now and then later on.
+    /// Polls a job periodically, less often once its final state was observed.
     pub(crate) fn poll(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let pause = if job.observed_end.is_some() {
+        let interval = if job.observed_end.is_some() {
             self.random(15_000_000, 40_000_000)
         } else {
             5_000_000
         };
         let i = self.pick_node();
         self.send_request(i, &id, Request::Poll, |_, _| {});
-        self.after(Micros(pause), move |sim| sim.poll(id));
+        self.after(Micros(interval), move |sim| sim.poll(id));
     }
 
-    /// A job's user first gets to know that it is accepted, or over. With concurrent reads it polls every node within
-    /// milliseconds, several times, and repeats the submission; some cancel at once.
+    /// Reacts to the first observation that a job is accepted or finished. With concurrent reads enabled its user polls
+    /// every node several times within milliseconds and repeats the submission; some users cancel at once.
     pub(crate) fn job_progress_observed(&mut self, id: &JobId, end: Option<JobState>) {
         if self.now >= self.user_behavior.concurrent_reads_until {
             return;
@@ -167,34 +167,38 @@
         }
     }
 
-    /// A task ends after `left`, if nothing comes between: its user may call just before.
-    pub(crate) fn schedule_cancel_at_end(&mut self, task: &TaskId, left: Micros) {
+    /// Schedules a possible cancellation just before a task ends, which it does after `remaining` if it is not
+    /// interrupted.
+    pub(crate) fn schedule_cancel_at_end(&mut self, task: &TaskId, remaining: Micros) {
         let task = task.clone();
-        self.after(left.max(CANCEL_LEAD_TIME) - CANCEL_LEAD_TIME, move |sim| {
-            let unfinished = sim
-                .jobs
-                .get(&task.job)
-                .map_or(0, |j| j.done.iter().filter(|d| !**d).count());
-            let gang = sim
-                .jobs
-                .get(&task.job)
-                .is_some_and(|j| j.spec.kind == JobKind::Gang);
-            if gang || unfinished == 1 {
-                sim.cancel_at_job_end(&task.job);
-            }
-        });
+        self.after(
+            remaining.max(CANCEL_LEAD_TIME) - CANCEL_LEAD_TIME,
+            move |sim| {
+                let unfinished = sim
+                    .jobs
+                    .get(&task.job)
+                    .map_or(0, |j| j.done.iter().filter(|d| !**d).count());
+                let is_gang = sim
+                    .jobs
+                    .get(&task.job)
+                    .is_some_and(|j| j.spec.kind == JobKind::Gang);
+                if is_gang || unfinished == 1 {
+                    sim.cancel_at_job_end(&task.job);
+                }
+            },
+        );
     }
 
-    /// A job's last task ends now: some users cancel it, ask everywhere and repeat the submission just then, or
-    /// when its end is being recorded.
+    /// Reacts to the end of a job's last task: some users cancel the job, poll every node and repeat the submission, at
+    /// that moment or while the end is being recorded.
     pub(crate) fn cancel_at_job_end(&mut self, id: &JobId) {
         let FaultWindow { percent, until } = self.user_behavior.cancel_at_end;
-        let drawn = self.now < until
+        let is_applicable = self.now < until
             && self
                 .jobs
                 .get(id)
                 .is_some_and(|j| j.accepted_at.is_some() && j.observed_end.is_none());
-        if !drawn
+        if !is_applicable
             || self
                 .jobs
                 .get_mut(id)
@@ -205,12 +209,12 @@
         if self.random(0, 99) >= percent {
             return;
         }
-        let span = [20_000, 800_000][self.random(0, 1) as usize];
-        let (job, wait) = (id.clone(), Micros(self.random(0, span)));
+        let window_us = [20_000, 800_000][self.random(0, 1) as usize];
+        let (job, wait) = (id.clone(), Micros(self.random(0, window_us)));
         self.after(wait, move |sim| sim.cancel(job));
         for i in 0..self.nodes.len() {
             for request in [Request::Poll, Request::Poll, Request::Submit] {
-                let (id, wait) = (id.clone(), Micros(self.random(0, span)));
+                let (id, wait) = (id.clone(), Micros(self.random(0, window_us)));
                 self.after(wait, move |sim| {
                     sim.send_request(i, &id, request, |_, _| {})
                 });
@@ -218,7 +222,8 @@
         }
     }
 
-    /// Users call off jobs that run and have long to go, at once; some of their machines hang for a while.
+    /// Cancels up to `max_jobs` running jobs that have long to run, almost at once. Some of their machines hang for
+    /// `hang_duration`.
     pub(crate) fn cancel_running_jobs(&mut self, max_jobs: usize, hang_duration: Micros) {
         let now = self.now;
         let mut running: BTreeMap<JobId, Vec<MachineId>> = BTreeMap::new();
@@ -259,12 +264,12 @@
                     hanging += 1;
                 }
             }
-            let wait = Micros(self.random(0, CANCEL_SPREAD));
+            let wait = Micros(self.random(0, CANCEL_WINDOW_US));
             self.after(wait, move |sim| sim.cancel(id));
         }
     }
 
-    /// Users send malformed requests, again and again.
+    /// Sends malformed or misdirected requests periodically.
     pub(crate) fn send_malformed_requests(&mut self) {
         if self.now >= self.user_behavior.malformed_requests_until {
             return;
@@ -285,7 +290,7 @@
             }
             2 => self.submit_malformed(),
             _ => {
-                // Nobody ever submits these.
+                // Jobs with these IDs are never submitted.
                 let id = JobId::new(&format!("req-{}", 990_000 + self.random(0, 9_999)));
                 let request = [Request::Poll, Request::Cancel][self.random(0, 1) as usize];
                 self.send_request(i, &id, request, |_, _| {});
@@ -295,18 +300,19 @@
         self.after(pause, Simulation::send_malformed_requests);
     }
 
-    fn pick_job(&mut self, which: impl Fn(&JobGroundTruth) -> bool) -> Option<JobId> {
+    /// Returns a random job that matches a predicate. Returns `None` if there is none.
+    fn pick_job(&mut self, matches: impl Fn(&JobGroundTruth) -> bool) -> Option<JobId> {
         let found: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(_, j)| which(j))
+            .filter(|(_, j)| matches(j))
             .map(|(id, _)| id.clone())
             .collect();
         let at = self.random(0, found.len().max(1) as u64 - 1) as usize;
         found.get(at).cloned()
     }
 
-    /// Submits a job that can't run, or whose description lacks a field or has one out of its range.
+    /// Submits a job that can never run, or whose description lacks a field or has one out of range.
     fn submit_malformed(&mut self) {
         self.user_behavior.malformed_count += 1;
         let id = JobId::new(&format!(
