--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -414,8 +414,8 @@
     }
 
     /// Registers a final state that node `i` has written or read, so that from now on it may report it to users. Before
-    /// that a cancellation is appended to the cancellation log, for leaders that may not have seen it, and the node's own
-    /// scheduler drops the job.
+    /// that a cancellation is appended to the cancellation log, for leaders that may not have seen it, and the node's
+    /// own scheduler drops the job.
     pub(crate) fn register_terminal_state(
         &mut self,
         i: usize,
--- a/crates/hopyoke-simulator/src/invariants/mod.rs
+++ b/crates/hopyoke-simulator/src/invariants/mod.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Guards the invariant `ran_cancelled`: no task is present on a machine later than the cancellation bound after its
-    /// user observed the cancellation.
+    /// Guards the invariant `ran_cancelled`: no task is present on a machine later than the cancellation bound after
+    /// its user observed the cancellation.
     fn check_cancelled_tasks(&mut self) {
         let overdue: Vec<TaskId> = self
             .present_tasks()
@@ -141,8 +141,8 @@
     }
 }
 
-/// Returns the invariants that a job's records violate. `unfinished` says whether a record exists at `job/`, and `end` is
-/// the final state recorded at `end/`, if any.
+/// Returns the invariants that a job's records violate. `unfinished` says whether a record exists at `job/`, and `end`
+/// is the final state recorded at `end/`, if any.
 fn record_violations(
     job: &JobGroundTruth,
     unfinished: bool,
--- a/crates/hopyoke-simulator/src/invariants/schedulable.rs
+++ b/crates/hopyoke-simulator/src/invariants/schedulable.rs
@@ -38,9 +38,9 @@
 }
 
 impl Simulation {
-    /// Guards the invariant `waits`: once all faults are over no job waits long while, by the ground truth, it could run
-    /// on healthy machines with enough free resources and within its team's quota. A job waits while none of its tasks
-    /// holds resources, a service while any of its tasks does not.
+    /// Guards the invariant `waits`: once all faults are over no job waits long while, by the ground truth, it could
+    /// run on healthy machines with enough free resources and within its team's quota. A job waits while none of its
+    /// tasks holds resources, a service while any of its tasks does not.
     pub(super) fn check_schedulable_jobs(&mut self) {
         let now = self.now;
         if now < self.faults_end_at {
@@ -76,7 +76,7 @@
             });
             self.record_violation(
                 "waits",
-                format!("{id} waited longer than {MAX_SCHEDULABLE_WAIT:?} although it could run (reported reason: {wait_reason:?})"),
+                format!("{id} could run but has waited over {MAX_SCHEDULABLE_WAIT:?}, reported reason: {wait_reason:?}"),
             );
         }
     }
--- a/crates/hopyoke-simulator/src/invariants/task_start.rs
+++ b/crates/hopyoke-simulator/src/invariants/task_start.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Guards the invariant `unstaffed`: a task that is held outside staffed hours starts only within them, by true time
-    /// and without any margin.
+    /// Guards the invariant `unstaffed`: a task that is held outside staffed hours starts only within them, by true
+    /// time and without any margin.
     fn check_staffed_hours(&mut self, id: &MachineId, task: &TaskId) {
         let Some(hours) = &self.hours else {
             return;
--- a/crates/hopyoke-simulator/src/kv_store.rs
+++ b/crates/hopyoke-simulator/src/kv_store.rs
@@ -78,7 +78,7 @@
             return Err(failed_keys);
         }
 
-        let on_expired_lease = |mutation: &Mutation| matches!(mutation, Mutation::Put(_, _, Some(l)) if !self.leases.contains_key(l));
+        let on_expired_lease = |m: &Mutation| matches!(m, Mutation::Put(_, _, Some(l)) if !self.leases.contains_key(l));
         if mutations.iter().any(on_expired_lease) {
             return Err(Vec::new());
         }
--- a/crates/hopyoke-simulator/src/limits.rs
+++ b/crates/hopyoke-simulator/src/limits.rs
@@ -8,7 +8,7 @@
 /// Interval at which nodes gossip about their admission queues.
 const GOSSIP_INTERVAL: Micros = Micros::from_millis(400);
 
-/// Token buckets of the key-value store. Requests above its rates are rejected; bursts are limited to one second's worth.
+/// Token buckets of the key-value store. Requests above its rates are rejected; a burst may use up one second's worth.
 pub(crate) struct StoreLimits {
     requests_per_s: f64,
     writes_per_s: f64,
--- a/crates/hopyoke-simulator/src/lookup.rs
+++ b/crates/hopyoke-simulator/src/lookup.rs
@@ -110,8 +110,8 @@
         });
     }
 
-    /// Reads both keys in parallel. If neither exists, the job is missing only if `end/` was read at the revision of the
-    /// `job/` read or a later one. Otherwise the record may have moved in between, and `end/` is read again.
+    /// Reads both keys in parallel. If neither exists, the job is missing only if `end/` was read at the revision of
+    /// the `job/` read or a later one. Otherwise the record may have moved in between, and `end/` is read again.
     fn look_up_in_parallel(&mut self, i: usize, process: u64, id: JobId, then: LookupHandler) {
         let reads = Rc::new(RefCell::new(ParallelReads {
             job: None,
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Returns the final state from a read of `end/` and registers it, so that users may observe it from now on. Returns
-    /// `None` if there was no record.
+    /// Returns the final state from a read of `end/` and registers it, so that users may observe it from now on.
+    /// Returns `None` if there was no record.
     fn observe_end_record(&mut self, i: usize, id: &JobId, read: &KeyRead) -> Option<JobState> {
         let entry = read.found.as_ref()?;
         let Value::EndRecord(end) = &entry.value else {
--- a/crates/hopyoke-simulator/src/simulation.rs
+++ b/crates/hopyoke-simulator/src/simulation.rs
@@ -17,8 +17,8 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Largest number of machines for which cluster-wide invariants are checked after each event. In larger clusters they are
-/// checked periodically; invariants of a task start are always checked.
+/// Largest number of machines for which cluster-wide invariants are checked after each event. In larger clusters they
+/// are checked periodically; invariants of a task start are always checked.
 const MAX_MACHINES_CHECKED_EACH_EVENT: usize = 100;
 
 /// True wall-clock time at the start of a simulation, since the Unix epoch.
@@ -190,8 +190,8 @@
         self.exhaustive_checks && self.machines.len() <= MAX_MACHINES_CHECKED_EACH_EVENT
     }
 
-    /// Returns the wall-clock time at a node, since the Unix epoch. With staffed hours the clocks of nodes are skewed by
-    /// multiples of the skew bound: node 0 lags, node 1 is exact and later nodes are ahead.
+    /// Returns the wall-clock time at a node, since the Unix epoch. With staffed hours the clocks of nodes are skewed
+    /// by multiples of the skew bound: node 0 lags, node 1 is exact and later nodes are ahead.
     pub(crate) fn time_of_day(&self, node: usize) -> Micros {
         let skew = self.hours.as_ref().map_or(0, |h| h.max_clock_skew.0);
         Micros(START_TIME_OF_DAY.0 + self.now.0 + skew * node as u64) - Micros(skew)
