--- a/crates/hopyoke-simulator/src/cloud.rs
+++ b/crates/hopyoke-simulator/src/cloud.rs
@@ -22,7 +22,7 @@
 }
 
 impl Simulation {
-    /// Returns the duration of a boot that takes `boot` without faults.
+    /// Returns how long a boot takes now that would take `boot` without faults.
     pub(crate) fn scaled_boot_time(&self, boot: Micros) -> Micros {
         match self.cloud.slow_boots {
             Some((factor, until)) if self.now < until => Micros((boot.0 as f64 * factor) as u64),
--- a/crates/hopyoke-simulator/src/invariants/schedulable.rs
+++ b/crates/hopyoke-simulator/src/invariants/schedulable.rs
@@ -11,7 +11,7 @@
 /// Longest time for which a job that could run may wait once all faults are over.
 const MAX_SCHEDULABLE_WAIT: Micros = Micros::from_secs(90);
 
-/// Number of attempts on a machine from which it counts as full, because a heartbeat can't hold many more.
+/// Maximum number of attempts on a machine. Nodes place no more, as a heartbeat could not hold them.
 const MAX_ATTEMPTS_PER_HEARTBEAT: usize = 500;
 
 /// A machine on which tasks can start, with its free resources.
@@ -162,7 +162,8 @@
     }
 }
 
-/// Returns whether an accepted, unfinished job lacks tasks that hold resources.
+/// Returns whether a job should be running but lacks tasks that hold resources: it is accepted, unfinished, not being
+/// cancelled and not bound to fail.
 fn lacks_tasks(job: &JobGroundTruth, allocated: &Allocated) -> bool {
     let is_open = job.accepted_at.is_some()
         && job.observed_end.is_none()
