--- a/crates/hopyoke-simulator/src/invariants/task_start.rs
+++ b/crates/hopyoke-simulator/src/invariants/task_start.rs
@@ -1,24 +1,24 @@
-//! Invariants of a task's start.
+//! Invariants that are checked when a task starts.
 
 use crate::{START_TIME_OF_DAY, Simulation};
 use hopyoke_calendar::StaffedHours;
 use hopyoke_types::{Attempt, MachineId, Micros, TaskId};
 use std::collections::BTreeMap;
 
-/// Rounding errors that a sum of resources may have.
+/// Tolerance for rounding errors in sums of resources.
 const TOLERANCE: f64 = 1e-6;
 
-/// Tasks that are on a machine, with their attempts.
+/// Tasks that are present on machines, with their attempts.
 type PresentTasks = [(MachineId, TaskId, Attempt)];
 
 impl Simulation {
     /// Checks the invariants that hold when a task starts on a machine.
     pub(crate) fn check_task_start(&mut self, id: &MachineId, task: &TaskId) {
-        let present = self.present();
+        let present = self.present_tasks();
         if let Some((other, _, _)) = present.iter().find(|(o, t, _)| t == task && o != id) {
             self.record_violation(
                 "ran_twice",
-                format!("{task} starts on {id} while on {other}"),
+                format!("{task} starts on {id} while it is on {other}"),
             );
         }
         self.check_placement(id, task, &present);
@@ -32,10 +32,10 @@
         self.check_quotas(task, &present);
     }
 
-    /// Guards `wrong_place`: the constraints of the job allow the machine.
+    /// Guards the invariant `wrong_place`: a task starts only on a machine that its job's constraints allow.
     fn check_placement(&mut self, id: &MachineId, task: &TaskId, present: &PresentTasks) {
         let m = &self.machines[id];
-        let (zone, kind, spot) = (m.zone.clone(), m.kind.clone(), m.spot);
+        let (zone, machine_type, spot) = (m.zone.clone(), m.machine_type.clone(), m.spot);
         let spec = self.jobs[&task.job].spec.clone();
         let siblings = || {
             present
@@ -48,19 +48,20 @@
         let types_ok = spec
             .machine_types
             .as_ref()
-            .is_none_or(|t| t.contains(&kind));
+            .is_none_or(|t| t.contains(&machine_type));
         let zone_ok = spec.zone.as_ref().is_none_or(|z| *z == zone);
-        let together = !spec.one_zone || in_zone == siblings().count();
-        let apart = !spec.spread || in_zone < spec.tasks.div_ceil(2) as usize;
-        if !types_ok || !zone_ok || !together || !apart || (spot && !spec.spot) {
+        let is_in_one_zone = !spec.one_zone || in_zone == siblings().count();
+        let is_spread = !spec.spread || in_zone < spec.tasks.div_ceil(2) as usize;
+        if !types_ok || !zone_ok || !is_in_one_zone || !is_spread || (spot && !spec.spot) {
             self.record_violation(
                 "wrong_place",
-                format!("{task} starts on {id} ({kind}, {zone}, spot {spot})"),
+                format!("{task} starts on {id} ({machine_type}, {zone}, spot {spot})"),
             );
         }
     }
 
-    /// Guards `unstaffed`, by true time and without any margin.
+    /// Guards the invariant `unstaffed`: a task that is held outside staffed hours starts only within them, by true
+    /// time and without any margin.
     fn check_staffed_hours(&mut self, id: &MachineId, task: &TaskId) {
         let Some(hours) = &self.hours else {
             return;
@@ -74,18 +75,18 @@
         if truth.holds(spec) && !truth.window_at(START_TIME_OF_DAY + self.now).staffed {
             self.record_violation(
                 "unstaffed",
-                format!("{task} starts on {id} while nobody is there"),
+                format!("{task} starts on {id} outside staffed hours"),
             );
         }
     }
 
-    /// Guards `quota`: what runs, and the task that starts, keep to the limits of all teams.
+    /// Guards the invariant `quota`: the present tasks and the one that starts stay within the limits of all teams.
     fn check_quotas(&mut self, task: &TaskId, present: &PresentTasks) {
         let mut used: BTreeMap<String, (f64, f64)> = BTreeMap::new();
         for t in present.iter().map(|p| &p.1).chain(std::iter::once(task)) {
-            let s = &self.jobs[&t.job].spec;
-            let u = used.entry(s.team.clone()).or_default();
-            *u = (u.0 + s.cpus, u.1 + s.gpus);
+            let spec = &self.jobs[&t.job].spec;
+            let u = used.entry(spec.team.clone()).or_default();
+            *u = (u.0 + spec.cpus, u.1 + spec.gpus);
         }
         for (name, (cpus, gpus)) in used {
             let team = self.team(&name);
--- a/crates/hopyoke-simulator/src/kv_store.rs
+++ b/crates/hopyoke-simulator/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! The key-value store: transactions, leases and their faults.
+//! Simulated key-value store with transactions, leases and their faults.
 
 use super::Simulation;
 use super::digest::Channel;
@@ -7,15 +7,17 @@
 use hopyoke_types::Micros;
 use std::collections::BTreeMap;
 
+/// A stored value.
 #[derive(Debug, Clone)]
 pub(crate) enum Value {
-    Job(JobRecord),
-    End(EndRecord),
-    Page(RegistryPage),
-    Learned(hopyoke_run_times::Page),
+    JobRecord(JobRecord),
+    EndRecord(EndRecord),
+    RegistryPage(RegistryPage),
+    RunTimesPage(hopyoke_run_times::Page),
     LeaseHolder(usize),
 }
 
+/// A value with its revision and the lease that it is attached to.
 #[derive(Debug, Clone)]
 pub(crate) struct Entry {
     pub(crate) value: Value,
@@ -23,81 +25,89 @@
     pub(crate) lease: Option<u64>,
 }
 
+/// Contents and faults of the key-value store.
 #[derive(Default)]
 pub(crate) struct KvStore {
     /// Entries by key.
-    pub(crate) keys: BTreeMap<String, Entry>,
+    pub(crate) entries: BTreeMap<String, Entry>,
     /// Revision of the last transaction.
     pub(crate) revision: u64,
-    /// (revision, key, dropped)
+    /// Changes as (revision, key, whether the key was deleted), oldest first.
     pub(crate) log: Vec<(u64, String, bool)>,
-    /// Leases and when they expire.
+    /// Expiry times by lease.
     pub(crate) leases: BTreeMap<u64, Micros>,
-    next_lease: u64,
-    /// Until then all requests are rejected.
+    last_lease: u64,
+    /// End of the outage during which all requests are rejected.
     pub(crate) outage_until: Micros,
-    /// Nodes that alone are refused, and until compares.
-    pub(crate) refused: BTreeMap<usize, Micros>,
-    /// So much longer takes what reaches the service, and until compares.
-    pub(crate) slow: (Micros, Micros),
-    /// Share of the transactions that are applied, and whose responses are lost.
+    /// Nodes whose requests are rejected, and until when.
+    pub(crate) rejected_nodes: BTreeMap<usize, Micros>,
+    /// Additional delay of messages to the store, and until when.
+    pub(crate) request_delay: (Micros, Micros),
+    /// Share of the transactions that are applied but whose responses are lost.
     pub(crate) lost_responses: FaultWindow,
-    /// The same of renewals of leases.
+    /// Share of the lease renewals that are applied but whose responses are lost.
     pub(crate) lost_renewals: FaultWindow,
-    /// Share of the transactions that get no response and are applied late.
-    pub(crate) late_writes: FaultWindow,
+    /// Share of the transactions that get no response and are applied after a delay.
+    pub(crate) delayed_writes: FaultWindow,
 }
 
-/// A change of a key.
+/// A write within a transaction. A put may attach the key to a lease.
 pub(crate) enum Mutation {
     Put(String, Value, Option<u64>),
     Delete(String),
 }
 
 impl KvStore {
-    /// Applies the changes if every condition holds; else says which did not.
+    /// Applies the mutations if each key has the expected revision (0: no such key), and returns the new revision.
+    ///
+    /// # Errors
+    ///
+    /// Returns the keys whose comparison failed, or no keys if a put uses an expired lease.
     pub(crate) fn txn(
         &mut self,
         compares: &[(String, u64)],
-        apply: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> Result<u64, Vec<String>> {
-        let mod_revision = |key: &String| self.keys.get(key).map_or(0, |e| e.mod_revision);
-        let failed: Vec<String> = compares
+        let mod_revision = |key: &String| self.entries.get(key).map_or(0, |e| e.mod_revision);
+        let failed_keys: Vec<String> = compares
             .iter()
             .filter(|(k, m)| mod_revision(k) != *m)
             .map(|(k, _)| k.clone())
             .collect();
-        if !failed.is_empty() {
-            return Err(failed);
+        if !failed_keys.is_empty() {
+            return Err(failed_keys);
         }
-        // A write on an expired lease is rejected.
-        let on_expired_lease = |c: &Mutation| matches!(c, Mutation::Put(_, _, Some(l)) if !self.leases.contains_key(l));
-        if apply.iter().any(on_expired_lease) {
+
+        let on_expired_lease = |m: &Mutation| matches!(m, Mutation::Put(_, _, Some(l)) if !self.leases.contains_key(l));
+        if mutations.iter().any(on_expired_lease) {
             return Err(Vec::new());
         }
         self.revision += 1;
         let mod_revision = self.revision;
-        for c in apply {
-            match c {
+        for mutation in mutations {
+            match mutation {
                 Mutation::Put(key, value, lease) => {
-                    // What is written must fit: checked as the service would.
-                    if let Value::Job(record) = &value {
+                    // The real store rejects larger values.
+                    if let Value::JobRecord(record) = &value {
                         let size = serde_json::to_vec(record).map_or(0, |v| v.len());
-                        assert!(size <= 8192, "a record of {size} bytes was written");
+                        assert!(size <= 8192, "job record of {size} bytes exceeds the limit");
                     }
-                    if let Value::Page(page) = &value {
+                    if let Value::RegistryPage(page) = &value {
                         let size = serde_json::to_vec(page).map_or(0, |v| v.len());
-                        assert!(size <= 8192, "a page of {size} bytes was written");
+                        assert!(
+                            size <= 8192,
+                            "registry page of {size} bytes exceeds the limit"
+                        );
                     }
-                    if let Value::Learned(page) = &value {
+                    if let Value::RunTimesPage(page) = &value {
                         let size = serde_json::to_vec(page).map_or(0, |v| v.len());
                         assert!(
                             size <= 8192,
-                            "a page of learned run times of {size} bytes was written"
+                            "run times page of {size} bytes exceeds the limit"
                         );
                     }
                     self.log.push((mod_revision, key.clone(), false));
-                    self.keys.insert(
+                    self.entries.insert(
                         key,
                         Entry {
                             value,
@@ -107,7 +117,7 @@
                     );
                 }
                 Mutation::Delete(key) => {
-                    if self.keys.remove(&key).is_some() {
+                    if self.entries.remove(&key).is_some() {
                         self.log.push((mod_revision, key, true));
                     }
                 }
@@ -116,23 +126,23 @@
         Ok(mod_revision)
     }
 
-    /// What changed after a revision.
+    /// Returns the changes after a revision.
     pub(crate) fn since(&self, revision: u64) -> &[(u64, String, bool)] {
         &self.log[self.log.partition_point(|(r, ..)| *r <= revision)..]
     }
 
-    /// Grants a lease.
-    pub(crate) fn grant(&mut self, until: Micros) -> u64 {
-        self.next_lease += 1;
-        self.leases.insert(self.next_lease, until);
-        self.next_lease
+    /// Grants a lease that expires at `until`.
+    pub(crate) fn grant_lease(&mut self, until: Micros) -> u64 {
+        self.last_lease += 1;
+        self.leases.insert(self.last_lease, until);
+        self.last_lease
     }
 
-    /// Revokes a lease, and deletes the keys on it.
-    pub(crate) fn end_lease(&mut self, lease: u64) {
+    /// Revokes a lease and deletes the keys that are attached to it.
+    pub(crate) fn revoke_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
-            .keys
+            .entries
             .iter()
             .filter(|(_, e)| e.lease == Some(lease))
             .map(|(k, _)| k.clone())
@@ -143,120 +153,123 @@
     }
 }
 
-/// What becomes of a transaction that the store does not reject.
+/// Outcome of a transaction that the store does not reject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TransactionOutcome {
-    Usual,
-    /// It is applied, and its response is lost.
+    /// Evaluated at once, and its result is returned.
+    Applied,
+    /// Evaluated at once, but the response is lost.
     ResponseLost,
-    /// It gets no response and is applied so much later, after newer ones.
-    Late(Micros),
+    /// Evaluated after this delay, possibly after newer transactions, without a response.
+    Delayed(Micros),
 }
 
-/// A fault that strikes a share of messages or transactions for a while.
+/// Fault that affects a share of messages or transactions until a given time.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct FaultWindow {
-    /// The share, in percent.
+    /// Share in percent.
     pub(crate) percent: u64,
-    /// When the fault is over.
+    /// End of the fault.
     pub(crate) until: Micros,
 }
 
-/// Heartbeats that are kept, and reach every node once a new leader begins.
+/// Heartbeats that are held back and delivered to every node once a new leader has started.
 #[derive(Debug, Default)]
 pub(crate) struct HeartbeatsForNextLeader {
-    /// Share of the heartbeats that arrive as usual and are kept as well.
+    /// Share of the heartbeats that are delivered normally and once more to the new leader.
     pub(crate) copied: FaultWindow,
-    /// Share of the heartbeats that arrive then only: their agents have given them up.
+    /// Share of the heartbeats that are delivered only then, when their agents have given up on them.
     pub(crate) held: FaultWindow,
-    /// How long after the beginning they arrive.
+    /// Delay of the delivery after the leader's start.
     pub(crate) after: Micros,
-    /// The heartbeats.
+    /// Heartbeats held back so far.
     pub(crate) kept: Vec<Heartbeat>,
 }
 
 impl Simulation {
-    /// Draws whether a fault strikes now.
-    pub(crate) fn draws_fault(&mut self, s: FaultWindow) -> bool {
-        self.now < s.until && self.random(0, 99) < s.percent
+    /// Draws whether a fault occurs now.
+    pub(crate) fn draws_fault(&mut self, window: FaultWindow) -> bool {
+        self.now < window.until && self.random(0, 99) < window.percent
     }
 
-    /// Draws what becomes of a transaction.
+    /// Draws the outcome of a transaction.
     fn draw_transaction_outcome(&mut self) -> TransactionOutcome {
         if self.draws_fault(self.kv_store.lost_responses) {
             TransactionOutcome::ResponseLost
-        } else if self.draws_fault(self.kv_store.late_writes) {
-            TransactionOutcome::Late(Micros(self.random(2_000_000, 12_000_000)))
+        } else if self.draws_fault(self.kv_store.delayed_writes) {
+            TransactionOutcome::Delayed(Micros(self.random(2_000_000, 12_000_000)))
         } else {
-            TransactionOutcome::Usual
+            TransactionOutcome::Applied
         }
     }
 
-    /// A transaction that the store does not reject; `None`: it gets no response.
+    /// Executes a transaction that the store does not reject. Returns `None` if it gets no response.
     pub(crate) fn transact(
         &mut self,
         compares: &[(String, u64)],
-        apply: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> Option<Result<u64, Vec<String>>> {
-        self.digest_transaction(compares, &apply);
+        self.digest_transaction(compares, &mutations);
         match self.draw_transaction_outcome() {
-            TransactionOutcome::Usual => {
-                let result = self.kv_store.txn(compares, apply);
+            TransactionOutcome::Applied => {
+                let result = self.kv_store.txn(compares, mutations);
                 self.digest_message(Channel::TransactionResult, &result);
                 Some(result)
             }
             TransactionOutcome::ResponseLost => {
-                let _ = self.kv_store.txn(compares, apply);
+                let _ = self.kv_store.txn(compares, mutations);
                 None
             }
-            TransactionOutcome::Late(span) => {
+            TransactionOutcome::Delayed(delay) => {
                 let compares = compares.to_vec();
-                self.after(span, move |w| drop(w.kv_store.txn(&compares, apply)));
+                self.after(delay, move |sim| {
+                    drop(sim.kv_store.txn(&compares, mutations))
+                });
                 None
             }
         }
     }
 
-    /// The store rejects this node now, or everybody.
+    /// Returns whether the store now rejects requests of this node.
     pub(crate) fn store_rejects(&self, node: usize) -> bool {
         self.store_is_down()
             || self
                 .kv_store
-                .refused
+                .rejected_nodes
                 .get(&node)
                 .is_some_and(|until| self.now < *until)
     }
 
-    /// The store rejects everybody.
+    /// Returns whether the store now rejects all requests.
     pub(crate) fn store_is_down(&self) -> bool {
         self.now < self.kv_store.outage_until
     }
 
-    /// Ends leases that were not renewed; runs all the time.
+    /// Revokes expired leases and reschedules itself. During an outage no lease expires.
     pub fn expire_leases(&mut self) {
         if !self.store_is_down() {
             let now = self.now;
-            let over: Vec<u64> = self
+            let expired: Vec<u64> = self
                 .kv_store
                 .leases
                 .iter()
                 .filter(|(_, t)| **t <= now)
                 .map(|(id, _)| *id)
                 .collect();
-            for id in over {
-                self.kv_store.end_lease(id);
+            for id in expired {
+                self.kv_store.revoke_lease(id);
             }
         }
         self.after(Micros::from_millis(20), Simulation::expire_leases);
     }
 
-    /// After an outage every lease has its full time again.
-    pub(crate) fn begin_outage(&mut self, span: Micros) {
-        let end = self.now + span;
+    /// Starts an outage. When it ends, every lease is extended to its full term.
+    pub(crate) fn begin_outage(&mut self, duration: Micros) {
+        let end = self.now + duration;
         self.kv_store.outage_until = end;
-        self.at(end, |w| {
-            let until = w.now + w.lease_ttl;
-            for t in w.kv_store.leases.values_mut() {
+        self.at(end, |sim| {
+            let until = sim.now + sim.lease_ttl;
+            for t in sim.kv_store.leases.values_mut() {
                 *t = until;
             }
         });
--- a/crates/hopyoke-simulator/src/node/commands.rs
+++ b/crates/hopyoke-simulator/src/node/commands.rs
@@ -78,7 +78,7 @@
         if self.draws_fault(self.delayed_commands) {
             let delay = Micros(self.random(2_000_000, 16_000_000));
             // The commands reach the agent whichever node leads by then, and their response is dropped.
-            return self.on_machine(&machine.clone(), delay, move |w| {
+            return self.schedule_on_machine(&machine.clone(), delay, move |w| {
                 w.log(|| format!("{machine} receives delayed commands of token {}", token.0));
                 w.receive_pushed_commands(&machine, token, epoch, commands);
             });
--- a/crates/hopyoke-simulator/src/scenario/job_expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/job_expectations.rs
@@ -30,13 +30,13 @@
                 format!("its user observed: {observed}")
             })
         }
-        "unfinished" => check(w.end_of(id).is_none(), || "it has ended".into()),
-        "cancelled" => check(w.end_of(id) == Some(JobState::Cancelled), || {
+        "unfinished" => check(w.terminal_state(id).is_none(), || "it has ended".into()),
+        "cancelled" => check(w.terminal_state(id) == Some(JobState::Cancelled), || {
             "not cancelled".into()
         }),
         "running" => {
             let n = number(next_word(words)) as usize;
-            let running = w.running(id);
+            let running = w.running_task_count(id);
             check(running == n, || {
                 format!("{running} of its tasks are running")
             })
@@ -58,7 +58,7 @@
 /// `expect JOB done [by SECONDS]`: the job is recorded as done, and its last task ended by then.
 fn expect_done(w: &Simulation, id: &JobId, words: &mut Words<'_>) -> Result<(), String> {
     let job = w.jobs.get(id).ok_or("no such job")?;
-    if w.end_of(id) != Some(JobState::Done) {
+    if w.terminal_state(id) != Some(JobState::Done) {
         let n = job.done.iter().filter(|d| **d).count();
         return Err(format!(
             "not recorded as done; {n} of {} tasks are",
@@ -66,7 +66,7 @@
         ));
     }
     if let (Some(&"by"), Some(t)) = (words.next(), words.next()) {
-        let at = w.done_after(id).unwrap_or_default();
+        let at = w.completed_at(id).unwrap_or_default();
         return check(at <= seconds(t), || {
             format!("done at {:.1} s", at.as_secs_f64())
         });
@@ -81,7 +81,7 @@
     subject: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
-    let leader = w.leadership_of_leader().ok_or("no node leads")?;
+    let leader = w.current_leadership().ok_or("no node leads")?;
     let found = if subject.starts_with("req-") {
         leader
             .scheduler
@@ -122,7 +122,7 @@
     class: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
-    let leader = w.leadership_of_leader().ok_or("no node leads")?;
+    let leader = w.current_leadership().ok_or("no node leads")?;
     let pairs = BTreeMap::from([("class", class)]);
     let mut spec = (*build_job(&JobId::new("req-0"), "array", &pairs).spec).clone();
     spec.estimate_s = 0.0;
