--- a/crates/hopyoke-policy/src/check.rs
+++ b/crates/hopyoke-policy/src/check.rs
@@ -1,8 +1,8 @@
 //! The checker: types, names, cycles, and what values every setting can ever take.
 
-use crate::fault::Faults;
+use crate::diagnostic::Diagnostics;
 use crate::syntax::{self, Expr, Function, Node, Op, Statement};
-use crate::value::{Span, Type, Value, show};
+use crate::value::{Span, Type, Value, format_value};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
@@ -15,7 +15,7 @@
     pub name: String,
     pub ty: Type,
     /// It may depend on live figures.
-    pub live: bool,
+    pub allows_metrics: bool,
     /// The safe range; settings without an order have none.
     pub range: Option<(f64, f64)>,
     /// The expression in force, and the default's.
@@ -24,21 +24,21 @@
     /// The operators' file sets it.
     pub overridden: bool,
     /// What it does.
-    pub about: String,
+    pub description: String,
     /// Which range is safe, and why.
-    pub safe: String,
+    pub rationale: String,
     /// All values that it can take, as text.
-    pub values: String,
+    pub possible_values: String,
 }
 
 impl Setting {
     /// The safe range as text; empty if there is none.
-    pub fn range_text(&self) -> String {
+    pub fn format_range(&self) -> String {
         self.range.map_or(String::new(), |(a, b)| {
             format!(
                 "{} .. {}",
-                show(self.ty, &Value::Number(a)),
-                show(self.ty, &Value::Number(b))
+                format_value(self.ty, &Value::Number(a)),
+                format_value(self.ty, &Value::Number(b))
             )
         })
     }
@@ -46,7 +46,7 @@
 
 #[derive(Debug, Clone)]
 pub(crate) enum Symbol {
-    Figure {
+    Metric {
         ty: Type,
         low: f64,
         high: f64,
@@ -73,19 +73,19 @@
 
 /// A live figure that settings may depend on.
 #[derive(Debug, Clone)]
-pub struct Figure {
+pub struct Metric {
     pub name: String,
     pub ty: Type,
     /// The range it is brought into; figures without an order have none.
     pub range: Option<(f64, f64)>,
-    pub about: String,
+    pub description: String,
 }
 
 /// A checked set of settings.
 #[derive(Debug, Clone)]
 pub struct Policy {
     settings: Vec<Setting>,
-    figures: Vec<Figure>,
+    metrics: Vec<Metric>,
     pub(crate) symbols: BTreeMap<String, Symbol>,
 }
 
@@ -99,7 +99,7 @@
 
 struct Checker<'a> {
     symbols: &'a BTreeMap<String, Symbol>,
-    faults: Faults,
+    diagnostics: Diagnostics,
     known: BTreeMap<String, Option<Known>>,
     /// Names being looked at, outermost first.
     path: Vec<String>,
@@ -118,7 +118,7 @@
         // noticed at once by whoever reads one.
         Policy::load("defaults.policy", "").unwrap_or(Policy {
             settings: Vec::new(),
-            figures: Vec::new(),
+            metrics: Vec::new(),
             symbols: BTreeMap::new(),
         })
     }
@@ -127,10 +127,10 @@
     ///
     /// # Errors
     /// All faults of the file, each with line, column and what was expected.
-    pub fn load(file: &str, text: &str) -> Result<Policy, Faults> {
-        let mut shipped = Faults::new("defaults.policy", DEFAULTS);
+    pub fn load(file: &str, text: &str) -> Result<Policy, Diagnostics> {
+        let mut shipped = Diagnostics::new("defaults.policy", DEFAULTS);
         let declared = syntax::read(DEFAULTS, true, &mut shipped);
-        if !shipped.faults.is_empty() {
+        if !shipped.entries.is_empty() {
             return Err(shipped);
         }
         Policy::over(declared, DEFAULTS, file, text)
@@ -141,18 +141,18 @@
         base: &str,
         file: &str,
         text: &str,
-    ) -> Result<Policy, Faults> {
-        let mut faults = Faults::new(file, text);
+    ) -> Result<Policy, Diagnostics> {
+        let mut diagnostics = Diagnostics::new(file, text);
         let mut symbols: BTreeMap<String, Symbol> = BTreeMap::new();
         let mut shown: Vec<Setting> = Vec::new();
-        let mut figures = Vec::new();
+        let mut metrics = Vec::new();
         for s in declared {
             match s {
-                Statement::Figure {
+                Statement::Metric {
                     name,
                     ty,
                     range,
-                    about,
+                    description,
                 } => {
                     let end = |e: &Expr| match &e.node {
                         Node::Literal(_, Value::Number(x)) => *x,
@@ -160,13 +160,13 @@
                     };
                     let (low, high) = range.as_ref().map_or((0.0, 0.0), |(a, b)| (end(a), end(b)));
                     let range = range.is_some().then_some((low, high));
-                    figures.push(Figure {
+                    metrics.push(Metric {
                         name: name.clone(),
                         ty,
                         range,
-                        about,
+                        description,
                     });
-                    symbols.insert(name, Symbol::Figure { ty, low, high });
+                    symbols.insert(name, Symbol::Metric { ty, low, high });
                 }
                 Statement::Setting {
                     name,
@@ -174,8 +174,8 @@
                     live,
                     range,
                     expr,
-                    about,
-                    safe,
+                    description,
+                    rationale,
                 } => {
                     let default = base[expr.at.clone()]
                         .split_whitespace()
@@ -184,14 +184,14 @@
                     shown.push(Setting {
                         name: name.clone(),
                         ty,
-                        live,
+                        allows_metrics: live,
                         range: None,
                         expression: default.clone(),
                         default,
                         overridden: false,
-                        about,
-                        safe,
-                        values: String::new(),
+                        description,
+                        rationale,
+                        possible_values: String::new(),
                     });
                     let expr = Source {
                         expr,
@@ -212,7 +212,7 @@
             }
         }
         let mut seen: BTreeMap<String, usize> = BTreeMap::new();
-        for s in syntax::read(text, false, &mut faults) {
+        for s in syntax::read(text, false, &mut diagnostics) {
             let Statement::Assign {
                 name,
                 at,
@@ -223,7 +223,7 @@
                 continue;
             };
             if let Some(line) = seen.get(&name) {
-                faults.add(
+                diagnostics.add(
                     at,
                     format!("`{name}` is set twice"),
                     format!("first set in line {line}"),
@@ -245,7 +245,7 @@
                     let hint = near.map_or("`let` makes a name of your own".into(), |n| {
                         format!("is `{n}` meant?")
                     });
-                    faults.add(at, format!("no setting is named `{name}`"), hint);
+                    diagnostics.add(at, format!("no setting is named `{name}`"), hint);
                 }
                 (Some(Symbol::Setting { expr, .. }), false) => {
                     if let Some(s) = shown.iter_mut().find(|s| s.name == name) {
@@ -257,15 +257,15 @@
                     }
                     *expr = source;
                 }
-                (Some(Symbol::Figure { .. }), false) => {
-                    faults.add(
+                (Some(Symbol::Metric { .. }), false) => {
+                    diagnostics.add(
                         at,
                         format!("`{name}` is a live figure"),
                         "figures are measured, not set",
                     );
                 }
                 (Some(_), true) => {
-                    faults.add(
+                    diagnostics.add(
                         at,
                         format!("`{name}` is taken"),
                         "another name: this one is a setting or figure",
@@ -276,7 +276,7 @@
         }
         let mut checker = Checker {
             symbols: &symbols,
-            faults,
+            diagnostics,
             known: BTreeMap::new(),
             path: Vec::new(),
             refined: Vec::new(),
@@ -289,21 +289,21 @@
         for setting in &mut shown {
             checker.range(setting);
         }
-        let faults = checker.faults.sorted();
-        if faults.faults.is_empty() {
+        let diagnostics = checker.diagnostics.sorted();
+        if diagnostics.entries.is_empty() {
             Ok(Policy {
                 settings: shown,
-                figures,
+                metrics,
                 symbols,
             })
         } else {
-            Err(faults)
+            Err(diagnostics)
         }
     }
 
     /// The live figures that settings may depend on.
-    pub fn figures(&self) -> &[Figure] {
-        &self.figures
+    pub fn metrics(&self) -> &[Metric] {
+        &self.metrics
     }
 
     /// All settings, in the order of their declarations.
@@ -353,7 +353,7 @@
             let by = self.path.first().cloned().unwrap_or_default();
             message = format!("this does not go with the default of `{by}`: {message}");
         }
-        self.faults.add(at, message, expected);
+        self.diagnostics.add(at, message, expected);
     }
 
     /// A fault of values, not of types: none where no value gets.
@@ -393,7 +393,7 @@
             return None;
         }
         let (expr, want, live_allowed) = match symbol {
-            Symbol::Figure { ty, low, high } => {
+            Symbol::Metric { ty, low, high } => {
                 let span = if *ty == Type::Boolean {
                     Span::Boolean {
                         yes: true,
@@ -467,7 +467,7 @@
         let (expr, range) = match self.symbols.get(name)? {
             Symbol::Setting { expr, range, .. } => (expr, range.as_ref()),
             Symbol::Local { expr } => (expr, None),
-            Symbol::Figure { .. } => return None,
+            Symbol::Metric { .. } => return None,
         };
         if !expr.ours {
             return Some(expr.place.clone());
@@ -491,9 +491,9 @@
             return;
         };
         let known = self.known.get(&setting.name).cloned().flatten();
-        let text = |x: f64| show(*ty, &Value::Number(x));
+        let text = |x: f64| format_value(*ty, &Value::Number(x));
         if let Some(k) = &known {
-            setting.values = match &k.span {
+            setting.possible_values = match &k.span {
                 Span::Number { low, high } if low == high => text(*low),
                 Span::Number { low, high } => format!("{} .. {}", text(*low), text(*high)),
                 Span::Boolean {
@@ -535,7 +535,7 @@
                 "its safe range is {} to {}: {}",
                 text(low),
                 text(high),
-                setting.safe
+                setting.rationale
             );
             let (at, message) = if expr.ours {
                 (
@@ -545,7 +545,7 @@
             } else {
                 (expr.expr.at.clone(), value)
             };
-            self.faults.add(at, message, expected);
+            self.diagnostics.add(at, message, expected);
         }
     }
 
@@ -558,7 +558,7 @@
                     self.fault(
                         &e.at,
                         "too large",
-                        format!("at most {}", show(*ty, &Value::Number(ty.most()))),
+                        format!("at most {}", format_value(*ty, &Value::Number(ty.most()))),
                     );
                     return None;
                 }
@@ -731,7 +731,7 @@
         let low = corners.iter().copied().fold(f64::INFINITY, f64::min);
         let high = corners.iter().copied().fold(f64::NEG_INFINITY, f64::max);
         if !(low >= -ty.most() && high <= ty.most()) {
-            let most = show(ty, &Value::Number(ty.most()));
+            let most = format_value(ty, &Value::Number(ty.most()));
             self.fault_of_value(
                 at,
                 "this can overflow".into(),
@@ -933,7 +933,7 @@
         assert!(policy.settings().len() > 20);
         for s in policy.settings() {
             assert!(
-                s.about.len() > 10 && s.safe.len() > 10,
+                s.description.len() > 10 && s.rationale.len() > 10,
                 "{} lacks words",
                 s.name
             );
--- a/crates/hopyoke-policy/src/fault.rs
+++ b/crates/hopyoke-policy/src/diagnostic.rs
@@ -6,31 +6,31 @@
 
 /// One fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// The bytes of the text that it is about.
-    pub at: Range<usize>,
+    pub span: Range<usize>,
     /// Line and column of its start, counted from 1; the column in characters.
     pub line: usize,
     pub column: usize,
     /// What is wrong.
     pub message: String,
     /// What was expected there, or what else helps.
-    pub expected: String,
+    pub help: String,
 }
 
 /// All faults of a file, in its order; shown with excerpts of the text.
 #[derive(Debug, Clone)]
-pub struct Faults {
+pub struct Diagnostics {
     pub file: String,
-    pub faults: Vec<Fault>,
+    pub entries: Vec<Diagnostic>,
     text: String,
 }
 
-impl Faults {
-    pub(crate) fn new(file: &str, text: &str) -> Faults {
-        Faults {
+impl Diagnostics {
+    pub(crate) fn new(file: &str, text: &str) -> Diagnostics {
+        Diagnostics {
             file: file.to_owned(),
-            faults: Vec::new(),
+            entries: Vec::new(),
             text: text.to_owned(),
         }
     }
@@ -51,38 +51,38 @@
         }
         let before = &self.text[..floor];
         let line_start = before.rfind('\n').map_or(0, |i| i + 1);
-        let fault = Fault {
-            at: floor..end,
+        let fault = Diagnostic {
+            span: floor..end,
             line: before.matches('\n').count() + 1,
             column: before[line_start..].chars().count() + 1,
             message: message.into(),
-            expected: expected.into(),
+            help: expected.into(),
         };
         // A name that is wrong in itself is wrong wherever it is used: said once for each place.
-        if !self.faults.contains(&fault) {
-            self.faults.push(fault);
+        if !self.entries.contains(&fault) {
+            self.entries.push(fault);
         }
     }
 
-    pub(crate) fn sorted(mut self) -> Faults {
-        self.faults.sort_by_key(|f| f.at.start);
+    pub(crate) fn sorted(mut self) -> Diagnostics {
+        self.entries.sort_by_key(|f| f.span.start);
         self
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for fault in &self.faults {
+        for fault in &self.entries {
             let mark = AnnotationKind::Primary
-                .span(fault.at.clone())
-                .label(&fault.expected);
+                .span(fault.span.clone())
+                .label(&fault.help);
             let snippet = Snippet::source(&self.text)
                 .path(&self.file)
                 .annotation(mark);
             let group = Level::ERROR.primary_title(&fault.message).element(snippet);
             writeln!(f, "{}", Renderer::plain().render(&[group]))?;
         }
-        let n = self.faults.len();
+        let n = self.entries.len();
         write!(
             f,
             "{}: {n} fault{}, nothing was applied",
@@ -92,4 +92,4 @@
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for Diagnostics {}
--- a/crates/hopyoke-policy/src/eval.rs
+++ b/crates/hopyoke-policy/src/eval.rs
@@ -9,17 +9,17 @@
 
 /// What is measured, by name; what is not given counts as the least of its range, or false.
 #[derive(Debug, Clone, Default)]
-pub struct Figures(BTreeMap<&'static str, Value>);
+pub struct Metrics(BTreeMap<&'static str, Value>);
 
-impl Figures {
+impl Metrics {
     /// Sets a figure: numbers as they are, shares as fractions, durations in microseconds.
-    pub fn number(mut self, name: &'static str, value: f64) -> Figures {
+    pub fn number(mut self, name: &'static str, value: f64) -> Metrics {
         self.0.insert(name, Value::Number(value));
         self
     }
 
     /// Sets a figure that is true or false.
-    pub fn boolean(mut self, name: &'static str, value: bool) -> Figures {
+    pub fn boolean(mut self, name: &'static str, value: bool) -> Metrics {
         self.0.insert(name, Value::Boolean(value));
         self
     }
@@ -86,17 +86,17 @@
 
 struct Moment<'a> {
     policy: &'a Policy,
-    figures: &'a Figures,
+    metrics: &'a Metrics,
     known: RefCell<BTreeMap<&'a str, (Type, Value)>>,
 }
 
 impl Policy {
     /// The values of all settings. Figures outside their declared range are brought into it, so
     /// that what the checker proved holds.
-    pub fn evaluate(&self, figures: &Figures) -> Values {
+    pub fn evaluate(&self, metrics: &Metrics) -> Values {
         let moment = Moment {
             policy: self,
-            figures,
+            metrics,
             known: RefCell::default(),
         };
         let settings = self.settings().iter().map(|s| {
@@ -108,8 +108,10 @@
 
     /// The operators' file sets something that may depend on live figures: values are to be
     /// found anew as these change.
-    pub fn is_live(&self) -> bool {
-        self.settings().iter().any(|s| s.live && s.overridden)
+    pub fn may_depend_on_metrics(&self) -> bool {
+        self.settings()
+            .iter()
+            .any(|s| s.allows_metrics && s.overridden)
     }
 }
 
@@ -122,8 +124,8 @@
             return (Type::Number, Value::Number(0.0));
         };
         let value = match symbol {
-            Symbol::Figure { ty, low, high } => {
-                let given = self.figures.0.get(name).cloned();
+            Symbol::Metric { ty, low, high } => {
+                let given = self.metrics.0.get(name).cloned();
                 let value = match given {
                     Some(Value::Number(x)) if ty.is_numeric() => Value::Number(if x.is_nan() {
                         *low
--- a/crates/hopyoke-policy/src/lib.rs
+++ b/crates/hopyoke-policy/src/lib.rs
@@ -17,12 +17,12 @@
 //! read by code that keeps a rule.
 
 mod check;
+mod diagnostic;
 mod eval;
-mod fault;
 mod syntax;
 mod value;
 
-pub use check::{Figure, Policy, Setting};
-pub use eval::{Figures, Values};
-pub use fault::{Fault, Faults};
-pub use value::{Type, Value, show};
+pub use check::{Metric, Policy, Setting};
+pub use diagnostic::{Diagnostic, Diagnostics};
+pub use eval::{Metrics, Values};
+pub use value::{Type, Value, format_value};
--- a/crates/hopyoke-policy/src/syntax.rs
+++ b/crates/hopyoke-policy/src/syntax.rs
@@ -1,6 +1,6 @@
 //! From text to syntax trees: statements, expressions, and where they stand.
 
-use crate::fault::Faults;
+use crate::diagnostic::Diagnostics;
 use crate::value::{Type, Value, whole};
 use pest::Parser;
 use pest::error::{ErrorVariant, InputLocation};
@@ -61,11 +61,11 @@
         local: bool,
         expr: Expr,
     },
-    Figure {
+    Metric {
         name: String,
         ty: Type,
         range: Option<(Expr, Expr)>,
-        about: String,
+        description: String,
     },
     Setting {
         name: String,
@@ -73,8 +73,8 @@
         live: bool,
         range: Option<(Expr, Expr)>,
         expr: Expr,
-        about: String,
-        safe: String,
+        description: String,
+        rationale: String,
     },
 }
 
@@ -86,9 +86,9 @@
 pub(crate) const MOST_BYTES: usize = 256 * 1024;
 
 /// Reads a file; faults of one statement do not hide those of the next.
-pub(crate) fn read(text: &str, builtin: bool, faults: &mut Faults) -> Vec<Statement> {
+pub(crate) fn read(text: &str, builtin: bool, diagnostics: &mut Diagnostics) -> Vec<Statement> {
     if text.len() > MOST_BYTES {
-        faults.add(
+        diagnostics.add(
             0..0,
             "the file is too long",
             format!("at most {MOST_BYTES} bytes"),
@@ -100,7 +100,7 @@
         let part = &text[chunk.clone()];
         if part.trim_end().len() > MOST_STATEMENT {
             let at = chunk.start..chunk.start + 1;
-            faults.add(
+            diagnostics.add(
                 at,
                 "the statement is too long",
                 format!("at most {MOST_STATEMENT} bytes"),
@@ -109,7 +109,7 @@
         }
         if let Some(deep) = too_deep(part) {
             let at = chunk.start + deep;
-            faults.add(
+            diagnostics.add(
                 at..at + 1,
                 "nested too deeply",
                 format!("at most {MOST_NESTING} levels"),
@@ -126,7 +126,9 @@
                 let inner = pairs.next().and_then(|p| p.into_inner().next());
                 match inner.and_then(|p| statement(p, chunk.start)) {
                     Some(s) => out.push(s),
-                    None => faults.add(chunk, "this statement can't be read", "NAME = EXPRESSION"),
+                    None => {
+                        diagnostics.add(chunk, "this statement can't be read", "NAME = EXPRESSION")
+                    }
                 }
             }
             Err(e) => {
@@ -147,7 +149,7 @@
                     None => ("the statement ends too early".to_owned(), start),
                 };
                 let at = chunk.start + start..chunk.start + end.max(start);
-                faults.add(at, message, expected(&e.variant));
+                diagnostics.add(at, message, expected(&e.variant));
             }
         }
     }
@@ -275,7 +277,7 @@
     let rule = pair.as_rule();
     let (mut name, mut place, mut local, mut live) = (String::new(), 0..0, false, false);
     let (mut ty, mut range, mut value) = (None, None, None);
-    let (mut about, mut safe) = (String::new(), String::new());
+    let (mut description, mut rationale) = (String::new(), String::new());
     for p in pair.into_inner() {
         match p.as_rule() {
             Rule::local => local = true,
@@ -287,8 +289,8 @@
                 range = Some((expr(ends.next()?, base)?, expr(ends.next()?, base)?));
             }
             Rule::expr => value = Some(expr(p, base)?),
-            Rule::about => about = text(p),
-            Rule::safe => safe = text(p),
+            Rule::about => description = text(p),
+            Rule::safe => rationale = text(p),
             _ => {}
         }
     }
@@ -299,11 +301,11 @@
             local,
             expr: value?,
         },
-        Rule::figure => Statement::Figure {
+        Rule::figure => Statement::Metric {
             name,
             ty: ty?,
             range,
-            about,
+            description,
         },
         Rule::setting => Statement::Setting {
             name,
@@ -311,8 +313,8 @@
             live,
             range,
             expr: value?,
-            about,
-            safe,
+            description,
+            rationale,
         },
         _ => return None,
     })
--- a/crates/hopyoke-policy/src/value.rs
+++ b/crates/hopyoke-policy/src/value.rs
@@ -115,7 +115,7 @@
 }
 
 /// Writes a value as the language would read it.
-pub fn show(ty: Type, value: &Value) -> String {
+pub fn format_value(ty: Type, value: &Value) -> String {
     match (ty, value) {
         (_, Value::Boolean(b)) => b.to_string(),
         (_, Value::Text(t)) => format!("\"{t}\""),
--- a/crates/hopyoke-policy/tests/cases.rs
+++ b/crates/hopyoke-policy/tests/cases.rs
@@ -3,10 +3,10 @@
 //! `== NAME`, then the operators' file, then `--`, then either `NAME = VALUE` lines (at the least
 //! figures, or those of `figures NAME=NUMBER …`) or `LINE:COLUMN WORDS` lines, one for each fault.
 
-use hopyoke_policy::{Figures, Policy, show};
+use hopyoke_policy::{Metrics, Policy, format_value};
 
-fn figures(line: &str) -> Figures {
-    let mut out = Figures::default();
+fn metrics(line: &str) -> Metrics {
+    let mut out = Metrics::default();
     for pair in line.split_whitespace() {
         let (name, value) = pair.split_once('=').expect("NAME=NUMBER");
         let name: &'static str = Box::leak(name.to_owned().into_boxed_str());
@@ -19,24 +19,25 @@
 }
 
 fn case(text: &str, wants: &[&str]) -> Result<(), String> {
-    let faults: Vec<&&str> = wants
+    let diagnostics: Vec<&&str> = wants
         .iter()
         .filter(|w| w.starts_with(|c: char| c.is_ascii_digit()))
         .collect();
     let policy = match Policy::load("test", text) {
-        Ok(p) if faults.is_empty() => p,
+        Ok(p) if diagnostics.is_empty() => p,
         Ok(_) => return Err("no fault was found".into()),
         Err(e) => {
             let got: Vec<String> = e
-                .faults
+                .entries
                 .iter()
-                .map(|f| format!("{}:{} {} / {}", f.line, f.column, f.message, f.expected))
+                .map(|f| format!("{}:{} {} / {}", f.line, f.column, f.message, f.help))
                 .collect();
             let place = |w: &str| w.split(' ').next().unwrap_or("").to_owned();
             let fits = |w: &str, g: &str| {
                 place(w) == place(g) && g.contains(w.split_once(' ').map_or("", |x| x.1))
             };
-            let ok = got.len() == faults.len() && faults.iter().zip(&got).all(|(w, g)| fits(w, g));
+            let ok = got.len() == diagnostics.len()
+                && diagnostics.iter().zip(&got).all(|(w, g)| fits(w, g));
             // Every fault is shown with an excerpt that marks the place.
             let shown = e.to_string();
             let marked = shown.matches('^').count() >= got.len();
@@ -47,10 +48,10 @@
             };
         }
     };
-    let mut now = Figures::default();
+    let mut now = Metrics::default();
     for want in wants {
         if let Some(f) = want.strip_prefix("figures ") {
-            now = figures(f);
+            now = metrics(f);
             continue;
         }
         let (name, value) = want
@@ -61,8 +62,8 @@
             .iter()
             .find(|(n, ..)| *n == name)
             .ok_or(format!("no {name}"))?;
-        if show(ty, v) != value {
-            return Err(format!("{name} is {}, not {value}", show(ty, v)));
+        if format_value(ty, v) != value {
+            return Err(format!("{name} is {}, not {value}", format_value(ty, v)));
         }
     }
     Ok(())
--- a/crates/hopyoke-policy/tests/frozen_forms.rs
+++ b/crates/hopyoke-policy/tests/frozen_forms.rs
@@ -1,7 +1,7 @@
 //! The operators' policy file keeps its language, and the settings their names, types, ranges and defaults. A new
 //! setting is a new line in the fixtures; a new default is decided there as well.
 
-use hopyoke_policy::{Figures, Policy, show};
+use hopyoke_policy::{Metrics, Policy, format_value};
 
 fn form(file: &str) -> String {
     let path = format!("{}/tests/forms/{file}", env!("CARGO_MANIFEST_DIR"));
@@ -13,11 +13,11 @@
 }
 
 /// One line for each setting: its name and its value.
-fn values(policy: &Policy, figures: &Figures) -> String {
+fn values(policy: &Policy, metrics: &Metrics) -> String {
     policy
-        .evaluate(figures)
+        .evaluate(metrics)
         .iter()
-        .map(|(name, ty, value)| format!("{name} = {}\n", show(ty, value)))
+        .map(|(name, ty, value)| format!("{name} = {}\n", format_value(ty, value)))
         .collect()
 }
 
@@ -26,21 +26,25 @@
 fn declarations() {
     let policy = Policy::defaults();
     let settings = policy.settings().iter().map(|s| {
-        let live = if s.live { "live setting" } else { "setting" };
+        let live = if s.allows_metrics {
+            "live setting"
+        } else {
+            "setting"
+        };
         format!(
             "{live} {}: {} in [{}] = {}\n",
             s.name,
             s.ty,
-            s.range_text(),
+            s.format_range(),
             s.default
         )
     });
-    let figures = policy
-        .figures()
+    let metrics = policy
+        .metrics()
         .iter()
         .map(|f| format!("figure {}: {} in {:?}\n", f.name, f.ty, f.range));
     assert_eq!(
-        figures.chain(settings).collect::<String>(),
+        metrics.chain(settings).collect::<String>(),
         form("declarations.txt")
     );
 }
@@ -48,7 +52,7 @@
 #[test]
 fn defaults() {
     assert_eq!(
-        values(&Policy::defaults(), &Figures::default()),
+        values(&Policy::defaults(), &Metrics::default()),
         form("defaults.txt")
     );
 }
@@ -61,9 +65,9 @@
         policy.settings().iter().all(|s| s.overridden),
         "the file sets every setting"
     );
-    assert!(policy.is_live());
-    assert_eq!(values(&policy, &Figures::default()), form("full-quiet.txt"));
-    let busy = Figures::default()
+    assert!(policy.may_depend_on_metrics());
+    assert_eq!(values(&policy, &Metrics::default()), form("full-quiet.txt"));
+    let busy = Metrics::default()
         .number("machines", 100.0)
         .number("idle_machines", 1.0)
         .number("spot_machines", 2.0)
--- a/crates/hopyoke-policy/tests/properties.rs
+++ b/crates/hopyoke-policy/tests/properties.rs
@@ -1,6 +1,6 @@
 //! Property tests: whatever the text, the checker answers; whatever it accepts is safe.
 
-use hopyoke_policy::{Figures, Policy, Value};
+use hopyoke_policy::{Metrics, Policy, Value};
 use proptest::prelude::*;
 
 fn number() -> impl Strategy<Value = String> {
@@ -37,9 +37,9 @@
     #[test]
     fn any_text_is_answered(text in "[ -~\n\tµ#=()$%\"]{0,200}") {
         if let Err(e) = Policy::load("t", &text) {
-            prop_assert!(!e.faults.is_empty());
-            for f in &e.faults {
-                prop_assert!(f.at.end <= text.len() && f.line >= 1 && f.column >= 1);
+            prop_assert!(!e.entries.is_empty());
+            for f in &e.entries {
+                prop_assert!(f.span.end <= text.len() && f.line >= 1 && f.column >= 1);
             }
             let _ = e.to_string();
         }
@@ -55,11 +55,11 @@
     ) {
         for text in [format!("keep_ready = {expr}"), format!("keep_ready = clamp({expr}, 0, 100)")] {
             let Ok(policy) = Policy::load("t", &text) else { continue };
-            let figures = Figures::default()
+            let metrics = Metrics::default()
                 .number("machines", machines)
                 .number("idle_machines", idle)
                 .number("hour", hour);
-            let x = policy.evaluate(&figures).number("keep_ready");
+            let x = policy.evaluate(&metrics).number("keep_ready");
             prop_assert!((0.0..=100.0).contains(&x), "{text} is {x}");
         }
     }
@@ -67,8 +67,8 @@
     /// What is shown is read back as the same value.
     #[test]
     fn durations_are_shown_as_they_are_read(us in 1_000_000u64..1_800_000_000) {
-        let shown = hopyoke_policy::show(hopyoke_policy::Type::Duration, &Value::Number(us as f64));
+        let shown = hopyoke_policy::format_value(hopyoke_policy::Type::Duration, &Value::Number(us as f64));
         let policy = Policy::load("t", &format!("idle_return = {shown}")).expect(&shown);
-        prop_assert_eq!(policy.evaluate(&Figures::default()).duration("idle_return").0, us);
+        prop_assert_eq!(policy.evaluate(&Metrics::default()).duration("idle_return").0, us);
     }
 }
--- a/crates/hopyoke/src/leadership/failover.rs
+++ b/crates/hopyoke/src/leadership/failover.rs
@@ -7,7 +7,7 @@
 use crate::store::watch::decode_job;
 use futures_util::future::join;
 use hopyoke_event_loop as runtime;
-use hopyoke_policy::Figures;
+use hopyoke_policy::Metrics;
 use hopyoke_protocol::state::KeyValue;
 use hopyoke_scheduler::{JobRecord, RegistryPage, Scheduler};
 use hopyoke_types::{FencingToken, Micros, ModRevision};
@@ -44,7 +44,7 @@
     let mut scheduler = Scheduler::new(node.config.clone(), token, jobs, registry, granted_at);
     scheduler.records_applied_to(revision, granted_at);
     scheduler.set_tuning(settings::scheduler_tuning(
-        &node.policy.evaluate(&Figures::default()),
+        &node.policy.evaluate(&Metrics::default()),
     ));
     scheduler.record_grant_time(runtime::now(), runtime::time_of_day());
     scheduler.set_staffed_hours(staffed_hours::initial(node));
--- a/crates/hopyoke/src/leadership/term.rs
+++ b/crates/hopyoke/src/leadership/term.rs
@@ -176,7 +176,7 @@
     spawn(node, leadership, staffed_hours::sync_override);
     spawn(node, leadership, actions::run);
     spawn(node, leadership, refresh::load_run_times);
-    if node.policy.is_live() {
+    if node.policy.may_depend_on_metrics() {
         spawn(node, leadership, refresh::follow_live_settings);
     }
 }
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -5,7 +5,7 @@
 use hopyoke::peers::client::proto::{HistoryRequest, StaffedRequest, WhenRequest};
 use hopyoke_consistency::leader_lease::max_election_latency;
 use hopyoke_event_loop as runtime;
-use hopyoke_policy::{Figures, Policy};
+use hopyoke_policy::{Metrics, Policy};
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
 use hopyoke_workload_trace::Writer;
@@ -286,7 +286,7 @@
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: cannot be read: {e}"))?;
     let policy = Policy::load(&name, &text).map_err(|e| e.to_string())?;
     // Checks the format of texts, which the policy language does not know.
-    let values = policy.evaluate(&Figures::default());
+    let values = policy.evaluate(&Metrics::default());
     hopyoke::operations::settings::staffed_hours(&values, Micros::ZERO)
         .map_err(|e| format!("{name}: {e}"))?;
     Ok(policy)
@@ -312,21 +312,21 @@
         .settings()
         .iter()
         .map(|s| {
-            let live = if s.live { "yes" } else { "" };
+            let live = if s.allows_metrics { "yes" } else { "" };
             [
                 s.name.clone(),
-                s.values.clone(),
+                s.possible_values.clone(),
                 s.ty.to_string(),
                 s.default.clone(),
-                s.range_text(),
+                s.format_range(),
                 live.to_owned(),
                 if s.overridden {
                     s.expression.clone()
                 } else {
                     String::new()
                 },
-                s.about.clone(),
-                s.safe.clone(),
+                s.description.clone(),
+                s.rationale.clone(),
             ]
         })
         .collect();
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -4,7 +4,7 @@
 use crate::node::Leadership;
 use hopyoke_calendar::{Calendar, CalendarError, HoldSelector, StaffedHours};
 use hopyoke_event_loop as runtime;
-use hopyoke_policy::{Figures, Values};
+use hopyoke_policy::{Metrics, Values};
 use hopyoke_scheduler::{MachinePhase, Scheduler, Tuning};
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
@@ -86,7 +86,7 @@
 }
 
 /// Computes the live figures. Visits all machines and jobs, so it is too expensive for every scheduling cycle.
-fn live_figures(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
+fn live_figures(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Metrics {
     let up = || {
         scheduler
             .machines
@@ -95,7 +95,7 @@
     };
     let day_us = 86_400_000_000;
     let hour = (runtime::time_of_day().0 % day_us) as f64 / 3_600_000_000.0;
-    Figures::default()
+    Metrics::default()
         .number("machines", up().count() as f64)
         .number(
             "idle_machines",
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -9,7 +9,7 @@
 use crate::store::keys::STAFFED_HOURS_KEY;
 use hopyoke_calendar::{StaffedHours, StaffingOverride};
 use hopyoke_event_loop as runtime;
-use hopyoke_policy::Figures;
+use hopyoke_policy::Metrics;
 use hopyoke_protocol::state::{Compare, Mutation, Stored};
 use hopyoke_types::{Micros, ModRevision};
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 
 /// Returns the staffed hours by the node's settings, without an override, or `None` if no work is held outside of them.
 fn configured_hours(node: &Node) -> Option<StaffedHours> {
-    let values = node.policy.evaluate(&Figures::default());
+    let values = node.policy.evaluate(&Metrics::default());
     let skew = Micros::from_secs_f64(node.settings.platform.clock_skew_ms / 1e3);
     match settings::staffed_hours(&values, skew) {
         Ok(h) => h,
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -11,7 +11,7 @@
 use crate::workflows::runner;
 use hopyoke_event_loop::http::{self, Request, Response, ServerLimits};
 use hopyoke_event_loop::{self as runtime, TcpListener};
-use hopyoke_policy::{Figures, Policy};
+use hopyoke_policy::{Metrics, Policy};
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
 use std::cell::RefCell;
@@ -35,7 +35,7 @@
                 return;
             }
         };
-        let values = policy.evaluate(&Figures::default());
+        let values = policy.evaluate(&Metrics::default());
         let workflow_limits = values
             .boolean("flows")
             .then(|| settings::workflow_limits(&values, &settings));
