--- a/crates/hopyoke-policy/src/check.rs
+++ b/crates/hopyoke-policy/src/check.rs
@@ -1,8 +1,8 @@
 //! The checker: types, names, cycles, and what values every setting can ever take.
 
 use crate::diagnostic::Diagnostics;
-use crate::syntax::{self, Expr, Function, Node, Op, Statement};
-use crate::value::{Span, Type, Value, format_value};
+use crate::syntax::{self, Expr, ExprKind, Function, Operator, Statement};
+use crate::value::{Type, Value, ValueSet, format_value, round_to_unit};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
@@ -53,22 +53,22 @@
     },
     Setting {
         ty: Type,
-        live: bool,
+        allows_metrics: bool,
         range: Option<(Expr, Expr)>,
-        expr: Source,
+        definition: Definition,
     },
     Local {
-        expr: Source,
+        definition: Definition,
     },
 }
 
 /// An expression, and whether it stands in the operators' file.
 #[derive(Debug, Clone)]
-pub(crate) struct Source {
+pub(crate) struct Definition {
     pub expr: Expr,
-    pub ours: bool,
+    pub built_in: bool,
     /// Where the name stands that it is assigned to, in the operators' file.
-    place: Range<usize>,
+    name_span: Range<usize>,
 }
 
 /// A live figure that settings may depend on.
@@ -91,24 +91,24 @@
 
 /// A type, all values, and whether live figures matter.
 #[derive(Debug, Clone)]
-struct Known {
+struct Inferred {
     ty: Type,
-    span: Span,
-    live: bool,
+    values: ValueSet,
+    depends_on_metrics: bool,
 }
 
 struct Checker<'a> {
     symbols: &'a BTreeMap<String, Symbol>,
     diagnostics: Diagnostics,
-    known: BTreeMap<String, Option<Known>>,
+    inferred: BTreeMap<String, Option<Inferred>>,
     /// Names being looked at, outermost first.
-    path: Vec<String>,
+    resolving: Vec<String>,
     /// What conditions say about names inside their branches.
-    refined: Vec<(String, f64, f64)>,
+    refinements: Vec<(String, f64, f64)>,
     /// In a branch that can't be reached: only types are checked.
     unreachable: usize,
     /// The expression being looked at is one of the built-in file, and here is what to blame.
-    blame: Option<Range<usize>>,
+    override_span: Option<Range<usize>>,
 }
 
 impl Policy {
@@ -128,25 +128,25 @@
     /// # Errors
     /// All faults of the file, each with line, column and what was expected.
     pub fn load(file: &str, text: &str) -> Result<Policy, Diagnostics> {
-        let mut shipped = Diagnostics::new("defaults.policy", DEFAULTS);
-        let declared = syntax::read(DEFAULTS, true, &mut shipped);
-        if !shipped.entries.is_empty() {
-            return Err(shipped);
+        let mut built_in_diagnostics = Diagnostics::new("defaults.policy", DEFAULTS);
+        let declarations = syntax::parse(DEFAULTS, true, &mut built_in_diagnostics);
+        if !built_in_diagnostics.entries.is_empty() {
+            return Err(built_in_diagnostics);
         }
-        Policy::over(declared, DEFAULTS, file, text)
+        Policy::check(declarations, DEFAULTS, file, text)
     }
 
-    fn over(
-        declared: Vec<Statement>,
-        base: &str,
+    fn check(
+        declarations: Vec<Statement>,
+        declarations_text: &str,
         file: &str,
         text: &str,
     ) -> Result<Policy, Diagnostics> {
         let mut diagnostics = Diagnostics::new(file, text);
         let mut symbols: BTreeMap<String, Symbol> = BTreeMap::new();
-        let mut shown: Vec<Setting> = Vec::new();
+        let mut settings: Vec<Setting> = Vec::new();
         let mut metrics = Vec::new();
-        for s in declared {
+        for s in declarations {
             match s {
                 Statement::Metric {
                     name,
@@ -154,11 +154,13 @@
                     range,
                     description,
                 } => {
-                    let end = |e: &Expr| match &e.node {
-                        Node::Literal(_, Value::Number(x)) => *x,
+                    let literal = |e: &Expr| match &e.kind {
+                        ExprKind::Literal(_, Value::Number(x)) => *x,
                         _ => 0.0,
                     };
-                    let (low, high) = range.as_ref().map_or((0.0, 0.0), |(a, b)| (end(a), end(b)));
+                    let (low, high) = range
+                        .as_ref()
+                        .map_or((0.0, 0.0), |(a, b)| (literal(a), literal(b)));
                     let range = range.is_some().then_some((low, high));
                     metrics.push(Metric {
                         name: name.clone(),
@@ -171,20 +173,20 @@
                 Statement::Setting {
                     name,
                     ty,
-                    live,
+                    allows_metrics,
                     range,
                     expr,
                     description,
                     rationale,
                 } => {
-                    let default = base[expr.at.clone()]
+                    let default = declarations_text[expr.span.clone()]
                         .split_whitespace()
                         .collect::<Vec<_>>()
                         .join(" ");
-                    shown.push(Setting {
+                    settings.push(Setting {
                         name: name.clone(),
                         ty,
-                        allows_metrics: live,
+                        allows_metrics,
                         range: None,
                         expression: default.clone(),
                         default,
@@ -193,80 +195,89 @@
                         rationale,
                         possible_values: String::new(),
                     });
-                    let expr = Source {
+                    let definition = Definition {
                         expr,
-                        ours: true,
-                        place: 0..0,
+                        built_in: true,
+                        name_span: 0..0,
                     };
                     symbols.insert(
                         name,
                         Symbol::Setting {
                             ty,
-                            live,
+                            allows_metrics,
                             range,
-                            expr,
+                            definition,
                         },
                     );
                 }
                 Statement::Assign { .. } => {}
             }
         }
-        let mut seen: BTreeMap<String, usize> = BTreeMap::new();
-        for s in syntax::read(text, false, &mut diagnostics) {
+        let mut first_lines: BTreeMap<String, usize> = BTreeMap::new();
+        for s in syntax::parse(text, false, &mut diagnostics) {
             let Statement::Assign {
                 name,
-                at,
+                name_span,
                 local,
                 expr,
             } = s
             else {
                 continue;
             };
-            if let Some(line) = seen.get(&name) {
+            if let Some(line) = first_lines.get(&name) {
                 diagnostics.add(
-                    at,
+                    name_span,
                     format!("`{name}` is set twice"),
                     format!("first set in line {line}"),
                 );
                 continue;
             }
-            seen.insert(name.clone(), text[..at.start].matches('\n').count() + 1);
-            let source = Source {
+            first_lines.insert(
+                name.clone(),
+                text[..name_span.start].matches('\n').count() + 1,
+            );
+            let definition = Definition {
                 expr,
-                ours: false,
-                place: at.clone(),
+                built_in: false,
+                name_span: name_span.clone(),
             };
             match (symbols.get_mut(&name), local) {
                 (None, true) => {
-                    symbols.insert(name, Symbol::Local { expr: source });
+                    symbols.insert(name, Symbol::Local { definition });
                 }
                 (None, false) => {
-                    let near = nearest(&name, shown.iter().map(|s| s.name.as_str()));
-                    let hint = near.map_or("`let` makes a name of your own".into(), |n| {
+                    let closest = closest_name(&name, settings.iter().map(|s| s.name.as_str()));
+                    let help = closest.map_or("`let` makes a name of your own".into(), |n| {
                         format!("is `{n}` meant?")
                     });
-                    diagnostics.add(at, format!("no setting is named `{name}`"), hint);
+                    diagnostics.add(name_span, format!("no setting is named `{name}`"), help);
                 }
-                (Some(Symbol::Setting { expr, .. }), false) => {
-                    if let Some(s) = shown.iter_mut().find(|s| s.name == name) {
-                        s.expression = text[source.expr.at.clone()]
+                (
+                    Some(Symbol::Setting {
+                        definition: current,
+                        ..
+                    }),
+                    false,
+                ) => {
+                    if let Some(s) = settings.iter_mut().find(|s| s.name == name) {
+                        s.expression = text[definition.expr.span.clone()]
                             .split_whitespace()
                             .collect::<Vec<_>>()
                             .join(" ");
                         s.overridden = true;
                     }
-                    *expr = source;
+                    *current = definition;
                 }
                 (Some(Symbol::Metric { .. }), false) => {
                     diagnostics.add(
-                        at,
+                        name_span,
                         format!("`{name}` is a live figure"),
                         "figures are measured, not set",
                     );
                 }
                 (Some(_), true) => {
                     diagnostics.add(
-                        at,
+                        name_span,
                         format!("`{name}` is taken"),
                         "another name: this one is a setting or figure",
                     );
@@ -277,22 +288,22 @@
         let mut checker = Checker {
             symbols: &symbols,
             diagnostics,
-            known: BTreeMap::new(),
-            path: Vec::new(),
-            refined: Vec::new(),
+            inferred: BTreeMap::new(),
+            resolving: Vec::new(),
+            refinements: Vec::new(),
             unreachable: 0,
-            blame: None,
+            override_span: None,
         };
         for name in symbols.keys() {
-            checker.name(name, None);
+            checker.resolve(name, None);
         }
-        for setting in &mut shown {
-            checker.range(setting);
+        for setting in &mut settings {
+            checker.check_range(setting);
         }
         let diagnostics = checker.diagnostics.sorted();
         if diagnostics.entries.is_empty() {
             Ok(Policy {
-                settings: shown,
+                settings,
                 metrics,
                 symbols,
             })
@@ -313,542 +324,601 @@
 }
 
 /// The name that is most like this one, if one is alike enough.
-fn nearest<'a>(name: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+fn closest_name<'a>(name: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     names
-        .map(|n| (distance(name, n), n))
+        .map(|n| (edit_distance(name, n), n))
         .filter(|(d, n)| *d <= (n.len() / 3).max(1))
         .min_by_key(|(d, _)| *d)
         .map(|(_, n)| n)
 }
 
 /// How many letters must be added, removed or changed to make one word the other.
-fn distance(a: &str, b: &str) -> usize {
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.chars().enumerate() {
-        let mut corner = row[0];
+        let mut diagonal = row[0];
         row[0] = i + 1;
         for (j, y) in b.iter().enumerate() {
-            let change = corner + usize::from(x != *y);
-            corner = row[j + 1];
-            row[j + 1] = change.min(row[j] + 1).min(corner + 1);
+            let substitution = diagonal + usize::from(x != *y);
+            diagonal = row[j + 1];
+            row[j + 1] = substitution.min(row[j] + 1).min(diagonal + 1);
         }
     }
     row[b.len()]
 }
 
-fn number(low: f64, high: f64) -> Span {
-    Span::Number { low, high }
+fn numbers(low: f64, high: f64) -> ValueSet {
+    ValueSet::Number { low, high }
 }
 
 impl Checker<'_> {
-    fn fault(
-        &mut self,
-        at: &Range<usize>,
-        message: impl Into<String>,
-        expected: impl Into<String>,
-    ) {
-        let (at, mut message) = (self.blame.clone().unwrap_or(at.clone()), message.into());
-        if self.blame.is_some() {
-            let by = self.path.first().cloned().unwrap_or_default();
-            message = format!("this does not go with the default of `{by}`: {message}");
+    fn report(&mut self, span: &Range<usize>, message: impl Into<String>, help: impl Into<String>) {
+        let (span, mut message) = (
+            self.override_span.clone().unwrap_or(span.clone()),
+            message.into(),
+        );
+        if self.override_span.is_some() {
+            let dependent = self.resolving.first().cloned().unwrap_or_default();
+            message = format!("this does not go with the default of `{dependent}`: {message}");
         }
-        self.diagnostics.add(at, message, expected);
+        self.diagnostics.add(span, message, help);
     }
 
     /// A fault of values, not of types: none where no value gets.
-    fn fault_of_value(&mut self, at: &Range<usize>, message: String, expected: String) {
+    fn report_if_reachable(&mut self, span: &Range<usize>, message: String, help: String) {
         if self.unreachable == 0 {
-            self.fault(at, message, expected);
+            self.report(span, message, help);
         }
     }
 
     /// What is known of a name; `at`: where it is used.
-    fn name(&mut self, name: &str, at: Option<&Range<usize>>) -> Option<Known> {
-        if let Some(known) = self.known.get(name) {
-            return known.clone();
+    fn resolve(&mut self, name: &str, span: Option<&Range<usize>>) -> Option<Inferred> {
+        if let Some(inferred) = self.inferred.get(name) {
+            return inferred.clone();
         }
         let symbols = self.symbols;
         let Some(symbol) = symbols.get(name) else {
-            let near = nearest(name, symbols.keys().map(String::as_str));
-            let hint = near.map_or(
+            let closest = closest_name(name, symbols.keys().map(String::as_str));
+            let help = closest.map_or(
                 "a setting, a live figure, or a name of this file".into(),
                 |n| format!("is `{n}` meant?"),
             );
-            if let Some(at) = at {
-                self.fault(at, format!("nothing is named `{name}`"), hint);
+            if let Some(span) = span {
+                self.report(span, format!("nothing is named `{name}`"), help);
             }
             return None;
         };
-        if let Some(first) = self.path.iter().position(|p| p == name) {
-            let mut names = self.path[first..].to_vec();
+        if let Some(first) = self.resolving.iter().position(|p| p == name) {
+            let mut names = self.resolving[first..].to_vec();
             names.push(name.to_owned());
-            let at = self.place_of_cycle(&names).or(at.cloned()).unwrap_or(0..0);
-            self.blame = None;
-            self.fault(
-                &at,
+            let span = self
+                .override_in_cycle(&names)
+                .or(span.cloned())
+                .unwrap_or(0..0);
+            self.override_span = None;
+            self.report(
+                &span,
                 format!("`{name}` depends on itself"),
                 names.join(" → "),
             );
             return None;
         }
-        let (expr, want, live_allowed) = match symbol {
+        let (definition, declared_type, allows_metrics) = match symbol {
             Symbol::Metric { ty, low, high } => {
-                let span = if *ty == Type::Boolean {
-                    Span::Boolean {
-                        yes: true,
-                        no: true,
+                let values = if *ty == Type::Boolean {
+                    ValueSet::Boolean {
+                        may_be_true: true,
+                        may_be_false: true,
                     }
                 } else {
-                    number(*low, *high)
+                    numbers(*low, *high)
                 };
-                let known = Some(Known {
+                let inferred = Some(Inferred {
                     ty: *ty,
-                    span,
-                    live: true,
+                    values,
+                    depends_on_metrics: true,
                 });
-                self.known.insert(name.to_owned(), known.clone());
-                return known;
+                self.inferred.insert(name.to_owned(), inferred.clone());
+                return inferred;
             }
-            Symbol::Setting { ty, live, expr, .. } => (expr, Some(*ty), *live),
-            Symbol::Local { expr } => (expr, None, true),
+            Symbol::Setting {
+                ty,
+                allows_metrics,
+                definition,
+                ..
+            } => (definition, Some(*ty), *allows_metrics),
+            Symbol::Local { definition } => (definition, None, true),
         };
-        self.path.push(name.to_owned());
-        let refined = std::mem::take(&mut self.refined);
+        self.resolving.push(name.to_owned());
+        let refinements = std::mem::take(&mut self.refinements);
         let unreachable = std::mem::take(&mut self.unreachable);
-        let blame = self.blame.take();
-        if expr.ours {
-            self.blame = self.overridden_below(name, &mut Vec::new());
+        let override_span = self.override_span.take();
+        if definition.built_in {
+            self.override_span = self.find_override(name, &mut Vec::new());
         }
-        let mut known = self.infer(&expr.expr);
-        if let (Some(k), Some(want)) = (&known, want) {
-            if k.ty != want {
-                let message = format!("`{name}` is a {want}, this is a {}", k.ty);
-                self.fault(
-                    &expr.expr.at,
+        let mut inferred = self.infer(&definition.expr);
+        if let (Some(k), Some(declared_type)) = (&inferred, declared_type) {
+            if k.ty != declared_type {
+                let message = format!("`{name}` is a {declared_type}, this is a {}", k.ty);
+                self.report(
+                    &definition.expr.span,
                     message,
-                    format!("expected {}", want.example()),
+                    format!("expected {}", declared_type.example()),
                 );
-                known = None;
-            } else if k.live && !live_allowed {
+                inferred = None;
+            } else if k.depends_on_metrics && !allows_metrics {
                 let message = format!("`{name}` can't depend on live figures");
-                self.fault(
-                    &expr.expr.at,
+                self.report(
+                    &definition.expr.span,
                     message,
                     "an expression of settings and constants",
                 );
-                known = None;
+                inferred = None;
             }
         }
-        self.blame = blame;
-        self.refined = refined;
+        self.override_span = override_span;
+        self.refinements = refinements;
         self.unreachable = unreachable;
-        self.path.pop();
-        self.known.insert(name.to_owned(), known.clone());
-        known
+        self.resolving.pop();
+        self.inferred.insert(name.to_owned(), inferred.clone());
+        inferred
     }
 
     /// A member of a cycle that stands in the operators' file.
-    fn place_of_cycle(&self, names: &[String]) -> Option<Range<usize>> {
+    fn override_in_cycle(&self, names: &[String]) -> Option<Range<usize>> {
         names.iter().find_map(|n| match self.symbols.get(n) {
-            Some(Symbol::Setting { expr, .. } | Symbol::Local { expr }) if !expr.ours => {
-                Some(expr.place.clone())
+            Some(Symbol::Setting { definition, .. } | Symbol::Local { definition })
+                if !definition.built_in =>
+            {
+                Some(definition.name_span.clone())
             }
             _ => None,
         })
     }
 
     /// Where the operators' file sets something on which a built-in default depends.
-    fn overridden_below(&self, name: &str, seen: &mut Vec<String>) -> Option<Range<usize>> {
+    fn find_override(&self, name: &str, seen: &mut Vec<String>) -> Option<Range<usize>> {
         if seen.iter().any(|s| s == name) {
             return None;
         }
         seen.push(name.to_owned());
-        let (expr, range) = match self.symbols.get(name)? {
-            Symbol::Setting { expr, range, .. } => (expr, range.as_ref()),
-            Symbol::Local { expr } => (expr, None),
+        let (definition, range) = match self.symbols.get(name)? {
+            Symbol::Setting {
+                definition, range, ..
+            } => (definition, range.as_ref()),
+            Symbol::Local { definition } => (definition, None),
             Symbol::Metric { .. } => return None,
         };
-        if !expr.ours {
-            return Some(expr.place.clone());
+        if !definition.built_in {
+            return Some(definition.name_span.clone());
         }
         let mut names = Vec::new();
-        names_in(&expr.expr, &mut names);
+        collect_names(&definition.expr, &mut names);
         if let Some((a, b)) = range {
-            names_in(a, &mut names);
-            names_in(b, &mut names);
+            collect_names(a, &mut names);
+            collect_names(b, &mut names);
         }
-        names.iter().find_map(|n| self.overridden_below(n, seen))
+        names.iter().find_map(|n| self.find_override(n, seen))
     }
 
     /// The setting's values stay within its safe range.
-    fn range(&mut self, setting: &mut Setting) {
+    fn check_range(&mut self, setting: &mut Setting) {
         let symbols = self.symbols;
         let Some(Symbol::Setting {
-            ty, range, expr, ..
+            ty,
+            range,
+            definition,
+            ..
         }) = symbols.get(&setting.name)
         else {
             return;
         };
-        let known = self.known.get(&setting.name).cloned().flatten();
+        let inferred = self.inferred.get(&setting.name).cloned().flatten();
         let text = |x: f64| format_value(*ty, &Value::Number(x));
-        if let Some(k) = &known {
-            setting.possible_values = match &k.span {
-                Span::Number { low, high } if low == high => text(*low),
-                Span::Number { low, high } => format!("{} .. {}", text(*low), text(*high)),
-                Span::Boolean {
-                    yes: true,
-                    no: true,
+        if let Some(k) = &inferred {
+            setting.possible_values = match &k.values {
+                ValueSet::Number { low, high } if low == high => text(*low),
+                ValueSet::Number { low, high } => format!("{} .. {}", text(*low), text(*high)),
+                ValueSet::Boolean {
+                    may_be_true: true,
+                    may_be_false: true,
                 } => "true or false".into(),
-                Span::Boolean { yes, .. } => yes.to_string(),
-                Span::Text(t) => t.clone().map_or("any text".into(), |t| format!("\"{t}\"")),
+                ValueSet::Boolean { may_be_true, .. } => may_be_true.to_string(),
+                ValueSet::Text(t) => t.clone().map_or("any text".into(), |t| format!("\"{t}\"")),
             };
         }
         let Some((low, high)) = range else { return };
-        self.path.push(setting.name.clone());
-        self.blame = self.overridden_below(&setting.name, &mut Vec::new());
-        let ends = (self.infer(low), self.infer(high));
-        self.path.pop();
-        let blame = self.blame.take();
-        let (Some(low), Some(high)) = ends else {
+        self.resolving.push(setting.name.clone());
+        self.override_span = self.find_override(&setting.name, &mut Vec::new());
+        let bounds = (self.infer(low), self.infer(high));
+        self.resolving.pop();
+        let override_span = self.override_span.take();
+        let (Some(low), Some(high)) = bounds else {
             return;
         };
-        let (Some((_, low)), Some((high, _))) = (low.span.bounds(), high.span.bounds()) else {
+        let (Some((_, low)), Some((high, _))) = (low.values.bounds(), high.values.bounds()) else {
             return;
         };
         setting.range = Some((low, high));
-        let Some((least, most)) = known.and_then(|k| k.span.bounds()) else {
+        let Some((lowest, highest)) = inferred.and_then(|k| k.values.bounds()) else {
             return;
         };
-        if least < low || most > high {
+        if lowest < low || highest > high {
             let name = &setting.name;
-            let value = if least == most {
-                format!("`{name}` would be {}", text(least))
+            let value = if lowest == highest {
+                format!("`{name}` would be {}", text(lowest))
             } else {
                 format!(
                     "`{name}` could be anything from {} to {}",
-                    text(least),
-                    text(most)
+                    text(lowest),
+                    text(highest)
                 )
             };
-            let expected = format!(
+            let help = format!(
                 "its safe range is {} to {}: {}",
                 text(low),
                 text(high),
                 setting.rationale
             );
-            let (at, message) = if expr.ours {
+            let (span, message) = if definition.built_in {
                 (
-                    blame.unwrap_or(0..0),
+                    override_span.unwrap_or(0..0),
                     format!("this does not go with the default of `{name}`: {value}"),
                 )
             } else {
-                (expr.expr.at.clone(), value)
+                (definition.expr.span.clone(), value)
             };
-            self.diagnostics.add(at, message, expected);
+            self.diagnostics.add(span, message, help);
         }
     }
 
-    fn infer(&mut self, e: &Expr) -> Option<Known> {
-        match &e.node {
-            Node::Literal(ty, value) => {
+    fn infer(&mut self, e: &Expr) -> Option<Inferred> {
+        match &e.kind {
+            ExprKind::Literal(ty, value) => {
                 if let Value::Number(x) = value
-                    && x.abs() > ty.most()
+                    && x.abs() > ty.max_magnitude()
                 {
-                    self.fault(
-                        &e.at,
+                    self.report(
+                        &e.span,
                         "too large",
-                        format!("at most {}", format_value(*ty, &Value::Number(ty.most()))),
+                        format!(
+                            "at highest {}",
+                            format_value(*ty, &Value::Number(ty.max_magnitude()))
+                        ),
                     );
                     return None;
                 }
-                Some(Known {
+                Some(Inferred {
                     ty: *ty,
-                    span: Span::of(value),
-                    live: false,
+                    values: ValueSet::of(value),
+                    depends_on_metrics: false,
                 })
             }
-            Node::Name(name) => {
-                let mut known = self.name(name, Some(&e.at))?;
-                for (_, low, high) in self.refined.iter().filter(|(n, ..)| n == name) {
-                    if let Span::Number { low: a, high: b } = &mut known.span {
+            ExprKind::Name(name) => {
+                let mut inferred = self.resolve(name, Some(&e.span))?;
+                for (_, low, high) in self.refinements.iter().filter(|(n, ..)| n == name) {
+                    if let ValueSet::Number { low: a, high: b } = &mut inferred.values {
                         (*a, *b) = (a.max(*low), b.min(*high));
                     }
                 }
-                Some(known)
+                Some(inferred)
             }
-            Node::Negative(a) => {
-                let known = self.infer(a)?;
-                let Some((low, high)) = known.span.bounds() else {
-                    self.fault(
-                        &a.at,
-                        format!("a {} has no negative", known.ty),
+            ExprKind::Negate(a) => {
+                let inferred = self.infer(a)?;
+                let Some((low, high)) = inferred.values.bounds() else {
+                    self.report(
+                        &a.span,
+                        format!("a {} has no negative", inferred.ty),
                         "a number, duration, share or money",
                     );
                     return None;
                 };
-                Some(Known {
-                    span: number(-high, -low),
-                    ..known
+                Some(Inferred {
+                    values: numbers(-high, -low),
+                    ..inferred
                 })
             }
-            Node::Not(a) => {
-                let known = self.boolean(a)?;
-                let Span::Boolean { yes, no } = known.span else {
+            ExprKind::Not(a) => {
+                let inferred = self.infer_boolean(a)?;
+                let ValueSet::Boolean {
+                    may_be_true,
+                    may_be_false,
+                } = inferred.values
+                else {
                     return None;
                 };
-                Some(Known {
-                    span: Span::Boolean { yes: no, no: yes },
-                    ..known
+                Some(Inferred {
+                    values: ValueSet::Boolean {
+                        may_be_true: may_be_false,
+                        may_be_false: may_be_true,
+                    },
+                    ..inferred
                 })
             }
-            Node::Binary(op, a, b) => self.binary(*op, a, b, &e.at),
-            Node::If(c, a, b) => self.conditional(c, a, b),
-            Node::Call(f, args) => self.call(*f, args, &e.at),
+            ExprKind::Binary(op, a, b) => self.infer_binary(*op, a, b, &e.span),
+            ExprKind::If(c, a, b) => self.infer_conditional(c, a, b),
+            ExprKind::Call(f, args) => self.infer_call(*f, args, &e.span),
         }
     }
 
-    fn boolean(&mut self, e: &Expr) -> Option<Known> {
-        let known = self.infer(e)?;
-        if known.ty != Type::Boolean {
-            self.fault(
-                &e.at,
-                format!("this is a {}", known.ty),
+    fn infer_boolean(&mut self, e: &Expr) -> Option<Inferred> {
+        let inferred = self.infer(e)?;
+        if inferred.ty != Type::Boolean {
+            self.report(
+                &e.span,
+                format!("this is a {}", inferred.ty),
                 "expected true or false, or a comparison",
             );
             return None;
         }
-        Some(known)
+        Some(inferred)
     }
 
-    fn binary(&mut self, op: Op, a: &Expr, b: &Expr, at: &Range<usize>) -> Option<Known> {
-        if matches!(op, Op::And | Op::Or) {
-            let (x, y) = (self.boolean(a), self.boolean(b));
+    fn infer_binary(
+        &mut self,
+        op: Operator,
+        a: &Expr,
+        b: &Expr,
+        span: &Range<usize>,
+    ) -> Option<Inferred> {
+        if matches!(op, Operator::And | Operator::Or) {
+            let (x, y) = (self.infer_boolean(a), self.infer_boolean(b));
             let (x, y) = (x?, y?);
-            let (Span::Boolean { yes: p, no: q }, Span::Boolean { yes: r, no: s }) =
-                (&x.span, &y.span)
+            let (
+                ValueSet::Boolean {
+                    may_be_true: p,
+                    may_be_false: q,
+                },
+                ValueSet::Boolean {
+                    may_be_true: r,
+                    may_be_false: s,
+                },
+            ) = (&x.values, &y.values)
             else {
                 return None;
             };
-            let span = if op == Op::And {
-                Span::Boolean {
-                    yes: *p && *r,
-                    no: *q || *s,
+            let values = if op == Operator::And {
+                ValueSet::Boolean {
+                    may_be_true: *p && *r,
+                    may_be_false: *q || *s,
                 }
             } else {
-                Span::Boolean {
-                    yes: *p || *r,
-                    no: *q && *s,
+                ValueSet::Boolean {
+                    may_be_true: *p || *r,
+                    may_be_false: *q && *s,
                 }
             };
-            return Some(Known {
+            return Some(Inferred {
                 ty: Type::Boolean,
-                span,
-                live: x.live || y.live,
+                values,
+                depends_on_metrics: x.depends_on_metrics || y.depends_on_metrics,
             });
         }
         let (x, y) = (self.infer(a), self.infer(b));
         let (x, y) = (x?, y?);
-        let live = x.live || y.live;
+        let depends_on_metrics = x.depends_on_metrics || y.depends_on_metrics;
         let ty = match op {
-            Op::Mul => Type::product(x.ty, y.ty),
-            Op::Div => Type::quotient(x.ty, y.ty),
-            Op::Add | Op::Sub if x.ty.is_numeric() && x.ty == y.ty => Some(x.ty),
-            Op::Less | Op::LessEqual | Op::Greater | Op::GreaterEqual
+            Operator::Mul => Type::product(x.ty, y.ty),
+            Operator::Div => Type::quotient(x.ty, y.ty),
+            Operator::Add | Operator::Sub if x.ty.is_numeric() && x.ty == y.ty => Some(x.ty),
+            Operator::Less | Operator::LessEqual | Operator::Greater | Operator::GreaterEqual
                 if x.ty.is_numeric() && x.ty == y.ty =>
             {
                 Some(Type::Boolean)
             }
-            Op::Equal | Op::NotEqual if x.ty == y.ty => Some(Type::Boolean),
+            Operator::Equal | Operator::NotEqual if x.ty == y.ty => Some(Type::Boolean),
             _ => None,
         };
         let Some(ty) = ty else {
-            let word = match op {
-                Op::Add => "added to",
-                Op::Sub => "less",
-                Op::Mul => "times",
-                Op::Div => "divided by",
+            let operation = match op {
+                Operator::Add => "added to",
+                Operator::Sub => "less",
+                Operator::Mul => "times",
+                Operator::Div => "divided by",
                 _ => "compared with",
             };
-            let expected = if matches!(op, Op::Mul | Op::Div) {
+            let help = if matches!(op, Operator::Mul | Operator::Div) {
                 "one side must be a number or a share, or both of one unit".to_owned()
             } else {
                 format!("both sides must be of one unit, such as {}", x.ty.example())
             };
-            self.fault(
-                at,
-                format!("a {} {word} a {} has no meaning", x.ty, y.ty),
-                expected,
+            self.report(
+                span,
+                format!("a {} {operation} a {} has no meaning", x.ty, y.ty),
+                help,
             );
             return None;
         };
-        let span = match (x.span.bounds(), y.span.bounds()) {
-            (Some(p), Some(q)) if ty != Type::Boolean => self.arithmetic(op, ty, p, q, b, at)?,
-            (Some(p), Some(q)) => compare(op, p, q),
+        let values = match (x.values.bounds(), y.values.bounds()) {
+            (Some(p), Some(q)) if ty != Type::Boolean => {
+                self.infer_arithmetic(op, ty, p, q, b, span)?
+            }
+            (Some(p), Some(q)) => compare_ranges(op, p, q),
             _ => {
-                let same = matches!((&x.span, &y.span), (Span::Text(Some(p)), Span::Text(Some(q))) if p == q);
-                let sure = matches!(
-                    (&x.span, &y.span),
-                    (Span::Text(Some(_)), Span::Text(Some(_)))
+                let same = matches!((&x.values, &y.values), (ValueSet::Text(Some(p)), ValueSet::Text(Some(q))) if p == q);
+                let known = matches!(
+                    (&x.values, &y.values),
+                    (ValueSet::Text(Some(_)), ValueSet::Text(Some(_)))
                 );
-                let yes = !sure || same == (op == Op::Equal);
-                Span::Boolean {
-                    yes,
-                    no: !sure || !yes,
+                let may_be_true = !known || same == (op == Operator::Equal);
+                ValueSet::Boolean {
+                    may_be_true,
+                    may_be_false: !known || !may_be_true,
                 }
             }
         };
-        Some(Known { ty, span, live })
+        Some(Inferred {
+            ty,
+            values,
+            depends_on_metrics,
+        })
     }
 
-    fn arithmetic(
+    fn infer_arithmetic(
         &mut self,
-        op: Op,
+        op: Operator,
         ty: Type,
         (a, b): (f64, f64),
         (c, d): (f64, f64),
         right: &Expr,
-        at: &Range<usize>,
-    ) -> Option<Span> {
-        let corners = match op {
-            Op::Add => [a + c, b + d, a + c, b + d],
-            Op::Sub => [a - d, b - c, a - d, b - c],
-            Op::Mul => [a * c, a * d, b * c, b * d],
+        span: &Range<usize>,
+    ) -> Option<ValueSet> {
+        let bounds = match op {
+            Operator::Add => [a + c, b + d, a + c, b + d],
+            Operator::Sub => [a - d, b - c, a - d, b - c],
+            Operator::Mul => [a * c, a * d, b * c, b * d],
             _ => {
                 if c <= 0.0 && d >= 0.0 {
-                    let what = if c == d {
+                    let message = if c == d {
                         "this divides by zero"
                     } else {
                         "this may divide by zero"
                     };
-                    let hint = "a divisor that is never zero; `max(…, 1)` or `if … >= 1 then …` sees to that";
-                    self.fault_of_value(&right.at, what.into(), hint.into());
+                    let help = "a divisor that is never zero; `max(…, 1)` or `if … >= 1 then …` sees to that";
+                    self.report_if_reachable(&right.span, message.into(), help.into());
                     return None;
                 }
                 [a / c, a / d, b / c, b / d]
             }
         };
-        let low = corners.iter().copied().fold(f64::INFINITY, f64::min);
-        let high = corners.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        if !(low >= -ty.most() && high <= ty.most()) {
-            let most = format_value(ty, &Value::Number(ty.most()));
-            self.fault_of_value(
-                at,
+        let low = bounds.iter().copied().fold(f64::INFINITY, f64::min);
+        let high = bounds.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+        if !(low >= -ty.max_magnitude() && high <= ty.max_magnitude()) {
+            let max = format_value(ty, &Value::Number(ty.max_magnitude()));
+            self.report_if_reachable(
+                span,
                 "this can overflow".into(),
-                format!("a {ty} can be {most} at the most"),
+                format!("a {ty} can be {max} at the most"),
             );
             return None;
         }
-        Some(number(
-            crate::value::whole(ty, low),
-            crate::value::whole(ty, high),
-        ))
+        Some(numbers(round_to_unit(ty, low), round_to_unit(ty, high)))
     }
 
-    fn conditional(&mut self, c: &Expr, a: &Expr, b: &Expr) -> Option<Known> {
-        let condition = self.boolean(c);
-        let (yes, no) = match condition.as_ref().map(|k| &k.span) {
-            Some(Span::Boolean { yes, no }) => (*yes, *no),
+    fn infer_conditional(&mut self, c: &Expr, a: &Expr, b: &Expr) -> Option<Inferred> {
+        let condition = self.infer_boolean(c);
+        let (may_be_true, may_be_false) = match condition.as_ref().map(|k| &k.values) {
+            Some(ValueSet::Boolean {
+                may_be_true,
+                may_be_false,
+            }) => (*may_be_true, *may_be_false),
             _ => (true, true),
         };
-        let x = self.branch(c, true, yes, a);
-        let y = self.branch(c, false, no, b);
+        let x = self.infer_branch(c, true, may_be_true, a);
+        let y = self.infer_branch(c, false, may_be_false, b);
         let (condition, x, y) = (condition?, x?, y?);
         if x.ty != y.ty {
             let message = format!("one branch is a {}, the other a {}", x.ty, y.ty);
-            self.fault(&b.at, message, format!("expected {}", x.ty.example()));
+            self.report(&b.span, message, format!("expected {}", x.ty.example()));
             return None;
         }
-        let live = condition.live || x.live || y.live;
-        let span = match (yes, no) {
-            (true, false) => x.span,
-            (false, true) => y.span,
-            _ => x.span.join(y.span),
+        let depends_on_metrics =
+            condition.depends_on_metrics || x.depends_on_metrics || y.depends_on_metrics;
+        let values = match (may_be_true, may_be_false) {
+            (true, false) => x.values,
+            (false, true) => y.values,
+            _ => x.values.join(y.values),
         };
-        Some(Known {
+        Some(Inferred {
             ty: x.ty,
-            span,
-            live,
+            values,
+            depends_on_metrics,
         })
     }
 
     /// A branch, with what its condition says about names.
-    fn branch(&mut self, condition: &Expr, holds: bool, possible: bool, e: &Expr) -> Option<Known> {
-        let before = self.refined.len();
+    fn infer_branch(
+        &mut self,
+        condition: &Expr,
+        holds: bool,
+        possible: bool,
+        e: &Expr,
+    ) -> Option<Inferred> {
+        let before = self.refinements.len();
         self.unreachable += usize::from(!possible);
         self.refine(condition, holds);
-        let known = self.infer(e);
+        let inferred = self.infer(e);
         self.unreachable -= usize::from(!possible);
-        self.refined.truncate(before);
-        known
+        self.refinements.truncate(before);
+        inferred
     }
 
     fn refine(&mut self, condition: &Expr, holds: bool) {
-        match &condition.node {
-            Node::Not(a) => self.refine(a, !holds),
-            Node::Binary(Op::And, a, b) if holds => {
+        match &condition.kind {
+            ExprKind::Not(a) => self.refine(a, !holds),
+            ExprKind::Binary(Operator::And, a, b) if holds => {
                 self.refine(a, true);
                 self.refine(b, true);
             }
-            Node::Binary(Op::Or, a, b) if !holds => {
+            ExprKind::Binary(Operator::Or, a, b) if !holds => {
                 self.refine(a, false);
                 self.refine(b, false);
             }
-            Node::Binary(op, a, b) => {
-                let op = if holds { Some(*op) } else { negated(*op) };
+            ExprKind::Binary(op, a, b) => {
+                let op = if holds {
+                    Some(*op)
+                } else {
+                    negate_comparison(*op)
+                };
                 let Some(op) = op else { return };
-                self.refine_by(a, op, b);
-                self.refine_by(b, mirrored(op), a);
+                self.refine_name(a, op, b);
+                self.refine_name(b, swap_operands(op), a);
             }
             _ => {}
         }
     }
 
-    fn refine_by(&mut self, a: &Expr, op: Op, b: &Expr) {
-        let Node::Name(name) = &a.node else { return };
+    fn refine_name(&mut self, a: &Expr, op: Operator, b: &Expr) {
+        let ExprKind::Name(name) = &a.kind else {
+            return;
+        };
         // What is wrong with the other side was said when the condition itself was looked at.
         self.unreachable += 1;
-        let bounds = self.infer(b).and_then(|k| k.span.bounds());
+        let bounds = self.infer(b).and_then(|k| k.values.bounds());
         self.unreachable -= 1;
         let Some((low, high)) = bounds else { return };
         let (low, high) = match op {
-            Op::Less => (f64::NEG_INFINITY, high.next_down()),
-            Op::LessEqual => (f64::NEG_INFINITY, high),
-            Op::Greater => (low.next_up(), f64::INFINITY),
-            Op::GreaterEqual => (low, f64::INFINITY),
-            Op::Equal => (low, high),
+            Operator::Less => (f64::NEG_INFINITY, high.next_down()),
+            Operator::LessEqual => (f64::NEG_INFINITY, high),
+            Operator::Greater => (low.next_up(), f64::INFINITY),
+            Operator::GreaterEqual => (low, f64::INFINITY),
+            Operator::Equal => (low, high),
             _ => return,
         };
-        self.refined.push((name.clone(), low, high));
+        self.refinements.push((name.clone(), low, high));
     }
 
-    fn call(&mut self, f: Function, args: &[Expr], at: &Range<usize>) -> Option<Known> {
-        let known: Vec<Option<Known>> = args.iter().map(|a| self.infer(a)).collect();
-        let known: Vec<Known> = known.into_iter().collect::<Option<_>>()?;
-        if f == Function::Clamp && known.len() != 3 {
-            self.fault(
-                at,
-                format!("clamp takes 3 values, not {}", known.len()),
+    fn infer_call(&mut self, f: Function, args: &[Expr], span: &Range<usize>) -> Option<Inferred> {
+        let inferred: Vec<Option<Inferred>> = args.iter().map(|a| self.infer(a)).collect();
+        let inferred: Vec<Inferred> = inferred.into_iter().collect::<Option<_>>()?;
+        if f == Function::Clamp && inferred.len() != 3 {
+            self.report(
+                span,
+                format!("clamp takes 3 values, not {}", inferred.len()),
                 "clamp(VALUE, LEAST, MOST)",
             );
             return None;
         }
-        let (ty, live) = (known[0].ty, known.iter().any(|k| k.live));
-        let mut ends = Vec::new();
-        for (k, e) in known.iter().zip(args) {
-            match k.span.bounds() {
-                Some(b) if k.ty == ty => ends.push(b),
+        let (ty, depends_on_metrics) = (
+            inferred[0].ty,
+            inferred.iter().any(|k| k.depends_on_metrics),
+        );
+        let mut bounds = Vec::new();
+        for (k, e) in inferred.iter().zip(args) {
+            match k.values.bounds() {
+                Some(b) if k.ty == ty => bounds.push(b),
                 _ => {
-                    let expected =
-                        format!("all values must be of one unit, such as {}", ty.example());
-                    self.fault(&e.at, format!("this is a {}", k.ty), expected);
+                    let help = format!("all values must be of one unit, such as {}", ty.example());
+                    self.report(&e.span, format!("this is a {}", k.ty), help);
                     return None;
                 }
             }
         }
         let fold = |f: fn(f64, f64) -> f64| {
-            let first = ends[0];
-            ends.iter()
+            let first = bounds[0];
+            bounds
+                .iter()
                 .skip(1)
                 .fold(first, |s, e| (f(s.0, e.0), f(s.1, e.1)))
         };
@@ -858,68 +928,71 @@
             Function::Clamp => {
                 let clamp = |x: f64, low: f64, high: f64| x.max(low).min(high);
                 (
-                    clamp(ends[0].0, ends[1].0, ends[2].0),
-                    clamp(ends[0].1, ends[1].1, ends[2].1),
+                    clamp(bounds[0].0, bounds[1].0, bounds[2].0),
+                    clamp(bounds[0].1, bounds[1].1, bounds[2].1),
                 )
             }
         };
-        Some(Known {
+        Some(Inferred {
             ty,
-            span: number(low, high),
-            live,
+            values: numbers(low, high),
+            depends_on_metrics,
         })
     }
 }
 
-fn compare(op: Op, (a, b): (f64, f64), (c, d): (f64, f64)) -> Span {
-    let (yes, no) = match op {
-        Op::Less => (a < d, b >= c),
-        Op::LessEqual => (a <= d, b > c),
-        Op::Greater => (b > c, a <= d),
-        Op::GreaterEqual => (b >= c, a < d),
-        Op::Equal => (a <= d && c <= b, !(a == b && c == d && a == c)),
+fn compare_ranges(op: Operator, (a, b): (f64, f64), (c, d): (f64, f64)) -> ValueSet {
+    let (may_be_true, may_be_false) = match op {
+        Operator::Less => (a < d, b >= c),
+        Operator::LessEqual => (a <= d, b > c),
+        Operator::Greater => (b > c, a <= d),
+        Operator::GreaterEqual => (b >= c, a < d),
+        Operator::Equal => (a <= d && c <= b, !(a == b && c == d && a == c)),
         _ => (!(a == b && c == d && a == c), a <= d && c <= b),
     };
-    Span::Boolean { yes, no }
+    ValueSet::Boolean {
+        may_be_true,
+        may_be_false,
+    }
 }
 
-fn negated(op: Op) -> Option<Op> {
+fn negate_comparison(op: Operator) -> Option<Operator> {
     Some(match op {
-        Op::Less => Op::GreaterEqual,
-        Op::LessEqual => Op::Greater,
-        Op::Greater => Op::LessEqual,
-        Op::GreaterEqual => Op::Less,
-        Op::Equal => Op::NotEqual,
-        Op::NotEqual => Op::Equal,
+        Operator::Less => Operator::GreaterEqual,
+        Operator::LessEqual => Operator::Greater,
+        Operator::Greater => Operator::LessEqual,
+        Operator::GreaterEqual => Operator::Less,
+        Operator::Equal => Operator::NotEqual,
+        Operator::NotEqual => Operator::Equal,
         _ => return None,
     })
 }
 
-fn mirrored(op: Op) -> Op {
+fn swap_operands(op: Operator) -> Operator {
     match op {
-        Op::Less => Op::Greater,
-        Op::LessEqual => Op::GreaterEqual,
-        Op::Greater => Op::Less,
-        Op::GreaterEqual => Op::LessEqual,
+        Operator::Less => Operator::Greater,
+        Operator::LessEqual => Operator::GreaterEqual,
+        Operator::Greater => Operator::Less,
+        Operator::GreaterEqual => Operator::LessEqual,
         other => other,
     }
 }
 
-fn names_in(e: &Expr, out: &mut Vec<String>) {
-    match &e.node {
-        Node::Literal(..) => {}
-        Node::Name(n) => out.push(n.clone()),
-        Node::Negative(a) | Node::Not(a) => names_in(a, out),
-        Node::Binary(_, a, b) => {
-            names_in(a, out);
-            names_in(b, out);
+fn collect_names(e: &Expr, out: &mut Vec<String>) {
+    match &e.kind {
+        ExprKind::Literal(..) => {}
+        ExprKind::Name(n) => out.push(n.clone()),
+        ExprKind::Negate(a) | ExprKind::Not(a) => collect_names(a, out),
+        ExprKind::Binary(_, a, b) => {
+            collect_names(a, out);
+            collect_names(b, out);
         }
-        Node::If(a, b, c) => {
-            names_in(a, out);
-            names_in(b, out);
-            names_in(c, out);
+        ExprKind::If(a, b, c) => {
+            collect_names(a, out);
+            collect_names(b, out);
+            collect_names(c, out);
         }
-        Node::Call(_, args) => args.iter().for_each(|a| names_in(a, out)),
+        ExprKind::Call(_, args) => args.iter().for_each(|a| collect_names(a, out)),
     }
 }
 
--- a/crates/hopyoke-policy/src/diagnostic.rs
+++ b/crates/hopyoke-policy/src/diagnostic.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::ops::Range;
 
-/// One fault.
+/// One diagnostic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
     /// The bytes of the text that it is about.
@@ -37,30 +37,30 @@
 
     pub(crate) fn add(
         &mut self,
-        at: Range<usize>,
+        span: Range<usize>,
         message: impl Into<String>,
-        expected: impl Into<String>,
+        help: impl Into<String>,
     ) {
-        let mut floor = at.start.min(self.text.len());
-        while !self.text.is_char_boundary(floor) {
-            floor -= 1;
+        let mut start = span.start.min(self.text.len());
+        while !self.text.is_char_boundary(start) {
+            start -= 1;
         }
-        let mut end = at.end.clamp(floor, self.text.len());
+        let mut end = span.end.clamp(start, self.text.len());
         while !self.text.is_char_boundary(end) {
             end += 1;
         }
-        let before = &self.text[..floor];
+        let before = &self.text[..start];
         let line_start = before.rfind('\n').map_or(0, |i| i + 1);
-        let fault = Diagnostic {
-            span: floor..end,
+        let diagnostic = Diagnostic {
+            span: start..end,
             line: before.matches('\n').count() + 1,
             column: before[line_start..].chars().count() + 1,
             message: message.into(),
-            help: expected.into(),
+            help: help.into(),
         };
         // A name that is wrong in itself is wrong wherever it is used: said once for each place.
-        if !self.entries.contains(&fault) {
-            self.entries.push(fault);
+        if !self.entries.contains(&diagnostic) {
+            self.entries.push(diagnostic);
         }
     }
 
@@ -72,14 +72,16 @@
 
 impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for fault in &self.entries {
-            let mark = AnnotationKind::Primary
-                .span(fault.span.clone())
-                .label(&fault.help);
+        for diagnostic in &self.entries {
+            let annotation = AnnotationKind::Primary
+                .span(diagnostic.span.clone())
+                .label(&diagnostic.help);
             let snippet = Snippet::source(&self.text)
                 .path(&self.file)
-                .annotation(mark);
-            let group = Level::ERROR.primary_title(&fault.message).element(snippet);
+                .annotation(annotation);
+            let group = Level::ERROR
+                .primary_title(&diagnostic.message)
+                .element(snippet);
             writeln!(f, "{}", Renderer::plain().render(&[group]))?;
         }
         let n = self.entries.len();
--- a/crates/hopyoke-policy/src/eval.rs
+++ b/crates/hopyoke-policy/src/eval.rs
@@ -1,8 +1,8 @@
 //! Values of settings, given the live figures.
 
 use crate::check::{Policy, Symbol};
-use crate::syntax::{Expr, Function, Node, Op};
-use crate::value::{Type, Value, whole};
+use crate::syntax::{Expr, ExprKind, Function, Operator};
+use crate::value::{Type, Value, round_to_unit};
 use hopyoke_types::Micros;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -30,13 +30,13 @@
 pub struct Values(BTreeMap<String, (Type, Value)>);
 
 impl Values {
-    fn numeric(&self, name: &str, want: Type) -> f64 {
+    fn numeric(&self, name: &str, expected: Type) -> f64 {
         match self.0.get(name) {
-            Some((ty, Value::Number(x))) if *ty == want => *x,
+            Some((ty, Value::Number(x))) if *ty == expected => *x,
             other => {
                 // Only a name that is not declared, or of another type: a fault of the program that
                 // its tests find (they read every setting).
-                debug_assert!(false, "no {want} is named {name}: {other:?}");
+                debug_assert!(false, "no {expected} is named {name}: {other:?}");
                 0.0
             }
         }
@@ -84,23 +84,23 @@
     }
 }
 
-struct Moment<'a> {
+struct Evaluator<'a> {
     policy: &'a Policy,
     metrics: &'a Metrics,
-    known: RefCell<BTreeMap<&'a str, (Type, Value)>>,
+    cache: RefCell<BTreeMap<&'a str, (Type, Value)>>,
 }
 
 impl Policy {
     /// The values of all settings. Figures outside their declared range are brought into it, so
     /// that what the checker proved holds.
     pub fn evaluate(&self, metrics: &Metrics) -> Values {
-        let moment = Moment {
+        let evaluator = Evaluator {
             policy: self,
             metrics,
-            known: RefCell::default(),
+            cache: RefCell::default(),
         };
         let settings = self.settings().iter().map(|s| {
-            let value = moment.name(&s.name);
+            let value = evaluator.resolve(&s.name);
             (s.name.clone(), value)
         });
         Values(settings.collect())
@@ -115,9 +115,9 @@
     }
 }
 
-impl<'a> Moment<'a> {
-    fn name(&self, name: &str) -> (Type, Value) {
-        if let Some(v) = self.known.borrow().get(name) {
+impl<'a> Evaluator<'a> {
+    fn resolve(&self, name: &str) -> (Type, Value) {
+        if let Some(v) = self.cache.borrow().get(name) {
             return v.clone();
         }
         let Some((key, symbol)) = self.policy.symbols.get_key_value(name) else {
@@ -125,8 +125,8 @@
         };
         let value = match symbol {
             Symbol::Metric { ty, low, high } => {
-                let given = self.metrics.0.get(name).cloned();
-                let value = match given {
+                let reported = self.metrics.0.get(name).cloned();
+                let value = match reported {
                     Some(Value::Number(x)) if ty.is_numeric() => Value::Number(if x.is_nan() {
                         *low
                     } else {
@@ -138,29 +138,35 @@
                 };
                 (*ty, value)
             }
-            Symbol::Setting { expr, .. } | Symbol::Local { expr } => self.value(&expr.expr),
+            Symbol::Setting { definition, .. } | Symbol::Local { definition } => {
+                self.eval(&definition.expr)
+            }
         };
         let key: &'a str = key;
-        self.known.borrow_mut().insert(key, value.clone());
+        self.cache.borrow_mut().insert(key, value.clone());
         value
     }
 
-    fn value(&self, e: &Expr) -> (Type, Value) {
+    fn eval(&self, e: &Expr) -> (Type, Value) {
         use Value::{Boolean, Number};
-        match &e.node {
-            Node::Literal(ty, v) => (*ty, v.clone()),
-            Node::Name(n) => self.name(n),
-            Node::Negative(a) => match self.value(a) {
+        match &e.kind {
+            ExprKind::Literal(ty, v) => (*ty, v.clone()),
+            ExprKind::Name(n) => self.resolve(n),
+            ExprKind::Negate(a) => match self.eval(a) {
                 (ty, Number(x)) => (ty, Number(-x)),
                 other => other,
             },
-            Node::Not(a) => (Type::Boolean, Boolean(!self.truth(a))),
-            Node::Binary(Op::And, a, b) => (Type::Boolean, Boolean(self.truth(a) && self.truth(b))),
-            Node::Binary(Op::Or, a, b) => (Type::Boolean, Boolean(self.truth(a) || self.truth(b))),
-            Node::Binary(op, a, b) => self.binary(*op, a, b),
-            Node::If(c, a, b) => self.value(if self.truth(c) { a } else { b }),
-            Node::Call(f, args) => {
-                let values: Vec<(Type, f64)> = args.iter().map(|a| self.number(a)).collect();
+            ExprKind::Not(a) => (Type::Boolean, Boolean(!self.is_true(a))),
+            ExprKind::Binary(Operator::And, a, b) => {
+                (Type::Boolean, Boolean(self.is_true(a) && self.is_true(b)))
+            }
+            ExprKind::Binary(Operator::Or, a, b) => {
+                (Type::Boolean, Boolean(self.is_true(a) || self.is_true(b)))
+            }
+            ExprKind::Binary(op, a, b) => self.eval_binary(*op, a, b),
+            ExprKind::If(c, a, b) => self.eval(if self.is_true(c) { a } else { b }),
+            ExprKind::Call(f, args) => {
+                let values: Vec<(Type, f64)> = args.iter().map(|a| self.eval_number(a)).collect();
                 let first = values[0];
                 let x = match f {
                     Function::Min => values.iter().fold(first.1, |s, v| s.min(v.1)),
@@ -172,39 +178,42 @@
         }
     }
 
-    fn truth(&self, e: &Expr) -> bool {
-        matches!(self.value(e).1, Value::Boolean(true))
+    fn is_true(&self, e: &Expr) -> bool {
+        matches!(self.eval(e).1, Value::Boolean(true))
     }
 
-    fn number(&self, e: &Expr) -> (Type, f64) {
-        match self.value(e) {
+    fn eval_number(&self, e: &Expr) -> (Type, f64) {
+        match self.eval(e) {
             (ty, Value::Number(x)) => (ty, x),
             (ty, _) => (ty, 0.0),
         }
     }
 
-    fn binary(&self, op: Op, a: &Expr, b: &Expr) -> (Type, Value) {
+    fn eval_binary(&self, op: Operator, a: &Expr, b: &Expr) -> (Type, Value) {
         use Value::{Boolean, Number};
-        let (x, y) = (self.value(a), self.value(b));
-        if matches!(op, Op::Equal | Op::NotEqual) {
-            return (Type::Boolean, Boolean((x.1 == y.1) == (op == Op::Equal)));
+        let (x, y) = (self.eval(a), self.eval(b));
+        if matches!(op, Operator::Equal | Operator::NotEqual) {
+            return (
+                Type::Boolean,
+                Boolean((x.1 == y.1) == (op == Operator::Equal)),
+            );
         }
         let (Number(p), Number(q)) = (&x.1, &y.1) else {
             return (Type::Boolean, Boolean(false));
         };
         let (p, q) = (*p, *q);
-        let of = |ty: Option<Type>, v: f64| {
+        let typed = |ty: Option<Type>, v: f64| {
             let ty = ty.unwrap_or(Type::Number);
-            (ty, Number(whole(ty, v)))
+            (ty, Number(round_to_unit(ty, v)))
         };
         match op {
-            Op::Add => of(Some(x.0), p + q),
-            Op::Sub => of(Some(x.0), p - q),
-            Op::Mul => of(Type::product(x.0, y.0), p * q),
-            Op::Div => of(Type::quotient(x.0, y.0), p / q),
-            Op::Less => (Type::Boolean, Boolean(p < q)),
-            Op::LessEqual => (Type::Boolean, Boolean(p <= q)),
-            Op::Greater => (Type::Boolean, Boolean(p > q)),
+            Operator::Add => typed(Some(x.0), p + q),
+            Operator::Sub => typed(Some(x.0), p - q),
+            Operator::Mul => typed(Type::product(x.0, y.0), p * q),
+            Operator::Div => typed(Type::quotient(x.0, y.0), p / q),
+            Operator::Less => (Type::Boolean, Boolean(p < q)),
+            Operator::LessEqual => (Type::Boolean, Boolean(p <= q)),
+            Operator::Greater => (Type::Boolean, Boolean(p > q)),
             _ => (Type::Boolean, Boolean(p >= q)),
         }
     }
--- a/crates/hopyoke-policy/src/syntax.rs
+++ b/crates/hopyoke-policy/src/syntax.rs
@@ -1,7 +1,7 @@
 //! From text to syntax trees: statements, expressions, and where they stand.
 
 use crate::diagnostic::Diagnostics;
-use crate::value::{Type, Value, whole};
+use crate::value::{Type, Value, round_to_unit};
 use pest::Parser;
 use pest::error::{ErrorVariant, InputLocation};
 use pest::iterators::Pair;
@@ -12,7 +12,7 @@
 struct Grammar;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Op {
+pub(crate) enum Operator {
     Add,
     Sub,
     Mul,
@@ -35,12 +35,12 @@
 }
 
 #[derive(Debug, Clone)]
-pub(crate) enum Node {
+pub(crate) enum ExprKind {
     Literal(Type, Value),
     Name(String),
-    Negative(Box<Expr>),
+    Negate(Box<Expr>),
     Not(Box<Expr>),
-    Binary(Op, Box<Expr>, Box<Expr>),
+    Binary(Operator, Box<Expr>, Box<Expr>),
     If(Box<Expr>, Box<Expr>, Box<Expr>),
     Call(Function, Vec<Expr>),
 }
@@ -48,8 +48,8 @@
 /// An expression and the bytes of the text that it was read from.
 #[derive(Debug, Clone)]
 pub(crate) struct Expr {
-    pub node: Node,
-    pub at: Range<usize>,
+    pub kind: ExprKind,
+    pub span: Range<usize>,
 }
 
 #[derive(Debug, Clone)]
@@ -57,7 +57,7 @@
     /// `local`: a name of the file's own.
     Assign {
         name: String,
-        at: Range<usize>,
+        name_span: Range<usize>,
         local: bool,
         expr: Expr,
     },
@@ -70,7 +70,7 @@
     Setting {
         name: String,
         ty: Type,
-        live: bool,
+        allows_metrics: bool,
         range: Option<(Expr, Expr)>,
         expr: Expr,
         description: String,
@@ -79,56 +79,58 @@
 }
 
 /// Deeper nesting than this is refused: expressions are walked recursively.
-const MOST_NESTING: usize = 64;
+const MAX_NESTING: usize = 64;
 /// Longer statements are refused: a chain of operators is as deep as it is long.
-const MOST_STATEMENT: usize = 4096;
+const MAX_STATEMENT_BYTES: usize = 4096;
 /// Longer files are refused before they are read.
-pub(crate) const MOST_BYTES: usize = 256 * 1024;
+pub(crate) const MAX_FILE_BYTES: usize = 256 * 1024;
 
 /// Reads a file; faults of one statement do not hide those of the next.
-pub(crate) fn read(text: &str, builtin: bool, diagnostics: &mut Diagnostics) -> Vec<Statement> {
-    if text.len() > MOST_BYTES {
+pub(crate) fn parse(text: &str, built_in: bool, diagnostics: &mut Diagnostics) -> Vec<Statement> {
+    if text.len() > MAX_FILE_BYTES {
         diagnostics.add(
             0..0,
             "the file is too long",
-            format!("at most {MOST_BYTES} bytes"),
+            format!("at most {MAX_FILE_BYTES} bytes"),
         );
         return Vec::new();
     }
     let mut out = Vec::new();
-    for chunk in statements(text) {
-        let part = &text[chunk.clone()];
-        if part.trim_end().len() > MOST_STATEMENT {
-            let at = chunk.start..chunk.start + 1;
+    for range_in_file in split_statements(text) {
+        let source = &text[range_in_file.clone()];
+        if source.trim_end().len() > MAX_STATEMENT_BYTES {
+            let at = range_in_file.start..range_in_file.start + 1;
             diagnostics.add(
                 at,
                 "the statement is too long",
-                format!("at most {MOST_STATEMENT} bytes"),
+                format!("at most {MAX_STATEMENT_BYTES} bytes"),
             );
             continue;
         }
-        if let Some(deep) = too_deep(part) {
-            let at = chunk.start + deep;
+        if let Some(position) = find_excess_nesting(source) {
+            let at = range_in_file.start + position;
             diagnostics.add(
                 at..at + 1,
                 "nested too deeply",
-                format!("at most {MOST_NESTING} levels"),
+                format!("at most {MAX_NESTING} levels"),
             );
             continue;
         }
-        let rule = if builtin {
+        let rule = if built_in {
             Rule::builtin_line
         } else {
             Rule::assign_line
         };
-        match Grammar::parse(rule, part) {
+        match Grammar::parse(rule, source) {
             Ok(mut pairs) => {
                 let inner = pairs.next().and_then(|p| p.into_inner().next());
-                match inner.and_then(|p| statement(p, chunk.start)) {
+                match inner.and_then(|p| build_statement(p, range_in_file.start)) {
                     Some(s) => out.push(s),
-                    None => {
-                        diagnostics.add(chunk, "this statement can't be read", "NAME = EXPRESSION")
-                    }
+                    None => diagnostics.add(
+                        range_in_file,
+                        "this statement can't be read",
+                        "NAME = EXPRESSION",
+                    ),
                 }
             }
             Err(e) => {
@@ -136,20 +138,20 @@
                     InputLocation::Pos(p) => (p, p + 1),
                     InputLocation::Span((a, b)) => (a, b),
                 };
-                let (mut start, end) = (start.min(part.len()), end.min(part.len()));
-                if start >= part.trim_end().len() {
+                let (mut start, end) = (start.min(source.len()), end.min(source.len()));
+                if start >= source.trim_end().len() {
                     // The text ends too early: the mark goes behind its last character.
-                    start = part.trim_end().len();
+                    start = source.trim_end().len();
                 }
-                let (message, end) = match part[start..].split_whitespace().next() {
+                let (message, end) = match source[start..].split_whitespace().next() {
                     Some(word) => (
                         format!("unexpected `{}`", word.chars().take(24).collect::<String>()),
                         end,
                     ),
                     None => ("the statement ends too early".to_owned(), start),
                 };
-                let at = chunk.start + start..chunk.start + end.max(start);
-                diagnostics.add(at, message, expected(&e.variant));
+                let at = range_in_file.start + start..range_in_file.start + end.max(start);
+                diagnostics.add(at, message, describe_expected(&e.variant));
             }
         }
     }
@@ -157,7 +159,7 @@
 }
 
 /// Statements start at the first column; what is indented goes on with the one before.
-fn statements(text: &str) -> Vec<Range<usize>> {
+fn split_statements(text: &str) -> Vec<Range<usize>> {
     let mut out: Vec<Range<usize>> = Vec::new();
     let mut at = 0;
     for line in text.split_inclusive('\n') {
@@ -176,8 +178,8 @@
 
 /// Where nesting gets deeper than is allowed: of parentheses, or by chains without them such as
 /// `- - x`, `not not x`, `if a then if b then …`.
-fn too_deep(text: &str) -> Option<usize> {
-    let (mut depth, mut chain, mut start) = (0usize, 0usize, 0);
+fn find_excess_nesting(text: &str) -> Option<usize> {
+    let (mut depth, mut prefix_operators, mut start) = (0usize, 0usize, 0);
     for line in text.split_inclusive('\n') {
         let mut word = 0;
         let mut quoted = false;
@@ -187,17 +189,18 @@
                 b'#' if !quoted => break,
                 b'(' if !quoted => depth += 1,
                 b')' if !quoted => depth = depth.saturating_sub(1),
-                b'-' if !quoted => chain += 1,
+                b'-' if !quoted => prefix_operators += 1,
                 _ => {}
             }
             if !b.is_ascii_alphanumeric() && b != b'_' {
-                chain += usize::from(!quoted && matches!(line.get(word..i), Some("not" | "if")));
+                prefix_operators +=
+                    usize::from(!quoted && matches!(line.get(word..i), Some("not" | "if")));
                 word = i + 1;
                 while !line.is_char_boundary(word) {
                     word += 1;
                 }
             }
-            if depth.max(chain) > MOST_NESTING {
+            if depth.max(prefix_operators) > MAX_NESTING {
                 return Some(start + i);
             }
         }
@@ -206,11 +209,11 @@
     None
 }
 
-fn expected(variant: &ErrorVariant<Rule>) -> String {
+fn describe_expected(variant: &ErrorVariant<Rule>) -> String {
     let ErrorVariant::ParsingError { positives, .. } = variant else {
         return String::new();
     };
-    let mut words: Vec<&str> = positives
+    let mut expected: Vec<&str> = positives
         .iter()
         .filter_map(|r| {
             Some(match r {
@@ -249,55 +252,59 @@
             })
         })
         .collect();
-    words.sort_unstable();
-    words.dedup();
-    if words.is_empty() {
+    expected.sort_unstable();
+    expected.dedup();
+    if expected.is_empty() {
         "NAME = EXPRESSION".into()
     } else {
-        format!("expected {}", words.join(" or "))
+        format!("expected {}", expected.join(" or "))
     }
 }
 
 /// Places in the text are counted from the start of the file.
-fn at(pair: &Pair<'_, Rule>, base: usize) -> Range<usize> {
+fn span_of(pair: &Pair<'_, Rule>, offset: usize) -> Range<usize> {
     let span = pair.as_span();
     // Rules that end in white space or comments: the mark covers what was written.
     let end = span.start() + span.as_str().trim_end().len();
-    base + span.start()..base + end
+    offset + span.start()..offset + end
 }
 
-fn text(pair: Pair<'_, Rule>) -> String {
+fn quoted_text(pair: Pair<'_, Rule>) -> String {
     pair.into_inner()
         .flatten()
         .find(|p| p.as_rule() == Rule::inner)
         .map_or(String::new(), |p| p.as_str().into())
 }
 
-fn statement(pair: Pair<'_, Rule>, base: usize) -> Option<Statement> {
+fn build_statement(pair: Pair<'_, Rule>, offset: usize) -> Option<Statement> {
     let rule = pair.as_rule();
-    let (mut name, mut place, mut local, mut live) = (String::new(), 0..0, false, false);
+    let (mut name, mut name_span, mut local, mut allows_metrics) =
+        (String::new(), 0..0, false, false);
     let (mut ty, mut range, mut value) = (None, None, None);
     let (mut description, mut rationale) = (String::new(), String::new());
     for p in pair.into_inner() {
         match p.as_rule() {
             Rule::local => local = true,
-            Rule::live => live = true,
-            Rule::name => (name, place) = (p.as_str().to_owned(), at(&p, base)),
+            Rule::live => allows_metrics = true,
+            Rule::name => (name, name_span) = (p.as_str().to_owned(), span_of(&p, offset)),
             Rule::type_name => ty = Type::parse(p.as_str().trim()),
             Rule::range => {
-                let mut ends = p.into_inner();
-                range = Some((expr(ends.next()?, base)?, expr(ends.next()?, base)?));
+                let mut bounds = p.into_inner();
+                range = Some((
+                    build_expr(bounds.next()?, offset)?,
+                    build_expr(bounds.next()?, offset)?,
+                ));
             }
-            Rule::expr => value = Some(expr(p, base)?),
-            Rule::about => description = text(p),
-            Rule::safe => rationale = text(p),
+            Rule::expr => value = Some(build_expr(p, offset)?),
+            Rule::about => description = quoted_text(p),
+            Rule::safe => rationale = quoted_text(p),
             _ => {}
         }
     }
     Some(match rule {
         Rule::assign => Statement::Assign {
             name,
-            at: place,
+            name_span,
             local,
             expr: value?,
         },
@@ -310,7 +317,7 @@
         Rule::setting => Statement::Setting {
             name,
             ty: ty?,
-            live,
+            allows_metrics,
             range,
             expr: value?,
             description,
@@ -320,33 +327,37 @@
     })
 }
 
-fn expr(pair: Pair<'_, Rule>, base: usize) -> Option<Expr> {
-    let place = at(&pair, base);
+fn build_expr(pair: Pair<'_, Rule>, offset: usize) -> Option<Expr> {
+    let span = span_of(&pair, offset);
     let rule = pair.as_rule();
-    let node = match rule {
-        Rule::expr => return expr(pair.into_inner().next()?, base),
+    let kind = match rule {
+        Rule::expr => return build_expr(pair.into_inner().next()?, offset),
         Rule::atom => {
             // Parentheses belong to what they hold.
-            let inner = expr(pair.into_inner().next()?, base)?;
+            let inner = build_expr(pair.into_inner().next()?, offset)?;
             return Some(Expr {
-                node: inner.node,
-                at: place,
+                kind: inner.kind,
+                span,
             });
         }
         Rule::conditional => {
             let mut parts = pair.into_inner().filter(|p| p.as_rule() == Rule::expr);
-            let mut next = || expr(parts.next()?, base).map(Box::new);
-            Node::If(next()?, next()?, next()?)
+            let mut next = || build_expr(parts.next()?, offset).map(Box::new);
+            ExprKind::If(next()?, next()?, next()?)
         }
         Rule::or | Rule::and | Rule::sum | Rule::product | Rule::comparison => {
             let mut parts = pair.into_inner();
-            let mut left = expr(parts.next()?, base)?;
+            let mut left = build_expr(parts.next()?, offset)?;
             while let Some(op) = parts.next() {
-                let right = expr(parts.next()?, base)?;
-                let whole = left.at.start..right.at.end;
+                let right = build_expr(parts.next()?, offset)?;
+                let combined = left.span.start..right.span.end;
                 left = Expr {
-                    node: Node::Binary(op_of(op.as_str().trim())?, Box::new(left), Box::new(right)),
-                    at: whole,
+                    kind: ExprKind::Binary(
+                        parse_operator(op.as_str().trim())?,
+                        Box::new(left),
+                        Box::new(right),
+                    ),
+                    span: combined,
                 };
             }
             return Some(left);
@@ -355,9 +366,9 @@
             let mut parts = pair.into_inner();
             let first = parts.next()?;
             match first.as_rule() {
-                Rule::minus => Node::Negative(Box::new(expr(parts.next()?, base)?)),
-                Rule::not => Node::Not(Box::new(expr(parts.next()?, base)?)),
-                _ => return expr(first, base),
+                Rule::minus => ExprKind::Negate(Box::new(build_expr(parts.next()?, offset)?)),
+                Rule::not => ExprKind::Not(Box::new(build_expr(parts.next()?, offset)?)),
+                _ => return build_expr(first, offset),
             }
         }
         Rule::call => {
@@ -367,34 +378,36 @@
                 "max" => Function::Max,
                 _ => Function::Clamp,
             };
-            Node::Call(
+            ExprKind::Call(
                 function,
-                parts.map(|p| expr(p, base)).collect::<Option<_>>()?,
+                parts
+                    .map(|p| build_expr(p, offset))
+                    .collect::<Option<_>>()?,
             )
         }
-        Rule::name => Node::Name(pair.as_str().to_owned()),
-        Rule::boolean => Node::Literal(Type::Boolean, Value::Boolean(pair.as_str() == "true")),
+        Rule::name => ExprKind::Name(pair.as_str().to_owned()),
+        Rule::boolean => ExprKind::Literal(Type::Boolean, Value::Boolean(pair.as_str() == "true")),
         Rule::text => {
             let inner = pair
                 .into_inner()
                 .next()
                 .map_or("", |p| p.as_str())
                 .to_owned();
-            Node::Literal(Type::Text, Value::Text(inner))
+            ExprKind::Literal(Type::Text, Value::Text(inner))
         }
-        Rule::duration | Rule::share | Rule::money | Rule::number => literal(pair)?,
+        Rule::duration | Rule::share | Rule::money | Rule::number => build_literal(pair)?,
         _ => return None,
     };
-    Some(Expr { node, at: place })
+    Some(Expr { kind, span })
 }
 
-fn literal(pair: Pair<'_, Rule>) -> Option<Node> {
+fn build_literal(pair: Pair<'_, Rule>) -> Option<ExprKind> {
     let rule = pair.as_rule();
     let mut parts = pair.into_inner();
     let x: f64 = parts.next()?.as_str().parse().ok()?;
     let (ty, x) = match rule {
         Rule::duration => {
-            let size = match parts.next()?.as_str() {
+            let factor = match parts.next()?.as_str() {
                 "us" => 1.0,
                 "ms" => 1e3,
                 "s" => 1e6,
@@ -402,29 +415,29 @@
                 "h" => 3600e6,
                 _ => 86_400e6,
             };
-            (Type::Duration, x * size)
+            (Type::Duration, x * factor)
         }
         Rule::share => (Type::Share, x / 100.0),
         Rule::money => (Type::Money, x * 1e6),
         _ => (Type::Number, x),
     };
-    Some(Node::Literal(ty, Value::Number(whole(ty, x))))
+    Some(ExprKind::Literal(ty, Value::Number(round_to_unit(ty, x))))
 }
 
-fn op_of(s: &str) -> Option<Op> {
+fn parse_operator(s: &str) -> Option<Operator> {
     Some(match s {
-        "+" => Op::Add,
-        "-" => Op::Sub,
-        "*" => Op::Mul,
-        "/" => Op::Div,
-        "<" => Op::Less,
-        "<=" => Op::LessEqual,
-        ">" => Op::Greater,
-        ">=" => Op::GreaterEqual,
-        "==" => Op::Equal,
-        "!=" => Op::NotEqual,
-        "and" => Op::And,
-        "or" => Op::Or,
+        "+" => Operator::Add,
+        "-" => Operator::Sub,
+        "*" => Operator::Mul,
+        "/" => Operator::Div,
+        "<" => Operator::Less,
+        "<=" => Operator::LessEqual,
+        ">" => Operator::Greater,
+        ">=" => Operator::GreaterEqual,
+        "==" => Operator::Equal,
+        "!=" => Operator::NotEqual,
+        "and" => Operator::And,
+        "or" => Operator::Or,
         _ => return None,
     })
 }
--- a/crates/hopyoke-policy/src/value.rs
+++ b/crates/hopyoke-policy/src/value.rs
@@ -35,7 +35,7 @@
     }
 
     /// The largest magnitude that a value, or any step on the way to it, may have.
-    pub(crate) fn most(self) -> f64 {
+    pub(crate) fn max_magnitude(self) -> f64 {
         match self {
             Type::Duration | Type::Money => 9_007_199_254_740_992.0,
             _ => 1e15,
@@ -96,7 +96,7 @@
 }
 
 /// Durations and money are whole.
-pub(crate) fn whole(ty: Type, x: f64) -> f64 {
+pub(crate) fn round_to_unit(ty: Type, x: f64) -> f64 {
     if matches!(ty, Type::Duration | Type::Money) {
         x.round()
     } else {
@@ -104,7 +104,7 @@
     }
 }
 
-fn trim(x: f64) -> String {
+fn format_number(x: f64) -> String {
     let s = format!("{x:.6}");
     let s = s.trim_end_matches('0').trim_end_matches('.');
     if s.is_empty() || s == "-0" {
@@ -130,50 +130,70 @@
             .into_iter()
             .find(|(u, size)| us.abs() >= *size && (us % size == 0.0 || *u == "s"))
             .unwrap_or(if *us == 0.0 { ("s", 1e6) } else { ("us", 1.0) });
-            format!("{}{unit}", trim(us / size))
+            format!("{}{unit}", format_number(us / size))
         }
-        (Type::Share, Value::Number(x)) => format!("{}%", trim(x * 100.0)),
-        (Type::Money, Value::Number(x)) => format!("${}", trim(x / 1e6)),
-        (_, Value::Number(x)) => trim(*x),
+        (Type::Share, Value::Number(x)) => format!("{}%", format_number(x * 100.0)),
+        (Type::Money, Value::Number(x)) => format!("${}", format_number(x / 1e6)),
+        (_, Value::Number(x)) => format_number(*x),
     }
 }
 
 /// All values that an expression can take.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum Span {
-    Number { low: f64, high: f64 },
-    Boolean { yes: bool, no: bool },
+pub(crate) enum ValueSet {
+    Number {
+        low: f64,
+        high: f64,
+    },
+    Boolean {
+        may_be_true: bool,
+        may_be_false: bool,
+    },
     Text(Option<String>),
 }
 
-impl Span {
-    pub fn of(value: &Value) -> Span {
+impl ValueSet {
+    pub fn of(value: &Value) -> ValueSet {
         match value {
-            Value::Number(x) => Span::Number { low: *x, high: *x },
-            Value::Boolean(b) => Span::Boolean { yes: *b, no: !*b },
-            Value::Text(t) => Span::Text(Some(t.clone())),
+            Value::Number(x) => ValueSet::Number { low: *x, high: *x },
+            Value::Boolean(b) => ValueSet::Boolean {
+                may_be_true: *b,
+                may_be_false: !*b,
+            },
+            Value::Text(t) => ValueSet::Text(Some(t.clone())),
         }
     }
 
     /// All values of either.
-    pub fn join(self, other: Span) -> Span {
+    pub fn join(self, other: ValueSet) -> ValueSet {
         match (self, other) {
-            (Span::Number { low: a, high: b }, Span::Number { low: c, high: d }) => Span::Number {
-                low: a.min(c),
-                high: b.max(d),
-            },
-            (Span::Boolean { yes: a, no: b }, Span::Boolean { yes: c, no: d }) => Span::Boolean {
-                yes: a || c,
-                no: b || d,
+            (ValueSet::Number { low: a, high: b }, ValueSet::Number { low: c, high: d }) => {
+                ValueSet::Number {
+                    low: a.min(c),
+                    high: b.max(d),
+                }
+            }
+            (
+                ValueSet::Boolean {
+                    may_be_true: a,
+                    may_be_false: b,
+                },
+                ValueSet::Boolean {
+                    may_be_true: c,
+                    may_be_false: d,
+                },
+            ) => ValueSet::Boolean {
+                may_be_true: a || c,
+                may_be_false: b || d,
             },
-            (Span::Text(a), Span::Text(b)) if a == b => Span::Text(a),
-            _ => Span::Text(None),
+            (ValueSet::Text(a), ValueSet::Text(b)) if a == b => ValueSet::Text(a),
+            _ => ValueSet::Text(None),
         }
     }
 
     pub fn bounds(&self) -> Option<(f64, f64)> {
         match self {
-            Span::Number { low, high } => Some((*low, *high)),
+            ValueSet::Number { low, high } => Some((*low, *high)),
             _ => None,
         }
     }
