--- a/crates/hopyoke-policy/src/check.rs
+++ b/crates/hopyoke-policy/src/check.rs
@@ -1,38 +1,40 @@
-//! The checker: types, names, cycles, and what values every setting can ever take.
+//! The type checker: resolves names, detects dependency cycles, and computes by interval arithmetic which values each setting
+//! can take.
 
 use crate::diagnostic::Diagnostics;
 use crate::syntax::{self, Expr, ExprKind, Function, Operator, Statement};
-use crate::value::{Type, Value, ValueSet, format_value, round_to_unit};
+use crate::value::{Type, Value, ValueSet, format_value};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// The declarations and defaults, written in the language itself.
+/// Declarations of all settings and metrics with their defaults, in the policy language.
 pub(crate) const DEFAULTS: &str = include_str!("defaults.policy");
 
-/// A setting as the operators see it.
+/// Describes a setting, its default and the expression in effect.
 #[derive(Debug, Clone)]
 pub struct Setting {
     pub name: String,
     pub ty: Type,
-    /// It may depend on live figures.
+    /// Whether the expression may refer to metrics.
     pub allows_metrics: bool,
-    /// The safe range; settings without an order have none.
+    /// The safe range, inclusive. `None` for booleans and texts.
     pub range: Option<(f64, f64)>,
-    /// The expression in force, and the default's.
+    /// Source text of the expression in effect.
     pub expression: String,
+    /// Source text of the built-in default.
     pub default: String,
-    /// The operators' file sets it.
+    /// Whether the operators' file sets it.
     pub overridden: bool,
-    /// What it does.
+    /// What the setting controls.
     pub description: String,
-    /// Which range is safe, and why.
+    /// Why the range is safe.
     pub rationale: String,
-    /// All values that it can take, as text.
+    /// The values that the expression in effect can take, as text.
     pub possible_values: String,
 }
 
 impl Setting {
-    /// The safe range as text; empty if there is none.
+    /// Formats the safe range. Returns an empty string if there is none.
     pub fn format_range(&self) -> String {
         self.range.map_or(String::new(), |(a, b)| {
             format!(
@@ -62,26 +64,27 @@
     },
 }
 
-/// An expression, and whether it stands in the operators' file.
+/// The expression that a name is bound to.
 #[derive(Debug, Clone)]
 pub(crate) struct Definition {
     pub expr: Expr,
+    /// Whether it is a built-in default rather than part of the operators' file.
     pub built_in: bool,
-    /// Where the name stands that it is assigned to, in the operators' file.
+    /// Span of the assigned name in the operators' file. Empty for a built-in default.
     name_span: Range<usize>,
 }
 
-/// A live figure that settings may depend on.
+/// Declares a metric that expressions may refer to.
 #[derive(Debug, Clone)]
 pub struct Metric {
     pub name: String,
     pub ty: Type,
-    /// The range it is brought into; figures without an order have none.
+    /// The range that measured values are clamped to. `None` for booleans.
     pub range: Option<(f64, f64)>,
     pub description: String,
 }
 
-/// A checked set of settings.
+/// A set of settings that has passed all checks.
 #[derive(Debug, Clone)]
 pub struct Policy {
     settings: Vec<Setting>,
@@ -89,7 +92,7 @@
     pub(crate) symbols: BTreeMap<String, Symbol>,
 }
 
-/// A type, all values, and whether live figures matter.
+/// What the checker infers for an expression.
 #[derive(Debug, Clone)]
 struct Inferred {
     ty: Type,
@@ -97,25 +100,26 @@
     depends_on_metrics: bool,
 }
 
+/// Infers types and possible values of all expressions, and collects diagnostics.
 struct Checker<'a> {
     symbols: &'a BTreeMap<String, Symbol>,
     diagnostics: Diagnostics,
+    /// Results by name. `None` for a name whose definition has errors.
     inferred: BTreeMap<String, Option<Inferred>>,
-    /// Names being looked at, outermost first.
+    /// Names that are being resolved, outermost first.
     resolving: Vec<String>,
-    /// What conditions say about names inside their branches.
+    /// Bounds on names that follow from the conditions of the enclosing branches, as name, lower and upper bound.
     refinements: Vec<(String, f64, f64)>,
-    /// In a branch that can't be reached: only types are checked.
+    /// Number of enclosing branches that can't be reached. Inside these, only types are checked.
     unreachable: usize,
-    /// The expression being looked at is one of the built-in file, and here is what to blame.
+    /// While a built-in expression is checked, the span of the override in the operators' file that diagnostics point to.
     override_span: Option<Range<usize>>,
 }
 
 impl Policy {
-    /// The built-in defaults alone.
+    /// Returns the built-in defaults.
     pub fn defaults() -> Policy {
-        // Tests check that the shipped file has no faults; a policy without settings would be
-        // noticed at once by whoever reads one.
+        // A unit test checks that the built-in file has no errors.
         Policy::load("defaults.policy", "").unwrap_or(Policy {
             settings: Vec::new(),
             metrics: Vec::new(),
@@ -123,10 +127,10 @@
         })
     }
 
-    /// Checks an operators' file against the built-in declarations.
+    /// Parses an operators' file and checks it against the built-in declarations. `file` is the name shown in diagnostics.
     ///
     /// # Errors
-    /// All faults of the file, each with line, column and what was expected.
+    /// Returns all errors of the file, each with line, column and a help text.
     pub fn load(file: &str, text: &str) -> Result<Policy, Diagnostics> {
         let mut built_in_diagnostics = Diagnostics::new("defaults.policy", DEFAULTS);
         let declarations = syntax::parse(DEFAULTS, true, &mut built_in_diagnostics);
@@ -136,6 +140,7 @@
         Policy::check(declarations, DEFAULTS, file, text)
     }
 
+    /// Checks the operators' file `text` against parsed declarations, whose source is `declarations_text`.
     fn check(
         declarations: Vec<Statement>,
         declarations_text: &str,
@@ -228,7 +233,7 @@
                 diagnostics.add(
                     name_span,
                     format!("`{name}` is set twice"),
-                    format!("first set in line {line}"),
+                    format!("first set on line {line}"),
                 );
                 continue;
             }
@@ -247,10 +252,10 @@
                 }
                 (None, false) => {
                     let closest = closest_name(&name, settings.iter().map(|s| s.name.as_str()));
-                    let help = closest.map_or("`let` makes a name of your own".into(), |n| {
-                        format!("is `{n}` meant?")
+                    let help = closest.map_or("use `let` to define a local name".into(), |n| {
+                        format!("did you mean `{n}`?")
                     });
-                    diagnostics.add(name_span, format!("no setting is named `{name}`"), help);
+                    diagnostics.add(name_span, format!("unknown setting `{name}`"), help);
                 }
                 (
                     Some(Symbol::Setting {
@@ -271,15 +276,15 @@
                 (Some(Symbol::Metric { .. }), false) => {
                     diagnostics.add(
                         name_span,
-                        format!("`{name}` is a live figure"),
-                        "figures are measured, not set",
+                        format!("`{name}` is a metric"),
+                        "metrics are measured and can't be set",
                     );
                 }
                 (Some(_), true) => {
                     diagnostics.add(
                         name_span,
-                        format!("`{name}` is taken"),
-                        "another name: this one is a setting or figure",
+                        format!("`{name}` is already defined"),
+                        "choose another name: this one is a setting or a metric",
                     );
                 }
                 (Some(Symbol::Local { .. }), false) => {}
@@ -312,18 +317,19 @@
         }
     }
 
-    /// The live figures that settings may depend on.
+    /// Returns all metrics, in the order of their declarations.
     pub fn metrics(&self) -> &[Metric] {
         &self.metrics
     }
 
-    /// All settings, in the order of their declarations.
+    /// Returns all settings, in the order of their declarations.
     pub fn settings(&self) -> &[Setting] {
         &self.settings
     }
 }
 
-/// The name that is most like this one, if one is alike enough.
+/// Returns the name with the smallest edit distance to `name`. Returns `None` if no distance is at most a third of the
+/// candidate's length, or 1 for short candidates.
 fn closest_name<'a>(name: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     names
         .map(|n| (edit_distance(name, n), n))
@@ -332,7 +338,7 @@
         .map(|(_, n)| n)
 }
 
-/// How many letters must be added, removed or changed to make one word the other.
+/// Computes the Levenshtein distance.
 fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
@@ -353,6 +359,7 @@
 }
 
 impl Checker<'_> {
+    /// Adds a diagnostic. While a built-in default is checked, it points to the override that causes the error.
     fn report(&mut self, span: &Range<usize>, message: impl Into<String>, help: impl Into<String>) {
         let (span, mut message) = (
             self.override_span.clone().unwrap_or(span.clone()),
@@ -360,19 +367,20 @@
         );
         if self.override_span.is_some() {
             let dependent = self.resolving.first().cloned().unwrap_or_default();
-            message = format!("this does not go with the default of `{dependent}`: {message}");
+            message = format!("incompatible with the default of `{dependent}`: {message}");
         }
         self.diagnostics.add(span, message, help);
     }
 
-    /// A fault of values, not of types: none where no value gets.
+    /// Adds a diagnostic about values, unless the expression is in a branch that can't be reached.
     fn report_if_reachable(&mut self, span: &Range<usize>, message: String, help: String) {
         if self.unreachable == 0 {
             self.report(span, message, help);
         }
     }
 
-    /// What is known of a name; `at`: where it is used.
+    /// Infers the definition of a name, which is used at `span`. Returns `None` if the name is unknown, or its definition has
+    /// errors or depends on itself.
     fn resolve(&mut self, name: &str, span: Option<&Range<usize>>) -> Option<Inferred> {
         if let Some(inferred) = self.inferred.get(name) {
             return inferred.clone();
@@ -381,11 +389,11 @@
         let Some(symbol) = symbols.get(name) else {
             let closest = closest_name(name, symbols.keys().map(String::as_str));
             let help = closest.map_or(
-                "a setting, a live figure, or a name of this file".into(),
-                |n| format!("is `{n}` meant?"),
+                "expected a setting, a metric, or a name defined in this file".into(),
+                |n| format!("did you mean `{n}`?"),
             );
             if let Some(span) = span {
-                self.report(span, format!("nothing is named `{name}`"), help);
+                self.report(span, format!("unknown name `{name}`"), help);
             }
             return None;
         };
@@ -448,11 +456,11 @@
                 );
                 inferred = None;
             } else if k.depends_on_metrics && !allows_metrics {
-                let message = format!("`{name}` can't depend on live figures");
+                let message = format!("`{name}` can't depend on metrics");
                 self.report(
                     &definition.expr.span,
                     message,
-                    "an expression of settings and constants",
+                    "expected an expression of constants and of settings that don't depend on metrics",
                 );
                 inferred = None;
             }
@@ -465,7 +473,7 @@
         inferred
     }
 
-    /// A member of a cycle that stands in the operators' file.
+    /// Returns the span of the first name of the cycle that is set in the operators' file, or `None` if all are built in.
     fn override_in_cycle(&self, names: &[String]) -> Option<Range<usize>> {
         names.iter().find_map(|n| match self.symbols.get(n) {
             Some(Symbol::Setting { definition, .. } | Symbol::Local { definition })
@@ -477,7 +485,8 @@
         })
     }
 
-    /// Where the operators' file sets something on which a built-in default depends.
+    /// Returns the span of the first override that a built-in default or its range depends on, directly or not. Returns `None` if
+    /// there is none.
     fn find_override(&self, name: &str, seen: &mut Vec<String>) -> Option<Range<usize>> {
         if seen.iter().any(|s| s == name) {
             return None;
@@ -502,7 +511,7 @@
         names.iter().find_map(|n| self.find_override(n, seen))
     }
 
-    /// The setting's values stay within its safe range.
+    /// Records the setting's range and possible values, and reports values outside of the range.
     fn check_range(&mut self, setting: &mut Setting) {
         let symbols = self.symbols;
         let Some(Symbol::Setting {
@@ -550,13 +559,13 @@
                 format!("`{name}` would be {}", text(lowest))
             } else {
                 format!(
-                    "`{name}` could be anything from {} to {}",
+                    "`{name}` could range from {} to {}",
                     text(lowest),
                     text(highest)
                 )
             };
             let help = format!(
-                "its safe range is {} to {}: {}",
+                "the safe range is {} to {}: {}",
                 text(low),
                 text(high),
                 setting.rationale
@@ -564,7 +573,7 @@
             let (span, message) = if definition.built_in {
                 (
                     override_span.unwrap_or(0..0),
-                    format!("this does not go with the default of `{name}`: {value}"),
+                    format!("incompatible with the default of `{name}`: {value}"),
                 )
             } else {
                 (definition.expr.span.clone(), value)
@@ -573,6 +582,7 @@
         }
     }
 
+    /// Infers type and possible values of an expression. Returns `None` after an error has been reported.
     fn infer(&mut self, e: &Expr) -> Option<Inferred> {
         match &e.kind {
             ExprKind::Literal(ty, value) => {
@@ -581,9 +591,9 @@
                 {
                     self.report(
                         &e.span,
-                        "too large",
+                        "literal too large",
                         format!(
-                            "at highest {}",
+                            "at most {}",
                             format_value(*ty, &Value::Number(ty.max_magnitude()))
                         ),
                     );
@@ -609,8 +619,8 @@
                 let Some((low, high)) = inferred.values.bounds() else {
                     self.report(
                         &a.span,
-                        format!("a {} has no negative", inferred.ty),
-                        "a number, duration, share or money",
+                        format!("can't negate a {}", inferred.ty),
+                        "expected a number, duration, share or money",
                     );
                     return None;
                 };
@@ -712,20 +722,24 @@
         };
         let Some(ty) = ty else {
             let operation = match op {
-                Operator::Add => "added to",
-                Operator::Sub => "less",
-                Operator::Mul => "times",
-                Operator::Div => "divided by",
-                _ => "compared with",
+                Operator::Add => "addition",
+                Operator::Sub => "subtraction",
+                Operator::Mul => "multiplication",
+                Operator::Div => "division",
+                _ => "comparison",
             };
             let help = if matches!(op, Operator::Mul | Operator::Div) {
-                "one side must be a number or a share, or both of one unit".to_owned()
+                "one operand must be a number or a share, or both must have the same type"
+                    .to_owned()
             } else {
-                format!("both sides must be of one unit, such as {}", x.ty.example())
+                format!(
+                    "both operands must have the same type, for example {}",
+                    x.ty.example()
+                )
             };
             self.report(
                 span,
-                format!("a {} {operation} a {} has no meaning", x.ty, y.ty),
+                format!("{operation} is not defined for {} and {}", x.ty, y.ty),
                 help,
             );
             return None;
@@ -755,6 +769,7 @@
         })
     }
 
+    /// Computes the bounds of `+`, `-`, `*` or `/` on the intervals `a..=b` and `c..=d`. Reports overflow and division by zero.
     fn infer_arithmetic(
         &mut self,
         op: Operator,
@@ -771,11 +786,12 @@
             _ => {
                 if c <= 0.0 && d >= 0.0 {
                     let message = if c == d {
-                        "this divides by zero"
+                        "always divides by zero"
                     } else {
-                        "this may divide by zero"
+                        "may divide by zero"
                     };
-                    let help = "a divisor that is never zero; `max(…, 1)` or `if … >= 1 then …` sees to that";
+                    let help =
+                        "the divisor must never be zero: use `max(…, 1)` or `if … >= 1 then …`";
                     self.report_if_reachable(&right.span, message.into(), help.into());
                     return None;
                 }
@@ -788,12 +804,15 @@
             let max = format_value(ty, &Value::Number(ty.max_magnitude()));
             self.report_if_reachable(
                 span,
-                "this can overflow".into(),
-                format!("a {ty} can be {max} at the most"),
+                "possible overflow".into(),
+                format!("a {ty} is at most {max}"),
             );
             return None;
         }
-        Some(numbers(round_to_unit(ty, low), round_to_unit(ty, high)))
+        Some(numbers(
+            crate::value::round_to_unit(ty, low),
+            crate::value::round_to_unit(ty, high),
+        ))
     }
 
     fn infer_conditional(&mut self, c: &Expr, a: &Expr, b: &Expr) -> Option<Inferred> {
@@ -827,7 +846,8 @@
         })
     }
 
-    /// A branch, with what its condition says about names.
+    /// Infers the branch for `condition == holds`, with the bounds on names that this implies. `possible` is whether the branch can
+    /// be reached.
     fn infer_branch(
         &mut self,
         condition: &Expr,
@@ -844,6 +864,7 @@
         inferred
     }
 
+    /// Adds the bounds on names that follow from `condition == holds`.
     fn refine(&mut self, condition: &Expr, holds: bool) {
         match &condition.kind {
             ExprKind::Not(a) => self.refine(a, !holds),
@@ -869,11 +890,12 @@
         }
     }
 
+    /// Adds the bounds on `a` that follow from the comparison `a op b`, if `a` is a name.
     fn refine_name(&mut self, a: &Expr, op: Operator, b: &Expr) {
         let ExprKind::Name(name) = &a.kind else {
             return;
         };
-        // What is wrong with the other side was said when the condition itself was looked at.
+        // Errors in the other operand are reported when the condition itself is inferred.
         self.unreachable += 1;
         let bounds = self.infer(b).and_then(|k| k.values.bounds());
         self.unreachable -= 1;
@@ -895,8 +917,8 @@
         if f == Function::Clamp && inferred.len() != 3 {
             self.report(
                 span,
-                format!("clamp takes 3 values, not {}", inferred.len()),
-                "clamp(VALUE, LEAST, MOST)",
+                format!("clamp takes 3 arguments, not {}", inferred.len()),
+                "clamp(VALUE, MIN, MAX)",
             );
             return None;
         }
@@ -909,7 +931,10 @@
             match k.values.bounds() {
                 Some(b) if k.ty == ty => bounds.push(b),
                 _ => {
-                    let help = format!("all values must be of one unit, such as {}", ty.example());
+                    let help = format!(
+                        "all arguments must have the same type, for example {}",
+                        ty.example()
+                    );
                     self.report(&e.span, format!("this is a {}", k.ty), help);
                     return None;
                 }
@@ -941,6 +966,7 @@
     }
 }
 
+/// Returns which results the comparison of values in `a..=b` and `c..=d` can have.
 fn compare_ranges(op: Operator, (a, b): (f64, f64), (c, d): (f64, f64)) -> ValueSet {
     let (may_be_true, may_be_false) = match op {
         Operator::Less => (a < d, b >= c),
@@ -956,6 +982,7 @@
     }
 }
 
+/// Returns the operator for `not (a op b)`. Returns `None` if `op` is not a comparison.
 fn negate_comparison(op: Operator) -> Option<Operator> {
     Some(match op {
         Operator::Less => Operator::GreaterEqual,
@@ -968,6 +995,7 @@
     })
 }
 
+/// Returns the operator for which `b op a` equals the given comparison of `a` and `b`.
 fn swap_operands(op: Operator) -> Operator {
     match op {
         Operator::Less => Operator::Greater,
@@ -978,6 +1006,7 @@
     }
 }
 
+/// Appends all names that an expression refers to.
 fn collect_names(e: &Expr, out: &mut Vec<String>) {
     match &e.kind {
         ExprKind::Literal(..) => {}
@@ -1001,18 +1030,18 @@
     use super::*;
 
     #[test]
-    fn defaults_have_no_faults_and_every_setting_says_why_its_range_is_safe() {
+    fn defaults_are_valid_and_every_setting_is_documented() {
         let policy = Policy::load("none", "").unwrap_or_else(|e| panic!("{e}"));
         assert!(policy.settings().len() > 20);
         for s in policy.settings() {
             assert!(
                 s.description.len() > 10 && s.rationale.len() > 10,
-                "{} lacks words",
+                "{} has no description or rationale",
                 s.name
             );
             assert!(
                 s.range.is_some() || !s.ty.is_numeric(),
-                "{} lacks a range",
+                "{} has no safe range",
                 s.name
             );
         }
--- a/crates/hopyoke-policy/src/diagnostic.rs
+++ b/crates/hopyoke-policy/src/diagnostic.rs
@@ -1,24 +1,25 @@
-//! What is wrong with a file, and where.
+//! Diagnostics of a policy file, rendered with source excerpts.
 
 use annotate_snippets::{AnnotationKind, Level, Renderer, Snippet};
 use std::fmt;
 use std::ops::Range;
 
-/// One diagnostic.
+/// An error at a span of the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// The bytes of the text that it is about.
+    /// Byte range in the file.
     pub span: Range<usize>,
-    /// Line and column of its start, counted from 1; the column in characters.
+    /// Line of the span's start, from 1.
     pub line: usize,
+    /// Column of the span's start, in characters from 1.
     pub column: usize,
-    /// What is wrong.
+    /// What the error is.
     pub message: String,
-    /// What was expected there, or what else helps.
+    /// What was expected, or how to correct the error.
     pub help: String,
 }
 
-/// All faults of a file, in its order; shown with excerpts of the text.
+/// All errors of a file. `Display` renders each with an excerpt of the source.
 #[derive(Debug, Clone)]
 pub struct Diagnostics {
     pub file: String,
@@ -35,6 +36,7 @@
         }
     }
 
+    /// Adds an error. The span is widened to character boundaries and cut at the end of the file.
     pub(crate) fn add(
         &mut self,
         span: Range<usize>,
@@ -58,12 +60,13 @@
             message: message.into(),
             help: help.into(),
         };
-        // A name that is wrong in itself is wrong wherever it is used: said once for each place.
+        // The same error can be found several times when an expression is inferred more than once.
         if !self.entries.contains(&diagnostic) {
             self.entries.push(diagnostic);
         }
     }
 
+    /// Sorts the errors by position.
     pub(crate) fn sorted(mut self) -> Diagnostics {
         self.entries.sort_by_key(|f| f.span.start);
         self
@@ -87,7 +90,7 @@
         let n = self.entries.len();
         write!(
             f,
-            "{}: {n} fault{}, nothing was applied",
+            "{}: {n} error{}, the file was not applied",
             self.file,
             if n == 1 { "" } else { "s" }
         )
--- a/crates/hopyoke-policy/src/eval.rs
+++ b/crates/hopyoke-policy/src/eval.rs
@@ -1,4 +1,4 @@
-//! Values of settings, given the live figures.
+//! Evaluates settings for given values of the metrics.
 
 use crate::check::{Policy, Symbol};
 use crate::syntax::{Expr, ExprKind, Function, Operator};
@@ -7,25 +7,25 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// What is measured, by name; what is not given counts as the least of its range, or false.
+/// Values of metrics by name. A metric without a value evaluates to the lower bound of its range, or to false.
 #[derive(Debug, Clone, Default)]
 pub struct Metrics(BTreeMap<&'static str, Value>);
 
 impl Metrics {
-    /// Sets a figure: numbers as they are, shares as fractions, durations in microseconds.
+    /// Sets a numeric metric: a share as a fraction, a duration in microseconds.
     pub fn number(mut self, name: &'static str, value: f64) -> Metrics {
         self.0.insert(name, Value::Number(value));
         self
     }
 
-    /// Sets a figure that is true or false.
+    /// Sets a boolean metric.
     pub fn boolean(mut self, name: &'static str, value: bool) -> Metrics {
         self.0.insert(name, Value::Boolean(value));
         self
     }
 }
 
-/// The settings' values at one moment.
+/// Values of all settings for one evaluation.
 #[derive(Debug, Clone)]
 pub struct Values(BTreeMap<String, (Type, Value)>);
 
@@ -34,35 +34,34 @@
         match self.0.get(name) {
             Some((ty, Value::Number(x))) if *ty == expected => *x,
             other => {
-                // Only a name that is not declared, or of another type: a fault of the program that
-                // its tests find (they read every setting).
-                debug_assert!(false, "no {expected} is named {name}: {other:?}");
+                // The name is not declared, or has another type. Tests read every setting.
+                debug_assert!(false, "no setting `{name}` of type {expected}: {other:?}");
                 0.0
             }
         }
     }
 
-    /// A duration.
+    /// Returns a duration. Negative values are returned as zero.
     pub fn duration(&self, name: &str) -> Micros {
         Micros(self.numeric(name, Type::Duration).max(0.0) as u64)
     }
 
-    /// A plain number.
+    /// Returns a plain number.
     pub fn number(&self, name: &str) -> f64 {
         self.numeric(name, Type::Number)
     }
 
-    /// A plain number as a count; fractions are dropped.
+    /// Returns a plain number as a count, rounded down. Negative values are returned as zero.
     pub fn count(&self, name: &str) -> usize {
         self.numeric(name, Type::Number).max(0.0) as usize
     }
 
-    /// A share as a fraction: 25% is 0.25.
+    /// Returns a share as a fraction: 25% is 0.25.
     pub fn share(&self, name: &str) -> f64 {
         self.numeric(name, Type::Share)
     }
 
-    /// True or false.
+    /// Returns a boolean. Returns `false` if no boolean setting has this name.
     pub fn boolean(&self, name: &str) -> bool {
         matches!(
             self.0.get(name),
@@ -70,7 +69,7 @@
         )
     }
 
-    /// A setting that is a text; empty if there is none of the name.
+    /// Returns a text. Returns an empty string if no text setting has this name.
     pub fn text(&self, name: &str) -> &str {
         match self.0.get(name) {
             Some((Type::Text, Value::Text(t))) => t,
@@ -78,12 +77,13 @@
         }
     }
 
-    /// All settings with type and value, by name.
+    /// Returns all settings with type and value, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, Type, &Value)> {
         self.0.iter().map(|(n, (t, v))| (n.as_str(), *t, v))
     }
 }
 
+/// Evaluates each name at most once.
 struct Evaluator<'a> {
     policy: &'a Policy,
     metrics: &'a Metrics,
@@ -91,8 +91,7 @@
 }
 
 impl Policy {
-    /// The values of all settings. Figures outside their declared range are brought into it, so
-    /// that what the checker proved holds.
+    /// Evaluates all settings. Metrics are clamped to their declared range, which is what the checker's bounds rest on.
     pub fn evaluate(&self, metrics: &Metrics) -> Values {
         let evaluator = Evaluator {
             policy: self,
@@ -106,8 +105,8 @@
         Values(settings.collect())
     }
 
-    /// The operators' file sets something that may depend on live figures: values are to be
-    /// found anew as these change.
+    /// Returns whether the operators' file overrides a setting that may refer to metrics. If so, settings need to be evaluated
+    /// again when metrics change.
     pub fn may_depend_on_metrics(&self) -> bool {
         self.settings()
             .iter()
--- a/crates/hopyoke-policy/src/lib.rs
+++ b/crates/hopyoke-policy/src/lib.rs
@@ -1,8 +1,7 @@
-//! The operators' own settings, beyond the platform's file: a small typed expression language.
+//! A small typed expression language for the operators' settings, which complement the platform's configuration file.
 //!
-//! Every setting is declared, with its type, safe range and default, in the file
-//! `defaults.policy` that is shipped in the binary and written in the same language. An
-//! operators' file overrides settings by name:
+//! The file `defaults.policy`, which is compiled into the binary, declares every setting with its type, safe range and default
+//! in the same language. An operators' file overrides settings by name:
 //!
 //! ```text
 //! let calm = 20s
@@ -10,11 +9,10 @@
 //! plan_share = 25%
 //! ```
 //!
-//! [`Policy::load`] checks a file whole: types and units, unknown names, cycles, and, by interval
-//! arithmetic over the declared ranges of the live figures, that no value that any setting can
-//! ever take leaves its safe range, overflows or divides by zero. Nothing of a file with a fault
-//! is applied. What a setting may do to the service is bounded by its safe range; no setting is
-//! read by code that keeps a rule.
+//! [`Policy::load`] checks types and units, names and dependency cycles. By interval arithmetic over the declared ranges of the
+//! metrics, it also proves that no setting can leave its safe range, overflow or divide by zero. A file with an error is
+//! rejected as a whole. The safe ranges bound the effect of a setting on the service; code that enforces correctness
+//! invariants reads no setting.
 
 mod check;
 mod diagnostic;
--- a/crates/hopyoke-policy/src/syntax.rs
+++ b/crates/hopyoke-policy/src/syntax.rs
@@ -1,4 +1,4 @@
-//! From text to syntax trees: statements, expressions, and where they stand.
+//! Parses policy files to syntax trees with source spans.
 
 use crate::diagnostic::Diagnostics;
 use crate::value::{Type, Value, round_to_unit};
@@ -45,7 +45,7 @@
     Call(Function, Vec<Expr>),
 }
 
-/// An expression and the bytes of the text that it was read from.
+/// An expression and its byte range in the file.
 #[derive(Debug, Clone)]
 pub(crate) struct Expr {
     pub kind: ExprKind,
@@ -54,19 +54,21 @@
 
 #[derive(Debug, Clone)]
 pub(crate) enum Statement {
-    /// `local`: a name of the file's own.
+    /// Sets a setting, or defines a local name with `let`.
     Assign {
         name: String,
         name_span: Range<usize>,
         local: bool,
         expr: Expr,
     },
+    /// Declares a metric. Built-in file only.
     Metric {
         name: String,
         ty: Type,
         range: Option<(Expr, Expr)>,
         description: String,
     },
+    /// Declares a setting. Built-in file only.
     Setting {
         name: String,
         ty: Type,
@@ -78,14 +80,15 @@
     },
 }
 
-/// Deeper nesting than this is refused: expressions are walked recursively.
+/// Bounds the recursion when expressions are checked and evaluated.
 const MAX_NESTING: usize = 64;
-/// Longer statements are refused: a chain of operators is as deep as it is long.
+/// Bounds the depth of the tree for a chain of binary operators, which grows with the length of the statement.
 const MAX_STATEMENT_BYTES: usize = 4096;
-/// Longer files are refused before they are read.
+/// Maximum size of a file.
 pub(crate) const MAX_FILE_BYTES: usize = 256 * 1024;
 
-/// Reads a file; faults of one statement do not hide those of the next.
+/// Parses a file. Statements are parsed independently, so an error in one does not hide errors in others. Declarations are
+/// accepted only if `built_in` is set.
 pub(crate) fn parse(text: &str, built_in: bool, diagnostics: &mut Diagnostics) -> Vec<Statement> {
     if text.len() > MAX_FILE_BYTES {
         diagnostics.add(
@@ -111,7 +114,7 @@
             let at = range_in_file.start + position;
             diagnostics.add(
                 at..at + 1,
-                "nested too deeply",
+                "expression nested too deeply",
                 format!("at most {MAX_NESTING} levels"),
             );
             continue;
@@ -126,11 +129,9 @@
                 let inner = pairs.next().and_then(|p| p.into_inner().next());
                 match inner.and_then(|p| build_statement(p, range_in_file.start)) {
                     Some(s) => out.push(s),
-                    None => diagnostics.add(
-                        range_in_file,
-                        "this statement can't be read",
-                        "NAME = EXPRESSION",
-                    ),
+                    None => {
+                        diagnostics.add(range_in_file, "invalid statement", "NAME = EXPRESSION")
+                    }
                 }
             }
             Err(e) => {
@@ -140,7 +141,7 @@
                 };
                 let (mut start, end) = (start.min(source.len()), end.min(source.len()));
                 if start >= source.trim_end().len() {
-                    // The text ends too early: the mark goes behind its last character.
+                    // The statement is incomplete: the diagnostic points behind its last character.
                     start = source.trim_end().len();
                 }
                 let (message, end) = match source[start..].split_whitespace().next() {
@@ -148,7 +149,7 @@
                         format!("unexpected `{}`", word.chars().take(24).collect::<String>()),
                         end,
                     ),
-                    None => ("the statement ends too early".to_owned(), start),
+                    None => ("unexpected end of statement".to_owned(), start),
                 };
                 let at = range_in_file.start + start..range_in_file.start + end.max(start);
                 diagnostics.add(at, message, describe_expected(&e.variant));
@@ -158,7 +159,7 @@
     out
 }
 
-/// Statements start at the first column; what is indented goes on with the one before.
+/// Splits a file into statements. A statement starts at the first column and continues over indented and blank lines.
 fn split_statements(text: &str) -> Vec<Range<usize>> {
     let mut out: Vec<Range<usize>> = Vec::new();
     let mut at = 0;
@@ -176,8 +177,8 @@
     out
 }
 
-/// Where nesting gets deeper than is allowed: of parentheses, or by chains without them such as
-/// `- - x`, `not not x`, `if a then if b then …`.
+/// Returns the byte offset at which nesting exceeds the limit, or `None`. Counts open parentheses, and separately the prefix
+/// operators of the whole statement, as in `- - x`, `not not x` and `if a then if b then …`.
 fn find_excess_nesting(text: &str) -> Option<usize> {
     let (mut depth, mut prefix_operators, mut start) = (0usize, 0usize, 0);
     for line in text.split_inclusive('\n') {
@@ -209,6 +210,7 @@
     None
 }
 
+/// Describes the tokens that the parser accepts at the position of an error.
 fn describe_expected(variant: &ErrorVariant<Rule>) -> String {
     let ErrorVariant::ParsingError { positives, .. } = variant else {
         return String::new();
@@ -261,14 +263,15 @@
     }
 }
 
-/// Places in the text are counted from the start of the file.
+/// Returns the span of a token in the file. `offset` is where the statement starts.
 fn span_of(pair: &Pair<'_, Rule>, offset: usize) -> Range<usize> {
     let span = pair.as_span();
-    // Rules that end in white space or comments: the mark covers what was written.
+    // A rule may match trailing white space, which is not part of the span.
     let end = span.start() + span.as_str().trim_end().len();
     offset + span.start()..offset + end
 }
 
+/// Returns the content of the first quoted text.
 fn quoted_text(pair: Pair<'_, Rule>) -> String {
     pair.into_inner()
         .flatten()
@@ -276,6 +279,7 @@
         .map_or(String::new(), |p| p.as_str().into())
 }
 
+/// Converts a parsed statement. Returns `None` if its structure is not as in the grammar.
 fn build_statement(pair: Pair<'_, Rule>, offset: usize) -> Option<Statement> {
     let rule = pair.as_rule();
     let (mut name, mut name_span, mut local, mut allows_metrics) =
@@ -327,13 +331,14 @@
     })
 }
 
+/// Converts a parsed expression. Returns `None` if its structure is not as in the grammar.
 fn build_expr(pair: Pair<'_, Rule>, offset: usize) -> Option<Expr> {
     let span = span_of(&pair, offset);
     let rule = pair.as_rule();
     let kind = match rule {
         Rule::expr => return build_expr(pair.into_inner().next()?, offset),
         Rule::atom => {
-            // Parentheses belong to what they hold.
+            // The span of a parenthesized expression includes the parentheses.
             let inner = build_expr(pair.into_inner().next()?, offset)?;
             return Some(Expr {
                 kind: inner.kind,
@@ -401,6 +406,7 @@
     Some(Expr { kind, span })
 }
 
+/// Converts a numeric literal to its base unit: microseconds, fractions or millionths.
 fn build_literal(pair: Pair<'_, Rule>) -> Option<ExprKind> {
     let rule = pair.as_rule();
     let mut parts = pair.into_inner();
--- a/crates/hopyoke-policy/src/value.rs
+++ b/crates/hopyoke-policy/src/value.rs
@@ -1,11 +1,11 @@
-//! Types, values, and intervals of values.
+//! Types, values, and sets of values.
 //!
-//! Durations are whole microseconds and money whole millionths, both held in an `f64` within
-//! ±2⁵³, where it is exact; shares are fractions (25% is 0.25).
+//! Durations are whole microseconds and money is whole millionths of the currency, both held in an `f64` within ±2⁵³, where
+//! integers are exact. Shares are fractions: 25% is 0.25.
 
 use std::fmt;
 
-/// What an expression's value is.
+/// The type of an expression.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Type {
     Duration,
@@ -29,12 +29,12 @@
         })
     }
 
-    /// It has an order and arithmetic.
+    /// Returns whether values have an order and arithmetic.
     pub(crate) fn is_numeric(self) -> bool {
         !matches!(self, Type::Boolean | Type::Text)
     }
 
-    /// The largest magnitude that a value, or any step on the way to it, may have.
+    /// Returns the maximum magnitude of values and intermediate results.
     pub(crate) fn max_magnitude(self) -> f64 {
         match self {
             Type::Duration | Type::Money => 9_007_199_254_740_992.0,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The type of `a * b`, if there is one.
+    /// Returns the type of `a * b`, or `None` if it is not defined.
     pub(crate) fn product(a: Type, b: Type) -> Option<Type> {
         use Type::{Number, Share};
         match (a, b) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The type of `a / b`, if there is one.
+    /// Returns the type of `a / b`, or `None` if it is not defined.
     pub(crate) fn quotient(a: Type, b: Type) -> Option<Type> {
         match (a, b) {
             (a, b) if a == b && a.is_numeric() => Some(Type::Number),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// An example, for messages.
+    /// Returns an example of a value, for diagnostics.
     pub(crate) fn example(self) -> &'static str {
         match self {
             Type::Duration => "a duration such as 40s",
@@ -69,7 +69,7 @@
             Type::Share => "a share such as 15%",
             Type::Money => "money such as $2.50",
             Type::Boolean => "true or false",
-            Type::Text => "a text in quotes",
+            Type::Text => "a quoted text",
         }
     }
 }
@@ -87,7 +87,7 @@
     }
 }
 
-/// A value; what a number means is said by its [`Type`].
+/// A value. Its [`Type`] gives the unit of a number.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
     Number(f64),
@@ -95,7 +95,7 @@
     Text(String),
 }
 
-/// Durations and money are whole.
+/// Rounds durations and money to whole base units.
 pub(crate) fn round_to_unit(ty: Type, x: f64) -> f64 {
     if matches!(ty, Type::Duration | Type::Money) {
         x.round()
@@ -104,6 +104,7 @@
     }
 }
 
+/// Formats a number with up to six decimals, without trailing zeros.
 fn format_number(x: f64) -> String {
     let s = format!("{x:.6}");
     let s = s.trim_end_matches('0').trim_end_matches('.');
@@ -114,7 +115,7 @@
     }
 }
 
-/// Writes a value as the language would read it.
+/// Formats a value in the syntax of the language.
 pub fn format_value(ty: Type, value: &Value) -> String {
     match (ty, value) {
         (_, Value::Boolean(b)) => b.to_string(),
@@ -138,7 +139,7 @@
     }
 }
 
-/// All values that an expression can take.
+/// An over-approximation of the values that an expression can take.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ValueSet {
     Number {
@@ -149,10 +150,12 @@
         may_be_true: bool,
         may_be_false: bool,
     },
+    /// A known text, or `None` for any text.
     Text(Option<String>),
 }
 
 impl ValueSet {
+    /// Returns the set with just this value.
     pub fn of(value: &Value) -> ValueSet {
         match value {
             Value::Number(x) => ValueSet::Number { low: *x, high: *x },
@@ -164,7 +167,7 @@
         }
     }
 
-    /// All values of either.
+    /// Returns a set that covers both sets.
     pub fn join(self, other: ValueSet) -> ValueSet {
         match (self, other) {
             (ValueSet::Number { low: a, high: b }, ValueSet::Number { low: c, high: d }) => {
@@ -191,6 +194,7 @@
         }
     }
 
+    /// Returns the smallest and largest number. Returns `None` for booleans and texts.
     pub fn bounds(&self) -> Option<(f64, f64)> {
         match self {
             ValueSet::Number { low, high } => Some((*low, *high)),
--- a/crates/hopyoke-policy/tests/cases.rs
+++ b/crates/hopyoke-policy/tests/cases.rs
@@ -1,11 +1,11 @@
-//! Cases as a small text file: what a file says, and which faults are found where.
+//! Checks policy files against expected values or diagnostics, listed in `cases.txt`.
 //!
-//! `== NAME`, then the operators' file, then `--`, then either `NAME = VALUE` lines (at the least
-//! figures, or those of `figures NAME=NUMBER …`) or `LINE:COLUMN WORDS` lines, one for each fault.
+//! A case is `== NAME`, an operators' file, `--`, and then either `NAME = VALUE` lines or `LINE:COLUMN TEXT` lines, one for each
+//! diagnostic. `metrics NAME=VALUE …` sets the metrics for the values that follow; without it, each has its lower bound.
 
 use hopyoke_policy::{Metrics, Policy, format_value};
 
-fn metrics(line: &str) -> Metrics {
+fn parse_metrics(line: &str) -> Metrics {
     let mut out = Metrics::default();
     for pair in line.split_whitespace() {
         let (name, value) = pair.split_once('=').expect("NAME=NUMBER");
@@ -18,50 +18,50 @@
     out
 }
 
-fn case(text: &str, wants: &[&str]) -> Result<(), String> {
-    let diagnostics: Vec<&&str> = wants
+fn check_case(text: &str, expectations: &[&str]) -> Result<(), String> {
+    let diagnostics: Vec<&&str> = expectations
         .iter()
         .filter(|w| w.starts_with(|c: char| c.is_ascii_digit()))
         .collect();
     let policy = match Policy::load("test", text) {
         Ok(p) if diagnostics.is_empty() => p,
-        Ok(_) => return Err("no fault was found".into()),
+        Ok(_) => return Err("no error was reported".into()),
         Err(e) => {
-            let got: Vec<String> = e
+            let actual: Vec<String> = e
                 .entries
                 .iter()
                 .map(|f| format!("{}:{} {} / {}", f.line, f.column, f.message, f.help))
                 .collect();
-            let place = |w: &str| w.split(' ').next().unwrap_or("").to_owned();
-            let fits = |w: &str, g: &str| {
-                place(w) == place(g) && g.contains(w.split_once(' ').map_or("", |x| x.1))
+            let position = |w: &str| w.split(' ').next().unwrap_or("").to_owned();
+            let matches = |w: &str, g: &str| {
+                position(w) == position(g) && g.contains(w.split_once(' ').map_or("", |x| x.1))
             };
-            let ok = got.len() == diagnostics.len()
-                && diagnostics.iter().zip(&got).all(|(w, g)| fits(w, g));
-            // Every fault is shown with an excerpt that marks the place.
-            let shown = e.to_string();
-            let marked = shown.matches('^').count() >= got.len();
+            let ok = actual.len() == diagnostics.len()
+                && diagnostics.iter().zip(&actual).all(|(w, g)| matches(w, g));
+            // Every diagnostic is rendered with an excerpt that marks its span.
+            let rendered = e.to_string();
+            let marked = rendered.matches('^').count() >= actual.len();
             return if ok && marked {
                 Ok(())
             } else {
-                Err(format!("got {got:#?}\n{shown}"))
+                Err(format!("got {actual:#?}\n{rendered}"))
             };
         }
     };
-    let mut now = Metrics::default();
-    for want in wants {
-        if let Some(f) = want.strip_prefix("figures ") {
-            now = metrics(f);
+    let mut current = Metrics::default();
+    for want in expectations {
+        if let Some(f) = want.strip_prefix("metrics ") {
+            current = parse_metrics(f);
             continue;
         }
         let (name, value) = want
             .split_once(" = ")
-            .ok_or(format!("not understood: {want}"))?;
-        let values = policy.evaluate(&now);
+            .ok_or(format!("invalid expectation: {want}"))?;
+        let values = policy.evaluate(&current);
         let (_, ty, v) = values
             .iter()
             .find(|(n, ..)| *n == name)
-            .ok_or(format!("no {name}"))?;
+            .ok_or(format!("no setting {name}"))?;
         if format_value(ty, v) != value {
             return Err(format!("{name} is {}, not {value}", format_value(ty, v)));
         }
@@ -75,12 +75,12 @@
     let (mut passed, mut failed) = (0, 0);
     for part in file.split("\n== ").skip(1) {
         let (name, rest) = part.split_once('\n').expect("a name");
-        let (text, wants) = rest.split_once("\n--\n").expect("a line --");
-        let wants: Vec<&str> = wants
+        let (text, expectations) = rest.split_once("\n--\n").expect("a line --");
+        let expectations: Vec<&str> = expectations
             .lines()
             .filter(|l| !l.is_empty() && !l.starts_with('#'))
             .collect();
-        match case(text, &wants) {
+        match check_case(text, &expectations) {
             Ok(()) => passed += 1,
             Err(e) => {
                 failed += 1;
@@ -92,20 +92,20 @@
     assert!(failed == 0 && passed > 20);
 }
 
-/// What the documentation shows is what the checker takes.
+/// The checker accepts the documented examples and the deployed file, and every setting is documented.
 #[test]
 fn documented_examples() {
     let page = include_str!("../../../docs/POLICY.md");
-    let mut n = 0;
+    let mut examples = 0;
     for block in page.split("```policy\n").skip(1) {
         let text = block.split("```").next().expect("the block's end");
         if let Err(e) = Policy::load("docs/POLICY.md", text) {
             panic!("{e}");
         }
-        n += 1;
+        examples += 1;
     }
-    assert!(n >= 2, "{n} examples");
-    // The documented table of settings is that of the program.
+    assert!(examples >= 2, "{examples} examples");
+    // The documented table lists every setting.
     for s in Policy::defaults().settings() {
         assert!(
             page.contains(&format!("| `{}` |", s.name)),
@@ -113,7 +113,6 @@
             s.name
         );
     }
-    // So is the file that is deployed.
     let deployed = include_str!("../../../deploy/hopyoke.policy");
     if let Err(e) = Policy::load("deploy/hopyoke.policy", deployed) {
         panic!("{e}");
--- a/crates/hopyoke-policy/tests/frozen_forms.rs
+++ b/crates/hopyoke-policy/tests/frozen_forms.rs
@@ -1,19 +1,19 @@
-//! The operators' policy file keeps its language, and the settings their names, types, ranges and defaults. A new
-//! setting is a new line in the fixtures; a new default is decided there as well.
+//! Guards the compatibility of operators' policy files: the language, and the settings' names, types, ranges and defaults. A new
+//! setting or a changed default needs a change of the fixtures.
 
 use hopyoke_policy::{Metrics, Policy, format_value};
 
-fn form(file: &str) -> String {
+fn read_fixture(file: &str) -> String {
     let path = format!("{}/tests/forms/{file}", env!("CARGO_MANIFEST_DIR"));
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path}: {e}"))
 }
 
-fn full() -> Policy {
-    Policy::load("full.policy", &form("full.policy")).unwrap_or_else(|e| panic!("{e}"))
+fn load_full_policy() -> Policy {
+    Policy::load("full.policy", &read_fixture("full.policy")).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// One line for each setting: its name and its value.
-fn values(policy: &Policy, metrics: &Metrics) -> String {
+/// Formats the name and value of each setting, one per line.
+fn format_values(policy: &Policy, metrics: &Metrics) -> String {
     policy
         .evaluate(metrics)
         .iter()
@@ -21,7 +21,7 @@
         .collect()
 }
 
-/// One line for each setting and figure, as operators see it.
+/// Declarations of all settings and metrics.
 #[test]
 fn declarations() {
     let policy = Policy::defaults();
@@ -45,28 +45,31 @@
         .map(|f| format!("figure {}: {} in {:?}\n", f.name, f.ty, f.range));
     assert_eq!(
         metrics.chain(settings).collect::<String>(),
-        form("declarations.txt")
+        read_fixture("declarations.txt")
     );
 }
 
 #[test]
 fn defaults() {
     assert_eq!(
-        values(&Policy::defaults(), &Metrics::default()),
-        form("defaults.txt")
+        format_values(&Policy::defaults(), &Metrics::default()),
+        read_fixture("defaults.txt")
     );
 }
 
-/// With no figures known, and on a busy afternoon.
+/// A file that sets every setting, evaluated without metrics and for a busy afternoon.
 #[test]
 fn a_full_file() {
-    let policy = full();
+    let policy = load_full_policy();
     assert!(
         policy.settings().iter().all(|s| s.overridden),
         "the file sets every setting"
     );
     assert!(policy.may_depend_on_metrics());
-    assert_eq!(values(&policy, &Metrics::default()), form("full-quiet.txt"));
+    assert_eq!(
+        format_values(&policy, &Metrics::default()),
+        read_fixture("full-quiet.txt")
+    );
     let busy = Metrics::default()
         .number("machines", 100.0)
         .number("idle_machines", 1.0)
@@ -76,5 +79,5 @@
         .number("plan_busy", 0.75)
         .number("hour", 14.5)
         .boolean("production_arriving", true);
-    assert_eq!(values(&policy, &busy), form("full-busy.txt"));
+    assert_eq!(format_values(&policy, &busy), read_fixture("full-busy.txt"));
 }
--- a/crates/hopyoke-policy/tests/properties.rs
+++ b/crates/hopyoke-policy/tests/properties.rs
@@ -1,9 +1,9 @@
-//! Property tests: whatever the text, the checker answers; whatever it accepts is safe.
+//! Property tests of the checker: no input makes it panic, and accepted expressions stay within their safe range.
 
 use hopyoke_policy::{Metrics, Policy, Value};
 use proptest::prelude::*;
 
-fn number() -> impl Strategy<Value = String> {
+fn numeric_expression() -> impl Strategy<Value = String> {
     let leaf = prop_oneof![
         (0u32..200).prop_map(|n| n.to_string()),
         Just("machines".to_owned()),
@@ -33,9 +33,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// No text makes the reader panic, and every fault names a place inside the text.
+    /// No input makes the parser panic, and every diagnostic has a span inside the text.
     #[test]
-    fn any_text_is_answered(text in "[ -~\n\tµ#=()$%\"]{0,200}") {
+    fn no_input_panics(text in "[ -~\n\tµ#=()$%\"]{0,200}") {
         if let Err(e) = Policy::load("t", &text) {
             prop_assert!(!e.entries.is_empty());
             for f in &e.entries {
@@ -45,10 +45,10 @@
         }
     }
 
-    /// What the interval arithmetic accepts never leaves the safe range, whatever is measured.
+    /// Accepted expressions never leave the safe range, whatever values the metrics have.
     #[test]
     fn accepted_values_are_safe(
-        expr in number(),
+        expr in numeric_expression(),
         machines in prop_oneof![Just(0.0), 0.0..100000.0f64, Just(f64::NAN), Just(1e300)],
         idle in 0.0..100000.0f64,
         hour in -5.0..30.0f64,
@@ -64,11 +64,11 @@
         }
     }
 
-    /// What is shown is read back as the same value.
+    /// A formatted duration parses to the same value.
     #[test]
-    fn durations_are_shown_as_they_are_read(us in 1_000_000u64..1_800_000_000) {
-        let shown = hopyoke_policy::format_value(hopyoke_policy::Type::Duration, &Value::Number(us as f64));
-        let policy = Policy::load("t", &format!("idle_return = {shown}")).expect(&shown);
+    fn formatted_durations_parse_to_the_same_value(us in 1_000_000u64..1_800_000_000) {
+        let formatted = hopyoke_policy::format_value(hopyoke_policy::Type::Duration, &Value::Number(us as f64));
+        let policy = Policy::load("t", &format!("idle_return = {formatted}")).expect(&formatted);
         prop_assert_eq!(policy.evaluate(&Metrics::default()).duration("idle_return").0, us);
     }
 }
