--- a/crates/hopyoke-policy/src/check.rs
+++ b/crates/hopyoke-policy/src/check.rs
@@ -485,8 +485,8 @@
         })
     }
 
-    /// Returns the span of the first override that a built-in default or its range depends on, directly or not. Returns `None` if
-    /// there is none.
+    /// Returns the span of the first override that a built-in default or its range depends on, directly or
+    /// not. Returns `None` if there is none.
     fn find_override(&self, name: &str, seen: &mut Vec<String>) -> Option<Range<usize>> {
         if seen.iter().any(|s| s == name) {
             return None;
@@ -846,8 +846,8 @@
         })
     }
 
-    /// Infers the branch for `condition == holds`, with the bounds on names that this implies. `possible` is whether the branch can
-    /// be reached.
+    /// Infers the branch for `condition == holds`, with the bounds on names that this implies. `possible` is
+    /// whether the branch can be reached.
     fn infer_branch(
         &mut self,
         condition: &Expr,
--- a/crates/hopyoke-policy/tests/cases.rs
+++ b/crates/hopyoke-policy/tests/cases.rs
@@ -1,7 +1,7 @@
 //! Checks policy files against expected values or diagnostics, listed in `cases.txt`.
 //!
-//! A case is `== NAME`, an operators' file, `--`, and then either `NAME = VALUE` lines or `LINE:COLUMN TEXT` lines, one for each
-//! diagnostic. `metrics NAME=VALUE …` sets the metrics for the values that follow; without it, each has its lower bound.
+//! A case is `== NAME`, an operators' file, `--`, and then either `NAME = VALUE` lines or `LINE:COLUMN TEXT` lines, one for
+//! each diagnostic. `metrics NAME=VALUE …` sets the metrics for the values that follow; without it, each has its lower bound.
 
 use hopyoke_policy::{Metrics, Policy, format_value};
 
--- a/crates/hopyoke-policy/tests/frozen_forms.rs
+++ b/crates/hopyoke-policy/tests/frozen_forms.rs
@@ -1,5 +1,5 @@
-//! Guards the compatibility of operators' policy files: the language, and the settings' names, types, ranges and defaults. A new
-//! setting or a changed default needs a change of the fixtures.
+//! Guards the compatibility of operators' policy files: the language, and the settings' names, types, ranges and defaults. A
+//! new setting or a changed default needs a change of the fixtures.
 
 use hopyoke_policy::{Metrics, Policy, format_value};
 
