--- a/crates/hopyoke-policy/src/eval.rs
+++ b/crates/hopyoke-policy/src/eval.rs
@@ -1,68 +1,67 @@
-//! Values of settings, given the live figures.
+//! Evaluates settings for given values of the metrics.
 
 use crate::check::{Policy, Symbol};
-use crate::syntax::{Expr, Function, Node, Op};
-use crate::value::{Type, Value, whole};
+use crate::syntax::{Expr, ExprKind, Function, Operator};
+use crate::value::{Type, Value, round_to_unit};
 use hopyoke_types::Micros;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// What is measured, by name; what is not given counts as the least of its range, or false.
+/// Values of metrics by name. A metric without a value evaluates to the lower bound of its range, or to false.
 #[derive(Debug, Clone, Default)]
-pub struct Figures(BTreeMap<&'static str, Value>);
+pub struct Metrics(BTreeMap<&'static str, Value>);
 
-impl Figures {
-    /// Sets a figure: numbers as they are, shares as fractions, durations in microseconds.
-    pub fn number(mut self, name: &'static str, value: f64) -> Figures {
+impl Metrics {
+    /// Sets a numeric metric: a share as a fraction, a duration in microseconds.
+    pub fn number(mut self, name: &'static str, value: f64) -> Metrics {
         self.0.insert(name, Value::Number(value));
         self
     }
 
-    /// Sets a figure that is true or false.
-    pub fn boolean(mut self, name: &'static str, value: bool) -> Figures {
+    /// Sets a boolean metric.
+    pub fn boolean(mut self, name: &'static str, value: bool) -> Metrics {
         self.0.insert(name, Value::Boolean(value));
         self
     }
 }
 
-/// The settings' values at one moment.
+/// Values of all settings for one evaluation.
 #[derive(Debug, Clone)]
 pub struct Values(BTreeMap<String, (Type, Value)>);
 
 impl Values {
-    fn numeric(&self, name: &str, want: Type) -> f64 {
+    fn numeric(&self, name: &str, expected: Type) -> f64 {
         match self.0.get(name) {
-            Some((ty, Value::Number(x))) if *ty == want => *x,
+            Some((ty, Value::Number(x))) if *ty == expected => *x,
             other => {
-                // Only a name that is not declared, or of another type: a fault of the program that
-                // its tests find (they read every setting).
-                debug_assert!(false, "no {want} is named {name}: {other:?}");
+                // The name is not declared, or has another type. Tests read every setting.
+                debug_assert!(false, "no setting `{name}` of type {expected}: {other:?}");
                 0.0
             }
         }
     }
 
-    /// A duration.
+    /// Returns a duration. Negative values are returned as zero.
     pub fn duration(&self, name: &str) -> Micros {
         Micros(self.numeric(name, Type::Duration).max(0.0) as u64)
     }
 
-    /// A plain number.
+    /// Returns a plain number.
     pub fn number(&self, name: &str) -> f64 {
         self.numeric(name, Type::Number)
     }
 
-    /// A plain number as a count; fractions are dropped.
+    /// Returns a plain number as a count, rounded down. Negative values are returned as zero.
     pub fn count(&self, name: &str) -> usize {
         self.numeric(name, Type::Number).max(0.0) as usize
     }
 
-    /// A share as a fraction: 25% is 0.25.
+    /// Returns a share as a fraction: 25% is 0.25.
     pub fn share(&self, name: &str) -> f64 {
         self.numeric(name, Type::Share)
     }
 
-    /// True or false.
+    /// Returns a boolean. Returns `false` if no boolean setting has this name.
     pub fn boolean(&self, name: &str) -> bool {
         matches!(
             self.0.get(name),
@@ -70,7 +69,7 @@
         )
     }
 
-    /// A setting that is a text; empty if there is none of the name.
+    /// Returns a text. Returns an empty string if no text setting has this name.
     pub fn text(&self, name: &str) -> &str {
         match self.0.get(name) {
             Some((Type::Text, Value::Text(t))) => t,
@@ -78,53 +77,55 @@
         }
     }
 
-    /// All settings with type and value, by name.
+    /// Returns all settings with type and value, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, Type, &Value)> {
         self.0.iter().map(|(n, (t, v))| (n.as_str(), *t, v))
     }
 }
 
-struct Moment<'a> {
+/// Evaluates each name at most once.
+struct Evaluator<'a> {
     policy: &'a Policy,
-    figures: &'a Figures,
-    known: RefCell<BTreeMap<&'a str, (Type, Value)>>,
+    metrics: &'a Metrics,
+    cache: RefCell<BTreeMap<&'a str, (Type, Value)>>,
 }
 
 impl Policy {
-    /// The values of all settings. Figures outside their declared range are brought into it, so
-    /// that what the checker proved holds.
-    pub fn evaluate(&self, figures: &Figures) -> Values {
-        let moment = Moment {
+    /// Evaluates all settings. Metrics are clamped to their declared range, which is what the checker's bounds rest on.
+    pub fn evaluate(&self, metrics: &Metrics) -> Values {
+        let evaluator = Evaluator {
             policy: self,
-            figures,
-            known: RefCell::default(),
+            metrics,
+            cache: RefCell::default(),
         };
         let settings = self.settings().iter().map(|s| {
-            let value = moment.name(&s.name);
+            let value = evaluator.resolve(&s.name);
             (s.name.clone(), value)
         });
         Values(settings.collect())
     }
 
-    /// The operators' file sets something that may depend on live figures: values are to be
-    /// found anew as these change.
-    pub fn is_live(&self) -> bool {
-        self.settings().iter().any(|s| s.live && s.overridden)
+    /// Returns whether the operators' file overrides a setting that may refer to metrics. If so, settings need to be evaluated
+    /// again when metrics change.
+    pub fn may_depend_on_metrics(&self) -> bool {
+        self.settings()
+            .iter()
+            .any(|s| s.allows_metrics && s.overridden)
     }
 }
 
-impl<'a> Moment<'a> {
-    fn name(&self, name: &str) -> (Type, Value) {
-        if let Some(v) = self.known.borrow().get(name) {
+impl<'a> Evaluator<'a> {
+    fn resolve(&self, name: &str) -> (Type, Value) {
+        if let Some(v) = self.cache.borrow().get(name) {
             return v.clone();
         }
         let Some((key, symbol)) = self.policy.symbols.get_key_value(name) else {
             return (Type::Number, Value::Number(0.0));
         };
         let value = match symbol {
-            Symbol::Figure { ty, low, high } => {
-                let given = self.figures.0.get(name).cloned();
-                let value = match given {
+            Symbol::Metric { ty, low, high } => {
+                let reported = self.metrics.0.get(name).cloned();
+                let value = match reported {
                     Some(Value::Number(x)) if ty.is_numeric() => Value::Number(if x.is_nan() {
                         *low
                     } else {
@@ -136,29 +137,35 @@
                 };
                 (*ty, value)
             }
-            Symbol::Setting { expr, .. } | Symbol::Local { expr } => self.value(&expr.expr),
+            Symbol::Setting { definition, .. } | Symbol::Local { definition } => {
+                self.eval(&definition.expr)
+            }
         };
         let key: &'a str = key;
-        self.known.borrow_mut().insert(key, value.clone());
+        self.cache.borrow_mut().insert(key, value.clone());
         value
     }
 
-    fn value(&self, e: &Expr) -> (Type, Value) {
+    fn eval(&self, e: &Expr) -> (Type, Value) {
         use Value::{Boolean, Number};
-        match &e.node {
-            Node::Literal(ty, v) => (*ty, v.clone()),
-            Node::Name(n) => self.name(n),
-            Node::Negative(a) => match self.value(a) {
+        match &e.kind {
+            ExprKind::Literal(ty, v) => (*ty, v.clone()),
+            ExprKind::Name(n) => self.resolve(n),
+            ExprKind::Negate(a) => match self.eval(a) {
                 (ty, Number(x)) => (ty, Number(-x)),
                 other => other,
             },
-            Node::Not(a) => (Type::Boolean, Boolean(!self.truth(a))),
-            Node::Binary(Op::And, a, b) => (Type::Boolean, Boolean(self.truth(a) && self.truth(b))),
-            Node::Binary(Op::Or, a, b) => (Type::Boolean, Boolean(self.truth(a) || self.truth(b))),
-            Node::Binary(op, a, b) => self.binary(*op, a, b),
-            Node::If(c, a, b) => self.value(if self.truth(c) { a } else { b }),
-            Node::Call(f, args) => {
-                let values: Vec<(Type, f64)> = args.iter().map(|a| self.number(a)).collect();
+            ExprKind::Not(a) => (Type::Boolean, Boolean(!self.is_true(a))),
+            ExprKind::Binary(Operator::And, a, b) => {
+                (Type::Boolean, Boolean(self.is_true(a) && self.is_true(b)))
+            }
+            ExprKind::Binary(Operator::Or, a, b) => {
+                (Type::Boolean, Boolean(self.is_true(a) || self.is_true(b)))
+            }
+            ExprKind::Binary(op, a, b) => self.eval_binary(*op, a, b),
+            ExprKind::If(c, a, b) => self.eval(if self.is_true(c) { a } else { b }),
+            ExprKind::Call(f, args) => {
+                let values: Vec<(Type, f64)> = args.iter().map(|a| self.eval_number(a)).collect();
                 let first = values[0];
                 let x = match f {
                     Function::Min => values.iter().fold(first.1, |s, v| s.min(v.1)),
@@ -170,39 +177,42 @@
         }
     }
 
-    fn truth(&self, e: &Expr) -> bool {
-        matches!(self.value(e).1, Value::Boolean(true))
+    fn is_true(&self, e: &Expr) -> bool {
+        matches!(self.eval(e).1, Value::Boolean(true))
     }
 
-    fn number(&self, e: &Expr) -> (Type, f64) {
-        match self.value(e) {
+    fn eval_number(&self, e: &Expr) -> (Type, f64) {
+        match self.eval(e) {
             (ty, Value::Number(x)) => (ty, x),
             (ty, _) => (ty, 0.0),
         }
     }
 
-    fn binary(&self, op: Op, a: &Expr, b: &Expr) -> (Type, Value) {
+    fn eval_binary(&self, op: Operator, a: &Expr, b: &Expr) -> (Type, Value) {
         use Value::{Boolean, Number};
-        let (x, y) = (self.value(a), self.value(b));
-        if matches!(op, Op::Equal | Op::NotEqual) {
-            return (Type::Boolean, Boolean((x.1 == y.1) == (op == Op::Equal)));
+        let (x, y) = (self.eval(a), self.eval(b));
+        if matches!(op, Operator::Equal | Operator::NotEqual) {
+            return (
+                Type::Boolean,
+                Boolean((x.1 == y.1) == (op == Operator::Equal)),
+            );
         }
         let (Number(p), Number(q)) = (&x.1, &y.1) else {
             return (Type::Boolean, Boolean(false));
         };
         let (p, q) = (*p, *q);
-        let of = |ty: Option<Type>, v: f64| {
+        let typed = |ty: Option<Type>, v: f64| {
             let ty = ty.unwrap_or(Type::Number);
-            (ty, Number(whole(ty, v)))
+            (ty, Number(round_to_unit(ty, v)))
         };
         match op {
-            Op::Add => of(Some(x.0), p + q),
-            Op::Sub => of(Some(x.0), p - q),
-            Op::Mul => of(Type::product(x.0, y.0), p * q),
-            Op::Div => of(Type::quotient(x.0, y.0), p / q),
-            Op::Less => (Type::Boolean, Boolean(p < q)),
-            Op::LessEqual => (Type::Boolean, Boolean(p <= q)),
-            Op::Greater => (Type::Boolean, Boolean(p > q)),
+            Operator::Add => typed(Some(x.0), p + q),
+            Operator::Sub => typed(Some(x.0), p - q),
+            Operator::Mul => typed(Type::product(x.0, y.0), p * q),
+            Operator::Div => typed(Type::quotient(x.0, y.0), p / q),
+            Operator::Less => (Type::Boolean, Boolean(p < q)),
+            Operator::LessEqual => (Type::Boolean, Boolean(p <= q)),
+            Operator::Greater => (Type::Boolean, Boolean(p > q)),
             _ => (Type::Boolean, Boolean(p >= q)),
         }
     }
--- a/crates/hopyoke-policy/src/value.rs
+++ b/crates/hopyoke-policy/src/value.rs
@@ -1,11 +1,11 @@
-//! Types, values, and intervals of values.
+//! Types, values, and sets of values.
 //!
-//! Durations are whole microseconds and money whole millionths, both held in an `f64` within
-//! ±2⁵³, where it is exact; shares are fractions (25% is 0.25).
+//! Durations are whole microseconds and money is whole millionths of the currency, both held in an `f64` within ±2⁵³, where
+//! integers are exact. Shares are fractions: 25% is 0.25.
 
 use std::fmt;
 
-/// What an expression's value is.
+/// The type of an expression.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Type {
     Duration,
@@ -29,20 +29,20 @@
         })
     }
 
-    /// It has an order and arithmetic.
+    /// Returns whether values have an order and arithmetic.
     pub(crate) fn is_numeric(self) -> bool {
         !matches!(self, Type::Boolean | Type::Text)
     }
 
-    /// The largest magnitude that a value, or any step on the way to it, may have.
-    pub(crate) fn most(self) -> f64 {
+    /// Returns the maximum magnitude of values and intermediate results.
+    pub(crate) fn max_magnitude(self) -> f64 {
         match self {
             Type::Duration | Type::Money => 9_007_199_254_740_992.0,
             _ => 1e15,
         }
     }
 
-    /// The type of `a * b`, if there is one.
+    /// Returns the type of `a * b`, or `None` if it is not defined.
     pub(crate) fn product(a: Type, b: Type) -> Option<Type> {
         use Type::{Number, Share};
         match (a, b) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The type of `a / b`, if there is one.
+    /// Returns the type of `a / b`, or `None` if it is not defined.
     pub(crate) fn quotient(a: Type, b: Type) -> Option<Type> {
         match (a, b) {
             (a, b) if a == b && a.is_numeric() => Some(Type::Number),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// An example, for messages.
+    /// Returns an example of a value, for diagnostics.
     pub(crate) fn example(self) -> &'static str {
         match self {
             Type::Duration => "a duration such as 40s",
@@ -69,7 +69,7 @@
             Type::Share => "a share such as 15%",
             Type::Money => "money such as $2.50",
             Type::Boolean => "true or false",
-            Type::Text => "a text in quotes",
+            Type::Text => "a quoted text",
         }
     }
 }
@@ -87,7 +87,7 @@
     }
 }
 
-/// A value; what a number means is said by its [`Type`].
+/// A value. Its [`Type`] gives the unit of a number.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
     Number(f64),
@@ -95,8 +95,8 @@
     Text(String),
 }
 
-/// Durations and money are whole.
-pub(crate) fn whole(ty: Type, x: f64) -> f64 {
+/// Rounds durations and money to whole base units.
+pub(crate) fn round_to_unit(ty: Type, x: f64) -> f64 {
     if matches!(ty, Type::Duration | Type::Money) {
         x.round()
     } else {
@@ -104,7 +104,8 @@
     }
 }
 
-fn trim(x: f64) -> String {
+/// Formats a number with up to six decimals, without trailing zeros.
+fn format_number(x: f64) -> String {
     let s = format!("{x:.6}");
     let s = s.trim_end_matches('0').trim_end_matches('.');
     if s.is_empty() || s == "-0" {
@@ -114,8 +115,8 @@
     }
 }
 
-/// Writes a value as the language would read it.
-pub fn show(ty: Type, value: &Value) -> String {
+/// Formats a value in the syntax of the language.
+pub fn format_value(ty: Type, value: &Value) -> String {
     match (ty, value) {
         (_, Value::Boolean(b)) => b.to_string(),
         (_, Value::Text(t)) => format!("\"{t}\""),
@@ -130,50 +131,73 @@
             .into_iter()
             .find(|(u, size)| us.abs() >= *size && (us % size == 0.0 || *u == "s"))
             .unwrap_or(if *us == 0.0 { ("s", 1e6) } else { ("us", 1.0) });
-            format!("{}{unit}", trim(us / size))
+            format!("{}{unit}", format_number(us / size))
         }
-        (Type::Share, Value::Number(x)) => format!("{}%", trim(x * 100.0)),
-        (Type::Money, Value::Number(x)) => format!("${}", trim(x / 1e6)),
-        (_, Value::Number(x)) => trim(*x),
+        (Type::Share, Value::Number(x)) => format!("{}%", format_number(x * 100.0)),
+        (Type::Money, Value::Number(x)) => format!("${}", format_number(x / 1e6)),
+        (_, Value::Number(x)) => format_number(*x),
     }
 }
 
-/// All values that an expression can take.
+/// An over-approximation of the values that an expression can take.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum Span {
-    Number { low: f64, high: f64 },
-    Boolean { yes: bool, no: bool },
+pub(crate) enum ValueSet {
+    Number {
+        low: f64,
+        high: f64,
+    },
+    Boolean {
+        may_be_true: bool,
+        may_be_false: bool,
+    },
+    /// A known text, or `None` for any text.
     Text(Option<String>),
 }
 
-impl Span {
-    pub fn of(value: &Value) -> Span {
+impl ValueSet {
+    /// Returns the set with just this value.
+    pub fn of(value: &Value) -> ValueSet {
         match value {
-            Value::Number(x) => Span::Number { low: *x, high: *x },
-            Value::Boolean(b) => Span::Boolean { yes: *b, no: !*b },
-            Value::Text(t) => Span::Text(Some(t.clone())),
+            Value::Number(x) => ValueSet::Number { low: *x, high: *x },
+            Value::Boolean(b) => ValueSet::Boolean {
+                may_be_true: *b,
+                may_be_false: !*b,
+            },
+            Value::Text(t) => ValueSet::Text(Some(t.clone())),
         }
     }
 
-    /// All values of either.
-    pub fn join(self, other: Span) -> Span {
+    /// Returns a set that covers both sets.
+    pub fn join(self, other: ValueSet) -> ValueSet {
         match (self, other) {
-            (Span::Number { low: a, high: b }, Span::Number { low: c, high: d }) => Span::Number {
-                low: a.min(c),
-                high: b.max(d),
-            },
-            (Span::Boolean { yes: a, no: b }, Span::Boolean { yes: c, no: d }) => Span::Boolean {
-                yes: a || c,
-                no: b || d,
+            (ValueSet::Number { low: a, high: b }, ValueSet::Number { low: c, high: d }) => {
+                ValueSet::Number {
+                    low: a.min(c),
+                    high: b.max(d),
+                }
+            }
+            (
+                ValueSet::Boolean {
+                    may_be_true: a,
+                    may_be_false: b,
+                },
+                ValueSet::Boolean {
+                    may_be_true: c,
+                    may_be_false: d,
+                },
+            ) => ValueSet::Boolean {
+                may_be_true: a || c,
+                may_be_false: b || d,
             },
-            (Span::Text(a), Span::Text(b)) if a == b => Span::Text(a),
-            _ => Span::Text(None),
+            (ValueSet::Text(a), ValueSet::Text(b)) if a == b => ValueSet::Text(a),
+            _ => ValueSet::Text(None),
         }
     }
 
+    /// Returns the smallest and largest number. Returns `None` for booleans and texts.
     pub fn bounds(&self) -> Option<(f64, f64)> {
         match self {
-            Span::Number { low, high } => Some((*low, *high)),
+            ValueSet::Number { low, high } => Some((*low, *high)),
             _ => None,
         }
     }
