--- a/crates/hopyoke-experiments/src/flows.rs
+++ b/crates/hopyoke-experiments/src/flows.rs
@@ -77,7 +77,7 @@
         ..SubmitRun::default()
     });
     controllers
-        .ask(ask, Micros::from_secs(60))
+        .call(ask, Micros::from_secs(60))
         .await
         .map(|_| ())
         .map_err(|e| e.to_string())
@@ -332,7 +332,7 @@
         .collect();
     let twice = jobs.len() - steps_seen.len();
     let violations = site.fleet.violations.borrow().len();
-    let told = controllers.ask(
+    let told = controllers.call(
         Operation::Get(RunQuestion {
             run: ids[0].number(),
             ..RunQuestion::default()
--- a/crates/hopyoke-wes/src/calls.rs
+++ b/crates/hopyoke-wes/src/calls.rs
@@ -13,24 +13,24 @@
 pub struct Controllers {
     addrs: Vec<SocketAddr>,
     /// The one that answered last is asked first.
-    first: Cell<usize>,
+    preferred: Cell<usize>,
 }
 
 /// Why there is no answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{error}")]
-pub struct Refused {
+#[error("{message}")]
+pub struct ApiError {
     /// As in HTTP.
     pub status: u16,
-    pub error: String,
+    pub message: String,
     pub retry_after_s: Option<u32>,
 }
 
-impl Refused {
-    pub fn new(status: u16, error: impl Into<String>) -> Refused {
-        Refused {
+impl ApiError {
+    pub fn new(status: u16, message: impl Into<String>) -> ApiError {
+        ApiError {
             status,
-            error: error.into(),
+            message: message.into(),
             retry_after_s: (status == 503).then_some(1),
         }
     }
@@ -40,7 +40,7 @@
     pub fn new(addrs: Vec<SocketAddr>) -> Controllers {
         Controllers {
             addrs,
-            first: Cell::new(0),
+            preferred: Cell::new(0),
         }
     }
 
@@ -48,50 +48,58 @@
     ///
     /// # Errors
     /// What the last one said.
-    pub async fn ask(&self, ask: Operation, patience: Micros) -> Result<FlowResponse, Refused> {
-        let until = runtime::now() + patience;
-        let mut last = Refused::new(503, "no controller answers");
-        let mut pause = Micros::from_millis(100);
+    pub async fn call(
+        &self,
+        operation: Operation,
+        timeout: Micros,
+    ) -> Result<FlowResponse, ApiError> {
+        let deadline = runtime::now() + timeout;
+        let mut last_error = ApiError::new(503, "no controller answers");
+        let mut backoff = Micros::from_millis(100);
         loop {
             for i in 0..self.addrs.len() {
-                let at = (self.first.get() + i) % self.addrs.len();
-                let addr = self.addrs[at];
+                let index = (self.preferred.get() + i) % self.addrs.len();
+                let addr = self.addrs[index];
                 match call_flow(
                     addr,
                     FlowRequest {
-                        operation: Some(ask.clone()),
+                        operation: Some(operation.clone()),
                     },
                 )
                 .await
                 {
-                    Ok(a) if a.status < 400 => {
-                        self.first.set(at);
-                        return Ok(a);
+                    Ok(response) if response.status < 400 => {
+                        self.preferred.set(index);
+                        return Ok(response);
                     }
-                    Ok(a) => {
-                        let status = u16::try_from(a.status).unwrap_or(500);
-                        let retry_after_s = (a.retry_after_s > 0).then_some(a.retry_after_s);
-                        last = Refused {
+                    Ok(response) => {
+                        let status = u16::try_from(response.status).unwrap_or(500);
+                        let retry_after_s =
+                            (response.retry_after_s > 0).then_some(response.retry_after_s);
+                        last_error = ApiError {
                             status,
-                            error: a.error,
+                            message: response.error,
                             retry_after_s,
                         };
                         // Another may take runs, or reach the state service.
                         if !matches!(status, 501 | 503) {
-                            return Err(last);
+                            return Err(last_error);
                         }
                     }
                     Err(e) => {
                         debug!(%addr, error = %e, "controller not reached");
-                        last = Refused::new(503, format!("{addr}: {e}"));
+                        last_error = ApiError::new(503, format!("{addr}: {e}"));
                     }
                 }
             }
-            if runtime::now() + pause >= until {
-                return Err(last);
+            if runtime::now() + backoff >= deadline {
+                return Err(last_error);
             }
-            runtime::sleep(Micros(pause.0 / 2 + rand::random_range(0..=pause.0 / 2))).await;
-            pause = Micros((pause.0 * 2).min(2_000_000));
+            runtime::sleep(Micros(
+                backoff.0 / 2 + rand::random_range(0..=backoff.0 / 2),
+            ))
+            .await;
+            backoff = Micros((backoff.0 * 2).min(2_000_000));
         }
     }
 }
--- a/crates/hopyoke-wes/src/client.rs
+++ b/crates/hopyoke-wes/src/client.rs
@@ -1,22 +1,22 @@
 //! The service from the other side.
 
 use crate::upload::{self, Form};
-use crate::wire::{BASE, Problem, RunIdAnswer, RunList, RunLog, RunStatus};
+use crate::wire::{BASE_PATH, ErrorResponse, RunIdResponse, RunList, RunLog, RunStatus};
 use hopyoke_event_loop as runtime;
 use hopyoke_event_loop::http::{Client as Http, Method, Response};
 use hopyoke_types::Micros;
 use serde::de::DeserializeOwned;
 use std::net::{SocketAddr, ToSocketAddrs};
 
-const LIMIT: Micros = Micros::from_secs(40);
+const REQUEST_TIMEOUT: Micros = Micros::from_secs(40);
 
 pub struct Client {
     http: Http,
     /// Path before the service's own.
-    base: String,
+    base_path: String,
     headers: String,
     /// How long what can be asked again is asked again.
-    patience: Micros,
+    retry_timeout: Micros,
 }
 
 impl Client {
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn new(url: &str, token: &str, patience: Micros) -> Result<Client, String> {
+    pub fn new(url: &str, token: &str, retry_timeout: Micros) -> Result<Client, String> {
         let rest = url
             .strip_prefix("http://")
             .ok_or_else(|| format!("{url}: must begin with http://"))?;
@@ -43,16 +43,16 @@
             return Err("the token holds control characters".into());
         }
         let path = format!("/{}", path.trim_matches('/'));
-        let base = if path.ends_with(BASE) {
+        let base_path = if path.ends_with(BASE_PATH) {
             path
         } else {
-            format!("{}{BASE}", path.trim_end_matches('/'))
+            format!("{}{BASE_PATH}", path.trim_end_matches('/'))
         };
         Ok(Client {
             http: Http::new(addr),
-            base,
+            base_path,
             headers: format!("Authorization: Bearer {token}\r\n"),
-            patience,
+            retry_timeout,
         })
     }
 
@@ -63,32 +63,34 @@
         path: &str,
         body: (&str, &[u8]),
     ) -> Result<T, String> {
-        let until = runtime::now() + self.patience;
-        let mut pause = Micros::from_millis(300);
+        let deadline = runtime::now() + self.retry_timeout;
+        let mut backoff = Micros::from_millis(300);
         loop {
-            let path = format!("{}{path}", self.base);
-            let (why, wait) = match self
+            let path = format!("{}{path}", self.base_path);
+            let (error, delay) = match self
                 .http
-                .send_as(method, &path, body, &self.headers, LIMIT)
+                .send_as(method, &path, body, &self.headers, REQUEST_TIMEOUT)
                 .await
             {
                 Ok(r) if r.status < 300 => {
                     return serde_json::from_slice(&r.body)
                         .map_err(|e| format!("unreadable answer: {e}"));
                 }
-                Ok(r) if !matches!(r.status, 429 | 503) => return Err(said(&r)),
+                Ok(r) if !matches!(r.status, 429 | 503) => return Err(error_text(&r)),
                 Ok(r) => (
-                    said(&r),
+                    error_text(&r),
                     Micros::from_secs(u64::from(r.retry_after_s.unwrap_or(0).min(30))),
                 ),
                 Err(e) => (e.to_string(), Micros::ZERO),
             };
-            let wait = wait.max(Micros(pause.0 / 2 + rand::random_range(0..=pause.0 / 2)));
-            if runtime::now() + wait >= until {
-                return Err(why);
+            let delay = delay.max(Micros(
+                backoff.0 / 2 + rand::random_range(0..=backoff.0 / 2),
+            ));
+            if runtime::now() + delay >= deadline {
+                return Err(error);
             }
-            runtime::sleep(wait).await;
-            pause = Micros((pause.0 * 2).min(5_000_000));
+            runtime::sleep(delay).await;
+            backoff = Micros((backoff.0 * 2).min(5_000_000));
         }
     }
 
@@ -102,11 +104,11 @@
     /// # Errors
     /// What the service said.
     pub async fn submit(&self, form: &Form) -> Result<String, String> {
-        let (content_type, body) = upload::write(form);
-        let answer: RunIdAnswer = self
+        let (content_type, body) = upload::encode(form);
+        let response: RunIdResponse = self
             .call(Method::Post, "/runs", (&content_type, &body))
             .await?;
-        Ok(answer.run_id)
+        Ok(response.run_id)
     }
 
     /// # Errors
@@ -131,17 +133,17 @@
     ///
     /// # Errors
     /// What the service said.
-    pub async fn change(&self, run: &str, verb: &str) -> Result<String, String> {
-        let path = format!("/runs/{run}/{verb}");
-        let answer: RunIdAnswer = self
+    pub async fn change(&self, run: &str, action: &str) -> Result<String, String> {
+        let path = format!("/runs/{run}/{action}");
+        let response: RunIdResponse = self
             .call(Method::Post, &path, ("application/json", b"{}"))
             .await?;
-        Ok(answer.run_id)
+        Ok(response.run_id)
     }
 }
 
-fn said(r: &Response) -> String {
-    match serde_json::from_slice::<Problem>(&r.body) {
+fn error_text(r: &Response) -> String {
+    match serde_json::from_slice::<ErrorResponse>(&r.body) {
         Ok(p) => format!("{} ({})", p.msg, r.status),
         Err(_) => format!("status {}", r.status),
     }
--- a/crates/hopyoke-wes/src/compile.rs
+++ b/crates/hopyoke-wes/src/compile.rs
@@ -10,7 +10,7 @@
 
 /// What is to be read.
 #[derive(Debug, Clone)]
-pub struct Work {
+pub struct CompileRequest {
     pub run: RunId,
     /// The document, by its name among the files, perhaps with `#id`.
     pub document: String,
@@ -24,7 +24,7 @@
 
 /// A document that can run.
 #[derive(Debug)]
-pub struct Compiled {
+pub struct CompiledWorkflow {
     pub plan: Plan,
     pub team: String,
     pub tasks: BTreeMap<StepNo, Vec<Description>>,
@@ -33,19 +33,19 @@
 
 /// The same as it leaves the thread that read it.
 #[derive(Debug)]
-pub struct Ready {
+pub struct EncodedWorkflow {
     /// The plan as JSON.
     pub plan: Vec<u8>,
     pub team: String,
     pub tasks: BTreeMap<StepNo, Vec<Description>>,
 }
 
-impl From<Compiled> for Ready {
-    fn from(c: Compiled) -> Ready {
-        Ready {
-            plan: serde_json::to_vec(&c.plan).unwrap_or_default(),
-            team: c.team,
-            tasks: c.tasks,
+impl From<CompiledWorkflow> for EncodedWorkflow {
+    fn from(compiled: CompiledWorkflow) -> EncodedWorkflow {
+        EncodedWorkflow {
+            plan: serde_json::to_vec(&compiled.plan).unwrap_or_default(),
+            team: compiled.team,
+            tasks: compiled.tasks,
         }
     }
 }
@@ -54,55 +54,58 @@
 ///
 /// # Errors
 /// Every fault.
-pub fn compile(source: &dyn Source, work: &Work) -> Result<Compiled, Diagnostics> {
-    let (process, mut faults) = open(source, &work.document)?;
-    let Some(inputs) = yaml::parse_as("inputs", &work.inputs, &mut faults) else {
-        return Err(faults);
+pub fn compile(
+    source: &dyn Source,
+    request: &CompileRequest,
+) -> Result<CompiledWorkflow, Diagnostics> {
+    let (process, mut diagnostics) = open(source, &request.document)?;
+    let Some(inputs) = yaml::parse_as("inputs", &request.inputs, &mut diagnostics) else {
+        return Err(diagnostics);
     };
     let options = Options {
-        team: work.team.clone(),
-        fallback_team: work.fallback_team.clone(),
-        class: work.class.clone(),
-        image: work.image.clone(),
+        team: request.team.clone(),
+        fallback_team: request.fallback_team.clone(),
+        class: request.class.clone(),
+        image: request.image.clone(),
         source: Some(source),
-        ..Options::new(work.run)
+        ..Options::new(request.run)
     };
-    match expand(&process, &inputs, &options, &mut faults) {
-        Some(x) => Ok(Compiled {
-            plan: x.plan,
-            team: x.team,
-            tasks: x.tasks,
-            warnings: faults,
+    match expand(&process, &inputs, &options, &mut diagnostics) {
+        Some(expanded) => Ok(CompiledWorkflow {
+            plan: expanded.plan,
+            team: expanded.team,
+            tasks: expanded.tasks,
+            warnings: diagnostics,
         }),
-        None => Err(faults),
+        None => Err(diagnostics),
     }
 }
 
 /// Why there is no plan.
 #[derive(Debug, thiserror::Error)]
-pub enum NotCompiled {
+pub enum CompileError {
     #[error("too many documents are being read")]
     Busy,
     #[error("the document took too long to read")]
-    TooLong,
+    Timeout,
     #[error("{0}")]
-    Faults(Diagnostics),
+    Invalid(Diagnostics),
 }
 
 /// Longest time that a client waits for a document to be read; expressions have bounds of their own.
-const LONGEST: Micros = Micros::from_secs(30);
+const COMPILE_TIMEOUT: Micros = Micros::from_secs(30);
 
 /// Reads documents on threads.
-pub struct Readers {
-    most: usize,
-    busy: std::sync::Arc<std::sync::atomic::AtomicUsize>,
+pub struct CompilePool {
+    max_threads: usize,
+    active: std::sync::Arc<std::sync::atomic::AtomicUsize>,
 }
 
-impl Readers {
-    pub fn new(most: usize) -> Readers {
-        Readers {
-            most,
-            busy: Default::default(),
+impl CompilePool {
+    pub fn new(max_threads: usize) -> CompilePool {
+        CompilePool {
+            max_threads,
+            active: Default::default(),
         }
     }
 
@@ -113,40 +116,40 @@
     pub async fn compile(
         &self,
         files: BTreeMap<String, String>,
-        work: Work,
-    ) -> Result<Ready, NotCompiled> {
+        request: CompileRequest,
+    ) -> Result<EncodedWorkflow, CompileError> {
         use std::sync::atomic::Ordering;
         // A thread that was given up on still counts: so there are never more than that.
-        if self.busy.fetch_add(1, Ordering::SeqCst) >= self.most {
-            self.busy.fetch_sub(1, Ordering::SeqCst);
-            return Err(NotCompiled::Busy);
+        if self.active.fetch_add(1, Ordering::SeqCst) >= self.max_threads {
+            self.active.fetch_sub(1, Ordering::SeqCst);
+            return Err(CompileError::Busy);
         }
-        let (done, answer) = mpsc::channel();
-        let busy = self.busy.clone();
+        let (sender, receiver) = mpsc::channel();
+        let active = self.active.clone();
         let thread = std::thread::Builder::new()
             .name("reader".into())
             .stack_size(8 << 20)
             .spawn(move || {
-                let _ = done.send(compile(&files, &work).map(Ready::from));
-                busy.fetch_sub(1, Ordering::SeqCst);
+                let _ = sender.send(compile(&files, &request).map(EncodedWorkflow::from));
+                active.fetch_sub(1, Ordering::SeqCst);
             });
         if thread.is_err() {
-            self.busy.fetch_sub(1, Ordering::SeqCst);
-            return Err(NotCompiled::Busy);
+            self.active.fetch_sub(1, Ordering::SeqCst);
+            return Err(CompileError::Busy);
         }
-        let until = runtime::now() + LONGEST;
-        let mut pause = Micros::from_millis(1);
+        let deadline = runtime::now() + COMPILE_TIMEOUT;
+        let mut poll_interval = Micros::from_millis(1);
         loop {
-            match answer.try_recv() {
-                Ok(result) => return result.map_err(NotCompiled::Faults),
-                Err(mpsc::TryRecvError::Disconnected) => return Err(NotCompiled::TooLong),
-                Err(mpsc::TryRecvError::Empty) if runtime::now() >= until => {
-                    return Err(NotCompiled::TooLong);
+            match receiver.try_recv() {
+                Ok(result) => return result.map_err(CompileError::Invalid),
+                Err(mpsc::TryRecvError::Disconnected) => return Err(CompileError::Timeout),
+                Err(mpsc::TryRecvError::Empty) if runtime::now() >= deadline => {
+                    return Err(CompileError::Timeout);
                 }
                 Err(mpsc::TryRecvError::Empty) => {}
             }
-            runtime::sleep(pause).await;
-            pause = Micros((pause.0 * 2).min(20_000));
+            runtime::sleep(poll_interval).await;
+            poll_interval = Micros((poll_interval.0 * 2).min(20_000));
         }
     }
 }
--- a/crates/hopyoke-wes/src/config.rs
+++ b/crates/hopyoke-wes/src/config.rs
@@ -1,6 +1,6 @@
 //! The service's own file (TOML): where it listens, whom it asks, and who its clients are.
 
-use crate::access::Access;
+use crate::access::Authenticator;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,16 +13,16 @@
     /// Mesh addresses of controllers.
     pub controllers: Vec<SocketAddr>,
     /// Where tasks' descriptions are left for workers.
-    #[serde(default)]
-    pub descriptions: Option<PathBuf>,
+    #[serde(default, rename = "descriptions")]
+    pub descriptions_dir: Option<PathBuf>,
     /// The image of tools that name none.
-    #[serde(default = "default_image")]
-    pub image: String,
+    #[serde(default = "default_image", rename = "image")]
+    pub default_image: String,
     /// Documents that are read at once.
-    #[serde(default = "two")]
-    pub readers: usize,
-    #[serde(default = "connections")]
-    pub connections: usize,
+    #[serde(default = "default_compile_threads", rename = "readers")]
+    pub compile_threads: usize,
+    #[serde(default = "default_connections", rename = "connections")]
+    pub max_connections: usize,
     #[serde(default, rename = "client")]
     pub clients: Vec<Client>,
 }
@@ -42,12 +42,12 @@
     "default".into()
 }
 
-fn two() -> usize {
+fn default_compile_threads() -> usize {
     2
 }
 
 /// Each may hold a submission of 8 MiB before its token is looked at.
-fn connections() -> usize {
+fn default_connections() -> usize {
     64
 }
 
@@ -67,30 +67,30 @@
     /// As [`Config::load`], without the file's name.
     pub fn parse(text: &str) -> Result<Config, String> {
         let config: Config = toml::from_str(text).map_err(|e| e.to_string())?;
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         if config.controllers.is_empty() {
-            faults.push("controllers: at least one mesh address is needed".to_owned());
+            errors.push("controllers: at least one mesh address is needed".to_owned());
         }
-        for (field, n, most) in [
-            ("readers", config.readers, 64),
-            ("connections", config.connections, 10_000),
+        for (field, value, max) in [
+            ("readers", config.compile_threads, 64),
+            ("connections", config.max_connections, 10_000),
         ] {
-            if n == 0 || n > most {
-                faults.push(format!("{field}: must be 1 to {most}"));
+            if value == 0 || value > max {
+                errors.push(format!("{field}: must be 1 to {max}"));
             }
         }
         for c in &config.clients {
             if c.teams.is_empty() {
-                faults.push(format!("client {}: teams: at least one is needed", c.name));
+                errors.push(format!("client {}: teams: at least one is needed", c.name));
             }
-            if Access::digest_of(&c.token_sha256).is_none() {
-                faults.push(format!(
+            if Authenticator::parse_digest(&c.token_sha256).is_none() {
+                errors.push(format!(
                     "client {}: token_sha256: must have 64 hexadecimal digits",
                     c.name
                 ));
             }
             if c.name.is_empty() || c.name.len() > 100 {
-                faults.push(format!("client {}: name: must have 1 to 100 bytes", c.name));
+                errors.push(format!("client {}: name: must have 1 to 100 bytes", c.name));
             }
         }
         for (i, c) in config.clients.iter().enumerate() {
@@ -98,13 +98,13 @@
                 .iter()
                 .any(|d| d.name == c.name || d.token_sha256 == c.token_sha256)
             {
-                faults.push(format!("client {}: name or token stands twice", c.name));
+                errors.push(format!("client {}: name or token stands twice", c.name));
             }
         }
-        if faults.is_empty() {
+        if errors.is_empty() {
             Ok(config)
         } else {
-            Err(faults.join("\n"))
+            Err(errors.join("\n"))
         }
     }
 }
--- a/crates/hopyoke-wes/src/main.rs
+++ b/crates/hopyoke-wes/src/main.rs
@@ -7,10 +7,10 @@
 use hopyoke_cwl::{Diagnostics, graph, open, yaml};
 use hopyoke_event_loop::{self as runtime, CancellationToken};
 use hopyoke_types::Micros;
-use hopyoke_wes::access::Access;
+use hopyoke_wes::access::Authenticator;
 use hopyoke_wes::calls::Controllers;
 use hopyoke_wes::client::Client;
-use hopyoke_wes::compile::{Work, compile};
+use hopyoke_wes::compile::{CompileRequest, compile};
 use hopyoke_wes::config::Config;
 use hopyoke_wes::publish;
 use hopyoke_wes::server::Server;
@@ -44,29 +44,29 @@
         files: Vec<PathBuf>,
     },
     /// Run a document: outputs as JSON on standard output, progress on standard error
-    Run(Run),
+    Run(RunArgs),
     /// List runs
     List {
         #[command(flatten)]
-        to: To,
+        target: Target,
     },
     /// Show a run's state, and its outputs once it is done
     Status {
         run: String,
         #[command(flatten)]
-        to: To,
+        target: Target,
     },
     /// Cancel a run
     CancellationToken {
         run: String,
         #[command(flatten)]
-        to: To,
+        target: Target,
     },
     /// Go on, as a new run, from what a failed or cancelled one had done
     Resume {
         run: String,
         #[command(flatten)]
-        to: To,
+        target: Target,
         /// Where workers find descriptions, if they were left there by this program
         #[arg(long, value_name = "DIR", requires = "mesh")]
         descriptions: Option<PathBuf>,
@@ -87,32 +87,32 @@
 /// Whom to ask.
 #[derive(Args, Clone)]
 #[group(id = "whom", multiple = true)]
-struct To {
+struct Target {
     /// A workflow service, http://HOST:PORT; the token comes from HOPYOKE_TOKEN
-    #[arg(long, value_name = "URL", conflicts_with = "mesh")]
-    to: Option<String>,
+    #[arg(long = "to", value_name = "URL", conflicts_with = "mesh")]
+    service: Option<String>,
     /// Mesh addresses of controllers, for operators
     #[arg(long, value_name = "ADDR", num_args = 1..)]
     mesh: Vec<SocketAddr>,
     /// Give up asking after so many seconds without an answer
-    #[arg(long, value_name = "SECONDS", default_value_t = 60)]
-    patience: u64,
+    #[arg(long = "patience", value_name = "SECONDS", default_value_t = 60)]
+    retry_timeout_s: u64,
 }
 
-impl To {
-    fn patience(&self) -> Micros {
-        Micros::from_secs(self.patience.min(86_400))
+impl Target {
+    fn retry_timeout(&self) -> Micros {
+        Micros::from_secs(self.retry_timeout_s.min(86_400))
     }
 }
 
 #[derive(Args)]
-struct Run {
+struct RunArgs {
     /// The document, perhaps with #ID
     document: String,
     /// Its inputs (YAML or JSON)
     inputs: Option<PathBuf>,
     #[command(flatten)]
-    to: To,
+    target: Target,
     /// The team; needed if the document names none
     #[arg(long)]
     team: Option<String>,
@@ -162,73 +162,79 @@
 }
 
 /// How the program ends if not well.
-enum End {
+enum CliError {
     /// Exit code 1.
     Failed(String),
     /// Exit code 33: the document asks for something that is not supported.
     Unsupported(String),
 }
 
-impl From<String> for End {
-    fn from(e: String) -> End {
-        End::Failed(e)
+impl From<String> for CliError {
+    fn from(e: String) -> CliError {
+        CliError::Failed(e)
     }
 }
 
-type Done = Result<(), End>;
+type CliResult = Result<(), CliError>;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let result = match cli.command {
         Command::Check { files } => check(&files),
         Command::Run(run) => run_document(&run),
-        Command::List { to } => wait(move || list(to)),
-        Command::Status { run, to } => wait(move || status(run, to)),
-        Command::CancellationToken { run, to } => wait(move || change(run, "cancel", to, None)),
+        Command::List { target } => block_on(move || list(target)),
+        Command::Status { run, target } => block_on(move || status(run, target)),
+        Command::CancellationToken { run, target } => {
+            block_on(move || cancel_or_resume(run, "cancel", target, None))
+        }
         Command::Resume {
             run,
-            to,
+            target,
             descriptions,
-        } => wait(move || change(run, "resume", to, descriptions)),
+        } => block_on(move || cancel_or_resume(run, "resume", target, descriptions)),
         Command::Serve { config, check } => serve(&config, check),
         Command::Digest => digest(),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(End::Failed(e)) => {
+        Err(CliError::Failed(e)) => {
             eprintln!("hopyoke cwl: {e}");
             ExitCode::FAILURE
         }
-        Err(End::Unsupported(e)) => {
+        Err(CliError::Unsupported(e)) => {
             eprintln!("hopyoke cwl: {e}");
             ExitCode::from(33)
         }
     }
 }
 
-fn of_faults(faults: &Diagnostics) -> End {
-    if faults.has_unsupported() {
-        End::Unsupported(faults.to_string())
+fn diagnostics_error(diagnostics: &Diagnostics) -> CliError {
+    if diagnostics.has_unsupported() {
+        CliError::Unsupported(diagnostics.to_string())
     } else {
-        End::Failed(faults.to_string())
+        CliError::Failed(diagnostics.to_string())
     }
 }
 
-fn check(files: &[PathBuf]) -> Done {
+fn check(files: &[PathBuf]) -> CliResult {
     let mut end = Ok(());
     for file in files {
         match open(&LocalFiles, &name_of(file)) {
-            Ok((process, faults)) if faults.is_empty() => {
+            Ok((process, diagnostics)) if diagnostics.is_empty() => {
                 println!("{}: a sound {}", file.display(), process.class())
             }
-            Ok((process, faults)) => {
-                println!("{faults}\n{}: a sound {}", file.display(), process.class())
+            Ok((process, diagnostics)) => {
+                println!(
+                    "{diagnostics}\n{}: a sound {}",
+                    file.display(),
+                    process.class()
+                )
             }
-            Err(faults) => {
-                if let Err(End::Failed(e) | End::Unsupported(e)) = &end {
+            Err(diagnostics) => {
+                if let Err(CliError::Failed(e) | CliError::Unsupported(e)) = &end {
                     eprintln!("{e}");
                 }
-                end = Err(of_faults(&faults));
+                end = Err(diagnostics_error(&diagnostics));
             }
         }
     }
@@ -236,24 +242,24 @@
 }
 
 /// Runs a future on the event loop to its end.
-fn wait<T: 'static, F: Future<Output = Result<T, End>> + 'static>(
-    make: impl FnOnce() -> F + 'static,
-) -> Result<T, End> {
+fn block_on<T: 'static, F: Future<Output = Result<T, CliError>> + 'static>(
+    make_future: impl FnOnce() -> F + 'static,
+) -> Result<T, CliError> {
     let slot = Rc::new(RefCell::new(None));
     let out = slot.clone();
     runtime::run(async move {
-        let result = make().await;
+        let result = make_future().await;
         *out.borrow_mut() = Some(result);
     })
-    .map_err(|e| End::Failed(e.to_string()))?;
+    .map_err(|e| CliError::Failed(e.to_string()))?;
     slot.take()
-        .unwrap_or_else(|| Err(End::Failed("no answer".into())))
+        .unwrap_or_else(|| Err(CliError::Failed("no answer".into())))
 }
 
 /// Files, and which of them were read.
-struct Recorded(RefCell<BTreeMap<String, String>>);
+struct RecordingSource(RefCell<BTreeMap<String, String>>);
 
-impl Source for Recorded {
+impl Source for RecordingSource {
     fn read(&self, path: &str) -> Result<String, String> {
         let text = LocalFiles.read(path)?;
         self.0.borrow_mut().insert(path.to_owned(), text.clone());
@@ -261,9 +267,9 @@
     }
 }
 
-fn run_document(run: &Run) -> Done {
+fn run_document(run: &RunArgs) -> CliResult {
     if run.print_graph {
-        let (process, _) = open(&LocalFiles, &run.document).map_err(|f| of_faults(&f))?;
+        let (process, _) = open(&LocalFiles, &run.document).map_err(|f| diagnostics_error(&f))?;
         print!(
             "{}",
             if run.format == GraphFormat::Dot {
@@ -278,24 +284,28 @@
         None => "{}".to_owned(),
         Some(p) => std::fs::read_to_string(p).map_err(|e| format!("{}: {e}", p.display()))?,
     };
-    let inputs = located(&inputs, run.inputs.as_deref())?;
+    let inputs = resolve_input_paths(&inputs, run.inputs.as_deref())?;
     let key = run
         .key
         .clone()
         .unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
     let id = RunId::folded(xxhash_rust::xxh3::xxh3_64(key.as_bytes()));
-    let source = Recorded(RefCell::default());
-    let work = Work {
+    let source = RecordingSource(RefCell::default());
+    let request = CompileRequest {
         run: id,
         document: run.document.clone(),
         inputs: inputs.clone(),
         team: run.team.clone(),
         // A service fills in its client's own; here it only has to be a team.
-        fallback_team: run.to.to.is_some().then(|| "of the client".to_owned()),
+        fallback_team: run
+            .target
+            .service
+            .is_some()
+            .then(|| "of the client".to_owned()),
         class: run.class.clone(),
         image: run.image.clone(),
     };
-    let compiled = compile(&source, &work).map_err(|f| of_faults(&f))?;
+    let compiled = compile(&source, &request).map_err(|f| diagnostics_error(&f))?;
     if !compiled.warnings.is_empty() && !run.quiet {
         eprintln!("{}", compiled.warnings);
     }
@@ -316,17 +326,17 @@
         );
         return Ok(());
     }
-    let how = How {
+    let options = FollowOptions {
         quiet: run.quiet,
         detach: run.detach,
     };
-    if run.to.mesh.is_empty() {
-        let form = form(run, &source, &inputs, &key)?;
-        let to = run.to.clone();
-        return wait(move || async move {
-            let client = client(&to)?;
+    if run.target.mesh.is_empty() {
+        let form = submission_form(run, &source, &inputs, &key)?;
+        let target = run.target.clone();
+        return block_on(move || async move {
+            let client = client(&target)?;
             let id = client.submit(&form).await?;
-            follow(Whom::Service(client), id, how).await
+            follow(Backend::Service(client), id, options).await
         });
     }
     if let Some(dir) = &run.descriptions {
@@ -341,22 +351,27 @@
         plan: serde_json::to_vec(&compiled.plan).map_err(|e| e.to_string())?,
         ..SubmitRun::default()
     };
-    let (mesh, patience) = (run.to.mesh.clone(), run.to.patience());
-    wait(move || async move {
+    let (mesh, retry_timeout) = (run.target.mesh.clone(), run.target.retry_timeout());
+    block_on(move || async move {
         let controllers = Controllers::new(mesh);
         controllers
-            .ask(Operation::Submit(submit), patience)
+            .call(Operation::Submit(submit), retry_timeout)
             .await
             .map_err(|e| e.to_string())?;
-        follow(Whom::Mesh(controllers, patience), id.to_string(), how).await
+        follow(
+            Backend::Mesh(controllers, retry_timeout),
+            id.to_string(),
+            options,
+        )
+        .await
     })
 }
 
 /// Inputs whose relative files are found from where the inputs' own file is.
-fn located(text: &str, file: Option<&Path>) -> Result<String, End> {
-    fn walk(v: &mut Value, dir: &Path) {
+fn resolve_input_paths(text: &str, file: Option<&Path>) -> Result<String, CliError> {
+    fn resolve(v: &mut Value, dir: &Path) {
         match v {
-            Value::Array(list) => list.iter_mut().for_each(|v| walk(v, dir)),
+            Value::Array(list) => list.iter_mut().for_each(|v| resolve(v, dir)),
             Value::Object(o) => {
                 let is_file = matches!(
                     o.get("class").and_then(Value::as_str),
@@ -370,15 +385,15 @@
                         *s = dir.join(&*s).to_string_lossy().into_owned();
                     }
                 }
-                o.values_mut().for_each(|v| walk(v, dir));
+                o.values_mut().for_each(|v| resolve(v, dir));
             }
             _ => {}
         }
     }
-    let mut faults = Diagnostics::default();
+    let mut diagnostics = Diagnostics::default();
     let name = file.map_or_else(|| "inputs".to_owned(), name_of);
-    let Some(node) = yaml::parse_as(&name, text, &mut faults) else {
-        return Err(of_faults(&faults));
+    let Some(node) = yaml::parse_as(&name, text, &mut diagnostics) else {
+        return Err(diagnostics_error(&diagnostics));
     };
     let dir = file.and_then(Path::parent).unwrap_or(Path::new(""));
     let dir = std::path::absolute(if dir.as_os_str().is_empty() {
@@ -386,15 +401,20 @@
     } else {
         dir
     })
-    .map_err(|e| End::Failed(e.to_string()))?;
+    .map_err(|e| CliError::Failed(e.to_string()))?;
     let mut value = node.to_value();
-    walk(&mut value, &dir);
+    resolve(&mut value, &dir);
     // Indented, so that a fault's line is that of one value.
-    serde_json::to_string_pretty(&value).map_err(|e| End::Failed(e.to_string()))
+    serde_json::to_string_pretty(&value).map_err(|e| CliError::Failed(e.to_string()))
 }
 
 /// What a service is sent: the document and all that it refers to, named from its directory.
-fn form(run: &Run, source: &Recorded, inputs: &str, key: &str) -> Result<Form, End> {
+fn submission_form(
+    run: &RunArgs,
+    source: &RecordingSource,
+    inputs: &str,
+    key: &str,
+) -> Result<Form, CliError> {
     let (path, fragment) = run.document.split_once('#').unwrap_or((&run.document, ""));
     let dir = path.rfind('/').map_or("", |i| &path[..=i]);
     let mut files = BTreeMap::new();
@@ -407,7 +427,7 @@
                 files.insert(n.to_owned(), text.clone());
             }
             None => {
-                return Err(End::Failed(format!(
+                return Err(CliError::Failed(format!(
                     "{name}: lies outside of the document's directory; pack it"
                 )));
             }
@@ -452,70 +472,73 @@
     })
 }
 
-fn client(to: &To) -> Result<Client, End> {
-    let url = to
-        .to
+fn client(target: &Target) -> Result<Client, CliError> {
+    let url = target
+        .service
         .as_deref()
-        .ok_or_else(|| End::Failed("--to URL or --mesh ADDR is needed".into()))?;
+        .ok_or_else(|| CliError::Failed("--to URL or --mesh ADDR is needed".into()))?;
     let token = std::env::var("HOPYOKE_TOKEN")
-        .map_err(|_| End::Failed("HOPYOKE_TOKEN is not set".into()))?;
-    Ok(Client::new(url, &token, to.patience())?)
+        .map_err(|_| CliError::Failed("HOPYOKE_TOKEN is not set".into()))?;
+    Ok(Client::new(url, &token, target.retry_timeout())?)
 }
 
 /// Whom a run's state is asked of.
-enum Whom {
+enum Backend {
     Service(Client),
     Mesh(Controllers, Micros),
 }
 
 /// A run as both tell of it.
-struct Told {
+struct RunDetails {
     state: State,
     progress: Progress,
     reason: String,
     outputs: Value,
 }
 
-impl Whom {
-    fn of(to: &To) -> Result<Whom, End> {
-        if to.mesh.is_empty() {
-            return Ok(Whom::Service(client(to)?));
+impl Backend {
+    fn for_target(target: &Target) -> Result<Backend, CliError> {
+        if target.mesh.is_empty() {
+            return Ok(Backend::Service(client(target)?));
         }
-        Ok(Whom::Mesh(Controllers::new(to.mesh.clone()), to.patience()))
+        Ok(Backend::Mesh(
+            Controllers::new(target.mesh.clone()),
+            target.retry_timeout(),
+        ))
     }
 
-    async fn state(&self, run: &str) -> Result<(State, Progress), End> {
+    async fn state(&self, run: &str) -> Result<(State, Progress), CliError> {
         match self {
-            Whom::Service(c) => {
+            Backend::Service(c) => {
                 let s = c.status(run).await?;
                 Ok((s.state, s.progress.unwrap_or_default()))
             }
-            Whom::Mesh(c, patience) => {
-                let (info, _) = asked(c, run, 0, *patience).await?;
-                Ok((State::of_run(&info), Progress::of_run(&info)))
+            Backend::Mesh(c, retry_timeout) => {
+                let (info, _) = query_run(c, run, 0, *retry_timeout).await?;
+                Ok((State::from_info(&info), Progress::from_info(&info)))
             }
         }
     }
 
-    async fn whole(&self, run: &str) -> Result<Told, End> {
+    async fn details(&self, run: &str) -> Result<RunDetails, CliError> {
         match self {
-            Whom::Service(c) => {
+            Backend::Service(c) => {
                 let (state, progress) = self.state(run).await?;
                 let log = c.log(run).await?;
                 let reason = log.run_log.system_logs.join("; ");
-                Ok(Told {
+                Ok(RunDetails {
                     state,
                     progress,
                     reason,
                     outputs: log.outputs,
                 })
             }
-            Whom::Mesh(c, patience) => {
-                let (info, outputs) = asked(c, run, 1, *patience).await?;
+            Backend::Mesh(c, retry_timeout) => {
+                let (info, outputs) = query_run(c, run, 1, *retry_timeout).await?;
                 let outputs = serde_json::from_str(&outputs).unwrap_or(Value::Null);
-                Ok(Told {
-                    state: State::of_run(&info),
-                    progress: Progress::of_run(&info),
+                Ok(RunDetails {
+                    state: State::from_info(&info),
+                    progress: Progress::from_info(&info),
                     reason: info.reason,
                     outputs,
                 })
@@ -524,47 +547,47 @@
     }
 }
 
-async fn asked(
+async fn query_run(
     c: &Controllers,
     run: &str,
-    most: u32,
-    patience: Micros,
-) -> Result<(RunInfo, String), End> {
+    limit: u32,
+    retry_timeout: Micros,
+) -> Result<(RunInfo, String), CliError> {
     let id = RunId::parse(run)
-        .ok_or_else(|| End::Failed(format!("{run} is no run's id: twelve digits")))?;
-    let question = RunQuestion {
+        .ok_or_else(|| CliError::Failed(format!("{run} is no run's id: twelve digits")))?;
+    let query = RunQuestion {
         run: id.number(),
         from: 0,
-        limit: most,
+        limit,
     };
-    let mut answer = c
-        .ask(Operation::Get(question), patience)
+    let mut response = c
+        .call(Operation::Get(query), retry_timeout)
         .await
         .map_err(|e| e.to_string())?;
-    let info = answer
+    let info = response
         .runs
         .pop()
-        .ok_or_else(|| End::Failed("an empty answer".into()))?;
-    Ok((info, answer.outputs))
+        .ok_or_else(|| CliError::Failed("an empty answer".into()))?;
+    Ok((info, response.outputs))
 }
 
-struct How {
+struct FollowOptions {
     quiet: bool,
     detach: bool,
 }
 
 /// Waits for a run's end and prints its outputs.
-async fn follow(whom: Whom, run: String, how: How) -> Done {
-    if !how.quiet {
+async fn follow(backend: Backend, run: String, options: FollowOptions) -> CliResult {
+    if !options.quiet {
         eprintln!("run {run}");
     }
-    if how.detach {
+    if options.detach {
         println!("{run}");
         return Ok(());
     }
     let bar = ProgressBar::with_draw_target(
         None,
-        if how.quiet {
+        if options.quiet {
             ProgressDrawTarget::hidden()
         } else {
             ProgressDrawTarget::stderr()
@@ -574,17 +597,17 @@
     {
         bar.set_style(style);
     }
-    let terminal = std::io::IsTerminal::is_terminal(&std::io::stderr());
-    let mut said = (State::Unknown, 0);
+    let is_terminal = std::io::IsTerminal::is_terminal(&std::io::stderr());
+    let mut last_printed = (State::Unknown, 0);
     let mut pause = Micros::from_millis(200);
     loop {
-        let (state, p) = whom.state(&run).await?;
+        let (state, p) = backend.state(&run).await?;
         bar.set_length(u64::from(p.steps));
         bar.set_position(u64::from(p.done));
         bar.set_message(format!("{state:?}, {} in flight", p.in_flight));
-        if !terminal && !how.quiet && said != (state, p.done) {
+        if !is_terminal && !options.quiet && last_printed != (state, p.done) {
             eprintln!("{state:?}: {} of {} steps done", p.done, p.steps);
-            said = (state, p.done);
+            last_printed = (state, p.done);
         }
         if state.is_final() {
             break;
@@ -593,47 +616,47 @@
         pause = Micros((pause.0 * 3 / 2).min(2_000_000));
     }
     bar.finish_and_clear();
-    let told = whom.whole(&run).await?;
-    if told.state == State::Complete {
+    let details = backend.details(&run).await?;
+    if details.state == State::Complete {
         println!(
             "{}",
-            serde_json::to_string_pretty(&told.outputs).map_err(|e| e.to_string())?
+            serde_json::to_string_pretty(&details.outputs).map_err(|e| e.to_string())?
         );
         return Ok(());
     }
-    let reason = if told.reason.is_empty() {
+    let reason = if details.reason.is_empty() {
         String::new()
     } else {
-        format!(": {}", told.reason)
+        format!(": {}", details.reason)
     };
-    Err(End::Failed(format!(
+    Err(CliError::Failed(format!(
         "run {run} ended as {:?}{reason}",
-        told.state
+        details.state
     )))
 }
 
-async fn status(run: String, to: To) -> Done {
-    let told = Whom::of(&to)?.whole(&run).await?;
-    let p = told.progress;
+async fn status(run: String, target: Target) -> CliResult {
+    let details = Backend::for_target(&target)?.details(&run).await?;
+    let p = details.progress;
     println!(
         "{run} {:?}: {} of {} steps done, {} in flight",
-        told.state, p.done, p.steps, p.in_flight
+        details.state, p.done, p.steps, p.in_flight
     );
-    if !told.reason.is_empty() {
-        println!("{}", told.reason);
+    if !details.reason.is_empty() {
+        println!("{}", details.reason);
     }
-    if told.state == State::Complete {
+    if details.state == State::Complete {
         println!(
             "{}",
-            serde_json::to_string_pretty(&told.outputs).map_err(|e| e.to_string())?
+            serde_json::to_string_pretty(&details.outputs).map_err(|e| e.to_string())?
         );
     }
     Ok(())
 }
 
-async fn list(to: To) -> Done {
-    match Whom::of(&to)? {
-        Whom::Service(c) => {
+async fn list(target: Target) -> CliResult {
+    match Backend::for_target(&target)? {
+        Backend::Service(c) => {
             let mut token = String::new();
             loop {
                 let page = c.list(&token).await?;
@@ -651,15 +674,18 @@
                 token = page.next_page_token;
             }
         }
-        Whom::Mesh(c, patience) => {
+        Backend::Mesh(c, retry_timeout) => {
             let mut after = 0;
             loop {
-                let ask = Operation::List(RunList {
+                let operation = Operation::List(RunList {
                     after,
                     limit: 200,
                     owner: String::new(),
                 });
-                let page = c.ask(ask, patience).await.map_err(|e| e.to_string())?;
+                let page = c
+                    .call(operation, retry_timeout)
+                    .await
+                    .map_err(|e| e.to_string())?;
                 for r in &page.runs {
                     let id = RunId::folded(r.run);
                     println!(
@@ -676,16 +702,21 @@
     }
 }
 
-async fn change(run: String, verb: &'static str, to: To, descriptions: Option<PathBuf>) -> Done {
-    let id = match Whom::of(&to)? {
-        Whom::Service(c) => c.change(&run, verb).await?,
-        Whom::Mesh(c, patience) => {
+async fn cancel_or_resume(
+    run: String,
+    action: &'static str,
+    target: Target,
+    descriptions: Option<PathBuf>,
+) -> CliResult {
+    let id = match Backend::for_target(&target)? {
+        Backend::Service(c) => c.change(&run, action).await?,
+        Backend::Mesh(c, retry_timeout) => {
             let old =
                 RunId::parse(&run).ok_or_else(|| format!("{run} is no run's id: twelve digits"))?;
             let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(
                 format!("resume/{old}").as_bytes(),
             ));
-            let ask = match verb {
+            let operation = match action {
                 "cancel" => Operation::Cancel(RunQuestion {
                     run: old.number(),
                     ..RunQuestion::default()
@@ -697,11 +728,13 @@
                 }),
             };
             if let Some(dir) = descriptions {
-                publish::take_over(&dir, old, new)
+                publish::copy_for_resume(&dir, old, new)
                     .map_err(|e| format!("{}: {e}", dir.display()))?;
             }
-            c.ask(ask, patience).await.map_err(|e| e.to_string())?;
-            if verb == "cancel" {
+            c.call(operation, retry_timeout)
+                .await
+                .map_err(|e| e.to_string())?;
+            if action == "cancel" {
                 run
             } else {
                 new.to_string()
@@ -712,34 +745,34 @@
     Ok(())
 }
 
-fn serve(file: &Path, check: bool) -> Done {
+fn serve(file: &Path, check: bool) -> CliResult {
     let config = Config::load(file)?;
     if check {
         println!("{}: no faults", file.display());
         return Ok(());
     }
     hopyoke::log::init().map_err(|e| e.to_string())?;
-    wait(move || async move {
+    block_on(move || async move {
         let listen = config.listen;
         let ready = |addr: SocketAddr| tracing::info!(%addr, "serving");
         Server::new(config)
             .serve(CancellationToken::new(), ready)
             .await
-            .map_err(|e| End::Failed(format!("{listen}: {e}")))
+            .map_err(|e| CliError::Failed(format!("{listen}: {e}")))
     })
 }
 
-fn digest() -> Done {
+fn digest() -> CliResult {
     let mut token = String::new();
     std::io::stdin()
         .read_to_string(&mut token)
         .map_err(|e| e.to_string())?;
     let token = token.trim();
     if token.len() < 16 {
-        return Err(End::Failed(
+        return Err(CliError::Failed(
             "a token must have at least 16 characters".into(),
         ));
     }
-    println!("{}", Access::digest_text(token));
+    println!("{}", Authenticator::token_digest(token));
     Ok(())
 }
--- a/crates/hopyoke-wes/src/publish.rs
+++ b/crates/hopyoke-wes/src/publish.rs
@@ -19,24 +19,24 @@
 ) -> io::Result<()> {
     std::fs::create_dir_all(dir)?;
     for (step, list) in tasks {
-        let text = serde_json::to_vec(list).map_err(io::Error::other)?;
-        put(dir, &job_id(run, *step, 0), &text)?;
+        let contents = serde_json::to_vec(list).map_err(io::Error::other)?;
+        write_atomically(dir, &job_id(run, *step, 0), &contents)?;
     }
     Ok(())
 }
 
-fn put(dir: &Path, job: &JobId, text: &[u8]) -> io::Result<()> {
+fn write_atomically(dir: &Path, job: &JobId, contents: &[u8]) -> io::Result<()> {
     let path = dir.join(format!("{job}.json"));
-    let part = dir.join(format!("{job}.part"));
-    std::fs::write(&part, text)?;
-    std::fs::rename(&part, &path)
+    let temp_path = dir.join(format!("{job}.part"));
+    std::fs::write(&temp_path, contents)?;
+    std::fs::rename(&temp_path, &path)
 }
 
 /// Takes a run's descriptions over for another that goes on from it.
 ///
 /// # Errors
 /// Why a file could not be read or written.
-pub fn take_over(dir: &Path, old: RunId, new: RunId) -> io::Result<()> {
+pub fn copy_for_resume(dir: &Path, old: RunId, new: RunId) -> io::Result<()> {
     let prefix = job_prefix(old);
     for entry in std::fs::read_dir(dir)? {
         let name = entry?.file_name().to_string_lossy().into_owned();
@@ -45,7 +45,7 @@
             .filter(|n| n.starts_with(&prefix))
             .and_then(JobId::parse);
         if let Some((_, step, _)) = job.as_ref().and_then(parts_of) {
-            put(dir, &job_id(new, step, 0), &std::fs::read(dir.join(&name))?)?;
+            write_atomically(dir, &job_id(new, step, 0), &std::fs::read(dir.join(&name))?)?;
         }
     }
     Ok(())
--- a/crates/hopyoke-wes/src/server.rs
+++ b/crates/hopyoke-wes/src/server.rs
@@ -1,14 +1,15 @@
 //! The GA4GH Workflow Execution Service 1.1.
 
-use crate::access::{Access, Denied};
-use crate::calls::{Controllers, Refused};
-use crate::compile::{NotCompiled, Readers, Work};
+use crate::access::{AuthError, Authenticator};
+use crate::calls::{ApiError, Controllers};
+use crate::compile::{CompileError, CompilePool, CompileRequest};
 use crate::config::{Client, Config};
 use crate::publish;
 use crate::upload::{self, Form};
 use crate::wire::{
-    BASE, Log, Organization, Problem, Progress, RunIdAnswer, RunList, RunLog, RunRequest,
-    RunStatus, RunSummary, ServiceInfo, ServiceType, State, TaskList, TaskLog, TypeVersions, time,
+    BASE_PATH, ErrorResponse, Log, Organization, Progress, RunIdResponse, RunList, RunLog,
+    RunRequest, RunStatus, RunSummary, ServiceInfo, ServiceType, State, TaskList, TaskLog,
+    TypeVersions, format_timestamp,
 };
 use hopyoke::peers::client::proto::flow_request::Operation;
 use hopyoke::peers::client::proto::{self, RunInfo, RunQuestion, StepInfo, SubmitRun};
@@ -24,22 +25,22 @@
 use tracing::{info, warn};
 
 /// A submission with all its attachments.
-const MOST_BODY: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 /// How long a client's call may wait for the controllers.
-const PATIENCE: Micros = Micros::from_secs(15);
-const PAGE: u32 = 100;
-const MOST_PAGE: u32 = 200;
+const CONTROLLER_TIMEOUT: Micros = Micros::from_secs(15);
+const DEFAULT_PAGE_SIZE: u32 = 100;
+const MAX_PAGE_SIZE: u32 = 200;
 
 pub struct Server {
     config: Config,
-    access: Access,
+    authenticator: Authenticator,
     controllers: Controllers,
-    readers: Readers,
+    compile_pool: CompilePool,
 }
 
-type Answer = Result<Response, Refused>;
+type HandlerResult = Result<Response, ApiError>;
 
-fn json<T: Serialize>(status: u16, body: &T) -> Response {
+fn json_response<T: Serialize>(status: u16, body: &T) -> Response {
     Response::with_body(
         status,
         "application/json",
@@ -47,11 +48,11 @@
     )
 }
 
-fn refused(r: &Refused) -> Response {
-    let response = json(
+fn error_response(r: &ApiError) -> Response {
+    let response = json_response(
         r.status,
-        &Problem {
-            msg: r.error.clone(),
+        &ErrorResponse {
+            msg: r.message.clone(),
             status_code: r.status,
         },
     );
@@ -61,34 +62,37 @@
     }
 }
 
-fn refuse<T>(status: u16, why: impl Into<String>) -> Result<T, Refused> {
-    Err(Refused::new(status, why))
+fn reject<T>(status: u16, message: impl Into<String>) -> Result<T, ApiError> {
+    Err(ApiError::new(status, message))
 }
 
 /// A path's part after the base, and its query.
-fn target(path: &str) -> Option<(Vec<String>, BTreeMap<String, String>)> {
+fn parse_target(path: &str) -> Option<(Vec<String>, BTreeMap<String, String>)> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
-    let text = |s: &str| {
+    let decode = |s: &str| {
         percent_encoding::percent_decode_str(s)
             .decode_utf8_lossy()
             .into_owned()
     };
-    let rest = path.strip_prefix(BASE)?;
-    let parts = rest
+    let rest = path.strip_prefix(BASE_PATH)?;
+    let segments = rest
         .split('/')
         .filter(|p| !p.is_empty())
-        .map(text)
+        .map(decode)
         .collect();
     let pairs = query.split('&').filter_map(|p| p.split_once('='));
-    Some((parts, pairs.map(|(k, v)| (text(k), text(v))).collect()))
+    Some((
+        segments,
+        pairs.map(|(k, v)| (decode(k), decode(v))).collect(),
+    ))
 }
 
 impl Server {
     pub fn new(config: Config) -> Server {
         Server {
-            access: Access::new(&config.clients),
+            authenticator: Authenticator::new(&config.clients),
             controllers: Controllers::new(config.controllers.clone()),
-            readers: Readers::new(config.readers),
+            compile_pool: CompilePool::new(config.compile_threads),
             config,
         }
     }
@@ -100,21 +104,21 @@
     pub async fn serve(
         self,
         cancel: CancellationToken,
-        ready: impl FnOnce(SocketAddr),
+        on_ready: impl FnOnce(SocketAddr),
     ) -> std::io::Result<()> {
         let listener = TcpListener::bind(self.config.listen)?;
-        ready(listener.local_addr()?);
+        on_ready(listener.local_addr()?);
         let limits = ServerLimits {
-            max_connections: self.config.connections,
-            max_persistent_connections: self.config.connections / 2,
+            max_connections: self.config.max_connections,
+            max_persistent_connections: self.config.max_connections / 2,
             idle_timeout: Micros::from_secs(60),
             request_timeout: Micros::from_secs(20),
-            max_body_bytes: MOST_BODY,
+            max_body_bytes: MAX_BODY_BYTES,
         };
         let server = Rc::new(self);
         let handler = Rc::new(move |request: Request| {
             let server = server.clone();
-            Box::pin(async move { server.answer(request).await }) as _
+            Box::pin(async move { server.handle(request).await }) as _
         });
         http::serve(
             listener,
@@ -127,12 +131,12 @@
         Ok(())
     }
 
-    async fn answer(&self, request: Request) -> Response {
+    async fn handle(&self, request: Request) -> Response {
         let method = request.method;
         let path = request.path.clone();
         let response = match self.route(request).await {
             Ok(r) => r,
-            Err(r) => refused(&r),
+            Err(r) => error_response(&r),
         };
         info!(
             method = method.as_str(),
@@ -143,19 +147,24 @@
         response
     }
 
-    async fn route(&self, request: Request) -> Answer {
-        let Some((parts, query)) = target(&request.path) else {
-            return refuse(404, "no such path");
+    async fn route(&self, request: Request) -> HandlerResult {
+        let Some((segments, query)) = parse_target(&request.path) else {
+            return reject(404, "no such path");
         };
-        let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
-        if let (Method::Get, ["service-info"]) = (request.method, parts.as_slice()) {
-            return Ok(json(200, &self.service_info()));
+        let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
+        if let (Method::Get, ["service-info"]) = (request.method, segments.as_slice()) {
+            return Ok(json_response(200, &self.service_info()));
         }
-        let client = match self.access.client(request.authorization.as_deref()) {
+        let client = match self
+            .authenticator
+            .authenticate(request.authorization.as_deref())
+        {
             Ok(c) => c.clone(),
-            Err(e @ (Denied::NoToken | Denied::Unknown)) => return refuse(401, e.to_string()),
+            Err(e @ (AuthError::MissingToken | AuthError::UnknownToken)) => {
+                return reject(401, e.to_string());
+            }
         };
-        match (request.method, parts.as_slice()) {
+        match (request.method, segments.as_slice()) {
             (Method::Get, ["runs"]) => self.list(&client, &query).await,
             (Method::Post, ["runs"]) => self.submit(&client, request).await,
             (Method::Get, ["runs", run]) => self.log(&client, run).await,
@@ -165,9 +174,9 @@
             (Method::Get, ["runs", run, "tasks"]) => self.tasks(&client, run, &query).await,
             (Method::Get, ["runs", run, "tasks", task]) => self.task(&client, run, task).await,
             (_, ["runs"] | ["runs", _] | ["runs", _, "status" | "cancel" | "resume" | "tasks"]) => {
-                refuse(405, "another method is needed")
+                reject(405, "another method is needed")
             }
-            _ => refuse(404, "no such path"),
+            _ => reject(404, "no such path"),
         }
     }
 
@@ -213,41 +222,41 @@
         }
     }
 
-    async fn submit(&self, client: &Client, request: Request) -> Answer {
-        let form = match upload::read(request.content_type.as_deref(), request.body).await {
+    async fn submit(&self, client: &Client, request: Request) -> HandlerResult {
+        let form = match upload::parse(request.content_type.as_deref(), request.body).await {
             Ok(f) => f,
-            Err(e) => return refuse(400, e),
+            Err(e) => return reject(400, e),
         };
         let Form { fields, files } = form;
         let field = |name: &str| fields.get(name).map(String::as_str);
         match (field("workflow_type"), field("workflow_type_version")) {
             (Some("CWL"), Some("v1.2")) => {}
             (Some("CWL"), Some(v)) => {
-                return refuse(400, format!("workflow_type_version: '{v}' is not v1.2"));
+                return reject(400, format!("workflow_type_version: '{v}' is not v1.2"));
             }
             (Some(t), _) if t != "CWL" => {
-                return refuse(400, format!("workflow_type: '{t}' is not CWL"));
+                return reject(400, format!("workflow_type: '{t}' is not CWL"));
             }
             _ => {
-                return refuse(
+                return reject(
                     400,
                     "workflow_type and workflow_type_version are needed: CWL and v1.2",
                 );
             }
         }
         let Some(url) = field("workflow_url").filter(|u| !u.is_empty()) else {
-            return refuse(400, "workflow_url is needed: the name of an attachment");
+            return reject(400, "workflow_url is needed: the name of an attachment");
         };
         let tags: BTreeMap<String, String> =
             match serde_json::from_str(field("tags").unwrap_or("{}")) {
                 Ok(t) => t,
-                Err(e) => return refuse(400, format!("tags: a map of texts is needed: {e}")),
+                Err(e) => return reject(400, format!("tags: a map of texts is needed: {e}")),
             };
         let params: BTreeMap<String, Value> =
             match serde_json::from_str(field("workflow_engine_parameters").unwrap_or("{}")) {
                 Ok(p) => p,
                 Err(e) => {
-                    return refuse(
+                    return reject(
                         400,
                         format!("workflow_engine_parameters: a map is needed: {e}"),
                     );
@@ -258,18 +267,18 @@
             .keys()
             .find(|k| !matches!(k.as_str(), "team" | "class" | "on_error" | "key"))
         {
-            return refuse(
+            return reject(
                 400,
                 format!(
                     "workflow_engine_parameters: unknown '{k}'; team, class, on_error and key are known"
                 ),
             );
         }
-        let keep_on = match param("on_error").as_deref() {
+        let continue_on_error = match param("on_error").as_deref() {
             None | Some("stop") => false,
             Some("continue") => true,
             Some(other) => {
-                return refuse(
+                return reject(
                     400,
                     format!("on_error: '{other}' is neither stop nor continue"),
                 );
@@ -283,24 +292,24 @@
             }
             None => RunId::folded(rand::random()),
         };
-        let work = Work {
+        let compile_request = CompileRequest {
             run,
             document: url.to_owned(),
             inputs: field("workflow_params").unwrap_or("{}").to_owned(),
             team: param("team"),
             fallback_team: client.teams.first().cloned(),
             class: param("class"),
-            image: self.config.image.clone(),
+            image: self.config.default_image.clone(),
         };
-        let compiled = match self.readers.compile(files, work).await {
+        let compiled = match self.compile_pool.compile(files, compile_request).await {
             Ok(c) => c,
-            Err(e @ (NotCompiled::Busy | NotCompiled::TooLong)) => {
-                return refuse(503, e.to_string());
+            Err(e @ (CompileError::Busy | CompileError::Timeout)) => {
+                return reject(503, e.to_string());
             }
-            Err(NotCompiled::Faults(f)) => return refuse(400, f.to_string()),
+            Err(CompileError::Invalid(f)) => return reject(400, f.to_string()),
         };
         if !client.teams.contains(&compiled.team) {
-            return refuse(
+            return reject(
                 403,
                 format!(
                     "client {} may not submit for team {}",
@@ -308,83 +317,83 @@
                 ),
             );
         }
-        if let Some(dir) = &self.config.descriptions
+        if let Some(dir) = &self.config.descriptions_dir
             && let Err(e) = publish::publish(dir, run, &compiled.tasks)
         {
             warn!(error = %e, "descriptions not written");
-            return refuse(503, "the tasks' descriptions can't be written now");
+            return reject(503, "the tasks' descriptions can't be written now");
         }
-        let ask = Operation::Submit(SubmitRun {
+        let operation = Operation::Submit(SubmitRun {
             run: run.number(),
             name: url.to_owned(),
             team: compiled.team,
             owner: client.name.clone(),
-            continue_on_error: keep_on,
+            continue_on_error,
             tags: tags.into_iter().collect(),
             plan: compiled.plan,
         });
-        self.controllers.ask(ask, PATIENCE).await?;
-        Ok(json(
+        self.controllers.call(operation, CONTROLLER_TIMEOUT).await?;
+        Ok(json_response(
             200,
-            &RunIdAnswer {
+            &RunIdResponse {
                 run_id: run.to_string(),
             },
         ))
     }
 
     /// A run of this client's; of others it is not told whether they exist.
-    async fn run(
+    async fn find_run(
         &self,
         client: &Client,
         run: &str,
         from: u32,
-        most: u32,
-    ) -> Result<(RunId, RunInfo, proto::FlowResponse), Refused> {
+        limit: u32,
+    ) -> Result<(RunId, RunInfo, proto::FlowResponse), ApiError> {
         let Some(id) = RunId::parse(run).filter(|r| r.number() > 0) else {
-            return refuse(404, "no such run");
+            return reject(404, "no such run");
         };
-        let question = RunQuestion {
+        let query = RunQuestion {
             run: id.number(),
             from,
-            limit: most,
+            limit,
         };
-        let mut answer = self
+        let mut response = self
             .controllers
-            .ask(Operation::Get(question), PATIENCE)
+            .call(Operation::Get(query), CONTROLLER_TIMEOUT)
             .await?;
-        match answer.runs.pop() {
-            Some(info) if info.owner == client.name => Ok((id, info, answer)),
-            _ => refuse(404, "no such run"),
+        match response.runs.pop() {
+            Some(info) if info.owner == client.name => Ok((id, info, response)),
+            _ => reject(404, "no such run"),
         }
     }
 
-    async fn status(&self, client: &Client, run: &str) -> Answer {
-        let (id, info, _) = self.run(client, run, 0, 0).await?;
-        let progress = Some(Progress::of_run(&info));
-        Ok(json(
+    async fn status(&self, client: &Client, run: &str) -> HandlerResult {
+        let (id, info, _) = self.find_run(client, run, 0, 0).await?;
+        let progress = Some(Progress::from_info(&info));
+        Ok(json_response(
             200,
             &RunStatus {
                 run_id: id.to_string(),
-                state: State::of_run(&info),
+                state: State::from_info(&info),
                 progress,
             },
         ))
     }
 
-    async fn log(&self, client: &Client, run: &str) -> Answer {
-        let (id, info, answer) = self.run(client, run, 0, 1).await?;
-        let outputs = serde_json::from_str(&answer.outputs)
+    async fn log(&self, client: &Client, run: &str) -> HandlerResult {
+        let (id, info, response) = self.find_run(client, run, 0, 1).await?;
+        let outputs = serde_json::from_str(&response.outputs)
             .unwrap_or_else(|_| Value::Object(Default::default()));
         let system_logs = if info.reason.is_empty() {
             Vec::new()
         } else {
             vec![info.reason.clone()]
         };
-        Ok(json(
+        Ok(json_response(
             200,
             &RunLog {
                 run_id: id.to_string(),
-                state: State::of_run(&info),
+                state: State::from_info(&info),
                 request: RunRequest {
                     workflow_type: "CWL".into(),
                     workflow_type_version: "v1.2".into(),
@@ -394,89 +403,89 @@
                 },
                 run_log: Log {
                     name: info.name.clone(),
-                    start_time: time(info.submitted_us),
-                    end_time: time(info.ended_us),
+                    start_time: format_timestamp(info.submitted_us),
+                    end_time: format_timestamp(info.ended_us),
                     system_logs,
                     ..Log::default()
                 },
-                task_logs_url: format!("{BASE}/runs/{id}/tasks"),
+                task_logs_url: format!("{BASE_PATH}/runs/{id}/tasks"),
                 outputs,
             },
         ))
     }
 
-    async fn cancel(&self, client: &Client, run: &str) -> Answer {
-        let (id, _, _) = self.run(client, run, 0, 0).await?;
-        let question = RunQuestion {
+    async fn cancel(&self, client: &Client, run: &str) -> HandlerResult {
+        let (id, _, _) = self.find_run(client, run, 0, 0).await?;
+        let query = RunQuestion {
             run: id.number(),
             ..RunQuestion::default()
         };
         self.controllers
-            .ask(Operation::Cancel(question), PATIENCE)
+            .call(Operation::Cancel(query), CONTROLLER_TIMEOUT)
             .await?;
-        Ok(json(
+        Ok(json_response(
             200,
-            &RunIdAnswer {
+            &RunIdResponse {
                 run_id: id.to_string(),
             },
         ))
     }
 
     /// Beyond the published paths: a new run goes on from what a failed one had done.
-    async fn resume(&self, client: &Client, run: &str) -> Answer {
-        let (old, _, _) = self.run(client, run, 0, 0).await?;
+    async fn resume(&self, client: &Client, run: &str) -> HandlerResult {
+        let (old, _, _) = self.find_run(client, run, 0, 0).await?;
         // The same run however often it is asked.
         let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(
             format!("{}/resume/{old}", client.name).as_bytes(),
         ));
-        if let Some(dir) = &self.config.descriptions
-            && let Err(e) = publish::take_over(dir, old, new)
+        if let Some(dir) = &self.config.descriptions_dir
+            && let Err(e) = publish::copy_for_resume(dir, old, new)
         {
             warn!(error = %e, "descriptions not taken over");
-            return refuse(503, "the tasks' descriptions can't be written now");
+            return reject(503, "the tasks' descriptions can't be written now");
         }
-        let ask = proto::ResumeRun {
+        let resume = proto::ResumeRun {
             run: old.number(),
             new_run: new.number(),
             owner: client.name.clone(),
         };
         self.controllers
-            .ask(Operation::Resume(ask), PATIENCE)
+            .call(Operation::Resume(resume), CONTROLLER_TIMEOUT)
             .await?;
-        Ok(json(
+        Ok(json_response(
             200,
-            &RunIdAnswer {
+            &RunIdResponse {
                 run_id: new.to_string(),
             },
         ))
     }
 
-    async fn list(&self, client: &Client, query: &BTreeMap<String, String>) -> Answer {
-        let (most, after) = page(query)?;
-        let ask = Operation::List(proto::RunList {
+    async fn list(&self, client: &Client, query: &BTreeMap<String, String>) -> HandlerResult {
+        let (limit, after) = parse_page(query)?;
+        let operation = Operation::List(proto::RunList {
             after,
-            limit: most,
+            limit,
             owner: client.name.clone(),
         });
-        let answer = self.controllers.ask(ask, PATIENCE).await?;
-        let last = answer.runs.last().map_or(after, |r| r.run);
-        let runs = answer
+        let response = self.controllers.call(operation, CONTROLLER_TIMEOUT).await?;
+        let last = response.runs.last().map_or(after, |r| r.run);
+        let runs = response
             .runs
             .iter()
             .map(|info| RunSummary {
                 run_id: RunId::folded(info.run).to_string(),
-                state: State::of_run(info),
-                start_time: time(info.submitted_us),
-                end_time: time(info.ended_us),
+                state: State::from_info(info),
+                start_time: format_timestamp(info.submitted_us),
+                end_time: format_timestamp(info.ended_us),
                 tags: info.tags.clone().into_iter().collect(),
             })
             .collect();
-        let next_page_token = if answer.more {
+        let next_page_token = if response.more {
             last.to_string()
         } else {
             String::new()
         };
-        Ok(json(
+        Ok(json_response(
             200,
             &RunList {
                 runs,
@@ -485,18 +494,23 @@
         ))
     }
 
-    async fn tasks(&self, client: &Client, run: &str, query: &BTreeMap<String, String>) -> Answer {
-        let (most, from) = page(query)?;
+    async fn tasks(
+        &self,
+        client: &Client,
+        run: &str,
+        query: &BTreeMap<String, String>,
+    ) -> HandlerResult {
+        let (limit, from) = parse_page(query)?;
         let from = u32::try_from(from).unwrap_or(u32::MAX);
-        let (_, _, answer) = self.run(client, run, from, most).await?;
-        let next = from.saturating_add(answer.steps.len() as u32);
-        let task_logs = answer.steps.iter().map(task_log).collect();
-        let next_page_token = if answer.more {
+        let (_, _, response) = self.find_run(client, run, from, limit).await?;
+        let next = from.saturating_add(response.steps.len() as u32);
+        let task_logs = response.steps.iter().map(task_log).collect();
+        let next_page_token = if response.more {
             next.to_string()
         } else {
             String::new()
         };
-        Ok(json(
+        Ok(json_response(
             200,
             &TaskList {
                 task_logs,
@@ -505,18 +519,18 @@
         ))
     }
 
-    async fn task(&self, client: &Client, run: &str, task: &str) -> Answer {
-        let parts = JobId::parse(task)
+    async fn task(&self, client: &Client, run: &str, task: &str) -> HandlerResult {
+        let ids = JobId::parse(task)
             .filter(is_reserved)
             .as_ref()
             .and_then(parts_of);
-        let Some((_, step, _)) = parts.filter(|(r, ..)| r.to_string() == run) else {
-            return refuse(404, "no such task");
+        let Some((_, step, _)) = ids.filter(|(r, ..)| r.to_string() == run) else {
+            return reject(404, "no such task");
         };
-        let (_, _, answer) = self.run(client, run, step.0, 1).await?;
-        match answer.steps.first().filter(|s| s.job == task) {
-            Some(s) => Ok(json(200, &task_log(s))),
-            None => refuse(404, "no such task"),
+        let (_, _, response) = self.find_run(client, run, step.0, 1).await?;
+        match response.steps.first().filter(|s| s.job == task) {
+            Some(s) => Ok(json_response(200, &task_log(s))),
+            None => reject(404, "no such task"),
         }
     }
 }
@@ -537,19 +551,21 @@
 }
 
 /// `page_size` and `page_token`.
-fn page(query: &BTreeMap<String, String>) -> Result<(u32, u64), Refused> {
+fn parse_page(query: &BTreeMap<String, String>) -> Result<(u32, u64), ApiError> {
     let number = |name: &str, default: u64| match query.get(name).filter(|t| !t.is_empty()) {
         None => Ok(default),
         Some(t) => t
             .parse()
-            .map_err(|_| Refused::new(400, format!("{name}: a number is needed"))),
+            .map_err(|_| ApiError::new(400, format!("{name}: a number is needed"))),
     };
-    let most = number("page_size", u64::from(PAGE))?;
-    if most == 0 {
-        return refuse(400, "page_size: must be at least 1");
+    let limit = number("page_size", u64::from(DEFAULT_PAGE_SIZE))?;
+    if limit == 0 {
+        return reject(400, "page_size: must be at least 1");
     }
     Ok((
-        u32::try_from(most).unwrap_or(MOST_PAGE).min(MOST_PAGE),
+        u32::try_from(limit)
+            .unwrap_or(MAX_PAGE_SIZE)
+            .min(MAX_PAGE_SIZE),
         number("page_token", 0)?,
     ))
 }
--- a/crates/hopyoke-wes/src/upload.rs
+++ b/crates/hopyoke-wes/src/upload.rs
@@ -12,13 +12,13 @@
     pub files: BTreeMap<String, String>,
 }
 
-const MOST_PARTS: usize = 300;
+const MAX_PARTS: usize = 300;
 
 /// Reads a form.
 ///
 /// # Errors
 /// What is wrong with it.
-pub async fn read(content_type: Option<&str>, body: Vec<u8>) -> Result<Form, String> {
+pub async fn parse(content_type: Option<&str>, body: Vec<u8>) -> Result<Form, String> {
     let boundary = content_type.and_then(|c| multer::parse_boundary(c).ok());
     let boundary = boundary.ok_or("the body must be multipart/form-data, with its boundary")?;
     let chunks = stream::iter([Ok::<_, Infallible>(bytes::Bytes::from(body))]);
@@ -27,26 +27,26 @@
     let mut count = 0;
     while let Some(part) = parts.next_field().await.map_err(|e| e.to_string())? {
         count += 1;
-        if count > MOST_PARTS {
-            return Err(format!("more than {MOST_PARTS} parts"));
+        if count > MAX_PARTS {
+            return Err(format!("more than {MAX_PARTS} parts"));
         }
         let name = part.name().unwrap_or_default().to_owned();
-        let file = part.file_name().map(str::to_owned);
+        let file_name = part.file_name().map(str::to_owned);
         let text = part
             .text()
             .await
             .map_err(|e| format!("part '{name}': {e}"))?;
-        match (name.as_str(), file) {
-            ("workflow_attachment", Some(file)) => {
-                let plain = !file.is_empty()
-                    && !file.starts_with('/')
-                    && !file.split('/').any(|p| p == "..");
-                if !plain {
+        match (name.as_str(), file_name) {
+            ("workflow_attachment", Some(file_name)) => {
+                let is_safe_path = !file_name.is_empty()
+                    && !file_name.starts_with('/')
+                    && !file_name.split('/').any(|p| p == "..");
+                if !is_safe_path {
                     return Err(format!(
-                        "workflow_attachment '{file}': its name must be a path without '..'"
+                        "workflow_attachment '{file_name}': its name must be a path without '..'"
                     ));
                 }
-                form.files.insert(file, text);
+                form.files.insert(file_name, text);
             }
             ("workflow_attachment", None) => {
                 return Err("a workflow_attachment needs a filename".into());
@@ -60,30 +60,31 @@
 }
 
 /// Writes a form: its content type and body.
-pub fn write(form: &Form) -> (String, Vec<u8>) {
+pub fn encode(form: &Form) -> (String, Vec<u8>) {
     // A boundary that no part can hold but by a chance of one in 2¹²⁸.
     let boundary = format!("hopyoke-{:032x}", rand::random::<u128>());
     let mut out = Vec::new();
-    let quoted = |s: &str| {
+    let escape = |s: &str| {
         s.replace('\\', "%5C")
             .replace('"', "%22")
             .replace(['\r', '\n'], "%0A")
     };
-    let mut part = |name: &str, file: Option<&str>, text: &str| {
-        let file = file.map_or(String::new(), |f| format!("; filename=\"{}\"", quoted(f)));
-        let head = format!(
-            "--{boundary}\r\nContent-Disposition: form-data; name=\"{}\"{file}\r\n\r\n",
-            quoted(name)
+    let mut append_part = |name: &str, file_name: Option<&str>, text: &str| {
+        let file_name =
+            file_name.map_or(String::new(), |f| format!("; filename=\"{}\"", escape(f)));
+        let header = format!(
+            "--{boundary}\r\nContent-Disposition: form-data; name=\"{}\"{file_name}\r\n\r\n",
+            escape(name)
         );
-        out.extend_from_slice(head.as_bytes());
+        out.extend_from_slice(header.as_bytes());
         out.extend_from_slice(text.as_bytes());
         out.extend_from_slice(b"\r\n");
     };
     for (name, text) in &form.fields {
-        part(name, None, text);
+        append_part(name, None, text);
     }
     for (name, text) in &form.files {
-        part("workflow_attachment", Some(name), text);
+        append_part("workflow_attachment", Some(name), text);
     }
     out.extend_from_slice(format!("--{boundary}--\r\n").as_bytes());
     (format!("multipart/form-data; boundary={boundary}"), out)
--- a/crates/hopyoke-wes/src/wire.rs
+++ b/crates/hopyoke-wes/src/wire.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Where the service's paths begin.
-pub const BASE: &str = "/ga4gh/wes/v1";
+pub const BASE_PATH: &str = "/ga4gh/wes/v1";
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
@@ -34,10 +34,10 @@
     }
 
     /// Of a run as the controllers tell of it.
-    pub fn of_run(info: &RunInfo) -> State {
-        let begun = info.done > 0 || info.in_flight > 0 || info.steps == 0;
+    pub fn from_info(info: &RunInfo) -> State {
+        let started = info.done > 0 || info.in_flight > 0 || info.steps == 0;
         match info.state.as_str() {
-            "running" if !begun => State::Queued,
+            "running" if !started => State::Queued,
             "running" | "failing" => State::Running,
             "cancelling" => State::Canceling,
             "done" => State::Complete,
@@ -49,13 +49,13 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Problem {
+pub struct ErrorResponse {
     pub msg: String,
     pub status_code: u16,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct RunIdAnswer {
+pub struct RunIdResponse {
     pub run_id: String,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl Progress {
-    pub fn of_run(info: &RunInfo) -> Progress {
+    pub fn from_info(info: &RunInfo) -> Progress {
         Progress {
             steps: info.steps,
             done: info.done,
@@ -192,7 +192,7 @@
 }
 
 /// A time of day as the service writes it; 0: none.
-pub fn time(us: u64) -> Option<String> {
-    let at = jiff::Timestamp::from_microsecond(i64::try_from(us).ok()?).ok()?;
-    (us > 0).then(|| at.to_string())
+pub fn format_timestamp(us: u64) -> Option<String> {
+    let timestamp = jiff::Timestamp::from_microsecond(i64::try_from(us).ok()?).ok()?;
+    (us > 0).then(|| timestamp.to_string())
 }
--- a/crates/hopyoke-wes/tests/loopback.rs
+++ b/crates/hopyoke-wes/tests/loopback.rs
@@ -6,10 +6,10 @@
 use hopyoke_event_loop::http::{Client as Http, Method, Response};
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros};
-use hopyoke_wes::access::Access;
+use hopyoke_wes::access::Authenticator;
 use hopyoke_wes::client::Client;
 use hopyoke_wes::upload::Form;
-use hopyoke_wes::wire::{BASE, RunList, State};
+use hopyoke_wes::wire::{BASE_PATH, RunList, State};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 
 /// The programs are beside the test's own directory.
-fn program(name: &str) -> PathBuf {
+fn binary_path(name: &str) -> PathBuf {
     let test = std::env::current_exe().expect("a path");
     let dir = test
         .parent()
@@ -34,14 +34,14 @@
     path
 }
 
-fn dir(name: &str) -> PathBuf {
+fn temp_dir(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).expect("a directory");
     dir
 }
 
-fn on_runtime<F: Future<Output = ()> + 'static>(test: F) {
+fn run_on_event_loop<F: Future<Output = ()> + 'static>(test: F) {
     let done = Rc::new(RefCell::new(false));
     let flag = done.clone();
     runtime::run(async move {
@@ -67,26 +67,30 @@
 }
 
 const TOKEN: &str = "a token of the ledger";
-const OTHER: &str = "a token of another one";
+const OTHER_TOKEN: &str = "a token of another one";
 
-fn service(site: &Cluster) -> Service {
-    let held = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = held.local_addr().expect("its address");
-    drop(held);
-    let mesh: Vec<String> = site.mesh_addrs.iter().map(|m| format!("\"{m}\"")).collect();
+fn start_service(cluster: &Cluster) -> Service {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let addr = listener.local_addr().expect("its address");
+    drop(listener);
+    let mesh: Vec<String> = cluster
+        .mesh_addrs
+        .iter()
+        .map(|m| format!("\"{m}\""))
+        .collect();
     let text = format!(
         "listen = \"{addr}\"\ncontrollers = [{}]\ndescriptions = {:?}\n\
          [[client]]\nname = \"ledger\"\ntoken_sha256 = \"{}\"\nteams = [\"crew\"]\n\
          [[client]]\nname = \"another\"\ntoken_sha256 = \"{}\"\nteams = [\"other\"]\n",
         mesh.join(", "),
-        site.config.dir.join("descriptions"),
-        Access::digest_text(TOKEN),
-        Access::digest_text(OTHER),
+        cluster.config.dir.join("descriptions"),
+        Authenticator::token_digest(TOKEN),
+        Authenticator::token_digest(OTHER_TOKEN),
     );
-    let file = site.config.dir.join("wes.toml");
+    let file = cluster.config.dir.join("wes.toml");
     std::fs::write(&file, text).expect("a file");
-    let log = std::fs::File::create(site.config.dir.join("wes.log")).expect("a log");
-    let child = Command::new(program("hopyoke-cwl"))
+    let log = std::fs::File::create(cluster.config.dir.join("wes.log")).expect("a log");
+    let child = Command::new(binary_path("hopyoke-cwl"))
         .args(["serve", "--config"])
         .arg(&file)
         .stdin(Stdio::null())
@@ -120,7 +124,7 @@
 }
 
 /// split, then a fan-out, then merge.
-fn ledger() -> String {
+fn ledger_workflow() -> String {
     format!(
         "cwlVersion: v1.2\nclass: Workflow\nrequirements: {{ScatterFeatureRequirement: {{}}}}\n\
          inputs: {{book: File, pages: \"int[]\"}}\noutputs: {{sum: {{type: File, outputSource: merge/out}}}}\nsteps:\n\
@@ -136,8 +140,8 @@
 }
 
 /// What started, in its order, without job ids.
-fn started(site: &Cluster) -> Vec<(String, u32, String, String)> {
-    let task_starts = site.fleet.task_starts.borrow();
+fn task_starts(cluster: &Cluster) -> Vec<(String, u32, String, String)> {
+    let task_starts = cluster.fleet.task_starts.borrow();
     task_starts
         .iter()
         .map(|s| {
@@ -159,8 +163,8 @@
 }
 
 /// Submits a job natively and waits for its end.
-async fn native(site: &Cluster, spec: &JobSpec) {
-    let client = Http::new(site.api_addrs[0]);
+async fn run_native_job(cluster: &Cluster, spec: &JobSpec) {
+    let client = Http::new(cluster.api_addrs[0]);
     let body = hopyoke_protocol::encode(spec);
     loop {
         if post(&client, "/api/jobs", &body)
@@ -187,8 +191,8 @@
 }
 
 /// The command line's run, on a thread, so that the site goes on.
-async fn command(args: Vec<String>, token: &str) -> (i32, String, String) {
-    let mut child = Command::new(program("hopyoke"))
+async fn run_cwl_command(args: Vec<String>, token: &str) -> (i32, String, String) {
+    let mut child = Command::new(binary_path("hopyoke"))
         .arg("cwl")
         .args(&args)
         .env("HOPYOKE_TOKEN", token)
@@ -216,7 +220,7 @@
     }
 }
 
-fn write(dir: &Path, name: &str, text: &str) -> String {
+fn write_file(dir: &Path, name: &str, text: &str) -> String {
     let path = dir.join(name);
     std::fs::write(&path, text).expect("a file");
     path.to_string_lossy().into_owned()
@@ -224,18 +228,18 @@
 
 /// The same work natively and as CWL: placement, order and final states are the same.
 #[test]
-fn native_and_cwl_are_the_same() {
-    let site = |name: &str| ClusterConfig {
+fn native_and_cwl_runs_are_equivalent() {
+    let config = |name: &str| ClusterConfig {
         controllers: 1,
         max_machines: 1,
         policy: "flows = true\nkeep_ready = 0\nidle_return = 30s\n".into(),
-        ..ClusterConfig::new(&program("hopyoke"), &dir(name))
+        ..ClusterConfig::new(&binary_path("hopyoke"), &temp_dir(name))
     };
-    let (a, b) = (site("same-native"), site("same-cwl"));
-    let natively = Rc::new(RefCell::new(Vec::new()));
-    let out = natively.clone();
-    on_runtime(async move {
-        let site = Cluster::start(a).expect("a site");
+    let (a, b) = (config("same-native"), config("same-cwl"));
+    let native_starts = Rc::new(RefCell::new(Vec::new()));
+    let out = native_starts.clone();
+    run_on_event_loop(async move {
+        let cluster = Cluster::start(a).expect("a site");
         for (i, (class, tasks, s)) in [
             ("split", 1, 0.3),
             ("check", 1, 0.3),
@@ -245,40 +249,40 @@
         .iter()
         .enumerate()
         {
-            native(
-                &site,
+            run_native_job(
+                &cluster,
                 &spec(&format!("req-{}", 1000 + i), class, *tasks, *s),
             )
             .await;
         }
-        assert!(site.fleet.violations.borrow().is_empty());
-        *out.borrow_mut() = started(&site);
+        assert!(cluster.fleet.violations.borrow().is_empty());
+        *out.borrow_mut() = task_starts(&cluster);
     });
-    let as_cwl = Rc::new(RefCell::new(Vec::new()));
-    let out = as_cwl.clone();
-    on_runtime(async move {
-        let site = Cluster::start(b).expect("a site");
-        let service = service(&site);
-        let main = write(&site.config.dir, "ledger.cwl", &ledger());
+    let cwl_starts = Rc::new(RefCell::new(Vec::new()));
+    let out = cwl_starts.clone();
+    run_on_event_loop(async move {
+        let cluster = Cluster::start(b).expect("a site");
+        let service = start_service(&cluster);
+        let main = write_file(&cluster.config.dir, "ledger.cwl", &ledger_workflow());
         let pages: Vec<u32> = (0..12).collect();
         let inputs = json!({ "book": { "class": "File", "location": "book.csv" }, "pages": pages })
             .to_string();
-        let inputs = write(&site.config.dir, "inputs.json", &inputs);
+        let inputs = write_file(&cluster.config.dir, "inputs.json", &inputs);
         let args = ["run", &main, &inputs, "--to", &service.url].map(str::to_owned);
-        let (code, stdout, stderr) = command(args.to_vec(), TOKEN).await;
+        let (code, stdout, stderr) = run_cwl_command(args.to_vec(), TOKEN).await;
         assert_eq!(code, 0, "{stderr}");
         let outputs: Value = serde_json::from_str(&stdout).expect("JSON on standard output");
         assert_eq!(outputs["sum"]["class"], "File", "{stdout}");
         // Every job that it was has ended as done, and has a description for its worker.
-        let ends = site.store.keys("end/req-9");
+        let ends = cluster.store.keys("end/req-9");
         assert_eq!(ends.len(), 4);
         for key in &ends {
             assert_eq!(
-                site.store.get(key).expect("a record")["state"],
+                cluster.store.get(key).expect("a record")["state"],
                 "done",
                 "{key}"
             );
-            let file = site
+            let file = cluster
                 .config
                 .dir
                 .join("descriptions")
@@ -287,26 +291,26 @@
                 serde_json::from_slice(&std::fs::read(file).expect("a description")).expect("JSON");
             assert!(list.as_array().is_some_and(|l| !l.is_empty()));
         }
-        assert!(site.fleet.violations.borrow().is_empty());
-        *out.borrow_mut() = started(&site);
+        assert!(cluster.fleet.violations.borrow().is_empty());
+        *out.borrow_mut() = task_starts(&cluster);
     });
-    assert_eq!(natively.borrow().len(), 15);
-    assert_eq!(*natively.borrow(), *as_cwl.borrow());
+    assert_eq!(native_starts.borrow().len(), 15);
+    assert_eq!(*native_starts.borrow(), *cwl_starts.borrow());
 }
 
 /// All controllers end while runs are under way: nothing is lost, nothing runs twice. Then a run is
 /// cancelled halfway, and one fails and is resumed.
 #[test]
-fn runs_outlive_controllers() {
-    let plan = ClusterConfig {
+fn runs_survive_controller_restarts() {
+    let config = ClusterConfig {
         max_machines: 6,
         policy: "flows = true\njob_backoff = 1s\nstep_patience = 1\nsuspect_after = 2\nmachine_pause = 1s\n"
             .into(),
-        ..ClusterConfig::new(&program("hopyoke"), &dir("outlive"))
+        ..ClusterConfig::new(&binary_path("hopyoke"), &temp_dir("outlive"))
     };
-    on_runtime(async move {
-        let mut site = Cluster::start(plan).expect("a site");
-        let service = service(&site);
+    run_on_event_loop(async move {
+        let mut cluster = Cluster::start(config).expect("a site");
+        let service = start_service(&cluster);
         let client = Client::new(&service.url, TOKEN, Micros::from_secs(60)).expect("an address");
         let form = |text: &str, inputs: Value, key: &str| Form {
             fields: [
@@ -331,24 +335,28 @@
         for k in 0..4 {
             runs.push(
                 client
-                    .submit(&form(&ledger(), inputs.clone(), &format!("run {k}")))
+                    .submit(&form(
+                        &ledger_workflow(),
+                        inputs.clone(),
+                        &format!("run {k}"),
+                    ))
                     .await
                     .expect("accepted"),
             );
         }
         // Asked again, it is the same run.
-        let again = client
-            .submit(&form(&ledger(), inputs.clone(), "run 0"))
+        let repeated = client
+            .submit(&form(&ledger_workflow(), inputs.clone(), "run 0"))
             .await
             .expect("accepted");
-        assert_eq!(again, runs[0]);
+        assert_eq!(repeated, runs[0]);
         runtime::sleep(Micros::from_secs(2)).await;
         for i in 0..3 {
-            site.kill_controller(i);
+            cluster.kill_controller(i);
         }
         runtime::sleep(Micros::from_millis(700)).await;
         for i in 0..3 {
-            site.start_controller(i).expect("a controller");
+            cluster.start_controller(i).expect("a controller");
         }
         for run in &runs {
             let end = runtime::now() + Micros::from_secs(60);
@@ -363,21 +371,21 @@
                 "run {run}"
             );
         }
-        assert_eq!(site.store.keys("end/req-9").len(), 16);
-        assert_eq!(*site.fleet.violations.borrow(), Vec::<String>::new());
+        assert_eq!(cluster.store.keys("end/req-9").len(), 16);
+        assert_eq!(*cluster.fleet.violations.borrow(), Vec::<String>::new());
         assert!(
-            site.store.keys("flow/").is_empty(),
+            cluster.store.keys("flow/").is_empty(),
             "{:?}",
-            site.store.keys("flow/")
+            cluster.store.keys("flow/")
         );
 
         // Cancelled halfway: from the answer on nothing of it is submitted, and all is withdrawn.
-        let slow = ledger().replace("estimate: 0.4", "estimate: 60");
+        let slow = ledger_workflow().replace("estimate: 0.4", "estimate: 60");
         let run = client
             .submit(&form(&slow, inputs.clone(), "slow"))
             .await
             .expect("accepted");
-        let converting = |s: &Cluster| {
+        let is_converting = |s: &Cluster| {
             s.fleet
                 .task_starts
                 .borrow()
@@ -387,26 +395,26 @@
                 > 5
         };
         assert!(
-            site.wait_for(Micros::from_secs(30), converting).await,
+            cluster.wait_for(Micros::from_secs(30), is_converting).await,
             "it does not get on"
         );
         client.change(&run, "cancel").await.expect("cancelled");
         let submitted = |s: &Cluster| {
             s.store.keys("job/req-9").len() + s.store.keys(&format!("end/req-9{run}")).len()
         };
-        let at_cancel = submitted(&site);
-        let over = |s: &Cluster| s.store.get(&format!("flowend/{run}")).is_some();
+        let at_cancel = submitted(&cluster);
+        let has_ended = |s: &Cluster| s.store.get(&format!("flowend/{run}")).is_some();
         assert!(
-            site.wait_for(Micros::from_secs(20), over).await,
+            cluster.wait_for(Micros::from_secs(20), has_ended).await,
             "it is not over"
         );
         assert_eq!(
             client.status(&run).await.expect("a state").state,
             State::Canceled
         );
-        assert_eq!(submitted(&site), at_cancel);
-        assert!(site.store.keys("job/req-9").is_empty());
-        let merged = site
+        assert_eq!(submitted(&cluster), at_cancel);
+        assert!(cluster.store.keys("job/req-9").is_empty());
+        let merged = cluster
             .fleet
             .task_starts
             .borrow()
@@ -415,14 +423,14 @@
         assert!(!merged);
 
         // A step that fails everywhere fails the run; resumed, it goes on from what is done.
-        *site.fleet.failing_class.borrow_mut() = "convert".into();
+        *cluster.fleet.failing_class.borrow_mut() = "convert".into();
         let run = client
-            .submit(&form(&ledger(), inputs.clone(), "fails"))
+            .submit(&form(&ledger_workflow(), inputs.clone(), "fails"))
             .await
             .expect("accepted");
-        let over = |s: &Cluster| s.store.get(&format!("flowend/{run}")).is_some();
+        let has_ended = |s: &Cluster| s.store.get(&format!("flowend/{run}")).is_some();
         assert!(
-            site.wait_for(Micros::from_secs(40), over).await,
+            cluster.wait_for(Micros::from_secs(40), has_ended).await,
             "it is not given up"
         );
         let log = client.log(&run).await.expect("a log");
@@ -432,12 +440,12 @@
             "{:?}",
             log.run_log.system_logs
         );
-        site.fleet.failing_class.borrow_mut().clear();
+        cluster.fleet.failing_class.borrow_mut().clear();
         let resumed = client.change(&run, "resume").await.expect("resumed");
         assert_ne!(resumed, run);
-        let over = |s: &Cluster| s.store.get(&format!("flowend/{resumed}")).is_some();
+        let has_ended = |s: &Cluster| s.store.get(&format!("flowend/{resumed}")).is_some();
         assert!(
-            site.wait_for(Micros::from_secs(40), over).await,
+            cluster.wait_for(Micros::from_secs(40), has_ended).await,
             "it does not get on"
         );
         assert_eq!(
@@ -445,22 +453,22 @@
             State::Complete
         );
         // split and check were done before.
-        assert_eq!(site.store.keys(&format!("end/req-9{resumed}")).len(), 2);
+        assert_eq!(cluster.store.keys(&format!("end/req-9{resumed}")).len(), 2);
         assert_eq!(
             client.status(&run).await.expect("a state").state,
             State::ExecutorError
         );
-        assert_eq!(*site.fleet.violations.borrow(), Vec::<String>::new());
-        listed(&service, &client, &runs).await;
+        assert_eq!(*cluster.fleet.violations.borrow(), Vec::<String>::new());
+        check_lists_and_access(&service, &client, &runs).await;
     });
 }
 
 /// Lists, pages, and who may see what.
-async fn listed(service: &Service, client: &Client, runs: &[String]) {
+async fn check_lists_and_access(service: &Service, client: &Client, runs: &[String]) {
     let http = Http::new(service.addr);
     let get = async |path: &str, token: Option<&str>| {
         let headers = token.map_or(String::new(), |t| format!("Authorization: Bearer {t}\r\n"));
-        let path = format!("{BASE}{path}");
+        let path = format!("{BASE_PATH}{path}");
         http.send_as(
             Method::Get,
             &path,
@@ -499,7 +507,9 @@
     assert_eq!(get("/runs", None).await.status, 401);
     assert_eq!(get("/runs", Some("nobody's")).await.status, 401);
     assert_eq!(
-        get(&format!("/runs/{}", runs[0]), Some(OTHER)).await.status,
+        get(&format!("/runs/{}", runs[0]), Some(OTHER_TOKEN))
+            .await
+            .status,
         404
     );
     assert_eq!(get("/runs/000000000000", Some(TOKEN)).await.status, 404);
@@ -517,7 +527,7 @@
         200
     );
     // Another team's work, and nonsense.
-    let other = Client::new(&service.url, OTHER, Micros::from_secs(60)).expect("an address");
+    let other = Client::new(&service.url, OTHER_TOKEN, Micros::from_secs(60)).expect("an address");
     let form = |text: &str, more: Value| Form {
         fields: BTreeMap::from([
             ("workflow_type".to_owned(), "CWL".to_owned()),
@@ -527,9 +537,10 @@
         ]),
         files: [("main.cwl".to_owned(), text.to_owned())].into(),
     };
-    let one = "cwlVersion: v1.2\nclass: CommandLineTool\nbaseCommand: x\ninputs: {}\noutputs: {}\n";
+    let single_tool =
+        "cwlVersion: v1.2\nclass: CommandLineTool\nbaseCommand: x\ninputs: {}\noutputs: {}\n";
     let denied = other
-        .submit(&form(one, json!({ "team": "crew" })))
+        .submit(&form(single_tool, json!({ "team": "crew" })))
         .await
         .expect_err("another's team");
     assert!(denied.contains("403"), "{denied}");
@@ -542,42 +553,43 @@
         "{wrong}"
     );
     let unknown = other
-        .submit(&form(one, json!({ "colour": "red" })))
+        .submit(&form(single_tool, json!({ "colour": "red" })))
         .await
         .expect_err("an unknown word");
     assert!(unknown.contains("unknown 'colour'"), "{unknown}");
-    let never = one.replace(
+    let too_large = single_tool.replace(
         "inputs",
         "requirements: {ResourceRequirement: {coresMin: 4000}}\ninputs",
     );
-    let never = other
-        .submit(&form(&never, json!({})))
+    let too_large = other
+        .submit(&form(&too_large, json!({})))
         .await
         .expect_err("too large");
     assert!(
-        never.contains("422") && never.contains("fits no allowed machine type"),
-        "{never}"
+        too_large.contains("422") && too_large.contains("fits no allowed machine type"),
+        "{too_large}"
     );
 }
 
 /// The command line by itself: exit codes and what it prints.
 #[test]
 fn command_line() {
-    on_runtime(async {
-        let dir = dir("line");
-        let good = write(&dir, "good.cwl", &ledger());
-        let bad = write(
+    run_on_event_loop(async {
+        let dir = temp_dir("line");
+        let good = write_file(&dir, "good.cwl", &ledger_workflow());
+        let bad = write_file(
             &dir,
             "bad.cwl",
             "cwlVersion: v1.2\nclass: CommandLineTool\nbaseCommand: x\ninputs: {a: nothing}\n",
         );
-        let unsupported = ledger().replace(
+        let unsupported = ledger_workflow().replace(
             "requirements: {ScatterF",
             "requirements: {InplaceUpdateRequirement: {}, ScatterF",
         );
-        let unsupported = write(&dir, "unsupported.cwl", &unsupported);
-        let run =
-            async |args: &[&str]| command(args.iter().map(|a| (*a).to_owned()).collect(), "").await;
+        let unsupported = write_file(&dir, "unsupported.cwl", &unsupported);
+        let run = async |args: &[&str]| {
+            run_cwl_command(args.iter().map(|a| (*a).to_owned()).collect(), "").await
+        };
         let (code, out, _) = run(&["check", &good]).await;
         assert!(code == 0 && out.contains("a sound Workflow"), "{out}");
         let (code, _, err) = run(&["check", &good, &bad]).await;
@@ -597,7 +609,7 @@
         );
         let (code, out, _) = run(&["run", &good, "--print-graph", "--format", "svg"]).await;
         assert!(code == 0 && out.contains("<svg"), "{out}");
-        let inputs = write(
+        let inputs = write_file(
             &dir,
             "in.yml",
             "book: {class: File, path: b.csv}\npages: [1, 2]\n",
