--- a/crates/hopyoke-wes/src/access.rs
+++ b/crates/hopyoke-wes/src/access.rs
@@ -1,4 +1,4 @@
-//! Who a request is from, by its bearer token.
+//! Authenticates clients by bearer token.
 
 use crate::config::Client;
 use sha2::{Digest, Sha256};
@@ -6,26 +6,27 @@
 
 type TokenDigest = [u8; 32];
 
-/// Clients by the digests of their tokens. A look-up compares digests, so its time tells nothing
-/// about a token.
+/// Maps the SHA-256 digests of bearer tokens to clients. Lookups compare digests rather than tokens, so
+/// their timing reveals nothing about a token.
 pub struct Authenticator(BTreeMap<TokenDigest, Client>);
 
-/// Why a request is refused.
+/// The reason why a request is not authenticated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum AuthError {
-    #[error("a bearer token is needed")]
+    #[error("missing bearer token")]
     MissingToken,
-    #[error("the token is not known")]
+    #[error("unknown bearer token")]
     UnknownToken,
 }
 
 impl Authenticator {
+    /// Indexes the clients by token digest, skipping those whose digest is malformed.
     pub fn new(clients: &[Client]) -> Authenticator {
         let entry = |c: &Client| Some((Authenticator::parse_digest(&c.token_sha256)?, c.clone()));
         Authenticator(clients.iter().filter_map(entry).collect())
     }
 
-    /// Reads a digest as the file has it.
+    /// Parses a digest as written in the configuration file; `None` unless it has 64 hexadecimal digits.
     pub fn parse_digest(hex: &str) -> Option<TokenDigest> {
         let mut digest = [0; 32];
         if hex.len() != 64 || !hex.is_ascii() {
@@ -37,7 +38,7 @@
         Some(digest)
     }
 
-    /// A token's digest as the file has it.
+    /// Returns the SHA-256 digest of a token as written in the configuration file.
     pub fn token_digest(token: &str) -> String {
         Sha256::digest(token.as_bytes())
             .iter()
@@ -45,10 +46,10 @@
             .collect()
     }
 
-    /// The client of an `Authorization` header.
+    /// Returns the client that an `Authorization` header identifies.
     ///
     /// # Errors
-    /// That there is no token, or that nobody has it.
+    /// Returns [`AuthError`] if the header holds no bearer token or the token belongs to no client.
     pub fn authenticate(&self, authorization: Option<&str>) -> Result<&Client, AuthError> {
         let (scheme, token) = authorization
             .and_then(|a| a.split_once(' '))
@@ -66,7 +67,7 @@
     use super::*;
 
     #[test]
-    fn tokens_are_told_apart() {
+    fn clients_are_identified_by_token() {
         let client = Client {
             name: "ledger".into(),
             token_sha256: Authenticator::token_digest("secret"),
--- a/crates/hopyoke-wes/src/calls.rs
+++ b/crates/hopyoke-wes/src/calls.rs
@@ -1,5 +1,5 @@
-//! The controllers, whichever of them answers. Every call here may be repeated: it changes nothing
-//! the second time.
+//! Calls to the controllers over the mesh, with failover. Every operation is idempotent and therefore safe
+//! to retry.
 
 use hopyoke::peers::client::call_flow;
 use hopyoke::peers::client::proto::flow_request::Operation;
@@ -10,23 +10,25 @@
 use std::net::SocketAddr;
 use tracing::debug;
 
+/// Client of a set of controllers, any of which can serve a call.
 pub struct Controllers {
     addrs: Vec<SocketAddr>,
-    /// The one that answered last is asked first.
+    /// Index of the controller that last served a call; the next call tries it first.
     preferred: Cell<usize>,
 }
 
-/// Why there is no answer.
+/// A failed call, with the response that it maps to.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct ApiError {
-    /// As in HTTP.
+    /// HTTP status code.
     pub status: u16,
     pub message: String,
     pub retry_after_s: Option<u32>,
 }
 
 impl ApiError {
+    /// Creates an error; status 503 suggests a retry after one second.
     pub fn new(status: u16, message: impl Into<String>) -> ApiError {
         ApiError {
             status,
@@ -44,17 +46,18 @@
         }
     }
 
-    /// Asks one after the other until one decides, until `patience` has passed.
+    /// Tries each controller in turn, with exponential backoff between rounds, until one completes or
+    /// rejects the operation or `timeout` has passed.
     ///
     /// # Errors
-    /// What the last one said.
+    /// Returns the rejection, or the last error if `timeout` has passed.
     pub async fn call(
         &self,
         operation: Operation,
         timeout: Micros,
     ) -> Result<FlowResponse, ApiError> {
         let deadline = runtime::now() + timeout;
-        let mut last_error = ApiError::new(503, "no controller answers");
+        let mut last_error = ApiError::new(503, "no controller responded");
         let mut backoff = Micros::from_millis(100);
         loop {
             for i in 0..self.addrs.len() {
@@ -81,13 +84,13 @@
                             message: response.error,
                             retry_after_s,
                         };
-                        // Another may take runs, or reach the state service.
+                        // Another controller may accept runs or be able to reach the consensus store.
                         if !matches!(status, 501 | 503) {
                             return Err(last_error);
                         }
                     }
                     Err(e) => {
-                        debug!(%addr, error = %e, "controller not reached");
+                        debug!(%addr, error = %e, "controller unreachable");
                         last_error = ApiError::new(503, format!("{addr}: {e}"));
                     }
                 }
--- a/crates/hopyoke-wes/src/client.rs
+++ b/crates/hopyoke-wes/src/client.rs
@@ -1,4 +1,4 @@
-//! The service from the other side.
+//! Client of the Workflow Execution Service.
 
 use crate::upload::{self, Form};
 use crate::wire::{BASE_PATH, ErrorResponse, RunIdResponse, RunList, RunLog, RunStatus};
@@ -10,24 +10,26 @@
 
 const REQUEST_TIMEOUT: Micros = Micros::from_secs(40);
 
+/// Client of one service, authenticated by a bearer token.
 pub struct Client {
     http: Http,
-    /// Path before the service's own.
+    /// Path prefix of all endpoints, ending in [`BASE_PATH`].
     base_path: String,
     headers: String,
-    /// How long what can be asked again is asked again.
+    /// How long a request is retried.
     retry_timeout: Micros,
 }
 
 impl Client {
-    /// `url`: `http://HOST:PORT`, perhaps with the service's path.
+    /// Creates a client for `url`, which is `http://HOST[:PORT]`, optionally followed by the path of the service.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns a message if the URL is malformed, its host has no IPv4 address or the token contains control
+    /// characters.
     pub fn new(url: &str, token: &str, retry_timeout: Micros) -> Result<Client, String> {
         let rest = url
             .strip_prefix("http://")
-            .ok_or_else(|| format!("{url}: must begin with http://"))?;
+            .ok_or_else(|| format!("{url}: must start with http://"))?;
         let (host, path) = rest.split_once('/').unwrap_or((rest, ""));
         let with_port = if host.contains(':') {
             host.to_owned()
@@ -38,9 +40,9 @@
             .to_socket_addrs()
             .map_err(|e| format!("{host}: {e}"))?
             .find(SocketAddr::is_ipv4)
-            .ok_or_else(|| format!("{host}: no address"))?;
+            .ok_or_else(|| format!("{host}: no IPv4 address"))?;
         if token.chars().any(char::is_control) {
-            return Err("the token holds control characters".into());
+            return Err("the token contains control characters".into());
         }
         let path = format!("/{}", path.trim_matches('/'));
         let base_path = if path.ends_with(BASE_PATH) {
@@ -56,7 +58,7 @@
         })
     }
 
-    /// Sends a request; what can be asked again is.
+    /// Sends a request, retrying connection errors and the statuses 429 and 503 with backoff.
     async fn call<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -74,7 +76,7 @@
             {
                 Ok(r) if r.status < 300 => {
                     return serde_json::from_slice(&r.body)
-                        .map_err(|e| format!("unreadable answer: {e}"));
+                        .map_err(|e| format!("invalid response: {e}"));
                 }
                 Ok(r) if !matches!(r.status, 429 | 503) => return Err(error_text(&r)),
                 Ok(r) => (
@@ -99,10 +101,10 @@
             .await
     }
 
-    /// Submits a run. The form should hold a `key`, so that asking again starts no second one.
+    /// Submits a run and returns its id. The form should contain a `key`, which makes a retry idempotent.
     ///
     /// # Errors
-    /// What the service said.
+    /// Returns the error message of the service or of the connection.
     pub async fn submit(&self, form: &Form) -> Result<String, String> {
         let (content_type, body) = upload::encode(form);
         let response: RunIdResponse = self
@@ -111,28 +113,34 @@
         Ok(response.run_id)
     }
 
+    /// Returns the state and progress of a run.
+    ///
     /// # Errors
-    /// What the service said.
+    /// As [`Client::submit`].
     pub async fn status(&self, run: &str) -> Result<RunStatus, String> {
         self.get(&format!("/runs/{run}/status")).await
     }
 
+    /// Returns the log of a run, including its outputs.
+    ///
     /// # Errors
-    /// What the service said.
+    /// As [`Client::submit`].
     pub async fn log(&self, run: &str) -> Result<RunLog, String> {
         self.get(&format!("/runs/{run}")).await
     }
 
+    /// Returns the page of runs at a page token; an empty token requests the first page.
+    ///
     /// # Errors
-    /// What the service said.
+    /// As [`Client::submit`].
     pub async fn list(&self, token: &str) -> Result<RunList, String> {
         self.get(&format!("/runs?page_token={token}")).await
     }
 
-    /// `verb`: `cancel` or `resume`.
+    /// Applies `action` (`cancel` or `resume`) to a run and returns the id of the cancelled or the new run.
     ///
     /// # Errors
-    /// What the service said.
+    /// As [`Client::submit`].
     pub async fn change(&self, run: &str, action: &str) -> Result<String, String> {
         let path = format!("/runs/{run}/{action}");
         let response: RunIdResponse = self
--- a/crates/hopyoke-wes/src/compile.rs
+++ b/crates/hopyoke-wes/src/compile.rs
@@ -1,4 +1,4 @@
-//! Documents into plans, away from the event loop: a thread for each, a bounded number of them.
+//! Compiles workflow documents into plans outside the event loop, on a bounded number of threads.
 
 use hopyoke_cwl::command::Description;
 use hopyoke_cwl::{Diagnostics, Options, Source, expand, open, yaml};
@@ -8,21 +8,24 @@
 use std::collections::BTreeMap;
 use std::sync::mpsc;
 
-/// What is to be read.
+/// A document to compile, with its inputs and defaults.
 #[derive(Debug, Clone)]
 pub struct CompileRequest {
     pub run: RunId,
-    /// The document, by its name among the files, perhaps with `#id`.
+    /// Name of the document among the files, optionally followed by `#id`.
     pub document: String,
-    /// Its inputs, as YAML or JSON.
+    /// Input values as YAML or JSON.
     pub inputs: String,
+    /// Team that the submission asks for.
     pub team: Option<String>,
+    /// Team of a run for which neither the submission nor the document names one.
     pub fallback_team: Option<String>,
     pub class: Option<String>,
+    /// Image of tools that name none.
     pub image: String,
 }
 
-/// A document that can run.
+/// A compiled workflow.
 #[derive(Debug)]
 pub struct CompiledWorkflow {
     pub plan: Plan,
@@ -31,10 +34,10 @@
     pub warnings: Diagnostics,
 }
 
-/// The same as it leaves the thread that read it.
+/// A compiled workflow with its plan encoded, as the compiling thread returns it.
 #[derive(Debug)]
 pub struct EncodedWorkflow {
-    /// The plan as JSON.
+    /// Plan as JSON.
     pub plan: Vec<u8>,
     pub team: String,
     pub tasks: BTreeMap<StepNo, Vec<Description>>,
@@ -50,10 +53,10 @@
     }
 }
 
-/// Reads, checks and expands.
+/// Parses and checks a document and expands it into a plan.
 ///
 /// # Errors
-/// Every fault.
+/// Returns all diagnostics if any of them is an error.
 pub fn compile(
     source: &dyn Source,
     request: &CompileRequest,
@@ -81,21 +84,21 @@
     }
 }
 
-/// Why there is no plan.
+/// The reason why a document was not compiled.
 #[derive(Debug, thiserror::Error)]
 pub enum CompileError {
-    #[error("too many documents are being read")]
+    #[error("too many documents are being compiled")]
     Busy,
-    #[error("the document took too long to read")]
+    #[error("compiling the document timed out")]
     Timeout,
     #[error("{0}")]
     Invalid(Diagnostics),
 }
 
-/// Longest time that a client waits for a document to be read; expressions have bounds of their own.
+/// Longest time that a client waits for a compilation. Expression evaluation has its own limits.
 const COMPILE_TIMEOUT: Micros = Micros::from_secs(30);
 
-/// Reads documents on threads.
+/// Compiles documents on a bounded number of threads.
 pub struct CompilePool {
     max_threads: usize,
     active: std::sync::Arc<std::sync::atomic::AtomicUsize>,
@@ -109,17 +112,18 @@
         }
     }
 
-    /// Compiles on a thread of its own; the event loop goes on meanwhile.
+    /// Compiles a document on a separate thread without blocking the event loop.
     ///
     /// # Errors
-    /// Faults, or that it can't be done now.
+    /// Returns [`CompileError::Invalid`] for a faulty document, [`CompileError::Busy`] if all threads are in
+    /// use, and [`CompileError::Timeout`] after 30 s.
     pub async fn compile(
         &self,
         files: BTreeMap<String, String>,
         request: CompileRequest,
     ) -> Result<EncodedWorkflow, CompileError> {
         use std::sync::atomic::Ordering;
-        // A thread that was given up on still counts: so there are never more than that.
+        // A thread whose caller has timed out still counts, which bounds the number of running threads.
         if self.active.fetch_add(1, Ordering::SeqCst) >= self.max_threads {
             self.active.fetch_sub(1, Ordering::SeqCst);
             return Err(CompileError::Busy);
--- a/crates/hopyoke-wes/src/config.rs
+++ b/crates/hopyoke-wes/src/config.rs
@@ -1,40 +1,41 @@
-//! The service's own file (TOML): where it listens, whom it asks, and who its clients are.
+//! Configuration of the service, read from a TOML file.
 
 use crate::access::Authenticator;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// See `deploy/wes.toml`.
+/// Settings of the service. `deploy/wes.toml` is an annotated example.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
     pub listen: SocketAddr,
     /// Mesh addresses of controllers.
     pub controllers: Vec<SocketAddr>,
-    /// Where tasks' descriptions are left for workers.
+    /// Directory in which workers find task descriptions. `None`: they are not written.
     #[serde(default, rename = "descriptions")]
     pub descriptions_dir: Option<PathBuf>,
-    /// The image of tools that name none.
+    /// Image of tools that name none.
     #[serde(default = "default_image", rename = "image")]
     pub default_image: String,
-    /// Documents that are read at once.
+    /// Maximum number of documents compiled concurrently.
     #[serde(default = "default_compile_threads", rename = "readers")]
     pub compile_threads: usize,
     #[serde(default = "default_connections", rename = "connections")]
+    /// Maximum number of open client connections.
     pub max_connections: usize,
     #[serde(default, rename = "client")]
     pub clients: Vec<Client>,
 }
 
-/// Who may submit.
+/// A client that may submit runs.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Client {
     pub name: String,
-    /// The token's SHA-256 in hexadecimal digits; the token itself is nowhere.
+    /// SHA-256 digest of the bearer token in hexadecimal. The token itself is not stored.
     pub token_sha256: String,
-    /// Teams that it may submit for; the first is the one of runs that name none.
+    /// Teams for which it may submit; the first is the default.
     pub teams: Vec<String>,
 }
 
@@ -46,42 +47,47 @@
     2
 }
 
-/// Each may hold a submission of 8 MiB before its token is looked at.
+/// Bounds memory use: each connection may buffer a submission of 8 MiB before it is authenticated.
 fn default_connections() -> usize {
     64
 }
 
 impl Config {
-    /// Reads and checks a file.
+    /// Reads and validates a configuration file.
     ///
     /// # Errors
-    /// The place and what is wrong; all faults of values at once.
+    /// Returns a message with the file name and either the syntax error or all invalid values.
     pub fn load(path: &Path) -> Result<Config, String> {
         let name = path.display();
         let text =
-            std::fs::read_to_string(path).map_err(|e| format!("{name}: cannot be read: {e}"))?;
+            std::fs::read_to_string(path).map_err(|e| format!("{name}: cannot read file: {e}"))?;
         Config::parse(&text).map_err(|e| format!("{name}: {e}"))
     }
 
+    /// Parses and validates the text of a configuration file.
+    ///
     /// # Errors
-    /// As [`Config::load`], without the file's name.
+    /// As [`Config::load`], without the file name.
     pub fn parse(text: &str) -> Result<Config, String> {
         let config: Config = toml::from_str(text).map_err(|e| e.to_string())?;
         let mut errors = Vec::new();
         if config.controllers.is_empty() {
-            errors.push("controllers: at least one mesh address is needed".to_owned());
+            errors.push("controllers: at least one mesh address is required".to_owned());
         }
         for (field, value, max) in [
             ("readers", config.compile_threads, 64),
             ("connections", config.max_connections, 10_000),
         ] {
             if value == 0 || value > max {
-                errors.push(format!("{field}: must be 1 to {max}"));
+                errors.push(format!("{field}: must be between 1 and {max}"));
             }
         }
         for c in &config.clients {
             if c.teams.is_empty() {
-                errors.push(format!("client {}: teams: at least one is needed", c.name));
+                errors.push(format!(
+                    "client {}: teams: at least one is required",
+                    c.name
+                ));
             }
             if Authenticator::parse_digest(&c.token_sha256).is_none() {
                 errors.push(format!(
@@ -98,7 +104,7 @@
                 .iter()
                 .any(|d| d.name == c.name || d.token_sha256 == c.token_sha256)
             {
-                errors.push(format!("client {}: name or token stands twice", c.name));
+                errors.push(format!("client {}: duplicate name or token", c.name));
             }
         }
         if errors.is_empty() {
--- a/crates/hopyoke-wes/src/lib.rs
+++ b/crates/hopyoke-wes/src/lib.rs
@@ -1,17 +1,18 @@
-//! Workflow clients of hopyoke: documents become plans here, in a process of their own, and runs
-//! are submitted to the controllers over their mesh.
+//! Workflow service and command line. Workflow documents are compiled into plans in a separate process,
+//! and runs are submitted to the controllers over the mesh.
 //!
-//! - [`server`]: the published GA4GH Workflow Execution Service 1.1, JSON over HTTP.
-//! - [`wire`]: its messages.
-//! - [`access`]: bearer tokens, and the teams that their holders may submit for.
-//! - [`upload`]: forms as `multipart/form-data`, read and written.
-//! - [`compile`]: documents into plans, on threads, bounded in number and time.
-//! - [`calls`]: the controllers, whichever of them answers.
-//! - [`publish`]: tasks' descriptions, where workers find them.
-//! - [`client`]: the same service from the other side, for the command line.
+//! - [`server`]: the GA4GH Workflow Execution Service 1.1, JSON over HTTP.
+//! - [`wire`]: messages of the service.
+//! - [`config`]: configuration file of the service.
+//! - [`access`]: authentication by bearer token.
+//! - [`upload`]: parsing and encoding of `multipart/form-data` submissions.
+//! - [`compile`]: compilation of documents into plans on a bounded number of threads.
+//! - [`calls`]: calls to the controllers, with failover.
+//! - [`publish`]: task descriptions for workers.
+//! - [`client`]: client of the service, for the command line.
 //!
-//! The process keeps nothing: runs live in the controllers' records. It may end at any time, and any
-//! number of them may run side by side.
+//! The service is stateless, as the controllers store all runs. It may be restarted at any time, and several
+//! instances may run in parallel.
 
 pub mod access;
 pub mod calls;
--- a/crates/hopyoke-wes/src/main.rs
+++ b/crates/hopyoke-wes/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: CWL on the command line, and the workflow service.
+//! Command line for CWL workflows, and the workflow service.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use hopyoke::peers::client::proto::flow_request::Operation;
@@ -28,7 +28,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// Workflows in CWL v1.2 on hopyoke.
+/// Run CWL v1.2 workflows on hopyoke.
 #[derive(Parser)]
 #[command(name = "hopyoke cwl", version, arg_required_else_help = true)]
 struct Cli {
@@ -38,19 +38,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check documents and print every fault with file, line and what is asked
+    /// Check documents and print every error with its file, line and the expected value
     Check {
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Run a document: outputs as JSON on standard output, progress on standard error
+    /// Run a document; print outputs as JSON to standard output and progress to standard error
     Run(RunArgs),
     /// List runs
     List {
         #[command(flatten)]
         target: Target,
     },
-    /// Show a run's state, and its outputs once it is done
+    /// Show the state of a run, and its outputs once it is complete
     Status {
         run: String,
         #[command(flatten)]
@@ -62,39 +62,39 @@
         #[command(flatten)]
         target: Target,
     },
-    /// Go on, as a new run, from what a failed or cancelled one had done
+    /// Resume a failed or cancelled run as a new run that skips completed steps
     Resume {
         run: String,
         #[command(flatten)]
         target: Target,
-        /// Where workers find descriptions, if they were left there by this program
+        /// Directory of task descriptions, if the run was submitted with --descriptions
         #[arg(long, value_name = "DIR", requires = "mesh")]
         descriptions: Option<PathBuf>,
     },
     /// Serve the GA4GH Workflow Execution Service
     Serve {
-        /// See deploy/wes.toml
+        /// Configuration file; see deploy/wes.toml
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// Check the file and end
+        /// Check the configuration file and exit
         #[arg(long)]
         check: bool,
     },
-    /// Print the digest of a token, read from standard input, for the service's file
+    /// Read a token from standard input and print its digest for the configuration file
     Digest,
 }
 
-/// Whom to ask.
+/// The service or the controllers to send requests to.
 #[derive(Args, Clone)]
 #[group(id = "whom", multiple = true)]
 struct Target {
-    /// A workflow service, http://HOST:PORT; the token comes from HOPYOKE_TOKEN
+    /// URL of a workflow service, http://HOST:PORT; HOPYOKE_TOKEN holds the bearer token
     #[arg(long = "to", value_name = "URL", conflicts_with = "mesh")]
     service: Option<String>,
-    /// Mesh addresses of controllers, for operators
+    /// Mesh addresses of controllers, for operators without a workflow service
     #[arg(long, value_name = "ADDR", num_args = 1..)]
     mesh: Vec<SocketAddr>,
-    /// Give up asking after so many seconds without an answer
+    /// Seconds for which a request is retried before it fails
     #[arg(long = "patience", value_name = "SECONDS", default_value_t = 60)]
     retry_timeout_s: u64,
 }
@@ -107,42 +107,42 @@
 
 #[derive(Args)]
 struct RunArgs {
-    /// The document, perhaps with #ID
+    /// Document, optionally followed by #ID
     document: String,
-    /// Its inputs (YAML or JSON)
+    /// Input values (YAML or JSON)
     inputs: Option<PathBuf>,
     #[command(flatten)]
     target: Target,
-    /// The team; needed if the document names none
+    /// Team of the run; required if the document names none
     #[arg(long)]
     team: Option<String>,
-    /// The class of its jobs, if the document names none
+    /// Class of the jobs, if the document names none
     #[arg(long)]
     class: Option<String>,
-    /// The image of tools that name none
+    /// Image of tools that name none
     #[arg(long, default_value = "default")]
     image: String,
-    /// What becomes of other steps once one has failed
+    /// Whether other steps continue after a step has failed
     #[arg(long, value_enum, default_value_t = OnError::Stop)]
     on_error: OnError,
-    /// With --mesh: where workers find descriptions
+    /// With --mesh: directory in which workers find task descriptions
     #[arg(long, value_name = "DIR", requires = "mesh")]
     descriptions: Option<PathBuf>,
-    /// A name for this run of your own: asked again with it, nothing runs twice
+    /// Idempotency key: submitting again with the same key starts no second run
     #[arg(long)]
     key: Option<String>,
-    /// Check document and inputs, and end
+    /// Check the document and its inputs, and exit
     #[arg(long)]
     validate: bool,
-    /// Print the workflow's graph, and end
+    /// Print the graph of the workflow, and exit
     #[arg(long)]
     print_graph: bool,
     #[arg(long, value_enum, default_value_t = GraphFormat::Dot, requires = "print_graph")]
     format: GraphFormat,
-    /// Print the tasks that would run as JSON, and end
+    /// Print the plan and its tasks as JSON, and exit
     #[arg(long)]
     print_plan: bool,
-    /// Do not wait for its end
+    /// Print the run id without waiting for the run to end
     #[arg(long)]
     detach: bool,
     #[arg(long, short)]
@@ -161,11 +161,11 @@
     Svg,
 }
 
-/// How the program ends if not well.
+/// A failure, by exit code.
 enum CliError {
     /// Exit code 1.
     Failed(String),
-    /// Exit code 33: the document asks for something that is not supported.
+    /// Exit code 33: the document requires an unsupported feature.
     Unsupported(String),
 }
 
@@ -221,11 +221,11 @@
     for file in files {
         match open(&LocalFiles, &name_of(file)) {
             Ok((process, diagnostics)) if diagnostics.is_empty() => {
-                println!("{}: a sound {}", file.display(), process.class())
+                println!("{}: valid {}", file.display(), process.class())
             }
             Ok((process, diagnostics)) => {
                 println!(
-                    "{diagnostics}\n{}: a sound {}",
+                    "{diagnostics}\n{}: valid {}",
                     file.display(),
                     process.class()
                 )
@@ -241,7 +241,7 @@
     end
 }
 
-/// Runs a future on the event loop to its end.
+/// Runs a future to completion on a new event loop.
 fn block_on<T: 'static, F: Future<Output = Result<T, CliError>> + 'static>(
     make_future: impl FnOnce() -> F + 'static,
 ) -> Result<T, CliError> {
@@ -252,11 +252,14 @@
         *out.borrow_mut() = Some(result);
     })
     .map_err(|e| CliError::Failed(e.to_string()))?;
-    slot.take()
-        .unwrap_or_else(|| Err(CliError::Failed("no answer".into())))
+    slot.take().unwrap_or_else(|| {
+        Err(CliError::Failed(
+            "the event loop stopped before the operation completed".into(),
+        ))
+    })
 }
 
-/// Files, and which of them were read.
+/// Local files, recording the contents of each file that is read.
 struct RecordingSource(RefCell<BTreeMap<String, String>>);
 
 impl Source for RecordingSource {
@@ -296,7 +299,7 @@
         document: run.document.clone(),
         inputs: inputs.clone(),
         team: run.team.clone(),
-        // A service fills in its client's own; here it only has to be a team.
+        // The service substitutes the default team of the client; compiling here only requires some team.
         fallback_team: run
             .target
             .service
@@ -311,7 +314,7 @@
     }
     if run.validate {
         println!(
-            "{}: sound, {} steps",
+            "{}: valid, {} steps",
             run.document,
             compiled.plan.steps.len()
         );
@@ -367,7 +370,7 @@
     })
 }
 
-/// Inputs whose relative files are found from where the inputs' own file is.
+/// Returns the inputs as JSON, with relative file paths resolved against the directory of the inputs file.
 fn resolve_input_paths(text: &str, file: Option<&Path>) -> Result<String, CliError> {
     fn resolve(v: &mut Value, dir: &Path) {
         match v {
@@ -404,11 +407,11 @@
     .map_err(|e| CliError::Failed(e.to_string()))?;
     let mut value = node.to_value();
     resolve(&mut value, &dir);
-    // Indented, so that a fault's line is that of one value.
+    // One value per line, so that the line of a diagnostic identifies the value.
     serde_json::to_string_pretty(&value).map_err(|e| CliError::Failed(e.to_string()))
 }
 
-/// What a service is sent: the document and all that it refers to, named from its directory.
+/// Builds the submission: the document and all files that it references, named relative to its directory.
 fn submission_form(
     run: &RunArgs,
     source: &RecordingSource,
@@ -428,7 +431,7 @@
             }
             None => {
                 return Err(CliError::Failed(format!(
-                    "{name}: lies outside of the document's directory; pack it"
+                    "{name}: outside the directory of the document; pack the document into one file"
                 )));
             }
         }
@@ -476,19 +479,19 @@
     let url = target
         .service
         .as_deref()
-        .ok_or_else(|| CliError::Failed("--to URL or --mesh ADDR is needed".into()))?;
+        .ok_or_else(|| CliError::Failed("--to URL or --mesh ADDR is required".into()))?;
     let token = std::env::var("HOPYOKE_TOKEN")
         .map_err(|_| CliError::Failed("HOPYOKE_TOKEN is not set".into()))?;
     Ok(Client::new(url, &token, target.retry_timeout())?)
 }
 
-/// Whom a run's state is asked of.
+/// The source of run states: a workflow service, or controllers with a retry timeout.
 enum Backend {
     Service(Client),
     Mesh(Controllers, Micros),
 }
 
-/// A run as both tell of it.
+/// State and outputs of a run, common to both backends.
 struct RunDetails {
     state: State,
     progress: Progress,
@@ -553,8 +556,9 @@
     limit: u32,
     retry_timeout: Micros,
 ) -> Result<(RunInfo, String), CliError> {
-    let id = RunId::parse(run)
-        .ok_or_else(|| CliError::Failed(format!("{run} is no run's id: twelve digits")))?;
+    let id = RunId::parse(run).ok_or_else(|| {
+        CliError::Failed(format!("'{run}' is not a run id: expected twelve digits"))
+    })?;
     let query = RunQuestion {
         run: id.number(),
         from: 0,
@@ -567,7 +571,7 @@
     let info = response
         .runs
         .pop()
-        .ok_or_else(|| CliError::Failed("an empty answer".into()))?;
+        .ok_or_else(|| CliError::Failed("empty response from the controllers".into()))?;
     Ok((info, response.outputs))
 }
 
@@ -576,7 +580,7 @@
     detach: bool,
 }
 
-/// Waits for a run's end and prints its outputs.
+/// Reports the progress of a run until it ends and prints its outputs.
 async fn follow(backend: Backend, run: String, options: FollowOptions) -> CliResult {
     if !options.quiet {
         eprintln!("run {run}");
@@ -630,7 +634,7 @@
         format!(": {}", details.reason)
     };
     Err(CliError::Failed(format!(
-        "run {run} ended as {:?}{reason}",
+        "run {run} ended in state {:?}{reason}",
         details.state
     )))
 }
@@ -711,8 +715,8 @@
     let id = match Backend::for_target(&target)? {
         Backend::Service(c) => c.change(&run, action).await?,
         Backend::Mesh(c, retry_timeout) => {
-            let old =
-                RunId::parse(&run).ok_or_else(|| format!("{run} is no run's id: twelve digits"))?;
+            let old = RunId::parse(&run)
+                .ok_or_else(|| format!("'{run}' is not a run id: expected twelve digits"))?;
             let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(
                 format!("resume/{old}").as_bytes(),
             ));
--- a/crates/hopyoke-wes/src/publish.rs
+++ b/crates/hopyoke-wes/src/publish.rs
@@ -1,4 +1,4 @@
-//! Tasks' descriptions, left where workers find them: one file a job, a list by the task's number.
+//! Writes task descriptions for workers: one JSON file per job, holding a list indexed by task.
 
 use hopyoke_cwl::command::Description;
 use hopyoke_types::JobId;
@@ -7,11 +7,12 @@
 use std::io;
 use std::path::Path;
 
-/// Writes the descriptions of a run's tasks. Each file comes to its name whole, and a repeated call
-/// writes the same; to be called before the run is submitted.
+/// Writes the task descriptions of a run. Each file is replaced atomically, and a repeated call writes the
+/// same contents. Must be called before the run is submitted, as workers may read a description as soon as
+/// its job starts.
 ///
 /// # Errors
-/// Why a file could not be written.
+/// Returns the I/O error if the directory or a file cannot be written.
 pub fn publish(
     dir: &Path,
     run: RunId,
@@ -25,6 +26,7 @@
     Ok(())
 }
 
+/// Writes the description file of a job under a temporary name and renames it.
 fn write_atomically(dir: &Path, job: &JobId, contents: &[u8]) -> io::Result<()> {
     let path = dir.join(format!("{job}.json"));
     let temp_path = dir.join(format!("{job}.part"));
@@ -32,10 +34,10 @@
     std::fs::rename(&temp_path, &path)
 }
 
-/// Takes a run's descriptions over for another that goes on from it.
+/// Copies the task descriptions of run `old` for run `new`, which resumes it.
 ///
 /// # Errors
-/// Why a file could not be read or written.
+/// Returns the I/O error if the directory or a file cannot be read or written.
 pub fn copy_for_resume(dir: &Path, old: RunId, new: RunId) -> io::Result<()> {
     let prefix = job_prefix(old);
     for entry in std::fs::read_dir(dir)? {
--- a/crates/hopyoke-wes/src/server.rs
+++ b/crates/hopyoke-wes/src/server.rs
@@ -1,4 +1,4 @@
-//! The GA4GH Workflow Execution Service 1.1.
+//! HTTP server of the GA4GH Workflow Execution Service 1.1.
 
 use crate::access::{AuthError, Authenticator};
 use crate::calls::{ApiError, Controllers};
@@ -24,13 +24,14 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// A submission with all its attachments.
+/// Maximum size of a submission, including all attachments.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// How long a client's call may wait for the controllers.
+/// Longest time that a request waits for the controllers.
 const CONTROLLER_TIMEOUT: Micros = Micros::from_secs(15);
 const DEFAULT_PAGE_SIZE: u32 = 100;
 const MAX_PAGE_SIZE: u32 = 200;
 
+/// Handles the requests of all clients.
 pub struct Server {
     config: Config,
     authenticator: Authenticator,
@@ -66,7 +67,8 @@
     Err(ApiError::new(status, message))
 }
 
-/// A path's part after the base, and its query.
+/// Splits a request target into the decoded path segments after [`BASE_PATH`] and the query parameters.
+/// Returns `None` for any other path.
 fn parse_target(path: &str) -> Option<(Vec<String>, BTreeMap<String, String>)> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let decode = |s: &str| {
@@ -97,10 +99,10 @@
         }
     }
 
-    /// Serves until cancelled; `ready` is told the address.
+    /// Serves requests until cancelled. Calls `on_ready` with the bound address once the socket listens.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// Returns the I/O error if the address cannot be bound.
     pub async fn serve(
         self,
         cancel: CancellationToken,
@@ -142,7 +144,7 @@
             method = method.as_str(),
             path,
             status = response.status,
-            "answered"
+            "request handled"
         );
         response
     }
@@ -174,7 +176,7 @@
             (Method::Get, ["runs", run, "tasks"]) => self.tasks(&client, run, &query).await,
             (Method::Get, ["runs", run, "tasks", task]) => self.task(&client, run, task).await,
             (_, ["runs"] | ["runs", _] | ["runs", _, "status" | "cancel" | "resume" | "tasks"]) => {
-                reject(405, "another method is needed")
+                reject(405, "method not allowed")
             }
             _ => reject(404, "no such path"),
         }
@@ -240,17 +242,17 @@
             _ => {
                 return reject(
                     400,
-                    "workflow_type and workflow_type_version are needed: CWL and v1.2",
+                    "workflow_type and workflow_type_version are required: CWL and v1.2",
                 );
             }
         }
         let Some(url) = field("workflow_url").filter(|u| !u.is_empty()) else {
-            return reject(400, "workflow_url is needed: the name of an attachment");
+            return reject(400, "workflow_url is required: the name of an attachment");
         };
         let tags: BTreeMap<String, String> =
             match serde_json::from_str(field("tags").unwrap_or("{}")) {
                 Ok(t) => t,
-                Err(e) => return reject(400, format!("tags: a map of texts is needed: {e}")),
+                Err(e) => return reject(400, format!("tags: expected a map of strings: {e}")),
             };
         let params: BTreeMap<String, Value> =
             match serde_json::from_str(field("workflow_engine_parameters").unwrap_or("{}")) {
@@ -258,7 +260,7 @@
                 Err(e) => {
                     return reject(
                         400,
-                        format!("workflow_engine_parameters: a map is needed: {e}"),
+                        format!("workflow_engine_parameters: expected a map: {e}"),
                     );
                 }
             };
@@ -270,7 +272,7 @@
             return reject(
                 400,
                 format!(
-                    "workflow_engine_parameters: unknown '{k}'; team, class, on_error and key are known"
+                    "workflow_engine_parameters: unknown '{k}'; supported are team, class, on_error and key"
                 ),
             );
         }
@@ -278,13 +280,10 @@
             None | Some("stop") => false,
             Some("continue") => true,
             Some(other) => {
-                return reject(
-                    400,
-                    format!("on_error: '{other}' is neither stop nor continue"),
-                );
+                return reject(400, format!("on_error: '{other}' must be stop or continue"));
             }
         };
-        // A client that asks again with the same key gets the same run.
+        // Makes submissions idempotent: the same client and key map to the same run.
         let run = match param("key") {
             Some(key) => {
                 let text = format!("{}/{key}", client.name);
@@ -320,8 +319,8 @@
         if let Some(dir) = &self.config.descriptions_dir
             && let Err(e) = publish::publish(dir, run, &compiled.tasks)
         {
-            warn!(error = %e, "descriptions not written");
-            return reject(503, "the tasks' descriptions can't be written now");
+            warn!(error = %e, "failed to write task descriptions");
+            return reject(503, "task descriptions cannot be written at present");
         }
         let operation = Operation::Submit(SubmitRun {
             run: run.number(),
@@ -341,7 +340,11 @@
         ))
     }
 
-    /// A run of this client's; of others it is not told whether they exist.
+    /// Returns a run of `client` with at most `limit` steps, starting at step `from`.
+    ///
+    /// # Errors
+    /// Returns status 404 both for an unknown run and for a run of another client, so that a client cannot
+    /// probe for runs of others.
     async fn find_run(
         &self,
         client: &Client,
@@ -431,18 +434,19 @@
         ))
     }
 
-    /// Beyond the published paths: a new run goes on from what a failed one had done.
+    /// Starts a new run that reuses the completed steps of a failed or cancelled one. Extends the published
+    /// API.
     async fn resume(&self, client: &Client, run: &str) -> HandlerResult {
         let (old, _, _) = self.find_run(client, run, 0, 0).await?;
-        // The same run however often it is asked.
+        // Derived from the old run, so that a repeated request resumes it only once.
         let new = RunId::folded(xxhash_rust::xxh3::xxh3_64(
             format!("{}/resume/{old}", client.name).as_bytes(),
         ));
         if let Some(dir) = &self.config.descriptions_dir
             && let Err(e) = publish::copy_for_resume(dir, old, new)
         {
-            warn!(error = %e, "descriptions not taken over");
-            return reject(503, "the tasks' descriptions can't be written now");
+            warn!(error = %e, "failed to copy task descriptions");
+            return reject(503, "task descriptions cannot be written at present");
         }
         let resume = proto::ResumeRun {
             run: old.number(),
@@ -550,13 +554,13 @@
     }
 }
 
-/// `page_size` and `page_token`.
+/// Returns the `page_size`, limited to [`MAX_PAGE_SIZE`], and the `page_token` of a query.
 fn parse_page(query: &BTreeMap<String, String>) -> Result<(u32, u64), ApiError> {
     let number = |name: &str, default: u64| match query.get(name).filter(|t| !t.is_empty()) {
         None => Ok(default),
         Some(t) => t
             .parse()
-            .map_err(|_| ApiError::new(400, format!("{name}: a number is needed"))),
+            .map_err(|_| ApiError::new(400, format!("{name}: expected a number"))),
     };
     let limit = number("page_size", u64::from(DEFAULT_PAGE_SIZE))?;
     if limit == 0 {
--- a/crates/hopyoke-wes/src/upload.rs
+++ b/crates/hopyoke-wes/src/upload.rs
@@ -1,26 +1,27 @@
-//! `multipart/form-data`, as the service's submissions come, and as the command line sends them.
+//! Parses and encodes submissions as `multipart/form-data`.
 
 use futures_util::stream;
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 
-/// The fields of a form, and its files by their names.
+/// The fields and attached files of a submission.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Form {
     pub fields: BTreeMap<String, String>,
-    /// Each `workflow_attachment` by its file name.
+    /// Contents of each `workflow_attachment`, keyed by file name.
     pub files: BTreeMap<String, String>,
 }
 
 const MAX_PARTS: usize = 300;
 
-/// Reads a form.
+/// Parses a form.
 ///
 /// # Errors
-/// What is wrong with it.
+/// Returns a message if the body is malformed, has too many parts, or has an attachment without a safe
+/// relative file name.
 pub async fn parse(content_type: Option<&str>, body: Vec<u8>) -> Result<Form, String> {
     let boundary = content_type.and_then(|c| multer::parse_boundary(c).ok());
-    let boundary = boundary.ok_or("the body must be multipart/form-data, with its boundary")?;
+    let boundary = boundary.ok_or("the body must be multipart/form-data with a boundary")?;
     let chunks = stream::iter([Ok::<_, Infallible>(bytes::Bytes::from(body))]);
     let mut parts = multer::Multipart::new(chunks, boundary);
     let mut form = Form::default();
@@ -28,7 +29,7 @@
     while let Some(part) = parts.next_field().await.map_err(|e| e.to_string())? {
         count += 1;
         if count > MAX_PARTS {
-            return Err(format!("more than {MAX_PARTS} parts"));
+            return Err(format!("the form has more than {MAX_PARTS} parts"));
         }
         let name = part.name().unwrap_or_default().to_owned();
         let file_name = part.file_name().map(str::to_owned);
@@ -43,13 +44,13 @@
                     && !file_name.split('/').any(|p| p == "..");
                 if !is_safe_path {
                     return Err(format!(
-                        "workflow_attachment '{file_name}': its name must be a path without '..'"
+                        "workflow_attachment '{file_name}': the file name must be a relative path without '..'"
                     ));
                 }
                 form.files.insert(file_name, text);
             }
             ("workflow_attachment", None) => {
-                return Err("a workflow_attachment needs a filename".into());
+                return Err("workflow_attachment requires a file name".into());
             }
             _ => {
                 form.fields.insert(name, text);
@@ -59,9 +60,9 @@
     Ok(form)
 }
 
-/// Writes a form: its content type and body.
+/// Encodes a form and returns its content type and body.
 pub fn encode(form: &Form) -> (String, Vec<u8>) {
-    // A boundary that no part can hold but by a chance of one in 2¹²⁸.
+    // The 128 random bits make a collision with the contents of a part practically impossible.
     let boundary = format!("hopyoke-{:032x}", rand::random::<u128>());
     let mut out = Vec::new();
     let escape = |s: &str| {
--- a/crates/hopyoke-wes/src/wire.rs
+++ b/crates/hopyoke-wes/src/wire.rs
@@ -1,13 +1,14 @@
-//! Messages of the GA4GH Workflow Execution Service 1.1, as published.
+//! Messages of the GA4GH Workflow Execution Service 1.1, as in the published schema.
 
 use hopyoke::peers::client::proto::RunInfo;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// Where the service's paths begin.
+/// Path prefix of all endpoints.
 pub const BASE_PATH: &str = "/ga4gh/wes/v1";
 
+/// State of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum State {
@@ -25,7 +26,7 @@
 }
 
 impl State {
-    /// It will not change any more.
+    /// Reports whether the state is terminal.
     pub fn is_final(self) -> bool {
         matches!(
             self,
@@ -33,7 +34,8 @@
         )
     }
 
-    /// Of a run as the controllers tell of it.
+    /// Maps the state that the controllers report. A running run counts as queued until a step is in flight or
+    /// completed, unless it has no steps.
     pub fn from_info(info: &RunInfo) -> State {
         let started = info.done > 0 || info.in_flight > 0 || info.steps == 0;
         match info.state.as_str() {
@@ -63,12 +65,12 @@
 pub struct RunStatus {
     pub run_id: String,
     pub state: State,
-    /// How far it is. (The published form lets further fields be.)
+    /// Step counts. The published schema permits additional fields.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub progress: Option<Progress>,
 }
 
-/// Steps of a run.
+/// Number of steps of a run in total, completed and in flight.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct Progress {
     pub steps: u32,
@@ -111,7 +113,7 @@
     pub outputs: Value,
 }
 
-/// What was submitted; parameters and attachments are not kept.
+/// The original submission. Parameters and attachments are not stored.
 #[derive(Debug, Serialize, Deserialize, Default)]
 pub struct RunRequest {
     pub workflow_params: Map<String, Value>,
@@ -130,7 +132,7 @@
     pub stdout: Option<String>,
     pub stderr: Option<String>,
     pub exit_code: Option<i32>,
-    /// Of a run: why it failed. (The published form lets further fields be.)
+    /// Reason why a run failed. The published schema permits additional fields.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub system_logs: Vec<String>,
 }
@@ -191,7 +193,8 @@
     pub workflow_engine_version: Vec<String>,
 }
 
-/// A time of day as the service writes it; 0: none.
+/// Formats a timestamp in microseconds since the Unix epoch as RFC 3339. Returns `None` for 0, which means
+/// not set, and for values out of range.
 pub fn format_timestamp(us: u64) -> Option<String> {
     let timestamp = jiff::Timestamp::from_microsecond(i64::try_from(us).ok()?).ok()?;
     (us > 0).then(|| timestamp.to_string())
--- a/crates/hopyoke-wes/tests/loopback.rs
+++ b/crates/hopyoke-wes/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! Real processes on loopback: controllers, the workflow service and the command line, around
-//! stand-ins of the state service, the cloud and the workers.
+//! End-to-end tests on loopback: controllers, the workflow service and the command line run as processes
+//! against emulators of the consensus store, the cloud and the workers.
 
 use hopyoke_emulator::{Cluster, ClusterConfig};
 use hopyoke_event_loop as runtime;
@@ -18,9 +18,9 @@
 use std::process::{Child, Command, Stdio};
 use std::rc::Rc;
 
-/// The programs are beside the test's own directory.
+/// Returns the path of a built binary, which is in the parent of the directory of the test executable.
 fn binary_path(name: &str) -> PathBuf {
-    let test = std::env::current_exe().expect("a path");
+    let test = std::env::current_exe().expect("the test has a path");
     let dir = test
         .parent()
         .and_then(Path::parent)
@@ -28,7 +28,7 @@
     let path = dir.join(name);
     assert!(
         path.is_file(),
-        "{} is missing: `cargo build --release --workspace` makes it",
+        "{} is missing; build it with `cargo build --release --workspace`",
         path.display()
     );
     path
@@ -37,7 +37,7 @@
 fn temp_dir(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).expect("a directory");
+    std::fs::create_dir_all(&dir).expect("create the directory");
     dir
 }
 
@@ -48,11 +48,11 @@
         test.await;
         *flag.borrow_mut() = true;
     })
-    .expect("an event loop");
+    .expect("event loop runs");
     assert!(*done.borrow());
 }
 
-/// The workflow service as a process; it ends with the test.
+/// A workflow service process, killed on drop.
 struct Service {
     child: Child,
     url: String,
@@ -70,8 +70,8 @@
 const OTHER_TOKEN: &str = "a token of another one";
 
 fn start_service(cluster: &Cluster) -> Service {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = listener.local_addr().expect("its address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+    let addr = listener.local_addr().expect("the socket has an address");
     drop(listener);
     let mesh: Vec<String> = cluster
         .mesh_addrs
@@ -88,15 +88,16 @@
         Authenticator::token_digest(OTHER_TOKEN),
     );
     let file = cluster.config.dir.join("wes.toml");
-    std::fs::write(&file, text).expect("a file");
-    let log = std::fs::File::create(cluster.config.dir.join("wes.log")).expect("a log");
+    std::fs::write(&file, text).expect("write the file");
+    let log =
+        std::fs::File::create(cluster.config.dir.join("wes.log")).expect("create the log file");
     let child = Command::new(binary_path("hopyoke-cwl"))
         .args(["serve", "--config"])
         .arg(&file)
         .stdin(Stdio::null())
         .stderr(log)
         .spawn()
-        .expect("the service");
+        .expect("start the service");
     Service {
         child,
         url: format!("http://{addr}"),
@@ -123,7 +124,7 @@
     )
 }
 
-/// split, then a fan-out, then merge.
+/// Returns a workflow of split, check, a scattered convert step and merge, run one after the other.
 fn ledger_workflow() -> String {
     format!(
         "cwlVersion: v1.2\nclass: Workflow\nrequirements: {{ScatterFeatureRequirement: {{}}}}\n\
@@ -139,7 +140,7 @@
     )
 }
 
-/// What started, in its order, without job ids.
+/// Returns the started tasks in order, as class, index, machine and zone.
 fn task_starts(cluster: &Cluster) -> Vec<(String, u32, String, String)> {
     let task_starts = cluster.fleet.task_starts.borrow();
     task_starts
@@ -162,7 +163,7 @@
         .ok()
 }
 
-/// Submits a job natively and waits for its end.
+/// Submits a job through the job API and waits until it is done.
 async fn run_native_job(cluster: &Cluster, spec: &JobSpec) {
     let client = Http::new(cluster.api_addrs[0]);
     let body = hopyoke_protocol::encode(spec);
@@ -190,7 +191,8 @@
     }
 }
 
-/// The command line's run, on a thread, so that the site goes on.
+/// Runs `hopyoke cwl` as a process and polls it, so that the emulators on this event loop keep running.
+/// Returns its exit code, standard output and standard error.
 async fn run_cwl_command(args: Vec<String>, token: &str) -> (i32, String, String) {
     let mut child = Command::new(binary_path("hopyoke"))
         .arg("cwl")
@@ -200,11 +202,13 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the command");
+        .expect("start the command");
     let end = runtime::now() + Micros::from_secs(90);
     loop {
         if let Ok(Some(status)) = child.try_wait() {
-            let out = child.wait_with_output().expect("its output");
+            let out = child
+                .wait_with_output()
+                .expect("read the output of the command");
             let text = |b: Vec<u8>| String::from_utf8_lossy(&b).into_owned();
             return (
                 status.code().unwrap_or(-1),
@@ -214,7 +218,7 @@
         }
         if runtime::now() > end {
             let _ = child.kill();
-            panic!("{args:?} takes too long");
+            panic!("{args:?} timed out");
         }
         runtime::sleep(Micros::from_millis(50)).await;
     }
@@ -222,11 +226,12 @@
 
 fn write_file(dir: &Path, name: &str, text: &str) -> String {
     let path = dir.join(name);
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("write the file");
     path.to_string_lossy().into_owned()
 }
 
-/// The same work natively and as CWL: placement, order and final states are the same.
+/// The same jobs submitted through the job API and as CWL start in the same order on the same machines, and
+/// end in the same state.
 #[test]
 fn native_and_cwl_runs_are_equivalent() {
     let config = |name: &str| ClusterConfig {
@@ -239,7 +244,7 @@
     let native_starts = Rc::new(RefCell::new(Vec::new()));
     let out = native_starts.clone();
     run_on_event_loop(async move {
-        let cluster = Cluster::start(a).expect("a site");
+        let cluster = Cluster::start(a).expect("start the cluster");
         for (i, (class, tasks, s)) in [
             ("split", 1, 0.3),
             ("check", 1, 0.3),
@@ -261,7 +266,7 @@
     let cwl_starts = Rc::new(RefCell::new(Vec::new()));
     let out = cwl_starts.clone();
     run_on_event_loop(async move {
-        let cluster = Cluster::start(b).expect("a site");
+        let cluster = Cluster::start(b).expect("start the cluster");
         let service = start_service(&cluster);
         let main = write_file(&cluster.config.dir, "ledger.cwl", &ledger_workflow());
         let pages: Vec<u32> = (0..12).collect();
@@ -271,14 +276,14 @@
         let args = ["run", &main, &inputs, "--to", &service.url].map(str::to_owned);
         let (code, stdout, stderr) = run_cwl_command(args.to_vec(), TOKEN).await;
         assert_eq!(code, 0, "{stderr}");
-        let outputs: Value = serde_json::from_str(&stdout).expect("JSON on standard output");
+        let outputs: Value = serde_json::from_str(&stdout).expect("standard output is JSON");
         assert_eq!(outputs["sum"]["class"], "File", "{stdout}");
-        // Every job that it was has ended as done, and has a description for its worker.
+        // Every job of the run has ended as done and has a task description.
         let ends = cluster.store.keys("end/req-9");
         assert_eq!(ends.len(), 4);
         for key in &ends {
             assert_eq!(
-                cluster.store.get(key).expect("a record")["state"],
+                cluster.store.get(key).expect("the job has a record")["state"],
                 "done",
                 "{key}"
             );
@@ -288,7 +293,8 @@
                 .join("descriptions")
                 .join(format!("{}.json", &key[4..]));
             let list: Value =
-                serde_json::from_slice(&std::fs::read(file).expect("a description")).expect("JSON");
+                serde_json::from_slice(&std::fs::read(file).expect("the job has a description"))
+                    .expect("JSON");
             assert!(list.as_array().is_some_and(|l| !l.is_empty()));
         }
         assert!(cluster.fleet.violations.borrow().is_empty());
@@ -298,20 +304,21 @@
     assert_eq!(*native_starts.borrow(), *cwl_starts.borrow());
 }
 
-/// All controllers end while runs are under way: nothing is lost, nothing runs twice. Then a run is
-/// cancelled halfway, and one fails and is resumed.
+/// Active runs complete without lost or duplicate tasks after all controllers are killed and restarted.
+/// Also covers cancelling an active run and resuming a failed one.
 #[test]
 fn runs_survive_controller_restarts() {
     let config = ClusterConfig {
         max_machines: 6,
         policy: "flows = true\njob_backoff = 1s\nstep_patience = 1\nsuspect_after = 2\nmachine_pause = 1s\n"
             .into(),
-        ..ClusterConfig::new(&binary_path("hopyoke"), &temp_dir("outlive"))
+        ..ClusterConfig::new(&binary_path("hopyoke"), &temp_dir("restart"))
     };
     run_on_event_loop(async move {
-        let mut cluster = Cluster::start(config).expect("a site");
+        let mut cluster = Cluster::start(config).expect("start the cluster");
         let service = start_service(&cluster);
-        let client = Client::new(&service.url, TOKEN, Micros::from_secs(60)).expect("an address");
+        let client =
+            Client::new(&service.url, TOKEN, Micros::from_secs(60)).expect("valid service URL");
         let form = |text: &str, inputs: Value, key: &str| Form {
             fields: [
                 ("workflow_type", "CWL".to_owned()),
@@ -341,14 +348,14 @@
                         &format!("run {k}"),
                     ))
                     .await
-                    .expect("accepted"),
+                    .expect("submission is accepted"),
             );
         }
-        // Asked again, it is the same run.
+        // A submission with the same key returns the same run.
         let repeated = client
             .submit(&form(&ledger_workflow(), inputs.clone(), "run 0"))
             .await
-            .expect("accepted");
+            .expect("submission is accepted");
         assert_eq!(repeated, runs[0]);
         runtime::sleep(Micros::from_secs(2)).await;
         for i in 0..3 {
@@ -356,7 +363,7 @@
         }
         runtime::sleep(Micros::from_millis(700)).await;
         for i in 0..3 {
-            cluster.start_controller(i).expect("a controller");
+            cluster.start_controller(i).expect("restart the controller");
         }
         for run in &runs {
             let end = runtime::now() + Micros::from_secs(60);
@@ -366,7 +373,7 @@
                 runtime::sleep(Micros::from_millis(200)).await;
             }
             assert_eq!(
-                client.log(run).await.expect("a log").state,
+                client.log(run).await.expect("read the run log").state,
                 State::Complete,
                 "run {run}"
             );
@@ -379,12 +386,12 @@
             cluster.store.keys("flow/")
         );
 
-        // Cancelled halfway: from the answer on nothing of it is submitted, and all is withdrawn.
+        // After the response to a cancellation, no further job is submitted and all jobs of the run are removed.
         let slow = ledger_workflow().replace("estimate: 0.4", "estimate: 60");
         let run = client
             .submit(&form(&slow, inputs.clone(), "slow"))
             .await
-            .expect("accepted");
+            .expect("submission is accepted");
         let is_converting = |s: &Cluster| {
             s.fleet
                 .task_starts
@@ -396,9 +403,9 @@
         };
         assert!(
             cluster.wait_for(Micros::from_secs(30), is_converting).await,
-            "it does not get on"
+            "the run made no progress"
         );
-        client.change(&run, "cancel").await.expect("cancelled");
+        client.change(&run, "cancel").await.expect("cancel the run");
         let submitted = |s: &Cluster| {
             s.store.keys("job/req-9").len() + s.store.keys(&format!("end/req-9{run}")).len()
         };
@@ -406,10 +413,10 @@
         let has_ended = |s: &Cluster| s.store.get(&format!("flowend/{run}")).is_some();
         assert!(
             cluster.wait_for(Micros::from_secs(20), has_ended).await,
-            "it is not over"
+            "the cancelled run did not end"
         );
         assert_eq!(
-            client.status(&run).await.expect("a state").state,
+            client.status(&run).await.expect("read the run state").state,
             State::Canceled
         );
         assert_eq!(submitted(&cluster), at_cancel);
@@ -422,18 +429,18 @@
             .any(|x| x.class == "merge" && x.task.job.as_str().contains(&run));
         assert!(!merged);
 
-        // A step that fails everywhere fails the run; resumed, it goes on from what is done.
+        // A step that fails on all machines fails the run; the resumed run skips the completed steps.
         *cluster.fleet.failing_class.borrow_mut() = "convert".into();
         let run = client
             .submit(&form(&ledger_workflow(), inputs.clone(), "fails"))
             .await
-            .expect("accepted");
+            .expect("submission is accepted");
         let has_ended = |s: &Cluster| s.store.get(&format!("flowend/{run}")).is_some();
         assert!(
             cluster.wait_for(Micros::from_secs(40), has_ended).await,
-            "it is not given up"
+            "the failing run did not end"
         );
-        let log = client.log(&run).await.expect("a log");
+        let log = client.log(&run).await.expect("read the run log");
         assert_eq!(log.state, State::ExecutorError);
         assert!(
             log.run_log.system_logs[0].contains("convert"),
@@ -441,21 +448,25 @@
             log.run_log.system_logs
         );
         cluster.fleet.failing_class.borrow_mut().clear();
-        let resumed = client.change(&run, "resume").await.expect("resumed");
+        let resumed = client.change(&run, "resume").await.expect("resume the run");
         assert_ne!(resumed, run);
         let has_ended = |s: &Cluster| s.store.get(&format!("flowend/{resumed}")).is_some();
         assert!(
             cluster.wait_for(Micros::from_secs(40), has_ended).await,
-            "it does not get on"
+            "the run made no progress"
         );
         assert_eq!(
-            client.status(&resumed).await.expect("a state").state,
+            client
+                .status(&resumed)
+                .await
+                .expect("read the run state")
+                .state,
             State::Complete
         );
-        // split and check were done before.
+        // The original run completed split and check.
         assert_eq!(cluster.store.keys(&format!("end/req-9{resumed}")).len(), 2);
         assert_eq!(
-            client.status(&run).await.expect("a state").state,
+            client.status(&run).await.expect("read the run state").state,
             State::ExecutorError
         );
         assert_eq!(*cluster.fleet.violations.borrow(), Vec::<String>::new());
@@ -463,7 +474,7 @@
     });
 }
 
-/// Lists, pages, and who may see what.
+/// Checks run and task lists, their paging, authorization, and the rejection of invalid submissions.
 async fn check_lists_and_access(service: &Service, client: &Client, runs: &[String]) {
     let http = Http::new(service.addr);
     let get = async |path: &str, token: Option<&str>| {
@@ -477,7 +488,7 @@
             Micros::from_secs(20),
         )
         .await
-        .expect("an answer")
+        .expect("the service responds")
     };
     let mut seen = BTreeSet::new();
     let mut token = String::new();
@@ -488,7 +499,7 @@
         )
         .await;
         assert_eq!(r.status, 200);
-        let page: RunList = serde_json::from_slice(&r.body).expect("a list");
+        let page: RunList = serde_json::from_slice(&r.body).expect("a run list");
         assert!(page.runs.len() <= 2);
         seen.extend(page.runs.iter().map(|r| r.run_id.clone()));
         assert!(
@@ -503,7 +514,7 @@
     }
     assert!(runs.iter().all(|r| seen.contains(r)));
     assert_eq!(seen.len(), 7);
-    assert_eq!(client.list("").await.expect("a list").runs.len(), 7);
+    assert_eq!(client.list("").await.expect("a run list").runs.len(), 7);
     assert_eq!(get("/runs", None).await.status, 401);
     assert_eq!(get("/runs", Some("nobody's")).await.status, 401);
     assert_eq!(
@@ -516,18 +527,21 @@
     assert_eq!(get("/runs?page_size=x", Some(TOKEN)).await.status, 400);
     assert_eq!(get("/service-info", None).await.status, 200);
     let r = get(&format!("/runs/{}/tasks?page_size=2", runs[0]), Some(TOKEN)).await;
-    let tasks: Value = serde_json::from_slice(&r.body).expect("tasks");
+    let tasks: Value = serde_json::from_slice(&r.body).expect("a task list");
     assert_eq!(tasks["task_logs"].as_array().map(Vec::len), Some(2));
     assert_eq!(tasks["next_page_token"], "2");
-    let task = tasks["task_logs"][0]["id"].as_str().expect("an id");
+    let task = tasks["task_logs"][0]["id"]
+        .as_str()
+        .expect("the task has an id");
     assert_eq!(
         get(&format!("/runs/{}/tasks/{task}", runs[0]), Some(TOKEN))
             .await
             .status,
         200
     );
-    // Another team's work, and nonsense.
-    let other = Client::new(&service.url, OTHER_TOKEN, Micros::from_secs(60)).expect("an address");
+    // Submissions for another team, and invalid ones.
+    let other =
+        Client::new(&service.url, OTHER_TOKEN, Micros::from_secs(60)).expect("valid service URL");
     let form = |text: &str, more: Value| Form {
         fields: BTreeMap::from([
             ("workflow_type".to_owned(), "CWL".to_owned()),
@@ -542,12 +556,12 @@
     let denied = other
         .submit(&form(single_tool, json!({ "team": "crew" })))
         .await
-        .expect_err("another's team");
+        .expect_err("the team of another client is rejected");
     assert!(denied.contains("403"), "{denied}");
     let wrong = other
         .submit(&form("cwlVersion: v1.2\nclass: Flow\n", json!({})))
         .await
-        .expect_err("no process");
+        .expect_err("an unknown class is rejected");
     assert!(
         wrong.contains("unknown class Flow") && wrong.contains("400"),
         "{wrong}"
@@ -555,7 +569,7 @@
     let unknown = other
         .submit(&form(single_tool, json!({ "colour": "red" })))
         .await
-        .expect_err("an unknown word");
+        .expect_err("an unknown parameter is rejected");
     assert!(unknown.contains("unknown 'colour'"), "{unknown}");
     let too_large = single_tool.replace(
         "inputs",
@@ -564,18 +578,18 @@
     let too_large = other
         .submit(&form(&too_large, json!({})))
         .await
-        .expect_err("too large");
+        .expect_err("an oversized task is rejected");
     assert!(
         too_large.contains("422") && too_large.contains("fits no allowed machine type"),
         "{too_large}"
     );
 }
 
-/// The command line by itself: exit codes and what it prints.
+/// Checks exit codes and output of the command line without a service.
 #[test]
 fn command_line() {
     run_on_event_loop(async {
-        let dir = temp_dir("line");
+        let dir = temp_dir("command-line");
         let good = write_file(&dir, "good.cwl", &ledger_workflow());
         let bad = write_file(
             &dir,
@@ -591,7 +605,7 @@
             run_cwl_command(args.iter().map(|a| (*a).to_owned()).collect(), "").await
         };
         let (code, out, _) = run(&["check", &good]).await;
-        assert!(code == 0 && out.contains("a sound Workflow"), "{out}");
+        assert!(code == 0 && out.contains("valid Workflow"), "{out}");
         let (code, _, err) = run(&["check", &good, &bad]).await;
         assert!(
             code == 1 && err.contains("bad.cwl:4:13") && err.contains("outputs is missing"),
@@ -615,7 +629,7 @@
             "book: {class: File, path: b.csv}\npages: [1, 2]\n",
         );
         let (code, out, err) = run(&["run", &good, &inputs, "--team", "crew", "--validate"]).await;
-        assert!(code == 0 && out.contains("sound, 4 steps"), "{out}{err}");
+        assert!(code == 0 && out.contains("valid, 4 steps"), "{out}{err}");
         let (code, _, err) = run(&["run", &good, "--team", "crew", "--validate"]).await;
         assert!(
             code == 1 && err.contains("input 'book' is missing"),
