--- a/crates/hopyoke-wes/tests/loopback.rs
+++ b/crates/hopyoke-wes/tests/loopback.rs
@@ -605,7 +605,7 @@
             run_cwl_command(args.iter().map(|a| (*a).to_owned()).collect(), "").await
         };
         let (code, out, _) = run(&["check", &good]).await;
-        assert!(code == 0 && out.contains("valid Workflow"), "{out}");
+        assert!(code == 0 && out.contains(": valid Workflow"), "{out}");
         let (code, _, err) = run(&["check", &good, &bad]).await;
         assert!(
             code == 1 && err.contains("bad.cwl:4:13") && err.contains("outputs is missing"),
@@ -629,7 +629,7 @@
             "book: {class: File, path: b.csv}\npages: [1, 2]\n",
         );
         let (code, out, err) = run(&["run", &good, &inputs, "--team", "crew", "--validate"]).await;
-        assert!(code == 0 && out.contains("valid, 4 steps"), "{out}{err}");
+        assert!(code == 0 && out.contains(": valid, 4 steps"), "{out}{err}");
         let (code, _, err) = run(&["run", &good, "--team", "crew", "--validate"]).await;
         assert!(
             code == 1 && err.contains("input 'book' is missing"),
