--- a/crates/hopyoke-wes/src/publish.rs
+++ b/crates/hopyoke-wes/src/publish.rs
@@ -1,4 +1,4 @@
-//! Tasks' descriptions, left where workers find them: one file a job, a list by the task's number.
+//! Writes task descriptions for workers: one JSON file per job, holding a list indexed by task.
 
 use hopyoke_cwl::command::Description;
 use hopyoke_types::JobId;
@@ -7,11 +7,12 @@
 use std::io;
 use std::path::Path;
 
-/// Writes the descriptions of a run's tasks. Each file comes to its name whole, and a repeated call
-/// writes the same; to be called before the run is submitted.
+/// Writes the task descriptions of a run. Each file is replaced atomically, and a repeated call writes the
+/// same contents. Must be called before the run is submitted, as workers may read a description as soon as
+/// its job starts.
 ///
 /// # Errors
-/// Why a file could not be written.
+/// Returns the I/O error if the directory or a file cannot be written.
 pub fn publish(
     dir: &Path,
     run: RunId,
@@ -19,24 +20,25 @@
 ) -> io::Result<()> {
     std::fs::create_dir_all(dir)?;
     for (step, list) in tasks {
-        let text = serde_json::to_vec(list).map_err(io::Error::other)?;
-        put(dir, &job_id(run, *step, 0), &text)?;
+        let contents = serde_json::to_vec(list).map_err(io::Error::other)?;
+        write_atomically(dir, &job_id(run, *step, 0), &contents)?;
     }
     Ok(())
 }
 
-fn put(dir: &Path, job: &JobId, text: &[u8]) -> io::Result<()> {
+/// Writes the description file of a job under a temporary name and renames it.
+fn write_atomically(dir: &Path, job: &JobId, contents: &[u8]) -> io::Result<()> {
     let path = dir.join(format!("{job}.json"));
-    let part = dir.join(format!("{job}.part"));
-    std::fs::write(&part, text)?;
-    std::fs::rename(&part, &path)
+    let temp_path = dir.join(format!("{job}.part"));
+    std::fs::write(&temp_path, contents)?;
+    std::fs::rename(&temp_path, &path)
 }
 
-/// Takes a run's descriptions over for another that goes on from it.
+/// Copies the task descriptions of run `old` for run `new`, which resumes it.
 ///
 /// # Errors
-/// Why a file could not be read or written.
-pub fn take_over(dir: &Path, old: RunId, new: RunId) -> io::Result<()> {
+/// Returns the I/O error if the directory or a file cannot be read or written.
+pub fn copy_for_resume(dir: &Path, old: RunId, new: RunId) -> io::Result<()> {
     let prefix = job_id_prefix(old);
     for entry in std::fs::read_dir(dir)? {
         let name = entry?.file_name().to_string_lossy().into_owned();
@@ -45,7 +47,7 @@
             .filter(|n| n.starts_with(&prefix))
             .and_then(JobId::parse);
         if let Some((_, step, _)) = job.as_ref().and_then(parse_job_id) {
-            put(dir, &job_id(new, step, 0), &std::fs::read(dir.join(&name))?)?;
+            write_atomically(dir, &job_id(new, step, 0), &std::fs::read(dir.join(&name))?)?;
         }
     }
     Ok(())
