--- a/crates/hopyoke-scheduler/src/autoscale/inventory.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/inventory.rs
@@ -22,33 +22,33 @@
     /// Adds machines from the cloud's list of instances. The list may be stale, so a missing machine is not
     /// taken to be gone.
     pub fn instances_listed(&mut self, list: &[ListedMachine], now: Micros) {
-        self.inventory.listed = Some(list.iter().map(|l| l.id.clone()).collect());
-        for l in list {
-            if self.inventory.deleted.contains_key(&l.id) {
+        self.inventory.listed = Some(list.iter().map(|instance| instance.id.clone()).collect());
+        for instance in list {
+            if self.inventory.deleted.contains_key(&instance.id) {
                 continue;
             }
-            let age = Micros::from_secs_f64(l.age_s);
-            let known = self.machines.contains_key(&l.id);
-            let m = self.machines.entry(l.id.clone()).or_insert_with(|| {
+            let age = Micros::from_secs_f64(instance.age_s);
+            let is_known = self.machines.contains_key(&instance.id);
+            let m = self.machines.entry(instance.id.clone()).or_insert_with(|| {
                 Machine::new(
-                    l.id.clone(),
-                    l.machine_type.clone(),
-                    l.zone.clone(),
-                    l.spot,
+                    instance.id.clone(),
+                    instance.machine_type.clone(),
+                    instance.zone.clone(),
+                    instance.spot,
                     now,
                 )
             });
-            if !known {
+            if !is_known {
                 m.requested_at = now - age;
                 m.is_request_time_known = true;
                 self.placement_schedule.request();
-                info!(machine = %l.id, zone = %l.zone, spot = l.spot, "unknown machine found in the cloud's list");
+                info!(machine = %instance.id, zone = %instance.zone, spot = instance.spot, "unknown machine found in the cloud's list");
             }
-            if l.state == ListedMachineState::Failed && !m.deleting {
+            if instance.state == ListedMachineState::Failed && !m.deleting {
                 // It stopped by itself. Only a confirmed deletion proves that its tasks are gone.
                 m.deleting = true;
                 self.placement_schedule.request();
-                info!(machine = %l.id, zone = %l.zone, "machine failed");
+                info!(machine = %instance.id, zone = %instance.zone, "machine failed");
             }
         }
         // A list may be as old as twice the maximum lag, and a delayed heartbeat minutes old. Neither may
--- a/crates/hopyoke-scheduler/src/autoscale/provisioning.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/provisioning.rs
@@ -114,7 +114,7 @@
     /// Adds a machine that came up at this age, or, if `is_up` is false, had not come up by this age (a censored
     /// observation).
     fn add(&mut self, age: f64, is_up: bool) {
-        let last = bucket_of(age);
+        let last = bucket_index(age);
         for k in 0..last {
             self.at_risk[k] += 1.0;
         }
@@ -127,7 +127,7 @@
     /// Returns the probability that a machine of this age comes up within `span`.
     fn probability_of_up(&self, age: f64, span: f64) -> f64 {
         let mut survival = 1.0;
-        for k in bucket_of(age)..BUCKETS {
+        for k in bucket_index(age)..BUCKETS {
             let from = (k as f64 * BUCKET_WIDTH).max(age);
             let to = ((k + 1) as f64 * BUCKET_WIDTH).min(age + span);
             if to <= from {
@@ -158,7 +158,7 @@
     }
 }
 
-fn bucket_of(age: f64) -> usize {
+fn bucket_index(age: f64) -> usize {
     if age.is_finite() {
         ((age / BUCKET_WIDTH).max(0.0) as usize).min(BUCKETS - 1)
     } else {
--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -140,13 +140,13 @@
                 let Some(pending) = self.pending_scale_outs.requests.remove(request) else {
                     return;
                 };
-                let o = pending.offer;
-                info!(machine_type = %o.machine_type, zone = %o.zone, spot = o.spot, wanted = pending.count, got = ids.len(), "instances created");
+                let offer = pending.offer;
+                info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, wanted = pending.count, got = ids.len(), "instances created");
                 if (ids.len() as u32) < pending.count {
                     self.pending_scale_outs
-                        .back_off(&o, self.tuning.refusal_pause, now);
+                        .back_off(&offer, self.tuning.refusal_pause, now);
                 } else {
-                    self.pending_scale_outs.backoffs.remove(&o);
+                    self.pending_scale_outs.backoffs.remove(&offer);
                 }
                 for id in ids {
                     if self.inventory.deleted.contains_key(&id) {
@@ -154,7 +154,13 @@
                     }
                     // No other leader can have sent commands to a machine that this leader requested.
                     let m = self.machines.entry(id.clone()).or_insert_with(|| {
-                        Machine::new(id, o.machine_type.clone(), o.zone.clone(), o.spot, now)
+                        Machine::new(
+                            id,
+                            offer.machine_type.clone(),
+                            offer.zone.clone(),
+                            offer.spot,
+                            now,
+                        )
                     });
                     m.created_by_this_leader = true;
                     m.is_request_time_known = true;
@@ -241,12 +247,12 @@
     }
 }
 
-fn scale_out_action(request: &str, r: &PendingScaleOut) -> Action {
+fn scale_out_action(request: &str, pending: &PendingScaleOut) -> Action {
     Action::ScaleOut {
         request: request.to_owned(),
-        machine_type: r.offer.machine_type.clone(),
-        zone: r.offer.zone.clone(),
-        spot: r.offer.spot,
-        count: r.count,
+        machine_type: pending.offer.machine_type.clone(),
+        zone: pending.offer.zone.clone(),
+        spot: pending.offer.spot,
+        count: pending.count,
     }
 }
--- a/crates/hopyoke-scheduler/src/config.rs
+++ b/crates/hopyoke-scheduler/src/config.rs
@@ -34,11 +34,11 @@
 
 impl SchedulerConfig {
     /// Extracts the scheduler's configuration from the settings.
-    pub fn from_settings(s: &Settings) -> SchedulerConfig {
-        let f = &s.platform;
+    pub fn from_settings(settings: &Settings) -> SchedulerConfig {
+        let platform = &settings.platform;
         SchedulerConfig {
-            zones: f.zones.clone(),
-            teams: f
+            zones: platform.zones.clone(),
+            teams: platform
                 .teams
                 .iter()
                 .map(|t| Team {
@@ -49,14 +49,14 @@
                     gpus_max: t.max_gpus,
                 })
                 .collect(),
-            heartbeat_interval: Micros::from_secs_f64(f.agents.heartbeat_interval_s),
-            lease: Micros::from_secs_f64(f.agents.lease_s),
-            gang_start_timeout: Micros::from_secs_f64(f.agents.gang_wait_s),
-            gang_peer_timeout: Micros::from_secs_f64(f.agents.gang_loss_detection_s),
-            max_list_lag: Micros::from_secs_f64(f.cloud.list_lag_s),
-            max_value_bytes: (f.store.max_value_kib * 1024.0) as usize,
-            max_txn_ops: f.store.max_txn_mutations as usize,
-            max_writes_per_s: f.store.max_writes_per_s,
+            heartbeat_interval: Micros::from_secs_f64(platform.agents.heartbeat_interval_s),
+            lease: Micros::from_secs_f64(platform.agents.lease_s),
+            gang_start_timeout: Micros::from_secs_f64(platform.agents.gang_wait_s),
+            gang_peer_timeout: Micros::from_secs_f64(platform.agents.gang_loss_detection_s),
+            max_list_lag: Micros::from_secs_f64(platform.cloud.list_lag_s),
+            max_value_bytes: (platform.store.max_value_kib * 1024.0) as usize,
+            max_txn_ops: platform.store.max_txn_mutations as usize,
+            max_writes_per_s: platform.store.max_writes_per_s,
             response_margin: Micros::from_millis(500),
         }
     }
@@ -76,21 +76,21 @@
     }
 
     /// Returns the maximum length of a job record's set of completed tasks, in characters.
-    fn done_chars(&self) -> usize {
+    fn max_done_chars(&self) -> usize {
         self.max_value_bytes.saturating_sub(3584)
     }
 
     /// Returns how many of a job's unfinished tasks, lowest numbers first, are always considered for placement.
     /// As a list of ranges, the completed tasks among them always fit the record.
-    pub fn window(&self) -> u32 {
-        (self.done_chars() / RANGE_CHARS).max(16) as u32
+    pub fn placement_window(&self) -> u32 {
+        (self.max_done_chars() / RANGE_CHARS).max(16) as u32
     }
 
     /// Returns how far beyond the first unfinished task other tasks are considered for placement. Within this
     /// span, the completed tasks fit the record as a bitmap. Tasks that complete beyond the span were in the
     /// window, so their ranges are few. Hence a record never exceeds the maximum value size (scenarios
     /// fragmented_record and huge_array).
-    pub fn span(&self) -> u32 {
-        (self.done_chars().saturating_sub(64) * 6) as u32
+    pub fn placement_span(&self) -> u32 {
+        (self.max_done_chars().saturating_sub(64) * 6) as u32
     }
 }
--- a/crates/hopyoke-scheduler/src/ledger/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -76,8 +76,8 @@
     #[serde(default, rename = "flow", skip_serializing_if = "is_false")]
     pub is_workflow_step: bool,
     /// True if the scheduler cancelled a workflow step's job because it kept failing.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub given_up: bool,
+    #[serde(default, rename = "given_up", skip_serializing_if = "is_false")]
+    pub cancelled_by_scheduler: bool,
 }
 
 impl EndRecord {
@@ -87,7 +87,7 @@
             state,
             done,
             is_workflow_step: false,
-            given_up: false,
+            cancelled_by_scheduler: false,
         }
     }
 }
@@ -111,7 +111,7 @@
     /// True for the job of a workflow step.
     pub is_workflow_step: bool,
     /// It kept failing and is cancelled by the scheduler; its end record is yet to be written.
-    pub given_up: bool,
+    pub cancelled_by_scheduler: bool,
     /// Completed tasks.
     pub done: TaskRanges,
     /// Completed tasks according to the stored record. Only these may be acknowledged to agents.
@@ -157,7 +157,7 @@
             inherited,
             has_start_marker: record.has_start_marker,
             is_workflow_step: record.is_workflow_step,
-            given_up: false,
+            cancelled_by_scheduler: false,
             recorded_done: done.clone(),
             done,
             start_attempt: record.start_attempt,
@@ -218,7 +218,7 @@
 
     /// Returns true if the end record is to be written.
     pub fn is_finished(&self) -> bool {
-        self.is_done() || self.given_up
+        self.is_done() || self.cancelled_by_scheduler
     }
 
     /// Returns true if the stored record is out of date and no write of it is in flight.
@@ -226,7 +226,7 @@
         !self.write_in_flight
             && (self.done != self.recorded_done
                 || self.start_attempt != self.recorded_start_attempt
-                || self.given_up)
+                || self.cancelled_by_scheduler)
     }
 
     /// Returns the record of its end.
@@ -236,10 +236,10 @@
         } else {
             JobState::Cancelled
         };
-        let given_up = self.given_up && !self.is_done();
+        let cancelled_by_scheduler = self.cancelled_by_scheduler && !self.is_done();
         EndRecord {
             is_workflow_step: self.is_workflow_step,
-            given_up,
+            cancelled_by_scheduler,
             ..EndRecord::new(state, self.done.count().min(self.spec.tasks))
         }
     }
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -46,10 +46,10 @@
 
     /// Refills the budgets for the time since the last call, at `rate` changes per second.
     fn refill(&mut self, rate: f64, max_budget: f64, now: Micros) {
-        let earned_s = (now - self.refilled_at).as_secs_f64();
-        self.budget = (self.budget + rate * earned_s).min(max_budget);
+        let elapsed_s = (now - self.refilled_at).as_secs_f64();
+        self.budget = (self.budget + rate * elapsed_s).min(max_budget);
         self.deferrable_budget =
-            (self.deferrable_budget + rate * DEFERRABLE_SHARE * earned_s).min(4.0);
+            (self.deferrable_budget + rate * DEFERRABLE_SHARE * elapsed_s).min(4.0);
         self.refilled_at = now;
     }
 
@@ -85,7 +85,7 @@
 }
 
 impl BatchBuilder {
-    fn has_room(&self, ops: usize, bytes: usize) -> bool {
+    fn fits(&self, ops: usize, bytes: usize) -> bool {
         self.ops + ops <= self.max_ops && self.bytes + bytes <= MAX_BATCH_BYTES
     }
 
@@ -138,7 +138,7 @@
         self.add_registry_writes(&mut builder, false);
         self.add_job_writes(&mut builder, other_writes);
         if now >= self.writes.removals_not_before
-            && builder.has_room(2, 0)
+            && builder.fits(2, 0)
             && self.registry.has_removals()
         {
             self.writes.removals_not_before = now + Micros::from_millis(500);
@@ -167,14 +167,16 @@
     /// Returns the jobs whose records are to be written now, by priority. Forgets jobs that need no write.
     fn jobs_by_priority(&mut self, max_budget: f64, now: Micros) -> Vec<(WritePriority, JobId)> {
         let mut ranked = Vec::new();
-        let w = &mut self.writes;
+        let writes = &mut self.writes;
         let (jobs, tuning, machines) = (&self.jobs, &self.tuning, &self.machines);
         let is_up = |m: &MachineId| machines.get(m).is_some_and(|m| m.phase == MachinePhase::Up);
-        let (is_budget_high, is_budget_moderate) =
-            (w.budget >= max_budget * 0.75, w.budget >= max_budget * 0.5);
+        let (is_budget_high, is_budget_moderate) = (
+            writes.budget >= max_budget * 0.75,
+            writes.budget >= max_budget * 0.5,
+        );
         let (admission_saturated, deferrable_budget) =
-            (w.admission_saturated, &mut w.deferrable_budget);
-        w.dirty.retain(|id, since| {
+            (writes.admission_saturated, &mut writes.deferrable_budget);
+        writes.dirty.retain(|id, since| {
             let Some(job) = jobs.get(id) else {
                 return false;
             };
@@ -219,7 +221,7 @@
             let is_finished = job.is_finished();
             let cost = if is_finished { 2 } else { 1 };
             let size = 1500 + job.done.max_encoded_len();
-            if !builder.has_room(cost, size) {
+            if !builder.fits(cost, size) {
                 break;
             }
             job.write_in_flight = true;
@@ -259,7 +261,7 @@
                     page_key(counter, token)
                 });
         }
-        while builder.has_room(1, self.cfg.max_value_bytes)
+        while builder.fits(1, self.cfg.max_value_bytes)
             || (builder.writes.is_empty() && builder.max_ops >= 1)
         {
             let Some(write) = self.registry.next_write(removals) else {
--- a/crates/hopyoke-scheduler/src/persist/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -105,11 +105,11 @@
         new_key: impl FnOnce() -> String,
     ) {
         let of_kind = |c: &RegistryPage| (c.machine_type.as_str(), c.zone.as_str(), c.spot) == kind;
-        let room = |p: &&mut Page| {
+        let has_capacity = |p: &&mut Page| {
             of_kind(&p.content)
                 && p.content.bytes() + id.as_str().len() + ADDRESS_BYTES < value_bytes
         };
-        let found = self.pages.iter_mut().find(|(_, p)| room(p));
+        let found = self.pages.iter_mut().find(|(_, p)| has_capacity(p));
         let key = match found {
             Some((key, page)) => {
                 page.content.machines.insert(id.clone(), address);
--- a/crates/hopyoke-scheduler/src/placement/instance_offers.rs
+++ b/crates/hopyoke-scheduler/src/placement/instance_offers.rs
@@ -58,14 +58,14 @@
         zone: Option<usize>,
         remaining: u32,
     ) -> Option<usize> {
-        let offer = self.best_offer(request, zone, remaining)?;
-        self.demand[offer] += 1;
-        let o = &self.offers[offer];
+        let index = self.best_offer(request, zone, remaining)?;
+        self.demand[index] += 1;
+        let offer = &self.offers[index];
         self.bins.push(Bin::requested(
-            o.type_index,
-            o.zone,
-            o.spot,
-            self.type_resources[o.type_index],
+            offer.type_index,
+            offer.zone,
+            offer.spot,
+            self.type_resources[offer.type_index],
         ));
         self.open_bins.push(self.bins.len() - 1);
         Some(self.bins.len() - 1)
--- a/crates/hopyoke-scheduler/src/placement/mod.rs
+++ b/crates/hopyoke-scheduler/src/placement/mod.rs
@@ -108,7 +108,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let wait_reason = if job.given_up {
+        let wait_reason = if job.cancelled_by_scheduler {
             Some(WaitReason::EndRecord)
         } else if self.is_held(&job.spec) {
             Some(WaitReason::StaffedHours)
--- a/crates/hopyoke-scheduler/src/reconcile/commands.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/commands.rs
@@ -33,10 +33,10 @@
             let job = self.jobs.get(&task.job);
             // Other commands beyond the limit go with the next response. Stops need no limit: a machine
             // holds no more attempts than fit into its heartbeat.
-            let has_room = others.len() < MAX_COMMANDS_PER_RESPONSE;
+            let is_below_limit = others.len() < MAX_COMMANDS_PER_RESPONSE;
             match allocation.state {
                 AllocationState::Ended(exit_reason) => {
-                    if has_room && may_acknowledge(allocation, exit_reason, job, task.index) {
+                    if is_below_limit && may_acknowledge(allocation, exit_reason, job, task.index) {
                         let task = name;
                         others.push(Command::Acknowledge { task, attempt });
                     }
@@ -45,7 +45,10 @@
                     stops.extend(stop_unconfirmed_start(allocation, name, attempt, now));
                 }
                 AllocationState::Unconfirmed => {
-                    if has_room && may_start && job.is_none_or(|j| j.is_start_recorded(attempt)) {
+                    if is_below_limit
+                        && may_start
+                        && job.is_none_or(|j| j.is_start_recorded(attempt))
+                    {
                         match answers {
                             Some(a) => allocation.start_sent_with = Some(a),
                             None => allocation.push_in_flight = true,
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -224,7 +224,7 @@
             // A workflow step has no user who would cancel it, so its workflow run is told of the failure.
             if job.is_workflow_step && job.backoff_count as usize > self.tuning.step_patience {
                 info!(job = %task.job, "workflow step's job keeps failing: cancelling it");
-                job.given_up = true;
+                job.cancelled_by_scheduler = true;
                 self.writes.mark_dirty(&task.job);
             }
         }
--- a/crates/hopyoke-scheduler/src/resources.rs
+++ b/crates/hopyoke-scheduler/src/resources.rs
@@ -22,21 +22,21 @@
 impl Resources {
     /// Returns the resources of one task of the job.
     #[must_use]
-    pub fn of_task(s: &JobSpec) -> Resources {
+    pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
-            cpus: s.cpus,
-            gpus: s.gpus,
-            memory_gb: s.memory_gb,
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
         }
     }
 
     /// Returns the capacity of a machine of this type.
     #[must_use]
-    pub fn of_machine_type(t: &MachineType) -> Resources {
+    pub fn of_machine_type(machine_type: &MachineType) -> Resources {
         Resources {
-            cpus: t.cpus,
-            gpus: t.gpus,
-            memory_gb: t.memory_gb,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
         }
     }
 
@@ -173,15 +173,18 @@
     None
 }
 
-fn is_allowed_type(spec: &JobSpec, t: &MachineType) -> bool {
+fn is_allowed_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     let names = spec.machine_types.as_ref();
-    names.is_none_or(|names| names.contains(&t.name))
+    names.is_none_or(|names| names.contains(&machine_type.name))
 }
 
 /// Returns true if the type is offered in the zone that the job requests, or the job requests none.
-fn is_in_allowed_zone(spec: &JobSpec, t: &MachineType, zones: &[String]) -> bool {
+fn is_in_allowed_zone(spec: &JobSpec, machine_type: &MachineType, zones: &[String]) -> bool {
     match &spec.zone {
-        Some(zone) => t.zones.is_empty() && zones.contains(zone) || t.zones.contains(zone),
+        Some(zone) => {
+            machine_type.zones.is_empty() && zones.contains(zone)
+                || machine_type.zones.contains(zone)
+        }
         None => true,
     }
 }
--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -1,6 +1,6 @@
 //! Estimates from learned run times: when jobs end, and when capacity becomes free.
 
-use super::work_of;
+use super::workload;
 use crate::Scheduler;
 use crate::ledger::{Allocation, AllocationState, Job, Machine, MachinePhase, WaitReason};
 use hopyoke_protocol::user::{JobKind, JobSpec};
@@ -60,7 +60,7 @@
 impl Scheduler {
     /// Returns the estimated run time of a task of this job.
     pub fn estimate_run_time(&self, spec: &JobSpec) -> Estimate {
-        self.learned.learner.estimate(work_of(spec), None)
+        self.learned.learner.estimate(workload(spec), None)
     }
 
     /// Returns the remaining run time of an attempt in seconds, as its quantile at `p`. Returns `None` if the
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -67,7 +67,7 @@
     next_slow_check_at: Micros,
 }
 
-fn work_of(spec: &JobSpec) -> Workload<'_> {
+fn workload(spec: &JobSpec) -> Workload<'_> {
     Workload {
         class: &spec.class,
         team: &spec.team,
@@ -146,7 +146,7 @@
             let key = (task.clone(), *attempt);
             !learner.record_found_completed(
                 &key,
-                work_of(&job.spec),
+                workload(&job.spec),
                 *approximate_end,
                 Micros(wall_clock_offset_us),
                 &decode_attempt,
@@ -176,7 +176,7 @@
         let spec = job.spec.clone();
         self.learned
             .learner
-            .record_start_command((task.clone(), attempt), work_of(&spec), now);
+            .record_start_command((task.clone(), attempt), workload(&spec), now);
     }
 
     /// Records a completed task whose attempt this leader had not seen before. It most likely ended shortly
@@ -266,7 +266,7 @@
         let elapsed_before = seen_before.then_some(Micros::ZERO);
         self.learned
             .learner
-            .record_start(key, work_of(&spec), machines, now, elapsed_before);
+            .record_start(key, workload(&spec), machines, now, elapsed_before);
         if !seen_before {
             self.resolve_start_times();
         }
@@ -393,15 +393,18 @@
     /// writes for learned run times is exhausted.
     pub(crate) fn next_learned_page(&mut self, now: Micros) -> Option<(PageKey, Page)> {
         let rate = self.cfg.max_writes_per_s * self.tuning.learn_write_share;
-        let l = &mut self.learned;
-        l.write_budget =
-            (l.write_budget + rate * (now - l.budget_credited_at).as_secs_f64()).min(1.0);
-        l.budget_credited_at = now;
-        if l.write_budget < 1.0 || !self.tuning.learn {
+        let learned = &mut self.learned;
+        learned.write_budget = (learned.write_budget
+            + rate * (now - learned.budget_credited_at).as_secs_f64())
+        .min(1.0);
+        learned.budget_credited_at = now;
+        if learned.write_budget < 1.0 || !self.tuning.learn {
             return None;
         }
-        let page = l.learner.next_page_to_write(now, Micros::from_secs(5))?;
-        l.write_budget -= 1.0;
+        let page = learned
+            .learner
+            .next_page_to_write(now, Micros::from_secs(5))?;
+        learned.write_budget -= 1.0;
         Some(page)
     }
 
--- a/crates/hopyoke-scheduler/src/staffed_hours.rs
+++ b/crates/hopyoke-scheduler/src/staffed_hours.rs
@@ -64,17 +64,17 @@
     /// Detects the start and the end of staffed hours. The calendar is consulted only when the current window has
     /// ended.
     pub(crate) fn apply_staffed_hours(&mut self, now: Micros) {
-        let s = &mut self.staffing;
-        let Some(hours) = &s.hours else { return };
-        let wall_clock = s.clock.1 + (now - s.clock.0);
-        let is_current = s.window.as_ref().is_some_and(|(since, w)| {
+        let staffing = &mut self.staffing;
+        let Some(hours) = &staffing.hours else { return };
+        let wall_clock = staffing.clock.1 + (now - staffing.clock.0);
+        let is_current = staffing.window.as_ref().is_some_and(|(since, w)| {
             wall_clock >= *since && w.until.is_none_or(|until| wall_clock < until)
         });
         if is_current {
             return;
         }
         let window = hours.window_at(wall_clock);
-        let previous = s.window.replace((wall_clock, window));
+        let previous = staffing.window.replace((wall_clock, window));
         if previous.is_none_or(|(_, w)| w.staffed != window.staffed) {
             let until = window
                 .until
@@ -116,7 +116,7 @@
             .jobs
             .iter()
             .filter(|(_, j)| self.is_held(&j.spec))
-            .flat_map(|(id, job)| self.stops_of_held(id, job, drain))
+            .flat_map(|(id, job)| self.pending_stops(id, job, drain))
             .collect();
         if !stops.is_empty() {
             info!(
@@ -131,7 +131,7 @@
     }
 
     /// Returns the attempts of a held job that must be stopped.
-    fn stops_of_held(&self, id: &JobId, job: &Job, drain: bool) -> Vec<PendingStop> {
+    fn pending_stops(&self, id: &JobId, job: &Job, drain: bool) -> Vec<PendingStop> {
         let mut stops = Vec::new();
         for (&index, attempts) in &job.attempts {
             for (machine, attempt) in attempts {
--- a/crates/hopyoke-scheduler/tests/frozen_forms.rs
+++ b/crates/hopyoke-scheduler/tests/frozen_forms.rs
@@ -132,12 +132,12 @@
             ..EndRecord::new(JobState::Done, 4)
         },
     );
-    let given_up = EndRecord {
+    let cancelled_by_scheduler = EndRecord {
         is_workflow_step: true,
-        given_up: true,
+        cancelled_by_scheduler: true,
         ..EndRecord::new(JobState::Cancelled, 3)
     };
-    assert_stored("end-record-given-up", &given_up);
+    assert_stored("end-record-given-up", &cancelled_by_scheduler);
     assert_read_as("end-record-older", &EndRecord::new(JobState::Done, 0));
 }
 
--- a/crates/hopyoke-wes/src/calls.rs
+++ b/crates/hopyoke-wes/src/calls.rs
@@ -1,7 +1,7 @@
 //! The controllers, whichever of them answers. Every call here may be repeated: it changes nothing
 //! the second time.
 
-use hopyoke::peers::client::call_flow;
+use hopyoke::peers::client::call_workflows;
 use hopyoke::peers::client::proto::flow_request::Operation;
 use hopyoke::peers::client::proto::{FlowRequest, FlowResponse};
 use hopyoke_event_loop as runtime;
@@ -56,7 +56,7 @@
             for i in 0..self.addrs.len() {
                 let at = (self.first.get() + i) % self.addrs.len();
                 let addr = self.addrs[at];
-                match call_flow(
+                match call_workflows(
                     addr,
                     FlowRequest {
                         operation: Some(ask.clone()),
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -118,7 +118,7 @@
         warn!(machine = %heartbeat.machine, token = heartbeat.token.0, "heartbeat rejected: the agent has received a higher fencing token");
         return Err(HeartbeatError::StaleToken);
     }
-    let outcome = leadership.track_plan_cost(node, &mut scheduler, |scheduler| {
+    let outcome = leadership.track_placement_cost(node, &mut scheduler, |scheduler| {
         scheduler.heartbeat(&heartbeat, now)
     });
     // Only a fresh heartbeat proves that its agent reaches this node now: delayed copies must not keep in office a leader
--- a/crates/hopyoke/src/leadership/actions.rs
+++ b/crates/hopyoke/src/leadership/actions.rs
@@ -39,7 +39,7 @@
 ) -> Micros {
     let mut scheduler = leadership.scheduler.borrow_mut();
     scheduler.set_wall_clock(runtime::now(), runtime::time_of_day());
-    let next_tick_at = leadership.track_plan_cost(node, &mut scheduler, |scheduler| {
+    let next_tick_at = leadership.track_placement_cost(node, &mut scheduler, |scheduler| {
         scheduler.tick(runtime::now());
         scheduler.next_due(runtime::now())
     });
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -149,13 +149,13 @@
                 gpus: gpus.unwrap_or(0.0),
                 zone: zone.unwrap_or_default(),
             };
-            call_controller(mesh, client::get_estimate(mesh, request)).map(|w| {
+            call_controller(mesh, client::get_estimate(mesh, request)).map(|estimate| {
                 println!(
                     "p50 in {}, p90 in {}",
-                    format_duration(w.p50_s),
-                    format_duration(w.p90_s)
+                    format_duration(estimate.p50_s),
+                    format_duration(estimate.p90_s)
                 );
-                println!("based on {}", w.basis);
+                println!("based on {}", estimate.basis);
             })
         }
         Some(Command::History { mesh, follow }) => print_history(mesh, follow),
@@ -176,8 +176,8 @@
 }
 
 /// Sets or shows the operators' override of the staffed hours.
-fn staffed(word: Staffed, span: Option<&str>, mesh: SocketAddr) -> Result<(), String> {
-    let duration_s = match span {
+fn staffed(mode: Staffed, duration: Option<&str>, mesh: SocketAddr) -> Result<(), String> {
+    let duration_s = match duration {
         None => 0,
         Some(text) => {
             let unit_start = text
@@ -203,7 +203,7 @@
             (n * unit) as u64
         }
     };
-    let word = match word {
+    let mode = match mode {
         Staffed::On => "on",
         Staffed::Off => "off",
         Staffed::Auto => "auto",
@@ -211,11 +211,12 @@
     };
     let set_by = std::env::var("USER").unwrap_or_default();
     let request = StaffedRequest {
-        mode: word.to_owned(),
+        mode: mode.to_owned(),
         duration_s,
         set_by,
     };
-    call_controller(mesh, client::call_staffed(mesh, request)).map(|a| println!("{}", a.text))
+    call_controller(mesh, client::call_staffed_hours(mesh, request))
+        .map(|response| println!("{}", response.text))
 }
 
 /// Replaces this process with `hopyoke-cwl`, from the same directory if it is there. A separate program keeps the
@@ -250,7 +251,7 @@
             Ok(settings) => println!(
                 "{}: no faults\n{}",
                 file.display(),
-                election_limit(&settings)
+                describe_election_latency_limit(&settings)
             ),
             Err(e) => faults.push(e.to_string()),
         }
@@ -269,7 +270,7 @@
 }
 
 /// Describes the maximum latency of the key-value store at which a leader can be elected with these settings.
-fn election_limit(settings: &Settings) -> String {
+fn describe_election_latency_limit(settings: &Settings) -> String {
     let ttl = settings.leader_lease_ttl();
     format!(
         "a leader can be elected while the key-value store responds within {:.2} s, half of the leader lease's time to live of {:.2} s",
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -119,11 +119,11 @@
     pub(crate) peer_confirmed_reads: WaitingReads,
     /// Positions in the peers' cancellation logs.
     pub(crate) delivery_cursors: RefCell<DeliveryCursors>,
-    plan_cost: PlanCost,
+    placement_cost: PlacementCost,
 }
 
 /// Processor time spent on plans.
-struct PlanCost {
+struct PlacementCost {
     spent: Cell<Micros>,
     /// Time of the last report.
     since: Cell<Micros>,
@@ -131,7 +131,7 @@
     cpu_share: f64,
 }
 
-impl PlanCost {
+impl PlacementCost {
     /// Returns the fraction of the node's processor share that was spent since the last call.
     fn take_utilization(&self) -> f64 {
         let now = runtime::now();
@@ -141,7 +141,7 @@
 }
 
 /// Fraction of the usual processor share that plans may take while the processor is overloaded.
-const PLAN_SHARE_WHEN_CPU_OVERLOADED: f64 = 0.4;
+const PLACEMENT_SHARE_FACTOR_WHEN_CPU_OVERLOADED: f64 = 0.4;
 
 impl Leadership {
     /// Creates the state of a term that begins now, with the scheduler as built from the records.
@@ -166,7 +166,7 @@
             waiting_reads: WaitingReads::default(),
             peer_confirmed_reads: WaitingReads::default(),
             delivery_cursors: RefCell::new(DeliveryCursors::new(node.peers.all().len())),
-            plan_cost: PlanCost {
+            placement_cost: PlacementCost {
                 spent: Cell::new(Micros::ZERO),
                 since: Cell::new(now),
                 cpu_share: node.settings.platform.limits.cpu_cores,
@@ -175,8 +175,8 @@
     }
 
     /// Returns the fraction of this node's processor share that plans took since the last call. It may exceed 1.
-    pub(crate) fn plan_utilization(&self) -> f64 {
-        self.plan_cost.take_utilization()
+    pub(crate) fn take_placement_utilization(&self) -> f64 {
+        self.placement_cost.take_utilization()
     }
 
     /// Returns whether this node may command agents and renew their leases. After the leader lease has expired
@@ -224,17 +224,19 @@
     /// Runs a step of the scheduler that may compute a plan, and reports the cost of the plan to the scheduler. The
     /// time between plans follows from the cost, so that plans take at most the fraction `plan_share` of the node's
     /// processor share.
-    pub(crate) fn track_plan_cost<T>(
+    pub(crate) fn track_placement_cost<T>(
         &self,
         node: &Node,
         scheduler: &mut Scheduler,
         step: impl FnOnce(&mut Scheduler) -> T,
     ) -> T {
-        let (plans_before, started_at) = (scheduler.cycles(), runtime::now());
+        let (cycles_before, started_at) = (scheduler.cycles(), runtime::now());
         let result = step(scheduler);
-        if scheduler.cycles() != plans_before {
+        if scheduler.cycles() != cycles_before {
             let cost = runtime::now() - started_at;
-            self.plan_cost.spent.set(self.plan_cost.spent.get() + cost);
+            self.placement_cost
+                .spent
+                .set(self.placement_cost.spent.get() + cost);
             debug!(
                 cost_us = cost.0,
                 machines = scheduler.machines.len(),
@@ -243,7 +245,7 @@
             );
             // While the processor is overloaded, heartbeats have priority.
             let factor = if node.is_cpu_overloaded() {
-                PLAN_SHARE_WHEN_CPU_OVERLOADED
+                PLACEMENT_SHARE_FACTOR_WHEN_CPU_OVERLOADED
             } else {
                 1.0
             };
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -13,42 +13,42 @@
 
 /// Returns the scheduler's tuning for these values of the settings.
 #[must_use]
-pub fn scheduler_tuning(v: &Values) -> Tuning {
+pub fn scheduler_tuning(values: &Values) -> Tuning {
     Tuning {
-        idle_return: v.duration("idle_return"),
-        keep_ready: v.count("keep_ready"),
-        keep_ready_for: v.duration("keep_ready_for"),
-        boot_patience: v.number("boot_patience"),
-        rent_requests: v.count("rent_requests"),
-        refusal_pause: v.duration("refusal_pause"),
-        zone_burden: v.share("zone_burden"),
-        plan_share: v.share("plan_share"),
-        plan_gap_least: v.duration("plan_gap_least"),
-        plan_gap_most: v.duration("plan_gap_most"),
-        gang_reservations: v.count("gang_reservations"),
-        preempt_searches: v.count("preempt_searches"),
-        move_share: v.share("move_share"),
-        move_cost: v.duration("move_cost"),
-        move_settled: v.duration("move_settled"),
-        drain_looks: v.count("drain_looks"),
-        job_backoff: v.duration("job_backoff"),
-        suspect_after: v.count("suspect_after"),
-        step_patience: v.count("step_patience"),
-        machine_pause: v.duration("machine_pause"),
-        faulty_after: v.count("faulty_after"),
-        gather_least: v.duration("gather_least"),
-        gather: v.duration("gather"),
-        gather_most: v.duration("gather_most"),
-        learn: v.boolean("learn"),
-        learn_classes: v.count("learn_classes"),
-        learn_write_share: v.share("learn_write_share"),
-        learn_memory: v.number("learn_memory"),
-        use_for_victims: v.boolean("use_for_victims"),
-        use_for_backfill: v.boolean("use_for_backfill"),
-        use_for_demand: v.boolean("use_for_demand"),
-        use_for_deadlines: v.boolean("use_for_deadlines"),
-        use_for_slow_machines: v.boolean("use_for_slow_machines"),
-        slow_factor: v.number("slow_factor"),
+        idle_return: values.duration("idle_return"),
+        keep_ready: values.count("keep_ready"),
+        keep_ready_for: values.duration("keep_ready_for"),
+        boot_patience: values.number("boot_patience"),
+        rent_requests: values.count("rent_requests"),
+        refusal_pause: values.duration("refusal_pause"),
+        zone_burden: values.share("zone_burden"),
+        plan_share: values.share("plan_share"),
+        plan_gap_least: values.duration("plan_gap_least"),
+        plan_gap_most: values.duration("plan_gap_most"),
+        gang_reservations: values.count("gang_reservations"),
+        preempt_searches: values.count("preempt_searches"),
+        move_share: values.share("move_share"),
+        move_cost: values.duration("move_cost"),
+        move_settled: values.duration("move_settled"),
+        drain_looks: values.count("drain_looks"),
+        job_backoff: values.duration("job_backoff"),
+        suspect_after: values.count("suspect_after"),
+        step_patience: values.count("step_patience"),
+        machine_pause: values.duration("machine_pause"),
+        faulty_after: values.count("faulty_after"),
+        gather_least: values.duration("gather_least"),
+        gather: values.duration("gather"),
+        gather_most: values.duration("gather_most"),
+        learn: values.boolean("learn"),
+        learn_classes: values.count("learn_classes"),
+        learn_write_share: values.share("learn_write_share"),
+        learn_memory: values.number("learn_memory"),
+        use_for_victims: values.boolean("use_for_victims"),
+        use_for_backfill: values.boolean("use_for_backfill"),
+        use_for_demand: values.boolean("use_for_demand"),
+        use_for_deadlines: values.boolean("use_for_deadlines"),
+        use_for_slow_machines: values.boolean("use_for_slow_machines"),
+        slow_factor: values.number("slow_factor"),
     }
 }
 
@@ -57,36 +57,42 @@
 ///
 /// # Errors
 /// Returns which setting is malformed, and where, even if no work is held.
-pub fn staffed_hours(v: &Values, skew: Micros) -> Result<Option<StaffedHours>, CalendarError> {
+pub fn staffed_hours(values: &Values, skew: Micros) -> Result<Option<StaffedHours>, CalendarError> {
     let hours = StaffedHours {
-        calendar: Calendar::parse(v.text("hours"), v.text("hours_zone"), v.text("holidays"))?,
-        hold_selector: HoldSelector::parse(v.text("held"))?,
-        drain: v.boolean("hold_drain"),
-        placement_margin: v.duration("hold_margin"),
+        calendar: Calendar::parse(
+            values.text("hours"),
+            values.text("hours_zone"),
+            values.text("holidays"),
+        )?,
+        hold_selector: HoldSelector::parse(values.text("held"))?,
+        drain: values.boolean("hold_drain"),
+        placement_margin: values.duration("hold_margin"),
         max_clock_skew: skew,
         staffing_override: None,
     };
-    Ok(v.boolean("hold").then_some(hours))
+    Ok(values.boolean("hold").then_some(hours))
 }
 
 /// Returns the limits on workflow execution at this node, including its share of the key-value store's rates.
-pub(crate) fn workflow_limits(v: &Values, settings: &Settings) -> Limits {
+pub(crate) fn workflow_limits(values: &Values, settings: &Settings) -> Limits {
     let platform = &settings.platform;
     let nodes = f64::from(platform.nodes.max(1));
     Limits {
-        max_run_steps_in_flight: v.count("flow_steps"),
-        max_team_steps_in_flight: v.count("flow_team_steps"),
-        max_owned_runs: v.count("flow_runs"),
-        max_owned_steps: v.count("flow_steps_carried"),
-        max_writes_per_s: platform.store.max_writes_per_s * v.share("flow_write_share") / nodes,
-        max_reads_per_s: platform.store.max_requests_per_s * v.share("flow_read_share") / nodes,
-        write_batch_delay: v.duration("flow_gather"),
+        max_run_steps_in_flight: values.count("flow_steps"),
+        max_team_steps_in_flight: values.count("flow_team_steps"),
+        max_owned_runs: values.count("flow_runs"),
+        max_owned_steps: values.count("flow_steps_carried"),
+        max_writes_per_s: platform.store.max_writes_per_s * values.share("flow_write_share")
+            / nodes,
+        max_reads_per_s: platform.store.max_requests_per_s * values.share("flow_read_share")
+            / nodes,
+        write_batch_delay: values.duration("flow_gather"),
         ..Limits::default()
     }
 }
 
 /// Computes the live figures. Visits all machines and jobs, so it is too expensive for every scheduling cycle.
-fn live_figures(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
+fn live_metrics(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
     let up = || {
         scheduler
             .machines
@@ -123,9 +129,9 @@
 pub(crate) fn refresh_tuning(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
     let now = runtime::now();
     let mut scheduler = leadership.scheduler.borrow_mut();
-    let values = policy.evaluate(&live_figures(
+    let values = policy.evaluate(&live_metrics(
         &scheduler,
-        leadership.plan_utilization(),
+        leadership.take_placement_utilization(),
         now,
     ));
     let tuning = scheduler_tuning(&values);
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -35,7 +35,7 @@
 /// Timeout of a batch of relayed heartbeats: well below the 4 s after which agents drop responses.
 const RELAY_TIMEOUT: Micros = Micros::from_millis(2_500);
 /// Timeout of a workflow call: long, because the pages of a plan are written at a limited rate.
-const FLOW_TIMEOUT: Micros = Micros::from_secs(20);
+const WORKFLOW_CALL_TIMEOUT: Micros = Micros::from_secs(20);
 /// Time after a peer's last greeting for which the peer counts as reachable.
 const REACHABLE_WINDOW: Micros = Micros::from_millis(2_500);
 /// Part of a forwarded request's timeout reserved for the transfer to the peer and back.
@@ -352,7 +352,7 @@
 ///
 /// # Errors
 /// The connection or the call failed, it timed out, or the controller rejected the request.
-pub async fn call_staffed(
+pub async fn call_staffed_hours(
     addr: SocketAddr,
     request: StaffedRequest,
 ) -> io::Result<StaffedResponse> {
@@ -368,12 +368,10 @@
 ///
 /// # Errors
 /// The connection or the call failed, or it timed out; the request may still have been executed.
-pub async fn call_flow(addr: SocketAddr, request: FlowRequest) -> io::Result<FlowResponse> {
-    call_once_within(
-        addr,
-        FLOW_TIMEOUT,
-        |mut c| async move { c.flow(request).await },
-    )
+pub async fn call_workflows(addr: SocketAddr, request: FlowRequest) -> io::Result<FlowResponse> {
+    call_once_within(addr, WORKFLOW_CALL_TIMEOUT, |mut c| async move {
+        c.flow(request).await
+    })
     .await
 }
 
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -42,9 +42,11 @@
         node.max_open_connections(),
         runtime::now(),
     );
-    let leadership = node.leadership().filter(|l| l.lease_is_valid());
-    let (token, applied_revision) = leadership.map_or((0, 0), |l| {
-        let scheduler = l.scheduler.borrow();
+    let leadership = node
+        .leadership()
+        .filter(|leadership| leadership.lease_is_valid());
+    let (token, applied_revision) = leadership.map_or((0, 0), |leadership| {
+        let scheduler = leadership.scheduler.borrow();
         (scheduler.token.0, scheduler.applied_revision().0)
     });
     Greeting {
@@ -65,9 +67,11 @@
 
 /// Returns the greeting that requests the peer's own.
 fn greeting_request(node: &Node, peer: usize) -> Greeting {
-    let cursor = node.leadership().map_or_else(Default::default, |l| {
-        l.delivery_cursors.borrow().cursor(peer)
-    });
+    let cursor = node
+        .leadership()
+        .map_or_else(Default::default, |leadership| {
+            leadership.delivery_cursors.borrow().cursor(peer)
+        });
     Greeting {
         requested_loan: node.admission.requested_loan(),
         queue_positions: node.admission.take_gossip(peer),
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -157,9 +157,9 @@
     loop {
         let pause = match node.cloud.catalog().await {
             Some(types) if !types.is_empty() => {
-                if let Some(l) = node.leadership() {
-                    l.scheduler.borrow_mut().set_catalog(types.clone());
-                    l.wakeup.notify();
+                if let Some(leadership) = node.leadership() {
+                    leadership.scheduler.borrow_mut().set_catalog(types.clone());
+                    leadership.wakeup.notify();
                 }
                 *node.catalog.borrow_mut() = types;
                 Micros::from_secs(60)
--- a/crates/hopyoke/src/store/timeouts.rs
+++ b/crates/hopyoke/src/store/timeouts.rs
@@ -31,7 +31,7 @@
 
     /// Returns the timeout of a request that is sent now.
     pub(crate) fn timeout(&self, kind: RequestKind, priority: RequestPriority) -> Micros {
-        let bounds = self.policy.bounds(kind, purpose_of(priority));
+        let bounds = self.policy.bounds(kind, timeout_purpose(priority));
         self.latency.borrow().timeout(kind, bounds, runtime::now())
     }
 
@@ -113,7 +113,7 @@
 }
 
 /// Returns the purpose that requests of a priority serve.
-fn purpose_of(priority: RequestPriority) -> Purpose {
+fn timeout_purpose(priority: RequestPriority) -> Purpose {
     match priority {
         RequestPriority::Critical => Purpose::Lease,
         RequestPriority::Records | RequestPriority::Background => Purpose::Term,
--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -3,7 +3,7 @@
 
 use super::records::{WorkflowRecord, read_run_records};
 use super::runner::workflow_state;
-use super::watches::job_end_of;
+use super::watches::to_job_end;
 use crate::node::Node;
 use crate::store::client::TransactionOutcome;
 use crate::store::error::StoreError;
@@ -79,7 +79,7 @@
         } => {
             let outcome = match records::cancel(node, node.store.cancellations(), job).await {
                 Ok(Some(Lookup::Finished(end))) if end.is_workflow_step => {
-                    JobOutcome::Ended(job_end_of(end))
+                    JobOutcome::Ended(to_job_end(end))
                 }
                 Ok(Some(Lookup::NotFound)) => JobOutcome::NotFound,
                 Ok(Some(Lookup::Finished(_))) => JobOutcome::IdTaken,
@@ -229,7 +229,7 @@
 /// Returns the outcome of a submission whose job's record exists, by what was read of it.
 fn outcome_of_lookup(found: &Lookup) -> JobOutcome {
     match found {
-        Lookup::Finished(end) if end.is_workflow_step => JobOutcome::Ended(job_end_of(*end)),
+        Lookup::Finished(end) if end.is_workflow_step => JobOutcome::Ended(to_job_end(*end)),
         Lookup::Unfinished(Stored::Value(record), _) if record.is_workflow_step => {
             JobOutcome::AlreadyAccepted
         }
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -351,8 +351,11 @@
     };
     let progress = workflows.engine.borrow().progress(run);
     if query.limit == 0 {
-        let p = progress.unwrap_or_default();
-        return Ok(run_answer(200, run_info(&head, run, p.in_flight, p.done)));
+        let progress = progress.unwrap_or_default();
+        return Ok(run_answer(
+            200,
+            run_info(&head, run, progress.in_flight, progress.done),
+        ));
     }
     let pages = read_step_pages(node, run).await?;
     let Some(plan) = read_plan(node, run, &head).await? else {
--- a/crates/hopyoke/src/workflows/records.rs
+++ b/crates/hopyoke/src/workflows/records.rs
@@ -6,7 +6,7 @@
     workflow_claim_key, workflow_end_key, workflow_head_key, workflow_page_prefix,
     workflow_plan_prefix,
 };
-use crate::workflows::watches::job_end_of;
+use crate::workflows::watches::to_job_end;
 use hopyoke_protocol::state::{KeyValue, Stored};
 use hopyoke_scheduler::{EndRecord, JobRecord};
 use hopyoke_types::{JobId, ModRevision};
@@ -145,7 +145,7 @@
             .iter()
             .filter_map(|p| match &p.value {
                 Stored::Value(e) => {
-                    Some((job_id_in_key(&p.key)?, job_end_of(*e), e.is_workflow_step))
+                    Some((job_id_in_key(&p.key)?, to_job_end(*e), e.is_workflow_step))
                 }
                 Stored::Unreadable(_) => None,
             })
--- a/crates/hopyoke/src/workflows/watches.rs
+++ b/crates/hopyoke/src/workflows/watches.rs
@@ -179,7 +179,7 @@
                         && let Some(job) = key.strip_prefix("end/").and_then(JobId::parse)
                         && end.is_workflow_step
                     {
-                        engine.job_ended(&job, job_end_of(end), now);
+                        engine.job_ended(&job, to_job_end(end), now);
                     }
                 }
                 drop(engine);
@@ -192,10 +192,10 @@
 }
 
 /// Returns how a step's job ended, by its final record.
-pub(super) fn job_end_of(end: EndRecord) -> JobEnd {
+pub(super) fn to_job_end(end: EndRecord) -> JobEnd {
     match end.state {
         JobState::Done => JobEnd::Done,
-        _ if end.given_up => JobEnd::Failed,
+        _ if end.cancelled_by_scheduler => JobEnd::Failed,
         _ => JobEnd::Cancelled,
     }
 }
