--- a/crates/hopyoke-scheduler/src/autoscale/inventory.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/inventory.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// What is known from the cloud about instances.
+/// Instances as reported by the cloud.
 #[derive(Debug, Default)]
 pub(crate) struct CloudInventory {
     /// Machines whose deletion the cloud confirmed, with the time of the confirmation.
@@ -45,10 +45,10 @@
                 info!(machine = %instance.id, zone = %instance.zone, spot = instance.spot, "unknown machine found in the cloud's list");
             }
             if instance.state == ListedMachineState::Failed && !m.deleting {
-                // It stopped by itself. Only a confirmed deletion proves that its tasks are gone.
+                // The instance has stopped, but only a confirmed deletion proves that its tasks are gone.
                 m.deleting = true;
                 self.placement_schedule.request();
-                info!(machine = %instance.id, zone = %instance.zone, "machine failed");
+                info!(machine = %instance.id, zone = %instance.zone, "cloud lists machine as failed: deleting it");
             }
         }
         // A list may be as old as twice the maximum lag, and a delayed heartbeat minutes old. Neither may
--- a/crates/hopyoke-scheduler/src/autoscale/provisioning.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/provisioning.rs
@@ -17,8 +17,8 @@
 const BUCKETS: usize = 32;
 /// Weight of the prior distribution, as a number of machines.
 const PRIOR_WEIGHT: f64 = 4.0;
-/// Time in which the weight of an observation falls to 1/e, in nominal boot times. Recent requests say most
-/// about whether provisioning has become slow.
+/// Time in which the weight of an observation falls to 1/e, in nominal boot times. Recent requests are the best
+/// evidence of whether provisioning has become slow.
 const DECAY_TIME: f64 = 4.0;
 /// Horizon of the comparison with a new machine, in nominal boot times. A new machine is most likely up by then.
 const HORIZON: f64 = 1.5;
@@ -54,7 +54,7 @@
 /// Assessment of a machine that is being provisioned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProvisioningState {
-    /// Expected to come up. Placement counts on it.
+    /// Expected to come up. Placement relies on it.
     Awaited,
     /// A machine requested now is likely to be up first. It is still used if it comes up.
     Overdue,
--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Updates the provisioning state of machines that are not up yet. Placement no longer counts on overdue
+    /// Updates the provisioning state of machines that are not up yet. Placement no longer relies on overdue
     /// machines, so that replacements are requested. No invariant depends on this state.
     pub(crate) fn update_provisioning_states(&mut self, now: Micros) {
         if self.is_receive_overloaded(now) {
@@ -232,7 +232,7 @@
                 if m.provisioning == ProvisioningState::Awaited
                     && assessed != ProvisioningState::Awaited
                 {
-                    info!(machine = %m.id, zone = %m.zone, spot = m.spot, "provisioning overdue: placement no longer counts on machine");
+                    info!(machine = %m.id, zone = %m.zone, spot = m.spot, "provisioning overdue: placement no longer relies on machine");
                 }
                 // In a partitioned zone it may be up although its heartbeats don't arrive.
                 let may_be_up =
--- a/crates/hopyoke-scheduler/src/ledger/allocation.rs
+++ b/crates/hopyoke-scheduler/src/ledger/allocation.rs
@@ -43,7 +43,7 @@
 /// A requested stop of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StopRequest {
-    /// Grace period in seconds, in which the task may save a checkpoint; 0 kills it at once.
+    /// Grace period in seconds, in which the task may save a checkpoint; 0 kills it immediately.
     pub grace_s: f64,
 }
 
--- a/crates/hopyoke-scheduler/src/ledger/job.rs
+++ b/crates/hopyoke-scheduler/src/ledger/job.rs
@@ -24,7 +24,7 @@
     /// there is none.
     #[serde(default, rename = "term")]
     pub start_attempt: Attempt,
-    /// True if `start_attempt` is written before the first start of the job whatever its kind. Records
+    /// True if `start_attempt` is written before the first start of the job regardless of its kind. Records
     /// of earlier versions lack this field: they have the attempt for gangs only.
     #[serde(default, rename = "marks_start")]
     pub has_start_marker: bool,
@@ -145,7 +145,7 @@
 }
 
 impl Job {
-    /// Creates a job from its record. `inherited` says that an earlier leader may have seen the record.
+    /// Creates a job from its record. `inherited` is true if an earlier leader may have read the record.
     pub fn new(record: JobRecord, mod_revision: ModRevision, inherited: bool, now: Micros) -> Job {
         let inherited = inherited && record.may_have_started();
         let done = record.done.normalized(record.spec.tasks);
@@ -260,7 +260,7 @@
         self.failed_on.len() >= after
     }
 
-    /// Returns true if its tasks are gang-scheduled: they run all at once or not at all.
+    /// Returns true if its tasks are gang-scheduled: they all run concurrently or not at all.
     pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -17,7 +17,7 @@
     budget: f64,
     refilled_at: Micros,
     retry_not_before: Micros,
-    /// The nodes' admission control rejects new jobs, so deferrable writes leave room for theirs.
+    /// The nodes' admission control rejects new jobs, so deferrable writes leave write rate for those of submissions.
     admission_saturated: bool,
     /// Changes that deferrable writes may use while admission is saturated (token bucket).
     deferrable_budget: f64,
@@ -317,7 +317,7 @@
                 }
                 Write::End { job: id, .. } => match &result {
                     Ok(_) => {
-                        tracing::debug!(job = %id, "job finished");
+                        tracing::debug!(job = %id, "end of job recorded");
                         self.job_removed(&id, now);
                     }
                     Err(e) => {
--- a/crates/hopyoke-scheduler/src/persist/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -36,7 +36,7 @@
 }
 
 impl MachineRegistry {
-    /// Loads a stored page and returns its machines. `None` stands for a page that can't be decoded.
+    /// Loads a stored page and returns its machines. `None` is a page that can't be decoded.
     pub(crate) fn load_page(
         &mut self,
         key: String,
@@ -93,7 +93,7 @@
         std::mem::take(&mut self.pending)
     }
 
-    /// Adds a machine to a page of its type, zone and kind with room for it, or to a new page.
+    /// Adds a machine to a page of its type, zone and kind with enough free space, or to a new page.
     ///
     /// `kind` is (type, zone, spot); `value_bytes` is the largest value that the store accepts.
     pub(crate) fn add(
--- a/crates/hopyoke-scheduler/src/placement/estimates.rs
+++ b/crates/hopyoke-scheduler/src/placement/estimates.rs
@@ -231,7 +231,7 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            // All tasks of a gang end together, so that one of them stands for all.
+            // All tasks of a gang end together, so that one of them represents all.
             let only_index = (!job.is_gang()).then_some(task.index);
             for (_, attempts) in job
                 .attempts
--- a/crates/hopyoke-scheduler/src/placement/gang.rs
+++ b/crates/hopyoke-scheduler/src/placement/gang.rs
@@ -174,7 +174,7 @@
                 .iter()
                 .filter(|b| snapshot.had_image_before_cycle(&snapshot.bins[**b], request.image))
                 .count();
-            debug!(job = %id, class, tasks, waited_ms, waited_for, warm, first = previous.0 == 0, "gang start");
+            debug!(job = %id, class, tasks, waited_ms, waited_for, warm, first = previous.0 == 0, "gang bound to machines");
             self.writes.mark_dirty(id);
         }
         for (index, &bin) in missing.into_iter().zip(bins) {
@@ -193,7 +193,7 @@
 
     /// Reserves resources for `count` tasks at once, within a single zone if the job requires it.
     ///
-    /// Resources on machines that are not ready yet are reserved too, to keep them for this gang.
+    /// Resources on machines that are not ready yet are reserved too, so that no other job takes them.
     /// Returns `None` and leaves the snapshot unchanged if the tasks don't all fit.
     fn reserve_gang(
         &self,
--- a/crates/hopyoke-scheduler/src/placement/mod.rs
+++ b/crates/hopyoke-scheduler/src/placement/mod.rs
@@ -86,7 +86,7 @@
             self.bind(binding, now);
         }
         for (machine, (task, attempt)) in std::mem::take(&mut snapshot.victims) {
-            info!(machine = %machine, task = %task, "preempted for a production task");
+            info!(machine = %machine, task = %task, "preempting task for a production task");
             self.stop_allocation(&machine, &task.job, task.index, attempt, 0.0);
         }
         self.defragment(&snapshot, now);
@@ -144,7 +144,7 @@
                 job.spec.tasks,
                 job.last_wait_reason.map_or("", WaitReason::as_str),
             );
-            debug!(job = %binding.job, class, tasks, waited_ms, waited_for, image = binding.has_image, "first start");
+            debug!(job = %binding.job, class, tasks, waited_ms, waited_for, image = binding.has_image, "first task of job bound to machine");
             self.writes.mark_dirty(&binding.job);
         }
         let spec = job.spec.clone();
--- a/crates/hopyoke-scheduler/src/placement/preemption.rs
+++ b/crates/hopyoke-scheduler/src/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: makes room for production work by stopping tasks of arrays.
+//! Preemption: frees resources for production work by stopping tasks of arrays.
 
 use super::AttemptKey;
 use super::request::PlacementRequest;
@@ -26,7 +26,7 @@
     /// lower priority.
     ///
     /// Only arrays are preempted, as they lose the least work. The task starts once the victims
-    /// have exited. Returns the machine's zone, or `None` if no preemption makes enough room or the
+    /// have exited. Returns the machine's zone, or `None` if no preemption frees enough or the
     /// cycle's searches are used up.
     pub(super) fn preempt(
         &self,
@@ -76,7 +76,7 @@
     /// Selects the victims on one machine, those with the least lost work first, and sums up the
     /// seconds of lost work.
     ///
-    /// Returns `None` if preempting all candidates does not make enough room.
+    /// Returns `None` if preempting all candidates does not free enough resources.
     fn select_victims(
         &self,
         request: &PlacementRequest,
--- a/crates/hopyoke-scheduler/src/placement/queue_order.rs
+++ b/crates/hopyoke-scheduler/src/placement/queue_order.rs
@@ -26,13 +26,13 @@
 /// as of the smallest size.
 const SIZE_RANGE: f64 = 64.0;
 
-/// Waiting time after which newer jobs of the same tenant no longer overtake a job, whatever their
-/// sizes.
+/// Waiting time after which newer jobs of the same tenant no longer overtake a job, regardless of
+/// their sizes.
 pub const MAX_OVERTAKING_WAIT: Micros = Micros(WAIT_OFFSET.0 * (SIZE_RANGE as u64 - 1));
 
 /// Returns the order of the jobs: `order[i]` is the index of the job at position `i`.
 ///
-/// `jobs` must be sorted by age, or by whatever decides between tenants. Each tenant keeps the set
+/// `jobs` must be sorted by age, or by the order between tenants. Each tenant keeps the set
 /// of positions that its jobs hold. Within that set the job with the lowest ratio of work to
 /// waiting time comes first; ties keep their order. A value of `work_s` that is not finite counts
 /// as 0.
--- a/crates/hopyoke-scheduler/src/placement/snapshot.rs
+++ b/crates/hopyoke-scheduler/src/placement/snapshot.rs
@@ -140,7 +140,7 @@
     reserved: bool,
 }
 
-/// Aggregate figures for a set of machines, for the fleet usage log line.
+/// Totals over a set of machines, for the log of fleet usage.
 #[derive(Default)]
 struct FleetUsage {
     machines: u32,
@@ -245,8 +245,8 @@
             - (bin.free.cpus - request.task_resources.cpus) / 16.0
     }
 
-    /// Logs fleet usage as it will be once this cycle's tasks run, to show idle capacity that is
-    /// paid for.
+    /// Logs fleet usage as it will be once this cycle's tasks run, to show capacity that is paid
+    /// for but idle.
     pub(super) fn log_usage(&self) {
         let sum = |filter: &dyn Fn(&&Bin) -> bool| {
             let bins = self.bins.iter().filter(filter);
--- a/crates/hopyoke-scheduler/src/reconcile/attempts.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/attempts.rs
@@ -75,7 +75,7 @@
     }
 
     /// Requests the stop of an attempt, with a grace period in seconds. An attempt whose start command was
-    /// never sent is removed at once.
+    /// never sent is removed immediately.
     pub(crate) fn stop_allocation(
         &mut self,
         id: &MachineId,
--- a/crates/hopyoke-scheduler/src/reconcile/commands.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/commands.rs
@@ -139,7 +139,8 @@
                     Some(_) => {}
                 }
             }
-            // If the refusal was due to another epoch than expected, the push is repeated at once.
+            // A push that was refused because of another epoch than expected is repeated immediately, any
+            // other refused one after a pause.
             if !executed && heartbeat.is_none_or(|r| r.epoch == m.epoch) {
                 m.push_retry_at = now + Micros::from_millis(500);
             }
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -130,7 +130,7 @@
             m.lease_end = m.lease_end.max(now + self.cfg.lease_bound());
         }
         if is_back {
-            info!(machine = %id, zone = %m.zone, spot = m.spot, epoch = m.epoch, "machine up");
+            info!(machine = %id, zone = %m.zone, spot = m.spot, epoch = m.epoch, "machine is up: its agent sends heartbeats");
         }
         self.merge_preemption_notice(heartbeat, now);
         if let Some(took) = provisioned_after {
--- a/crates/hopyoke-scheduler/src/reconcile/job_records.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/job_records.rs
@@ -53,7 +53,7 @@
         self.placement_schedule.request();
     }
 
-    /// Notes that all changes of job records up to `revision` have been applied. They came with the answer
+    /// Records that all changes of job records up to `revision` have been applied. They came with the answer
     /// to a request that was sent at `sent`.
     pub fn records_applied_to(&mut self, revision: ModRevision, sent: Micros) {
         self.tombstones.caught_up(revision, sent);
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -11,16 +11,22 @@
 
 impl Scheduler {
     /// Merges the status of one attempt, as listed in a heartbeat, into the ledger.
-    pub(crate) fn merge_task(&mut self, id: &MachineId, task: TaskId, t: &TaskStatus, now: Micros) {
-        let key = (task, t.attempt);
-        let known = self
+    pub(crate) fn merge_task(
+        &mut self,
+        id: &MachineId,
+        task: TaskId,
+        status: &TaskStatus,
+        now: Micros,
+    ) {
+        let key = (task, status.attempt);
+        let is_known = self
             .machines
             .get(id)
             .is_some_and(|m| m.allocations().contains_key(&key));
-        if !known {
-            self.adopt_reported_attempt(id, &key, t, now);
+        if !is_known {
+            self.adopt_reported_attempt(id, &key, status, now);
         }
-        let state = match (t.state, t.exit_reason) {
+        let state = match (status.state, status.exit_reason) {
             (TaskState::Ended, exit_reason) => {
                 AllocationState::Ended(exit_reason.unwrap_or(ExitReason::Other))
             }
@@ -29,10 +35,10 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(was) = m.allocations().get(&key).map(|s| s.state) else {
+        let Some(previous) = m.allocations().get(&key).map(|s| s.state) else {
             return;
         };
-        if matches!(was, AllocationState::Ended(_)) || (known && was == state) {
+        if matches!(previous, AllocationState::Ended(_)) || (is_known && previous == state) {
             return;
         }
         let Some(allocation) = m.allocations_mut().get_mut(&key) else {
@@ -44,31 +50,31 @@
             .request_if(matches!(state, AllocationState::Ended(_)));
         match state {
             AllocationState::Live(TaskState::Running) => {
-                let first = allocation.running_since.is_none();
+                let is_first_report = allocation.running_since.is_none();
                 allocation.running_since.get_or_insert(now);
-                self.task_running(id, &key.0, t.attempt);
-                if first {
-                    self.record_run_start(id, &key.0, t.attempt, known, now);
+                self.task_running(id, &key.0, status.attempt);
+                if is_first_report {
+                    self.record_run_start(id, &key.0, status.attempt, is_known, now);
                 }
             }
             AllocationState::Ended(exit_reason) => {
-                let end = match exit_reason {
+                let outcome = match exit_reason {
                     ExitReason::Done => RunOutcome::Completed,
                     ExitReason::Stopped | ExitReason::GangPeersLost => RunOutcome::Censored,
                     _ => RunOutcome::Discarded,
                 };
-                if !known && end == RunOutcome::Completed {
-                    self.record_found_completed(&key.0, t.attempt, now);
+                if !is_known && outcome == RunOutcome::Completed {
+                    self.record_found_completed(&key.0, status.attempt, now);
                 }
-                self.record_run_end(id, &key.0, t.attempt, end, now);
-                self.task_ended(id, &key.0, t.attempt, exit_reason, now);
+                self.record_run_end(id, &key.0, status.attempt, outcome, now);
+                self.task_ended(id, &key.0, status.attempt, exit_reason, now);
             }
             _ => {}
         }
-        if !known {
-            self.reconcile_adopted_attempt(id, &key.0, t.attempt);
+        if !is_known {
+            self.reconcile_adopted_attempt(id, &key.0, status.attempt);
         }
-        self.stop_if_held(id, &key.0.job, key.0.index, t.attempt, state);
+        self.stop_if_held(id, &key.0.job, key.0.index, status.attempt, state);
     }
 
     /// Adds a reported attempt that the ledger does not have: one of an earlier leader, or one that was
@@ -77,7 +83,7 @@
         &mut self,
         id: &MachineId,
         key: &(TaskId, Attempt),
-        t: &TaskStatus,
+        status: &TaskStatus,
         now: Micros,
     ) {
         let spec = self.jobs.get(&key.0.job).map(|j| j.spec.clone());
@@ -85,9 +91,9 @@
         if let Some(m) = self.machines.get_mut(id) {
             m.allocations_mut().insert(key.clone(), allocation);
         }
-        self.add_attempt(id, &key.0, t.attempt);
+        self.add_attempt(id, &key.0, status.attempt);
         self.placement_schedule.request();
-        debug!(machine = %id, task = %key.0, attempt = t.attempt.0, state = ?t.state, "adopted reported attempt");
+        debug!(machine = %id, task = %key.0, attempt = status.attempt.0, state = ?status.state, "adopted reported attempt");
     }
 
     /// Decides whether an adopted attempt may continue, and stops it or its duplicates.
@@ -97,15 +103,15 @@
             return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
         };
         // An attempt is started only after all earlier ones are proven to have exited. So an earlier one
-        // beside it comes from an outdated heartbeat, and the later one continues (scenario
+        // next to it comes from an outdated heartbeat, and the later one continues (scenario
         // stale_heartbeat_stops_nothing).
         let attempts = job.attempts.get(&task.index).into_iter().flatten();
         let others: Vec<_> = attempts
             .filter(|(m, a)| m != id || *a != attempt)
             .cloned()
             .collect();
-        let surplus = others.iter().any(|(_, a)| *a >= attempt);
-        if job.done.contains(task.index) || task.index >= job.spec.tasks || surplus {
+        let is_superseded = others.iter().any(|(_, a)| *a >= attempt);
+        if job.done.contains(task.index) || task.index >= job.spec.tasks || is_superseded {
             return self.stop_allocation(id, &task.job, task.index, attempt, 0.0);
         }
         if job.is_gang() {
@@ -177,7 +183,8 @@
             }
             ExitReason::Error => self.task_failed(id, task, now),
             ExitReason::InsufficientResources | ExitReason::Busy => {
-                // The ledger's view of the machine was wrong: wait for its next heartbeats.
+                // The ledger's view of the machine was wrong: nothing is placed on it until its next
+                // heartbeats.
                 if let Some(m) = self.machines.get_mut(id) {
                     m.no_placement_before = now + self.cfg.heartbeat_interval.times(2);
                 }
@@ -221,7 +228,7 @@
             job.backoff_until = now + wait;
             let machines = job.failed_on.len();
             info!(job = %task.job, machines, wait_s = wait.as_secs_f64(), "job in backoff: its tasks fail on several machines");
-            // A workflow step has no user who would cancel it, so its workflow run is told of the failure.
+            // A workflow step has no user who would cancel it, so the failure is reported to its workflow run.
             if job.is_workflow_step && job.backoff_count as usize > self.tuning.step_patience {
                 info!(job = %task.job, "workflow step's job keeps failing: cancelling it");
                 job.cancelled_by_scheduler = true;
@@ -233,11 +240,11 @@
         {
             m.failed_jobs.insert(task.job.clone());
             m.failures += 1;
-            // A faulty machine fails tasks at once, so without a pause it would attract the whole queue.
+            // A faulty machine fails tasks immediately, so without a pause the whole queue would be placed on it.
             m.no_placement_before = now + self.tuning.machine_pause;
             if m.failed_jobs.len() >= self.tuning.faulty_after && !m.faulty {
                 m.faulty = true;
-                info!(machine = %id, zone = %m.zone, failures = m.failures, "machine considered faulty");
+                info!(machine = %id, zone = %m.zone, failures = m.failures, "machine marked faulty: tasks of several jobs fail on it");
             }
         }
     }
--- a/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// What the fleet's heartbeats tell about the cause of missing ones.
+/// Evidence from the fleet's heartbeats on why some are missing.
 struct FleetReachability {
     /// Most machines report, so the silence of others is not caused by this node.
     most_report: bool,
@@ -72,7 +72,7 @@
 }
 
 impl Scheduler {
-    /// Notes that this node can't receive all heartbeats, for lack of CPU time or connections. Until two
+    /// Records that this node can't receive all heartbeats, for lack of CPU time or connections. Until two
     /// heartbeat intervals after the last call no machine is deleted for missing heartbeats, and none is
     /// requested to replace it. Guards against deleting and replacing the fleet because the leader is
     /// overloaded.
@@ -80,7 +80,7 @@
         if now >= self.receive_health.overloaded_until {
             info!(
                 machines = self.machines.len(),
-                "overloaded: not all heartbeats can be received"
+                "node overloaded: not all heartbeats can be received"
             );
         }
         self.receive_health.overloaded_until = now + self.cfg.heartbeat_interval.times(2);
@@ -203,8 +203,8 @@
     fn is_unresponsive(&self, m: &Machine, fleet: &FleetReachability, now: Micros) -> bool {
         let silent_after = (self.cfg.heartbeat_interval.times(4)).max(Micros::from_secs(8));
         let unlisted_after = self.cfg.heartbeat_interval.times(2);
-        // After a failover, or a period in which this node was not entitled to respond (scenario
-        // outage_short), agents need a moment to find it.
+        // After a failover, or a period without a valid leader lease (scenario outage_short), agents need a
+        // moment to find this node.
         let since = m.last_seen.max(self.resumed_at + Micros::from_secs(1));
         let silent_for = now.saturating_sub(since);
         let is_last_unreconciled =
--- a/crates/hopyoke-scheduler/src/resources.rs
+++ b/crates/hopyoke-scheduler/src/resources.rs
@@ -155,7 +155,7 @@
     if usable.is_empty() {
         return Some("a task fits no allowed machine type".into());
     }
-    // Tasks of an array can run one after another; those of a gang or service must all run at once.
+    // Tasks of an array can run one after another; those of a gang or service run concurrently.
     let concurrent_tasks = if spec.kind == JobKind::Array {
         1.0
     } else {
@@ -189,7 +189,7 @@
     }
 }
 
-/// Returns why tasks that must all run at once can't be spread over zones, or `None` if they can. At most half
+/// Returns why tasks that must run concurrently can't be spread over zones, or `None` if they can. At most half
 /// of them may be in one zone.
 fn spread_conflict(spec: &JobSpec, usable: &[&MachineType], zones: &[String]) -> Option<String> {
     if spec.one_zone {
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -16,7 +16,7 @@
 /// Number of low bits of an attempt number that hold the leader's sequence number. The bits above hold the
 /// fencing token.
 const SEQUENCE_BITS: u32 = 28;
-/// Time since the grant that one step of the sequence number stands for, unless starts are more frequent.
+/// Time since the grant per step of the sequence number, unless starts are more frequent.
 const SEQUENCE_TICK: Micros = Micros::from_millis(100);
 /// Typical time without a leader during a failover.
 const LEADERLESS_INTERVAL: Micros = Micros::from_secs(5);
@@ -78,7 +78,8 @@
 impl Scheduler {
     /// Returns an attempt number that no other start of any task has: the fencing token is unique to this
     /// leader, and its sequence number only increases. The sequence number is at least the number of ticks since
-    /// the grant. A later leader can thus tell when a start was commanded without a record of it.
+    /// the grant. A later leader can thus derive when a start was commanded, without a record of
+    /// it.
     pub(crate) fn new_attempt(&mut self, now: Micros) -> Attempt {
         let ticks = (now - self.reconciliation.granted_at()).0 / SEQUENCE_TICK.0;
         self.sequence_number = (self.sequence_number + 1).max(ticks);
@@ -108,7 +109,7 @@
             );
         };
         let Some(page) = page else {
-            return warn!(page = %key, "page of learned run times can't be decoded, learning from scratch");
+            return warn!(page = %key, "cannot decode page of learned run times, learning from scratch");
         };
         match self.learned.learner.load(key, page) {
             Ok(n) => info!(page = %key, entries = n, "learned run times loaded"),
@@ -185,7 +186,7 @@
         let Some(job) = self.jobs.get(&task.job).filter(|_| self.tuning.learn) else {
             return;
         };
-        // Runs that resumed from a checkpoint or ended long ago say nothing about run times. For a gang, one
+        // Runs that resumed from a checkpoint or ended long ago are no measure of run times. For a gang, one
         // report is enough.
         let key = TaskId {
             job: task.job.clone(),
@@ -229,7 +230,7 @@
         let spec = job.spec.clone();
         let (key, machines) = match spec.kind {
             JobKind::Service => return,
-            // The rest of a run that resumes from a checkpoint says nothing about the whole.
+            // The rest of a run that resumes from a checkpoint is no measure of the whole run.
             _ if job.may_have_checkpoint => return,
             JobKind::Array => ((task.clone(), attempt), vec![id.clone()]),
             JobKind::Gang if attempt != job.start_attempt => return,
@@ -325,7 +326,7 @@
             ended_us: self.learned.wall_clock_offset_us.map_or(0, |d| d + now.0),
             ran_s,
         };
-        debug!(job = %task.job, index = completed.index, class = %completed.spec.class, ran_s, "run completed");
+        debug!(job = %task.job, index = completed.index, class = %completed.spec.class, ran_s, "task run completed");
         self.learned.completed.push_back(completed);
         if self.learned.completed.len() > MAX_COMPLETED_RUNS {
             self.learned.completed.pop_front();
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -121,8 +121,8 @@
     let outcome = leadership.track_placement_cost(node, &mut scheduler, |scheduler| {
         scheduler.heartbeat(&heartbeat, now)
     });
-    // Only a fresh heartbeat proves that its agent reaches this node now: delayed copies must not keep in office a leader
-    // that no agent reaches any more.
+    // Only a fresh heartbeat proves that its agent reaches this node now: delayed copies must not prolong the term of a
+    // leader that no agent reaches any more.
     if outcome.fresh {
         leadership
             .heartbeat_monitor
--- a/crates/hopyoke/src/agents/pushed_commands.rs
+++ b/crates/hopyoke/src/agents/pushed_commands.rs
@@ -111,8 +111,8 @@
     }
 }
 
-/// Logs at `debug` which task attempts an agent is told to start and under which fencing token, so that the log holds the
-/// history of each task. `via` names the message that carries the commands.
+/// Logs at `debug` the start commands sent to an agent and their fencing token, so that the log holds the history of each
+/// task. `via` names the message that carries the commands.
 pub(super) fn log_starts(
     machine: &MachineId,
     token: FencingToken,
@@ -132,6 +132,6 @@
         })
         .collect();
     if !starts.is_empty() {
-        debug!(machine = %machine, token = token.0, epoch, sequence, via, starts = ?starts, "starts sent");
+        debug!(machine = %machine, token = token.0, epoch, sequence, via, starts = ?starts, "start commands sent to agent");
     }
 }
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -190,7 +190,7 @@
         cancel(node, &id, deadline).await
     };
     response.unwrap_or_else(|e| {
-        debug!(job = %id, error = %e, "request not answered");
+        debug!(job = %id, error = %e, "failed to access job record");
         unavailable("the state service did not answer")
     })
 }
@@ -272,7 +272,7 @@
             if let Some(end) = node.terminal_states.get(id) {
                 return Ok(finished_response(id, end));
             }
-            // The job has ended, was never accepted, or has a malformed record: only its records tell which.
+            // The job has ended, was never accepted, or has a malformed record: only its records distinguish these.
             return Ok(job_response(
                 node,
                 id,
@@ -305,8 +305,8 @@
     }
 }
 
-/// Returns whether to read a job's records at once instead of waiting for a query for recent changes first: the scheduler
-/// does not know the job, so it has most likely ended, and the deadline leaves no time for both.
+/// Returns whether to read a job's records without waiting for a query for recent changes first: the scheduler does not
+/// know the job, so it has most likely ended, and the deadline leaves no time for both.
 fn should_read_records_directly(
     leadership: &Leadership,
     client: PrioritizedClient<'_>,
@@ -346,7 +346,7 @@
         None => accept(node, spec, deadline).await,
     };
     result.unwrap_or_else(|e| {
-        debug!(job = %id, error = %e, "submission not answered");
+        debug!(job = %id, error = %e, "failed to store submitted job");
         unavailable("the state service did not answer")
     })
 }
@@ -367,7 +367,7 @@
         return Ok(finished_response(&id, end));
     }
     if let Err(retry_after) = node.admission.admit(node, &spec) {
-        debug!(job = %id, after_s = retry_after.0, "submission rejected");
+        debug!(job = %id, after_s = retry_after.0, "submission rejected by admission control");
         // Admission control does not apply to a repeated submission that can be answered without a request to the store.
         let is_known = node
             .leadership()
--- a/crates/hopyoke/src/cloud.rs
+++ b/crates/hopyoke/src/cloud.rs
@@ -16,7 +16,7 @@
 const LIST_PAGE_SIZE: u32 = 500;
 /// Fraction of the API's rate limit that a node uses.
 const RATE_UTILIZATION: f64 = 0.85;
-/// Size of a burst: as many requests may be sent at once as the rate limit admits in this time.
+/// Size of a burst: as many requests may be sent without delay as the rate limit admits in this time.
 const BURST_TIME: Micros = Micros::from_secs(1);
 
 /// Rate-limited client of the cloud provider's API.
--- a/crates/hopyoke/src/leadership/backoff.rs
+++ b/crates/hopyoke/src/leadership/backoff.rs
@@ -23,7 +23,7 @@
     for _ in 0..MAX_ATTEMPTS {
         match request().await {
             Ok(value) => return Some(value),
-            Err(e) => debug!(error = %e, "records not read, retrying"),
+            Err(e) => debug!(error = %e, "failed to read records, retrying"),
         }
         runtime::sleep(RETRY_INTERVAL).await;
     }
--- a/crates/hopyoke/src/leadership/election.rs
+++ b/crates/hopyoke/src/leadership/election.rs
@@ -114,7 +114,7 @@
             .get::<LeaseHolder>(LEADER_KEY)
             .await
             .inspect_err(|e| {
-                debug!(error = %e, "leader key not read");
+                debug!(error = %e, "failed to read leader key");
                 self.node.set_candidacy(Candidacy::LeaderUnknown(e.clone()));
             })
             .ok()?;
@@ -203,7 +203,7 @@
     let lease = match node.store.critical().grant(ttl).await {
         Ok(lease) => lease,
         Err(e) => {
-            debug!(error = %e, "leader lease not granted");
+            debug!(error = %e, "failed to obtain leader lease");
             runtime::sleep(Micros::from_millis(300)).await;
             return Acquisition::Failed(e);
         }
@@ -220,7 +220,7 @@
         match client.txn(compares, mutations.clone()).await {
             // The transaction was not executed: retry with the same lease while at least half of its TTL is left.
             Err(e) if e.is_refusal() && runtime::now() < valid_until - Micros(ttl.0 / 2) => {
-                debug!(error = %e, "leader key not written, retrying");
+                debug!(error = %e, "failed to write leader key, retrying");
                 runtime::sleep(Micros::from_millis(100) + jitter(Micros::from_millis(150))).await;
             }
             outcome => break outcome,
@@ -236,7 +236,7 @@
             })
         }
         Err(e) if !e.is_refusal() => {
-            debug!(error = %e, "outcome of the leader key write unknown");
+            debug!(error = %e, "outcome of leader key write unknown");
             Acquisition::OutcomeUnknown { lease }
         }
         Ok(TransactionOutcome::Failed(_)) => {
--- a/crates/hopyoke/src/leadership/keep_alive.rs
+++ b/crates/hopyoke/src/leadership/keep_alive.rs
@@ -116,7 +116,7 @@
             }
             // The lease may outlive an outage of the store: the term ends only if the store reports it as gone.
             Err(e) => {
-                debug!(error = %e, "leader lease not renewed");
+                debug!(error = %e, "failed to renew leader lease");
                 RenewalOutcome::Failed
             }
         }
--- a/crates/hopyoke/src/leadership/lease_support.rs
+++ b/crates/hopyoke/src/leadership/lease_support.rs
@@ -7,7 +7,7 @@
 use std::cell::{Cell, RefCell};
 
 /// Capacity of the log of cancellations that a leader may not know of; bounds its memory to about 2 MB. A leader that
-/// lags further behind than the log reaches gets no support.
+/// has missed cancellations older than the log gets no support.
 const MAX_LOGGED_CANCELLATIONS: usize = 8192;
 
 /// Guarantees given to peers while the key-value store refuses all nodes; see [`hopyoke_consistency::leader_lease`].
--- a/crates/hopyoke/src/leadership/record_writer.rs
+++ b/crates/hopyoke/src/leadership/record_writer.rs
@@ -207,7 +207,7 @@
 
 fn classify_error(error: &StoreError) -> BatchError {
     if error.is_refusal() {
-        debug!(error = %error, "batch of records not written");
+        debug!(error = %error, "failed to write batch of records");
         BatchError::NotApplied
     } else {
         BatchError::OutcomeUnknown
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -122,10 +122,10 @@
     placement_cost: PlacementCost,
 }
 
-/// Processor time spent on plans.
+/// Processor time spent on placement cycles.
 struct PlacementCost {
     spent: Cell<Micros>,
-    /// Time of the last report.
+    /// Time of the last call of [`PlacementCost::take_utilization`].
     since: Cell<Micros>,
     /// This node's share of its processor, from 0 to 1.
     cpu_share: f64,
@@ -140,7 +140,7 @@
     }
 }
 
-/// Fraction of the usual processor share that plans may take while the processor is overloaded.
+/// Factor on the processor share of placement cycles while the processor is overloaded.
 const PLACEMENT_SHARE_FACTOR_WHEN_CPU_OVERLOADED: f64 = 0.4;
 
 impl Leadership {
@@ -174,13 +174,14 @@
         }
     }
 
-    /// Returns the fraction of this node's processor share that plans took since the last call. It may exceed 1.
+    /// Returns the fraction of this node's processor share that placement cycles took since the last call. It may
+    /// exceed 1.
     pub(crate) fn take_placement_utilization(&self) -> f64 {
         self.placement_cost.take_utilization()
     }
 
     /// Returns whether this node may command agents and renew their leases. After the leader lease has expired
-    /// another node may lead, and without received cancellations tasks must not be kept alive. Guards the invariants
+    /// another node may lead, and without received cancellations leases must not be renewed. Guards the invariants
     /// `ran_twice` and `ran_cancelled`.
     pub(crate) fn lease_is_valid(&self) -> bool {
         self.leader_lease.borrow().is_valid(runtime::now()) && !self.cancel.is_cancelled()
@@ -196,16 +197,16 @@
             == Some(true)
     }
 
-    /// Waits until all peers have confirmed, by messages sent after this call, which cancellations they know of.
+    /// Waits until all peers have confirmed, by messages sent after this call, which cancellations they have recorded.
     /// Returns false if that is not known by `deadline` or the term ends.
     ///
     /// A job that the scheduler then reports as unfinished is unfinished for every user, without a read of the store:
     ///
-    /// - No user has been told that it is done. Only the leader records that, this node's lease was valid until the
-    ///   peers had answered, its scheduler has tasks of the job that are not done, and the failover read what an
-    ///   earlier leader recorded.
-    /// - No user has been told that it is cancelled. Each node logs a cancellation before it responds to the user,
-    ///   and a peer whose log may lack some, because it was restarted since, confirms nothing.
+    /// - No response to a user has reported it as done. Only the leader records that, this node's lease was valid
+    ///   until the peers had answered, its scheduler has tasks of the job that are not done, and the failover read
+    ///   what an earlier leader recorded.
+    /// - No response to a user has reported it as cancelled. Each node logs a cancellation before it responds to the
+    ///   user, and a peer whose log may lack some, because it was restarted since, confirms nothing.
     ///
     /// Guards the invariant `went_back`.
     pub(crate) async fn wait_until_confirmed(&self, deadline: Micros) -> bool {
@@ -221,9 +222,9 @@
         scheduler.jobs.get(id).is_some_and(|job| !job.is_finished())
     }
 
-    /// Runs a step of the scheduler that may compute a plan, and reports the cost of the plan to the scheduler. The
-    /// time between plans follows from the cost, so that plans take at most the fraction `plan_share` of the node's
-    /// processor share.
+    /// Runs a step of the scheduler that may include a placement cycle, and reports the cost of the cycle to the
+    /// scheduler. The interval between cycles follows from their cost, so that they take at most the fraction
+    /// `plan_share` of the node's processor share.
     pub(crate) fn track_placement_cost<T>(
         &self,
         node: &Node,
@@ -241,7 +242,7 @@
                 cost_us = cost.0,
                 machines = scheduler.machines.len(),
                 jobs = scheduler.jobs.len(),
-                "plan made"
+                "placement cycle completed"
             );
             // While the processor is overloaded, heartbeats have priority.
             let factor = if node.is_cpu_overloaded() {
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -1,5 +1,5 @@
 //! Converts the operators' settings to the scheduler's tuning, the staffed hours and the limits on workflows, and computes
-//! the live figures that expressions in the settings may refer to.
+//! the live metrics that expressions in the settings may refer to.
 
 use crate::node::Leadership;
 use hopyoke_calendar::{Calendar, CalendarError, HoldSelector, StaffedHours};
@@ -91,7 +91,7 @@
     }
 }
 
-/// Computes the live figures. Visits all machines and jobs, so it is too expensive for every scheduling cycle.
+/// Computes the live metrics. Visits all machines and jobs, so it is too expensive for every scheduling cycle.
 fn live_metrics(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
     let up = || {
         scheduler
@@ -125,7 +125,7 @@
         .number("hour", hour)
 }
 
-/// Evaluates the settings with the current live figures, and updates the scheduler's tuning if it has changed.
+/// Evaluates the settings with the current live metrics, and updates the scheduler's tuning if it has changed.
 pub(crate) fn refresh_tuning(policy: &hopyoke_policy::Policy, leadership: &Leadership) {
     let now = runtime::now();
     let mut scheduler = leadership.scheduler.borrow_mut();
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -35,7 +35,7 @@
 }
 
 /// Returns the staffed hours with which a new leader starts. Until it has read the override it assumes "not staffed", the
-/// state in which work is held, since the override may say so.
+/// state in which work is held, since the override may demand it.
 pub(crate) fn initial(node: &Node) -> Option<StaffedHours> {
     let not_staffed = StaffingOverride {
         staffed: false,
--- a/crates/hopyoke/src/operations/status.rs
+++ b/crates/hopyoke/src/operations/status.rs
@@ -122,10 +122,10 @@
     leadership: &Leadership,
     scheduler: &Scheduler,
 ) -> fmt::Result {
-    let (runs, classes, _, forgotten) = scheduler.learned_counts();
+    let (runs, classes, _, evicted) = scheduler.learned_counts();
     writeln!(
         out,
-        "learned classes {classes} forgotten {forgotten} runs_under_way {runs}"
+        "learned classes {classes} forgotten {evicted} runs_under_way {runs}"
     )?;
     for slow in scheduler.slow_machines() {
         writeln!(
@@ -134,8 +134,8 @@
             slow.machine, slow.factor, slow.runs
         )?;
     }
-    let (questions, reads) = leadership.waiting_reads.counts();
-    writeln!(out, "polls from the replica {reads} questions {questions}")?;
+    let (queries, reads) = leadership.waiting_reads.counts();
+    writeln!(out, "polls from the replica {reads} questions {queries}")?;
     writeln!(
         out,
         "token {} entitled {} recovering {}",
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -82,9 +82,9 @@
     }
 }
 
-/// Maximum number of users' requests forwarded to one peer at once. Fewer than the streams that the peer accepts: a
-/// request that waits for a stream until its timeout costs both sides as much as a response. Guards against
-/// overloading a slow peer with requests whose users have given up.
+/// Maximum number of users' requests forwarded to one peer concurrently. Fewer than the streams that the peer
+/// accepts: a request that waits for a stream until its timeout costs both sides as much as a response. Guards
+/// against overloading a slow peer with requests that have timed out for their users.
 const MAX_FORWARDED: usize = 24;
 
 impl PeerClient {
@@ -127,7 +127,7 @@
     /// previous process of the peer, or from another node at its address. A greeting that was delayed by a network
     /// partition may arrive long after its process ended.
     ///
-    /// A greeting that `is_response` to a call of this node comes from a live process, whatever arrived before it.
+    /// A greeting that `is_response` to a call of this node comes from a live process, regardless of earlier messages.
     /// The state stored from a delayed greeting of a process that was not known yet is therefore corrected within a
     /// second.
     pub(crate) fn greeting_received(&self, greeting: &Greeting, is_response: bool) -> bool {
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -353,7 +353,7 @@
     }
 }
 
-/// Maximum number of open connections; further ones are closed at once.
+/// Maximum number of open connections; further ones are closed immediately.
 const MAX_CONNECTIONS: usize = 32;
 
 /// Accepts calls from peers and operators, for as long as the node runs.
@@ -405,7 +405,7 @@
     let index = node.peers.index_of(name);
     if index.is_none() {
         node.peers.count_unknown_sender();
-        debug!(node = name, "message from a node that is not a peer");
+        debug!(node = name, "message from an unknown node ignored");
     }
     index
 }
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -41,7 +41,7 @@
             .then(|| settings::workflow_limits(&values, &settings));
         let node = Rc::new(Node::new(settings, policy, workflow_limits));
         let cancelled_gone_s = node.settings.cancellation_bound().total().as_secs_f64();
-        info!(node = %node.settings.node, zone = %node.settings.zone, cancelled_gone_s, "serving");
+        info!(node = %node.settings.node, zone = %node.settings.zone, cancelled_gone_s, "controller node started");
         start_background_tasks(&node);
         serve_requests(&node, listener).await;
     })?;
@@ -149,7 +149,7 @@
 /// Delay of a timer above which the processor counts as overloaded. Well below the 4 s after which agents drop
 /// responses: a later detection lets agents' leases expire.
 const MAX_WAKEUP_DELAY: Micros = Micros::from_millis(400);
-/// Time for which the processor then counts as overloaded.
+/// Time for which the processor counts as overloaded after such a delay.
 const CPU_OVERLOAD_DURATION: Micros = Micros::from_secs(20);
 
 /// Keeps the machine types up to date. Every node needs them to decide which jobs can ever be scheduled.
@@ -165,7 +165,7 @@
                 Micros::from_secs(60)
             }
             _ => {
-                debug!("machine types are not available");
+                debug!("failed to read machine types from the cloud");
                 Micros::from_secs(2)
             }
         };
--- a/crates/hopyoke/src/store/client.rs
+++ b/crates/hopyoke/src/store/client.rs
@@ -155,7 +155,7 @@
         self.with_priority(RequestPriority::Polls)
     }
 
-    /// Returns the client for submissions, which never wait for the rate limiter but fail at once.
+    /// Returns the client for submissions, which never wait for the rate limiter but fail immediately.
     pub(crate) fn submissions(&self) -> PrioritizedClient<'_> {
         self.with_priority(RequestPriority::Accepts)
     }
@@ -213,7 +213,7 @@
             .send(request.method, request.path, request.body, limit)
             .await;
         let now = runtime::now();
-        // A request that was abandoned at its user's deadline says nothing about the store.
+        // A request that was abandoned at its user's deadline is neither a failure nor a timeout of the store.
         let is_abandoned = matches!(&result, Err(ClientError::Unknown))
             && now >= sent_at + limit
             && limit < timeout;
@@ -284,7 +284,7 @@
     }
 
     /// Returns whether two reads must be sent concurrently: by the measured latency there is no time for two sequential
-    /// reads before the deadline, and the rate limiter admits two requests at once.
+    /// reads before the deadline, and the rate limiter admits two requests immediately.
     pub(crate) fn must_read_concurrently(self) -> bool {
         let now = runtime::now();
         let Some(deadline) = self.deadline else {
@@ -388,7 +388,7 @@
         loop {
             match self.read_page(prefix, after, PAGE_SIZE).await {
                 Err(e) if retries < MAX_PAGE_RETRIES => {
-                    debug!(error = %e, prefix, "page not read, retrying");
+                    debug!(error = %e, prefix, "failed to read page of key-value pairs, retrying");
                     retries += 1;
                     runtime::sleep(Micros::from_millis(rand::random_range(50..=150))).await;
                 }
--- a/crates/hopyoke/src/store/records.rs
+++ b/crates/hopyoke/src/store/records.rs
@@ -41,10 +41,10 @@
     }
 }
 
-/// Records a job's terminal state that this node has written or read; users may be told of it from now on.
+/// Records a job's terminal state that this node has written or read; responses to users may report it from now on.
 ///
 /// Before that, a cancellation is appended to the cancellation log for leaders that may not receive it, and the job is
-/// removed from this node's own scheduler. This applies whoever wrote the record: the response to the cancelling
+/// removed from this node's own scheduler. This applies to a record of any writer: the response to the cancelling
 /// transaction can be lost, and the user's repeated request then finds its result. Guards the invariant
 /// `ran_cancelled`: a leader that outlives an outage of the store would otherwise keep the job's tasks running.
 fn record_terminal_state(node: &Node, id: &JobId, end: EndRecord, mod_revision: ModRevision) {
@@ -81,7 +81,7 @@
                     .borrow_mut()
                     .set_start_revision(ModRevision(page.revision));
             }
-            Err(e) => debug!(error = %e, "store revision at process start not read"),
+            Err(e) => debug!(error = %e, "failed to read store revision at process start"),
         }
         runtime::sleep(Micros::from_millis(rand::random_range(400..=800))).await;
     }
--- a/crates/hopyoke/src/store/watch.rs
+++ b/crates/hopyoke/src/store/watch.rs
@@ -35,7 +35,7 @@
         match result {
             Ok(changes) => {
                 apply_changes(&leadership, changes, sent_at);
-                // Under load each watch is answered at once; the delay batches several changes into one request.
+                // Under load each watch is answered immediately; the delay batches several changes into one request.
                 runtime::sleep_until(sent_at + MIN_WATCH_INTERVAL).await;
             }
             Err(StoreError::Gone) => match node.store.records().list(JOB_PREFIX).await {
--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -127,7 +127,7 @@
 /// Claims a run for this node, by compare-and-swap against an absent claim. Returns the revision of the claim.
 ///
 /// # Errors
-/// Returns the revision of the claim that stands instead, or `None` if it is not known whether there is one.
+/// Returns the revision of the existing claim, or `None` if it is not known whether there is one.
 async fn claim(node: &Node, run: RunId) -> Result<ModRevision, Option<ModRevision>> {
     let Some(lease) = workflow_state(node).lease.get() else {
         return Err(None);
@@ -166,7 +166,7 @@
         Ok(TransactionOutcome::Applied(mod_revision)) => Ok(mod_revision),
         Ok(TransactionOutcome::Failed(_)) => {
             match node.store.background().get::<RunClaim>(&key).await {
-                // An earlier attempt of this process was applied. The lease in the claim tells processes apart.
+                // An earlier attempt of this process was applied. The lease in the claim identifies the process.
                 Ok(Some((Stored::Value(c), mod_revision))) if c == run_claim => Ok(mod_revision),
                 Ok(Some((_, mod_revision))) => Err(Some(mod_revision)),
                 _ => Err(None),
@@ -215,7 +215,7 @@
     Ok(
         match records::create(node, node.store.submissions(), record, preconditions).await? {
             TransactionOutcome::Applied(_) => JobOutcome::Accepted,
-            // Either a precondition failed or the job exists already; only its record tells which.
+            // Either a precondition failed or the job exists already; only its record shows which.
             TransactionOutcome::Failed(_) => {
                 match lookup(node, node.store.background(), &spec.id).await? {
                     Lookup::NotFound => JobOutcome::Stale,
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -327,7 +327,7 @@
         .await?
     {
         TransactionOutcome::Applied(_) => {
-            info!(%run, name = info.name, team = info.team, steps = info.steps, "run accepted");
+            info!(%run, name = info.name, team = info.team, steps = info.steps, "workflow run accepted");
             Ok(run_answer(201, info))
         }
         TransactionOutcome::Failed(_) => match read_head(node, run).await? {
@@ -535,7 +535,7 @@
             .await?
         {
             TransactionOutcome::Applied(_) => {
-                info!(%run, "run cancelled");
+                info!(%run, "workflow run cancelled");
                 return Ok(run_answer(200, run_info(&head, run, 0, 0)));
             }
             // The node that executes the run changed its head concurrently.
--- a/crates/hopyoke/src/workflows/records.rs
+++ b/crates/hopyoke/src/workflows/records.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use tracing::warn;
 
-/// A record of a workflow run. The encoding is untagged: the fields tell the variants apart.
+/// A record of a workflow run. The encoding is untagged: the variants differ by their fields.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 pub(crate) enum WorkflowRecord {
@@ -59,7 +59,7 @@
         .pairs;
     let page = |p: KeyValue<StepPage>| {
         let number = p.key.strip_prefix(&prefix)?.parse().ok()?;
-        // A malformed page counts as empty: the jobs' own records tell which steps have ended.
+        // A malformed page counts as empty: the jobs' own records show which steps have ended.
         Some((
             number,
             p.mod_revision,
--- a/crates/hopyoke/src/workflows/watches.rs
+++ b/crates/hopyoke/src/workflows/watches.rs
@@ -23,8 +23,8 @@
     RunId::parse(key.strip_prefix(prefix)?)
 }
 
-/// Watches the heads of unfinished runs, which tell of submissions and cancellations, and the claims on them. Starts with a
-/// full listing, also after the watched revision was compacted.
+/// Watches the heads of unfinished runs, which reflect submissions and cancellations, and the claims on them. Starts
+/// with a full listing, also after the watched revision was compacted.
 pub(super) async fn watch_runs(node: Rc<Node>) {
     let workflows = workflow_state(&node);
     let mut since = None;
@@ -109,7 +109,8 @@
     }
 }
 
-/// Reconciles the engine with a full listing of heads and claims as of a revision: whatever is not listed has been deleted.
+/// Reconciles the engine with a full listing of heads and claims as of a revision: heads and claims not listed have been
+/// deleted.
 fn apply_listing(node: &Node, pairs: Vec<KeyValue<WorkflowRecord>>, revision: ModRevision) {
     let mut heads = BTreeSet::new();
     let mut claims = BTreeSet::new();
