--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -75,9 +75,9 @@
     }
 
     fn back_off(&mut self, offer: &Offer, pause: Micros, now: Micros) {
-        let r = self.backoffs.entry(offer.clone()).or_default();
-        r.failures += 1;
-        r.until = now + pause.times(1 << (r.failures - 1).min(2));
+        let backoff = self.backoffs.entry(offer.clone()).or_default();
+        backoff.failures += 1;
+        backoff.until = now + pause.times(1 << (backoff.failures - 1).min(2));
     }
 }
 
@@ -97,12 +97,12 @@
             .requests
             .iter()
             .filter(|(_, r)| r.retry_at.is_some_and(|t| now >= t))
-            .map(|(name, _)| name.clone())
+            .map(|(request, _)| request.clone())
             .collect();
-        for name in due_retries {
-            if let Some(r) = self.pending_scale_outs.requests.get_mut(&name) {
-                r.retry_at = None;
-                self.actions.push_back(scale_out_action(&name, r));
+        for request in due_retries {
+            if let Some(pending) = self.pending_scale_outs.requests.get_mut(&request) {
+                pending.retry_at = None;
+                self.actions.push_back(scale_out_action(&request, pending));
             }
         }
         if self.is_receive_overloaded(now) {
@@ -218,17 +218,20 @@
             else {
                 continue;
             };
-            let (nominal_boot_s, ages, of_type) = booting.entry(&t.name).or_default();
+            let (nominal_boot_s, ages, machines_of_type) = booting.entry(&t.name).or_default();
             *nominal_boot_s = t.boot_s;
             ages.push((now - m.requested_at).as_secs_f64() / t.boot_s);
-            of_type.push(m);
+            machines_of_type.push(m);
         }
-        for (machine_type, (nominal_boot_s, ages, of_type)) in booting {
-            for (m, assessed) in of_type.into_iter().zip(provisioning_estimator.assess(
-                machine_type,
-                &ages,
-                now.as_secs_f64() / nominal_boot_s,
-            )) {
+        for (machine_type, (nominal_boot_s, ages, machines_of_type)) in booting {
+            for (m, assessed) in machines_of_type
+                .into_iter()
+                .zip(provisioning_estimator.assess(
+                    machine_type,
+                    &ages,
+                    now.as_secs_f64() / nominal_boot_s,
+                ))
+            {
                 if m.provisioning == ProvisioningState::Awaited
                     && assessed != ProvisioningState::Awaited
                 {
--- a/crates/hopyoke-scheduler/src/lib.rs
+++ b/crates/hopyoke-scheduler/src/lib.rs
@@ -209,7 +209,7 @@
             tombstones: Tombstones::default(),
             reconciliation: Reconciliation::new(now, false),
             probes: FailoverProbes::default(),
-            receive_health: ReceiveHealth::of_new_leader(now),
+            receive_health: ReceiveHealth::for_new_leader(now),
             partitioned_zones: PartitionedZones::default(),
             commands_due: BTreeSet::new(),
             placement_schedule: PlacementSchedule::new(tuning.plan_gap_least),
--- a/crates/hopyoke-scheduler/src/persist/records.rs
+++ b/crates/hopyoke-scheduler/src/persist/records.rs
@@ -245,7 +245,7 @@
 
     /// Adds writes of registry pages. A machine is registered after its first heartbeat and before its
     /// first task, so that a new leader does not wait for machines that are still booting.
-    fn add_registry_writes(&mut self, builder: &mut BatchBuilder, removals: bool) {
+    fn add_registry_writes(&mut self, builder: &mut BatchBuilder, include_removals: bool) {
         for id in self.registry.take_pending() {
             let Some(m) = self.machines.get(&id) else {
                 continue;
@@ -264,7 +264,7 @@
         while builder.fits(1, self.cfg.max_value_bytes)
             || (builder.writes.is_empty() && builder.max_ops >= 1)
         {
-            let Some(write) = self.registry.next_write(removals) else {
+            let Some(write) = self.registry.next_write(include_removals) else {
                 return;
             };
             let bytes = match &write {
--- a/crates/hopyoke-scheduler/src/persist/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -104,9 +104,10 @@
         value_bytes: usize,
         new_key: impl FnOnce() -> String,
     ) {
-        let of_kind = |c: &RegistryPage| (c.machine_type.as_str(), c.zone.as_str(), c.spot) == kind;
+        let is_of_kind =
+            |c: &RegistryPage| (c.machine_type.as_str(), c.zone.as_str(), c.spot) == kind;
         let has_capacity = |p: &&mut Page| {
-            of_kind(&p.content)
+            is_of_kind(&p.content)
                 && p.content.bytes() + id.as_str().len() + ADDRESS_BYTES < value_bytes
         };
         let found = self.pages.iter_mut().find(|(_, p)| has_capacity(p));
@@ -167,18 +168,18 @@
                 .any(|p| p.removals_pending && !p.write_in_flight)
     }
 
-    /// Returns the next write: of a page with additions or, if `removals` is set, of one with removals or
-    /// a delete. A page without machines is deleted.
-    pub(crate) fn next_write(&mut self, removals: bool) -> Option<Write> {
+    /// Returns the next write: of a page with additions or, if `include_removals` is set, of one with removals
+    /// or a delete. A page without machines is deleted.
+    pub(crate) fn next_write(&mut self, include_removals: bool) -> Option<Write> {
         // A page is deleted only once its machines are stored on other pages, or in the same batch.
-        if removals
+        if include_removals
             && !self.pages.values().any(|p| p.additions_pending)
             && let Some(key) = self.pending_deletes.pop()
         {
             return Some(Write::DeletePage { key });
         }
         let due = |p: &&mut Page| {
-            !p.write_in_flight && (p.additions_pending || (removals && p.removals_pending))
+            !p.write_in_flight && (p.additions_pending || (include_removals && p.removals_pending))
         };
         let (key, page) = self.pages.iter_mut().find(|(_, p)| due(p))?;
         page.write_in_flight = true;
--- a/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/heartbeats.rs
@@ -12,7 +12,7 @@
     /// Fencing token of this leader.
     pub token: FencingToken,
     /// False if the heartbeat was ignored: it was not newer than earlier ones, or its machine is deleted.
-    pub fresh: bool,
+    pub is_fresh: bool,
     /// Commands to the agent.
     pub commands: Vec<Command>,
 }
@@ -21,7 +21,7 @@
     /// Handles a heartbeat. The response renews the agent's lease.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Micros) -> HeartbeatReply {
         // An outdated heartbeat, or one of a deleted machine, is answered without commands.
-        let fresh = self.merge_heartbeat(heartbeat, true, now);
+        let is_fresh = self.merge_heartbeat(heartbeat, true, now);
         let lease_bound = self.cfg.lease_bound();
         let mut commands = Vec::new();
         if let Some(m) = self.machines.get_mut(&heartbeat.machine) {
@@ -29,7 +29,7 @@
             // never outlasts this bound.
             m.lease_end = m.lease_end.max(now + lease_bound);
         }
-        if fresh {
+        if is_fresh {
             // Runs a due scheduling cycle first, so that its commands go with this response.
             if self.placement_schedule.is_requested_cycle_due(now) {
                 self.run_due_work(now);
@@ -42,7 +42,7 @@
         }
         HeartbeatReply {
             token: self.token,
-            fresh,
+            is_fresh,
             commands,
         }
     }
--- a/crates/hopyoke-scheduler/src/reconcile/task_status.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/task_status.rs
@@ -285,8 +285,8 @@
             let Some(m) = self.machines.get_mut(id) else {
                 return;
             };
-            let was = m.allocations_mut().remove(&(task.clone(), attempt));
-            if was
+            let removed = m.allocations_mut().remove(&(task.clone(), attempt));
+            if removed
                 .as_ref()
                 .is_some_and(|s| s.is_live() && s.running_since.is_some())
             {
@@ -296,7 +296,7 @@
                 forget_attempt(job, &task, id, attempt);
             }
             self.placement_schedule
-                .request_if(was.is_some_and(|s| s.is_live()));
+                .request_if(removed.is_some_and(|s| s.is_live()));
         }
     }
 }
--- a/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
+++ b/crates/hopyoke-scheduler/src/reconcile/unresponsive.rs
@@ -22,7 +22,7 @@
 
 impl ReceiveHealth {
     /// Creates the state of a leader elected at `now`.
-    pub(crate) fn of_new_leader(now: Micros) -> ReceiveHealth {
+    pub(crate) fn for_new_leader(now: Micros) -> ReceiveHealth {
         ReceiveHealth {
             last_heartbeat_at: now,
             ..ReceiveHealth::default()
@@ -96,28 +96,28 @@
     pub(crate) fn detect_partitioned_zones(&mut self, now: Micros) {
         let zones = self.cfg.zones.len() + 1;
         let silent_after = self.cfg.heartbeat_interval.times(2) + Micros::from_secs(1);
-        let mut machines_and_silent = vec![(0usize, 0usize); zones];
+        let mut zone_counts = vec![(0usize, 0usize); zones];
         for m in self
             .machines
             .values()
             .filter(|m| m.is_registered && !m.deleting)
         {
             let since = m.last_seen.max(self.resumed_at);
-            let (all, silent) = &mut machines_and_silent[self.cfg.zone_index(&m.zone)];
+            let (all, silent) = &mut zone_counts[self.cfg.zone_index(&m.zone)];
             *all += 1;
             *silent += usize::from(m.phase == MachinePhase::Lost || now >= since + silent_after);
         }
         // If no zone reports, this node is the one that is partitioned.
-        let some_zone_reports = machines_and_silent
+        let some_zone_reports = zone_counts
             .iter()
             .any(|(all, silent)| *all > 0 && silent * 2 < *all);
-        let partitioned: Vec<bool> = machines_and_silent
+        let partitioned: Vec<bool> = zone_counts
             .iter()
             .map(|(all, silent)| some_zone_reports && *all >= 3 && silent * 2 >= *all)
             .collect();
         for (z, name) in self.cfg.zones.iter().enumerate() {
             if partitioned[z] != self.partitioned_zones.contains(z) {
-                info!(zone = %name, partitioned = partitioned[z], machines = machines_and_silent[z].0, silent = machines_and_silent[z].1, "zone partition state changed");
+                info!(zone = %name, partitioned = partitioned[z], machines = zone_counts[z].0, silent = zone_counts[z].1, "zone partition state changed");
                 self.placement_schedule.request();
             }
         }
--- a/crates/hopyoke-scheduler/src/run_times/estimates.rs
+++ b/crates/hopyoke-scheduler/src/run_times/estimates.rs
@@ -340,18 +340,21 @@
 
 /// Returns the data that an estimate of a job's end is based on, as shown to the user.
 fn job_estimate_basis(job: &Job, run_estimate: &Estimate, running: u32, waiting: u32) -> String {
-    let (spec, b) = (&job.spec, &run_estimate.basis);
+    let (spec, data) = (&job.spec, &run_estimate.basis);
     let mut basis = format!(
         "{running} of {} tasks running, {waiting} not placed; {} runs of class {}, {} of team {}; weight of owners' estimates {:.0}%",
         spec.tasks,
-        b.class_runs,
+        data.class_runs,
         spec.class,
-        b.team_runs,
+        data.team_runs,
         spec.team,
-        100.0 * b.ratio_weight
+        100.0 * data.ratio_weight
     );
-    if b.change_count > 0 {
-        basis += &format!("; run times of the class changed {} times", b.change_count);
+    if data.change_count > 0 {
+        basis += &format!(
+            "; run times of the class changed {} times",
+            data.change_count
+        );
     }
     if waiting > 0 {
         basis += &format!(
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -123,7 +123,7 @@
     });
     // Only a fresh heartbeat proves that its agent reaches this node now: delayed copies must not prolong the term of a
     // leader that no agent reaches any more.
-    if outcome.fresh {
+    if outcome.is_fresh {
         leadership
             .heartbeat_monitor
             .borrow_mut()
--- a/crates/hopyoke/src/cloud.rs
+++ b/crates/hopyoke/src/cloud.rs
@@ -104,7 +104,7 @@
             self.wait_for_rate().await;
             let after = all
                 .last()
-                .map_or(String::new(), |l| format!("since={}&", l.id));
+                .map_or(String::new(), |machine| format!("since={}&", machine.id));
             let path = format!("/machines?{after}most={LIST_PAGE_SIZE}");
             let r = self
                 .client
--- a/crates/hopyoke/src/leadership/keep_alive.rs
+++ b/crates/hopyoke/src/leadership/keep_alive.rs
@@ -78,8 +78,8 @@
             .timeouts
             .timeout(RequestKind::Lease, RequestPriority::Critical);
         let ttl = self.node.settings.leader_lease_ttl();
-        let mut answer = std::pin::pin!(store.critical().renew_within(self.lease, ttl));
-        let result = match runtime::timeout(timeout, answer.as_mut()).await {
+        let mut response = std::pin::pin!(store.critical().renew_within(self.lease, ttl));
+        let result = match runtime::timeout(timeout, response.as_mut()).await {
             Ok(result) => result,
             Err(_) => {
                 store.record_overdue_response(
@@ -87,7 +87,7 @@
                     RequestPriority::Critical,
                     sent_at,
                 );
-                answer.await
+                response.await
             }
         };
         renewal
--- a/crates/hopyoke/src/main.rs
+++ b/crates/hopyoke/src/main.rs
@@ -412,10 +412,10 @@
         };
         let response = call_controller(mesh, client::get_history(mesh, request));
         let more = match response {
-            Ok(a) => {
-                print!("{}", a.csv);
-                (token, since) = (a.token, a.last);
-                a.more
+            Ok(page) => {
+                print!("{}", page.csv);
+                (token, since) = (page.token, page.last);
+                page.more
             }
             // During a failover no node answers; the request is repeated until `--follow` has passed.
             Err(e) if std::time::Instant::now() >= until => return Err(e),
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -92,7 +92,7 @@
 }
 
 /// Computes the live metrics. Visits all machines and jobs, so it is too expensive for every scheduling cycle.
-fn live_metrics(scheduler: &Scheduler, plan_busy: f64, now: Micros) -> Figures {
+fn live_metrics(scheduler: &Scheduler, placement_utilization: f64, now: Micros) -> Figures {
     let up = || {
         scheduler
             .machines
@@ -121,7 +121,7 @@
             "production_arriving",
             scheduler.has_recent_production_work(now),
         )
-        .number("plan_busy", plan_busy)
+        .number("plan_busy", placement_utilization)
         .number("hour", hour)
 }
 
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -173,7 +173,7 @@
 
     /// Makes one call. Returns `None` if it failed or took longer than `timeout`. A failed connection is closed, and
     /// the next call opens a new one.
-    pub(crate) async fn call<T, F, G>(&self, timeout: Micros, f: F) -> Option<T>
+    pub(crate) async fn call<T, F, G>(&self, timeout: Micros, request: F) -> Option<T>
     where
         F: FnOnce(MeshClient<Channel>) -> G,
         G: Future<Output = Result<tonic::Response<T>, Status>>,
@@ -183,7 +183,7 @@
                 .client()
                 .await
                 .map_err(|e| Status::unavailable(e.to_string()))?;
-            f(client).await
+            request(client).await
         })
         .await;
         match result {
@@ -257,12 +257,12 @@
             body: request.body.clone(),
             remaining_us: timeout.saturating_sub(FORWARD_MARGIN).0.max(1),
         };
-        let answer = self
+        let forwarded = self
             .call(timeout, |mut c| async move { c.forward(message).await })
             .await?;
-        let mut response = Response::empty(u16::try_from(answer.status).ok()?);
-        response.body = answer.body;
-        response.retry_after_s = (answer.retry_after_s > 0).then_some(answer.retry_after_s);
+        let mut response = Response::empty(u16::try_from(forwarded.status).ok()?);
+        response.body = forwarded.body;
+        response.retry_after_s = (forwarded.retry_after_s > 0).then_some(forwarded.retry_after_s);
         (response.status != 503).then_some(response)
     }
 }
@@ -312,22 +312,22 @@
 }
 
 /// Makes one call on a temporary connection, for the command line.
-async fn call_once<T, F, G>(addr: SocketAddr, f: F) -> io::Result<T>
+async fn call_once<T, F, G>(addr: SocketAddr, request: F) -> io::Result<T>
 where
     F: FnOnce(MeshClient<Channel>) -> G,
     G: Future<Output = Result<tonic::Response<T>, Status>>,
 {
-    call_once_within(addr, Micros::from_secs(3), f).await
+    call_once_within(addr, Micros::from_secs(3), request).await
 }
 
-async fn call_once_within<T, F, G>(addr: SocketAddr, timeout: Micros, f: F) -> io::Result<T>
+async fn call_once_within<T, F, G>(addr: SocketAddr, timeout: Micros, request: F) -> io::Result<T>
 where
     F: FnOnce(MeshClient<Channel>) -> G,
     G: Future<Output = Result<tonic::Response<T>, Status>>,
 {
     let cancel = CancellationToken::new();
     let client = MeshClient::new(Channel::connect(addr, &cancel).await?);
-    let response = runtime::timeout(timeout, f(client))
+    let response = runtime::timeout(timeout, request(client))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
     response
--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -138,7 +138,7 @@
     };
     let key = workflow_claim_key(run);
     // A finished run must not be claimed. Its head is moved away when it ends, so the claim is conditional on the head.
-    let head = match node
+    let head_revision = match node
         .store
         .background()
         .get::<WorkflowRecord>(&workflow_head_key(run))
@@ -154,7 +154,7 @@
         },
         Compare {
             key: workflow_head_key(run),
-            mod_revision: head,
+            mod_revision: head_revision,
         },
     ];
     let mutations = vec![Mutation::Put {
@@ -183,7 +183,7 @@
     run: RunId,
     spec: &JobSpec,
     claim_revision: ModRevision,
-    head: ModRevision,
+    head_revision: ModRevision,
 ) -> Result<JobOutcome, StoreError> {
     let unschedulable = {
         let types = node.catalog.borrow();
@@ -209,7 +209,7 @@
         },
         Compare {
             key: workflow_head_key(run),
-            mod_revision: head,
+            mod_revision: head_revision,
         },
     ];
     Ok(
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -242,9 +242,13 @@
         .await?
         .pairs;
     let mut written = BTreeSet::new();
-    for p in existing {
-        let number = p.key.rsplit('/').next().and_then(|n| n.parse::<u32>().ok());
-        match (number, p.value) {
+    for pair in existing {
+        let number = pair
+            .key
+            .rsplit('/')
+            .next()
+            .and_then(|n| n.parse::<u32>().ok());
+        match (number, pair.value) {
             (Some(n), Stored::Value(page)) if pages.get(n as usize) == Some(&page) => {
                 written.insert(n)
             }
@@ -255,12 +259,12 @@
         .filter(|n| !written.contains(n))
         .collect();
     let rate = workflows.engine.borrow().limits.max_writes_per_s.max(0.5);
-    let value = node.config.max_value_bytes.max(1);
-    let pages_per_txn = (MAX_TXN_BYTES / value).clamp(1, node.config.max_txn_ops.max(1));
+    let page_bytes = node.config.max_value_bytes.max(1);
+    let pages_per_txn = (MAX_TXN_BYTES / page_bytes).clamp(1, node.config.max_txn_ops.max(1));
     for chunk in missing.chunks(pages_per_txn) {
         let now = runtime::now();
-        let from = workflows.next_plan_write_at.get().max(now);
-        if from > write_until {
+        let write_at = workflows.next_plan_write_at.get().max(now);
+        if write_at > write_until {
             return reject(
                 503,
                 format!(
@@ -272,8 +276,8 @@
         }
         workflows
             .next_plan_write_at
-            .set(from + Micros::from_secs_f64(chunk.len() as f64 / rate));
-        runtime::sleep_until(from).await;
+            .set(write_at + Micros::from_secs_f64(chunk.len() as f64 / rate));
+        runtime::sleep_until(write_at).await;
         let compares = chunk
             .iter()
             .map(|n| Compare {
--- a/crates/hopyoke/src/workflows/records.rs
+++ b/crates/hopyoke/src/workflows/records.rs
@@ -91,7 +91,7 @@
 pub(super) async fn read_run_records(
     node: &Node,
     run: RunId,
-    plan: bool,
+    with_plan: bool,
 ) -> Result<Option<RunRecords>, StoreError> {
     let claim_revision = node
         .store
@@ -102,7 +102,7 @@
     let Some((head, head_revision)) = read_head(node, run).await? else {
         return Ok(None);
     };
-    let plan = if plan && !head.state.is_final() {
+    let plan = if with_plan && !head.state.is_final() {
         match read_plan(node, run, &head).await? {
             Some(plan) => Some(plan),
             None => return Ok(None),
