--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -41,7 +41,7 @@
             .then(|| settings::workflow_limits(&values, &settings));
         let node = Rc::new(Node::new(settings, policy, workflow_limits));
         let cancelled_gone_s = node.settings.cancellation_bound().total().as_secs_f64();
-        info!(node = %node.settings.node, zone = %node.settings.zone, cancelled_gone_s, "controller node started");
+        info!(node = %node.settings.node, zone = %node.settings.zone, cancelled_gone_s, "serving");
         start_background_tasks(&node);
         serve_requests(&node, listener).await;
     })?;
