--- a/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
+++ b/crates/hopyoke-scheduler/src/autoscale/scale_out.rs
@@ -75,9 +75,9 @@
     }
 
     fn back_off(&mut self, offer: &Offer, pause: Micros, now: Micros) {
-        let r = self.backoffs.entry(offer.clone()).or_default();
-        r.failures += 1;
-        r.until = now + pause.times(1 << (r.failures - 1).min(2));
+        let backoff = self.backoffs.entry(offer.clone()).or_default();
+        backoff.failures += 1;
+        backoff.until = now + pause.times(1 << (backoff.failures - 1).min(2));
     }
 }
 
@@ -97,12 +97,12 @@
             .requests
             .iter()
             .filter(|(_, r)| r.retry_at.is_some_and(|t| now >= t))
-            .map(|(name, _)| name.clone())
+            .map(|(request, _)| request.clone())
             .collect();
-        for name in due_retries {
-            if let Some(r) = self.pending_scale_outs.requests.get_mut(&name) {
-                r.retry_at = None;
-                self.actions.push_back(scale_out_action(&name, r));
+        for request in due_retries {
+            if let Some(pending) = self.pending_scale_outs.requests.get_mut(&request) {
+                pending.retry_at = None;
+                self.actions.push_back(scale_out_action(&request, pending));
             }
         }
         if self.is_receive_overloaded(now) {
@@ -140,13 +140,13 @@
                 let Some(pending) = self.pending_scale_outs.requests.remove(request) else {
                     return;
                 };
-                let o = pending.offer;
-                info!(machine_type = %o.machine_type, zone = %o.zone, spot = o.spot, wanted = pending.count, got = ids.len(), "instances created");
+                let offer = pending.offer;
+                info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, wanted = pending.count, got = ids.len(), "instances created");
                 if (ids.len() as u32) < pending.count {
                     self.pending_scale_outs
-                        .back_off(&o, self.tuning.refusal_pause, now);
+                        .back_off(&offer, self.tuning.refusal_pause, now);
                 } else {
-                    self.pending_scale_outs.backoffs.remove(&o);
+                    self.pending_scale_outs.backoffs.remove(&offer);
                 }
                 for id in ids {
                     if self.inventory.deleted.contains_key(&id) {
@@ -154,7 +154,13 @@
                     }
                     // No other leader can have sent commands to a machine that this leader requested.
                     let m = self.machines.entry(id.clone()).or_insert_with(|| {
-                        Machine::new(id, o.machine_type.clone(), o.zone.clone(), o.spot, now)
+                        Machine::new(
+                            id,
+                            offer.machine_type.clone(),
+                            offer.zone.clone(),
+                            offer.spot,
+                            now,
+                        )
                     });
                     m.created_by_this_leader = true;
                     m.is_request_time_known = true;
@@ -183,7 +189,7 @@
         }
     }
 
-    /// Updates the provisioning state of machines that are not up yet. Placement no longer counts on overdue
+    /// Updates the provisioning state of machines that are not up yet. Placement no longer relies on overdue
     /// machines, so that replacements are requested. No invariant depends on this state.
     pub(crate) fn update_provisioning_states(&mut self, now: Micros) {
         if self.is_receive_overloaded(now) {
@@ -212,21 +218,24 @@
             else {
                 continue;
             };
-            let (nominal_boot_s, ages, of_type) = booting.entry(&t.name).or_default();
+            let (nominal_boot_s, ages, machines_of_type) = booting.entry(&t.name).or_default();
             *nominal_boot_s = t.boot_s;
             ages.push((now - m.requested_at).as_secs_f64() / t.boot_s);
-            of_type.push(m);
+            machines_of_type.push(m);
         }
-        for (machine_type, (nominal_boot_s, ages, of_type)) in booting {
-            for (m, assessed) in of_type.into_iter().zip(provisioning_estimator.assess(
-                machine_type,
-                &ages,
-                now.as_secs_f64() / nominal_boot_s,
-            )) {
+        for (machine_type, (nominal_boot_s, ages, machines_of_type)) in booting {
+            for (m, assessed) in machines_of_type
+                .into_iter()
+                .zip(provisioning_estimator.assess(
+                    machine_type,
+                    &ages,
+                    now.as_secs_f64() / nominal_boot_s,
+                ))
+            {
                 if m.provisioning == ProvisioningState::Awaited
                     && assessed != ProvisioningState::Awaited
                 {
-                    info!(machine = %m.id, zone = %m.zone, spot = m.spot, "provisioning overdue: placement no longer counts on machine");
+                    info!(machine = %m.id, zone = %m.zone, spot = m.spot, "provisioning overdue: placement no longer relies on machine");
                 }
                 // In a partitioned zone it may be up although its heartbeats don't arrive.
                 let may_be_up =
@@ -241,12 +250,12 @@
     }
 }
 
-fn scale_out_action(request: &str, r: &PendingScaleOut) -> Action {
+fn scale_out_action(request: &str, pending: &PendingScaleOut) -> Action {
     Action::ScaleOut {
         request: request.to_owned(),
-        machine_type: r.offer.machine_type.clone(),
-        zone: r.offer.zone.clone(),
-        spot: r.offer.spot,
-        count: r.count,
+        machine_type: pending.offer.machine_type.clone(),
+        zone: pending.offer.zone.clone(),
+        spot: pending.offer.spot,
+        count: pending.count,
     }
 }
--- a/crates/hopyoke-scheduler/src/resources.rs
+++ b/crates/hopyoke-scheduler/src/resources.rs
@@ -22,21 +22,21 @@
 impl Resources {
     /// Returns the resources of one task of the job.
     #[must_use]
-    pub fn of_task(s: &JobSpec) -> Resources {
+    pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
-            cpus: s.cpus,
-            gpus: s.gpus,
-            memory_gb: s.memory_gb,
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
         }
     }
 
     /// Returns the capacity of a machine of this type.
     #[must_use]
-    pub fn of_machine_type(t: &MachineType) -> Resources {
+    pub fn of_machine_type(machine_type: &MachineType) -> Resources {
         Resources {
-            cpus: t.cpus,
-            gpus: t.gpus,
-            memory_gb: t.memory_gb,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
         }
     }
 
@@ -155,7 +155,7 @@
     if usable.is_empty() {
         return Some("a task fits no allowed machine type".into());
     }
-    // Tasks of an array can run one after another; those of a gang or service must all run at once.
+    // Tasks of an array can run one after another; those of a gang or service run concurrently.
     let concurrent_tasks = if spec.kind == JobKind::Array {
         1.0
     } else {
@@ -173,20 +173,23 @@
     None
 }
 
-fn is_allowed_type(spec: &JobSpec, t: &MachineType) -> bool {
+fn is_allowed_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     let names = spec.machine_types.as_ref();
-    names.is_none_or(|names| names.contains(&t.name))
+    names.is_none_or(|names| names.contains(&machine_type.name))
 }
 
 /// Returns true if the type is offered in the zone that the job requests, or the job requests none.
-fn is_in_allowed_zone(spec: &JobSpec, t: &MachineType, zones: &[String]) -> bool {
+fn is_in_allowed_zone(spec: &JobSpec, machine_type: &MachineType, zones: &[String]) -> bool {
     match &spec.zone {
-        Some(zone) => t.zones.is_empty() && zones.contains(zone) || t.zones.contains(zone),
+        Some(zone) => {
+            machine_type.zones.is_empty() && zones.contains(zone)
+                || machine_type.zones.contains(zone)
+        }
         None => true,
     }
 }
 
-/// Returns why tasks that must all run at once can't be spread over zones, or `None` if they can. At most half
+/// Returns why tasks that must run concurrently can't be spread over zones, or `None` if they can. At most half
 /// of them may be in one zone.
 fn spread_conflict(spec: &JobSpec, usable: &[&MachineType], zones: &[String]) -> Option<String> {
     if spec.one_zone {
--- a/crates/hopyoke-scheduler/src/run_times/mod.rs
+++ b/crates/hopyoke-scheduler/src/run_times/mod.rs
@@ -16,7 +16,7 @@
 /// Number of low bits of an attempt number that hold the leader's sequence number. The bits above hold the
 /// fencing token.
 const SEQUENCE_BITS: u32 = 28;
-/// Time since the grant that one step of the sequence number stands for, unless starts are more frequent.
+/// Time since the grant per step of the sequence number, unless starts are more frequent.
 const SEQUENCE_TICK: Micros = Micros::from_millis(100);
 /// Typical time without a leader during a failover.
 const LEADERLESS_INTERVAL: Micros = Micros::from_secs(5);
@@ -67,7 +67,7 @@
     next_slow_check_at: Micros,
 }
 
-fn work_of(spec: &JobSpec) -> Workload<'_> {
+fn workload(spec: &JobSpec) -> Workload<'_> {
     Workload {
         class: &spec.class,
         team: &spec.team,
@@ -78,7 +78,8 @@
 impl Scheduler {
     /// Returns an attempt number that no other start of any task has: the fencing token is unique to this
     /// leader, and its sequence number only increases. The sequence number is at least the number of ticks since
-    /// the grant. A later leader can thus tell when a start was commanded without a record of it.
+    /// the grant. A later leader can thus derive when a start was commanded, without a record of
+    /// it.
     pub(crate) fn new_attempt(&mut self, now: Micros) -> Attempt {
         let ticks = (now - self.reconciliation.granted_at()).0 / SEQUENCE_TICK.0;
         self.sequence_number = (self.sequence_number + 1).max(ticks);
@@ -108,7 +109,7 @@
             );
         };
         let Some(page) = page else {
-            return warn!(page = %key, "page of learned run times can't be decoded, learning from scratch");
+            return warn!(page = %key, "cannot decode page of learned run times, learning from scratch");
         };
         match self.learned.learner.load(key, page) {
             Ok(n) => info!(page = %key, entries = n, "learned run times loaded"),
@@ -146,7 +147,7 @@
             let key = (task.clone(), *attempt);
             !learner.record_found_completed(
                 &key,
-                work_of(&job.spec),
+                workload(&job.spec),
                 *approximate_end,
                 Micros(wall_clock_offset_us),
                 &decode_attempt,
@@ -176,7 +177,7 @@
         let spec = job.spec.clone();
         self.learned
             .learner
-            .record_start_command((task.clone(), attempt), work_of(&spec), now);
+            .record_start_command((task.clone(), attempt), workload(&spec), now);
     }
 
     /// Records a completed task whose attempt this leader had not seen before. It most likely ended shortly
@@ -185,7 +186,7 @@
         let Some(job) = self.jobs.get(&task.job).filter(|_| self.tuning.learn) else {
             return;
         };
-        // Runs that resumed from a checkpoint or ended long ago say nothing about run times. For a gang, one
+        // Runs that resumed from a checkpoint or ended long ago are no measure of run times. For a gang, one
         // report is enough.
         let key = TaskId {
             job: task.job.clone(),
@@ -229,7 +230,7 @@
         let spec = job.spec.clone();
         let (key, machines) = match spec.kind {
             JobKind::Service => return,
-            // The rest of a run that resumes from a checkpoint says nothing about the whole.
+            // The rest of a run that resumes from a checkpoint is no measure of the whole run.
             _ if job.may_have_checkpoint => return,
             JobKind::Array => ((task.clone(), attempt), vec![id.clone()]),
             JobKind::Gang if attempt != job.start_attempt => return,
@@ -266,7 +267,7 @@
         let elapsed_before = seen_before.then_some(Micros::ZERO);
         self.learned
             .learner
-            .record_start(key, work_of(&spec), machines, now, elapsed_before);
+            .record_start(key, workload(&spec), machines, now, elapsed_before);
         if !seen_before {
             self.resolve_start_times();
         }
@@ -325,7 +326,7 @@
             ended_us: self.learned.wall_clock_offset_us.map_or(0, |d| d + now.0),
             ran_s,
         };
-        debug!(job = %task.job, index = completed.index, class = %completed.spec.class, ran_s, "run completed");
+        debug!(job = %task.job, index = completed.index, class = %completed.spec.class, ran_s, "task run completed");
         self.learned.completed.push_back(completed);
         if self.learned.completed.len() > MAX_COMPLETED_RUNS {
             self.learned.completed.pop_front();
@@ -393,15 +394,18 @@
     /// writes for learned run times is exhausted.
     pub(crate) fn next_learned_page(&mut self, now: Micros) -> Option<(PageKey, Page)> {
         let rate = self.cfg.max_writes_per_s * self.tuning.learn_write_share;
-        let l = &mut self.learned;
-        l.write_budget =
-            (l.write_budget + rate * (now - l.budget_credited_at).as_secs_f64()).min(1.0);
-        l.budget_credited_at = now;
-        if l.write_budget < 1.0 || !self.tuning.learn {
+        let learned = &mut self.learned;
+        learned.write_budget = (learned.write_budget
+            + rate * (now - learned.budget_credited_at).as_secs_f64())
+        .min(1.0);
+        learned.budget_credited_at = now;
+        if learned.write_budget < 1.0 || !self.tuning.learn {
             return None;
         }
-        let page = l.learner.next_page_to_write(now, Micros::from_secs(5))?;
-        l.write_budget -= 1.0;
+        let page = learned
+            .learner
+            .next_page_to_write(now, Micros::from_secs(5))?;
+        learned.write_budget -= 1.0;
         Some(page)
     }
 
--- a/crates/hopyoke-wes/src/calls.rs
+++ b/crates/hopyoke-wes/src/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the controllers over the mesh, with failover. Every operation is idempotent and therefore safe
 //! to retry.
 
-use hopyoke::peers::client::call_flow;
+use hopyoke::peers::client::call_workflows;
 use hopyoke::peers::client::proto::flow_request::Operation;
 use hopyoke::peers::client::proto::{FlowRequest, FlowResponse};
 use hopyoke_event_loop as runtime;
@@ -63,7 +63,7 @@
             for i in 0..self.addrs.len() {
                 let index = (self.preferred.get() + i) % self.addrs.len();
                 let addr = self.addrs[index];
-                match call_flow(
+                match call_workflows(
                     addr,
                     FlowRequest {
                         operation: Some(operation.clone()),
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -118,12 +118,12 @@
         warn!(machine = %heartbeat.machine, token = heartbeat.token.0, "heartbeat rejected: the agent has received a higher fencing token");
         return Err(HeartbeatError::StaleToken);
     }
-    let outcome = leadership.track_plan_cost(node, &mut scheduler, |scheduler| {
+    let outcome = leadership.track_placement_cost(node, &mut scheduler, |scheduler| {
         scheduler.heartbeat(&heartbeat, now)
     });
-    // Only a fresh heartbeat proves that its agent reaches this node now: delayed copies must not keep in office a leader
-    // that no agent reaches any more.
-    if outcome.fresh {
+    // Only a fresh heartbeat proves that its agent reaches this node now: delayed copies must not prolong the term of a
+    // leader that no agent reaches any more.
+    if outcome.is_fresh {
         leadership
             .heartbeat_monitor
             .borrow_mut()
--- a/crates/hopyoke/src/node.rs
+++ b/crates/hopyoke/src/node.rs
@@ -119,19 +119,19 @@
     pub(crate) peer_confirmed_reads: WaitingReads,
     /// Positions in the peers' cancellation logs.
     pub(crate) delivery_cursors: RefCell<DeliveryCursors>,
-    plan_cost: PlanCost,
+    placement_cost: PlacementCost,
 }
 
-/// Processor time spent on plans.
-struct PlanCost {
+/// Processor time spent on placement cycles.
+struct PlacementCost {
     spent: Cell<Micros>,
-    /// Time of the last report.
+    /// Time of the last call of [`PlacementCost::take_utilization`].
     since: Cell<Micros>,
     /// This node's share of its processor, from 0 to 1.
     cpu_share: f64,
 }
 
-impl PlanCost {
+impl PlacementCost {
     /// Returns the fraction of the node's processor share that was spent since the last call.
     fn take_utilization(&self) -> f64 {
         let now = runtime::now();
@@ -140,8 +140,8 @@
     }
 }
 
-/// Fraction of the usual processor share that plans may take while the processor is overloaded.
-const PLAN_SHARE_WHEN_CPU_OVERLOADED: f64 = 0.4;
+/// Factor on the processor share of placement cycles while the processor is overloaded.
+const PLACEMENT_SHARE_FACTOR_WHEN_CPU_OVERLOADED: f64 = 0.4;
 
 impl Leadership {
     /// Creates the state of a term that begins now, with the scheduler as built from the records.
@@ -166,7 +166,7 @@
             waiting_reads: WaitingReads::default(),
             peer_confirmed_reads: WaitingReads::default(),
             delivery_cursors: RefCell::new(DeliveryCursors::new(node.peers.all().len())),
-            plan_cost: PlanCost {
+            placement_cost: PlacementCost {
                 spent: Cell::new(Micros::ZERO),
                 since: Cell::new(now),
                 cpu_share: node.settings.platform.limits.cpu_cores,
@@ -174,13 +174,14 @@
         }
     }
 
-    /// Returns the fraction of this node's processor share that plans took since the last call. It may exceed 1.
-    pub(crate) fn plan_utilization(&self) -> f64 {
-        self.plan_cost.take_utilization()
+    /// Returns the fraction of this node's processor share that placement cycles took since the last call. It may
+    /// exceed 1.
+    pub(crate) fn take_placement_utilization(&self) -> f64 {
+        self.placement_cost.take_utilization()
     }
 
     /// Returns whether this node may command agents and renew their leases. After the leader lease has expired
-    /// another node may lead, and without received cancellations tasks must not be kept alive. Guards the invariants
+    /// another node may lead, and without received cancellations leases must not be renewed. Guards the invariants
     /// `ran_twice` and `ran_cancelled`.
     pub(crate) fn lease_is_valid(&self) -> bool {
         self.leader_lease.borrow().is_valid(runtime::now()) && !self.cancel.is_cancelled()
@@ -196,16 +197,16 @@
             == Some(true)
     }
 
-    /// Waits until all peers have confirmed, by messages sent after this call, which cancellations they know of.
+    /// Waits until all peers have confirmed, by messages sent after this call, which cancellations they have recorded.
     /// Returns false if that is not known by `deadline` or the term ends.
     ///
     /// A job that the scheduler then reports as unfinished is unfinished for every user, without a read of the store:
     ///
-    /// - No user has been told that it is done. Only the leader records that, this node's lease was valid until the
-    ///   peers had answered, its scheduler has tasks of the job that are not done, and the failover read what an
-    ///   earlier leader recorded.
-    /// - No user has been told that it is cancelled. Each node logs a cancellation before it responds to the user,
-    ///   and a peer whose log may lack some, because it was restarted since, confirms nothing.
+    /// - No response to a user has reported it as done. Only the leader records that, this node's lease was valid
+    ///   until the peers had answered, its scheduler has tasks of the job that are not done, and the failover read
+    ///   what an earlier leader recorded.
+    /// - No response to a user has reported it as cancelled. Each node logs a cancellation before it responds to the
+    ///   user, and a peer whose log may lack some, because it was restarted since, confirms nothing.
     ///
     /// Guards the invariant `went_back`.
     pub(crate) async fn wait_until_confirmed(&self, deadline: Micros) -> bool {
@@ -221,29 +222,31 @@
         scheduler.jobs.get(id).is_some_and(|job| !job.is_finished())
     }
 
-    /// Runs a step of the scheduler that may compute a plan, and reports the cost of the plan to the scheduler. The
-    /// time between plans follows from the cost, so that plans take at most the fraction `plan_share` of the node's
-    /// processor share.
-    pub(crate) fn track_plan_cost<T>(
+    /// Runs a step of the scheduler that may include a placement cycle, and reports the cost of the cycle to the
+    /// scheduler. The interval between cycles follows from their cost, so that they take at most the fraction
+    /// `plan_share` of the node's processor share.
+    pub(crate) fn track_placement_cost<T>(
         &self,
         node: &Node,
         scheduler: &mut Scheduler,
         step: impl FnOnce(&mut Scheduler) -> T,
     ) -> T {
-        let (plans_before, started_at) = (scheduler.cycles(), runtime::now());
+        let (cycles_before, started_at) = (scheduler.cycles(), runtime::now());
         let result = step(scheduler);
-        if scheduler.cycles() != plans_before {
+        if scheduler.cycles() != cycles_before {
             let cost = runtime::now() - started_at;
-            self.plan_cost.spent.set(self.plan_cost.spent.get() + cost);
+            self.placement_cost
+                .spent
+                .set(self.placement_cost.spent.get() + cost);
             debug!(
                 cost_us = cost.0,
                 machines = scheduler.machines.len(),
                 jobs = scheduler.jobs.len(),
-                "plan made"
+                "placement cycle completed"
             );
             // While the processor is overloaded, heartbeats have priority.
             let factor = if node.is_cpu_overloaded() {
-                PLAN_SHARE_WHEN_CPU_OVERLOADED
+                PLACEMENT_SHARE_FACTOR_WHEN_CPU_OVERLOADED
             } else {
                 1.0
             };
--- a/crates/hopyoke/src/peers/client.rs
+++ b/crates/hopyoke/src/peers/client.rs
@@ -35,7 +35,7 @@
 /// Timeout of a batch of relayed heartbeats: well below the 4 s after which agents drop responses.
 const RELAY_TIMEOUT: Micros = Micros::from_millis(2_500);
 /// Timeout of a workflow call: long, because the pages of a plan are written at a limited rate.
-const FLOW_TIMEOUT: Micros = Micros::from_secs(20);
+const WORKFLOW_CALL_TIMEOUT: Micros = Micros::from_secs(20);
 /// Time after a peer's last greeting for which the peer counts as reachable.
 const REACHABLE_WINDOW: Micros = Micros::from_millis(2_500);
 /// Part of a forwarded request's timeout reserved for the transfer to the peer and back.
@@ -82,9 +82,9 @@
     }
 }
 
-/// Maximum number of users' requests forwarded to one peer at once. Fewer than the streams that the peer accepts: a
-/// request that waits for a stream until its timeout costs both sides as much as a response. Guards against
-/// overloading a slow peer with requests whose users have given up.
+/// Maximum number of users' requests forwarded to one peer concurrently. Fewer than the streams that the peer
+/// accepts: a request that waits for a stream until its timeout costs both sides as much as a response. Guards
+/// against overloading a slow peer with requests that have timed out for their users.
 const MAX_FORWARDED: usize = 24;
 
 impl PeerClient {
@@ -127,7 +127,7 @@
     /// previous process of the peer, or from another node at its address. A greeting that was delayed by a network
     /// partition may arrive long after its process ended.
     ///
-    /// A greeting that `is_response` to a call of this node comes from a live process, whatever arrived before it.
+    /// A greeting that `is_response` to a call of this node comes from a live process, regardless of earlier messages.
     /// The state stored from a delayed greeting of a process that was not known yet is therefore corrected within a
     /// second.
     pub(crate) fn greeting_received(&self, greeting: &Greeting, is_response: bool) -> bool {
@@ -173,7 +173,7 @@
 
     /// Makes one call. Returns `None` if it failed or took longer than `timeout`. A failed connection is closed, and
     /// the next call opens a new one.
-    pub(crate) async fn call<T, F, G>(&self, timeout: Micros, f: F) -> Option<T>
+    pub(crate) async fn call<T, F, G>(&self, timeout: Micros, request: F) -> Option<T>
     where
         F: FnOnce(MeshClient<Channel>) -> G,
         G: Future<Output = Result<tonic::Response<T>, Status>>,
@@ -183,7 +183,7 @@
                 .client()
                 .await
                 .map_err(|e| Status::unavailable(e.to_string()))?;
-            f(client).await
+            request(client).await
         })
         .await;
         match result {
@@ -257,12 +257,12 @@
             body: request.body.clone(),
             remaining_us: timeout.saturating_sub(FORWARD_MARGIN).0.max(1),
         };
-        let answer = self
+        let forwarded = self
             .call(timeout, |mut c| async move { c.forward(message).await })
             .await?;
-        let mut response = Response::empty(u16::try_from(answer.status).ok()?);
-        response.body = answer.body;
-        response.retry_after_s = (answer.retry_after_s > 0).then_some(answer.retry_after_s);
+        let mut response = Response::empty(u16::try_from(forwarded.status).ok()?);
+        response.body = forwarded.body;
+        response.retry_after_s = (forwarded.retry_after_s > 0).then_some(forwarded.retry_after_s);
         (response.status != 503).then_some(response)
     }
 }
@@ -312,22 +312,22 @@
 }
 
 /// Makes one call on a temporary connection, for the command line.
-async fn call_once<T, F, G>(addr: SocketAddr, f: F) -> io::Result<T>
+async fn call_once<T, F, G>(addr: SocketAddr, request: F) -> io::Result<T>
 where
     F: FnOnce(MeshClient<Channel>) -> G,
     G: Future<Output = Result<tonic::Response<T>, Status>>,
 {
-    call_once_within(addr, Micros::from_secs(3), f).await
+    call_once_within(addr, Micros::from_secs(3), request).await
 }
 
-async fn call_once_within<T, F, G>(addr: SocketAddr, timeout: Micros, f: F) -> io::Result<T>
+async fn call_once_within<T, F, G>(addr: SocketAddr, timeout: Micros, request: F) -> io::Result<T>
 where
     F: FnOnce(MeshClient<Channel>) -> G,
     G: Future<Output = Result<tonic::Response<T>, Status>>,
 {
     let cancel = CancellationToken::new();
     let client = MeshClient::new(Channel::connect(addr, &cancel).await?);
-    let response = runtime::timeout(timeout, f(client))
+    let response = runtime::timeout(timeout, request(client))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
     response
@@ -352,7 +352,7 @@
 ///
 /// # Errors
 /// The connection or the call failed, it timed out, or the controller rejected the request.
-pub async fn call_staffed(
+pub async fn call_staffed_hours(
     addr: SocketAddr,
     request: StaffedRequest,
 ) -> io::Result<StaffedResponse> {
@@ -368,12 +368,10 @@
 ///
 /// # Errors
 /// The connection or the call failed, or it timed out; the request may still have been executed.
-pub async fn call_flow(addr: SocketAddr, request: FlowRequest) -> io::Result<FlowResponse> {
-    call_once_within(
-        addr,
-        FLOW_TIMEOUT,
-        |mut c| async move { c.flow(request).await },
-    )
+pub async fn call_workflows(addr: SocketAddr, request: FlowRequest) -> io::Result<FlowResponse> {
+    call_once_within(addr, WORKFLOW_CALL_TIMEOUT, |mut c| async move {
+        c.flow(request).await
+    })
     .await
 }
 
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -149,7 +149,7 @@
 /// Delay of a timer above which the processor counts as overloaded. Well below the 4 s after which agents drop
 /// responses: a later detection lets agents' leases expire.
 const MAX_WAKEUP_DELAY: Micros = Micros::from_millis(400);
-/// Time for which the processor then counts as overloaded.
+/// Time for which the processor counts as overloaded after such a delay.
 const CPU_OVERLOAD_DURATION: Micros = Micros::from_secs(20);
 
 /// Keeps the machine types up to date. Every node needs them to decide which jobs can ever be scheduled.
@@ -157,15 +157,15 @@
     loop {
         let pause = match node.cloud.catalog().await {
             Some(types) if !types.is_empty() => {
-                if let Some(l) = node.leadership() {
-                    l.scheduler.borrow_mut().set_catalog(types.clone());
-                    l.wakeup.notify();
+                if let Some(leadership) = node.leadership() {
+                    leadership.scheduler.borrow_mut().set_catalog(types.clone());
+                    leadership.wakeup.notify();
                 }
                 *node.catalog.borrow_mut() = types;
                 Micros::from_secs(60)
             }
             _ => {
-                debug!("machine types are not available");
+                debug!("failed to read machine types from the cloud");
                 Micros::from_secs(2)
             }
         };
--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -3,7 +3,7 @@
 
 use super::records::{WorkflowRecord, read_run_records};
 use super::runner::workflow_state;
-use super::watches::job_end_of;
+use super::watches::to_job_end;
 use crate::node::Node;
 use crate::store::client::TransactionOutcome;
 use crate::store::error::StoreError;
@@ -79,7 +79,7 @@
         } => {
             let outcome = match records::cancel(node, node.store.cancellations(), job).await {
                 Ok(Some(Lookup::Finished(end))) if end.is_workflow_step => {
-                    JobOutcome::Ended(job_end_of(end))
+                    JobOutcome::Ended(to_job_end(end))
                 }
                 Ok(Some(Lookup::NotFound)) => JobOutcome::NotFound,
                 Ok(Some(Lookup::Finished(_))) => JobOutcome::IdTaken,
@@ -127,7 +127,7 @@
 /// Claims a run for this node, by compare-and-swap against an absent claim. Returns the revision of the claim.
 ///
 /// # Errors
-/// Returns the revision of the claim that stands instead, or `None` if it is not known whether there is one.
+/// Returns the revision of the existing claim, or `None` if it is not known whether there is one.
 async fn claim(node: &Node, run: RunId) -> Result<ModRevision, Option<ModRevision>> {
     let Some(lease) = workflow_state(node).lease.get() else {
         return Err(None);
@@ -138,7 +138,7 @@
     };
     let key = workflow_claim_key(run);
     // A finished run must not be claimed. Its head is moved away when it ends, so the claim is conditional on the head.
-    let head = match node
+    let head_revision = match node
         .store
         .background()
         .get::<WorkflowRecord>(&workflow_head_key(run))
@@ -154,7 +154,7 @@
         },
         Compare {
             key: workflow_head_key(run),
-            mod_revision: head,
+            mod_revision: head_revision,
         },
     ];
     let mutations = vec![Mutation::Put {
@@ -166,7 +166,7 @@
         Ok(TransactionOutcome::Applied(mod_revision)) => Ok(mod_revision),
         Ok(TransactionOutcome::Failed(_)) => {
             match node.store.background().get::<RunClaim>(&key).await {
-                // An earlier attempt of this process was applied. The lease in the claim tells processes apart.
+                // An earlier attempt of this process was applied. The lease in the claim identifies the process.
                 Ok(Some((Stored::Value(c), mod_revision))) if c == run_claim => Ok(mod_revision),
                 Ok(Some((_, mod_revision))) => Err(Some(mod_revision)),
                 _ => Err(None),
@@ -183,7 +183,7 @@
     run: RunId,
     spec: &JobSpec,
     claim_revision: ModRevision,
-    head: ModRevision,
+    head_revision: ModRevision,
 ) -> Result<JobOutcome, StoreError> {
     let unschedulable = {
         let types = node.catalog.borrow();
@@ -209,13 +209,13 @@
         },
         Compare {
             key: workflow_head_key(run),
-            mod_revision: head,
+            mod_revision: head_revision,
         },
     ];
     Ok(
         match records::create(node, node.store.submissions(), record, preconditions).await? {
             TransactionOutcome::Applied(_) => JobOutcome::Accepted,
-            // Either a precondition failed or the job exists already; only its record tells which.
+            // Either a precondition failed or the job exists already; only its record shows which.
             TransactionOutcome::Failed(_) => {
                 match lookup(node, node.store.background(), &spec.id).await? {
                     Lookup::NotFound => JobOutcome::Stale,
@@ -229,7 +229,7 @@
 /// Returns the outcome of a submission whose job's record exists, by what was read of it.
 fn outcome_of_lookup(found: &Lookup) -> JobOutcome {
     match found {
-        Lookup::Finished(end) if end.is_workflow_step => JobOutcome::Ended(job_end_of(*end)),
+        Lookup::Finished(end) if end.is_workflow_step => JobOutcome::Ended(to_job_end(*end)),
         Lookup::Unfinished(Stored::Value(record), _) if record.is_workflow_step => {
             JobOutcome::AlreadyAccepted
         }
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -242,9 +242,13 @@
         .await?
         .pairs;
     let mut written = BTreeSet::new();
-    for p in existing {
-        let number = p.key.rsplit('/').next().and_then(|n| n.parse::<u32>().ok());
-        match (number, p.value) {
+    for pair in existing {
+        let number = pair
+            .key
+            .rsplit('/')
+            .next()
+            .and_then(|n| n.parse::<u32>().ok());
+        match (number, pair.value) {
             (Some(n), Stored::Value(page)) if pages.get(n as usize) == Some(&page) => {
                 written.insert(n)
             }
@@ -255,12 +259,12 @@
         .filter(|n| !written.contains(n))
         .collect();
     let rate = workflows.engine.borrow().limits.max_writes_per_s.max(0.5);
-    let value = node.config.max_value_bytes.max(1);
-    let pages_per_txn = (MAX_TXN_BYTES / value).clamp(1, node.config.max_txn_ops.max(1));
+    let page_bytes = node.config.max_value_bytes.max(1);
+    let pages_per_txn = (MAX_TXN_BYTES / page_bytes).clamp(1, node.config.max_txn_ops.max(1));
     for chunk in missing.chunks(pages_per_txn) {
         let now = runtime::now();
-        let from = workflows.next_plan_write_at.get().max(now);
-        if from > write_until {
+        let write_at = workflows.next_plan_write_at.get().max(now);
+        if write_at > write_until {
             return reject(
                 503,
                 format!(
@@ -272,8 +276,8 @@
         }
         workflows
             .next_plan_write_at
-            .set(from + Micros::from_secs_f64(chunk.len() as f64 / rate));
-        runtime::sleep_until(from).await;
+            .set(write_at + Micros::from_secs_f64(chunk.len() as f64 / rate));
+        runtime::sleep_until(write_at).await;
         let compares = chunk
             .iter()
             .map(|n| Compare {
@@ -327,7 +331,7 @@
         .await?
     {
         TransactionOutcome::Applied(_) => {
-            info!(%run, name = info.name, team = info.team, steps = info.steps, "run accepted");
+            info!(%run, name = info.name, team = info.team, steps = info.steps, "workflow run accepted");
             Ok(run_answer(201, info))
         }
         TransactionOutcome::Failed(_) => match read_head(node, run).await? {
@@ -351,8 +355,11 @@
     };
     let progress = workflows.engine.borrow().progress(run);
     if query.limit == 0 {
-        let p = progress.unwrap_or_default();
-        return Ok(run_answer(200, run_info(&head, run, p.in_flight, p.done)));
+        let progress = progress.unwrap_or_default();
+        return Ok(run_answer(
+            200,
+            run_info(&head, run, progress.in_flight, progress.done),
+        ));
     }
     let pages = read_step_pages(node, run).await?;
     let Some(plan) = read_plan(node, run, &head).await? else {
@@ -532,7 +539,7 @@
             .await?
         {
             TransactionOutcome::Applied(_) => {
-                info!(%run, "run cancelled");
+                info!(%run, "workflow run cancelled");
                 return Ok(run_answer(200, run_info(&head, run, 0, 0)));
             }
             // The node that executes the run changed its head concurrently.
--- a/crates/hopyoke/src/workflows/watches.rs
+++ b/crates/hopyoke/src/workflows/watches.rs
@@ -23,8 +23,8 @@
     RunId::parse(key.strip_prefix(prefix)?)
 }
 
-/// Watches the heads of unfinished runs, which tell of submissions and cancellations, and the claims on them. Starts with a
-/// full listing, also after the watched revision was compacted.
+/// Watches the heads of unfinished runs, which reflect submissions and cancellations, and the claims on them. Starts
+/// with a full listing, also after the watched revision was compacted.
 pub(super) async fn watch_runs(node: Rc<Node>) {
     let workflows = workflow_state(&node);
     let mut since = None;
@@ -109,7 +109,8 @@
     }
 }
 
-/// Reconciles the engine with a full listing of heads and claims as of a revision: whatever is not listed has been deleted.
+/// Reconciles the engine with a full listing of heads and claims as of a revision: heads and claims not listed have been
+/// deleted.
 fn apply_listing(node: &Node, pairs: Vec<KeyValue<WorkflowRecord>>, revision: ModRevision) {
     let mut heads = BTreeSet::new();
     let mut claims = BTreeSet::new();
@@ -179,7 +180,7 @@
                         && let Some(job) = key.strip_prefix("end/").and_then(JobId::parse)
                         && end.is_workflow_step
                     {
-                        engine.job_ended(&job, job_end_of(end), now);
+                        engine.job_ended(&job, to_job_end(end), now);
                     }
                 }
                 drop(engine);
@@ -192,10 +193,10 @@
 }
 
 /// Returns how a step's job ended, by its final record.
-pub(super) fn job_end_of(end: EndRecord) -> JobEnd {
+pub(super) fn to_job_end(end: EndRecord) -> JobEnd {
     match end.state {
         JobState::Done => JobEnd::Done,
-        _ if end.given_up => JobEnd::Failed,
+        _ if end.cancelled_by_scheduler => JobEnd::Failed,
         _ => JobEnd::Cancelled,
     }
 }
