--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -70,7 +70,7 @@
     /// Handles a user's request at node `i`. `respond` is not called if the key-value store does not answer.
     pub(crate) fn handle_request(
         &mut self,
-        i: usize,
+        node: usize,
         id: JobId,
         request: Request,
         respond: ResponseHandler,
@@ -81,14 +81,14 @@
             USER_WRITE_TIMEOUT
         };
         let deadline = self.now + user_timeout - TRANSFER_MARGIN;
-        let leader = self.nodes[i]
+        let leader = self.nodes[node]
             .observed_leader
-            .filter(|l| *l != i && self.nodes[i].leadership.is_none());
+            .filter(|l| *l != node && self.nodes[node].leadership.is_none());
         if let (Request::Poll, Some(peer)) = (request, leader)
-            && let Some(timeout) = self.forward_timeout(i, peer, deadline)
+            && let Some(timeout) = self.forward_timeout(node, peer, deadline)
         {
             let forwarded = Forwarded {
-                node: i,
+                node,
                 peer,
                 id: id.clone(),
                 request,
@@ -96,15 +96,15 @@
             };
             // Without a response from the leader the node answers itself.
             return self.forward(forwarded, respond, move |sim, respond| {
-                sim.answer_or_forward(i, id, request, deadline, respond);
+                sim.answer_or_forward(node, id, request, deadline, respond);
             });
         }
-        self.answer_or_forward(i, id, request, deadline, respond);
+        self.answer_or_forward(node, id, request, deadline, respond);
     }
 
     /// Returns how long node `i` waits for the leader's response to a poll. Returns `None` if it does not forward it.
-    fn forward_timeout(&self, i: usize, leader: usize, deadline: Micros) -> Option<Micros> {
-        let latency = self.expected_latency(i, RequestKind::Read);
+    fn forward_timeout(&self, node: usize, leader: usize, deadline: Micros) -> Option<Micros> {
+        let latency = self.expected_latency(node, RequestKind::Read);
         leader_forward_timeout(
             latency.unwrap_or_default(),
             deadline - self.now,
@@ -113,30 +113,30 @@
     }
 
     /// Returns whether the key-value store accepts requests of node `i` and no partition separates them.
-    fn reaches_store(&self, i: usize) -> bool {
-        let partition = self.partition_between(Host::Node(i), Host::KvStore);
-        !self.store_rejects(i) && partition.is_none()
+    fn reaches_store(&self, node: usize) -> bool {
+        let partition = self.partition_between(Host::Node(node), Host::KvStore);
+        !self.store_rejects(node) && partition.is_none()
     }
 
     /// Answers a request at node `i`, or forwards it to a peer if only the peer can reach the store.
     fn answer_or_forward(
         &mut self,
-        i: usize,
+        node: usize,
         id: JobId,
         request: Request,
         deadline: Micros,
         respond: ResponseHandler,
     ) {
-        if self.reaches_store(i) {
-            return self.answer_locally(i, id, request, deadline, respond);
+        if self.reaches_store(node) {
+            return self.answer_locally(node, id, request, deadline, respond);
         }
-        let is_reachable = |j: &usize| *j != i && self.nodes[*j].up && self.reaches_store(*j);
+        let is_reachable = |j: &usize| *j != node && self.nodes[*j].up && self.reaches_store(*j);
         let peer = (0..self.nodes.len()).find(is_reachable);
         let Some(peer) = peer else {
             return respond(self, Response::RetryAfter(RETRY_AFTER));
         };
         let forwarded = Forwarded {
-            node: i,
+            node,
             peer,
             id,
             request,
@@ -156,23 +156,23 @@
         fallback: impl FnOnce(&mut Simulation, ResponseHandler) + 'static,
     ) {
         let Forwarded {
-            node: i,
+            node,
             peer,
             id,
             request,
             deadline,
         } = forwarded;
-        let process = self.nodes[i].process;
+        let process = self.nodes[node].process;
         let respond = Rc::new(RefCell::new(Some(respond)));
         let timed_out = respond.clone();
-        self.timer(i, deadline - self.now, move |sim| {
-            if sim.alive(i, process)
+        self.timer(node, deadline - self.now, move |sim| {
+            if sim.alive(node, process)
                 && let Some(respond) = timed_out.take()
             {
                 fallback(sim, respond);
             }
         });
-        self.send(Host::Node(i), Host::Node(peer), move |sim| {
+        self.send(Host::Node(node), Host::Node(peer), move |sim| {
             if !sim.nodes[peer].up {
                 return;
             }
@@ -181,8 +181,8 @@
                 if matches!(response, Response::RetryAfter(_)) {
                     return;
                 }
-                sim.send(Host::Node(peer), Host::Node(i), move |sim| {
-                    if sim.alive(i, process)
+                sim.send(Host::Node(peer), Host::Node(node), move |sim| {
+                    if sim.alive(node, process)
                         && let Some(respond) = respond.take()
                     {
                         respond(sim, response);
@@ -196,71 +196,71 @@
     /// Answers a request at the node itself.
     fn answer_locally(
         &mut self,
-        i: usize,
+        node: usize,
         id: JobId,
         request: Request,
         deadline: Micros,
         respond: ResponseHandler,
     ) {
-        let process = self.nodes[i].process;
+        let process = self.nodes[node].process;
         match request {
-            Request::Submit => self.handle_submit(i, process, id, deadline, respond),
-            Request::Poll => self.handle_poll(i, process, id, deadline, respond),
-            Request::Cancel => self.handle_cancel(i, process, id, deadline, respond),
+            Request::Submit => self.handle_submit(node, process, id, deadline, respond),
+            Request::Poll => self.handle_poll(node, process, id, deadline, respond),
+            Request::Cancel => self.handle_cancel(node, process, id, deadline, respond),
         }
     }
 
     /// Handles a poll: the leader uses a linearizable read of the record changes, other nodes read the job's record.
     fn handle_poll(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         id: JobId,
         deadline: Micros,
         respond: ResponseHandler,
     ) {
-        if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
+        if let Some(end) = self.nodes[node].terminal_states.get(&id).copied() {
             return respond(self, Response::Finished(end));
         }
-        let leads = self.leadership(i, process).is_some();
+        let leads = self.leadership(node, process).is_some();
         let is_known = leads
             && self
-                .leadership(i, process)
+                .leadership(node, process)
                 .is_some_and(|l| l.scheduler.jobs.contains_key(&id));
-        if !leads || (!is_known && self.must_read_in_parallel(i, deadline)) {
-            return self.look_up(i, process, id, deadline, move |sim, found| {
+        if !leads || (!is_known && self.must_read_in_parallel(node, deadline)) {
+            return self.look_up(node, process, id, deadline, move |sim, found| {
                 respond(sim, found.response())
             });
         }
         // A read that is sent after the poll arrived returns every earlier write, so that once its changes are applied
         // the scheduler holds them. The delay models the daemon, where one read serves all waiting polls.
         let batch_delay = Micros(self.random(0, READ_BATCH_WINDOW.0));
-        self.timer(i, batch_delay, move |sim| {
+        self.timer(node, batch_delay, move |sim| {
             let Some(applied) = sim
-                .leadership(i, process)
+                .leadership(node, process)
                 .map(|l| l.scheduler.applied_revision())
             else {
                 return;
             };
             let sent = sim.now;
-            sim.send(Host::Node(i), Host::KvStore, move |sim| {
-                if sim.store_rejects(i) {
+            sim.send(Host::Node(node), Host::KvStore, move |sim| {
+                if sim.store_rejects(node) {
                     return;
                 }
                 let changes = sim.record_changes_since(applied);
-                sim.send(Host::KvStore, Host::Node(i), move |sim| {
-                    if sim.leadership(i, process).is_none() {
+                sim.send(Host::KvStore, Host::Node(node), move |sim| {
+                    if sim.leadership(node, process).is_none() {
                         return;
                     }
-                    sim.store_answered(i, RequestKind::Watch, sent);
-                    sim.apply_record_changes(i, process, changes, sent);
+                    sim.store_answered(node, RequestKind::Watch, sent);
+                    sim.apply_record_changes(node, process, changes, sent);
                     if sim
-                        .leadership(i, process)
+                        .leadership(node, process)
                         .is_some_and(|l| l.scheduler.jobs.contains_key(&id))
                     {
                         return respond(sim, Response::Unfinished);
                     }
-                    sim.look_up_terminal_state(i, process, id, deadline, respond);
+                    sim.look_up_terminal_state(node, process, id, deadline, respond);
                 });
             });
         });
@@ -269,7 +269,7 @@
     /// Accepts a job or returns why it is rejected. Submission is idempotent: a repeated one returns the job's state.
     fn handle_submit(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         id: JobId,
         deadline: Micros,
@@ -297,20 +297,20 @@
             .is_some()
         {
             // A job that was accepted earlier stays accepted, whatever the current catalog contains.
-            return self.look_up(i, process, id, deadline, move |sim, found| match found {
+            return self.look_up(node, process, id, deadline, move |sim, found| match found {
                 Lookup::Missing => respond(sim, Response::Unschedulable),
                 found => respond(sim, found.response()),
             });
         }
-        if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
+        if let Some(end) = self.nodes[node].terminal_states.get(&id).copied() {
             return respond(self, Response::Finished(end));
         }
-        if let Err(after) = self.admit(i, &id) {
+        if let Err(after) = self.admit(node, &id) {
             let is_known = self
-                .leadership(i, process)
+                .leadership(node, process)
                 .is_some_and(|l| l.scheduler.jobs.contains_key(&id));
             return if is_known {
-                self.handle_poll(i, process, id, deadline, respond)
+                self.handle_poll(node, process, id, deadline, respond)
             } else {
                 respond(self, Response::RetryAfter(after))
             };
@@ -321,13 +321,13 @@
             is_workflow_step,
             deadline,
         };
-        self.write_submission(i, process, submission, respond);
+        self.write_submission(node, process, submission, respond);
     }
 
     /// Writes the record of a submitted job unless the store already holds its record or its final state.
     fn write_submission(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         submission: Submission,
         respond: ResponseHandler,
@@ -338,11 +338,11 @@
             is_workflow_step,
             deadline,
         } = submission;
-        self.send(Host::Node(i), Host::KvStore, move |sim| {
-            if sim.store_rejects(i) || !sim.store_accepts(1) {
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
+            if sim.store_rejects(node) || !sim.store_accepts(1) {
                 return;
             }
-            let at = sim.time_of_day(i).0;
+            let at = sim.time_of_day(node).0;
             let record = if is_workflow_step {
                 JobRecord::for_workflow_step(spec, at)
             } else {
@@ -353,11 +353,11 @@
             let Some(result) = sim.transact(&compares, vec![put]) else {
                 return;
             };
-            sim.send(Host::KvStore, Host::Node(i), move |sim| match result {
-                _ if !sim.alive(i, process) => {}
+            sim.send(Host::KvStore, Host::Node(node), move |sim| match result {
+                _ if !sim.alive(node, process) => {}
                 Ok(_) => respond(sim, Response::Unfinished),
                 // An earlier try was accepted. Its record can move but not vanish, so `Missing` is not passed on.
-                Err(_) => sim.look_up(i, process, id, deadline, move |sim, found| match found {
+                Err(_) => sim.look_up(node, process, id, deadline, move |sim, found| match found {
                     Lookup::Missing => respond(sim, Response::RetryAfter(RETRY_AFTER)),
                     found => respond(sim, found.response()),
                 }),
@@ -369,14 +369,14 @@
     /// compare-and-swap is retried until the deadline.
     fn handle_cancel(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         id: JobId,
         deadline: Micros,
         respond: ResponseHandler,
     ) {
         let job = id.clone();
-        self.look_up(i, process, job, deadline, move |sim, found| {
+        self.look_up(node, process, job, deadline, move |sim, found| {
             let Lookup::Unfinished(record, mod_revision) = found else {
                 return respond(sim, found.response());
             };
@@ -384,8 +384,8 @@
                 is_workflow_step: record.is_workflow_step,
                 ..EndRecord::new(JobState::Cancelled, record.done.count())
             };
-            sim.send(Host::Node(i), Host::KvStore, move |sim| {
-                if sim.store_rejects(i) || !sim.store_accepts(2) {
+            sim.send(Host::Node(node), Host::KvStore, move |sim| {
+                if sim.store_rejects(node) || !sim.store_accepts(2) {
                     return;
                 }
                 let (job_key, end_key) = (format!("job/{id}"), format!("end/{id}"));
@@ -398,14 +398,19 @@
                 else {
                     return;
                 };
-                sim.send(Host::KvStore, Host::Node(i), move |sim| match result {
-                    _ if !sim.alive(i, process) => {}
+                sim.send(Host::KvStore, Host::Node(node), move |sim| match result {
+                    _ if !sim.alive(node, process) => {}
                     Ok(mod_revision) => {
-                        sim.register_terminal_state(i, &id, end.state, ModRevision(mod_revision));
+                        sim.register_terminal_state(
+                            node,
+                            &id,
+                            end.state,
+                            ModRevision(mod_revision),
+                        );
                         respond(sim, Response::Finished(end.state));
                     }
                     Err(_) if sim.now < deadline => {
-                        sim.handle_cancel(i, process, id, deadline, respond)
+                        sim.handle_cancel(node, process, id, deadline, respond)
                     }
                     Err(_) => respond(sim, Response::RetryAfter(RETRY_AFTER)),
                 });
@@ -418,14 +423,14 @@
     /// own scheduler drops the job.
     pub(crate) fn register_terminal_state(
         &mut self,
-        i: usize,
+        node: usize,
         job: &JobId,
         end: JobState,
         mod_revision: ModRevision,
     ) {
-        self.log(|| format!("node {i} reports the final state {end:?} of {job}"));
+        self.log(|| format!("node {node} reports the final state {end:?} of {job}"));
         let now = self.now;
-        let n = &mut self.nodes[i];
+        let n = &mut self.nodes[node];
         if end == JobState::Cancelled {
             n.cancellation_log.append(job, mod_revision);
             if let Some(leadership) = n
--- a/crates/hopyoke-simulator/src/limits.rs
+++ b/crates/hopyoke-simulator/src/limits.rs
@@ -96,43 +96,45 @@
     /// Returns how long to wait if the share is used up.
     pub(crate) fn acquire_request(
         &mut self,
-        i: usize,
+        node: usize,
         priority: RequestPriority,
     ) -> Result<(), Micros> {
         if self.limits.as_ref().is_none_or(|l| l.nodes_unlimited) {
             return Ok(());
         }
         let now = self.now;
-        self.nodes[i]
-            .limits_of_node
+        self.nodes[node]
+            .limits
             .as_mut()
-            .map_or(Ok(()), |p| p.rate_limiter.take(priority, 1, now))
+            .map_or(Ok(()), |limits| limits.rate_limiter.take(priority, 1, now))
     }
 
     /// Gossips about the node's admission queue periodically.
-    pub(crate) fn gossip_queue(&mut self, i: usize, process: u64) {
-        if !self.nodes[i].up || self.nodes[i].process != process {
+    pub(crate) fn gossip_queue(&mut self, node: usize, process: u64) {
+        if !self.nodes[node].up || self.nodes[node].process != process {
             return;
         }
         let now = self.now;
         // Index of `node` among the peers of `observer`.
         let peer_index =
             |node: usize, observer: usize| if node < observer { node } else { node - 1 };
-        for j in (0..self.nodes.len()).filter(|j| *j != i) {
-            let Some(limits_of_node) = self.nodes[i].limits_of_node.as_mut() else {
+        for peer in (0..self.nodes.len()).filter(|peer| *peer != node) {
+            let Some(limits) = self.nodes[node].limits.as_mut() else {
                 return;
             };
-            let gossip = limits_of_node.admission.take_gossip(peer_index(j, i), now);
-            self.send(Host::Node(i), Host::Node(j), move |sim| {
+            let gossip = limits.admission.take_gossip(peer_index(peer, node), now);
+            self.send(Host::Node(node), Host::Node(peer), move |sim| {
                 let now = sim.now;
-                if let Some(limits_of_node) = sim.nodes[j].limits_of_node.as_mut() {
-                    limits_of_node
+                if let Some(limits) = sim.nodes[peer].limits.as_mut() {
+                    limits
                         .admission
-                        .gossip_received(peer_index(i, j), &gossip, now);
+                        .gossip_received(peer_index(node, peer), &gossip, now);
                 }
             });
         }
-        self.timer(i, GOSSIP_INTERVAL, move |sim| sim.gossip_queue(i, process));
+        self.timer(node, GOSSIP_INTERVAL, move |sim| {
+            sim.gossip_queue(node, process)
+        });
     }
 
     /// Admits a user's job at a node.
@@ -140,19 +142,22 @@
     /// # Errors
     ///
     /// Returns after how long the user should retry.
-    pub(crate) fn admit(&mut self, i: usize, job: &JobId) -> Result<(), Micros> {
+    pub(crate) fn admit(&mut self, node: usize, job: &JobId) -> Result<(), Micros> {
         if self.limits.as_ref().is_none_or(|l| l.nodes_unlimited) {
             return Ok(());
         }
-        let (now, is_leader) = (self.now, self.nodes[i].leadership.is_some());
-        let team = self.jobs.get(job).map_or("", |j| j.spec.team.as_str());
+        let (now, is_leader) = (self.now, self.nodes[node].leadership.is_some());
+        let team = self
+            .jobs
+            .get(job)
+            .map_or("", |peer| peer.spec.team.as_str());
         let team = self
             .config
             .teams
             .iter()
             .position(|t| t.name == team)
             .unwrap_or(self.config.teams.len());
-        let Some(limits) = self.nodes[i].limits_of_node.as_mut() else {
+        let Some(limits) = self.nodes[node].limits.as_mut() else {
             return Ok(());
         };
         let admitted = limits
--- a/crates/hopyoke-simulator/src/lookup.rs
+++ b/crates/hopyoke-simulator/src/lookup.rs
@@ -48,91 +48,94 @@
 
 impl Simulation {
     /// Returns whether node `i` has too little time for two consecutive reads before a deadline.
-    pub(crate) fn must_read_in_parallel(&self, i: usize, deadline: Micros) -> bool {
-        let latency = self.expected_latency(i, RequestKind::Read);
+    pub(crate) fn must_read_in_parallel(&self, node: usize, deadline: Micros) -> bool {
+        let latency = self.expected_latency(node, RequestKind::Read);
         must_read_concurrently(latency, deadline - self.now)
     }
 
     /// Reads the final state of a job that is not unfinished as far as the leader knows.
     pub(crate) fn look_up_terminal_state(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         id: JobId,
         deadline: Micros,
         respond: ResponseHandler,
     ) {
-        if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
+        if let Some(end) = self.nodes[node].terminal_states.get(&id).copied() {
             return respond(self, Response::Finished(end));
         }
-        self.read(i, process, format!("end/{id}"), move |sim, read| match sim
-            .observe_end_record(i, &id, &read)
-        {
-            Some(end) => respond(sim, Response::Finished(end)),
-            None => sim.look_up(i, process, id, deadline, move |sim, found| {
-                respond(sim, found.response())
-            }),
-        });
+        self.read(
+            node,
+            process,
+            format!("end/{id}"),
+            move |sim, read| match sim.observe_end_record(node, &id, &read) {
+                Some(end) => respond(sim, Response::Finished(end)),
+                None => sim.look_up(node, process, id, deadline, move |sim, found| {
+                    respond(sim, found.response())
+                }),
+            },
+        );
     }
 
     /// Looks up a job's record. A record only ever moves from `job/` to `end/`, so reading the keys in this order can't
     /// miss it. If time is short both are read in parallel.
     pub(crate) fn look_up(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         id: JobId,
         deadline: Micros,
         then: impl FnOnce(&mut Simulation, Lookup) + 'static,
     ) {
-        if let Some(end) = self.nodes[i].terminal_states.get(&id).copied() {
+        if let Some(end) = self.nodes[node].terminal_states.get(&id).copied() {
             return then(self, Lookup::Finished(end));
         }
-        if self.must_read_in_parallel(i, deadline) {
-            return self.look_up_in_parallel(i, process, id, Box::new(then));
+        if self.must_read_in_parallel(node, deadline) {
+            return self.look_up_in_parallel(node, process, id, Box::new(then));
         }
         self.read(
-            i,
+            node,
             process,
             format!("job/{id}"),
             move |sim, read| match unfinished_job(&read) {
                 Some(found) => then(sim, found),
-                None => sim.read_end_record(i, process, id, Box::new(then)),
+                None => sim.read_end_record(node, process, id, Box::new(then)),
             },
         );
     }
 
     /// Reads the record at `end/`, after `job/` was found absent.
-    fn read_end_record(&mut self, i: usize, process: u64, id: JobId, then: LookupHandler) {
-        self.read(i, process, format!("end/{id}"), move |sim, read| {
-            let found = sim.observe_end_record(i, &id, &read);
+    fn read_end_record(&mut self, node: usize, process: u64, id: JobId, then: LookupHandler) {
+        self.read(node, process, format!("end/{id}"), move |sim, read| {
+            let found = sim.observe_end_record(node, &id, &read);
             then(sim, found.map_or(Lookup::Missing, Lookup::Finished));
         });
     }
 
     /// Reads both keys in parallel. If neither exists, the job is missing only if `end/` was read at the revision of
     /// the `job/` read or a later one. Otherwise the record may have moved in between, and `end/` is read again.
-    fn look_up_in_parallel(&mut self, i: usize, process: u64, id: JobId, then: LookupHandler) {
+    fn look_up_in_parallel(&mut self, node: usize, process: u64, id: JobId, then: LookupHandler) {
         let reads = Rc::new(RefCell::new(ParallelReads {
             job: None,
             end: None,
             then: Some(then),
         }));
         let (job_reads, job_id) = (reads.clone(), id.clone());
-        self.read(i, process, format!("job/{id}"), move |sim, read| {
+        self.read(node, process, format!("job/{id}"), move |sim, read| {
             job_reads.borrow_mut().job = Some(read);
-            sim.parallel_read_completed(i, process, job_id, &job_reads);
+            sim.parallel_read_completed(node, process, job_id, &job_reads);
         });
-        self.read(i, process, format!("end/{id}"), move |sim, read| {
+        self.read(node, process, format!("end/{id}"), move |sim, read| {
             reads.borrow_mut().end = Some(read);
-            sim.parallel_read_completed(i, process, id, &reads);
+            sim.parallel_read_completed(node, process, id, &reads);
         });
     }
 
     /// Evaluates parallel reads once both have completed.
     fn parallel_read_completed(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         id: JobId,
         reads: &Rc<RefCell<ParallelReads>>,
@@ -147,48 +150,48 @@
         let (Some(job), Some(end), Some(then)) = (job, end, then) else {
             return;
         };
-        if let Some(state) = self.observe_end_record(i, &id, &end) {
+        if let Some(state) = self.observe_end_record(node, &id, &end) {
             return then(self, Lookup::Finished(state));
         }
         match unfinished_job(&job) {
             Some(found) => then(self, found),
             None if end.revision >= job.revision => then(self, Lookup::Missing),
-            None => self.read_end_record(i, process, id, then),
+            None => self.read_end_record(node, process, id, then),
         }
     }
 
     /// Returns the final state from a read of `end/` and registers it, so that users may observe it from now on.
     /// Returns `None` if there was no record.
-    fn observe_end_record(&mut self, i: usize, id: &JobId, read: &KeyRead) -> Option<JobState> {
+    fn observe_end_record(&mut self, node: usize, id: &JobId, read: &KeyRead) -> Option<JobState> {
         let entry = read.found.as_ref()?;
         let Value::EndRecord(end) = &entry.value else {
             return None;
         };
         let state = end.state;
-        self.register_terminal_state(i, id, state, ModRevision(entry.mod_revision));
+        self.register_terminal_state(node, id, state, ModRevision(entry.mod_revision));
         Some(state)
     }
 
     /// Reads a key. `then` is not called if the store rejects the request.
     fn read(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         key: String,
         then: impl FnOnce(&mut Simulation, KeyRead) + 'static,
     ) {
         let sent = self.now;
-        self.send(Host::Node(i), Host::KvStore, move |sim| {
-            if sim.store_rejects(i) || !sim.store_accepts(0) {
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
+            if sim.store_rejects(node) || !sim.store_accepts(0) {
                 return;
             }
             let read = KeyRead {
                 found: sim.kv_store.entries.get(&key).cloned(),
                 revision: sim.kv_store.revision,
             };
-            sim.send(Host::KvStore, Host::Node(i), move |sim| {
-                if sim.alive(i, process) {
-                    sim.store_answered(i, RequestKind::Read, sent);
+            sim.send(Host::KvStore, Host::Node(node), move |sim| {
+                if sim.alive(node, process) {
+                    sim.store_answered(node, RequestKind::Read, sent);
                     then(sim, read);
                 }
             });
--- a/crates/hopyoke-simulator/src/network.rs
+++ b/crates/hopyoke-simulator/src/network.rs
@@ -72,7 +72,7 @@
     pub(crate) fn partition_zone(&mut self, zone: usize, until: Micros, holds_packets: bool) {
         let (nodes, zones) = (self.nodes.len(), self.config.zones.len());
         let (inside, outside): (Vec<usize>, Vec<usize>) =
-            (0..nodes).partition(|i| i % zones == zone);
+            (0..nodes).partition(|node| node % zones == zone);
         let others = (0..zones).filter(|z| *z != zone).map(Host::AgentsInZone);
         let outside_hosts: Vec<Host> = [Host::KvStore, Host::Cloud]
             .into_iter()
@@ -122,8 +122,8 @@
     /// Runs a handler at a host now, or when the node resumes if it is paused.
     fn handle_on(&mut self, host: Host, handler: impl FnOnce(&mut Simulation) + 'static) {
         match host {
-            Host::Node(i) if self.is_paused(i) => {
-                let until = self.paused_nodes[&i];
+            Host::Node(node) if self.is_paused(node) => {
+                let until = self.paused_nodes[&node];
                 self.at(until, move |sim| sim.handle_on(host, handler));
             }
             _ => handler(self),
@@ -131,20 +131,20 @@
     }
 
     /// Returns whether a node's process is paused. Its clocks keep running, as on a stalled machine.
-    pub(crate) fn is_paused(&self, i: usize) -> bool {
+    pub(crate) fn is_paused(&self, node: usize) -> bool {
         self.paused_nodes
-            .get(&i)
+            .get(&node)
             .is_some_and(|until| self.now < *until)
     }
 
     /// Starts a timer of a node. It fires late if the node is paused then.
     pub(crate) fn timer(
         &mut self,
-        i: usize,
+        node: usize,
         delay: Micros,
         handler: impl FnOnce(&mut Simulation) + 'static,
     ) {
-        self.after(delay, move |sim| sim.handle_on(Host::Node(i), handler));
+        self.after(delay, move |sim| sim.handle_on(Host::Node(node), handler));
     }
 
     /// Returns how long messages to a host currently wait before they are handled.
--- a/crates/hopyoke-simulator/src/node/commands.rs
+++ b/crates/hopyoke-simulator/src/node/commands.rs
@@ -23,7 +23,7 @@
     /// Pushes commands to an agent; fails at once if the node has no sockets left.
     pub(super) fn push_commands(&mut self, push: PushDelivery) {
         let PushDelivery {
-            node: i,
+            node,
             process,
             epoch,
             sent,
@@ -32,20 +32,20 @@
         let machine = push.machine.clone();
         if self
             .sockets_exhausted_until
-            .get(&i)
+            .get(&node)
             .is_some_and(|t| sent < *t)
         {
-            if let Some(l) = self.leadership(i, process) {
+            if let Some(l) = self.leadership(node, process) {
                 l.scheduler.push_failed(&machine, false, sent);
             }
             return;
         }
-        self.send(Host::Node(i), self.agent_host(&machine), move |w| {
-            w.deliver_pushed_commands(push);
+        self.send(Host::Node(node), self.agent_host(&machine), move |sim| {
+            sim.deliver_pushed_commands(push);
         });
-        self.timer(i, PUSH_TIMEOUT, move |w| {
-            let now = w.now;
-            if let Some(l) = w.leadership(i, process)
+        self.timer(node, PUSH_TIMEOUT, move |sim| {
+            let now = sim.now;
+            if let Some(l) = sim.leadership(node, process)
                 && l.scheduler
                     .machines
                     .get(&machine)
@@ -64,10 +64,10 @@
             .map(|m| m.commands_held_until)
             .filter(|t| *t > self.now);
         if let Some(t) = self.paused_until(&push.machine).or(held) {
-            return self.at(t, move |w| w.deliver_pushed_commands(push));
+            return self.at(t, move |sim| sim.deliver_pushed_commands(push));
         }
         let PushDelivery {
-            node: i,
+            node,
             process,
             machine,
             token,
@@ -78,9 +78,9 @@
         if self.draws_fault(self.delayed_commands) {
             let delay = Micros(self.random(2_000_000, 16_000_000));
             // The commands reach the agent whichever node leads by then, and their response is dropped.
-            return self.schedule_on_machine(&machine.clone(), delay, move |w| {
-                w.log(|| format!("{machine} receives delayed commands of token {}", token.0));
-                w.receive_pushed_commands(&machine, token, epoch, commands);
+            return self.schedule_on_machine(&machine.clone(), delay, move |sim| {
+                sim.log(|| format!("{machine} receives delayed commands of token {}", token.0));
+                sim.receive_pushed_commands(&machine, token, epoch, commands);
             });
         }
         let Some((executed, heartbeat)) =
@@ -95,15 +95,15 @@
         if self.now.max(responds_at) >= sent + PUSH_TIMEOUT {
             return;
         }
-        self.at(responds_at, move |w| {
-            w.send(w.agent_host(&machine), Host::Node(i), move |w| {
-                let now = w.now;
+        self.at(responds_at, move |sim| {
+            sim.send(sim.agent_host(&machine), Host::Node(node), move |sim| {
+                let now = sim.now;
                 if now < sent + PUSH_TIMEOUT
-                    && let Some(l) = w.leadership(i, process)
+                    && let Some(l) = sim.leadership(node, process)
                 {
                     l.scheduler
                         .push_answered(&machine, executed, Some(&heartbeat), now);
-                    w.run_scheduler(i, process);
+                    sim.run_scheduler(node, process);
                 }
             });
         });
--- a/crates/hopyoke-simulator/src/node/election.rs
+++ b/crates/hopyoke-simulator/src/node/election.rs
@@ -21,84 +21,86 @@
 
 impl Simulation {
     /// Reads the leader's key and campaigns if it is free; repeats until the node leads.
-    pub(super) fn campaign(&mut self, i: usize, process: u64, is_first: bool) {
-        if !self.alive(i, process) || self.nodes[i].leadership.is_some() {
+    pub(super) fn campaign(&mut self, node: usize, process: u64, is_first: bool) {
+        if !self.alive(node, process) || self.nodes[node].leadership.is_some() {
             return;
         }
         let sent = self.now;
-        let n = &mut self.nodes[i];
+        let n = &mut self.nodes[node];
         let may_take_over = sent >= n.takeover_not_before;
         if sent < n.campaign_not_before {
             let wait = n.campaign_not_before - sent;
-            return self.timer(i, wait, move |w| w.campaign(i, process, is_first));
+            return self.timer(node, wait, move |sim| sim.campaign(node, process, is_first));
         }
-        if self.is_taking_over(i) || self.waits_for_campaign(i) {
+        if self.is_taking_over(node) || self.waits_for_campaign(node) {
             let pause = Micros(self.random(200_000, 500_000));
-            return self.timer(i, pause, move |w| w.campaign(i, process, is_first));
+            return self.timer(node, pause, move |sim| {
+                sim.campaign(node, process, is_first)
+            });
         }
-        if let Err(wait) = self.acquire_request(i, RequestPriority::Critical) {
-            return self.timer(i, wait, move |w| w.campaign(i, process, is_first));
+        if let Err(wait) = self.acquire_request(node, RequestPriority::Critical) {
+            return self.timer(node, wait, move |sim| sim.campaign(node, process, is_first));
         }
-        let timeout = self.store_timeout(i, RequestKind::Lease, Purpose::Lease);
-        let n = &mut self.nodes[i];
+        let timeout = self.store_timeout(node, RequestKind::Lease, Purpose::Lease);
+        let n = &mut self.nodes[node];
         n.pending_campaigns += 1;
         n.open_campaign = Some(OpenCampaign {
             sent,
             until: sent + timeout,
         });
         let campaign = Campaign {
-            node: i,
+            node,
             process,
             is_first,
             may_take_over,
             sent,
         };
-        self.send(Host::Node(i), Host::KvStore, move |w| {
-            w.campaign_at_store(campaign)
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
+            sim.campaign_at_store(campaign)
         });
         let pause = Micros(self.random(200_000, 500_000));
-        self.timer(i, pause, move |w| w.campaign(i, process, is_first));
+        self.timer(node, pause, move |sim| {
+            sim.campaign(node, process, is_first)
+        });
     }
 
     /// Returns whether the node holds a valid lease under which it reads the records.
-    pub(super) fn is_taking_over(&self, i: usize) -> bool {
-        let lease = self.nodes[i].acquired_lease;
+    pub(super) fn is_taking_over(&self, node: usize) -> bool {
+        let lease = self.nodes[node].acquired_lease;
         lease.is_some_and(|l| self.now < l.until)
     }
 
     /// Returns whether an earlier campaign still waits for its response, and times it out when due.
-    fn waits_for_campaign(&mut self, i: usize) -> bool {
-        let Some(open) = self.nodes[i].open_campaign else {
+    fn waits_for_campaign(&mut self, node: usize) -> bool {
+        let Some(open) = self.nodes[node].open_campaign else {
             return false;
         };
         if self.now < open.until {
             return true;
         }
-        self.nodes[i].open_campaign = None;
-        self.store_timed_out(i, RequestKind::Lease, open.sent);
+        self.nodes[node].open_campaign = None;
+        self.store_timed_out(node, RequestKind::Lease, open.sent);
         false
     }
 
     /// Records the response to the node's campaign.
-    pub(super) fn campaign_answered(&mut self, i: usize) {
-        if let Some(open) = self.nodes[i].open_campaign.take() {
-            self.store_answered(i, RequestKind::Lease, open.sent);
+    pub(super) fn campaign_answered(&mut self, node: usize) {
+        if let Some(open) = self.nodes[node].open_campaign.take() {
+            self.store_answered(node, RequestKind::Lease, open.sent);
         }
     }
 
     /// Reads the leader's key, grants a lease, and writes the key with a shard for each zone.
     fn campaign_at_store(&mut self, campaign: Campaign) {
-        let Campaign {
-            node: i, process, ..
-        } = campaign;
-        let completed = move |w: &mut Simulation| w.campaign_completed(i, process);
+        let Campaign { node, process, .. } = campaign;
+        let completed = move |sim: &mut Simulation| sim.campaign_completed(node, process);
         let changes = 1 + self.config.zones.len();
-        if self.store_rejects(i)
+        if self.store_rejects(node)
             || !self.store_accepts(0)
             || !self.store_accepts(0)
             || !self.store_accepts(changes)
         {
-            return self.send(Host::KvStore, Host::Node(i), completed);
+            return self.send(Host::KvStore, Host::Node(node), completed);
         }
         let holder = match self.kv_store.entries.get("leader") {
             Some(e) => match e.value {
@@ -109,75 +111,75 @@
         };
         let mod_revision = match holder {
             None if !campaign.may_take_over => {
-                return self.send(Host::KvStore, Host::Node(i), completed);
+                return self.send(Host::KvStore, Host::Node(node), completed);
             }
             None => 0,
             // The holder is a former process of the same node, so its lease need not expire first.
-            Some((h, mod_revision)) if h == i && campaign.is_first => mod_revision,
+            Some((h, mod_revision)) if h == node && campaign.is_first => mod_revision,
             Some((h, _)) => {
-                return self.send(Host::KvStore, Host::Node(i), move |w| {
-                    completed(w);
-                    w.nodes[i].observed_leader = Some(h);
+                return self.send(Host::KvStore, Host::Node(node), move |sim| {
+                    completed(sim);
+                    sim.nodes[node].observed_leader = Some(h);
                 });
             }
         };
         let until = self.now + self.lease_ttl;
         let lease = self.kv_store.grant_lease(until);
-        let put = Mutation::Put("leader".into(), Value::LeaseHolder(i), Some(lease));
+        let put = Mutation::Put("leader".into(), Value::LeaseHolder(node), Some(lease));
         match self.transact(&[("leader".into(), mod_revision)], vec![put]) {
             // A won campaign stays pending for the life of the process, which thus never grants lease support.
-            Some(Ok(token)) => self.send(Host::KvStore, Host::Node(i), move |w| {
-                if w.alive(i, process) {
-                    w.campaign_answered(i);
+            Some(Ok(token)) => self.send(Host::KvStore, Host::Node(node), move |sim| {
+                if sim.alive(node, process) {
+                    sim.campaign_answered(node);
                 }
-                w.lease_granted(i, process, lease, token, campaign.sent)
+                sim.lease_granted(node, process, lease, token, campaign.sent)
             }),
-            Some(Err(_)) => self.send(Host::KvStore, Host::Node(i), completed),
+            Some(Err(_)) => self.send(Host::KvStore, Host::Node(node), completed),
             // The outcome is unknown: the lease is revoked before the node grants lease support or campaigns again.
-            None => self.timer(i, Micros::from_millis(2_500), move |w| {
-                w.revoke_lease(i, process, lease)
+            None => self.timer(node, Micros::from_millis(2_500), move |sim| {
+                sim.revoke_lease(node, process, lease)
             }),
         }
     }
 
     /// Ends a campaign of the process that can't succeed any more.
-    fn campaign_completed(&mut self, i: usize, process: u64) {
-        if self.alive(i, process) {
-            self.campaign_answered(i);
-            let n = &mut self.nodes[i];
+    fn campaign_completed(&mut self, node: usize, process: u64) {
+        if self.alive(node, process) {
+            self.campaign_answered(node);
+            let n = &mut self.nodes[node];
             n.pending_campaigns = n.pending_campaigns.saturating_sub(1);
         }
     }
 
     /// Revokes the lease of a campaign whose outcome is unknown.
-    fn revoke_lease(&mut self, i: usize, process: u64, lease: u64) {
-        if !self.alive(i, process) {
+    fn revoke_lease(&mut self, node: usize, process: u64, lease: u64) {
+        if !self.alive(node, process) {
             return;
         }
-        self.send(Host::Node(i), Host::KvStore, move |w| {
-            if w.store_rejects(i) {
-                return w.after(Micros::from_millis(500), move |w| {
-                    w.revoke_lease(i, process, lease)
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
+            if sim.store_rejects(node) {
+                return sim.after(Micros::from_millis(500), move |sim| {
+                    sim.revoke_lease(node, process, lease)
                 });
             }
-            w.kv_store.revoke_lease(lease);
-            w.send(Host::KvStore, Host::Node(i), move |w| {
-                w.campaign_completed(i, process)
+            sim.kv_store.revoke_lease(lease);
+            sim.send(Host::KvStore, Host::Node(node), move |sim| {
+                sim.campaign_completed(node, process)
             });
         });
     }
 
     /// Resigns, as an isolated leader that no agent reaches does, and lets other nodes campaign first.
-    pub(crate) fn step_down(&mut self, i: usize) {
+    pub(crate) fn step_down(&mut self, node: usize) {
         let now = self.now;
-        let n = &mut self.nodes[i];
+        let n = &mut self.nodes[node];
         let Some(leadership) = n.leadership.take() else {
             return;
         };
         let process = n.process;
         n.campaign_not_before = n.campaign_not_before.max(now + Micros::from_secs(12));
         n.pending_campaigns += 1;
-        self.revoke_lease(i, process, leadership.lease);
-        self.campaign(i, process, false);
+        self.revoke_lease(node, process, leadership.lease);
+        self.campaign(node, process, false);
     }
 }
--- a/crates/hopyoke-simulator/src/node/failover.rs
+++ b/crates/hopyoke-simulator/src/node/failover.rs
@@ -74,13 +74,13 @@
     /// Reads the records under a lease that was granted with the leader's key, then leads.
     pub(super) fn lease_granted(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         lease: u64,
         token: u64,
         sent: Micros,
     ) {
-        if !self.alive(i, process) || self.nodes[i].leadership.is_some() {
+        if !self.alive(node, process) || self.nodes[node].leadership.is_some() {
             return;
         }
         let until = sent + self.lease_ttl.less_drift();
@@ -94,96 +94,102 @@
             granted_at,
             ..RecordScan::default()
         };
-        self.nodes[i].acquired_lease = Some(AcquiredLease { lease, until });
-        self.renew_lease(i, process);
-        self.read_records(i, process, scan);
+        self.nodes[node].acquired_lease = Some(AcquiredLease { lease, until });
+        self.renew_lease(node, process);
+        self.read_records(node, process, scan);
     }
 
     /// Reads the registry, then the jobs page by page, each page as of its own revision.
-    fn read_records(&mut self, i: usize, process: u64, mut r: RecordScan) {
-        self.send(Host::Node(i), Host::KvStore, move |w| {
+    fn read_records(&mut self, node: usize, process: u64, mut scan: RecordScan) {
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
             // A rejected read is retried.
-            if w.store_rejects(i) || !w.store_accepts(0) {
+            if sim.store_rejects(node) || !sim.store_accepts(0) {
                 let retry_delay = Micros::from_millis(250);
-                return w.after(retry_delay, move |w| {
-                    if w.may_take_over(i, process, r.lease) {
-                        w.read_records(i, process, r);
+                return sim.after(retry_delay, move |sim| {
+                    if sim.may_take_over(node, process, scan.lease) {
+                        sim.read_records(node, process, scan);
                     } else {
-                        w.give_up_takeover(i, process, r.lease);
+                        sim.give_up_takeover(node, process, scan.lease);
                     }
                 });
             }
-            let max_records = w.limits.as_ref().map_or(RECORDS_PER_PAGE, |l| {
+            let max_records = sim.limits.as_ref().map_or(RECORDS_PER_PAGE, |l| {
                 if l.nodes_unlimited { 200 } else { 400 }
             });
-            let more = r.read_page(&w.kv_store, max_records);
-            w.send(Host::KvStore, Host::Node(i), move |w| {
-                if !w.may_take_over(i, process, r.lease) {
-                    return w.give_up_takeover(i, process, r.lease);
+            let more = scan.read_page(&sim.kv_store, max_records);
+            sim.send(Host::KvStore, Host::Node(node), move |sim| {
+                if !sim.may_take_over(node, process, scan.lease) {
+                    return sim.give_up_takeover(node, process, scan.lease);
                 }
                 if more {
-                    w.read_records(i, process, r)
+                    sim.read_records(node, process, scan)
                 } else {
-                    w.failover(i, process, r)
+                    sim.failover(node, process, scan)
                 }
             });
         });
     }
 
     /// Returns whether the node still holds the lease under which it reads the records and does not lead yet.
-    fn may_take_over(&self, i: usize, process: u64, lease: u64) -> bool {
-        let node = &self.nodes[i];
-        self.alive(i, process)
-            && node.leadership.is_none()
-            && node.acquired_lease.is_some_and(|l| l.lease == lease)
-            && self.is_taking_over(i)
+    fn may_take_over(&self, node: usize, process: u64, lease: u64) -> bool {
+        let state = &self.nodes[node];
+        self.alive(node, process)
+            && state.leadership.is_none()
+            && state.acquired_lease.is_some_and(|l| l.lease == lease)
+            && self.is_taking_over(node)
     }
 
     /// Abandons the failover: the lease, which a renewal may still extend after an outage, is left to expire, and the node
     /// campaigns again. Tested by the scenario store_slow_then_outage.
-    fn give_up_takeover(&mut self, i: usize, process: u64, lease: u64) {
-        if !self.alive(i, process) {
+    fn give_up_takeover(&mut self, node: usize, process: u64, lease: u64) {
+        if !self.alive(node, process) {
             return;
         }
-        let acquired = &mut self.nodes[i].acquired_lease;
+        let acquired = &mut self.nodes[node].acquired_lease;
         if acquired.is_some_and(|l| l.lease == lease) {
             *acquired = None;
         }
     }
 
     /// Starts to lead with the records read; the scheduler begins reconciliation.
-    fn failover(&mut self, i: usize, process: u64, r: RecordScan) {
-        let (token, at, revision) = (r.token, r.granted_at, r.revision.unwrap_or_default());
-        self.log(|| format!("node {i} leads with token {token}"));
+    fn failover(&mut self, node: usize, process: u64, scan: RecordScan) {
+        let (token, at, revision) = (
+            scan.token,
+            scan.granted_at,
+            scan.revision.unwrap_or_default(),
+        );
+        self.log(|| format!("node {node} leads with token {token}"));
         self.elected_leaders += 1;
         let mut scheduler = Scheduler::new(
             self.config.clone(),
             FencingToken(token),
-            r.jobs,
-            r.registry,
+            scan.jobs,
+            scan.registry,
             at,
         );
         scheduler.set_tuning(self.tuning.clone());
         scheduler.record_grant_time(self.now, self.now);
         scheduler.set_staffed_hours(self.hours.clone());
-        scheduler.set_wall_clock(self.now, self.time_of_day(i));
-        for (key, page) in &r.learned {
+        scheduler.set_wall_clock(self.now, self.time_of_day(node));
+        for (key, page) in &scan.learned {
             scheduler.load_run_times(key, Some(page));
         }
         scheduler.set_catalog(self.machine_types.clone());
-        let acquired = self.nodes[i].acquired_lease.take();
+        let acquired = self.nodes[node].acquired_lease.take();
         let until = acquired.map_or(Micros::ZERO, |l| l.until);
         let mut leader_lease =
             LeaderLease::new(until, self.lease_ttl, WATCH_TIMEOUT, self.nodes.len());
         leader_lease.changes_received(at);
         scheduler.records_applied_to(revision, at);
-        for id in self.nodes[i].cancellation_log.entries_after(revision) {
+        for id in self.nodes[node].cancellation_log.entries_after(revision) {
             scheduler.job_removed(&id, self.now);
         }
-        self.nodes[i].cancellation_log.set_start_revision(revision);
+        self.nodes[node]
+            .cancellation_log
+            .set_start_revision(revision);
         let leadership = Leadership {
             scheduler,
-            lease: r.lease,
+            lease: scan.lease,
             leader_lease,
             delivery_cursors: DeliveryCursors::new(self.nodes.len()),
             watch_number: 0,
@@ -191,12 +197,12 @@
             reconciling_since: Some(at),
             next_audit_at: Micros::ZERO,
         };
-        self.nodes[i].leadership = Some(leadership);
-        self.nodes[i].observed_leader = Some(i);
+        self.nodes[node].leadership = Some(leadership);
+        self.nodes[node].observed_leader = Some(node);
         self.deliver_heartbeats_held_for_leader();
-        self.open_watch(i, process);
-        self.request_lease_support(i, process);
-        self.tick(i, process);
-        self.poll_cloud_inventory(i, process);
+        self.open_watch(node, process);
+        self.request_lease_support(node, process);
+        self.tick(node, process);
+        self.poll_cloud_inventory(node, process);
     }
 }
--- a/crates/hopyoke-simulator/src/node/heartbeats.rs
+++ b/crates/hopyoke-simulator/src/node/heartbeats.rs
@@ -10,26 +10,26 @@
     /// Handles a heartbeat that reaches a node; the response to a duplicate is dropped.
     pub(crate) fn node_heartbeat(
         &mut self,
-        i: usize,
+        node: usize,
         heartbeat: Heartbeat,
         number: u64,
         is_duplicate: bool,
     ) {
-        if !self.nodes[i].up && is_duplicate {
+        if !self.nodes[node].up && is_duplicate {
             return;
         }
-        if !self.nodes[i].up {
+        if !self.nodes[node].up {
             let (machine, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
             let sent = self.now;
-            return self.after(Micros::from_millis(5), move |w| {
-                w.receive_heartbeat_response(&machine, epoch, number, sent, Some(Err(None)))
+            return self.after(Micros::from_millis(5), move |sim| {
+                sim.receive_heartbeat_response(&machine, epoch, number, sent, Some(Err(None)))
             });
         }
         self.digest_message(Channel::Heartbeat, &heartbeat);
         let now = self.now;
-        let lease_is_valid = self.lease_is_valid(i);
-        let observed_leader = self.nodes[i].observed_leader;
-        let result = match &mut self.nodes[i].leadership {
+        let lease_is_valid = self.lease_is_valid(node);
+        let observed_leader = self.nodes[node].observed_leader;
+        let result = match &mut self.nodes[node].leadership {
             // Nodes reject longer bodies.
             _ if heartbeat_chars(&heartbeat) > MAX_HEARTBEAT_CHARS => Err(None),
             Some(l) if lease_is_valid && heartbeat.token <= l.scheduler.token => {
@@ -44,12 +44,12 @@
                 Ok((response.token, response.commands))
             }
             Some(_) => Err(None),
-            None => Err(observed_leader.filter(|leader| *leader != i)),
+            None => Err(observed_leader.filter(|leader| *leader != node)),
         };
-        let p = self.nodes[i].process;
+        let process = self.nodes[node].process;
         if is_duplicate {
             // The response to a duplicate is dropped.
-            return self.run_scheduler(i, p);
+            return self.run_scheduler(node, process);
         }
         let (machine, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
         let sent = self
@@ -57,24 +57,24 @@
             .get(&machine)
             .map_or(now, |m| m.last_heartbeat_at);
         let to = self.agent_host(&machine);
-        self.send(Host::Node(i), to, move |w| {
-            w.receive_heartbeat_response(&machine, epoch, number, sent, Some(result))
+        self.send(Host::Node(node), to, move |sim| {
+            sim.receive_heartbeat_response(&machine, epoch, number, sent, Some(result))
         });
-        self.run_scheduler(i, p);
+        self.run_scheduler(node, process);
     }
 
     /// Lists the cloud's machines every 5 s.
-    pub(super) fn poll_cloud_inventory(&mut self, i: usize, process: u64) {
-        if self.leadership(i, process).is_none() {
+    pub(super) fn poll_cloud_inventory(&mut self, node: usize, process: u64) {
+        if self.leadership(node, process).is_none() {
             return;
         }
         let now = self.now;
         let listed = self.list_machines();
-        if let Some(l) = self.leadership(i, process) {
+        if let Some(l) = self.leadership(node, process) {
             l.scheduler.instances_listed(&listed, now);
         }
-        self.timer(i, Micros::from_secs(5), move |w| {
-            w.poll_cloud_inventory(i, process)
+        self.timer(node, Micros::from_secs(5), move |sim| {
+            sim.poll_cloud_inventory(node, process)
         });
     }
 }
--- a/crates/hopyoke-simulator/src/node/lease.rs
+++ b/crates/hopyoke-simulator/src/node/lease.rs
@@ -6,84 +6,84 @@
 
 impl Simulation {
     /// Renews the lease four times per time to live, from when it was granted.
-    pub(super) fn renew_lease(&mut self, i: usize, process: u64) {
-        let Some(lease) = self.held_lease(i, process) else {
+    pub(super) fn renew_lease(&mut self, node: usize, process: u64) {
+        let Some(lease) = self.held_lease(node, process) else {
             return;
         };
         let pause = Micros(self.lease_ttl.0 / 4);
-        self.timer(i, pause, move |w| w.renew_lease(i, process));
+        self.timer(node, pause, move |sim| sim.renew_lease(node, process));
         let sent = self.now;
-        match self.acquire_request(i, RequestPriority::Critical) {
-            Ok(()) => self.send_lease_renewal(i, process, lease, sent),
-            Err(wait) => self.timer(i, wait, move |w| {
-                w.send_lease_renewal(i, process, lease, sent)
+        match self.acquire_request(node, RequestPriority::Critical) {
+            Ok(()) => self.send_lease_renewal(node, process, lease, sent),
+            Err(wait) => self.timer(node, wait, move |sim| {
+                sim.send_lease_renewal(node, process, lease, sent)
             }),
         }
     }
 
     /// Returns the lease under which the process leads or reads the records.
-    fn held_lease(&mut self, i: usize, process: u64) -> Option<u64> {
-        if let Some(leadership) = self.leadership(i, process) {
+    fn held_lease(&mut self, node: usize, process: u64) -> Option<u64> {
+        if let Some(leadership) = self.leadership(node, process) {
             return Some(leadership.lease);
         }
-        if !self.alive(i, process) {
+        if !self.alive(node, process) {
             return None;
         }
-        self.nodes[i].acquired_lease.map(|l| l.lease)
+        self.nodes[node].acquired_lease.map(|l| l.lease)
     }
 
     /// Sends a renewal and retries it until the store accepts it.
     ///
     /// `sent` is when the first try was sent; the renewed lease is counted from then, which is never too long.
-    fn send_lease_renewal(&mut self, i: usize, process: u64, lease: u64, sent: Micros) {
-        if self.held_lease(i, process) != Some(lease) {
+    fn send_lease_renewal(&mut self, node: usize, process: u64, lease: u64, sent: Micros) {
+        if self.held_lease(node, process) != Some(lease) {
             return;
         }
-        self.send(Host::Node(i), Host::KvStore, move |w| {
-            if w.store_rejects(i) {
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
+            if sim.store_rejects(node) {
                 return;
             }
-            if !w.store_accepts(0) {
+            if !sim.store_accepts(0) {
                 // A rejected renewal is retried.
-                return w.after(Micros::from_millis(250), move |w| {
-                    w.send_lease_renewal(i, process, lease, sent)
+                return sim.after(Micros::from_millis(250), move |sim| {
+                    sim.send_lease_renewal(node, process, lease, sent)
                 });
             }
-            let until = w.now + w.lease_ttl;
-            let alive = match w.kv_store.leases.get_mut(&lease) {
+            let until = sim.now + sim.lease_ttl;
+            let alive = match sim.kv_store.leases.get_mut(&lease) {
                 Some(t) => {
                     *t = until;
                     true
                 }
                 None => false,
             };
-            if w.draws_fault(w.kv_store.lost_renewals) {
+            if sim.draws_fault(sim.kv_store.lost_renewals) {
                 return;
             }
-            w.send(Host::KvStore, Host::Node(i), move |w| {
-                if w.held_lease(i, process) == Some(lease) {
-                    w.renewal_answered(i, process, sent, alive);
+            sim.send(Host::KvStore, Host::Node(node), move |sim| {
+                if sim.held_lease(node, process) == Some(lease) {
+                    sim.renewal_answered(node, process, sent, alive);
                 }
             });
         });
     }
 
     /// Handles the response to a renewal of the lease that the process holds; `is_alive` is false if it has expired.
-    fn renewal_answered(&mut self, i: usize, process: u64, sent: Micros, is_alive: bool) {
+    fn renewal_answered(&mut self, node: usize, process: u64, sent: Micros, is_alive: bool) {
         let until = sent + self.lease_ttl.less_drift();
-        match (self.leadership(i, process), is_alive) {
+        match (self.leadership(node, process), is_alive) {
             (Some(leadership), true) => leadership.leader_lease.lease_renewed(sent),
             (Some(_), false) => {
-                self.nodes[i].leadership = None;
-                self.log(|| format!("node {i} lost its lease"));
-                self.campaign(i, process, false);
+                self.nodes[node].leadership = None;
+                self.log(|| format!("node {node} lost its lease"));
+                self.campaign(node, process, false);
             }
             (None, true) => {
-                if let Some(acquired) = &mut self.nodes[i].acquired_lease {
+                if let Some(acquired) = &mut self.nodes[node].acquired_lease {
                     acquired.until = acquired.until.max(until);
                 }
             }
-            (None, false) => self.nodes[i].acquired_lease = None,
+            (None, false) => self.nodes[node].acquired_lease = None,
         }
     }
 }
--- a/crates/hopyoke-simulator/src/node/lease_support.rs
+++ b/crates/hopyoke-simulator/src/node/lease_support.rs
@@ -19,8 +19,8 @@
 
 impl Simulation {
     /// Requests lease support from the peers, and the cancellations that they confirmed to users.
-    pub(super) fn request_lease_support(&mut self, i: usize, process: u64) {
-        let Some(leadership) = self.leadership(i, process) else {
+    pub(super) fn request_lease_support(&mut self, node: usize, process: u64) {
+        let Some(leadership) = self.leadership(node, process) else {
             return;
         };
         let (applied, cursors) = (
@@ -28,31 +28,31 @@
             leadership.delivery_cursors.clone(),
         );
         let request = SupportRequest {
-            node: i,
+            node,
             process,
             applied,
-            lease_is_valid: self.lease_is_valid(i),
+            lease_is_valid: self.lease_is_valid(node),
             sent: self.now,
         };
-        for j in (0..self.nodes.len()).filter(|j| *j != i) {
+        for peer in (0..self.nodes.len()).filter(|peer| *peer != node) {
             let cursors = cursors.clone();
-            self.send(Host::Node(i), Host::Node(j), move |w| {
-                w.lease_support_requested(j, request, &cursors)
+            self.send(Host::Node(node), Host::Node(peer), move |sim| {
+                sim.lease_support_requested(peer, request, &cursors)
             });
         }
         // The leader counts as one of its own peers, with the cancellations that it confirmed itself.
-        let support = self.nodes[i]
+        let support = self.nodes[node]
             .cancellation_log
             .covers(applied)
             .then_some(SUPPORT_DURATION);
-        if let Some(leadership) = self.leadership(i, process) {
+        if let Some(leadership) = self.leadership(node, process) {
             let sent = request.sent;
             leadership
                 .leader_lease
-                .support_answered(i, sent, support, sent);
+                .support_answered(node, sent, support, sent);
         }
-        self.timer(i, Micros::from_millis(600), move |w| {
-            w.request_lease_support(i, process)
+        self.timer(node, Micros::from_millis(600), move |sim| {
+            sim.request_lease_support(node, process)
         });
     }
 
@@ -60,52 +60,52 @@
     /// and the response contains all cancellations that it confirmed.
     fn lease_support_requested(
         &mut self,
-        j: usize,
+        peer: usize,
         request: SupportRequest,
         cursors: &DeliveryCursors,
     ) {
-        if !self.nodes[j].up {
+        if !self.nodes[peer].up {
             return;
         }
         let SupportRequest {
-            node: i,
+            node,
             process,
             applied,
             lease_is_valid,
             sent,
         } = request;
         let now = self.now;
-        let store_unreachable = self.store_rejects(j)
+        let store_unreachable = self.store_rejects(peer)
             || self
-                .partition_between(Host::Node(j), Host::KvStore)
+                .partition_between(Host::Node(peer), Host::KvStore)
                 .is_some();
-        let peer = &mut self.nodes[j];
-        let cursor = cursors.cursor(j);
-        let delta = peer
+        let state = &mut self.nodes[peer];
+        let cursor = cursors.cursor(peer);
+        let delta = state
             .cancellation_log
-            .delta_since(applied, cursor.sequence_in(peer.process));
+            .delta_since(applied, cursor.sequence_in(state.process));
         let may_support = lease_is_valid
             && delta.is_complete
-            && peer.leadership.is_none()
-            && peer.pending_campaigns == 0;
+            && state.leadership.is_none()
+            && state.pending_campaigns == 0;
         let support = (store_unreachable && may_support).then_some(SUPPORT_DURATION);
         if support.is_some() {
-            peer.campaign_not_before = peer
+            state.campaign_not_before = state
                 .campaign_not_before
                 .max(now + SUPPORT_DURATION.with_drift());
         }
-        let peer_process = peer.process;
+        let peer_process = state.process;
         // The request carries the leader's write demand.
-        let demand = self.nodes[i]
-            .limits_of_node
+        let demand = self.nodes[node]
+            .limits
             .as_mut()
-            .map(|p| p.admission.write_demand(now));
-        if let (Some(demand), Some(p)) = (demand, self.nodes[j].limits_of_node.as_mut()) {
-            p.admission.write_demand_received(demand, sent);
+            .map(|limits| limits.admission.write_demand(now));
+        if let (Some(demand), Some(limits)) = (demand, self.nodes[peer].limits.as_mut()) {
+            limits.admission.write_demand_received(demand, sent);
         }
-        self.send(Host::Node(j), Host::Node(i), move |w| {
-            let now = w.now;
-            let Some(leadership) = w.leadership(i, process) else {
+        self.send(Host::Node(peer), Host::Node(node), move |sim| {
+            let now = sim.now;
+            let Some(leadership) = sim.leadership(node, process) else {
                 return;
             };
             for id in &delta.jobs {
@@ -113,10 +113,10 @@
             }
             leadership
                 .delivery_cursors
-                .advance(j, peer_process, delta.last_sequence);
+                .advance(peer, peer_process, delta.last_sequence);
             leadership
                 .leader_lease
-                .support_answered(j, sent, support, now);
+                .support_answered(peer, sent, support, now);
         });
     }
 }
--- a/crates/hopyoke-simulator/src/node/mod.rs
+++ b/crates/hopyoke-simulator/src/node/mod.rs
@@ -31,7 +31,7 @@
 /// A node and the state of its current process.
 pub(crate) struct Node {
     /// The node's share of the store's rates; `None` if the scenario sets no limits.
-    pub(crate) limits_of_node: Option<NodeLimits>,
+    pub(crate) limits: Option<NodeLimits>,
     /// Whether its process is running.
     pub(crate) up: bool,
     /// Incarnation of the process: messages that belong to an earlier one are dropped.
@@ -96,7 +96,7 @@
 impl Default for Node {
     fn default() -> Node {
         Node {
-            limits_of_node: None,
+            limits: None,
             up: false,
             process: 0,
             leadership: None,
@@ -115,14 +115,14 @@
 
 impl Simulation {
     /// Starts a node's process.
-    pub fn start_node(&mut self, i: usize) {
+    pub fn start_node(&mut self, node: usize) {
         let (now, nodes) = (self.now, self.nodes.len());
-        let limits_of_node = self
+        let limits = self
             .limits
             .as_ref()
             .map(|l| l.node_limits(nodes, &self.config.teams, now));
-        let n = &mut self.nodes[i];
-        n.limits_of_node = limits_of_node;
+        let n = &mut self.nodes[node];
+        n.limits = limits;
         n.up = true;
         n.process += 1;
         n.leadership = None;
@@ -134,64 +134,66 @@
         n.cancellation_log = CancellationLog::new(CANCELLATION_LOG_CAPACITY);
         n.terminal_states.clear();
         n.store_latency = StoreLatency::default();
-        let p = n.process;
-        self.read_start_revision(i, p);
+        let process = n.process;
+        self.read_start_revision(node, process);
         let wait = Micros(self.random(1_000, 100_000));
-        self.timer(i, wait, move |w| w.campaign(i, p, true));
+        self.timer(node, wait, move |sim| sim.campaign(node, process, true));
         if self.limits.is_some() {
-            self.gossip_queue(i, p);
+            self.gossip_queue(node, process);
         }
     }
 
     /// Ends a node's process; another one starts after `restart_delay`.
-    pub fn crash_node(&mut self, i: usize, restart_delay: Micros) {
-        let n = &mut self.nodes[i];
+    pub fn crash_node(&mut self, node: usize, restart_delay: Micros) {
+        let n = &mut self.nodes[node];
         n.up = false;
         n.leadership = None;
         n.process += 1;
-        self.paused_nodes.remove(&i);
-        self.log(|| format!("node {i} crashes"));
-        self.after(restart_delay, move |w| w.start_node(i));
+        self.paused_nodes.remove(&node);
+        self.log(|| format!("node {node} crashes"));
+        self.after(restart_delay, move |sim| sim.start_node(node));
     }
 
     /// Reads the revision at which the process began, since former processes may have confirmed cancellations before it.
-    fn read_start_revision(&mut self, i: usize, process: u64) {
-        if !self.alive(i, process) {
+    fn read_start_revision(&mut self, node: usize, process: u64) {
+        if !self.alive(node, process) {
             return;
         }
-        self.send(Host::Node(i), Host::KvStore, move |w| {
-            if w.store_rejects(i) {
-                return w.after(Micros::from_millis(500), move |w| {
-                    w.read_start_revision(i, process)
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
+            if sim.store_rejects(node) {
+                return sim.after(Micros::from_millis(500), move |sim| {
+                    sim.read_start_revision(node, process)
                 });
             }
-            let revision = ModRevision(w.kv_store.revision);
-            w.send(Host::KvStore, Host::Node(i), move |w| {
-                if w.alive(i, process) {
-                    w.nodes[i].cancellation_log.set_start_revision(revision);
+            let revision = ModRevision(sim.kv_store.revision);
+            sim.send(Host::KvStore, Host::Node(node), move |sim| {
+                if sim.alive(node, process) {
+                    sim.nodes[node]
+                        .cancellation_log
+                        .set_start_revision(revision);
                 }
             });
         });
     }
 
     /// Returns whether the process is the node's current one and runs.
-    pub(crate) fn alive(&self, i: usize, process: u64) -> bool {
-        self.nodes[i].up && self.nodes[i].process == process
+    pub(crate) fn alive(&self, node: usize, process: u64) -> bool {
+        self.nodes[node].up && self.nodes[node].process == process
     }
 
     /// Returns whether the node leads with a valid leader lease.
-    pub(super) fn lease_is_valid(&self, i: usize) -> bool {
-        self.nodes[i]
+    pub(super) fn lease_is_valid(&self, node: usize) -> bool {
+        self.nodes[node]
             .leadership
             .as_ref()
             .is_some_and(|l| l.leader_lease.is_valid(self.now))
     }
 
     /// Returns the process's state as the leader; `None` if it doesn't lead or has ended.
-    pub(crate) fn leadership(&mut self, i: usize, process: u64) -> Option<&mut Leadership> {
-        if !self.alive(i, process) {
+    pub(crate) fn leadership(&mut self, node: usize, process: u64) -> Option<&mut Leadership> {
+        if !self.alive(node, process) {
             return None;
         }
-        self.nodes[i].leadership.as_mut()
+        self.nodes[node].leadership.as_mut()
     }
 }
--- a/crates/hopyoke-simulator/src/node/persist.rs
+++ b/crates/hopyoke-simulator/src/node/persist.rs
@@ -101,47 +101,48 @@
     /// Sends a batch to the store; without a response in time its outcome is unknown.
     pub(super) fn commit_batch(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         token: FencingToken,
         batch: Batch,
     ) {
         let transaction = Transaction::of_batch(token, &batch);
         let (sent, changes) = (self.now, batch.changes());
-        let timeout = self.store_timeout(i, RequestKind::Write, Purpose::Term);
-        if let Some(p) = &mut self.nodes[i].limits_of_node {
-            p.admission.changes_written(changes, sent);
+        let timeout = self.store_timeout(node, RequestKind::Write, Purpose::Term);
+        if let Some(limits) = &mut self.nodes[node].limits {
+            limits.admission.changes_written(changes, sent);
         }
         let is_open = Rc::new(Cell::new(true));
         let (answered, timed_out) = (is_open.clone(), is_open);
         let (batch, batch_on_timeout) = (batch.clone(), batch);
-        self.send(Host::Node(i), Host::KvStore, move |w| {
-            let refused = w.store_rejects(i) || !w.store_accepts(changes);
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
+            let refused = sim.store_rejects(node) || !sim.store_accepts(changes);
             let result = if refused {
                 Err(BatchError::NotApplied)
             } else {
-                let Some(result) = w.transact(&transaction.compares, transaction.mutations) else {
+                let Some(result) = sim.transact(&transaction.compares, transaction.mutations)
+                else {
                     return;
                 };
                 result.map(ModRevision).map_err(|keys| conflict(&keys))
             };
-            w.send(Host::KvStore, Host::Node(i), move |w| {
+            sim.send(Host::KvStore, Host::Node(node), move |sim| {
                 // After the timeout the response is ignored, even if the timer itself fires late.
-                if w.now < sent + timeout && answered.replace(false) {
-                    if w.alive(i, process) {
-                        w.store_answered(i, RequestKind::Write, sent);
+                if sim.now < sent + timeout && answered.replace(false) {
+                    if sim.alive(node, process) {
+                        sim.store_answered(node, RequestKind::Write, sent);
                     }
-                    w.batch_completed(i, process, batch, result);
+                    sim.batch_completed(node, process, batch, result);
                 }
             });
         });
-        self.timer(i, timeout, move |w| {
+        self.timer(node, timeout, move |sim| {
             if timed_out.replace(false) {
-                if w.alive(i, process) {
-                    w.store_timed_out(i, RequestKind::Write, sent);
+                if sim.alive(node, process) {
+                    sim.store_timed_out(node, RequestKind::Write, sent);
                 }
-                w.batch_completed(
-                    i,
+                sim.batch_completed(
+                    node,
                     process,
                     batch_on_timeout,
                     Err(BatchError::OutcomeUnknown),
@@ -153,31 +154,31 @@
     /// Passes a batch's outcome to the scheduler; a deposed leader campaigns again.
     fn batch_completed(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         batch: Batch,
         result: Result<ModRevision, BatchError>,
     ) {
         let now = self.now;
-        let Some(l) = self.leadership(i, process) else {
+        let Some(l) = self.leadership(node, process) else {
             return;
         };
         if result == Err(BatchError::LeadershipLost) {
-            self.nodes[i].leadership = None;
-            return self.campaign(i, process, false);
+            self.nodes[node].leadership = None;
+            return self.campaign(node, process, false);
         }
         l.batch_in_flight = false;
         let ends = batch
             .writes
             .iter()
             .filter(|_| result.is_ok())
-            .filter_map(|w| match w {
+            .filter_map(|write| match write {
                 Write::End { job, end, .. } => Some((job.clone(), end.state)),
                 _ => None,
             });
         let ends: Vec<(JobId, JobState)> = ends.collect();
         l.scheduler.batch_completed(batch, result, now);
-        self.nodes[i].terminal_states.extend(ends);
-        self.run_scheduler(i, process);
+        self.nodes[node].terminal_states.extend(ends);
+        self.run_scheduler(node, process);
     }
 }
--- a/crates/hopyoke-simulator/src/node/record_watch.rs
+++ b/crates/hopyoke-simulator/src/node/record_watch.rs
@@ -24,9 +24,9 @@
 
 impl Simulation {
     /// Opens a watch on job records from the revision that the scheduler has applied.
-    pub(super) fn open_watch(&mut self, i: usize, process: u64) {
+    pub(super) fn open_watch(&mut self, node: usize, process: u64) {
         let sent = self.now;
-        let Some(leadership) = self.leadership(i, process) else {
+        let Some(leadership) = self.leadership(node, process) else {
             return;
         };
         leadership.watch_number += 1;
@@ -34,30 +34,32 @@
             leadership.scheduler.applied_revision(),
             leadership.watch_number,
         );
-        self.send(Host::Node(i), Host::KvStore, move |w| {
-            if w.store_rejects(i) {
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
+            if sim.store_rejects(node) {
                 // Open watches wait while the store rejects requests; a new one is rejected and retried.
                 let retry_delay = Micros::from_millis(200);
-                return w.send(Host::KvStore, Host::Node(i), move |w| {
-                    w.timer(i, retry_delay, move |w| {
-                        if w.leadership(i, process)
+                return sim.send(Host::KvStore, Host::Node(node), move |sim| {
+                    sim.timer(node, retry_delay, move |sim| {
+                        if sim
+                            .leadership(node, process)
                             .is_some_and(|l| l.watch_number == number)
                         {
-                            w.open_watch(i, process);
+                            sim.open_watch(node, process);
                         }
                     });
                 });
             }
-            w.watch_at_store(i, process, since, number, sent);
+            sim.watch_at_store(node, process, since, number, sent);
         });
         // Without a response, which may be lost, the watch is opened again.
-        let timeout = self.store_timeout(i, RequestKind::Watch, Purpose::Term);
-        self.timer(i, WATCH_TIMEOUT + timeout, move |w| {
-            if w.leadership(i, process)
+        let timeout = self.store_timeout(node, RequestKind::Watch, Purpose::Term);
+        self.timer(node, WATCH_TIMEOUT + timeout, move |sim| {
+            if sim
+                .leadership(node, process)
                 .is_some_and(|l| l.watch_number == number)
             {
-                w.store_timed_out(i, RequestKind::Watch, sent);
-                w.open_watch(i, process);
+                sim.store_timed_out(node, RequestKind::Watch, sent);
+                sim.open_watch(node, process);
             }
         });
     }
@@ -65,40 +67,41 @@
     /// Answers a watch at the store once there is a change, or after the watch's timeout.
     fn watch_at_store(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         since: ModRevision,
         number: u64,
         sent: Micros,
     ) {
         if self
-            .leadership(i, process)
+            .leadership(node, process)
             .is_none_or(|l| l.watch_number != number)
         {
             return;
         }
         let record_changes = self.record_changes_since(since);
         let has_timed_out = self.now >= sent + WATCH_TIMEOUT;
-        if (record_changes.changes.is_empty() && !has_timed_out) || self.store_rejects(i) {
+        if (record_changes.changes.is_empty() && !has_timed_out) || self.store_rejects(node) {
             let wait = Micros::from_millis(20);
-            return self.after(wait, move |w| {
-                w.watch_at_store(i, process, since, number, sent)
+            return self.after(wait, move |sim| {
+                sim.watch_at_store(node, process, since, number, sent)
             });
         }
-        self.send(Host::KvStore, Host::Node(i), move |w| {
-            if w.leadership(i, process)
+        self.send(Host::KvStore, Host::Node(node), move |sim| {
+            if sim
+                .leadership(node, process)
                 .is_none_or(|l| l.watch_number != number)
             {
                 return;
             }
             // The store waited for a change for an unknown time, so the elapsed time is only an upper bound.
-            let now = w.now;
-            w.nodes[i]
+            let now = sim.now;
+            sim.nodes[node]
                 .store_latency
                 .record_upper_bound(RequestKind::Watch, now - sent, now);
-            w.apply_record_changes(i, process, record_changes, sent);
-            w.run_scheduler(i, process);
-            w.open_watch(i, process);
+            sim.apply_record_changes(node, process, record_changes, sent);
+            sim.run_scheduler(node, process);
+            sim.open_watch(node, process);
         });
     }
 
@@ -135,13 +138,13 @@
     /// Applies the changes that the store returned for a request sent at `sent`.
     pub(crate) fn apply_record_changes(
         &mut self,
-        i: usize,
+        node: usize,
         process: u64,
         record_changes: RecordChanges,
         sent: Micros,
     ) {
         let now = self.now;
-        let Some(leadership) = self.leadership(i, process) else {
+        let Some(leadership) = self.leadership(node, process) else {
             return;
         };
         leadership.leader_lease.changes_received(sent);
--- a/crates/hopyoke-simulator/src/node/scheduling.rs
+++ b/crates/hopyoke-simulator/src/node/scheduling.rs
@@ -90,37 +90,39 @@
 
 impl Simulation {
     /// Runs the scheduler at regular intervals.
-    pub(super) fn tick(&mut self, i: usize, process: u64) {
-        if self.leadership(i, process).is_none() {
+    pub(super) fn tick(&mut self, node: usize, process: u64) {
+        if self.leadership(node, process).is_none() {
             return;
         }
-        self.run_scheduler(i, process);
-        self.timer(i, Micros::from_millis(100), move |w| w.tick(i, process));
+        self.run_scheduler(node, process);
+        self.timer(node, Micros::from_millis(100), move |sim| {
+            sim.tick(node, process)
+        });
     }
 
     /// Runs the scheduler and executes its decisions; does nothing without a valid leader lease or while the node is paused.
-    pub(super) fn run_scheduler(&mut self, i: usize, process: u64) {
-        if !self.lease_is_valid(i) || self.is_paused(i) {
+    pub(super) fn run_scheduler(&mut self, node: usize, process: u64) {
+        if !self.lease_is_valid(node) || self.is_paused(node) {
             return;
         }
         let now = self.now;
         let inputs = RunInputs {
             now,
-            time_of_day: self.time_of_day(i),
-            receive_overloaded: self.delivery_delay(Host::Node(i)) >= OVERLOADED_DELAY,
-            is_admission_saturated: self.nodes[i]
-                .limits_of_node
+            time_of_day: self.time_of_day(node),
+            receive_overloaded: self.delivery_delay(Host::Node(node)) >= OVERLOADED_DELAY,
+            is_admission_saturated: self.nodes[node]
+                .limits
                 .as_mut()
-                .is_some_and(|p| p.admission.is_overloaded(now)),
+                .is_some_and(|limits| limits.admission.is_overloaded(now)),
             always_audit: self.checks_each_event(),
         };
-        let Some(leadership) = self.leadership(i, process) else {
+        let Some(leadership) = self.leadership(node, process) else {
             return;
         };
         let outputs = leadership.run(inputs);
-        let limits = self.nodes[i].limits_of_node.as_mut();
-        if let Some(p) = limits.filter(|_| outputs.is_write_rate_limited) {
-            p.admission.writes_deferred(now);
+        let limits = self.nodes[node].limits.as_mut();
+        if let Some(limits) = limits.filter(|_| outputs.is_write_rate_limited) {
+            limits.admission.writes_deferred(now);
         }
         self.max_entities_per_tick = self.max_entities_per_tick.max(outputs.entities_visited);
         if let Some(since) = outputs.reconciled_since {
@@ -130,14 +132,14 @@
             self.record_violation("audit", fault);
         }
         for action in outputs.actions {
-            self.execute_action(i, process, outputs.token, action);
+            self.execute_action(node, process, outputs.token, action);
         }
         if let Some(batch) = outputs.batch {
-            self.commit_batch(i, process, outputs.token, batch);
+            self.commit_batch(node, process, outputs.token, batch);
         }
     }
 
-    fn execute_action(&mut self, i: usize, process: u64, token: FencingToken, action: Action) {
+    fn execute_action(&mut self, node: usize, process: u64, token: FencingToken, action: Action) {
         match action {
             Action::ScaleOut {
                 request,
@@ -145,7 +147,7 @@
                 zone,
                 spot,
                 count,
-            } => self.send(Host::Node(i), Host::Cloud, move |w| {
+            } => self.send(Host::Node(node), Host::Cloud, move |sim| {
                 let message = ScaleOutRequest {
                     request: &request,
                     machine_type: &machine_type,
@@ -153,32 +155,32 @@
                     spot,
                     count,
                 };
-                w.digest_message(Channel::ScaleOut, &message);
-                let created = w.scale_out(&request, &machine_type, &zone, spot, count);
-                w.send(Host::Cloud, Host::Node(i), move |w| {
-                    let now = w.now;
+                sim.digest_message(Channel::ScaleOut, &message);
+                let created = sim.scale_out(&request, &machine_type, &zone, spot, count);
+                sim.send(Host::Cloud, Host::Node(node), move |sim| {
+                    let now = sim.now;
                     let outcome = if created.is_empty() {
                         ScaleOutOutcome::NoCapacity
                     } else {
                         ScaleOutOutcome::Created(created)
                     };
-                    if let Some(l) = w.leadership(i, process) {
+                    if let Some(l) = sim.leadership(node, process) {
                         l.scheduler.scale_out_ended(&request, outcome, now);
                     }
                 });
             }),
-            Action::Delete { machines } => self.scale_in(i, process, machines),
-            Action::ReloadRecord { job } => self.reload_record(i, process, job),
+            Action::Delete { machines } => self.scale_in(node, process, machines),
+            Action::ReloadRecord { job } => self.reload_record(node, process, job),
             Action::PushCommands {
                 machine,
                 epoch,
                 commands,
                 ..
             } => {
-                self.log(|| format!("node {i} pushes to {machine} epoch {epoch}: {commands:?}"));
+                self.log(|| format!("node {node} pushes to {machine} epoch {epoch}: {commands:?}"));
                 let sent = self.now;
                 self.push_commands(PushDelivery {
-                    node: i,
+                    node,
                     process,
                     machine,
                     token,
@@ -191,15 +193,15 @@
     }
 
     /// Deletes machines in the cloud.
-    fn scale_in(&mut self, i: usize, process: u64, machines: Vec<MachineId>) {
-        self.send(Host::Node(i), Host::Cloud, move |w| {
+    fn scale_in(&mut self, node: usize, process: u64, machines: Vec<MachineId>) {
+        self.send(Host::Node(node), Host::Cloud, move |sim| {
             for m in &machines {
-                w.digest_bytes(Channel::ScaleIn, m.as_str().as_bytes());
-                w.remove_machine(m);
+                sim.digest_bytes(Channel::ScaleIn, m.as_str().as_bytes());
+                sim.remove_machine(m);
             }
-            w.send(Host::Cloud, Host::Node(i), move |w| {
-                let now = w.now;
-                if let Some(l) = w.leadership(i, process) {
+            sim.send(Host::Cloud, Host::Node(node), move |sim| {
+                let now = sim.now;
+                if let Some(l) = sim.leadership(node, process) {
                     l.scheduler.deletion_confirmed(&machines, now);
                 }
             });
@@ -207,21 +209,21 @@
     }
 
     /// Reads a job's record again; without a response in time the read fails.
-    fn reload_record(&mut self, i: usize, process: u64, job: JobId) {
+    fn reload_record(&mut self, node: usize, process: u64, job: JobId) {
         let is_open = Rc::new(Cell::new(true));
         let (job_on_timeout, timed_out) = (job.clone(), is_open.clone());
         let sent = self.now;
-        let timeout = self.store_timeout(i, RequestKind::Read, Purpose::Term);
-        self.timer(i, timeout, move |w| {
-            if w.leadership(i, process).is_some() && timed_out.replace(false) {
-                w.store_timed_out(i, RequestKind::Read, sent);
-                if let Some(l) = w.leadership(i, process) {
+        let timeout = self.store_timeout(node, RequestKind::Read, Purpose::Term);
+        self.timer(node, timeout, move |sim| {
+            if sim.leadership(node, process).is_some() && timed_out.replace(false) {
+                sim.store_timed_out(node, RequestKind::Read, sent);
+                if let Some(l) = sim.leadership(node, process) {
                     l.scheduler.record_reload_failed(job_on_timeout);
                 }
             }
         });
-        self.send(Host::Node(i), Host::KvStore, move |w| {
-            let found = match w.kv_store.entries.get(&format!("job/{job}")) {
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
+            let found = match sim.kv_store.entries.get(&format!("job/{job}")) {
                 Some(Entry {
                     value: Value::JobRecord(r),
                     mod_revision,
@@ -229,14 +231,14 @@
                 }) => Some((r.clone(), ModRevision(*mod_revision))),
                 _ => None,
             };
-            let refused = w.store_rejects(i);
-            w.send(Host::KvStore, Host::Node(i), move |w| {
-                let now = w.now;
-                if w.leadership(i, process).is_none() || !is_open.replace(false) {
+            let refused = sim.store_rejects(node);
+            sim.send(Host::KvStore, Host::Node(node), move |sim| {
+                let now = sim.now;
+                if sim.leadership(node, process).is_none() || !is_open.replace(false) {
                     return;
                 }
-                w.store_answered(i, RequestKind::Read, sent);
-                let Some(l) = w.leadership(i, process) else {
+                sim.store_answered(node, RequestKind::Read, sent);
+                let Some(l) = sim.leadership(node, process) else {
                     return;
                 };
                 if refused {
--- a/crates/hopyoke-simulator/src/node/store_latency.rs
+++ b/crates/hopyoke-simulator/src/node/store_latency.rs
@@ -7,27 +7,31 @@
 
 impl Simulation {
     /// Returns the timeout of a request that node `i` sends now.
-    pub(crate) fn store_timeout(&self, i: usize, kind: RequestKind, purpose: Purpose) -> Micros {
+    pub(crate) fn store_timeout(&self, node: usize, kind: RequestKind, purpose: Purpose) -> Micros {
         let bounds = TimeoutPolicy::new(self.lease_ttl, WATCH_TIMEOUT).bounds(kind, purpose);
-        self.nodes[i].store_latency.timeout(kind, bounds, self.now)
+        self.nodes[node]
+            .store_latency
+            .timeout(kind, bounds, self.now)
     }
 
     /// Returns the latency that node `i` expects of a request sent now; `None` without a recent measurement.
-    pub(crate) fn expected_latency(&self, i: usize, kind: RequestKind) -> Option<Micros> {
-        self.nodes[i].store_latency.expected(kind, self.now)
+    pub(crate) fn expected_latency(&self, node: usize, kind: RequestKind) -> Option<Micros> {
+        self.nodes[node].store_latency.expected(kind, self.now)
     }
 
     /// Records that node `i` received the response to a request sent at `sent`.
-    pub(crate) fn store_answered(&mut self, i: usize, kind: RequestKind, sent: Micros) {
+    pub(crate) fn store_answered(&mut self, node: usize, kind: RequestKind, sent: Micros) {
         let now = self.now;
-        self.nodes[i]
+        self.nodes[node]
             .store_latency
             .record_response(kind, now - sent, now);
     }
 
     /// Records that a request of node `i`, sent at `sent`, timed out.
-    pub(crate) fn store_timed_out(&mut self, i: usize, kind: RequestKind, sent: Micros) {
+    pub(crate) fn store_timed_out(&mut self, node: usize, kind: RequestKind, sent: Micros) {
         let now = self.now;
-        self.nodes[i].store_latency.record_timeout(kind, sent, now);
+        self.nodes[node]
+            .store_latency
+            .record_timeout(kind, sent, now);
     }
 }
--- a/crates/hopyoke-simulator/src/scenario/job_expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/job_expectations.rs
@@ -11,14 +11,14 @@
 
 /// `expect JOB done [by SECONDS]|told STATE|unfinished|cancelled|running N|starts most|least N`.
 pub(super) fn expect_job(
-    w: &Simulation,
+    sim: &Simulation,
     id: &JobId,
     property: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
-    let job = w.jobs.get(id).ok_or("no such job")?;
+    let job = sim.jobs.get(id).ok_or("no such job")?;
     match property {
-        "done" => expect_done(w, id, words),
+        "done" => expect_done(sim, id, words),
         "told" => {
             let expected = next_word(words);
             let observed = match job.observed_end {
@@ -30,13 +30,13 @@
                 format!("its user observed: {observed}")
             })
         }
-        "unfinished" => check(w.terminal_state(id).is_none(), || "it has ended".into()),
-        "cancelled" => check(w.terminal_state(id) == Some(JobState::Cancelled), || {
+        "unfinished" => check(sim.terminal_state(id).is_none(), || "it has ended".into()),
+        "cancelled" => check(sim.terminal_state(id) == Some(JobState::Cancelled), || {
             "not cancelled".into()
         }),
         "running" => {
             let n = number(next_word(words)) as usize;
-            let running = w.running_task_count(id);
+            let running = sim.running_task_count(id);
             check(running == n, || {
                 format!("{running} of its tasks are running")
             })
@@ -56,9 +56,9 @@
 }
 
 /// `expect JOB done [by SECONDS]`: the job is recorded as done, and its last task ended by then.
-fn expect_done(w: &Simulation, id: &JobId, words: &mut Words<'_>) -> Result<(), String> {
-    let job = w.jobs.get(id).ok_or("no such job")?;
-    if w.terminal_state(id) != Some(JobState::Done) {
+fn expect_done(sim: &Simulation, id: &JobId, words: &mut Words<'_>) -> Result<(), String> {
+    let job = sim.jobs.get(id).ok_or("no such job")?;
+    if sim.terminal_state(id) != Some(JobState::Done) {
         let n = job.done.iter().filter(|d| **d).count();
         return Err(format!(
             "not recorded as done; {n} of {} tasks are",
@@ -66,7 +66,7 @@
         ));
     }
     if let (Some(&"by"), Some(t)) = (words.next(), words.next()) {
-        let at = w.completed_at(id).unwrap_or_default();
+        let at = sim.completed_at(id).unwrap_or_default();
         return check(at <= seconds(t), || {
             format!("done at {:.1} s", at.as_secs_f64())
         });
@@ -77,15 +77,15 @@
 /// `expect when JOB LOW HIGH`, `expect when TEAM GPUS ZONE|any LOW HIGH`: the median wait that the leader predicts, in
 /// seconds; `... error WORD`: the prediction fails with an error that contains WORD.
 pub(super) fn expect_when(
-    w: &Simulation,
+    sim: &Simulation,
     subject: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
-    let leader = w.current_leadership().ok_or("no node leads")?;
+    let leader = sim.current_leadership().ok_or("no node leads")?;
     let found = if subject.starts_with("req-") {
         leader
             .scheduler
-            .estimate_job_end(&JobId::new(subject), w.now)
+            .estimate_job_end(&JobId::new(subject), sim.now)
     } else {
         let (gpus, zone) = (number(next_word(words)), next_word(words));
         let zone = (zone != "any").then(|| zone.to_owned());
@@ -95,7 +95,7 @@
                 gpus,
                 zone,
             },
-            w.now,
+            sim.now,
         )
     };
     let (first, second) = (next_word(words), next_word(words));
@@ -118,11 +118,11 @@
 /// `expect class NAME p50 LOW HIGH`: the median run time that the leader has learned for the class without the owner's
 /// estimate, in seconds; `expect class NAME runs N`: it was learned from at least N ended tasks.
 pub(super) fn expect_class(
-    w: &Simulation,
+    sim: &Simulation,
     class: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
-    let leader = w.current_leadership().ok_or("no node leads")?;
+    let leader = sim.current_leadership().ok_or("no node leads")?;
     let pairs = BTreeMap::from([("class", class)]);
     let mut spec = (*build_job(&JobId::new("req-0"), "array", &pairs).spec).clone();
     spec.estimate_s = 0.0;
--- a/crates/hopyoke-simulator/src/scenario/machine_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/machine_faults.rs
@@ -7,43 +7,44 @@
 use hopyoke_types::{MachineId, Micros};
 
 /// Injects a machine fault; returns false if `name` is not one.
-pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
+pub(super) fn event(sim: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
-        "wave" => inject_on_many(w, words),
-        "deaf" | "mute" | "hold_orders" | "hold_answers" => inject_link_fault(w, name, words),
+        "wave" => inject_on_many(sim, words),
+        "deaf" | "mute" | "hold_orders" | "hold_answers" => inject_link_fault(sim, name, words),
         "no_room" => {
-            let id = machine(w, next_word(words));
-            let until = fault_end(w, words);
-            w.connections_refused_until.extend(id.map(|id| (id, until)));
+            let id = machine(sim, next_word(words));
+            let until = fault_end(sim, words);
+            sim.connections_refused_until
+                .extend(id.map(|id| (id, until)));
         }
         "hang" => {
-            let (id, span) = (machine(w, next_word(words)), seconds(next_word(words)));
-            let until = w.now + span;
-            if let Some(agent) = agent_mut(w, id) {
+            let (id, span) = (machine(sim, next_word(words)), seconds(next_word(words)));
+            let until = sim.now + span;
+            if let Some(agent) = agent_mut(sim, id) {
                 agent.hangs_until = until;
             }
         }
         "slow" => {
-            let (id, factor) = (machine(w, next_word(words)), number(next_word(words)));
-            if let Some(agent) = agent_mut(w, id) {
+            let (id, factor) = (machine(sim, next_word(words)), number(next_word(words)));
+            if let Some(agent) = agent_mut(sim, id) {
                 agent.slowdown = factor;
             }
         }
         "sick" => {
-            let id = machine(w, next_word(words));
-            if let Some(agent) = agent_mut(w, id) {
+            let id = machine(sim, next_word(words));
+            if let Some(agent) = agent_mut(sim, id) {
                 agent.is_faulty = true;
             }
         }
         "take" => {
-            if let Some(id) = machine(w, next_word(words)) {
-                w.remove_machine(&id);
+            if let Some(id) = machine(sim, next_word(words)) {
+                sim.remove_machine(&id);
             }
         }
         "notice" => {
-            let (id, span) = (machine(w, next_word(words)), seconds(next_word(words)));
+            let (id, span) = (machine(sim, next_word(words)), seconds(next_word(words)));
             if let Some(id) = id {
-                announce_preemption(w, id, span);
+                announce_preemption(sim, id, span);
             }
         }
         _ => return false,
@@ -52,25 +53,25 @@
 }
 
 /// Returns the agent of a machine; `None` if there is no such machine.
-fn agent_mut(w: &mut Simulation, id: Option<MachineId>) -> Option<&mut Agent> {
-    id.and_then(|id| w.machines.get_mut(&id))
+fn agent_mut(sim: &mut Simulation, id: Option<MachineId>) -> Option<&mut Agent> {
+    id.and_then(|id| sim.machines.get_mut(&id))
 }
 
 /// Announces that the cloud takes a spot machine back after `span`, and removes it then.
-fn announce_preemption(w: &mut Simulation, id: MachineId, span: Micros) {
-    let until = w.now + span;
-    if let Some(agent) = w.machines.get_mut(&id) {
+fn announce_preemption(sim: &mut Simulation, id: MachineId, span: Micros) {
+    let until = sim.now + span;
+    if let Some(agent) = sim.machines.get_mut(&id) {
         agent.preemption_at = Some(until);
     }
-    w.schedule_heartbeat(&id);
-    w.at(until, move |w| w.remove_machine(&id));
+    sim.schedule_heartbeat(&id);
+    sim.at(until, move |sim| sim.remove_machine(&id));
 }
 
 /// `deaf|mute|hold_orders|hold_answers MACHINE for SECONDS`: messages to or from one machine are lost or held.
-fn inject_link_fault(w: &mut Simulation, name: &str, words: &mut Words<'_>) {
-    let id = machine(w, next_word(words));
-    let until = fault_end(w, words);
-    if let Some(agent) = agent_mut(w, id) {
+fn inject_link_fault(sim: &mut Simulation, name: &str, words: &mut Words<'_>) {
+    let id = machine(sim, next_word(words));
+    let until = fault_end(sim, words);
+    if let Some(agent) = agent_mut(sim, id) {
         *match name {
             "deaf" => &mut agent.responses_lost_until,
             "mute" => &mut agent.outbound_lost_until,
@@ -81,21 +82,21 @@
 }
 
 /// `wave hang|deaf|mute|spot|lost COUNT [for SECONDS]`: the same fault on many machines at once.
-fn inject_on_many(w: &mut Simulation, words: &mut Words<'_>) {
+fn inject_on_many(sim: &mut Simulation, words: &mut Words<'_>) {
     let (fault, n) = (next_word(words), number(next_word(words)) as usize);
-    let until = w.now + seconds(key_values(words).get("for").copied().unwrap_or("0"));
-    let up = w
+    let until = sim.now + seconds(key_values(words).get("for").copied().unwrap_or("0"));
+    let up = sim
         .machines
         .values()
         .filter(|m| m.up && (fault != "spot" || m.spot));
     // Every third machine, so that the fault spreads evenly over the fleet.
     let affected: Vec<MachineId> = up.map(|m| m.id.clone()).step_by(3).take(n).collect();
     for id in affected {
-        match w.machines.get_mut(&id) {
+        match sim.machines.get_mut(&id) {
             Some(m) if fault == "hang" => m.hangs_until = until,
             Some(m) if fault == "deaf" => m.responses_lost_until = until,
             Some(m) if fault == "mute" => m.outbound_lost_until = until,
-            _ => w.remove_machine(&id),
+            _ => sim.remove_machine(&id),
         }
     }
 }
--- a/crates/hopyoke-simulator/src/scenario/mod.rs
+++ b/crates/hopyoke-simulator/src/scenario/mod.rs
@@ -66,52 +66,54 @@
             result.map_err(fail)?;
             continue;
         }
-        let w = simulation
+        let sim = simulation
             .as_mut()
             .ok_or_else(|| fail("no `seed N` before this statement".into()))?;
-        statement(w, &words).map_err(fail)?;
-        if let Some(violation) = w.violations.first() {
+        statement(sim, &words).map_err(fail)?;
+        if let Some(violation) = sim.violations.first() {
             return Err(fail(violation.clone()));
         }
     }
-    Ok(simulation.map_or(0, |w| w.digest.value()))
+    Ok(simulation.map_or(0, |sim| sim.digest.value()))
 }
 
 /// Executes a statement of the scenario.
-fn statement(w: &mut Simulation, words: &[&str]) -> Result<(), String> {
+fn statement(sim: &mut Simulation, words: &[&str]) -> Result<(), String> {
     let mut it = words.iter();
     let name = next_word(&mut it);
     match name {
         "at" => {
             let t = parser::seconds(next_word(&mut it));
             let rest: Vec<String> = it.map(|s| (*s).to_owned()).collect();
-            w.at(t, move |w| {
+            sim.at(t, move |sim| {
                 let words: Vec<&str> = rest.iter().map(String::as_str).collect();
-                inject(w, &words);
+                inject(sim, &words);
             });
             Ok(())
         }
         "until" => {
-            w.run_until(parser::seconds(next_word(&mut it)));
+            sim.run_until(parser::seconds(next_word(&mut it)));
             Ok(())
         }
-        "expect" => expectations::expect(w, &mut it),
+        "expect" => expectations::expect(sim, &mut it),
         "random" => {
-            random_day::schedule(w, number(next_word(&mut it)) as u64);
+            random_day::schedule(sim, number(next_word(&mut it)) as u64);
             Ok(())
         }
-        _ => setup::statement(w, name, &mut it),
+        _ => setup::statement(sim, name, &mut it),
     }
 }
 
 /// Executes an event now: a request of users, or a fault.
-fn inject(w: &mut Simulation, words: &[&str]) {
-    w.faults_end_at = w.faults_end_at.max(w.now + selectors::duration_of(words));
+fn inject(sim: &mut Simulation, words: &[&str]) {
+    sim.faults_end_at = sim
+        .faults_end_at
+        .max(sim.now + selectors::duration_of(words));
     let mut it: Words<'_> = words.iter();
     let name = next_word(&mut it);
-    let is_known = workload::event(w, name, &mut it)
-        || network_faults::event(w, name, &mut it)
-        || store_faults::event(w, name, &mut it)
-        || machine_faults::event(w, name, &mut it);
+    let is_known = workload::event(sim, name, &mut it)
+        || network_faults::event(sim, name, &mut it)
+        || store_faults::event(sim, name, &mut it)
+        || machine_faults::event(sim, name, &mut it);
     assert!(is_known, "unknown event {name}");
 }
--- a/crates/hopyoke-simulator/src/scenario/network_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/network_faults.rs
@@ -6,47 +6,48 @@
 use std::collections::BTreeMap;
 
 /// Injects a fault of nodes or of the network; returns false if `name` is not one.
-pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
+pub(super) fn event(sim: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
         "crash" => {
             let selector = next_word(words);
             let restart_delay = seconds(key_values(words).get("back").copied().unwrap_or("6"));
-            for i in nodes(w, selector) {
-                w.crash_node(i, restart_delay);
+            for node in nodes(sim, selector) {
+                sim.crash_node(node, restart_delay);
             }
         }
         "give_up" => {
-            for i in next_nodes(w, words) {
-                w.step_down(i);
+            for node in next_nodes(sim, words) {
+                sim.step_down(node);
             }
         }
-        "cut" => partition_nodes(w, words),
+        "cut" => partition_nodes(sim, words),
         "cut_zone" => {
             let name = next_word(words);
             let pairs = key_values(words);
-            let zone = w.config.zones.iter().position(|z| z == name);
-            let until = w.now + seconds(pairs["for"]);
-            w.partition_zone(zone.expect("a known zone"), until, has_held_packets(&pairs));
+            let zone = sim.config.zones.iter().position(|z| z == name);
+            let until = sim.now + seconds(pairs["for"]);
+            sim.partition_zone(zone.expect("a known zone"), until, has_held_packets(&pairs));
         }
         "lag" => {
             let (selector, delay) = (next_word(words), seconds(next_word(words)));
-            let until = fault_end(w, words);
-            for node in nodes(w, selector) {
-                w.delivery_delays.push(DeliveryDelay { node, delay, until });
+            let until = fault_end(sim, words);
+            for node in nodes(sim, selector) {
+                sim.delivery_delays
+                    .push(DeliveryDelay { node, delay, until });
             }
         }
         "freeze" => {
             let selector = next_word(words);
-            let until = fault_end(w, words);
-            for node in nodes(w, selector) {
-                w.paused_nodes.insert(node, until);
+            let until = fault_end(sim, words);
+            for node in nodes(sim, selector) {
+                sim.paused_nodes.insert(node, until);
             }
         }
         "no_sockets" => {
             let selector = next_word(words);
-            let until = fault_end(w, words);
-            for node in nodes(w, selector) {
-                w.sockets_exhausted_until.insert(node, until);
+            let until = fault_end(sim, words);
+            for node in nodes(sim, selector) {
+                sim.sockets_exhausted_until.insert(node, until);
             }
         }
         _ => return false,
@@ -60,10 +61,10 @@
 }
 
 /// `cut NODES from PEERS[+PEERS ...] for SECONDS [packets held]`.
-fn partition_nodes(w: &mut Simulation, words: &mut Words<'_>) {
+fn partition_nodes(sim: &mut Simulation, words: &mut Words<'_>) {
     let selector = next_word(words);
     let pairs = key_values(words);
-    let peers = || (0..w.nodes.len()).map(Host::Node);
+    let peers = || (0..sim.nodes.len()).map(Host::Node);
     let hosts = |name| match name {
         "state" => vec![Host::KvStore],
         "workers" => vec![Host::Agents],
@@ -75,10 +76,10 @@
             .collect(),
     };
     let unreachable: Vec<Host> = pairs["from"].split('+').flat_map(hosts).collect();
-    let until = w.now + seconds(pairs["for"]);
+    let until = sim.now + seconds(pairs["for"]);
     let holds_packets = has_held_packets(&pairs);
-    for node in nodes(w, selector) {
-        w.partitions.push(NetworkPartition {
+    for node in nodes(sim, selector) {
+        sim.partitions.push(NetworkPartition {
             node,
             unreachable: unreachable.clone(),
             until,
--- a/crates/hopyoke-simulator/src/scenario/random_day.rs
+++ b/crates/hopyoke-simulator/src/scenario/random_day.rs
@@ -8,70 +8,70 @@
 const MAX_FAULT_JOB: u64 = 40;
 
 /// Schedules jobs and faults over `duration_s` seconds.
-pub(super) fn schedule(w: &mut Simulation, duration_s: u64) {
+pub(super) fn schedule(sim: &mut Simulation, duration_s: u64) {
     // Decisions based on learned run times must not violate invariants either.
-    if w.random(0, 1) == 1 {
-        let t = &mut w.tuning;
+    if sim.random(0, 1) == 1 {
+        let t = &mut sim.tuning;
         (t.use_for_victims, t.use_for_backfill, t.use_for_demand) = (true, true, true);
         (t.use_for_deadlines, t.use_for_slow_machines) = (true, true);
     }
-    let jobs = schedule_jobs(w, duration_s);
-    schedule_faults(w, duration_s, jobs);
+    let jobs = schedule_jobs(sim, duration_s);
+    schedule_faults(sim, duration_s, jobs);
 }
 
 /// Schedules submissions and some cancellations; returns the number of jobs.
-fn schedule_jobs(w: &mut Simulation, duration_s: u64) -> u64 {
+fn schedule_jobs(sim: &mut Simulation, duration_s: u64) -> u64 {
     let mut t = 1;
     let mut n = 0;
     while t < duration_s {
         n += 1;
         let id = format!("req-{n:06}");
-        let kind = ["array", "gang", "service"][w.random(0, 2) as usize];
-        let tasks = w.random(1, if kind == "gang" { 3 } else { 5 });
-        let team = ["crew", "other"][w.random(0, 1) as usize];
-        let run = w.random(3, 40);
-        let flag = |w: &mut Simulation| ["no", "yes"][w.random(0, 1) as usize];
-        let (spot, together) = (flag(w), flag(w));
-        let apart = if together == "yes" { "no" } else { flag(w) };
+        let kind = ["array", "gang", "service"][sim.random(0, 2) as usize];
+        let tasks = sim.random(1, if kind == "gang" { 3 } else { 5 });
+        let team = ["crew", "other"][sim.random(0, 1) as usize];
+        let run = sim.random(3, 40);
+        let flag = |sim: &mut Simulation| ["no", "yes"][sim.random(0, 1) as usize];
+        let (spot, together) = (flag(sim), flag(sim));
+        let apart = if together == "yes" { "no" } else { flag(sim) };
         let checkpoint = if kind == "gang" { 5 } else { 0 };
         let line = format!(
             "submit {id} {kind} tasks {tasks} team {team} run {run} spot {spot} together {together} apart {apart} \
              checkpoint {checkpoint} save 2 image img-{}",
-            w.random(1, 4)
+            sim.random(1, 4)
         );
-        schedule_event(w, t, line);
-        if kind == "service" || w.random(0, 9) == 0 {
-            let at = t + w.random(5, 80);
-            schedule_event(w, at, format!("cancel {id}"));
+        schedule_event(sim, t, line);
+        if kind == "service" || sim.random(0, 9) == 0 {
+            let at = t + sim.random(5, 80);
+            schedule_event(sim, at, format!("cancel {id}"));
         }
-        t += w.random(2, 9);
+        t += sim.random(2, 9);
     }
     n
 }
 
 /// Schedules overlapping faults, and cancellations during them.
-fn schedule_faults(w: &mut Simulation, duration_s: u64, jobs: u64) {
+fn schedule_faults(sim: &mut Simulation, duration_s: u64, jobs: u64) {
     let mut t = 20;
     while t < duration_s {
         // The second fault begins while the first lasts or at its end.
-        let first_span = w.random(5, 40);
-        let (line, second_span) = (random_fault(w, first_span), w.random(1, 40));
-        let second_at = t + w.random(0, first_span);
-        let second = random_fault(w, second_span);
-        schedule_event(w, t, line);
-        schedule_event(w, second_at, second);
+        let first_span = sim.random(5, 40);
+        let (line, second_span) = (random_fault(sim, first_span), sim.random(1, 40));
+        let second_at = t + sim.random(0, first_span);
+        let second = random_fault(sim, second_span);
+        schedule_event(sim, t, line);
+        schedule_event(sim, second_at, second);
         // In half of the cases a third fault begins soon after the second.
-        if w.random(0, 1) == 0 {
-            let (span, at) = (w.random(1, 40), second_at + w.random(0, 5));
-            let third = random_fault(w, span);
-            schedule_event(w, at, third);
+        if sim.random(0, 1) == 0 {
+            let (span, at) = (sim.random(1, 40), second_at + sim.random(0, 5));
+            let third = random_fault(sim, span);
+            schedule_event(sim, at, third);
         }
-        if jobs > 0 && w.random(0, 1) == 0 {
-            let at = second_at + w.random(0, 3);
-            let id = w.random(1, jobs);
-            schedule_event(w, at, format!("cancel req-{id:06}"));
+        if jobs > 0 && sim.random(0, 1) == 0 {
+            let at = second_at + sim.random(0, 3);
+            let id = sim.random(1, jobs);
+            schedule_event(sim, at, format!("cancel req-{id:06}"));
         }
-        t += w.random(8, 45);
+        t += sim.random(8, 45);
     }
 }
 
@@ -92,24 +92,24 @@
 }
 
 /// Draws a fault that lasts about `span` seconds, as a line of the scenario language.
-fn random_fault(w: &mut Simulation, span: u64) -> String {
+fn random_fault(sim: &mut Simulation, span: u64) -> String {
     let fault = FaultParameters {
         nodes: ["leader", "leader", "follower", "followers", "0", "1", "2"]
-            [w.random(0, 6) as usize],
-        packets: ["held", "lost"][w.random(0, 1) as usize],
-        restart_s: ["0.05", "0.2", "1", "6"][w.random(0, 3) as usize],
-        percent: [20, 60, 100][w.random(0, 2) as usize],
-        job: w.random(1, MAX_FAULT_JOB),
+            [sim.random(0, 6) as usize],
+        packets: ["held", "lost"][sim.random(0, 1) as usize],
+        restart_s: ["0.05", "0.2", "1", "6"][sim.random(0, 3) as usize],
+        percent: [20, 60, 100][sim.random(0, 2) as usize],
+        job: sim.random(1, MAX_FAULT_JOB),
         span,
     };
-    match w.random(0, 47) {
-        kind @ 0..=24 => cluster_fault(w, kind, &fault),
-        kind => message_or_user_fault(w, kind, &fault),
+    match sim.random(0, 47) {
+        kind @ 0..=24 => cluster_fault(sim, kind, &fault),
+        kind => message_or_user_fault(sim, kind, &fault),
     }
 }
 
 /// Returns a fault of nodes, links, machines, the store or the cloud.
-fn cluster_fault(w: &mut Simulation, kind: u64, fault: &FaultParameters) -> String {
+fn cluster_fault(sim: &mut Simulation, kind: u64, fault: &FaultParameters) -> String {
     let FaultParameters {
         nodes,
         packets,
@@ -124,26 +124,26 @@
         2 => format!("cut {nodes} from state for {span} packets {packets}"),
         3 => format!("cut {nodes} from workers for {span} packets {packets}"),
         4 => format!("cut {nodes} from all for {span} packets {packets}"),
-        5 => format!("outage {}", w.random(2, 70)),
+        5 => format!("outage {}", sim.random(2, 70)),
         6 => format!("hang any {span}"),
         7 => format!("hang of:req-{job:06} {span}"),
         8 => format!("take of:req-{job:06}"),
         9 => format!("notice of:req-{job:06} 10"),
         10 => format!(
             "lag {nodes} {}.{} for {span}",
-            w.random(0, 3),
-            w.random(1, 9)
+            sim.random(0, 3),
+            sim.random(1, 9)
         ),
-        11 => format!("no_room {} for {span}", any_machine(w)),
+        11 => format!("no_room {} for {span}", any_machine(sim)),
         12 => format!("no_sockets {nodes} for {span}"),
         13 => format!("freeze {nodes} for {span}"),
         14 => format!("crash {nodes} back {restart_s}"),
         15 => format!("crash all back {restart_s}"),
         16 => format!(
             "boots {} for {span}",
-            ["0.02", "3"][w.random(0, 1) as usize]
+            ["0.02", "3"][sim.random(0, 1) as usize]
         ),
-        17 => format!("duds {}", w.random(1, 3)),
+        17 => format!("duds {}", sim.random(1, 3)),
         18 => format!("old_lists for {span}"),
         19 | 20 => format!("refuse {nodes} for {span}"),
         21 => format!("cut {nodes} from state+peers for {span} packets {packets}"),
@@ -153,33 +153,33 @@
 }
 
 /// Returns a fault of lost, late or repeated messages, or users' requests that race with other changes.
-fn message_or_user_fault(w: &mut Simulation, kind: u64, fault: &FaultParameters) -> String {
+fn message_or_user_fault(sim: &mut Simulation, kind: u64, fault: &FaultParameters) -> String {
     let FaultParameters {
         percent, job, span, ..
     } = fault;
     match kind {
         25 => format!("lost_answers {percent} for {span}"),
         26 => format!("late_reports {percent} for {}", span * 3),
-        27 => format!("deaf {} for {span}", any_machine(w)),
+        27 => format!("deaf {} for {span}", any_machine(sim)),
         29 => format!(
             "slow_state {}.{} for {span}",
-            w.random(0, 2),
-            w.random(1, 9)
+            sim.random(0, 2),
+            sim.random(1, 9)
         ),
         30 | 31 => format!("close_looks for {}", 10 + span),
         32 | 33 => format!("cancel_at_end {percent} for {}", 10 + span),
-        34 => format!("cancel_now {}", w.random(1, 6)),
-        35 | 36 => format!("cancel_now {} hang {span}", w.random(1, 6)),
+        34 => format!("cancel_now {}", sim.random(1, 6)),
+        35 | 36 => format!("cancel_now {} hang {span}", sim.random(1, 6)),
         37 => format!("odd_requests for {}", 10 + span),
         38 => format!("mute of:req-{job:06} for {span}"),
         39 => format!("wave mute 2 for {span}"),
         40 => format!(
             "late_reports {percent} for {span} next 0.{}",
-            w.random(0, 9)
+            sim.random(0, 9)
         ),
-        41 => format!("held_reports {percent} for 8 next {}", w.random(0, 20)),
+        41 => format!("held_reports {percent} for 8 next {}", sim.random(0, 20)),
         42 => format!("hold_orders of:req-{job:06} for {span}"),
-        43 => format!("hold_answers of:req-{job:06} for {}", w.random(1, 8)),
+        43 => format!("hold_answers of:req-{job:06} for {}", sim.random(1, 8)),
         44 => format!("lost_renewals {percent} for {span}"),
         45..=47 => format!("late_commands {percent} for {}", span * 2),
         _ => format!("deaf of:req-{job:06} for {span}"),
@@ -187,15 +187,15 @@
 }
 
 /// Draws a machine selector: any machine, or one of the first.
-fn any_machine(w: &mut Simulation) -> &'static str {
-    ["any", "m-000001", "m-000002"][w.random(0, 2) as usize]
+fn any_machine(sim: &mut Simulation) -> &'static str {
+    ["any", "m-000001", "m-000002"][sim.random(0, 2) as usize]
 }
 
 /// Executes a line of the scenario language at `at_s` seconds of virtual time.
-fn schedule_event(w: &mut Simulation, at_s: u64, line: String) {
-    w.at(Micros::from_secs(at_s), move |w| {
+fn schedule_event(sim: &mut Simulation, at_s: u64, line: String) {
+    sim.at(Micros::from_secs(at_s), move |sim| {
         let words: Vec<&str> = line.split_whitespace().collect();
-        w.log(|| line.clone());
-        inject(w, &words);
+        sim.log(|| line.clone());
+        inject(sim, &words);
     });
 }
--- a/crates/hopyoke-simulator/src/scenario/service_expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/service_expectations.rs
@@ -8,23 +8,23 @@
 use std::collections::BTreeMap;
 
 /// `expect began all`: every accepted job that its user has not cancelled has begun.
-pub(super) fn expect_begun(w: &Simulation) -> Result<(), String> {
+pub(super) fn expect_begun(sim: &Simulation) -> Result<(), String> {
     let is_waiting = |j: &JobGroundTruth| {
         j.accepted_at.is_some()
             && j.cancelled_at.is_none()
             && j.observed_end.is_none()
             && j.start_count == 0
     };
-    let scheduler = w.current_leadership().map(|l| &l.scheduler);
+    let scheduler = sim.current_leadership().map(|l| &l.scheduler);
     let reason = |id: &JobId| {
-        scheduler.map_or("no leader", |c| {
-            c.jobs.get(id).map_or("unknown", |j| {
+        scheduler.map_or("no leader", |scheduler| {
+            scheduler.jobs.get(id).map_or("unknown", |j| {
                 j.wait_reason
                     .map_or("", hopyoke_scheduler::WaitReason::as_str)
             })
         })
     };
-    let waiting: Vec<String> = w
+    let waiting: Vec<String> = sim
         .jobs
         .iter()
         .filter(|(_, j)| is_waiting(j))
@@ -38,7 +38,7 @@
 /// `expect accepted least N`: jobs accepted by now; `expect accepted from SECONDS to SECONDS`: all jobs first submitted
 /// in that period are.
 pub(super) fn expect_accepted(
-    w: &Simulation,
+    sim: &Simulation,
     comparison: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
@@ -51,16 +51,20 @@
             j.first_submitted_at
                 .is_some_and(|t| (first..=last).contains(&t))
         };
-        let jobs: Vec<&JobGroundTruth> = w.jobs.values().filter(submitted).collect();
+        let jobs: Vec<&JobGroundTruth> = sim.jobs.values().filter(submitted).collect();
         let waiting = jobs.iter().filter(|j| j.accepted_at.is_none()).count();
         return check(waiting == 0, || {
             format!("{waiting} of {} jobs are not accepted", jobs.len())
         });
     }
-    let n = w.jobs.values().filter(|j| j.accepted_at.is_some()).count();
+    let n = sim
+        .jobs
+        .values()
+        .filter(|j| j.accepted_at.is_some())
+        .count();
     let is_met = comparison == "least" && n >= number(next_word(words)) as usize;
     check(is_met, || {
-        format!("{n} of {} jobs are accepted", w.jobs.len())
+        format!("{n} of {} jobs are accepted", sim.jobs.len())
     })
 }
 
@@ -82,13 +86,13 @@
 ///
 /// Shares are of all submitted jobs that are not cancelled, accepted or not.
 pub(super) fn expect_served(
-    w: &Simulation,
+    sim: &Simulation,
     ended: bool,
     comparison: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
     let mut tenants: BTreeMap<(String, String), ServedCount> = BTreeMap::new();
-    for job in w
+    for job in sim
         .jobs
         .values()
         .filter(|j| j.cancelled_at.is_none() && j.malformed_body.is_none())
@@ -127,7 +131,7 @@
 /// `expect largest least SHARE within SECONDS`: of the largest quarter of each class's jobs that were not cancelled,
 /// that share began within SECONDS after their users first submitted them.
 pub(super) fn expect_largest(
-    w: &Simulation,
+    sim: &Simulation,
     comparison: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
@@ -136,7 +140,7 @@
         seconds(key_values(words)["within"]),
     );
     let mut classes: BTreeMap<&str, Vec<&JobGroundTruth>> = BTreeMap::new();
-    for job in w
+    for job in sim
         .jobs
         .values()
         .filter(|j| j.cancelled_at.is_none() && j.malformed_body.is_none())
--- a/crates/hopyoke-simulator/src/scenario/setup.rs
+++ b/crates/hopyoke-simulator/src/scenario/setup.rs
@@ -11,14 +11,14 @@
 /// `seed N [nodes K]`: a cluster of K nodes, 3 by default, with the defaults of scenarios.
 pub(super) fn new_simulation(words: &[&str]) -> Simulation {
     let nodes = words.get(3).map_or(3, |n| number(n) as usize);
-    let mut w = Simulation::new(number(words[1]) as u64, nodes);
-    apply_defaults(&mut w);
-    w
+    let mut sim = Simulation::new(number(words[1]) as u64, nodes);
+    apply_defaults(&mut sim);
+    sim
 }
 
 /// Adds one machine type, two teams and some capacity in each zone, and starts all nodes.
-fn apply_defaults(w: &mut Simulation) {
-    w.machine_types.push(MachineType {
+fn apply_defaults(sim: &mut Simulation) {
+    sim.machine_types.push(MachineType {
         name: "std".into(),
         cpus: 16.0,
         gpus: 2.0,
@@ -28,27 +28,27 @@
         price: 7.0,
         spot_price: 2.5,
         boot_s: 10.0,
-        zones: w.config.zones.clone(),
+        zones: sim.config.zones.clone(),
     });
-    for z in w.config.zones.clone() {
-        w.capacity.insert(("std".into(), z.clone(), false), 4);
-        w.capacity.insert(("std".into(), z, true), 2);
+    for z in sim.config.zones.clone() {
+        sim.capacity.insert(("std".into(), z.clone(), false), 4);
+        sim.capacity.insert(("std".into(), z, true), 2);
     }
-    w.config.teams.push(Team {
+    sim.config.teams.push(Team {
         name: "crew".into(),
         gpus: 8.0,
         gpus_max: 16.0,
         ..Team::default()
     });
-    w.config.teams.push(Team {
+    sim.config.teams.push(Team {
         name: "other".into(),
         gpus: 4.0,
         gpus_max: 8.0,
         ..Team::default()
     });
-    w.expire_leases();
-    for i in 0..w.nodes.len() {
-        w.start_node(i);
+    sim.expire_leases();
+    for node in 0..sim.nodes.len() {
+        sim.start_node(node);
     }
 }
 
@@ -58,32 +58,32 @@
 ///
 /// Says that the statement is unknown or which value is invalid.
 pub(super) fn statement(
-    w: &mut Simulation,
+    sim: &mut Simulation,
     name: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
     match name {
-        "team" => set_team(w, words),
-        "use" => return enable_estimates(w, words),
-        "hours" => w.hours = Some(staffed_hours(words)?),
-        "limits" => set_store_limits(w, words),
-        "patience" => w.submission_timeout = Some(seconds(next_word(words))),
-        "idle_return" => w.tuning.idle_return = seconds(next_word(words)),
-        "report" => w.config.heartbeat_interval = seconds(next_word(words)),
-        "lease" => w.config.lease = seconds(next_word(words)),
-        "cancel_s" => w.cancellation_bound = seconds(next_word(words)),
+        "team" => set_team(sim, words),
+        "use" => return enable_estimates(sim, words),
+        "hours" => sim.hours = Some(staffed_hours(words)?),
+        "limits" => set_store_limits(sim, words),
+        "patience" => sim.submission_timeout = Some(seconds(next_word(words))),
+        "idle_return" => sim.tuning.idle_return = seconds(next_word(words)),
+        "report" => sim.config.heartbeat_interval = seconds(next_word(words)),
+        "lease" => sim.config.lease = seconds(next_word(words)),
+        "cancel_s" => sim.cancellation_bound = seconds(next_word(words)),
         "capacity" => {
             let (zone, kind, n) = machine_group(words);
-            w.capacity
+            sim.capacity
                 .insert(("std".into(), zone.into(), kind == "spot"), n);
         }
         "machines" => {
             let (zone, kind, n) = machine_group(words);
             for _ in 0..n {
-                w.add_machine("std", zone, kind == "spot", Some(Micros::from_millis(10)));
+                sim.add_machine("std", zone, kind == "spot", Some(Micros::from_millis(10)));
             }
         }
-        "duds" => w.failed_boots_left = number(next_word(words)) as u32,
+        "duds" => sim.failed_boots_left = number(next_word(words)) as u32,
         other => return Err(format!("unknown statement {other}")),
     }
     Ok(())
@@ -99,12 +99,12 @@
 }
 
 /// `team NAME [cpus N] [cpus_max N] [gpus N] [gpus_max N]`: adds a team, or replaces its quota.
-fn set_team(w: &mut Simulation, words: &mut Words<'_>) {
+fn set_team(sim: &mut Simulation, words: &mut Words<'_>) {
     let name = next_word(words).to_owned();
     let pairs = key_values(words);
     let get = |key: &str| pairs.get(key).map_or(0.0, |v| number(v));
-    w.config.teams.retain(|t| t.name != name);
-    w.config.teams.push(Team {
+    sim.config.teams.retain(|t| t.name != name);
+    sim.config.teams.push(Team {
         name,
         cpus: get("cpus"),
         cpus_max: get("cpus_max"),
@@ -114,8 +114,8 @@
 }
 
 /// `use PURPOSE ...`: enables decisions based on learned run times.
-fn enable_estimates(w: &mut Simulation, words: &mut Words<'_>) -> Result<(), String> {
-    let tuning = &mut w.tuning;
+fn enable_estimates(sim: &mut Simulation, words: &mut Words<'_>) -> Result<(), String> {
+    let tuning = &mut sim.tuning;
     for name in words.by_ref() {
         let flag = match *name {
             "victims" => &mut tuning.use_for_victims,
@@ -158,13 +158,13 @@
 /// `limits REQUESTS CHANGES [unpaced]`: rate limits of the key-value store per second.
 ///
 /// The nodes restart with their shares, so the statement must precede all events.
-fn set_store_limits(w: &mut Simulation, words: &mut Words<'_>) {
+fn set_store_limits(sim: &mut Simulation, words: &mut Words<'_>) {
     let (requests, changes) = (number(next_word(words)), number(next_word(words)));
     let is_unpaced = words.next() == Some(&"unpaced");
-    w.limits = Some(StoreLimits::new(requests, changes, is_unpaced));
+    sim.limits = Some(StoreLimits::new(requests, changes, is_unpaced));
     // Scenarios with limits have many users: checking all invariants at every event would take minutes.
-    w.exhaustive_checks = false;
-    for i in 0..w.nodes.len() {
-        w.start_node(i);
+    sim.exhaustive_checks = false;
+    for node in 0..sim.nodes.len() {
+        sim.start_node(node);
     }
 }
--- a/crates/hopyoke-simulator/src/scenario/workload.rs
+++ b/crates/hopyoke-simulator/src/scenario/workload.rs
@@ -11,41 +11,41 @@
 use std::rc::Rc;
 
 /// Executes a workload event; returns false if `name` is not one.
-pub(super) fn event(w: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
+pub(super) fn event(sim: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
         "submit" => {
             let (id, kind) = (JobId::new(next_word(words)), next_word(words));
             let truth = build_job(&id, kind, &key_values(words));
-            w.jobs.insert(id.clone(), truth);
-            w.submit(id);
+            sim.jobs.insert(id.clone(), truth);
+            sim.submit(id);
         }
         "many" => {
             let n = number(next_word(words)) as u64;
-            for id in add_jobs(w, n, words) {
-                w.submit(id);
+            for id in add_jobs(sim, n, words) {
+                sim.submit(id);
             }
         }
-        "stream" => submit_stream(w, words),
-        "cancel" => w.cancel(JobId::new(next_word(words))),
-        "close_looks" => w.user_behavior.concurrent_reads_until = fault_end(w, words),
+        "stream" => submit_stream(sim, words),
+        "cancel" => sim.cancel(JobId::new(next_word(words))),
+        "close_looks" => sim.user_behavior.concurrent_reads_until = fault_end(sim, words),
         "cancel_at_end" => {
             let percent = number(next_word(words)) as u64;
-            w.user_behavior.cancel_at_end = FaultWindow {
+            sim.user_behavior.cancel_at_end = FaultWindow {
                 percent,
-                until: fault_end(w, words),
+                until: fault_end(sim, words),
             };
         }
         "cancel_now" => {
             let max_jobs = number(next_word(words)) as usize;
             let pairs = key_values(words);
             let hang = pairs.get("hang").map_or(Micros::ZERO, |s| seconds(s));
-            w.cancel_running_jobs(max_jobs, hang);
+            sim.cancel_running_jobs(max_jobs, hang);
         }
         "odd_requests" => {
-            w.user_behavior.malformed_requests_until = fault_end(w, words);
-            w.send_malformed_requests();
+            sim.user_behavior.malformed_requests_until = fault_end(sim, words);
+            sim.send_malformed_requests();
         }
-        "staffed" => override_staffed_hours(w, words),
+        "staffed" => override_staffed_hours(sim, words),
         _ => return false,
     }
     true
@@ -53,34 +53,34 @@
 
 /// `stream COUNT PER_SECOND PERCENT KIND KEY VALUE ...`: submits jobs at an even rate and cancels that share of them soon
 /// after their submission.
-fn submit_stream(w: &mut Simulation, words: &mut Words<'_>) {
+fn submit_stream(sim: &mut Simulation, words: &mut Words<'_>) {
     let (n, rate, cancelled_percent) = (
         number(next_word(words)) as u64,
         number(next_word(words)),
         number(next_word(words)) as u64,
     );
-    for (k, id) in (0..).zip(add_jobs(w, n, words)) {
+    for (k, id) in (0..).zip(add_jobs(sim, n, words)) {
         let submit_delay = Micros::from_secs_f64(k as f64 / rate);
         if k * cancelled_percent % 100 < cancelled_percent {
-            let (id, cancel_delay) = (id.clone(), Micros(w.random(500_000, 10_000_000)));
-            w.after(submit_delay + cancel_delay, move |w| w.cancel(id));
+            let (id, cancel_delay) = (id.clone(), Micros(sim.random(500_000, 10_000_000)));
+            sim.after(submit_delay + cancel_delay, move |sim| sim.cancel(id));
         }
-        w.after(submit_delay, move |w| w.submit(id));
+        sim.after(submit_delay, move |sim| sim.submit(id));
     }
 }
 
 /// `staffed on|off UNTIL`: an operator overrides the calendar.
-fn override_staffed_hours(w: &mut Simulation, words: &mut Words<'_>) {
+fn override_staffed_hours(sim: &mut Simulation, words: &mut Words<'_>) {
     let (staffed, until) = (next_word(words) == "on", seconds(next_word(words)));
     let staffing_override = Some(StaffingOverride {
         staffed,
         expires_at_us: (START_TIME_OF_DAY + until).0,
         operator: "operator".into(),
     });
-    if let Some(hours) = &mut w.hours {
+    if let Some(hours) = &mut sim.hours {
         hours.staffing_override.clone_from(&staffing_override);
     }
-    for leadership in w.nodes.iter_mut().filter_map(|n| n.leadership.as_mut()) {
+    for leadership in sim.nodes.iter_mut().filter_map(|n| n.leadership.as_mut()) {
         leadership
             .scheduler
             .set_staffing_override(staffing_override.clone());
@@ -88,11 +88,11 @@
 }
 
 /// Adds `n` jobs of one kind, `KIND KEY VALUE ...`, which are not submitted yet.
-fn add_jobs(w: &mut Simulation, n: u64, words: &mut Words<'_>) -> Vec<JobId> {
+fn add_jobs(sim: &mut Simulation, n: u64, words: &mut Words<'_>) -> Vec<JobId> {
     let (kind, pairs) = (next_word(words), key_values(words));
     let add = |_| {
-        let id = JobId::new(&format!("req-{:06}", 1000 + w.jobs.len()));
-        w.jobs.insert(id.clone(), build_job(&id, kind, &pairs));
+        let id = JobId::new(&format!("req-{:06}", 1000 + sim.jobs.len()));
+        sim.jobs.insert(id.clone(), build_job(&id, kind, &pairs));
         id
     };
     (0..n).map(add).collect()
--- a/crates/hopyoke-simulator/src/users.rs
+++ b/crates/hopyoke-simulator/src/users.rs
@@ -42,7 +42,7 @@
     /// Sends a user's request to node `i`. `then` receives the response if it arrives in time.
     pub(crate) fn send_request(
         &mut self,
-        i: usize,
+        node: usize,
         id: &JobId,
         request: Request,
         then: impl FnOnce(&mut Simulation, Response) + 'static,
@@ -53,15 +53,16 @@
         } else {
             REQUEST_TIMEOUT
         };
-        let latency = Micros(self.random(200, 2_000)) + self.delivery_delay(super::Host::Node(i));
-        self.timer(i, latency, move |sim| {
-            if !sim.nodes[i].up {
+        let latency =
+            Micros(self.random(200, 2_000)) + self.delivery_delay(super::Host::Node(node));
+        self.timer(node, latency, move |sim| {
+            if !sim.nodes[node].up {
                 return;
             }
-            let process = sim.nodes[i].process;
+            let process = sim.nodes[node].process;
             let job = id.clone();
             let respond = move |sim: &mut Simulation, response: Response| {
-                if !sim.alive(i, process) {
+                if !sim.alive(node, process) {
                     return;
                 }
                 let latency = Micros(sim.random(200, 2_000));
@@ -69,12 +70,12 @@
                     if sim.now > sent + timeout {
                         return;
                     }
-                    sim.log(|| format!("node {i} answers a {request:?} of {id}: {response:?}"));
+                    sim.log(|| format!("node {node} answers a {request:?} of {id}: {response:?}"));
                     sim.observe_response(&id, request, observed_state, response);
                     then(sim, response);
                 });
             };
-            sim.handle_request(i, job, request, Box::new(respond));
+            sim.handle_request(node, job, request, Box::new(respond));
         });
     }
 
@@ -84,7 +85,7 @@
         let first = self.random(0, node_count - 1) as usize;
         (0..node_count as usize)
             .map(|offset| (first + offset) % node_count as usize)
-            .find(|&i| self.nodes[i].up && !self.is_paused(i))
+            .find(|&node| self.nodes[node].up && !self.is_paused(node))
             .unwrap_or(first)
     }
 
@@ -102,7 +103,7 @@
         if self.submission_timeout.is_some_and(|p| now >= first + p) {
             return;
         }
-        let i = self.pick_node();
+        let node = self.pick_node();
         let job = id.clone();
         // With rate limits the delay is random, as with `Retry-After`.
         let retry_delay = if self.limits.is_some() {
@@ -111,7 +112,7 @@
             1_500_000
         };
         let retry_at = self.now + Micros(retry_delay);
-        self.send_request(i, &id, Request::Submit, move |sim, response| {
+        self.send_request(node, &id, Request::Submit, move |sim, response| {
             if matches!(response, Response::Malformed | Response::Unschedulable)
                 && let Some(job) = sim.jobs.get_mut(&job)
             {
@@ -127,8 +128,8 @@
             return;
         };
         job.cancel_requested = true;
-        let i = self.pick_node();
-        self.send_request(i, &id, Request::Cancel, |_, _| {});
+        let node = self.pick_node();
+        self.send_request(node, &id, Request::Cancel, |_, _| {});
         self.after(Micros::from_millis(1500), move |sim| sim.cancel(id));
     }
 
@@ -142,8 +143,8 @@
         } else {
             5_000_000
         };
-        let i = self.pick_node();
-        self.send_request(i, &id, Request::Poll, |_, _| {});
+        let node = self.pick_node();
+        self.send_request(node, &id, Request::Poll, |_, _| {});
         self.after(Micros(interval), move |sim| sim.poll(id));
     }
 
@@ -153,11 +154,11 @@
         if self.now >= self.user_behavior.concurrent_reads_until {
             return;
         }
-        for i in 0..self.nodes.len() {
+        for node in 0..self.nodes.len() {
             for request in [Request::Poll, Request::Poll, Request::Poll, Request::Submit] {
                 let (id, wait) = (id.clone(), Micros(self.random(0, 80_000)));
                 self.after(wait, move |sim| {
-                    sim.send_request(i, &id, request, |_, _| {})
+                    sim.send_request(node, &id, request, |_, _| {})
                 });
             }
         }
@@ -212,11 +213,11 @@
         let window_us = [20_000, 800_000][self.random(0, 1) as usize];
         let (job, wait) = (id.clone(), Micros(self.random(0, window_us)));
         self.after(wait, move |sim| sim.cancel(job));
-        for i in 0..self.nodes.len() {
+        for node in 0..self.nodes.len() {
             for request in [Request::Poll, Request::Poll, Request::Submit] {
                 let (id, wait) = (id.clone(), Micros(self.random(0, window_us)));
                 self.after(wait, move |sim| {
-                    sim.send_request(i, &id, request, |_, _| {})
+                    sim.send_request(node, &id, request, |_, _| {})
                 });
             }
         }
@@ -274,18 +275,18 @@
         if self.now >= self.user_behavior.malformed_requests_until {
             return;
         }
-        let i = self.pick_node();
+        let node = self.pick_node();
         match self.random(0, 3) {
             0 => {
                 if let Some(id) =
                     self.pick_job(|j| j.accepted_at.is_some() && j.observed_end.is_none())
                 {
-                    self.send_request(i, &id, Request::Submit, |_, _| {});
+                    self.send_request(node, &id, Request::Submit, |_, _| {});
                 }
             }
             1 => {
                 if let Some(id) = self.pick_job(|j| j.observed_end == Some(JobState::Done)) {
-                    self.send_request(i, &id, Request::Cancel, |_, _| {});
+                    self.send_request(node, &id, Request::Cancel, |_, _| {});
                 }
             }
             2 => self.submit_malformed(),
@@ -293,7 +294,7 @@
                 // Jobs with these IDs are never submitted.
                 let id = JobId::new(&format!("req-{}", 990_000 + self.random(0, 9_999)));
                 let request = [Request::Poll, Request::Cancel][self.random(0, 1) as usize];
-                self.send_request(i, &id, request, |_, _| {});
+                self.send_request(node, &id, request, |_, _| {});
             }
         }
         let pause = Micros(self.random(100_000, 700_000));
