--- a/crates/hopyoke-consistency/src/cancellation_log.rs
+++ b/crates/hopyoke-consistency/src/cancellation_log.rs
@@ -3,21 +3,21 @@
 use hopyoke_types::{JobId, ModRevision};
 use std::collections::BTreeMap;
 
-/// Cancellations that a node has acknowledged and a leader may not know of.
+/// Cancellations that a node has acknowledged and a leader may lack.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CancellationDelta {
     /// Cancelled jobs, in the order of their sequence numbers.
     pub jobs: Vec<JobId>,
     /// Sequence number up to which the leader has received entries once it has received these.
     pub last_sequence: u64,
-    /// With these entries the leader knows of all cancellations that the node has acknowledged so far.
+    /// Whether the leader, with these entries, has all cancellations that the node has acknowledged so far.
     pub is_complete: bool,
 }
 
 /// Records the cancellations that this process has acknowledged to users, by the revision that made them final.
 ///
-/// The revision decides which leader can be unaware of an entry: a leader that has applied all changes up to a
-/// revision knows of every cancellation up to it. Entries therefore do not expire. When there are too many, those of
+/// The revision decides which leader can lack an entry: a leader that has applied all changes up to a
+/// revision has every cancellation up to it. Entries therefore do not expire. When there are too many, those of
 /// the oldest revision are dropped, and a leader that has not applied that revision no longer receives a complete
 /// delta.
 #[derive(Debug, Clone)]
@@ -26,8 +26,8 @@
     entries: BTreeMap<(ModRevision, JobId), u64>,
     /// Sequence number of the last entry; entries are numbered from 1.
     last_sequence: u64,
-    /// Revision up to which entries may be missing; all missing entries are of this or an earlier one. `None`: not
-    /// known yet.
+    /// Revision up to which entries may be missing; all missing entries are of this or an earlier one. `None` if
+    /// it is not known yet.
     missing_up_to: Option<ModRevision>,
     max_entries: usize,
 }
--- a/crates/hopyoke-consistency/src/delivery.rs
+++ b/crates/hopyoke-consistency/src/delivery.rs
@@ -10,7 +10,7 @@
 }
 
 impl Cursor {
-    /// Returns the position in the log of the given incarnation; zero if the cursor belongs to another one.
+    /// Returns the position in the log of the given incarnation, or zero if the cursor belongs to another one.
     pub fn sequence_in(self, incarnation: u64) -> u64 {
         if self.incarnation == incarnation {
             self.sequence
--- a/crates/hopyoke-consistency/src/latency.rs
+++ b/crates/hopyoke-consistency/src/latency.rs
@@ -41,12 +41,12 @@
 pub struct TimeoutBounds {
     /// Minimum timeout, and the first one while the latency is unknown.
     pub floor: Micros,
-    /// Maximum timeout; a later response is of no use.
+    /// Maximum timeout. A later response is of no use.
     pub ceiling: Micros,
 }
 
 impl TimeoutBounds {
-    /// Creates bounds; a ceiling below the floor is raised to the floor.
+    /// Creates bounds. A ceiling below the floor is raised to the floor.
     #[must_use]
     pub fn new(floor: Micros, ceiling: Micros) -> TimeoutBounds {
         TimeoutBounds {
@@ -137,7 +137,7 @@
         });
     }
 
-    /// Records an upper bound of a request's latency: part of it may be time that the service was asked to wait. It
+    /// Records an upper bound of a request's latency: part of it may be time that the request allows the service to wait. It
     /// counts as a sample only if it does not exceed the current estimate, or if there is none.
     pub fn record_upper_bound(&mut self, latency: Micros, now: Micros) {
         if self
@@ -181,7 +181,7 @@
     }
 
     /// Returns the expected latency of a request that is sent now: the lower of the smoothed latency and the last
-    /// sample, so that a service that has become fast is used at once. Returns `None` without a valid sample.
+    /// sample, so that a service that has become fast is used immediately. Returns `None` without a valid sample.
     #[must_use]
     pub fn expected(&self, now: Micros) -> Option<Micros> {
         self.valid_estimate(now)
@@ -227,7 +227,7 @@
     Write,
     /// Grants, renewals and revocations of leases.
     Lease,
-    /// Watches, excluding the time for which the store was asked to wait.
+    /// Watches, excluding the time that the request allows the store to wait.
     Watch,
 }
 
@@ -292,7 +292,7 @@
     }
 
     /// Returns the expected latency of one kind of request; see [`LatencyEstimator::expected`]. Without a valid
-    /// sample of this kind it is that of the slowest kind: a leader seldom reads, and must know beforehand whether
+    /// sample of this kind it is that of the slowest kind: a leader seldom reads, and must decide beforehand whether
     /// there is time for two reads in sequence.
     #[must_use]
     pub fn expected(&self, kind: RequestKind, now: Micros) -> Option<Micros> {
--- a/crates/hopyoke-consistency/src/leader_lease.rs
+++ b/crates/hopyoke-consistency/src/leader_lease.rs
@@ -8,15 +8,15 @@
 //!
 //! This relies on the following:
 //!
-//! - A peer grants support only if it neither leads nor campaigns, and knows that none of its earlier campaigns can
-//!   still succeed. It does not campaign until the support has expired. A restarted peer does not know what it has
-//!   granted, so it waits for the maximum duration of support before it campaigns.
+//! - A peer grants support only if it neither leads nor campaigns, and none of its earlier campaigns can still
+//!   succeed. It does not campaign until the support has expired. A restarted peer has lost the record of
+//!   what it granted, so it waits for the maximum duration of support before it campaigns.
 //! - Support counts from the time at which the leader sent the request, so the leader never relies on it for longer
 //!   than the peer does.
 //! - Support extends only a lease that is valid at that moment. A leader whose lease was not valid must renew it
 //!   first, because another node may have led in the meantime. Guards the invariant `ran_twice`.
-//! - Support comes with all cancellations that the peer has acknowledged to users and that the leader may not know
-//!   of. A peer that cannot list them all, because it was restarted since or dropped some, grants no support; see
+//! - Support comes with all cancellations that the peer has acknowledged to users and that the leader may
+//!   lack. A peer that cannot list them all, because it was restarted since or dropped some, grants no support; see
 //!   [`CancellationLog`](crate::CancellationLog). Guards the invariant `ran_cancelled`.
 
 use crate::latency::TimeoutBounds;
--- a/crates/hopyoke-consistency/src/lib.rs
+++ b/crates/hopyoke-consistency/src/lib.rs
@@ -3,7 +3,7 @@
 //! A leader can outlive an outage of the key-value store while all its peers support its lease ([`leader_lease`]). It
 //! then receives no changes from the store, so each grant of support carries the cancellations that the peer has
 //! acknowledged to users since the leader's last applied revision. Otherwise the leader would keep tasks of cancelled
-//! jobs alive. Guards the invariant `ran_cancelled`.
+//! jobs running. Guards the invariant `ran_cancelled`.
 //!
 //! - [`leader_lease`]: the time for which a leader may command agents.
 //! - [`CancellationLog`], on every node: the cancellations that the node has acknowledged. An entry is appended
--- a/crates/hopyoke-consistency/src/read_index.rs
+++ b/crates/hopyoke-consistency/src/read_index.rs
@@ -5,7 +5,7 @@
 //! replica up to that point and serves all reads that are pending when it is sent. A read that arrives while a query
 //! is in flight needs a later one, because the response may be older than what another node has since reported to the
 //! same user. If the store is slow, the later query need not wait for the response to the first: up to
-//! [`Limits::max_in_flight`] queries are in flight at once, each for the reads that arrived before it.
+//! [`Limits::max_in_flight`] queries are in flight at the same time, each for the reads that arrived before it.
 //!
 //! The module performs no I/O: [`ReadIndex`] decides when to query and which reads a response serves.
 
@@ -38,7 +38,7 @@
 /// Limits of pending reads and of queries.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Maximum number of pending reads; further ones are rejected.
+    /// Maximum number of pending reads. Further ones are rejected.
     pub max_waiting: usize,
     /// Time that a query is delayed to batch further reads.
     pub batch_delay: Micros,
@@ -115,7 +115,7 @@
     }
 
     /// Registers a read that arrives now. Returns `None` if too many reads are pending; the read must then be
-    /// rejected at once.
+    /// rejected immediately.
     pub fn enqueue(&mut self, now: Micros) -> Option<Ticket> {
         self.time_out_reads(now);
         if self.waiting.len() >= self.limits.max_waiting {
--- a/crates/hopyoke-protocol/src/cloud.rs
+++ b/crates/hopyoke-protocol/src/cloud.rs
@@ -114,13 +114,13 @@
     /// Being provisioned. Charged.
     #[serde(rename = "booting")]
     Booting,
-    /// Running, as far as the provider knows.
+    /// Running, as reported by the provider.
     #[serde(rename = "running")]
     Running,
     /// Failed or shut down by itself. No longer charged, but listed until it is deleted.
     #[serde(rename = "failed")]
     Failed,
-    /// Any state that this version does not know.
+    /// Any state that this version does not recognize.
     #[serde(other)]
     Other,
 }
--- a/crates/hopyoke-protocol/src/state.rs
+++ b/crates/hopyoke-protocol/src/state.rs
@@ -127,7 +127,7 @@
 /// Response to a [`LeaseGrantRequest`].
 #[derive(Debug, Deserialize)]
 pub struct LeaseGrantResponse {
-    /// Id of the lease, for attaching keys and renewing it.
+    /// ID of the lease, for attaching keys and renewing it.
     #[serde(rename = "tether")]
     pub lease: u64,
 }
--- a/crates/hopyoke-protocol/src/user.rs
+++ b/crates/hopyoke-protocol/src/user.rs
@@ -41,7 +41,7 @@
 /// Specification of a job, as submitted by its user. [`JobSpec::check`] validates the ranges of the fields.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique id, chosen by the user. It is the idempotency key of the submission.
+    /// Unique ID, chosen by the user. It is the idempotency key of the submission.
     pub id: JobId,
     /// Class of similar jobs, for which objectives are set and run times learned; 1 to 200 bytes.
     #[serde(rename = "berth")]
@@ -150,7 +150,7 @@
 /// Response to a submission, query or cancellation.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobStatusResponse<'a> {
-    /// Id of the job.
+    /// ID of the job.
     pub id: &'a str,
     /// State of the job.
     #[serde(rename = "bearing")]
--- a/crates/hopyoke-protocol/src/user/submission.rs
+++ b/crates/hopyoke-protocol/src/user/submission.rs
@@ -1,4 +1,4 @@
-//! Decoding and validation of submissions. Errors refer to fields by their names on the wire, which users know.
+//! Decoding and validation of submissions. Errors refer to fields by their names on the wire, as users write them.
 
 use super::JobSpec;
 use crate::{decode, encode};
@@ -23,7 +23,7 @@
     /// The body is not a MessagePack map.
     #[error("the body must be a MessagePack map")]
     NotAMap,
-    /// The id is not a well-formed job id.
+    /// The ID is not a well-formed job ID.
     #[error("id: must be 'req-' followed by digits")]
     InvalidId,
     /// A name is empty or too long.
@@ -73,7 +73,7 @@
         /// Message of the decoder, which lists the variants.
         error: String,
     },
-    /// An optional field has a value of the wrong type. The decoder does not say which one.
+    /// An optional field has a value of the wrong type. The decoder does not name it.
     #[error("{0} (rigs, basin or ashore_s)")]
     OptionalField(String),
     /// Any other error, such as a missing field, with the message of the decoder.
--- a/crates/hopyoke-protocol/src/worker.rs
+++ b/crates/hopyoke-protocol/src/worker.rs
@@ -105,7 +105,7 @@
     /// Start refused: the job or task has never been submitted.
     #[serde(rename = "no_such")]
     UnknownTask,
-    /// Any reason that this version does not know. The attempt has ended without completing.
+    /// Any reason that this version does not recognize. The attempt has ended without completing.
     #[serde(other)]
     Other,
 }
@@ -138,7 +138,7 @@
         #[serde(rename = "slack_s")]
         grace_s: f64,
     },
-    /// Acknowledges the end of an attempt. The agent drops it from its heartbeats and keeps no memory of it.
+    /// Acknowledges the end of an attempt. The agent drops it from its heartbeats and retains no state of it.
     #[serde(rename = "reap")]
     Acknowledge {
         /// Task, as `JOB/INDEX`.
@@ -178,7 +178,7 @@
 /// Redirect of an agent to the node that handles its heartbeats.
 #[derive(Debug, Serialize)]
 pub struct HeartbeatRedirect<'a> {
-    /// Name of that node. If `None`, the agent tries the next node that it knows.
+    /// Name of that node. If `None`, the agent tries the next node in its list.
     #[serde(rename = "harbormaster", skip_serializing_if = "Option::is_none")]
     pub target: Option<&'a str>,
 }
--- a/crates/hopyoke-run-times/src/learner.rs
+++ b/crates/hopyoke-run-times/src/learner.rs
@@ -27,14 +27,14 @@
     pub class: &'a str,
     /// Name of the owner's team.
     pub team: &'a str,
-    /// The owner's estimate in seconds; ignored if it is 0 or out of range.
+    /// The owner's estimate in seconds. Ignored if it is 0 or out of range.
     pub estimate_s: f64,
 }
 
 /// Memory limits and rate of decay.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Maximum number of classes; those with the lowest retention score are evicted.
+    /// Maximum number of classes. Those with the lowest retention score are evicted.
     pub classes: usize,
     /// Number of runs after which the weight of an older run has fallen to 1/e.
     pub decay_runs: f32,
@@ -103,7 +103,7 @@
     pub(crate) model: Model,
     /// Value of `observation_count` when the model was last updated.
     last_used: u64,
-    /// Page on which the model is stored; `None` if it is not persisted.
+    /// Page on which the model is stored. `None` if it is not persisted.
     pub(crate) page: Option<u16>,
     /// Exponentially weighted mean of recent deviations, which is common to all machines.
     drift: f32,
@@ -130,11 +130,11 @@
     /// Log factor of its slowest machine when it started.
     log_factor: f32,
     started_at: Micros,
-    /// Run time before `started_at`; `None` if it is not known.
+    /// Run time before `started_at`. `None` if it is not known.
     elapsed_before: Option<Micros>,
     band: Band,
     is_overdue: bool,
-    /// Predicted p90 of its end; `None` if its start time is not known.
+    /// Predicted p90 of its end. `None` if its start time is not known.
     expected_end: Option<Micros>,
 }
 
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Returns the mean time in seconds from a start command until the task runs, for a class; 0 if the
-    /// class has no model.
+    /// Returns the mean time in seconds from a start command until the task runs, for a class. Returns 0 if
+    /// the class has no model.
     pub fn start_latency_s(&self, class: &str) -> f64 {
         self.classes
             .get(class)
--- a/crates/hopyoke-run-times/src/learner/outcomes.rs
+++ b/crates/hopyoke-run-times/src/learner/outcomes.rs
@@ -13,7 +13,7 @@
 const MAX_TEAMS: usize = 64;
 
 impl Entry {
-    /// Records a completed run by its log run time; `adjusted` is the same less its machine's log factor.
+    /// Records a completed run by its log run time. `adjusted` is that time less its machine's log factor.
     fn record_completed(
         &mut self,
         run: &ActiveRun,
@@ -176,7 +176,7 @@
             return;
         }
         if entries.len() >= max_entries {
-            // Evicts the lowest-scoring eighth at once to amortize the cost. Recent use and many runs
+            // Evicts the lowest-scoring eighth together to amortize the cost. Recent use and many runs
             // raise the score.
             let retention_score =
                 |e: &Entry| e.last_used as f64 + 100.0 * f64::from(e.model.runs).ln_1p();
--- a/crates/hopyoke-run-times/src/learner/overdue.rs
+++ b/crates/hopyoke-run-times/src/learner/overdue.rs
@@ -1,5 +1,5 @@
-//! Detects active runs that exceed their predicted bands; many of one class indicate that its run times
-//! have changed.
+//! Detects active runs that exceed their predicted bands. Many of them in one class indicate that its run
+//! times have changed.
 
 use super::{ActiveRun, Learner, RunKey, Workload, log_seconds};
 use crate::distribution::{Distribution, GRID, P90};
@@ -57,13 +57,13 @@
         clock_offset: Micros,
         split_attempt: &dyn Fn(Attempt) -> (u64, Micros),
     ) {
-        let undated: Vec<RunKey> = self
+        let keys_without_start: Vec<RunKey> = self
             .running
             .iter()
             .filter(|(_, r)| r.elapsed_before.is_none())
             .map(|(k, _)| k.clone())
             .collect();
-        for key in undated {
+        for key in keys_without_start {
             let (token, granted_to_command) = split_attempt(key.1);
             let Some(granted_at) = self.token_granted_at(token) else {
                 continue;
--- a/crates/hopyoke-run-times/src/machines.rs
+++ b/crates/hopyoke-run-times/src/machines.rs
@@ -56,7 +56,8 @@
         self.0.remove(id);
     }
 
-    /// Returns the log of the machine's run time factor, shrunk towards 0; 0 if it has no observed runs.
+    /// Returns the log of the machine's run time factor, shrunk towards 0. Returns 0 if it has no observed
+    /// runs.
     pub(crate) fn log_factor(&self, id: &MachineId) -> f32 {
         self.0
             .get(id)
--- a/crates/hopyoke-run-times/src/pages.rs
+++ b/crates/hopyoke-run-times/src/pages.rs
@@ -66,7 +66,7 @@
     /// The page has another format version.
     #[error("unsupported version {0}, expected {VERSION}")]
     Version(u32),
-    /// Some entries are invalid; valid entries were loaded unless the present ones have more runs.
+    /// Some entries are invalid. Valid entries were loaded unless the present ones have more runs.
     #[error("{invalid} entries are invalid, {loaded} were loaded")]
     Entries {
         /// Number of invalid entries, which were skipped.
@@ -281,7 +281,7 @@
             .any(|p| p.dirty && !p.writing)
     }
 
-    /// Records the end of a page's write; a page whose write failed stays dirty and is written again.
+    /// Records the end of a page's write. A page whose write failed stays dirty and is written again.
     pub fn page_write_finished(&mut self, key: PageKey, succeeded: bool) {
         let page = self.page_allocator.page_mut(key);
         page.writing = false;
--- a/crates/hopyoke-run-times/src/sketch.rs
+++ b/crates/hopyoke-run-times/src/sketch.rs
@@ -33,7 +33,7 @@
 }
 
 impl Sketch {
-    /// Adds a value; ignores it if it is not finite. All weights decay once per `decay_runs / 4` values,
+    /// Adds a value. A value that is not finite is ignored. All weights decay once per `decay_runs / 4` values,
     /// so that a value's weight falls to 1/e after `decay_runs` further values.
     pub(crate) fn add(&mut self, x: f32, decay_runs: f32) {
         let x = f64::from(if x.is_finite() {
--- a/crates/hopyoke-settings/src/check.rs
+++ b/crates/hopyoke-settings/src/check.rs
@@ -46,35 +46,44 @@
         }
     }
 
-    fn node_settings(&mut self, s: &Settings) {
-        let f = &s.platform;
-        self.require(!s.node.is_empty(), "node", "must not be empty");
-        self.require(!s.zone.is_empty(), "zone", "must not be empty");
+    fn node_settings(&mut self, settings: &Settings) {
+        let platform = &settings.platform;
+        self.require(!settings.node.is_empty(), "node", "must not be empty");
+        self.require(!settings.zone.is_empty(), "zone", "must not be empty");
         self.require(
-            s.peers.iter().all(|p| p.node != s.node),
+            settings.peers.iter().all(|p| p.node != settings.node),
             "others",
             "must not name this node",
         );
-        self.require(f.nodes >= 1, "facts.nodes", "must be at least 1");
+        self.require(platform.nodes >= 1, "facts.nodes", "must be at least 1");
         self.require(
-            !f.zones.is_empty(),
+            !platform.zones.is_empty(),
             "facts.zones",
             "must name at least one zone",
         );
     }
 
-    fn positive_values(&mut self, f: &PlatformSettings) {
+    fn positive_values(&mut self, platform: &PlatformSettings) {
         for (field, value) in [
-            ("facts.workers.report_s", f.agents.heartbeat_interval_s),
-            ("facts.workers.lease_s", f.agents.lease_s),
-            ("facts.workers.gang_wait_s", f.agents.gang_wait_s),
-            ("facts.workers.gang_peer_s", f.agents.gang_loss_detection_s),
-            ("facts.workers.cancel_s", f.agents.cancellation_bound_s),
-            ("facts.state.rps", f.store.max_requests_per_s),
-            ("facts.state.write_rps", f.store.max_writes_per_s),
-            ("facts.cloud.rps", f.cloud.max_requests_per_s),
-            ("facts.machine_limits.cores", f.limits.cpu_cores),
-            ("facts.machine_limits.mem_mb", f.limits.memory_mib),
+            (
+                "facts.workers.report_s",
+                platform.agents.heartbeat_interval_s,
+            ),
+            ("facts.workers.lease_s", platform.agents.lease_s),
+            ("facts.workers.gang_wait_s", platform.agents.gang_wait_s),
+            (
+                "facts.workers.gang_peer_s",
+                platform.agents.gang_loss_detection_s,
+            ),
+            (
+                "facts.workers.cancel_s",
+                platform.agents.cancellation_bound_s,
+            ),
+            ("facts.state.rps", platform.store.max_requests_per_s),
+            ("facts.state.write_rps", platform.store.max_writes_per_s),
+            ("facts.cloud.rps", platform.cloud.max_requests_per_s),
+            ("facts.machine_limits.cores", platform.limits.cpu_cores),
+            ("facts.machine_limits.mem_mb", platform.limits.memory_mib),
         ] {
             self.require(
                 value.is_finite() && value > 0.0 && value < 1e9,
@@ -84,56 +93,56 @@
         }
     }
 
-    fn limits(&mut self, f: &PlatformSettings) {
+    fn limits(&mut self, platform: &PlatformSettings) {
         self.require(
-            f.cloud.list_lag_s >= 0.0,
+            platform.cloud.list_lag_s >= 0.0,
             "facts.cloud.list_lag_s",
             "must be at least 0",
         );
         self.require(
-            f.clock_skew_ms >= 0.0,
+            platform.clock_skew_ms >= 0.0,
             "facts.skew_ms",
             "must be at least 0",
         );
         self.require(
-            f.store.max_value_kib >= 4.0,
+            platform.store.max_value_kib >= 4.0,
             "facts.state.value_kb",
             "must be at least 4, to hold a job record",
         );
         self.require(
-            f.store.max_txn_mutations >= 4,
+            platform.store.max_txn_mutations >= 4,
             "facts.state.txn_ops",
             "must be at least 4",
         );
         self.require(
-            f.limits.max_connections >= 32,
+            platform.limits.max_connections >= 32,
             "facts.machine_limits.max_connections",
             "must be at least 32",
         );
         // Ensures that the terms of `cancellation_bound` fit in `cancel_s`: the leader's lease is a third of what the
         // agent's lease and the watch leave of it.
         self.require(
-            f.agents.cancellation_bound_s > f.agents.lease_s * LEASE_DRIFT + 5.0,
+            platform.agents.cancellation_bound_s > platform.agents.lease_s * LEASE_DRIFT + 5.0,
             "facts.workers.cancel_s",
             "must exceed lease_s by over 5 s: cancelled tasks may run until their agent's lease expires",
         );
     }
 
-    fn team(&mut self, i: usize, t: &Team) {
+    fn team(&mut self, index: usize, team: &Team) {
         self.require(
-            !t.name.is_empty(),
-            &format!("facts.teams[{i}].name"),
+            !team.name.is_empty(),
+            &format!("facts.teams[{index}].name"),
             "must not be empty",
         );
         for (field, amount) in [
-            ("cpus", t.guaranteed_cpus),
-            ("cpus_max", t.max_cpus),
-            ("gpus", t.guaranteed_gpus),
-            ("gpus_max", t.max_gpus),
+            ("cpus", team.guaranteed_cpus),
+            ("cpus_max", team.max_cpus),
+            ("gpus", team.guaranteed_gpus),
+            ("gpus_max", team.max_gpus),
         ] {
             self.require(
                 amount.is_finite() && amount >= 0.0,
-                &format!("facts.teams[{i}].{field}"),
+                &format!("facts.teams[{index}].{field}"),
                 "must be at least 0",
             );
         }
--- a/crates/hopyoke-settings/src/lib.rs
+++ b/crates/hopyoke-settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings file of the platform: loading and validation. All invalid fields are reported at once, each with a reason.
+//! Settings file of the platform: loading and validation. All invalid fields are reported together, each with a reason.
 //!
 //! Names in the file that differ from the names in the code are declared here as serde renames. Names of durations end
 //! in `_s` (seconds) or `_ms` (milliseconds).
--- a/crates/hopyoke-simulator/src/agent/gangs.rs
+++ b/crates/hopyoke-simulator/src/agent/gangs.rs
@@ -1,4 +1,4 @@
-//! Gang scheduling on agents: the tasks of a gang run only all together.
+//! Gang scheduling on agents: the tasks of a gang run only once all of them are ready.
 
 use crate::Simulation;
 use hopyoke_protocol::user::JobKind;
--- a/crates/hopyoke-simulator/src/agent/mod.rs
+++ b/crates/hopyoke-simulator/src/agent/mod.rs
@@ -163,7 +163,7 @@
         self.machines.get(id).map_or(0, |m| m.epoch)
     }
 
-    /// Returns when a hanging machine resumes. Returns `None` if it doesn't hang.
+    /// Returns when a hanging machine resumes. Returns `None` if it does not hang.
     pub(crate) fn paused_until(&self, id: &MachineId) -> Option<Micros> {
         self.machines
             .get(id)
--- a/crates/hopyoke-simulator/src/agent/tasks.rs
+++ b/crates/hopyoke-simulator/src/agent/tasks.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Starts a task, or records the attempt as ended with the reason why it can't run on this machine.
+    /// Starts a task, or records the attempt as ended with the reason why it cannot run on this machine.
     fn start_task(&mut self, id: &MachineId, task: &str, attempt: Attempt) {
         let now = self.now;
         let Some(task) = TaskId::parse(task) else {
@@ -85,7 +85,7 @@
         });
     }
 
-    /// Returns why a task can't start on a machine. Returns `None` if it can.
+    /// Returns why a task cannot start on a machine. Returns `None` if it can.
     fn rejection_reason(&self, m: &Agent, task: &TaskId) -> Option<ExitReason> {
         let Some(spec) = self.jobs.get(&task.job).map(|j| &j.spec) else {
             return Some(ExitReason::UnknownTask);
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -1,5 +1,5 @@
 //! User API of the simulated nodes, modelled on the daemon. Any node answers requests itself, from the terminal states
-//! that it knows, its scheduler or the records in the key-value store.
+//! that it has written or read, its scheduler or the records in the key-value store.
 
 use super::kv_store::{Mutation, Value};
 use super::lookup::Lookup;
@@ -67,7 +67,7 @@
 const RETRY_AFTER: Micros = Micros::from_secs(1);
 
 impl Simulation {
-    /// Handles a user's request at node `i`. `respond` is not called if the key-value store does not answer.
+    /// Handles a user's request at a node. `respond` is not called if the key-value store does not answer.
     pub(crate) fn handle_request(
         &mut self,
         node: usize,
@@ -102,7 +102,7 @@
         self.answer_or_forward(node, id, request, deadline, respond);
     }
 
-    /// Returns how long node `i` waits for the leader's response to a poll. Returns `None` if it does not forward it.
+    /// Returns how long a node waits for the leader's response to a poll. Returns `None` if it does not forward it.
     fn forward_timeout(&self, node: usize, leader: usize, deadline: Micros) -> Option<Micros> {
         let latency = self.expected_latency(node, RequestKind::Read);
         leader_forward_timeout(
@@ -112,13 +112,13 @@
         )
     }
 
-    /// Returns whether the key-value store accepts requests of node `i` and no partition separates them.
+    /// Returns whether the key-value store accepts a node's requests and no partition separates them.
     fn reaches_store(&self, node: usize) -> bool {
         let partition = self.partition_between(Host::Node(node), Host::KvStore);
         !self.store_rejects(node) && partition.is_none()
     }
 
-    /// Answers a request at node `i`, or forwards it to a peer if only the peer can reach the store.
+    /// Answers a request at a node, or forwards it to a peer if only the peer can reach the store.
     fn answer_or_forward(
         &mut self,
         node: usize,
@@ -130,7 +130,8 @@
         if self.reaches_store(node) {
             return self.answer_locally(node, id, request, deadline, respond);
         }
-        let is_reachable = |j: &usize| *j != node && self.nodes[*j].up && self.reaches_store(*j);
+        let is_reachable =
+            |peer: &usize| *peer != node && self.nodes[*peer].up && self.reaches_store(*peer);
         let peer = (0..self.nodes.len()).find(is_reachable);
         let Some(peer) = peer else {
             return respond(self, Response::RetryAfter(RETRY_AFTER));
@@ -418,7 +419,7 @@
         });
     }
 
-    /// Registers a final state that node `i` has written or read, so that from now on it may report it to users. Before
+    /// Registers a final state that a node has written or read, so that from now on it may report it to users. Before
     /// that a cancellation is appended to the cancellation log, for leaders that may not have seen it, and the node's
     /// own scheduler drops the job.
     pub(crate) fn register_terminal_state(
--- a/crates/hopyoke-simulator/src/digest.rs
+++ b/crates/hopyoke-simulator/src/digest.rs
@@ -27,10 +27,10 @@
     /// A request to delete machines.
     ScaleIn = 7,
     /// A response as received by a user.
-    UserAnswer = 8,
+    UserResponse = 8,
     /// A value drawn from the random number generator.
     Draw = 9,
-    /// An event taken from the event queue.
+    /// An event removed from the event queue.
     Step = 10,
 }
 
--- a/crates/hopyoke-simulator/src/ground_truth.rs
+++ b/crates/hopyoke-simulator/src/ground_truth.rs
@@ -4,7 +4,7 @@
 use hopyoke_types::{JobId, Micros};
 use std::rc::Rc;
 
-/// True state of a job, independent of what nodes, agents and its user have learned.
+/// True state of a job, independent of what nodes, agents and its user have observed.
 pub struct JobGroundTruth {
     /// Job description.
     pub spec: Rc<JobSpec>,
@@ -24,7 +24,7 @@
     pub malformed_body: Option<Vec<u8>>,
     /// Whether the user has requested cancellation.
     pub cancel_requested: bool,
-    /// Whether it has been drawn if the user cancels the job at its end.
+    /// Whether the draw for a cancellation at the job's end has been made.
     pub cancel_at_end_drawn: bool,
     /// When the user first observed that the job is cancelled.
     pub cancelled_at: Option<Micros>,
--- a/crates/hopyoke-simulator/src/invariants/schedulable.rs
+++ b/crates/hopyoke-simulator/src/invariants/schedulable.rs
@@ -122,24 +122,24 @@
         let is_gang = spec.kind == JobKind::Gang;
         let task = Resources::of_task(spec);
         let tasks = if is_gang { spec.tasks } else { 1 };
-        let taken = usage.teams.get(&spec.team).copied().unwrap_or_default();
+        let used = usage.teams.get(&spec.team).copied().unwrap_or_default();
         if !self
             .team(&spec.team)
-            .is_within_limit(&(taken + task.times(f64::from(tasks))))
+            .is_within_limit(&(used + task.times(f64::from(tasks))))
         {
             return false;
         }
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
-        for r in &usage.free {
+        for machine in &usage.free {
             let allowed = spec
                 .machine_types
                 .as_ref()
-                .is_none_or(|t| t.contains(&r.machine_type))
-                && spec.zone.as_ref().is_none_or(|z| *z == r.zone)
-                && (spec.spot || !r.spot);
+                .is_none_or(|t| t.contains(&machine.machine_type))
+                && spec.zone.as_ref().is_none_or(|z| *z == machine.zone)
+                && (spec.spot || !machine.spot);
             if allowed {
-                let fitting_tasks = by_zone.entry(&r.zone).or_default();
-                *fitting_tasks = fitting_tasks.saturating_add(r.free.max_tasks(&task));
+                let fitting_tasks = by_zone.entry(&machine.zone).or_default();
+                *fitting_tasks = fitting_tasks.saturating_add(machine.free.max_tasks(&task));
             }
         }
         // A spread job may have at most half of its tasks in a zone.
--- a/crates/hopyoke-simulator/src/kv_store.rs
+++ b/crates/hopyoke-simulator/src/kv_store.rs
@@ -156,9 +156,9 @@
 /// Outcome of a transaction that the store does not reject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TransactionOutcome {
-    /// Evaluated at once, and its result is returned.
+    /// Evaluated immediately, and its result is returned.
     Applied,
-    /// Evaluated at once, but the response is lost.
+    /// Evaluated immediately, but the response is lost.
     ResponseLost,
     /// Evaluated after this delay, possibly after newer transactions, without a response.
     Delayed(Micros),
@@ -178,7 +178,7 @@
 pub(crate) struct HeartbeatsForNextLeader {
     /// Share of the heartbeats that are delivered normally and once more to the new leader.
     pub(crate) copied: FaultWindow,
-    /// Share of the heartbeats that are delivered only then, when their agents have given up on them.
+    /// Share of the heartbeats that are delivered only then, after they have timed out at their agents.
     pub(crate) held: FaultWindow,
     /// Delay of the delivery after the leader's start.
     pub(crate) after: Micros,
--- a/crates/hopyoke-simulator/src/limits.rs
+++ b/crates/hopyoke-simulator/src/limits.rs
@@ -147,10 +147,7 @@
             return Ok(());
         }
         let (now, is_leader) = (self.now, self.nodes[node].leadership.is_some());
-        let team = self
-            .jobs
-            .get(job)
-            .map_or("", |peer| peer.spec.team.as_str());
+        let team = self.jobs.get(job).map_or("", |j| j.spec.team.as_str());
         let team = self
             .config
             .teams
--- a/crates/hopyoke-simulator/src/lookup.rs
+++ b/crates/hopyoke-simulator/src/lookup.rs
@@ -47,13 +47,13 @@
 }
 
 impl Simulation {
-    /// Returns whether node `i` has too little time for two consecutive reads before a deadline.
+    /// Returns whether a node has too little time for two consecutive reads before a deadline.
     pub(crate) fn must_read_in_parallel(&self, node: usize, deadline: Micros) -> bool {
         let latency = self.expected_latency(node, RequestKind::Read);
         must_read_concurrently(latency, deadline - self.now)
     }
 
-    /// Reads the final state of a job that is not unfinished as far as the leader knows.
+    /// Reads the final state of a job that the leader's scheduler does not hold as unfinished.
     pub(crate) fn look_up_terminal_state(
         &mut self,
         node: usize,
@@ -78,7 +78,7 @@
         );
     }
 
-    /// Looks up a job's record. A record only ever moves from `job/` to `end/`, so reading the keys in this order can't
+    /// Looks up a job's record. A record only ever moves from `job/` to `end/`, so reading the keys in this order cannot
     /// miss it. If time is short both are read in parallel.
     pub(crate) fn look_up(
         &mut self,
--- a/crates/hopyoke-simulator/src/network.rs
+++ b/crates/hopyoke-simulator/src/network.rs
@@ -67,8 +67,8 @@
         zone.map_or(Host::Agents, Host::AgentsInZone)
     }
 
-    /// Partitions a zone from all other zones, the key-value store and the cloud. Node `i` is in zone `i` modulo the
-    /// number of zones.
+    /// Partitions a zone from all other zones, the key-value store and the cloud. A node's zone is its
+    /// index modulo the number of zones.
     pub(crate) fn partition_zone(&mut self, zone: usize, until: Micros, holds_packets: bool) {
         let (nodes, zones) = (self.nodes.len(), self.config.zones.len());
         let (inside, outside): (Vec<usize>, Vec<usize>) =
--- a/crates/hopyoke-simulator/src/node/commands.rs
+++ b/crates/hopyoke-simulator/src/node/commands.rs
@@ -20,7 +20,7 @@
 }
 
 impl Simulation {
-    /// Pushes commands to an agent; fails at once if the node has no sockets left.
+    /// Pushes commands to an agent. Fails immediately if the node has no sockets left.
     pub(super) fn push_commands(&mut self, push: PushDelivery) {
         let PushDelivery {
             node,
@@ -49,14 +49,15 @@
                 && l.scheduler
                     .machines
                     .get(&machine)
-                    .is_some_and(|x| x.push_in_flight && x.epoch.max(1) == epoch)
+                    .is_some_and(|m| m.push_in_flight && m.epoch.max(1) == epoch)
             {
                 l.scheduler.push_failed(&machine, true, now);
             }
         });
     }
 
-    /// Delivers pushed commands to a machine, later if it hangs, its link holds them or the fault delays them.
+    /// Delivers pushed commands to a machine. The delivery is delayed while the machine hangs or its link holds commands
+    /// back, or by an injected fault.
     fn deliver_pushed_commands(&mut self, push: PushDelivery) {
         let held = self
             .machines
--- a/crates/hopyoke-simulator/src/node/election.rs
+++ b/crates/hopyoke-simulator/src/node/election.rs
@@ -20,7 +20,7 @@
 }
 
 impl Simulation {
-    /// Reads the leader's key and campaigns if it is free; repeats until the node leads.
+    /// Reads the leader's key and campaigns if it is free. Repeats until the node leads.
     pub(super) fn campaign(&mut self, node: usize, process: u64, is_first: bool) {
         if !self.alive(node, process) || self.nodes[node].leadership.is_some() {
             return;
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Ends a campaign of the process that can't succeed any more.
+    /// Ends a campaign of the process that can no longer succeed.
     fn campaign_completed(&mut self, node: usize, process: u64) {
         if self.alive(node, process) {
             self.campaign_answered(node);
--- a/crates/hopyoke-simulator/src/node/failover.rs
+++ b/crates/hopyoke-simulator/src/node/failover.rs
@@ -24,12 +24,12 @@
     learned: Vec<(String, hopyoke_run_times::Page)>,
     /// Revision of the first page of jobs, from which a watch misses no change.
     revision: Option<ModRevision>,
-    /// Last key read; `None` before the registry is read.
+    /// Last key read. `None` before the registry is read.
     last_key: Option<String>,
 }
 
 impl RecordScan {
-    /// Reads the registry, or the next page of jobs; returns whether more records follow.
+    /// Reads the registry, or the next page of jobs. Returns whether more records follow.
     fn read_page(&mut self, store: &KvStore, max_records: usize) -> bool {
         let Some(last_key) = self.last_key.take() else {
             for (key, e) in &store.entries {
@@ -109,19 +109,19 @@
                     if sim.may_take_over(node, process, scan.lease) {
                         sim.read_records(node, process, scan);
                     } else {
-                        sim.give_up_takeover(node, process, scan.lease);
+                        sim.abandon_takeover(node, process, scan.lease);
                     }
                 });
             }
             let max_records = sim.limits.as_ref().map_or(RECORDS_PER_PAGE, |l| {
                 if l.nodes_unlimited { 200 } else { 400 }
             });
-            let more = scan.read_page(&sim.kv_store, max_records);
+            let has_more = scan.read_page(&sim.kv_store, max_records);
             sim.send(Host::KvStore, Host::Node(node), move |sim| {
                 if !sim.may_take_over(node, process, scan.lease) {
-                    return sim.give_up_takeover(node, process, scan.lease);
+                    return sim.abandon_takeover(node, process, scan.lease);
                 }
-                if more {
+                if has_more {
                     sim.read_records(node, process, scan)
                 } else {
                     sim.failover(node, process, scan)
@@ -139,9 +139,9 @@
             && self.is_taking_over(node)
     }
 
-    /// Abandons the failover: the lease, which a renewal may still extend after an outage, is left to expire, and the node
-    /// campaigns again. Tested by the scenario store_slow_then_outage.
-    fn give_up_takeover(&mut self, node: usize, process: u64, lease: u64) {
+    /// Abandons the failover. The lease is left to expire, although a renewal may still extend it after an outage, and the
+    /// node campaigns again. Tested by the scenario store_slow_then_outage.
+    fn abandon_takeover(&mut self, node: usize, process: u64, lease: u64) {
         if !self.alive(node, process) {
             return;
         }
@@ -153,7 +153,7 @@
 
     /// Starts to lead with the records read; the scheduler begins reconciliation.
     fn failover(&mut self, node: usize, process: u64, scan: RecordScan) {
-        let (token, at, revision) = (
+        let (token, granted_at, revision) = (
             scan.token,
             scan.granted_at,
             scan.revision.unwrap_or_default(),
@@ -165,7 +165,7 @@
             FencingToken(token),
             scan.jobs,
             scan.registry,
-            at,
+            granted_at,
         );
         scheduler.set_tuning(self.tuning.clone());
         scheduler.record_grant_time(self.now, self.now);
@@ -179,8 +179,8 @@
         let until = acquired.map_or(Micros::ZERO, |l| l.until);
         let mut leader_lease =
             LeaderLease::new(until, self.lease_ttl, WATCH_TIMEOUT, self.nodes.len());
-        leader_lease.changes_received(at);
-        scheduler.records_applied_to(revision, at);
+        leader_lease.changes_received(granted_at);
+        scheduler.records_applied_to(revision, granted_at);
         for id in self.nodes[node].cancellation_log.entries_after(revision) {
             scheduler.job_removed(&id, self.now);
         }
@@ -194,7 +194,7 @@
             delivery_cursors: DeliveryCursors::new(self.nodes.len()),
             watch_number: 0,
             batch_in_flight: false,
-            reconciling_since: Some(at),
+            reconciling_since: Some(granted_at),
             next_audit_at: Micros::ZERO,
         };
         self.nodes[node].leadership = Some(leadership);
--- a/crates/hopyoke-simulator/src/node/heartbeats.rs
+++ b/crates/hopyoke-simulator/src/node/heartbeats.rs
@@ -7,7 +7,7 @@
 use hopyoke_types::Micros;
 
 impl Simulation {
-    /// Handles a heartbeat that reaches a node; the response to a duplicate is dropped.
+    /// Handles a heartbeat that reaches a node. The response to a duplicate is dropped.
     pub(crate) fn node_heartbeat(
         &mut self,
         node: usize,
@@ -33,10 +33,10 @@
             // Nodes reject longer bodies.
             _ if heartbeat_chars(&heartbeat) > MAX_HEARTBEAT_CHARS => Err(None),
             Some(l) if lease_is_valid && heartbeat.token <= l.scheduler.token => {
-                let (entities_before, plans) =
+                let (entities_before, cycles_before) =
                     (l.scheduler.entities_visited(), l.scheduler.cycles());
                 let response = l.scheduler.heartbeat(&heartbeat, now);
-                if l.scheduler.cycles() == plans {
+                if l.scheduler.cycles() == cycles_before {
                     self.max_entities_per_heartbeat = self
                         .max_entities_per_heartbeat
                         .max(l.scheduler.entities_visited() - entities_before);
@@ -48,7 +48,6 @@
         };
         let process = self.nodes[node].process;
         if is_duplicate {
-            // The response to a duplicate is dropped.
             return self.run_scheduler(node, process);
         }
         let (machine, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
@@ -56,8 +55,8 @@
             .machines
             .get(&machine)
             .map_or(now, |m| m.last_heartbeat_at);
-        let to = self.agent_host(&machine);
-        self.send(Host::Node(node), to, move |sim| {
+        let agent = self.agent_host(&machine);
+        self.send(Host::Node(node), agent, move |sim| {
             sim.receive_heartbeat_response(&machine, epoch, number, sent, Some(result))
         });
         self.run_scheduler(node, process);
--- a/crates/hopyoke-simulator/src/node/lease.rs
+++ b/crates/hopyoke-simulator/src/node/lease.rs
@@ -32,9 +32,9 @@
         self.nodes[node].acquired_lease.map(|l| l.lease)
     }
 
-    /// Sends a renewal and retries it until the store accepts it.
+    /// Sends a renewal, and retries it while the store's rate limit rejects it.
     ///
-    /// `sent` is when the first try was sent; the renewed lease is counted from then, which is never too long.
+    /// The renewed lease counts from `sent`, when the first try was sent, so that the node never relies on it too long.
     fn send_lease_renewal(&mut self, node: usize, process: u64, lease: u64, sent: Micros) {
         if self.held_lease(node, process) != Some(lease) {
             return;
@@ -50,7 +50,7 @@
                 });
             }
             let until = sim.now + sim.lease_ttl;
-            let alive = match sim.kv_store.leases.get_mut(&lease) {
+            let is_renewed = match sim.kv_store.leases.get_mut(&lease) {
                 Some(t) => {
                     *t = until;
                     true
@@ -62,16 +62,16 @@
             }
             sim.send(Host::KvStore, Host::Node(node), move |sim| {
                 if sim.held_lease(node, process) == Some(lease) {
-                    sim.renewal_answered(node, process, sent, alive);
+                    sim.renewal_answered(node, process, sent, is_renewed);
                 }
             });
         });
     }
 
-    /// Handles the response to a renewal of the lease that the process holds; `is_alive` is false if it has expired.
-    fn renewal_answered(&mut self, node: usize, process: u64, sent: Micros, is_alive: bool) {
+    /// Handles the response to a renewal of the lease that the process holds. `is_renewed` is false if the lease has expired.
+    fn renewal_answered(&mut self, node: usize, process: u64, sent: Micros, is_renewed: bool) {
         let until = sent + self.lease_ttl.less_drift();
-        match (self.leadership(node, process), is_alive) {
+        match (self.leadership(node, process), is_renewed) {
             (Some(leadership), true) => leadership.leader_lease.lease_renewed(sent),
             (Some(_), false) => {
                 self.nodes[node].leadership = None;
--- a/crates/hopyoke-simulator/src/node/lease_support.rs
+++ b/crates/hopyoke-simulator/src/node/lease_support.rs
@@ -10,9 +10,9 @@
 struct SupportRequest {
     node: usize,
     process: u64,
-    /// Revision that the leader has applied; it must learn of later cancellations.
+    /// Revision that the leader has applied. It must receive all later cancellations.
     applied: ModRevision,
-    /// Whether the leader's lease is valid; otherwise no support is granted.
+    /// Whether the leader's lease is valid. Otherwise no support is granted.
     lease_is_valid: bool,
     sent: Micros,
 }
--- a/crates/hopyoke-simulator/src/node/mod.rs
+++ b/crates/hopyoke-simulator/src/node/mod.rs
@@ -30,21 +30,21 @@
 
 /// A node and the state of its current process.
 pub(crate) struct Node {
-    /// The node's share of the store's rates; `None` if the scenario sets no limits.
+    /// The node's share of the store's rates. `None` if the scenario sets no limits.
     pub(crate) limits: Option<NodeLimits>,
     /// Whether its process is running.
     pub(crate) up: bool,
     /// Incarnation of the process: messages that belong to an earlier one are dropped.
     pub(crate) process: u64,
-    /// The node's state as the leader; `None` if it doesn't lead.
+    /// The node's state as the leader. `None` if it does not lead.
     pub(crate) leadership: Option<Leadership>,
-    /// The leader that the node last learned of.
+    /// The last leader that the node observed.
     pub(crate) observed_leader: Option<usize>,
     /// Earliest time to succeed another node, since a former process may have granted lease support.
     takeover_not_before: Micros,
     /// Earliest time to campaign at all, since this process granted lease support or stepped down.
     campaign_not_before: Micros,
-    /// The campaign that waits for its response; no other one begins meanwhile.
+    /// The campaign that waits for its response. No other one begins meanwhile.
     open_campaign: Option<OpenCampaign>,
     /// The lease under which the node reads the records before it leads.
     acquired_lease: Option<AcquiredLease>,
@@ -88,7 +88,7 @@
     watch_number: u64,
     /// Whether a batch of writes has no outcome yet.
     batch_in_flight: bool,
-    /// When the node was elected; `None` once reconciliation is complete.
+    /// When the node was elected. `None` once reconciliation is complete.
     reconciling_since: Option<Micros>,
     next_audit_at: Micros,
 }
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Ends a node's process; another one starts after `restart_delay`.
+    /// Ends a node's process. Another one starts after `restart_delay`.
     pub fn crash_node(&mut self, node: usize, restart_delay: Micros) {
         let n = &mut self.nodes[node];
         n.up = false;
@@ -176,7 +176,7 @@
         });
     }
 
-    /// Returns whether the process is the node's current one and runs.
+    /// Returns whether the process is the node's current one and is running.
     pub(crate) fn alive(&self, node: usize, process: u64) -> bool {
         self.nodes[node].up && self.nodes[node].process == process
     }
@@ -189,7 +189,7 @@
             .is_some_and(|l| l.leader_lease.is_valid(self.now))
     }
 
-    /// Returns the process's state as the leader; `None` if it doesn't lead or has ended.
+    /// Returns the process's state as the leader. Returns `None` if the process does not lead or has ended.
     pub(crate) fn leadership(&mut self, node: usize, process: u64) -> Option<&mut Leadership> {
         if !self.alive(node, process) {
             return None;
--- a/crates/hopyoke-simulator/src/node/persist.rs
+++ b/crates/hopyoke-simulator/src/node/persist.rs
@@ -98,7 +98,7 @@
 }
 
 impl Simulation {
-    /// Sends a batch to the store; without a response in time its outcome is unknown.
+    /// Sends a batch to the store. Without a response in time its outcome is unknown.
     pub(super) fn commit_batch(
         &mut self,
         node: usize,
@@ -116,8 +116,8 @@
         let (answered, timed_out) = (is_open.clone(), is_open);
         let (batch, batch_on_timeout) = (batch.clone(), batch);
         self.send(Host::Node(node), Host::KvStore, move |sim| {
-            let refused = sim.store_rejects(node) || !sim.store_accepts(changes);
-            let result = if refused {
+            let is_rejected = sim.store_rejects(node) || !sim.store_accepts(changes);
+            let result = if is_rejected {
                 Err(BatchError::NotApplied)
             } else {
                 let Some(result) = sim.transact(&transaction.compares, transaction.mutations)
@@ -151,7 +151,7 @@
         });
     }
 
-    /// Passes a batch's outcome to the scheduler; a deposed leader campaigns again.
+    /// Passes a batch's outcome to the scheduler. A deposed leader campaigns again.
     fn batch_completed(
         &mut self,
         node: usize,
--- a/crates/hopyoke-simulator/src/node/record_watch.rs
+++ b/crates/hopyoke-simulator/src/node/record_watch.rs
@@ -10,7 +10,7 @@
 /// A change of a job record.
 struct RecordChange {
     job: JobId,
-    /// The record; `None` if it was deleted or has changed again since.
+    /// The record. `None` if it was deleted or has changed again since.
     record: Option<JobRecord>,
     mod_revision: ModRevision,
     is_deleted: bool,
@@ -94,7 +94,7 @@
             {
                 return;
             }
-            // The store waited for a change for an unknown time, so the elapsed time is only an upper bound.
+            // Includes the time that the store waited for a change, so it is only an upper bound of the latency.
             let now = sim.now;
             sim.nodes[node]
                 .store_latency
--- a/crates/hopyoke-simulator/src/node/scheduling.rs
+++ b/crates/hopyoke-simulator/src/node/scheduling.rs
@@ -31,7 +31,7 @@
     entities_visited: u64,
     /// Start of the reconciliation, if this run completed it.
     reconciled_since: Option<Micros>,
-    audit_faults: Vec<String>,
+    audit_errors: Vec<String>,
     actions: Vec<Action>,
     batch: Option<Batch>,
     is_write_rate_limited: bool,
@@ -54,8 +54,8 @@
         } else {
             self.reconciling_since.take()
         };
-        // Auditing a large fleet at every event would take minutes.
-        let audit_faults = if !inputs.always_audit && now < self.next_audit_at {
+        // Auditing a large cluster at every event would take minutes.
+        let audit_errors = if !inputs.always_audit && now < self.next_audit_at {
             Vec::new()
         } else {
             self.scheduler.audit()
@@ -79,7 +79,7 @@
         RunOutputs {
             entities_visited,
             reconciled_since,
-            audit_faults,
+            audit_errors,
             actions,
             batch,
             is_write_rate_limited,
@@ -100,7 +100,8 @@
         });
     }
 
-    /// Runs the scheduler and executes its decisions; does nothing without a valid leader lease or while the node is paused.
+    /// Runs the scheduler and executes its decisions. Does nothing without a valid leader lease or while the node
+    /// is paused.
     pub(super) fn run_scheduler(&mut self, node: usize, process: u64) {
         if !self.lease_is_valid(node) || self.is_paused(node) {
             return;
@@ -128,8 +129,8 @@
         if let Some(since) = outputs.reconciled_since {
             self.longest_reconciliation = self.longest_reconciliation.max(now - since);
         }
-        for fault in outputs.audit_faults {
-            self.record_violation("audit", fault);
+        for error in outputs.audit_errors {
+            self.record_violation("audit", error);
         }
         for action in outputs.actions {
             self.execute_action(node, process, outputs.token, action);
@@ -208,7 +209,7 @@
         });
     }
 
-    /// Reads a job's record again; without a response in time the read fails.
+    /// Reads a job's record again. Without a response in time the read fails.
     fn reload_record(&mut self, node: usize, process: u64, job: JobId) {
         let is_open = Rc::new(Cell::new(true));
         let (job_on_timeout, timed_out) = (job.clone(), is_open.clone());
@@ -231,7 +232,7 @@
                 }) => Some((r.clone(), ModRevision(*mod_revision))),
                 _ => None,
             };
-            let refused = sim.store_rejects(node);
+            let is_rejected = sim.store_rejects(node);
             sim.send(Host::KvStore, Host::Node(node), move |sim| {
                 let now = sim.now;
                 if sim.leadership(node, process).is_none() || !is_open.replace(false) {
@@ -241,7 +242,7 @@
                 let Some(l) = sim.leadership(node, process) else {
                     return;
                 };
-                if refused {
+                if is_rejected {
                     l.scheduler.record_reload_failed(job)
                 } else {
                     l.scheduler.record_reloaded(job, found, now)
--- a/crates/hopyoke-simulator/src/node/store_latency.rs
+++ b/crates/hopyoke-simulator/src/node/store_latency.rs
@@ -6,7 +6,7 @@
 use hopyoke_types::Micros;
 
 impl Simulation {
-    /// Returns the timeout of a request that node `i` sends now.
+    /// Returns the timeout of a request that a node sends now.
     pub(crate) fn store_timeout(&self, node: usize, kind: RequestKind, purpose: Purpose) -> Micros {
         let bounds = TimeoutPolicy::new(self.lease_ttl, WATCH_TIMEOUT).bounds(kind, purpose);
         self.nodes[node]
@@ -14,12 +14,12 @@
             .timeout(kind, bounds, self.now)
     }
 
-    /// Returns the latency that node `i` expects of a request sent now; `None` without a recent measurement.
+    /// Returns the latency that a node expects of a request sent now. Returns `None` without a recent measurement.
     pub(crate) fn expected_latency(&self, node: usize, kind: RequestKind) -> Option<Micros> {
         self.nodes[node].store_latency.expected(kind, self.now)
     }
 
-    /// Records that node `i` received the response to a request sent at `sent`.
+    /// Records that a node received the response to a request sent at `sent`.
     pub(crate) fn store_answered(&mut self, node: usize, kind: RequestKind, sent: Micros) {
         let now = self.now;
         self.nodes[node]
@@ -27,7 +27,7 @@
             .record_response(kind, now - sent, now);
     }
 
-    /// Records that a request of node `i`, sent at `sent`, timed out.
+    /// Records that a request of a node, sent at `sent`, timed out.
     pub(crate) fn store_timed_out(&mut self, node: usize, kind: RequestKind, sent: Micros) {
         let now = self.now;
         self.nodes[node]
--- a/crates/hopyoke-simulator/src/scenario/expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/expectations.rs
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 ///
-/// Says what was found instead.
+/// Returns what was found instead.
 pub(super) fn expect(sim: &Simulation, words: &mut Words<'_>) -> Result<(), String> {
     let subject = next_word(words);
     let argument = next_word(words);
--- a/crates/hopyoke-simulator/src/scenario/machine_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/machine_faults.rs
@@ -6,7 +6,7 @@
 use crate::agent::Agent;
 use hopyoke_types::{MachineId, Micros};
 
-/// Injects a machine fault; returns false if `name` is not one.
+/// Injects a machine fault. Returns false if `name` is not one.
 pub(super) fn event(sim: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
         "wave" => inject_on_many(sim, words),
@@ -52,7 +52,7 @@
     true
 }
 
-/// Returns the agent of a machine; `None` if there is no such machine.
+/// Returns the agent of a machine. Returns `None` if there is no such machine.
 fn agent_mut(sim: &mut Simulation, id: Option<MachineId>) -> Option<&mut Agent> {
     id.and_then(|id| sim.machines.get_mut(&id))
 }
@@ -81,7 +81,7 @@
     }
 }
 
-/// `wave hang|deaf|mute|spot|lost COUNT [for SECONDS]`: the same fault on many machines at once.
+/// `wave hang|deaf|mute|spot|lost COUNT [for SECONDS]`: the same fault on many machines at the same time.
 fn inject_on_many(sim: &mut Simulation, words: &mut Words<'_>) {
     let (fault, n) = (next_word(words), number(next_word(words)) as usize);
     let until = sim.now + seconds(key_values(words).get("for").copied().unwrap_or("0"));
@@ -89,7 +89,7 @@
         .machines
         .values()
         .filter(|m| m.up && (fault != "spot" || m.spot));
-    // Every third machine, so that the fault spreads evenly over the fleet.
+    // Every third machine, so that the fault spreads evenly over the cluster.
     let affected: Vec<MachineId> = up.map(|m| m.id.clone()).step_by(3).take(n).collect();
     for id in affected {
         match sim.machines.get_mut(&id) {
--- a/crates/hopyoke-simulator/src/scenario/mod.rs
+++ b/crates/hopyoke-simulator/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! The scenario language: one statement per line; `#` starts a comment.
+//! The scenario language: one statement per line. `#` starts a comment.
 //!
 //! `crates/hopyoke/tests/scenarios/README.md` lists the statements.
 
@@ -20,11 +20,11 @@
 use sweep::{Sweep, substitute};
 
 /// Handler of statements that need no simulation: takes the first word and the line, and returns `None` for a statement
-/// that it doesn't know.
+/// that it does not support.
 pub type StatementHandler<'a> = &'a dyn Fn(&str, &str) -> Option<Result<(), String>>;
 
 /// Runs one scenario and returns a digest of its events in virtual time, which for a sweep combines those of its runs.
-/// Statements that `handler` knows are left to it.
+/// Statements that `handler` supports are left to it.
 ///
 /// # Errors
 ///
--- a/crates/hopyoke-simulator/src/scenario/network_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/network_faults.rs
@@ -5,7 +5,7 @@
 use crate::{DeliveryDelay, Host, NetworkPartition, Simulation};
 use std::collections::BTreeMap;
 
-/// Injects a fault of nodes or of the network; returns false if `name` is not one.
+/// Injects a fault of nodes or of the network. Returns false if `name` is not one.
 pub(super) fn event(sim: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
         "crash" => {
--- a/crates/hopyoke-simulator/src/scenario/random_day.rs
+++ b/crates/hopyoke-simulator/src/scenario/random_day.rs
@@ -1,4 +1,4 @@
-//! Random days: runs with random jobs and random faults, in which the invariants must hold and all jobs must begin.
+//! Random days: random jobs and random overlapping faults, during which the invariants are checked.
 
 use super::inject;
 use crate::Simulation;
@@ -19,7 +19,7 @@
     schedule_faults(sim, duration_s, jobs);
 }
 
-/// Schedules submissions and some cancellations; returns the number of jobs.
+/// Schedules submissions and some cancellations. Returns the number of jobs.
 fn schedule_jobs(sim: &mut Simulation, duration_s: u64) -> u64 {
     let mut t = 1;
     let mut n = 0;
@@ -75,7 +75,7 @@
     }
 }
 
-/// Parameters of a random fault; all of them are drawn for every fault.
+/// Parameters of a random fault. All of them are drawn for every fault.
 struct FaultParameters {
     /// Selector of the affected nodes.
     nodes: &'static str,
--- a/crates/hopyoke-simulator/src/scenario/selectors.rs
+++ b/crates/hopyoke-simulator/src/scenario/selectors.rs
@@ -9,7 +9,7 @@
     sim.now + seconds(key_values(words)["for"])
 }
 
-/// Returns the duration of an event's fault; zero if the event is not a lasting fault.
+/// Returns the duration of an event's fault. Returns zero if the event is not a lasting fault.
 pub(super) fn duration_of(words: &[&str]) -> Micros {
     let after = |key: &str| {
         words
--- a/crates/hopyoke-simulator/src/scenario/setup.rs
+++ b/crates/hopyoke-simulator/src/scenario/setup.rs
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 ///
-/// Says that the statement is unknown or which value is invalid.
+/// Returns that the statement is unknown or which value is invalid.
 pub(super) fn statement(
     sim: &mut Simulation,
     name: &str,
--- a/crates/hopyoke-simulator/src/scenario/store_faults.rs
+++ b/crates/hopyoke-simulator/src/scenario/store_faults.rs
@@ -5,7 +5,7 @@
 use crate::Simulation;
 use crate::kv_store::FaultWindow;
 
-/// Injects a fault of the store, the cloud or messages; returns false if `name` is not one.
+/// Injects a fault of the store, the cloud or messages. Returns false if `name` is not one.
 pub(super) fn event(sim: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
         "boots" => {
--- a/crates/hopyoke-simulator/src/scenario/sweep.rs
+++ b/crates/hopyoke-simulator/src/scenario/sweep.rs
@@ -11,7 +11,7 @@
 }
 
 impl<'a> Sweep<'a> {
-    /// Parses `sweep NAME FROM TO STEP`; returns `None` if the line is another statement.
+    /// Parses `sweep NAME FROM TO STEP`. Returns `None` if the line is another statement.
     pub(super) fn parse(line: &'a str) -> Option<Sweep<'a>> {
         let words: Vec<&str> = line.split_whitespace().collect();
         let ["sweep", parameter, from, to, step] = words[..] else {
--- a/crates/hopyoke-simulator/src/scenario/workload.rs
+++ b/crates/hopyoke-simulator/src/scenario/workload.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Executes a workload event; returns false if `name` is not one.
+/// Executes a workload event. Returns false if `name` is not one.
 pub(super) fn event(sim: &mut Simulation, name: &str, words: &mut Words<'_>) -> bool {
     match name {
         "submit" => {
--- a/crates/hopyoke-simulator/src/simulation.rs
+++ b/crates/hopyoke-simulator/src/simulation.rs
@@ -66,7 +66,7 @@
     pub(crate) paused_nodes: BTreeMap<usize, Micros>,
     /// Rate limits of the key-value store. `None` if it has none.
     pub(crate) limits: Option<StoreLimits>,
-    /// Time after the first submission at which users give up. `None` if they never do.
+    /// Time from the first submission after which users stop retrying. `None` if they never do.
     pub(crate) submission_timeout: Option<Micros>,
     /// Until when a node has no sockets left for connections to agents.
     pub(crate) sockets_exhausted_until: BTreeMap<usize, Micros>,
--- a/crates/hopyoke-simulator/src/user_observations.rs
+++ b/crates/hopyoke-simulator/src/user_observations.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Handles a response to a user: checks it against `observed_state`, the state known when the request began, and
+    /// Handles a response to a user: checks it against `observed_state`, the state observed when the request began, and
     /// updates what the user has observed.
     pub(crate) fn observe_response(
         &mut self,
@@ -46,8 +46,8 @@
             Response::Unschedulable => 7,
             Response::RetryAfter(_) => 8,
         };
-        self.digest_bytes(Channel::UserAnswer, &[code]);
-        self.digest_bytes(Channel::UserAnswer, id.as_str().as_bytes());
+        self.digest_bytes(Channel::UserResponse, &[code]);
+        self.digest_bytes(Channel::UserResponse, id.as_str().as_bytes());
         let now = self.now;
         if let Some((rule, reason)) = self.response_violation(id, request, observed_state, response)
         {
--- a/crates/hopyoke-simulator/src/users.rs
+++ b/crates/hopyoke-simulator/src/users.rs
@@ -39,7 +39,7 @@
 }
 
 impl Simulation {
-    /// Sends a user's request to node `i`. `then` receives the response if it arrives in time.
+    /// Sends a user's request to a node. `then` receives the response if it arrives in time.
     pub(crate) fn send_request(
         &mut self,
         node: usize,
@@ -89,7 +89,8 @@
             .unwrap_or(first)
     }
 
-    /// Submits a job, and repeats the submission until the job is accepted or rejected or its user gives up.
+    /// Submits a job, and repeats the submission until the job is accepted or rejected or `submission_timeout` has
+    /// passed.
     pub fn submit(&mut self, id: JobId) {
         let now = self.now;
         let Some(job) = self
@@ -149,7 +150,7 @@
     }
 
     /// Reacts to the first observation that a job is accepted or finished. With concurrent reads enabled its user polls
-    /// every node several times within milliseconds and repeats the submission; some users cancel at once.
+    /// every node several times within milliseconds and repeats the submission; some users cancel immediately.
     pub(crate) fn job_progress_observed(&mut self, id: &JobId, end: Option<JobState>) {
         if self.now >= self.user_behavior.concurrent_reads_until {
             return;
@@ -223,8 +224,8 @@
         }
     }
 
-    /// Cancels up to `max_jobs` running jobs that have long to run, almost at once. Some of their machines hang for
-    /// `hang_duration`.
+    /// Cancels up to `max_jobs` running jobs that have long to run, within [`CANCEL_WINDOW_US`]. Some of their
+    /// machines hang for `hang_duration`.
     pub(crate) fn cancel_running_jobs(&mut self, max_jobs: usize, hang_duration: Micros) {
         let now = self.now;
         let mut running: BTreeMap<JobId, Vec<MachineId>> = BTreeMap::new();
--- a/crates/hopyoke-types/src/ids.rs
+++ b/crates/hopyoke-types/src/ids.rs
@@ -11,12 +11,12 @@
         pub struct $name(Rc<str>);
 
         impl $name {
-            /// Creates an id from `text` without validating it.
+            /// Creates an ID from `text` without validating it.
             pub fn new(text: &str) -> $name {
                 $name(Rc::from(text))
             }
 
-            /// Returns the id as text.
+            /// Returns the ID as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -45,11 +45,11 @@
 }
 
 text_id!(
-    /// Id of a job, chosen by its user.
+    /// ID of a job, chosen by its user.
     JobId
 );
 text_id!(
-    /// Id of a machine, assigned by the cloud provider.
+    /// ID of a machine, assigned by the cloud provider.
     MachineId
 );
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Id of one task of a job.
+/// ID of one task of a job.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
     /// Job that the task belongs to.
