--- a/crates/hopyoke-calendar/src/calendar.rs
+++ b/crates/hopyoke-calendar/src/calendar.rs
@@ -175,7 +175,8 @@
             start: shift.start + start_delay,
             end: shift.end - end_advance,
         };
-        // Overlapping and adjacent shifts are merged before they are narrowed, which would else open gaps between them.
+        // Overlapping and adjacent shifts are merged before they are narrowed. Otherwise narrowing would open gaps
+        // between them.
         let mut merged: Option<Shift> = None;
         for day in 0..MAX_LOOKAHEAD_DAYS {
             let Ok(date) = first_day.checked_add(Span::new().days(day)) else {
--- a/crates/hopyoke-calendar/src/lib.rs
+++ b/crates/hopyoke-calendar/src/lib.rs
@@ -62,7 +62,7 @@
     /// Returns whether staff is on duty at a time of this node's wall clock, and until when that holds.
     pub fn window_at(&self, wall_time: Micros) -> StaffingWindow {
         if let Some(s) = &self.staffing_override {
-            // A staffed override ends early and an unstaffed one late: in doubt, a job is held.
+            // A staffed override ends early and an unstaffed one late, so that clock errors never place a held job.
             let until = if s.staffed {
                 Micros(s.expires_at_us) - self.max_clock_skew - self.placement_margin
             } else {
--- a/crates/hopyoke-settings/src/lib.rs
+++ b/crates/hopyoke-settings/src/lib.rs
@@ -134,7 +134,7 @@
     /// Time in which the tasks of a gang detect the loss of one of them, in seconds.
     #[serde(rename = "gang_peer_s")]
     pub gang_loss_detection_s: f64,
-    /// Time after a confirmed cancellation in which all tasks of the job must have ended, in seconds.
+    /// Time after an acknowledged cancellation in which all tasks of the job must have ended, in seconds.
     #[serde(rename = "cancel_s")]
     pub cancellation_bound_s: f64,
 }
@@ -179,7 +179,7 @@
     pub max_connections: usize,
 }
 
-/// Timeout of the leader's watch of job records. A response covers all changes that were confirmed before the store
+/// Timeout of the leader's watch of job records. A response covers all changes that were committed before the store
 /// sent it.
 pub const JOB_WATCH_TIMEOUT: Micros = Micros::from_secs(2);
 
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Returns the bound on the time from the confirmation of a cancellation to the end of the job's last task.
+    /// Returns the bound on the time from the acknowledgment of a cancellation to the end of the job's last task.
     pub fn cancellation_bound(&self) -> CancellationBound {
         CancellationBound {
             watch_timeout: JOB_WATCH_TIMEOUT,
--- a/crates/hopyoke-simulator/src/api.rs
+++ b/crates/hopyoke-simulator/src/api.rs
@@ -63,7 +63,7 @@
 
 /// Longest delay of a linearizable read. The daemon batches the polls that arrive meanwhile.
 const READ_BATCH_WINDOW: Micros = Micros::from_millis(40);
-/// Delay that a user is asked to wait if no node can answer.
+/// Delay before a user should retry if no node can answer.
 const RETRY_AFTER: Micros = Micros::from_secs(1);
 
 impl Simulation {
@@ -431,10 +431,10 @@
     ) {
         self.log(|| format!("node {node} reports the final state {end:?} of {job}"));
         let now = self.now;
-        let n = &mut self.nodes[node];
+        let state = &mut self.nodes[node];
         if end == JobState::Cancelled {
-            n.cancellation_log.append(job, mod_revision);
-            if let Some(leadership) = n
+            state.cancellation_log.append(job, mod_revision);
+            if let Some(leadership) = state
                 .leadership
                 .as_mut()
                 .filter(|l| l.scheduler.applied_revision() < mod_revision)
@@ -442,6 +442,6 @@
                 leadership.scheduler.job_removed(job, now);
             }
         }
-        n.terminal_states.insert(job.clone(), end);
+        state.terminal_states.insert(job.clone(), end);
     }
 }
--- a/crates/hopyoke-simulator/src/node/election.rs
+++ b/crates/hopyoke-simulator/src/node/election.rs
@@ -26,10 +26,10 @@
             return;
         }
         let sent = self.now;
-        let n = &mut self.nodes[node];
-        let may_take_over = sent >= n.takeover_not_before;
-        if sent < n.campaign_not_before {
-            let wait = n.campaign_not_before - sent;
+        let state = &mut self.nodes[node];
+        let may_take_over = sent >= state.takeover_not_before;
+        if sent < state.campaign_not_before {
+            let wait = state.campaign_not_before - sent;
             return self.timer(node, wait, move |sim| sim.campaign(node, process, is_first));
         }
         if self.is_taking_over(node) || self.waits_for_campaign(node) {
@@ -42,9 +42,9 @@
             return self.timer(node, wait, move |sim| sim.campaign(node, process, is_first));
         }
         let timeout = self.store_timeout(node, RequestKind::Lease, Purpose::Lease);
-        let n = &mut self.nodes[node];
-        n.pending_campaigns += 1;
-        n.open_campaign = Some(OpenCampaign {
+        let state = &mut self.nodes[node];
+        state.pending_campaigns += 1;
+        state.open_campaign = Some(OpenCampaign {
             sent,
             until: sent + timeout,
         });
@@ -146,8 +146,8 @@
     fn campaign_completed(&mut self, node: usize, process: u64) {
         if self.alive(node, process) {
             self.campaign_answered(node);
-            let n = &mut self.nodes[node];
-            n.pending_campaigns = n.pending_campaigns.saturating_sub(1);
+            let state = &mut self.nodes[node];
+            state.pending_campaigns = state.pending_campaigns.saturating_sub(1);
         }
     }
 
@@ -172,13 +172,13 @@
     /// Resigns, as an isolated leader that no agent reaches does, and lets other nodes campaign first.
     pub(crate) fn step_down(&mut self, node: usize) {
         let now = self.now;
-        let n = &mut self.nodes[node];
-        let Some(leadership) = n.leadership.take() else {
+        let state = &mut self.nodes[node];
+        let Some(leadership) = state.leadership.take() else {
             return;
         };
-        let process = n.process;
-        n.campaign_not_before = n.campaign_not_before.max(now + Micros::from_secs(12));
-        n.pending_campaigns += 1;
+        let process = state.process;
+        state.campaign_not_before = state.campaign_not_before.max(now + Micros::from_secs(12));
+        state.pending_campaigns += 1;
         self.revoke_lease(node, process, leadership.lease);
         self.campaign(node, process, false);
     }
--- a/crates/hopyoke-simulator/src/node/heartbeats.rs
+++ b/crates/hopyoke-simulator/src/node/heartbeats.rs
@@ -12,7 +12,7 @@
         &mut self,
         node: usize,
         heartbeat: Heartbeat,
-        number: u64,
+        sequence: u64,
         is_duplicate: bool,
     ) {
         if !self.nodes[node].up && is_duplicate {
@@ -22,7 +22,7 @@
             let (machine, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
             let sent = self.now;
             return self.after(Micros::from_millis(5), move |sim| {
-                sim.receive_heartbeat_response(&machine, epoch, number, sent, Some(Err(None)))
+                sim.receive_heartbeat_response(&machine, epoch, sequence, sent, Some(Err(None)))
             });
         }
         self.digest_message(Channel::Heartbeat, &heartbeat);
@@ -57,7 +57,7 @@
             .map_or(now, |m| m.last_heartbeat_at);
         let agent = self.agent_host(&machine);
         self.send(Host::Node(node), agent, move |sim| {
-            sim.receive_heartbeat_response(&machine, epoch, number, sent, Some(result))
+            sim.receive_heartbeat_response(&machine, epoch, sequence, sent, Some(result))
         });
         self.run_scheduler(node, process);
     }
--- a/crates/hopyoke-simulator/src/node/lease_support.rs
+++ b/crates/hopyoke-simulator/src/node/lease_support.rs
@@ -18,7 +18,7 @@
 }
 
 impl Simulation {
-    /// Requests lease support from the peers, and the cancellations that they confirmed to users.
+    /// Requests lease support from the peers, and the cancellations that they acknowledged to users.
     pub(super) fn request_lease_support(&mut self, node: usize, process: u64) {
         let Some(leadership) = self.leadership(node, process) else {
             return;
@@ -40,7 +40,7 @@
                 sim.lease_support_requested(peer, request, &cursors)
             });
         }
-        // The leader counts as one of its own peers, with the cancellations that it confirmed itself.
+        // The leader counts as one of its own peers, with the cancellations that it acknowledged itself.
         let support = self.nodes[node]
             .cancellation_log
             .covers(applied)
@@ -57,7 +57,7 @@
     }
 
     /// Answers a leader's request at a peer, which grants support only if the store is unreachable for the peer as well
-    /// and the response contains all cancellations that it confirmed.
+    /// and the response contains all cancellations that it acknowledged.
     fn lease_support_requested(
         &mut self,
         peer: usize,
--- a/crates/hopyoke-simulator/src/node/mod.rs
+++ b/crates/hopyoke-simulator/src/node/mod.rs
@@ -30,7 +30,7 @@
 
 /// A node and the state of its current process.
 pub(crate) struct Node {
-    /// The node's share of the store's rates. `None` if the scenario sets no limits.
+    /// The node's share of the store's rate limits. `None` if the scenario sets no limits.
     pub(crate) limits: Option<NodeLimits>,
     /// Whether its process is running.
     pub(crate) up: bool,
@@ -48,9 +48,9 @@
     open_campaign: Option<OpenCampaign>,
     /// The lease under which the node reads the records before it leads.
     acquired_lease: Option<AcquiredLease>,
-    /// Number of campaigns whose outcome is unknown; they may succeed late.
+    /// Number of campaigns whose outcome is unknown. They may still succeed.
     pending_campaigns: u32,
-    /// Cancellations that the node has confirmed to users.
+    /// Cancellations that the node has acknowledged to users.
     pub(crate) cancellation_log: CancellationLog,
     /// Latency of the store, measured by this process.
     pub(crate) store_latency: StoreLatency,
@@ -82,7 +82,7 @@
     lease: u64,
     /// Validity of the leadership: by renewals at the store and by lease support.
     leader_lease: LeaderLease,
-    /// Positions up to which peers have delivered the cancellations that they confirmed.
+    /// Positions up to which peers have delivered the cancellations that they acknowledged.
     delivery_cursors: DeliveryCursors,
     /// Number of the open watch.
     watch_number: u64,
@@ -121,20 +121,20 @@
             .limits
             .as_ref()
             .map(|l| l.node_limits(nodes, &self.config.teams, now));
-        let n = &mut self.nodes[node];
-        n.limits = limits;
-        n.up = true;
-        n.process += 1;
-        n.leadership = None;
-        n.takeover_not_before = self.now + SUPPORT_DURATION.with_drift();
-        n.campaign_not_before = Micros::ZERO;
-        n.open_campaign = None;
-        n.acquired_lease = None;
-        n.pending_campaigns = 0;
-        n.cancellation_log = CancellationLog::new(CANCELLATION_LOG_CAPACITY);
-        n.terminal_states.clear();
-        n.store_latency = StoreLatency::default();
-        let process = n.process;
+        let state = &mut self.nodes[node];
+        state.limits = limits;
+        state.up = true;
+        state.process += 1;
+        state.leadership = None;
+        state.takeover_not_before = self.now + SUPPORT_DURATION.with_drift();
+        state.campaign_not_before = Micros::ZERO;
+        state.open_campaign = None;
+        state.acquired_lease = None;
+        state.pending_campaigns = 0;
+        state.cancellation_log = CancellationLog::new(CANCELLATION_LOG_CAPACITY);
+        state.terminal_states.clear();
+        state.store_latency = StoreLatency::default();
+        let process = state.process;
         self.read_start_revision(node, process);
         let wait = Micros(self.random(1_000, 100_000));
         self.timer(node, wait, move |sim| sim.campaign(node, process, true));
@@ -145,16 +145,17 @@
 
     /// Ends a node's process. Another one starts after `restart_delay`.
     pub fn crash_node(&mut self, node: usize, restart_delay: Micros) {
-        let n = &mut self.nodes[node];
-        n.up = false;
-        n.leadership = None;
-        n.process += 1;
+        let state = &mut self.nodes[node];
+        state.up = false;
+        state.leadership = None;
+        state.process += 1;
         self.paused_nodes.remove(&node);
         self.log(|| format!("node {node} crashes"));
         self.after(restart_delay, move |sim| sim.start_node(node));
     }
 
-    /// Reads the revision at which the process began, since former processes may have confirmed cancellations before it.
+    /// Reads the revision at which the process began, since former processes may have acknowledged cancellations before
+    /// it.
     fn read_start_revision(&mut self, node: usize, process: u64) {
         if !self.alive(node, process) {
             return;
--- a/crates/hopyoke-simulator/src/scenario/expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/expectations.rs
@@ -32,10 +32,10 @@
         }
         "looks" => expect_work_per_event(sim, argument, words),
         "rented" => {
-            let n = sim.scale_outs.values().map(Vec::len).sum::<usize>();
-            let is_met = argument == "most" && n <= number(next_word(words)) as usize;
+            let created = sim.scale_outs.values().map(Vec::len).sum::<usize>();
+            let is_met = argument == "most" && created <= number(next_word(words)) as usize;
             check(is_met, || {
-                format!("{n} machines were created by scale-outs")
+                format!("{created} machines were created by scale-outs")
             })
         }
         "refused" => expect_rejected_requests(sim, argument, words),
@@ -66,11 +66,11 @@
 
 /// `expect leaders most|least|is N`: elections won.
 fn expect_leaders(sim: &Simulation, comparison: &str, words: &mut Words<'_>) -> Result<(), String> {
-    let n = number(next_word(words)) as u32;
+    let expected = number(next_word(words)) as u32;
     let is_met = match comparison {
-        "most" => sim.elected_leaders <= n,
-        "least" => sim.elected_leaders >= n,
-        _ => sim.elected_leaders == n,
+        "most" => sim.elected_leaders <= expected,
+        "least" => sim.elected_leaders >= expected,
+        _ => sim.elected_leaders == expected,
     };
     check(is_met, || {
         format!("{} elections were won", sim.elected_leaders)
@@ -83,12 +83,12 @@
     comparison: &str,
     words: &mut Words<'_>,
 ) -> Result<(), String> {
-    let n = number(next_word(words)) as usize;
+    let expected = number(next_word(words)) as usize;
     let found = sim.machines.len();
     let is_met = if comparison == "most" {
-        found <= n
+        found <= expected
     } else {
-        found == n
+        found == expected
     };
     check(is_met, || format!("{found} machines"))
 }
@@ -128,15 +128,15 @@
 
 /// `expect started most|least N`: jobs of which a task has started.
 fn expect_started(sim: &Simulation, comparison: &str, words: &mut Words<'_>) -> Result<(), String> {
-    let n = sim.jobs.values().filter(|j| j.start_count > 0).count();
+    let started = sim.jobs.values().filter(|j| j.start_count > 0).count();
     let bound = number(next_word(words)) as usize;
     let is_met = if comparison == "most" {
-        n <= bound
+        started <= bound
     } else {
-        n >= bound
+        started >= bound
     };
     check(is_met, || {
-        format!("{n} of {} jobs have started", sim.jobs.len())
+        format!("{started} of {} jobs have started", sim.jobs.len())
     })
 }
 
--- a/crates/hopyoke-simulator/src/scenario/job_expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/job_expectations.rs
@@ -35,9 +35,9 @@
             "not cancelled".into()
         }),
         "running" => {
-            let n = number(next_word(words)) as usize;
+            let expected = number(next_word(words)) as usize;
             let running = sim.running_task_count(id);
-            check(running == n, || {
+            check(running == expected, || {
                 format!("{running} of its tasks are running")
             })
         }
@@ -59,9 +59,9 @@
 fn expect_done(sim: &Simulation, id: &JobId, words: &mut Words<'_>) -> Result<(), String> {
     let job = sim.jobs.get(id).ok_or("no such job")?;
     if sim.terminal_state(id) != Some(JobState::Done) {
-        let n = job.done.iter().filter(|d| **d).count();
+        let done = job.done.iter().filter(|d| **d).count();
         return Err(format!(
-            "not recorded as done; {n} of {} tasks are",
+            "not recorded as done; {done} of {} tasks are",
             job.spec.tasks
         ));
     }
--- a/crates/hopyoke-simulator/src/scenario/random_day.rs
+++ b/crates/hopyoke-simulator/src/scenario/random_day.rs
@@ -11,9 +11,13 @@
 pub(super) fn schedule(sim: &mut Simulation, duration_s: u64) {
     // Decisions based on learned run times must not violate invariants either.
     if sim.random(0, 1) == 1 {
-        let t = &mut sim.tuning;
-        (t.use_for_victims, t.use_for_backfill, t.use_for_demand) = (true, true, true);
-        (t.use_for_deadlines, t.use_for_slow_machines) = (true, true);
+        let tuning = &mut sim.tuning;
+        (
+            tuning.use_for_victims,
+            tuning.use_for_backfill,
+            tuning.use_for_demand,
+        ) = (true, true, true);
+        (tuning.use_for_deadlines, tuning.use_for_slow_machines) = (true, true);
     }
     let jobs = schedule_jobs(sim, duration_s);
     schedule_faults(sim, duration_s, jobs);
@@ -21,11 +25,11 @@
 
 /// Schedules submissions and some cancellations. Returns the number of jobs.
 fn schedule_jobs(sim: &mut Simulation, duration_s: u64) -> u64 {
-    let mut t = 1;
-    let mut n = 0;
-    while t < duration_s {
-        n += 1;
-        let id = format!("req-{n:06}");
+    let mut time_s = 1;
+    let mut job_count = 0;
+    while time_s < duration_s {
+        job_count += 1;
+        let id = format!("req-{job_count:06}");
         let kind = ["array", "gang", "service"][sim.random(0, 2) as usize];
         let tasks = sim.random(1, if kind == "gang" { 3 } else { 5 });
         let team = ["crew", "other"][sim.random(0, 1) as usize];
@@ -39,26 +43,26 @@
              checkpoint {checkpoint} save 2 image img-{}",
             sim.random(1, 4)
         );
-        schedule_event(sim, t, line);
+        schedule_event(sim, time_s, line);
         if kind == "service" || sim.random(0, 9) == 0 {
-            let at = t + sim.random(5, 80);
+            let at = time_s + sim.random(5, 80);
             schedule_event(sim, at, format!("cancel {id}"));
         }
-        t += sim.random(2, 9);
+        time_s += sim.random(2, 9);
     }
-    n
+    job_count
 }
 
 /// Schedules overlapping faults, and cancellations during them.
 fn schedule_faults(sim: &mut Simulation, duration_s: u64, jobs: u64) {
-    let mut t = 20;
-    while t < duration_s {
+    let mut time_s = 20;
+    while time_s < duration_s {
         // The second fault begins while the first lasts or at its end.
         let first_span = sim.random(5, 40);
         let (line, second_span) = (random_fault(sim, first_span), sim.random(1, 40));
-        let second_at = t + sim.random(0, first_span);
+        let second_at = time_s + sim.random(0, first_span);
         let second = random_fault(sim, second_span);
-        schedule_event(sim, t, line);
+        schedule_event(sim, time_s, line);
         schedule_event(sim, second_at, second);
         // In half of the cases a third fault begins soon after the second.
         if sim.random(0, 1) == 0 {
@@ -71,7 +75,7 @@
             let id = sim.random(1, jobs);
             schedule_event(sim, at, format!("cancel req-{id:06}"));
         }
-        t += sim.random(8, 45);
+        time_s += sim.random(8, 45);
     }
 }
 
--- a/crates/hopyoke-simulator/src/scenario/service_expectations.rs
+++ b/crates/hopyoke-simulator/src/scenario/service_expectations.rs
@@ -57,14 +57,14 @@
             format!("{waiting} of {} jobs are not accepted", jobs.len())
         });
     }
-    let n = sim
+    let accepted = sim
         .jobs
         .values()
         .filter(|j| j.accepted_at.is_some())
         .count();
-    let is_met = comparison == "least" && n >= number(next_word(words)) as usize;
+    let is_met = comparison == "least" && accepted >= number(next_word(words)) as usize;
     check(is_met, || {
-        format!("{n} of {} jobs are accepted", sim.jobs.len())
+        format!("{accepted} of {} jobs are accepted", sim.jobs.len())
     })
 }
 
--- a/crates/hopyoke-simulator/src/simulation.rs
+++ b/crates/hopyoke-simulator/src/simulation.rs
@@ -40,7 +40,7 @@
     pub(crate) hours: Option<StaffedHours>,
     /// Duration of a leader's lease after a renewal.
     pub(crate) lease_ttl: Micros,
-    /// Time after the confirmation of a cancellation from which no task of the job may run.
+    /// Time after a user observed a cancellation from which no task of the job may run.
     pub(crate) cancellation_bound: Micros,
     /// Machine types that the cloud offers.
     pub machine_types: Vec<MachineType>,
@@ -92,7 +92,7 @@
     pub(crate) expired_epochs: u32,
     /// Longest reconciliation, from an election until all registered machines were accounted for.
     pub(crate) longest_reconciliation: Micros,
-    /// For each task start of a cancelled job, the time since the cancellation was confirmed.
+    /// For each task start of a cancelled job, the time since its user observed the cancellation.
     pub(crate) starts_after_cancellation: Vec<Micros>,
     /// Since when jobs have been waiting although they could run.
     pub(crate) schedulable_since: BTreeMap<JobId, Micros>,
