--- a/crates/hopyoke-consistency/src/latency.rs
+++ b/crates/hopyoke-consistency/src/latency.rs
@@ -137,8 +137,8 @@
         });
     }
 
-    /// Records an upper bound of a request's latency: part of it may be time that the request allows the service to wait. It
-    /// counts as a sample only if it does not exceed the current estimate, or if there is none.
+    /// Records an upper bound of a request's latency: part of it may be time that the request allows the service to
+    /// wait. It counts as a sample only if it does not exceed the current estimate, or if there is none.
     pub fn record_upper_bound(&mut self, latency: Micros, now: Micros) {
         if self
             .valid_estimate(now)
--- a/crates/hopyoke-simulator/src/lookup.rs
+++ b/crates/hopyoke-simulator/src/lookup.rs
@@ -78,8 +78,8 @@
         );
     }
 
-    /// Looks up a job's record. A record only ever moves from `job/` to `end/`, so reading the keys in this order cannot
-    /// miss it. If time is short both are read in parallel.
+    /// Looks up a job's record. A record only ever moves from `job/` to `end/`, so reading the keys in this order
+    /// cannot miss it. If time is short both are read in parallel.
     pub(crate) fn look_up(
         &mut self,
         node: usize,
--- a/crates/hopyoke-simulator/src/node/commands.rs
+++ b/crates/hopyoke-simulator/src/node/commands.rs
@@ -56,8 +56,8 @@
         });
     }
 
-    /// Delivers pushed commands to a machine. The delivery is delayed while the machine hangs or its link holds commands
-    /// back, or by an injected fault.
+    /// Delivers pushed commands to a machine. The delivery is delayed while the machine hangs or its link holds
+    /// commands back, or by an injected fault.
     fn deliver_pushed_commands(&mut self, push: PushDelivery) {
         let held = self
             .machines
--- a/crates/hopyoke-simulator/src/node/failover.rs
+++ b/crates/hopyoke-simulator/src/node/failover.rs
@@ -139,8 +139,8 @@
             && self.is_taking_over(node)
     }
 
-    /// Abandons the failover. The lease is left to expire, although a renewal may still extend it after an outage, and the
-    /// node campaigns again. Tested by the scenario store_slow_then_outage.
+    /// Abandons the failover. The lease is left to expire, although a renewal may still extend it after an outage, and
+    /// the node campaigns again. Tested by the scenario store_slow_then_outage.
     fn abandon_takeover(&mut self, node: usize, process: u64, lease: u64) {
         if !self.alive(node, process) {
             return;
--- a/crates/hopyoke-simulator/src/node/lease.rs
+++ b/crates/hopyoke-simulator/src/node/lease.rs
@@ -68,7 +68,8 @@
         });
     }
 
-    /// Handles the response to a renewal of the lease that the process holds. `is_renewed` is false if the lease has expired.
+    /// Handles the response to a renewal of the lease that the process holds. `is_renewed` is false if the lease has
+    /// expired.
     fn renewal_answered(&mut self, node: usize, process: u64, sent: Micros, is_renewed: bool) {
         let until = sent + self.lease_ttl.less_drift();
         match (self.leadership(node, process), is_renewed) {
--- a/crates/hopyoke-simulator/src/node/mod.rs
+++ b/crates/hopyoke-simulator/src/node/mod.rs
@@ -48,7 +48,8 @@
     open_campaign: Option<OpenCampaign>,
     /// The lease under which the node reads the records before it leads.
     acquired_lease: Option<AcquiredLease>,
-    /// Number of campaigns whose outcome is unknown. They may still succeed.
+    /// Number of campaigns that have not definitely failed, including one that was won. While there are any, the node
+    /// grants no lease support.
     pending_campaigns: u32,
     /// Cancellations that the node has acknowledged to users.
     pub(crate) cancellation_log: CancellationLog,
