--- a/crates/hopyoke-simulator/src/node/commands.rs
+++ b/crates/hopyoke-simulator/src/node/commands.rs
@@ -20,10 +20,10 @@
 }
 
 impl Simulation {
-    /// Pushes commands to an agent; fails at once if the node has no sockets left.
+    /// Pushes commands to an agent. Fails immediately if the node has no sockets left.
     pub(super) fn push_commands(&mut self, push: PushDelivery) {
         let PushDelivery {
-            node: i,
+            node,
             process,
             epoch,
             sent,
@@ -32,31 +32,32 @@
         let machine = push.machine.clone();
         if self
             .sockets_exhausted_until
-            .get(&i)
+            .get(&node)
             .is_some_and(|t| sent < *t)
         {
-            if let Some(l) = self.leadership(i, process) {
+            if let Some(l) = self.leadership(node, process) {
                 l.scheduler.push_failed(&machine, false, sent);
             }
             return;
         }
-        self.send(Host::Node(i), self.agent_host(&machine), move |w| {
-            w.deliver_pushed_commands(push);
+        self.send(Host::Node(node), self.agent_host(&machine), move |sim| {
+            sim.deliver_pushed_commands(push);
         });
-        self.timer(i, PUSH_TIMEOUT, move |w| {
-            let now = w.now;
-            if let Some(l) = w.leadership(i, process)
+        self.timer(node, PUSH_TIMEOUT, move |sim| {
+            let now = sim.now;
+            if let Some(l) = sim.leadership(node, process)
                 && l.scheduler
                     .machines
                     .get(&machine)
-                    .is_some_and(|x| x.push_in_flight && x.epoch.max(1) == epoch)
+                    .is_some_and(|m| m.push_in_flight && m.epoch.max(1) == epoch)
             {
                 l.scheduler.push_failed(&machine, true, now);
             }
         });
     }
 
-    /// Delivers pushed commands to a machine, later if it hangs, its link holds them or the fault delays them.
+    /// Delivers pushed commands to a machine. The delivery is delayed while the machine hangs or its link holds
+    /// commands back, or by an injected fault.
     fn deliver_pushed_commands(&mut self, push: PushDelivery) {
         let held = self
             .machines
@@ -64,10 +65,10 @@
             .map(|m| m.commands_held_until)
             .filter(|t| *t > self.now);
         if let Some(t) = self.paused_until(&push.machine).or(held) {
-            return self.at(t, move |w| w.deliver_pushed_commands(push));
+            return self.at(t, move |sim| sim.deliver_pushed_commands(push));
         }
         let PushDelivery {
-            node: i,
+            node,
             process,
             machine,
             token,
@@ -78,9 +79,9 @@
         if self.draws_fault(self.delayed_commands) {
             let delay = Micros(self.random(2_000_000, 16_000_000));
             // The commands reach the agent whichever node leads by then, and their response is dropped.
-            return self.schedule_on_machine(&machine.clone(), delay, move |w| {
-                w.log(|| format!("{machine} receives delayed commands of token {}", token.0));
-                w.receive_pushed_commands(&machine, token, epoch, commands);
+            return self.schedule_on_machine(&machine.clone(), delay, move |sim| {
+                sim.log(|| format!("{machine} receives delayed commands of token {}", token.0));
+                sim.receive_pushed_commands(&machine, token, epoch, commands);
             });
         }
         let Some((executed, heartbeat)) =
@@ -95,15 +96,15 @@
         if self.now.max(responds_at) >= sent + PUSH_TIMEOUT {
             return;
         }
-        self.at(responds_at, move |w| {
-            w.send(w.agent_host(&machine), Host::Node(i), move |w| {
-                let now = w.now;
+        self.at(responds_at, move |sim| {
+            sim.send(sim.agent_host(&machine), Host::Node(node), move |sim| {
+                let now = sim.now;
                 if now < sent + PUSH_TIMEOUT
-                    && let Some(l) = w.leadership(i, process)
+                    && let Some(l) = sim.leadership(node, process)
                 {
                     l.scheduler
                         .push_answered(&machine, executed, Some(&heartbeat), now);
-                    w.run_scheduler(i, process);
+                    sim.run_scheduler(node, process);
                 }
             });
         });
