--- a/crates/hopyoke-emulator/src/agent.rs
+++ b/crates/hopyoke-emulator/src/agent.rs
@@ -111,7 +111,7 @@
 
     fn handle(self: &Rc<Agent>, request: &Request) -> Response {
         match (request.method, request.path.as_str()) {
-            (Method::Get, "/show") => Response::of(200, &self.heartbeat()),
+            (Method::Get, "/show") => Response::msgpack(200, &self.heartbeat()),
             (Method::Post, "/commands") => {
                 let Ok(pushed) = decode::<PushedCommands>(&request.body) else {
                     return Response::empty(400);
@@ -121,10 +121,10 @@
                     pushed.token >= state.token && pushed.epoch == state.epoch
                 };
                 if !is_current {
-                    return Response::of(409, &self.heartbeat());
+                    return Response::msgpack(409, &self.heartbeat());
                 }
                 self.carry_out(pushed.token, pushed.commands);
-                Response::of(200, &self.heartbeat())
+                Response::msgpack(200, &self.heartbeat())
             }
             _ => Response::empty(404),
         }
--- a/crates/hopyoke-emulator/src/cloud.rs
+++ b/crates/hopyoke-emulator/src/cloud.rs
@@ -104,7 +104,7 @@
     fn answer(self: &Rc<Cloud>, request: &Request) -> Response {
         let (path, query) = target(&request.path);
         match (request.method, path) {
-            (Method::Get, "/catalog") => Response::of(200, &json!({ "rigs": self.types })),
+            (Method::Get, "/catalog") => Response::msgpack(200, &json!({ "rigs": self.types })),
             (Method::Post, "/machines") => match decode::<ScaleOutRequest>(&request.body) {
                 Ok(r) => self.scale_out(&r),
                 Err(_) => Response::empty(400),
@@ -116,7 +116,7 @@
                             m.cancel.cancel();
                         }
                     }
-                    Response::of(200, &json!({}))
+                    Response::msgpack(200, &json!({}))
                 }
                 Err(_) => Response::empty(400),
             },
@@ -127,7 +127,7 @@
 
     fn scale_out(self: &Rc<Cloud>, request: &ScaleOutRequest) -> Response {
         if let Some(known) = self.created.borrow().get(&request.idempotency_key) {
-            return Response::of(200, &json!({ "vessels": known }));
+            return Response::msgpack(200, &json!({ "vessels": known }));
         }
         let Some(machine_type) = self.types.iter().find(|t| t.name == request.machine_type) else {
             return Response::empty(400);
@@ -137,7 +137,7 @@
             .saturating_sub(self.instances.borrow().len());
         let count = free.min(request.count as usize).min(MAX_SCALE_OUT);
         if count == 0 {
-            return Response::of(503, &json!({ "error": "no capacity" }));
+            return Response::msgpack(503, &json!({ "error": "no capacity" }));
         }
         let ids: Vec<MachineId> = (0..count)
             .map(|_| self.create(machine_type, &request.zone, request.spot))
@@ -145,7 +145,7 @@
         self.created
             .borrow_mut()
             .insert(request.idempotency_key.clone(), ids.clone());
-        Response::of(200, &json!({ "vessels": ids }))
+        Response::msgpack(200, &json!({ "vessels": ids }))
     }
 
     /// Creates a machine, whose agent starts once it has booted.
@@ -202,6 +202,6 @@
             })
             .collect();
         let more = after.next().is_some();
-        Response::of(200, &json!({ "vessels": page, "more": more }))
+        Response::msgpack(200, &json!({ "vessels": page, "more": more }))
     }
 }
--- a/crates/hopyoke-emulator/src/kv_store.rs
+++ b/crates/hopyoke-emulator/src/kv_store.rs
@@ -235,7 +235,7 @@
     async fn handle(&self, request: Request) -> Response {
         self.request_count.set(self.request_count.get() + 1);
         if self.is_down.get() {
-            return Response::of(503, &json!({ "error": "trouble" }));
+            return Response::msgpack(503, &json!({ "error": "trouble" }));
         }
         let (path, query) = target(&request.path);
         let parts: Vec<&str> = path.trim_start_matches('/').splitn(2, '/').collect();
@@ -247,7 +247,7 @@
             (Method::Post, ["holds", rest]) => self.renew_lease(rest),
             (Method::Delete, ["holds", id]) => id.parse().map_or(Response::empty(400), |lease| {
                 self.end_lease(lease);
-                Response::of(200, &json!({}))
+                Response::msgpack(200, &json!({}))
             }),
             (Method::Get, ["changes"]) => self.watch(&query).await,
             _ => Response::empty(404),
@@ -257,11 +257,11 @@
     fn read(&self, key: &str) -> Response {
         let inner = self.inner.borrow();
         match inner.keys.get(key) {
-            Some(e) => Response::of(
+            Some(e) => Response::msgpack(
                 200,
                 &json!({ "key": key, "v": e.value, "mark": e.mod_revision, "tether": e.lease }),
             ),
-            None => Response::of(404, &json!({ "tide": inner.revision })),
+            None => Response::msgpack(404, &json!({ "tide": inner.revision })),
         }
     }
 
@@ -280,7 +280,7 @@
             .map(|(k, e)| json!({ "key": k, "v": e.value, "mark": e.mod_revision, "tether": e.lease }))
             .collect();
         let more = after.next().is_some();
-        Response::of(
+        Response::msgpack(
             200,
             &json!({ "pairs": pairs, "more": more, "tide": inner.revision }),
         )
@@ -302,14 +302,14 @@
             .map(|c| &c.key)
             .collect();
         if !failed.is_empty() {
-            return Response::of(409, &json!({ "failed": failed, "tide": inner.revision }));
+            return Response::msgpack(409, &json!({ "failed": failed, "tide": inner.revision }));
         }
         let lease_is_gone = |id: &u64| !inner.leases.contains_key(id);
         if mutations
             .iter()
             .any(|m| m.lease.as_ref().is_some_and(lease_is_gone))
         {
-            return Response::of(400, &json!({ "error": "no such lease" }));
+            return Response::msgpack(400, &json!({ "error": "no such lease" }));
         }
         if mutations
             .iter()
@@ -317,7 +317,7 @@
             || mutations.len() > MAX_MUTATIONS
             || transaction.compares.len() > MAX_COMPARES
         {
-            return Response::of(400, &json!({ "error": "over the limits" }));
+            return Response::msgpack(400, &json!({ "error": "over the limits" }));
         }
         inner.revision += 1;
         for m in mutations {
@@ -331,7 +331,7 @@
             }
         }
         inner.wake_watchers();
-        Response::of(200, &json!({ "tide": inner.revision }))
+        Response::msgpack(200, &json!({ "tide": inner.revision }))
     }
 
     fn grant_lease(&self, body: &[u8]) -> Response {
@@ -344,7 +344,7 @@
         let id = inner.last_lease;
         let expires_at = runtime::now() + ttl;
         inner.leases.insert(id, Lease { expires_at, ttl });
-        Response::of(200, &json!({ "tether": id }))
+        Response::msgpack(200, &json!({ "tether": id }))
     }
 
     fn renew_lease(&self, rest: &str) -> Response {
@@ -355,7 +355,7 @@
         match id.and_then(|id| inner.leases.get_mut(&id)) {
             Some(lease) => {
                 lease.expires_at = runtime::now() + lease.ttl;
-                Response::of(200, &json!({}))
+                Response::msgpack(200, &json!({}))
             }
             None => Response::empty(404),
         }
@@ -375,7 +375,10 @@
                 }
                 let events = inner.events(prefix, since);
                 if !events.is_empty() || runtime::now() >= deadline {
-                    return Response::of(200, &json!({ "tide": inner.revision, "events": events }));
+                    return Response::msgpack(
+                        200,
+                        &json!({ "tide": inner.revision, "events": events }),
+                    );
                 }
                 inner.revision
             };
--- a/crates/hopyoke-event-loop/src/http/client.rs
+++ b/crates/hopyoke-event-loop/src/http/client.rs
@@ -86,7 +86,8 @@
         body: &[u8],
         limit: Micros,
     ) -> Result<Response, ClientError> {
-        self.send_as(method, path, (MSGPACK, body), "", limit).await
+        self.send_with_headers(method, path, (MSGPACK, body), "", limit)
+            .await
     }
 
     /// As [`Client::send`], provided that `is_permitted` still holds once the connection stands and the first byte is
@@ -117,7 +118,7 @@
     ///
     /// # Errors
     /// As for [`Client::send`].
-    pub async fn send_as(
+    pub async fn send_with_headers(
         &self,
         method: Method,
         path: &str,
--- a/crates/hopyoke-event-loop/src/http/message.rs
+++ b/crates/hopyoke-event-loop/src/http/message.rs
@@ -94,7 +94,7 @@
     }
 
     /// `body` as MessagePack, the form of the platform's interfaces.
-    pub fn of<T: Serialize>(status: u16, body: &T) -> Response {
+    pub fn msgpack<T: Serialize>(status: u16, body: &T) -> Response {
         Response {
             body: hopyoke_protocol::encode(body),
             ..Response::empty(status)
--- a/crates/hopyoke-event-loop/src/http/server.rs
+++ b/crates/hopyoke-event-loop/src/http/server.rs
@@ -142,7 +142,7 @@
 /// 400 even for an oversized body: users retry on any other status.
 fn refusal(error: &ReadError) -> Response {
     let error = &error.to_string();
-    Response::of(400, &Refusal { error }).closing()
+    Response::msgpack(400, &Refusal { error }).closing()
 }
 
 /// Reads a request, and whether the connection ends with it.
--- a/crates/hopyoke-event-loop/src/lib.rs
+++ b/crates/hopyoke-event-loop/src/lib.rs
@@ -20,4 +20,4 @@
 pub use executor::{run, spawn, spawn_until};
 pub use net::{TcpListener, TcpStream};
 pub use notify::Notify;
-pub use timer::{Sleep, TimedOut, now, sleep, sleep_until, time_of_day, timeout};
+pub use timer::{Sleep, TimedOut, now, sleep, sleep_until, timeout, unix_time};
--- a/crates/hopyoke-event-loop/src/timer.rs
+++ b/crates/hopyoke-event-loop/src/timer.rs
@@ -16,7 +16,7 @@
 }
 
 /// The wall clock, counted from 1970 in UTC; it may be off by the settings' `skew_ms`.
-pub fn time_of_day() -> Micros {
+pub fn unix_time() -> Micros {
     Micros(
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/hopyoke-wes/src/client.rs
+++ b/crates/hopyoke-wes/src/client.rs
@@ -69,7 +69,7 @@
             let path = format!("{}{path}", self.base);
             let (why, wait) = match self
                 .http
-                .send_as(method, &path, body, &self.headers, LIMIT)
+                .send_with_headers(method, &path, body, &self.headers, LIMIT)
                 .await
             {
                 Ok(r) if r.status < 300 => {
--- a/crates/hopyoke-wes/tests/loopback.rs
+++ b/crates/hopyoke-wes/tests/loopback.rs
@@ -461,7 +461,7 @@
     let get = async |path: &str, token: Option<&str>| {
         let headers = token.map_or(String::new(), |t| format!("Authorization: Bearer {t}\r\n"));
         let path = format!("{BASE}{path}");
-        http.send_as(
+        http.send_with_headers(
             Method::Get,
             &path,
             ("application/json", &[]),
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -58,7 +58,7 @@
         return redirect(Some(target)).closing();
     }
     match process(node, leadership, &request.body) {
-        Ok(response) => Response::of(200, &response),
+        Ok(response) => Response::msgpack(200, &response),
         Err(e) => Response::empty(e.status()),
     }
 }
@@ -85,7 +85,7 @@
 }
 
 fn redirect(target: Option<&str>) -> Response {
-    Response::of(421, &HeartbeatRedirect { target })
+    Response::msgpack(421, &HeartbeatRedirect { target })
 }
 
 /// Serves a heartbeat that a follower relayed. Returns the encoded response, or an empty body if this node rejects the
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -26,7 +26,7 @@
 }
 
 fn error_response(status: u16, error: &str) -> Response {
-    Response::of(status, &ErrorBody { error })
+    Response::msgpack(status, &ErrorBody { error })
 }
 
 /// Returns a 503 for a request whose outcome can't be determined now; the client is to retry after a second.
@@ -198,7 +198,7 @@
 /// Returns the status of a finished job.
 fn finished_response(id: &JobId, end: EndRecord) -> Response {
     let done = (end.state == JobState::Done).then_some(end.done);
-    Response::of(
+    Response::msgpack(
         200,
         &JobStatusResponse {
             id: id.as_str(),
@@ -232,7 +232,7 @@
             response.state = JobState::Running;
         }
     }
-    Response::of(200, &response)
+    Response::msgpack(200, &response)
 }
 
 /// Returns the response to a poll for the outcome of a lookup.
@@ -379,7 +379,7 @@
         };
     }
     let team = spec.team.clone();
-    let record = JobRecord::accepted(spec, runtime::time_of_day().0);
+    let record = JobRecord::accepted(spec, runtime::unix_time().0);
     let client = node.store.submissions().with_deadline(deadline.at());
     let outcome = match records::create(node, client, record, Vec::new()).await {
         Err(e @ StoreError::DeadlineExceeded) => return Err(e),
@@ -397,7 +397,7 @@
                 done: None,
                 running: None,
             };
-            Ok(Response::of(201, &response))
+            Ok(Response::msgpack(201, &response))
         }
         TransactionOutcome::Failed(_) => match lookup(node, client, &id).await? {
             // Records are never lost, so this contradicts the failed transaction: the user is to retry.
--- a/crates/hopyoke/src/leadership/actions.rs
+++ b/crates/hopyoke/src/leadership/actions.rs
@@ -38,7 +38,7 @@
     command_pusher: &Rc<CommandPusher>,
 ) -> Micros {
     let mut scheduler = leadership.scheduler.borrow_mut();
-    scheduler.note_time(runtime::now(), runtime::time_of_day());
+    scheduler.note_time(runtime::now(), runtime::unix_time());
     let next_tick_at = leadership.track_plan_cost(node, &mut scheduler, |scheduler| {
         scheduler.tick(runtime::now());
         scheduler.next_due(runtime::now())
--- a/crates/hopyoke/src/leadership/failover.rs
+++ b/crates/hopyoke/src/leadership/failover.rs
@@ -46,7 +46,7 @@
     scheduler.set_tuning(settings::scheduler_tuning(
         &node.policy.evaluate(&Figures::default()),
     ));
-    scheduler.set_time_of_day(runtime::now(), runtime::time_of_day());
+    scheduler.set_time_of_day(runtime::now(), runtime::unix_time());
     scheduler.set_hours(staffed_hours::initial(node));
     scheduler.set_catalog(node.catalog.borrow().clone());
     Some(scheduler)
--- a/crates/hopyoke/src/operations/settings.rs
+++ b/crates/hopyoke/src/operations/settings.rs
@@ -94,7 +94,7 @@
             .filter(|m| m.phase == MachinePhase::Up)
     };
     let day_us = 86_400_000_000;
-    let hour = (runtime::time_of_day().0 % day_us) as f64 / 3_600_000_000.0;
+    let hour = (runtime::unix_time().0 % day_us) as f64 / 3_600_000_000.0;
     Figures::default()
         .number("machines", up().count() as f64)
         .number(
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -113,7 +113,7 @@
 async fn apply_request(node: &Node, request: StaffedRequest) -> Result<String, String> {
     let mut hours = configured_hours(node)
         .ok_or("no work is held outside of staffed hours: `hold` is off in this node's settings")?;
-    let now = runtime::time_of_day();
+    let now = runtime::unix_time();
     let (current_override, mod_revision) = read_override(node).await.map_err(unavailable)?;
     let new_override = match request.word.as_str() {
         "show" => current_override,
--- a/crates/hopyoke/src/workflows/actions.rs
+++ b/crates/hopyoke/src/workflows/actions.rs
@@ -201,7 +201,7 @@
             },
         );
     }
-    let record = JobRecord::for_workflow_step(spec.clone(), runtime::time_of_day().0);
+    let record = JobRecord::for_workflow_step(spec.clone(), runtime::unix_time().0);
     let preconditions = vec![
         Compare {
             key: workflow_claim_key(run),
@@ -274,7 +274,7 @@
         });
         let mut head = head.clone();
         let key = if head.state.is_final() {
-            head.ended_us = runtime::time_of_day().0;
+            head.ended_us = runtime::unix_time().0;
             mutations.push(Mutation::Delete {
                 key: workflow_head_key(run),
             });
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -189,7 +189,7 @@
             &request.owner,
             &plan,
             pages.len() as u32,
-            runtime::time_of_day().0,
+            runtime::unix_time().0,
         )
     };
     if serde_json::to_string(&head).map_or(usize::MAX, |t| t.len()) > node.config.value_bytes {
@@ -565,7 +565,7 @@
     }
     let new_head = Head {
         state: RunState::Running,
-        submitted_us: runtime::time_of_day().0,
+        submitted_us: runtime::unix_time().0,
         ended_us: 0,
         reason: String::new(),
         done: 0,
--- a/crates/hopyoke/tests/checks/mod.rs
+++ b/crates/hopyoke/tests/checks/mod.rs
@@ -192,7 +192,7 @@
     };
     let handler = Rc::new(
         |r: Request| -> futures_util::future::LocalBoxFuture<'static, Response> {
-            Box::pin(async move { Response::of(200, &r.body.len()) })
+            Box::pin(async move { Response::msgpack(200, &r.body.len()) })
         },
     );
     runtime::spawn_until(
