--- a/crates/hopyoke-heartbeat/src/monitor.rs
+++ b/crates/hopyoke-heartbeat/src/monitor.rs
@@ -68,7 +68,7 @@
 
     /// Checks again, as is to be done several times a second; true if no heartbeat arrives although this number of
     /// `machines` should send some.
-    pub fn is_cut_off(&mut self, machines: usize, lease_is_valid: bool, now: Micros) -> bool {
+    pub fn is_isolated(&mut self, machines: usize, lease_is_valid: bool, now: Micros) -> bool {
         let span = now - self.last_check_at;
         self.last_check_at = self.last_check_at.max(now);
         if !lease_is_valid {
--- a/crates/hopyoke-heartbeat/src/routes.rs
+++ b/crates/hopyoke-heartbeat/src/routes.rs
@@ -92,7 +92,7 @@
     }
 
     /// What this node is to announce: `open` of `max_open` connections are in use, and its processor may be overloaded.
-    pub fn own_load(
+    pub fn update_own_load(
         &mut self,
         leads: bool,
         cpu_overloaded: bool,
@@ -115,7 +115,7 @@
 
     /// Routes a heartbeat that was sent to the leader itself. A redirected agent costs two requests now and saves a
     /// handshake with each heartbeat; if no peer has room, the heartbeat is answered locally.
-    pub fn at_leader(
+    pub fn route_at_leader(
         &mut self,
         cpu_overloaded: bool,
         open: u64,
@@ -148,7 +148,7 @@
     /// Routes a heartbeat that was sent to a node that does not lead; `leader` is the index of the peer that does, if
     /// known.
     #[must_use]
-    pub fn at_follower(&self, leader: Option<usize>, now: Micros) -> Route {
+    pub fn route_at_follower(&self, leader: Option<usize>, now: Micros) -> Route {
         let offloads = leader
             .and_then(|l| self.peers.get(l))
             .is_some_and(|p| p.load.offloads && p.is_current(now));
--- a/crates/hopyoke-heartbeat/tests/heartbeat.rs
+++ b/crates/hopyoke-heartbeat/tests/heartbeat.rs
@@ -19,11 +19,11 @@
     routes.load_received(0, load(0, false), Micros::ZERO);
     assert!(
         !routes
-            .own_load(true, false, 879, 1000, Micros::ZERO)
+            .update_own_load(true, false, 879, 1000, Micros::ZERO)
             .offloads
     );
     assert_eq!(
-        routes.at_leader(false, 950, 1000, Micros::from_secs(3)),
+        routes.route_at_leader(false, 950, 1000, Micros::from_secs(3)),
         Route::Local
     );
 }
@@ -33,14 +33,14 @@
     let mut routes = Routes::new(2);
     assert!(
         routes
-            .own_load(true, false, 900, 1000, Micros::ZERO)
+            .update_own_load(true, false, 900, 1000, Micros::ZERO)
             .offloads
     );
     let now = Micros::from_secs(3);
     routes.load_received(0, load(797, false), now);
     routes.load_received(1, load(799, false), now);
     let sent: Vec<Route> = (0..6)
-        .map(|_| routes.at_leader(false, 900, 1000, now))
+        .map(|_| routes.route_at_leader(false, 900, 1000, now))
         .collect();
     assert_eq!(
         sent.iter()
@@ -60,18 +60,18 @@
 #[test]
 fn a_peer_without_a_current_announcement_gets_no_agent() {
     let mut routes = Routes::new(1);
-    routes.own_load(true, false, 990, 1000, Micros::ZERO);
+    routes.update_own_load(true, false, 990, 1000, Micros::ZERO);
     assert_eq!(
-        routes.at_leader(false, 990, 1000, Micros::from_secs(3)),
+        routes.route_at_leader(false, 990, 1000, Micros::from_secs(3)),
         Route::Local
     );
     routes.load_received(0, load(0, false), Micros::from_secs(3));
     assert_eq!(
-        routes.at_leader(false, 990, 1000, Micros::from_secs(6)),
+        routes.route_at_leader(false, 990, 1000, Micros::from_secs(6)),
         Route::RedirectToPeer(0)
     );
     assert_eq!(
-        routes.at_leader(false, 990, 1000, Micros::from_secs(7)),
+        routes.route_at_leader(false, 990, 1000, Micros::from_secs(7)),
         Route::Local
     );
 }
@@ -80,24 +80,24 @@
 fn heartbeats_are_relayed_only_while_the_leader_offloads() {
     let mut routes = Routes::new(2);
     assert_eq!(
-        routes.at_follower(Some(1), Micros::ZERO),
+        routes.route_at_follower(Some(1), Micros::ZERO),
         Route::RedirectToLeader
     );
     routes.load_received(1, load(900, true), Micros::ZERO);
     assert_eq!(
-        routes.at_follower(Some(1), Micros::from_secs(1)),
+        routes.route_at_follower(Some(1), Micros::from_secs(1)),
         Route::Relay
     );
     assert_eq!(
-        routes.at_follower(Some(0), Micros::from_secs(1)),
+        routes.route_at_follower(Some(0), Micros::from_secs(1)),
         Route::RedirectToLeader
     );
     assert_eq!(
-        routes.at_follower(None, Micros::from_secs(1)),
+        routes.route_at_follower(None, Micros::from_secs(1)),
         Route::RedirectToLeader
     );
     assert_eq!(
-        routes.at_follower(Some(1), Micros::from_secs(4)),
+        routes.route_at_follower(Some(1), Micros::from_secs(4)),
         Route::RedirectToLeader
     );
 }
@@ -107,7 +107,7 @@
     let mut routes = Routes::new(1);
     let mut offloads = |open| {
         routes
-            .own_load(true, false, open, 1000, Micros::ZERO)
+            .update_own_load(true, false, open, 1000, Micros::ZERO)
             .offloads
     };
     assert!(!offloads(800));
@@ -122,21 +122,21 @@
     let mut routes = Routes::new(1);
     assert!(
         !routes
-            .own_load(true, false, 400, 1000, Micros::ZERO)
+            .update_own_load(true, false, 400, 1000, Micros::ZERO)
             .offloads
     );
     assert!(
         routes
-            .own_load(true, true, 400, 1000, Micros::ZERO)
+            .update_own_load(true, true, 400, 1000, Micros::ZERO)
             .offloads
     );
     let now = Micros::from_secs(3);
     routes.load_received(0, load(0, false), now);
     assert_eq!(
-        routes.at_leader(true, 400, 1000, now),
+        routes.route_at_leader(true, 400, 1000, now),
         Route::RedirectToPeer(0)
     );
-    assert_eq!(routes.at_leader(true, 290, 1000, now), Route::Local);
+    assert_eq!(routes.route_at_leader(true, 290, 1000, now), Route::Local);
 }
 
 proptest! {
@@ -190,7 +190,7 @@
 ) -> Option<u64> {
     (from..until)
         .step_by(2)
-        .find(|t| monitor.is_cut_off(machines, true, Micros::from_millis(t * 100)))
+        .find(|t| monitor.is_isolated(machines, true, Micros::from_millis(t * 100)))
 }
 
 #[test]
@@ -219,7 +219,7 @@
     all_found(&mut monitor);
     assert_eq!(cut_off_at(&mut monitor, 100, 0, 20), None);
     // The process stalled for 18 s: what arrived meanwhile has not been read yet.
-    assert!(!monitor.is_cut_off(100, true, Micros::from_secs(20)));
+    assert!(!monitor.is_isolated(100, true, Micros::from_secs(20)));
     all_found(&mut monitor);
     assert_eq!(cut_off_at(&mut monitor, 100, 201, 230), None);
 }
@@ -228,7 +228,7 @@
 fn time_without_a_valid_lease_does_not_count() {
     let mut monitor = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
     all_found(&mut monitor);
-    assert!(!monitor.is_cut_off(100, false, Micros::from_secs(10)));
+    assert!(!monitor.is_isolated(100, false, Micros::from_secs(10)));
     assert_eq!(cut_off_at(&mut monitor, 100, 101, 150), None);
 }
 
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -45,7 +45,7 @@
 }
 
 fn serve_as_leader(node: &Node, leadership: &Leadership, request: &Request) -> Response {
-    let route = node.routes.borrow_mut().at_leader(
+    let route = node.routes.borrow_mut().route_at_leader(
         node.is_behind(),
         node.open_connections.count(),
         node.max_open_connections(),
@@ -70,7 +70,7 @@
         .borrow()
         .as_deref()
         .and_then(|l| node.peers.index_of(l));
-    if node.routes.borrow().at_follower(leader, now) == Route::Relay {
+    if node.routes.borrow().route_at_follower(leader, now) == Route::Relay {
         return match node.heartbeat_relay.relay(request.body).await {
             Some(body) => {
                 let mut response = Response::empty(200);
--- a/crates/hopyoke/src/leadership/term.rs
+++ b/crates/hopyoke/src/leadership/term.rs
@@ -204,7 +204,7 @@
         .values()
         .filter(|m| m.is_registered && !m.deleting)
         .count();
-    leadership.heartbeat_monitor.borrow_mut().is_cut_off(
+    leadership.heartbeat_monitor.borrow_mut().is_isolated(
         registered,
         leadership.lease_is_valid(),
         runtime::now(),
--- a/crates/hopyoke/src/peers/server.rs
+++ b/crates/hopyoke/src/peers/server.rs
@@ -35,7 +35,7 @@
 
 /// What this node announces to a peer.
 fn greeting(node: &Node) -> Greeting {
-    let load = node.routes.borrow_mut().own_load(
+    let load = node.routes.borrow_mut().update_own_load(
         node.leadership().is_some(),
         node.is_behind(),
         node.open_connections.count(),
