--- a/crates/hopyoke-experiments/src/main.rs
+++ b/crates/hopyoke-experiments/src/main.rs
@@ -6,7 +6,7 @@
 use hopyoke_experiments::replay::{Options, Replayed, replay};
 use hopyoke_experiments::report::html;
 use hopyoke_types::Micros;
-use hopyoke_workload_trace::History;
+use hopyoke_workload_trace::WorkloadTrace;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -209,7 +209,7 @@
         kill_every: kill.map(Micros::from_secs),
     };
     let replayed = replay(&history, options)?;
-    let found = figures(&replayed, &history.changes);
+    let found = figures(&replayed, &history.class_changes);
     print!("{}", found.table());
     told(&replayed);
     write_page(page, &name, &replayed, &found)
@@ -241,7 +241,7 @@
     let kills = [None, Some(Micros::from_secs(60))];
     // Each replay is a world of its own, so they may run side by side.
     type Done = Vec<Result<Replayed, String>>;
-    let replays: Vec<(Kind, History, Done)> = std::thread::scope(|scope| {
+    let replays: Vec<(Kind, WorkloadTrace, Done)> = std::thread::scope(|scope| {
         let started: Vec<_> = Kind::ALL
             .into_iter()
             .map(|kind| {
@@ -276,7 +276,7 @@
             );
             println!("== {title} (generated, {jobs} jobs, seed {seed})");
             let replayed = replayed.map_err(|e| format!("{title}: {e}"))?;
-            let found = figures(&replayed, &history.changes);
+            let found = figures(&replayed, &history.class_changes);
             print!("{}", found.table());
             told(&replayed);
             if let Some(dir) = pages {
--- a/crates/hopyoke-experiments/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -7,7 +7,7 @@
 use hopyoke_scheduler::Team;
 use hopyoke_simulator::{JobGroundTruth, Simulation};
 use hopyoke_types::{JobId, Micros, TaskId};
-use hopyoke_workload_trace::{History, Run};
+use hopyoke_workload_trace::{Run, WorkloadTrace};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// A rule that broke, or that the replay did not come to its end.
-pub fn replay(history: &History, options: Options) -> Result<Replayed, String> {
+pub fn replay(history: &WorkloadTrace, options: Options) -> Result<Replayed, String> {
     let runs: Vec<Run> = history
         .runs
         .iter()
--- a/crates/hopyoke-experiments/tests/evidence.rs
+++ b/crates/hopyoke-experiments/tests/evidence.rs
@@ -29,7 +29,7 @@
             "{} predictions",
             replayed.outcomes.len()
         );
-        let found = figures(&replayed, &history.changes);
+        let found = figures(&replayed, &history.class_changes);
         let all = found.all();
         assert!((72.0..=92.0).contains(&all.inside), "{}", found.table());
         assert!(all.error < 0.5 * all.owner_error, "{}", found.table());
@@ -44,7 +44,7 @@
 fn a_doubling_is_found_within_ten_completions() {
     let history =
         hopyoke_workload_trace::read(&trace(Kind::Doubling, 800, 5), true).expect("a history");
-    assert_eq!(history.changes.len(), 2);
+    assert_eq!(history.class_changes.len(), 2);
     let replayed = replay(
         &history,
         Options {
@@ -53,7 +53,7 @@
         },
     )
     .expect("a replay");
-    let found = figures(&replayed, &history.changes);
+    let found = figures(&replayed, &history.class_changes);
     for r in &found.recoveries {
         assert!(r.completions.is_some_and(|k| k <= 10), "{}", found.table());
     }
--- a/crates/hopyoke-workload-trace/src/lib.rs
+++ b/crates/hopyoke-workload-trace/src/lib.rs
@@ -60,14 +60,14 @@
 
 /// A recorded workload.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct History {
+pub struct WorkloadTrace {
     /// Runs in the order of their submission.
     pub runs: Vec<Run>,
     /// Lines that were skipped.
     pub skipped: Vec<LineError>,
     /// Classes whose run times changed, and when, in seconds since the start of the history. They come
     /// from comments of the form `; Change: CLASS SECONDS`.
-    pub changes: Vec<(String, f64)>,
+    pub class_changes: Vec<(String, f64)>,
 }
 
 /// Longer run times than this (30 days) are taken for errors, in seconds.
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 /// With `strict`, the first line that cannot be used; else only what makes the whole file unusable.
-pub fn read(text: &str, strict: bool) -> Result<History, LineError> {
+pub fn read(text: &str, strict: bool) -> Result<WorkloadTrace, LineError> {
     if text.len() > MAX_FILE_BYTES {
         return Err(line_error(
             1,
--- a/crates/hopyoke-workload-trace/src/native.rs
+++ b/crates/hopyoke-workload-trace/src/native.rs
@@ -1,6 +1,6 @@
 //! The project's own format: CSV with a header.
 
-use crate::{FieldError, History, LineError, Run, check, line_error};
+use crate::{FieldError, LineError, Run, WorkloadTrace, check, line_error};
 
 /// The fields of [`Run`], in their order.
 const FIELDS: [&str; 14] = [
@@ -60,7 +60,7 @@
 }
 
 /// Reads the whole text; with `strict`, the first line that cannot be used is the error.
-pub(crate) fn read(text: &str, strict: bool) -> Result<History, LineError> {
+pub(crate) fn read(text: &str, strict: bool) -> Result<WorkloadTrace, LineError> {
     let mut reader = csv::ReaderBuilder::new()
         .flexible(true)
         .from_reader(text.as_bytes());
@@ -68,7 +68,7 @@
         .headers()
         .map_err(|e| line_error(1, "header", &e.to_string()))?
         .clone();
-    let mut out = History::default();
+    let mut out = WorkloadTrace::default();
     for record in reader.records() {
         let found = match record {
             Ok(r) => {
--- a/crates/hopyoke-workload-trace/src/swf.rs
+++ b/crates/hopyoke-workload-trace/src/swf.rs
@@ -1,6 +1,6 @@
 //! The Standard Workload Format: one line per job, 18 numbers, -1 for what is not known.
 
-use crate::{FieldError, History, LineError, Run, check, line_error};
+use crate::{FieldError, LineError, Run, WorkloadTrace, check, line_error};
 
 /// Indices of the fields that are used.
 const NUMBER: usize = 0;
@@ -39,8 +39,8 @@
 ];
 
 /// Reads the whole text; with `strict`, the first line that cannot be used is the error.
-pub(crate) fn read(text: &str, strict: bool) -> Result<History, LineError> {
-    let mut out = History::default();
+pub(crate) fn read(text: &str, strict: bool) -> Result<WorkloadTrace, LineError> {
+    let mut out = WorkloadTrace::default();
     for (i, line) in text.lines().enumerate() {
         let (n, line) = (i as u64 + 1, line.trim());
         if let Some(note) = line.strip_prefix(';') {
@@ -50,7 +50,7 @@
                 .and_then(|c| c.trim().split_once(' '))
                 && let Ok(at) = at.trim().parse::<f64>()
             {
-                out.changes.push((class.to_owned(), at));
+                out.class_changes.push((class.to_owned(), at));
             }
             continue;
         }
--- a/crates/hopyoke-workload-trace/tests/forms.rs
+++ b/crates/hopyoke-workload-trace/tests/forms.rs
@@ -89,7 +89,7 @@
         (ok.runs[0].ran_s, ok.runs[0].estimate_s, ok.runs[0].ended_us),
         (100.0, 120.0, 115_000_000)
     );
-    assert_eq!(ok.changes, [("app-7".to_owned(), 500.0)]);
+    assert_eq!(ok.class_changes, [("app-7".to_owned(), 500.0)]);
 }
 
 #[test]
