--- a/crates/hopyoke-workload-trace/src/lib.rs
+++ b/crates/hopyoke-workload-trace/src/lib.rs
@@ -1,9 +1,9 @@
-//! Recorded workloads, as files.
+//! Reads and writes recorded workloads.
 //!
-//! Two formats are read: the project's own (CSV with the header of [`Run`]'s fields, as
-//! `hopyoke history` writes it) and the [Standard Workload Format], version 2, in which most
-//! published logs of parallel machines are kept. A line that cannot be used is reported by line, field
-//! and reason, and either skipped or refused.
+//! Two formats are supported: the native one (CSV whose header lists the fields of [`Run`], as
+//! written by `hopyoke history`) and the [Standard Workload Format], version 2, which most
+//! published traces of parallel machines use and which is only read. An invalid line is reported with its
+//! number, field and reason, and is either skipped or rejected.
 //!
 //! [Standard Workload Format]: https://www.cs.huji.ac.il/labs/parallel/workload/swf.html
 
@@ -13,101 +13,102 @@
 pub use native::{WriteError, Writer};
 use serde::{Deserialize, Serialize};
 
-/// One run: a task, or a job of which all tasks run together.
+/// A completed run of a task, or of a gang-scheduled job with all its tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// Submission, in microseconds since the start of the history or since 1970.
+    /// Submission time, in microseconds since the start of the trace or the Unix epoch.
     pub submitted_us: u64,
-    /// End, as `submitted_us`; 0: not known.
+    /// End time, on the clock of `submitted_us`; 0 if unknown.
     pub ended_us: u64,
-    /// Id of the job.
+    /// Job ID.
     pub job: String,
-    /// Number of the task within the job.
+    /// Index of the task within the job array.
     pub index: u32,
-    /// Class of similar jobs; 1 to 128 bytes.
+    /// Class of jobs with similar run times; 1 to 128 bytes.
     pub class: String,
-    /// Team of the owner.
+    /// Team that the run is accounted to.
     pub team: String,
-    /// Image; empty: not known.
+    /// Container image; empty if unknown.
     pub image: String,
-    /// Tasks that ran together, 1 to 100,000; 1 for a task by itself.
+    /// Number of tasks that ran together, 1 to 100,000; 1 unless gang-scheduled.
     pub tasks: u32,
-    /// CPUs of one task.
+    /// CPUs per task.
     pub cpus: f64,
-    /// GPUs of one task.
+    /// GPUs per task.
     pub gpus: f64,
-    /// Memory of one task, in gigabytes.
+    /// Memory per task, in gigabytes.
     pub mem_gb: f64,
-    /// Machine; empty: several, or not known.
+    /// Machine ID; empty if there were several or it is unknown.
     pub machine: String,
-    /// The owner's estimate of the run time, in seconds; 0: none.
+    /// Run time that the user estimated, in seconds; 0 if none was given.
     pub estimate_s: f64,
-    /// Run time in seconds, above 0 and up to [`MAX_RUN_TIME_S`].
+    /// Actual run time in seconds, above 0 and at most [`MAX_RUN_TIME_S`].
     pub ran_s: f64,
 }
 
-/// A line that cannot be used.
+/// An error in one line of a trace, or in the whole file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}, field {field}: {reason}")]
 pub struct LineError {
-    /// Number of the line, from 1.
+    /// Line number, from 1.
     pub line: u64,
-    /// Name of the field; `all` for the whole line, `file` for the whole file.
+    /// Field name; `all` for the whole line, `file` for the whole file.
     pub field: String,
-    /// What is wrong with it.
+    /// Description of the error.
     pub reason: String,
 }
 
 /// A recorded workload.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct WorkloadTrace {
-    /// Runs in the order of their submission.
+    /// Runs in order of submission.
     pub runs: Vec<Run>,
-    /// Lines that were skipped.
+    /// Errors of the lines that were skipped.
     pub skipped: Vec<LineError>,
-    /// Classes whose run times changed, and when, in seconds since the start of the history. They come
-    /// from comments of the form `; Change: CLASS SECONDS`.
+    /// Classes whose run times change during the trace, with the time of the change in seconds since its
+    /// start. Read from comments of the form `; Change: CLASS SECONDS`.
     pub class_changes: Vec<(String, f64)>,
 }
 
-/// Longer run times than this (30 days) are taken for errors, in seconds.
+/// Maximum run time (30 days), in seconds; longer ones are invalid.
 pub const MAX_RUN_TIME_S: f64 = 2_592_000.0;
-/// Longer files are refused, in bytes.
+/// Maximum size of a trace file, in bytes.
 pub const MAX_FILE_BYTES: usize = 256 * 1024 * 1024;
 
-/// Reads a recorded workload. Its first line shows which format it has.
+/// Parses a trace. The format is detected from the first line.
 ///
 /// # Errors
-/// With `strict`, the first line that cannot be used; else only what makes the whole file unusable.
+/// Returns the first invalid line if `strict`. Otherwise invalid lines are skipped, and an error is returned only
+/// if the file is too large, its header is invalid, or it contains no valid run.
 pub fn read(text: &str, strict: bool) -> Result<WorkloadTrace, LineError> {
     if text.len() > MAX_FILE_BYTES {
         return Err(line_error(
             1,
             "file",
-            &format!("longer than {MAX_FILE_BYTES} bytes"),
+            &format!("exceeds {MAX_FILE_BYTES} bytes"),
         ));
     }
     let first = text.lines().next().unwrap_or("");
-    let mut history = if first.starts_with("submitted_us,") {
+    let mut trace = if first.starts_with("submitted_us,") {
         native::read(text, strict)?
     } else {
         swf::read(text, strict)?
     };
-    if history.runs.is_empty() {
-        let (line, reason) = match history.skipped.first() {
+    if trace.runs.is_empty() {
+        let (line, reason) = match trace.skipped.first() {
             Some(f) => (
                 f.line,
                 format!(
-                    "no run can be used; the first fault: field {}: {}",
+                    "no valid runs; first error: field {}: {}",
                     f.field, f.reason
                 ),
             ),
-            None => (1, "there are no runs".to_owned()),
+            None => (1, "the file contains no runs".to_owned()),
         };
         return Err(line_error(line, "file", &reason));
     }
-    history.runs.sort_by_key(|r| r.submitted_us);
-    Ok(history)
+    trace.runs.sort_by_key(|r| r.submitted_us);
+    Ok(trace)
 }
 
 fn line_error(line: u64, field: &str, reason: &str) -> LineError {
@@ -118,21 +119,21 @@
     }
 }
 
-/// A field of a [`Run`] that is out of range.
+/// A field of a [`Run`] whose value is out of range.
 struct FieldError {
     field: &'static str,
     reason: String,
 }
 
-/// Checks the ranges that both formats have in common.
-fn check(run: &Run) -> Result<(), FieldError> {
+/// Validates the ranges that apply to both formats.
+fn validate(run: &Run) -> Result<(), FieldError> {
     let fail = |field, reason| Err(FieldError { field, reason });
-    let is_run_time = |x: f64| x.is_finite() && x > 0.0 && x <= MAX_RUN_TIME_S;
-    if !is_run_time(run.ran_s) {
+    let is_valid_run_time = |x: f64| x.is_finite() && x > 0.0 && x <= MAX_RUN_TIME_S;
+    if !is_valid_run_time(run.ran_s) {
         let reason = format!("{} is not a run time above 0 and up to 30 days", run.ran_s);
         return fail("ran_s", reason);
     }
-    if run.estimate_s != 0.0 && !is_run_time(run.estimate_s) {
+    if run.estimate_s != 0.0 && !is_valid_run_time(run.estimate_s) {
         let reason = format!("{} is neither 0 nor a time up to 30 days", run.estimate_s);
         return fail("estimate_s", reason);
     }
@@ -145,14 +146,14 @@
         ("mem_gb", run.mem_gb),
     ] {
         if !(x.is_finite() && (0.0..=1e6).contains(&x)) {
-            return fail(field, format!("{x} is not an amount"));
+            return fail(field, format!("{x} is not between 0 and 1000000"));
         }
     }
     if run.class.is_empty() || run.class.len() > 128 {
         return fail("class", "must have 1 to 128 bytes".into());
     }
     if run.submitted_us > 1 << 60 || run.ended_us > 1 << 60 {
-        return fail("submitted_us", "is not a time".into());
+        return fail("submitted_us", "is not a valid time".into());
     }
     Ok(())
 }
--- a/crates/hopyoke-workload-trace/src/native.rs
+++ b/crates/hopyoke-workload-trace/src/native.rs
@@ -1,8 +1,8 @@
-//! The project's own format: CSV with a header.
+//! The native format: CSV with a header.
 
-use crate::{FieldError, LineError, Run, WorkloadTrace, check, line_error};
+use crate::{FieldError, LineError, Run, WorkloadTrace, line_error, validate};
 
-/// The fields of [`Run`], in their order.
+/// Fields of [`Run`] in declaration order.
 const FIELDS: [&str; 14] = [
     "submitted_us",
     "ended_us",
@@ -20,16 +20,16 @@
     "ran_s",
 ];
 
-/// A run that cannot be written as CSV.
+/// An error while encoding a run as CSV.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct WriteError(#[from] csv::Error);
 
-/// Writes runs as CSV, in memory.
+/// Encodes runs as CSV in memory.
 pub struct Writer(csv::Writer<Vec<u8>>);
 
 impl Writer {
-    /// A writer of no runs yet; with `header`, the header is written before the first run.
+    /// Creates an empty writer, which writes a header line before the first run if `header` is set.
     pub fn new(header: bool) -> Writer {
         Writer(
             csv::WriterBuilder::new()
@@ -38,20 +38,20 @@
         )
     }
 
-    /// The header's line alone, with its line break.
+    /// Returns the header line with its line break.
     pub fn header() -> String {
         FIELDS.join(",") + "\n"
     }
 
-    /// Adds a run.
+    /// Appends a run.
     ///
     /// # Errors
-    /// The run cannot be written as CSV.
+    /// Returns an error if the run cannot be encoded as CSV.
     pub fn add(&mut self, run: &Run) -> Result<(), WriteError> {
         Ok(self.0.serialize(run)?)
     }
 
-    /// All lines that were written.
+    /// Returns all lines written.
     pub fn text(self) -> String {
         self.0
             .into_inner()
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads the whole text; with `strict`, the first line that cannot be used is the error.
+/// Parses a trace in the native format. Fails on the first invalid line if `strict`, else skips invalid lines.
 pub(crate) fn read(text: &str, strict: bool) -> Result<WorkloadTrace, LineError> {
     let mut reader = csv::ReaderBuilder::new()
         .flexible(true)
@@ -68,16 +68,16 @@
         .headers()
         .map_err(|e| line_error(1, "header", &e.to_string()))?
         .clone();
-    let mut out = WorkloadTrace::default();
+    let mut trace = WorkloadTrace::default();
     for record in reader.records() {
-        let found = match record {
+        let parsed = match record {
             Ok(r) => {
                 let line = r.position().map_or(0, csv::Position::line);
                 if r.len() == header.len() {
                     r.deserialize::<Run>(Some(&header))
-                        .map_err(|e| error_of(&e, &header, line))
+                        .map_err(|e| csv_line_error(&e, &header, line))
                         .and_then(|run| {
-                            check(&run).map_err(|FieldError { field, reason }| {
+                            validate(&run).map_err(|FieldError { field, reason }| {
                                 line_error(line, field, &reason)
                             })?;
                             Ok(run)
@@ -86,7 +86,7 @@
                     Err(line_error(
                         line,
                         "all",
-                        &format!("{} fields, not {}", r.len(), header.len()),
+                        &format!("expected {1} fields, found {0}", r.len(), header.len()),
                     ))
                 }
             }
@@ -96,17 +96,17 @@
                 &e.to_string(),
             )),
         };
-        match found {
-            Ok(run) => out.runs.push(run),
+        match parsed {
+            Ok(run) => trace.runs.push(run),
             Err(f) if strict => return Err(f),
-            Err(f) => out.skipped.push(f),
+            Err(f) => trace.skipped.push(f),
         }
     }
-    Ok(out)
+    Ok(trace)
 }
 
-/// The field that could not be read.
-fn error_of(e: &csv::Error, header: &csv::StringRecord, line: u64) -> LineError {
+/// Converts a CSV error to one that names the field, where it is known.
+fn csv_line_error(e: &csv::Error, header: &csv::StringRecord, line: u64) -> LineError {
     if let csv::ErrorKind::Deserialize { err, .. } = e.kind() {
         let field = err
             .field()
--- a/crates/hopyoke-workload-trace/tests/forms.rs
+++ b/crates/hopyoke-workload-trace/tests/forms.rs
@@ -1,4 +1,4 @@
-//! Both formats are read, what is written is read back, and bad lines are named.
+//! Reads both trace formats, round-trips the native one, and checks the errors reported for invalid lines.
 
 use hopyoke_workload_trace::{Run, Writer, read};
 
@@ -22,20 +22,20 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn native_format_round_trips() {
     let mut w = Writer::new(true);
     (0..20).for_each(|n| w.add(&run(n)).expect("a run"));
     let text = w.text();
     assert!(text.starts_with(&Writer::header()));
-    let history = read(&text, true).expect("a history");
-    assert_eq!(history.runs, (0..20).map(run).collect::<Vec<_>>());
+    let trace = read(&text, true).expect("a trace");
+    assert_eq!(trace.runs, (0..20).map(run).collect::<Vec<_>>());
 }
 
-const GOOD: &str = "1 10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1";
-const HEAD: &str = "; Version: 2\n; Change: app-7 500\n\n";
+const VALID_LINE: &str = "1 10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1";
+const HEADER_COMMENTS: &str = "; Version: 2\n; Change: app-7 500\n\n";
 
-/// (A line after a good one, the field that is named, a part of the reason.)
-const BAD_LINES: &[(&str, &str, &str)] = &[
+/// Invalid line, expected field, and expected part of the reason.
+const INVALID_LINES: &[(&str, &str, &str)] = &[
     (
         "1 10 5 NaN 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
         "run time",
@@ -59,14 +59,14 @@
     (
         "1 -10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
         "submit time",
-        "not a time",
+        "not a valid time",
     ),
     (
         "1 10 5 100 4 -1 -1 4 1e300 -1 1 3 2 7 -1 -1 -1 -1",
         "requested time",
         "30 days",
     ),
-    ("1 10 5 100", "all", "4 fields"),
+    ("1 10 5 100", "all", "found 4"),
     (
         "one 10 5 100 4 -1 -1 4 120 -1 1 3 2 7 -1 -1 -1 -1",
         "job number",
@@ -75,8 +75,8 @@
 ];
 
 #[test]
-fn a_line_of_the_standard_format_is_read() {
-    let ok = read(&format!("{HEAD}{GOOD}\n"), true).expect("a history");
+fn swf_job_line_is_parsed() {
+    let ok = read(&format!("{HEADER_COMMENTS}{VALID_LINE}\n"), true).expect("a trace");
     assert_eq!(
         (
             ok.runs[0].class.as_str(),
@@ -93,22 +93,22 @@
 }
 
 #[test]
-fn bad_lines_are_named_and_skipped_or_refused() {
-    for (bad, field, word) in BAD_LINES {
-        let text = format!("{HEAD}{GOOD}\n{bad}\n");
-        let fault = read(&text, true).expect_err(bad);
+fn invalid_swf_lines_are_reported_and_skipped_or_rejected() {
+    for (line, field, reason) in INVALID_LINES {
+        let text = format!("{HEADER_COMMENTS}{VALID_LINE}\n{line}\n");
+        let error = read(&text, true).expect_err(line);
         assert!(
-            fault.line == 5 && fault.field == *field && fault.reason.contains(*word),
-            "{bad}: {fault}"
+            error.line == 5 && error.field == *field && error.reason.contains(*reason),
+            "{line}: {error}"
         );
-        let skipped = read(&text, false).expect(bad);
+        let skipped = read(&text, false).expect(line);
         assert_eq!(
             (skipped.runs.len(), &skipped.skipped[..]),
-            (1, &[fault][..])
+            (1, &[error][..])
         );
     }
-    // Cancelled and failed jobs say nothing; a file of nothing else is an error.
-    let cancelled = GOOD.replace(" 1 3 2 7", " 5 3 2 7");
+    // Cancelled and failed jobs are ignored; a file without any other job is an error.
+    let cancelled = VALID_LINE.replace(" 1 3 2 7", " 5 3 2 7");
     assert!(
         read(&cancelled, false)
             .expect_err("no runs")
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn bad_fields_of_the_native_format_are_named() {
+fn invalid_native_fields_are_reported() {
     let mut w = Writer::new(true);
     w.add(&run(1)).expect("a run");
     let text = w.text();
@@ -132,8 +132,8 @@
         (",1.5,", ",,", "cpus"),
     ] {
         assert!(text.contains(from), "{text}");
-        let fault = read(&text.replacen(from, to, 1), true).expect_err(to);
-        assert!(fault.line == 2 && fault.field == field, "{to}: {fault}");
+        let error = read(&text.replacen(from, to, 1), true).expect_err(to);
+        assert!(error.line == 2 && error.field == field, "{to}: {error}");
     }
     assert!(
         read(&text.replacen("61.25", "61.25,7", 1), true)
