--- a/crates/hopyoke-heartbeat/src/batcher.rs
+++ b/crates/hopyoke-heartbeat/src/batcher.rs
@@ -1,24 +1,24 @@
-//! Which heartbeats are relayed to the leader in one call.
+//! Batches the heartbeats that a follower relays to the leader.
 
 use hopyoke_types::Micros;
 use std::collections::VecDeque;
 
-/// Identifies a heartbeat that is to be relayed, within this process.
+/// Identifies a heartbeat to be relayed; unique within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HeartbeatId(u64);
 
-/// The encoded heartbeats of one call.
+/// Encoded heartbeats of one call, with their IDs.
 pub type Batch = Vec<(HeartbeatId, Vec<u8>)>;
 
-/// A heartbeat is delayed for this long to be joined by others, unless [`MAX_BATCH`] are queued.
+/// Time that a heartbeat waits for others to join its batch, unless [`MAX_BATCH`] are queued.
 const BATCH_DELAY: Micros = Micros::from_millis(20);
-/// Heartbeats in one call.
+/// Maximum number of heartbeats per call.
 const MAX_BATCH: usize = 64;
-/// Calls in flight at once.
+/// Maximum number of concurrent calls.
 const MAX_CALLS: usize = 4;
-/// Heartbeats in the queue; more are refused at once.
+/// Maximum number of queued heartbeats; further ones are rejected immediately.
 const MAX_QUEUED: usize = 512;
-/// A heartbeat that has been queued for longer is not relayed: its response would come too late.
+/// Maximum time in the queue; an older heartbeat is dropped, as its agent would discard the late response.
 const MAX_QUEUE_TIME: Micros = Micros::from_millis(2_500);
 
 #[derive(Debug)]
@@ -28,8 +28,8 @@
     body: Vec<u8>,
 }
 
-/// Gathers heartbeats for calls to the leader. Bounded: what finds no room is refused at once, and the agent tries the
-/// next node.
+/// Queues heartbeats and batches them into calls to the leader. The queue is bounded: when it is full, heartbeats are
+/// rejected immediately and the agent tries the next node.
 #[derive(Debug, Default)]
 pub struct HeartbeatBatcher {
     queue: VecDeque<QueuedHeartbeat>,
@@ -40,7 +40,7 @@
 }
 
 impl HeartbeatBatcher {
-    /// Queues an encoded heartbeat. `None`: the queue is full.
+    /// Queues an encoded heartbeat. Returns `None` if the queue is full.
     pub fn enqueue(&mut self, heartbeat: Vec<u8>, now: Micros) -> Option<HeartbeatId> {
         if self.queue.len() >= MAX_QUEUED {
             self.refused += 1;
@@ -56,7 +56,7 @@
         Some(id)
     }
 
-    /// When the next call is due; `None`: the queue is empty, or as many calls as allowed are in flight.
+    /// Returns when the next call is due, or `None` if the queue is empty or the maximum number of calls is in flight.
     #[must_use]
     pub fn next_call_at(&self) -> Option<Micros> {
         let oldest = self.queue.front()?;
@@ -70,8 +70,8 @@
         })
     }
 
-    /// Begins a call: the heartbeats for it, none if no call is due, and those that were dropped because they had been
-    /// queued for too long. A call that has heartbeats ends with [`Self::call_ended`].
+    /// Begins a call. Returns its batch, which is empty if no call is due, and the IDs of heartbeats dropped because they
+    /// were queued for too long. If the batch isn't empty, [`Self::call_ended`] must follow.
     pub fn begin_call(&mut self, now: Micros) -> (Batch, Vec<HeartbeatId>) {
         let mut dropped = Vec::new();
         while let Some(oldest) = self.queue.front()
@@ -95,12 +95,12 @@
         (batch, dropped)
     }
 
-    /// A call has ended, successfully or not.
+    /// Records that a call ended, successfully or not.
     pub fn call_ended(&mut self) {
         self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
     }
 
-    /// Heartbeats relayed and refused since the start of the process, for operators.
+    /// Returns the number of heartbeats relayed and refused since process start.
     #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         (self.relayed, self.refused)
--- a/crates/hopyoke-heartbeat/src/lib.rs
+++ b/crates/hopyoke-heartbeat/src/lib.rs
@@ -1,14 +1,14 @@
-//! Heartbeat routing: which node holds an agent's connection, and how heartbeats reach the leader, without any I/O.
+//! Heartbeat routing and leader isolation detection, without I/O.
 //!
-//! One node leads, and its sockets and handshakes bound the number of machines that it can serve. While it has
-//! capacity, every agent sends its heartbeats to it. When its connections are nearly used up, agents are redirected to
-//! the other nodes: these hold the connections and relay the heartbeats to the leader, many in one call. The leader
-//! alone decides and answers, so no safety rule depends on the way: an agent drops every response that arrives more
-//! than 4 s after it sent its heartbeat, by whichever way it came.
+//! Agents send heartbeats to the leader while it has capacity. The number of machines that the leader can serve
+//! directly is limited by its sockets and handshakes, so when its connections are nearly exhausted it redirects agents
+//! to followers, which hold the connections and relay heartbeats to the leader in batches. Only the leader answers
+//! heartbeats, and an agent drops any response that arrives more than 4 s after it sent the heartbeat, so safety doesn't
+//! depend on the route.
 //!
-//! - [`Routes`]: where a heartbeat goes.
-//! - [`HeartbeatBatcher`]: which heartbeats are relayed to the leader together.
-//! - [`HeartbeatMonitor`]: whether any machine still reaches the leader.
+//! - [`Routes`]: routes each heartbeat by the connection load of the nodes.
+//! - [`HeartbeatBatcher`]: batches heartbeats that are relayed to the leader.
+//! - [`HeartbeatMonitor`]: detects that the leader is isolated from all agents.
 
 mod batcher;
 mod monitor;
--- a/crates/hopyoke-heartbeat/src/routes.rs
+++ b/crates/hopyoke-heartbeat/src/routes.rs
@@ -1,45 +1,45 @@
-//! Where a heartbeat goes.
+//! Routes heartbeats between agents, followers and the leader.
 
 use hopyoke_types::Micros;
 
-/// The use of a node's connections, as it announces it to its peers.
+/// Connection load of a node, as announced to its peers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConnectionLoad {
-    /// Connections that are open.
+    /// Number of open connections.
     pub open: u64,
-    /// Connections that the node accepts at once.
+    /// Maximum number of open connections.
     pub max_open: u64,
-    /// The node leads, and has its peers hold agents' connections and relay their heartbeats.
+    /// Whether the node is the leader and lets its peers hold agent connections and relay heartbeats.
     pub offloads: bool,
 }
 
-/// A peer, by its last announcement.
+/// A peer's last announcement.
 #[derive(Debug, Clone, Copy, Default)]
 struct Peer {
     load: ConnectionLoad,
     announced_at: Option<Micros>,
 }
 
-/// What is done with a heartbeat that an agent sent to this node.
+/// Route of a heartbeat that an agent sent to this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
-    /// This node leads: it answers.
+    /// This node is the leader and answers.
     Local,
-    /// The agent is redirected to the peer with this index.
+    /// Redirects the agent to the peer with this index.
     RedirectToPeer(usize),
-    /// The heartbeat is relayed to the leader, and the agent keeps its connection to this node.
+    /// Relays the heartbeat to the leader; the agent keeps its connection to this node.
     Relay,
-    /// The agent is redirected to the leader.
+    /// Redirects the agent to the leader.
     RedirectToLeader,
 }
 
-/// The shares of its open connections, 0 to 1, between which a leader's offloading changes.
+/// Connection utilization, 0 to 1, at which a leader starts and stops offloading.
 #[derive(Debug, Clone, Copy)]
 struct OffloadThresholds {
-    /// From this share on it begins.
+    /// Utilization from which offloading starts.
     start: f64,
-    /// Below this share it ends. Lower, since agents that were redirected would otherwise come back and be redirected
-    /// again.
+    /// Utilization below which offloading stops. Lower than `start`, so that redirected agents don't return only to be
+    /// redirected again.
     stop: f64,
 }
 
@@ -47,31 +47,31 @@
     start: 0.88,
     stop: 0.6,
 };
-/// For a leader whose processor is overloaded: reading requests and answering them is the largest part of the cost of a
-/// heartbeat, and peers can do it.
+/// Thresholds of a leader with CPU overload: request handling is the largest part of the CPU cost of a heartbeat, and
+/// peers can take it over.
 const THRESHOLDS_CPU_OVERLOADED: OffloadThresholds = OffloadThresholds {
     start: 0.3,
     stop: 0.2,
 };
-/// A peer accepts agents up to this share of its connections: users connect to it as well.
-const PEER_MAX_SHARE: f64 = 0.8;
-/// By then all peers have received the announcement that this node offloads: they are greeted every second.
+/// Connection utilization up to which a peer receives agents; the rest is left to users.
+const PEER_MAX_UTILIZATION: f64 = 0.8;
+/// Time until all peers have received the announcement that this node offloads; it is sent every second.
 const ANNOUNCEMENT_DELAY: Micros = Micros::from_millis(2_200);
-/// A peer's announcement is valid for this long.
+/// Time for which a peer's announcement is valid.
 const VALIDITY: Micros = Micros::from_millis(3_500);
 
 /// Routes heartbeats by the connection load of the nodes.
 #[derive(Debug, Clone)]
 pub struct Routes {
     peers: Vec<Peer>,
-    /// Since when this node, which leads, has announced that it offloads.
+    /// When this node started to offload as the leader; `None` if it doesn't offload.
     offloading_since: Option<Micros>,
-    /// The peer that is tried first for the next redirect.
+    /// Index of the peer to try first for the next redirect (round-robin).
     next_peer: usize,
 }
 
 impl Routes {
-    /// For a node with this number of peers.
+    /// Creates the routes of a node with this number of peers.
     #[must_use]
     pub fn new(peers: usize) -> Routes {
         Routes {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A peer announced its connection load.
+    /// Records the connection load that a peer announced.
     pub fn load_received(&mut self, peer: usize, load: ConnectionLoad, now: Micros) {
         if let Some(p) = self.peers.get_mut(peer) {
             *p = Peer {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// What this node is to announce: `open` of `max_open` connections are in use, and its processor may be overloaded.
+    /// Decides whether this node offloads, and returns the load to announce. `open` of `max_open` connections are in use.
     pub fn update_own_load(
         &mut self,
         leads: bool,
@@ -100,11 +100,11 @@
         max_open: u64,
         now: Micros,
     ) -> ConnectionLoad {
-        let share = open as f64 / max_open.max(1) as f64;
+        let utilization = open as f64 / max_open.max(1) as f64;
         let thresholds = thresholds(cpu_overloaded);
         let offloads = leads
-            && (share >= thresholds.start
-                || (self.offloading_since.is_some() && share >= thresholds.stop));
+            && (utilization >= thresholds.start
+                || (self.offloading_since.is_some() && utilization >= thresholds.stop));
         self.offloading_since = offloads.then(|| self.offloading_since.unwrap_or(now));
         ConnectionLoad {
             open,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Routes a heartbeat that was sent to the leader itself. A redirected agent costs two requests now and saves a
-    /// handshake with each heartbeat; if no peer has room, the heartbeat is answered locally.
+    /// Routes a heartbeat that was sent to this node, the leader. A redirect costs two requests once and saves a
+    /// handshake per heartbeat; if no peer has capacity, the heartbeat is answered locally.
     pub fn route_at_leader(
         &mut self,
         cpu_overloaded: bool,
@@ -122,7 +122,7 @@
         max_open: u64,
         now: Micros,
     ) -> Route {
-        // A peer that has not received the announcement yet would redirect the agent back.
+        // A peer that hasn't received the announcement yet would redirect the agent back.
         let announced = self
             .offloading_since
             .is_some_and(|since| now >= since + ANNOUNCEMENT_DELAY);
@@ -134,9 +134,10 @@
         for offset in 0..count {
             let index = (self.next_peer + offset) % count;
             let peer = &mut self.peers[index];
-            let has_room = (peer.load.open as f64) < PEER_MAX_SHARE * peer.load.max_open as f64;
-            if has_room && peer.is_current(now) {
-                // Until its next announcement, redirected agents count as open connections.
+            let has_capacity =
+                (peer.load.open as f64) < PEER_MAX_UTILIZATION * peer.load.max_open as f64;
+            if has_capacity && peer.is_current(now) {
+                // Counts the redirected agent as an open connection until the peer's next announcement.
                 peer.load.open += 1;
                 self.next_peer = index + 1;
                 return Route::RedirectToPeer(index);
@@ -145,8 +146,7 @@
         Route::Local
     }
 
-    /// Routes a heartbeat that was sent to a node that does not lead; `leader` is the index of the peer that does, if
-    /// known.
+    /// Routes a heartbeat that was sent to this node, a follower. `leader` is the peer index of the leader, if known.
     #[must_use]
     pub fn route_at_follower(&self, leader: Option<usize>, now: Micros) -> Route {
         let offloads = leader
--- a/crates/hopyoke-heartbeat/tests/heartbeat.rs
+++ b/crates/hopyoke-heartbeat/tests/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Where heartbeats go, and how they are relayed, for any order of events.
+//! Routing, batching and isolation detection of heartbeats.
 
 use hopyoke_heartbeat::{ConnectionLoad, HeartbeatBatcher, HeartbeatMonitor, Route, Routes};
 use hopyoke_types::{MachineId, Micros};
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn heartbeats_are_relayed_only_while_the_leader_offloads() {
+fn followers_relay_only_while_the_leader_offloads() {
     let mut routes = Routes::new(2);
     assert_eq!(
         routes.route_at_follower(Some(1), Micros::ZERO),
@@ -140,7 +140,7 @@
 }
 
 proptest! {
-    /// Each heartbeat is relayed once or dropped once; calls and the queue stay bounded.
+    /// Each heartbeat is relayed or dropped at most once, and calls and queue stay bounded, for any order of events.
     #[test]
     fn every_heartbeat_is_relayed_or_dropped_once(events in prop::collection::vec((0u64..60_000, 0u8..4), 1..3000)) {
         let mut batcher = HeartbeatBatcher::default();
@@ -175,14 +175,14 @@
     }
 }
 
-fn all_found(monitor: &mut HeartbeatMonitor) {
+fn discover_all(monitor: &mut HeartbeatMonitor) {
     for n in 0..100 {
         monitor.heartbeat_received(&MachineId::new(&format!("m-{n:06}")), true);
     }
 }
 
-/// Checks every 200 ms from `from` to `until` (in tenths of a second); returns when isolation is detected.
-fn cut_off_at(
+/// Checks every 200 ms from `from` to `until`, in tenths of a second. Returns when isolation is detected.
+fn isolated_at(
     monitor: &mut HeartbeatMonitor,
     machines: usize,
     from: u64,
@@ -195,70 +195,71 @@
 
 #[test]
 fn isolation_is_detected_sooner_with_many_machines() {
-    let monitor_of = |found: bool| {
+    let monitor_of = |discovered: bool| {
         let mut monitor = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
-        if found {
-            all_found(&mut monitor);
+        if discovered {
+            discover_all(&mut monitor);
         }
         monitor
     };
-    let at = |found, machines| cut_off_at(&mut monitor_of(found), machines, 0, 200).unwrap_or(999);
+    let at = |discovered, machines| {
+        isolated_at(&mut monitor_of(discovered), machines, 0, 200).unwrap_or(999)
+    };
     assert!((35..40).contains(&at(true, 100)), "{}", at(true, 100));
     assert!((60..65).contains(&at(true, 3)), "{}", at(true, 3));
     assert!(
         (60..65).contains(&at(false, 100)),
-        "before the first heartbeat {}",
+        "before the first heartbeat: {}",
         at(false, 100)
     );
     assert_eq!(at(true, 1), 999);
 }
 
 #[test]
-fn a_stall_of_the_process_is_no_isolation() {
+fn process_stall_is_not_isolation() {
     let mut monitor = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
-    all_found(&mut monitor);
-    assert_eq!(cut_off_at(&mut monitor, 100, 0, 20), None);
-    // The process stalled for 18 s: what arrived meanwhile has not been read yet.
+    discover_all(&mut monitor);
+    assert_eq!(isolated_at(&mut monitor, 100, 0, 20), None);
+    // After a stall of 18 s, heartbeats that arrived meanwhile haven't been read yet.
     assert!(!monitor.is_isolated(100, true, Micros::from_secs(20)));
-    all_found(&mut monitor);
-    assert_eq!(cut_off_at(&mut monitor, 100, 201, 230), None);
+    discover_all(&mut monitor);
+    assert_eq!(isolated_at(&mut monitor, 100, 201, 230), None);
 }
 
 #[test]
 fn time_without_a_valid_lease_does_not_count() {
     let mut monitor = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
-    all_found(&mut monitor);
+    discover_all(&mut monitor);
     assert!(!monitor.is_isolated(100, false, Micros::from_secs(10)));
-    assert_eq!(cut_off_at(&mut monitor, 100, 101, 150), None);
+    assert_eq!(isolated_at(&mut monitor, 100, 101, 150), None);
 }
 
-/// Two of three nodes are down: agents try the third only after a timeout at each of the others. Seen on
-/// bangkarera-hire-ops: the third stepped down after 3.5 s, the first was elected again without being reachable, and
-/// 837 attempts were killed by the expiry of their lease.
+/// Two of three nodes are down, so agents reach the third only after a timeout at each of the others. Guards against a
+/// leader that steps down during discovery, which lets task leases expire.
 #[test]
 fn a_new_leader_waits_until_agents_have_tried_the_other_nodes() {
     let mut monitor = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
     monitor.command_answered();
-    // One agent tried this node first.
+    // Only one agent tried this node first.
     monitor.heartbeat_received(&MachineId::new("m-000001"), true);
-    assert_eq!(cut_off_at(&mut monitor, 100, 0, 130), None);
-    // No other agent found it in time: it is isolated after all.
-    assert!(cut_off_at(&mut monitor, 100, 130, 200).is_some());
+    assert_eq!(isolated_at(&mut monitor, 100, 0, 130), None);
+    // No other agent discovered it in time, so it is isolated.
+    assert!(isolated_at(&mut monitor, 100, 130, 200).is_some());
 }
 
-/// Delayed copies of heartbeats that reach a new leader at once, as the first of their machines, do not show that these
-/// have found it: they may still be trying nodes that are down.
+/// Heartbeats that the network delayed, and that don't acknowledge the new leader, must not count as discovery: their
+/// agents may still be trying nodes that are down.
 #[test]
-fn delayed_heartbeats_do_not_show_that_agents_found_the_leader() {
+fn delayed_heartbeats_do_not_count_as_discovery() {
     let mut monitor = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
     for n in 0..100 {
         monitor.heartbeat_received(&MachineId::new(&format!("m-{n:06}")), false);
     }
-    assert_eq!(cut_off_at(&mut monitor, 100, 0, 60), None);
+    assert_eq!(isolated_at(&mut monitor, 100, 0, 60), None);
 }
 
 #[test]
 fn a_new_leader_that_no_agent_answers_does_not_wait_for_discovery() {
     let mut monitor = HeartbeatMonitor::new(Micros::from_secs(2), 3, Micros::ZERO);
-    assert!(cut_off_at(&mut monitor, 100, 0, 65).is_some());
+    assert!(isolated_at(&mut monitor, 100, 0, 65).is_some());
 }
