--- a/crates/hopyoke-admission/src/controller.rs
+++ b/crates/hopyoke-admission/src/controller.rs
@@ -1,4 +1,4 @@
-//! Admission control of one node: the gate, at the rate that the node's share of the changes allows.
+//! Admission control of one node: the gate, run at the rate that the node's share of the write limit allows.
 
 use crate::gate::{AdmissionGate, RetryAfter};
 use crate::gossip::QueueGossip;
@@ -8,8 +8,7 @@
 use crate::write_demand::WriteDemand;
 use hopyoke_types::{JobId, Micros};
 
-/// Decides which submissions are admitted, by what this node may spend on them of the changes that the key-value
-/// store accepts.
+/// Admits submissions within this node's share of the key-value store's write limit.
 #[derive(Debug, Clone)]
 pub struct AdmissionController {
     gate: AdmissionGate,
@@ -17,22 +16,22 @@
     write_demand: WriteDemand,
 }
 
-/// The state of a node's admission control, for operators.
+/// State of a node's admission control, for the status page.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionStats {
-    /// Submissions admitted since the start of the process.
+    /// Submissions admitted since process start.
     pub admitted: u64,
-    /// Submissions rejected since the start of the process.
+    /// Submissions rejected since process start.
     pub rejected: u64,
-    /// How long the queue of those that this node rejected would take to be admitted.
+    /// Estimated time until all submissions that this node rejected are admitted.
     pub estimated_wait: Micros,
-    /// Submissions a second that are admitted at present.
+    /// Current admission rate, in submissions per second.
     pub rate: f64,
 }
 
 impl AdmissionController {
-    /// `changes`: the changes a second that the key-value store accepts from all nodes, and the number of nodes;
-    /// `guaranteed`: of each team of the settings whether it has a guarantee.
+    /// Creates the controller. `changes` is the rate of changes per second that the key-value store accepts from all
+    /// nodes together, with the number of nodes; `guaranteed` tells for each configured team whether it has a guarantee.
     #[must_use]
     pub fn new(changes: SharedLimit, guaranteed: &[bool], now: Micros) -> AdmissionController {
         let share = RateShare::new(changes);
@@ -44,27 +43,30 @@
         }
     }
 
-    /// Admits a team's job, if there is room. `leads`: this node is the leader, so its own records need changes.
+    /// Admits a team's job if there is capacity. `is_leader`: this node is the leader, whose records need changes too.
     ///
     /// # Errors
-    /// There is no room: after how long the client may retry.
+    /// Returns after how long the client may retry if there is no capacity.
     pub fn admit(
         &mut self,
         job: &JobId,
         team: usize,
-        leads: bool,
+        is_leader: bool,
         now: Micros,
     ) -> Result<(), RetryAfter> {
-        self.gate_at_current_rate(leads, now).admit(job, team, now)
+        self.gate_at_current_rate(is_leader, now)
+            .admit(job, team, now)
     }
 
-    /// Rejects a job that was admitted and then found no room at the key-value store.
-    pub fn reject(&mut self, job: &JobId, team: usize, leads: bool, now: Micros) -> RetryAfter {
-        self.gate_at_current_rate(leads, now).reject(job, team, now)
+    /// Rejects a job that was admitted but then refused by the key-value store. Returns after how long the client may
+    /// retry.
+    pub fn reject(&mut self, job: &JobId, team: usize, is_leader: bool, now: Micros) -> RetryAfter {
+        self.gate_at_current_rate(is_leader, now)
+            .reject(job, team, now)
     }
 
-    fn gate_at_current_rate(&mut self, leads: bool, now: Micros) -> &mut AdmissionGate {
-        if leads {
+    fn gate_at_current_rate(&mut self, is_leader: bool, now: Micros) -> &mut AdmissionGate {
+        if is_leader {
             let write_demand = self.write_demand.rate(now);
             self.share.write_demand_received(write_demand, now);
         }
@@ -73,12 +75,14 @@
         &mut self.gate
     }
 
-    /// The leader announced the changes a second that its records need, in answer to a request sent at `sent_at`.
+    /// Records the changes per second that the leader's records need, as announced in answer to a request sent at
+    /// `sent_at`.
     pub fn write_demand_received(&mut self, write_demand: f64, sent_at: Micros) {
         self.share.write_demand_received(write_demand, sent_at);
     }
 
-    /// The loan to ask a peer for, in changes a second: this node's own share while it is overloaded, else 0.
+    /// Returns the loan to request from a peer, in changes per second: this node's own share while it is overloaded,
+    /// else 0.
     pub fn requested_loan(&mut self, now: Micros) -> f64 {
         if self.is_overloaded(now) {
             self.share.own_share(now)
@@ -87,50 +91,50 @@
         }
     }
 
-    /// Grants a peer that asks for `requested` changes a second a loan, and returns its rate.
+    /// Grants a loan to a peer that requests `requested` changes per second. Returns the rate of the loan.
     pub fn grant_loan(&mut self, peer: usize, requested: f64, now: Micros) -> f64 {
         let (used, overloaded) = (self.gate.admitted_rate(now), self.is_overloaded(now));
         self.share
             .grant_loan(peer, requested, used, overloaded, now)
     }
 
-    /// A peer granted a loan of `rate` changes a second, in answer to a request sent at `sent_at`.
+    /// Records that a peer granted a loan of `rate` changes per second, in answer to a request sent at `sent_at`.
     pub fn loan_received(&mut self, peer: usize, rate: f64, sent_at: Micros) {
         self.share.loan_received(peer, rate, sent_at);
     }
 
-    /// Takes the queue positions to announce to a peer now.
+    /// Takes the updates of queue positions to send to a peer now.
     pub fn take_gossip(&mut self, peer: usize, now: Micros) -> Vec<QueueGossip> {
         self.gate.take_gossip(peer, now)
     }
 
-    /// A peer announced changes of its queue positions.
+    /// Applies the updates of queue positions that a peer sent.
     pub fn gossip_received(&mut self, peer: usize, gossip: &[QueueGossip], now: Micros) {
         self.gate.gossip_received(peer, gossip, now);
     }
 
-    /// Some jobs were rejected and have not been retried. The load balancer spreads users, so the other nodes are
+    /// Returns whether rejected jobs are still waiting for their retries. As users are load-balanced, the other nodes are
     /// likely to be overloaded as well.
     pub fn is_overloaded(&mut self, now: Micros) -> bool {
         self.gate.estimated_wait(now) > Micros::ZERO
     }
 
-    /// This node, the leader, wrote so many changes.
+    /// Records that this node, as the leader, wrote `changes` changes.
     pub fn changes_written(&mut self, changes: usize, now: Micros) {
         self.write_demand.changes_written(changes, now);
     }
 
-    /// This node, the leader, has more to write than the rate allows.
+    /// Records that this node, as the leader, has more to write than the rate limit allows.
     pub fn writes_deferred(&mut self, now: Micros) {
         self.write_demand.writes_deferred(now);
     }
 
-    /// The changes a second that this node's records need while it leads.
+    /// Returns the changes per second that this node's records need while it is the leader.
     pub fn write_demand(&mut self, now: Micros) -> f64 {
         self.write_demand.rate(now)
     }
 
-    /// Counters, queue and rate, for operators.
+    /// Returns counters, estimated wait and rate for the status page.
     pub fn stats(&mut self, now: Micros) -> AdmissionStats {
         let TenantCounts { admitted, rejected } = self.gate.counts();
         AdmissionStats {
@@ -141,7 +145,7 @@
         }
     }
 
-    /// Counters by team, in the order of the settings; the last stands for all teams that the settings do not name.
+    /// Returns counters by team, in the order of the settings; the last entry covers all teams not in the settings.
     pub fn team_counts(&self) -> impl Iterator<Item = TenantCounts> {
         self.gate.tenant_counts()
     }
--- a/crates/hopyoke-admission/src/gossip.rs
+++ b/crates/hopyoke-admission/src/gossip.rs
@@ -1,42 +1,42 @@
-//! Gossip of queue positions, so that a position counts at whichever node its client retries.
+//! Gossips queue positions among nodes, as clients may retry at any node.
 
 use hopyoke_types::{JobId, Micros};
 use std::collections::VecDeque;
 
-/// Entries that are queued for one peer; beyond that the oldest are dropped, for they are only hints.
+/// Maximum number of updates queued per peer. The oldest are dropped beyond that, as updates are only hints.
 const MAX_QUEUED: usize = 1024;
-/// Entries in one message.
+/// Maximum number of updates per message.
 const MAX_PER_MESSAGE: usize = 256;
-/// A peer whose last message is no older than this shares the queue.
+/// Age of a peer's last message from which it no longer counts as sharing the queue.
 const PEER_TIMEOUT: Micros = Micros::from_secs(3);
 
-/// One queue position, as a node announces it to another.
+/// An update of a job's queue position, as sent to a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueueGossip {
-    /// The job that holds the position.
+    /// Job at this position.
     pub job: JobId,
-    /// The index of its team in the settings.
+    /// Index of the job's team in the settings.
     pub tenant: usize,
-    /// Time until its retry is due; `None`: it was admitted.
+    /// Time until the job's retry is due; `None` if it was admitted.
     pub due_in: Option<Micros>,
 }
 
-/// One change of a queue position that is still to be sent.
+/// An update of a queue position that is yet to be sent.
 #[derive(Debug, Clone)]
-struct Update {
+struct PendingUpdate {
     job: JobId,
     tenant: usize,
-    /// When the retry is due; `None`: the job was admitted.
+    /// When the retry is due; `None` if the job was admitted.
     due_at: Option<Micros>,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Peer {
-    queued: VecDeque<Update>,
+    queued: VecDeque<PendingUpdate>,
     last_message_at: Option<Micros>,
 }
 
-/// Announcements that are queued for each peer, and which peers are reachable.
+/// Updates queued for each peer, and which peers are reachable.
 #[derive(Debug, Clone)]
 pub(crate) struct GossipOutbox {
     peers: Vec<Peer>,
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Queues a job's retry time for all peers; `None`: it was admitted.
+    /// Queues a job's retry time for all peers; `None` if it was admitted.
     pub(crate) fn push(&mut self, job: &JobId, tenant: usize, due_at: Option<Micros>) {
         for peer in &mut self.peers {
             if peer.queued.len() >= MAX_QUEUED {
                 peer.queued.pop_front();
             }
-            peer.queued.push_back(Update {
+            peer.queued.push_back(PendingUpdate {
                 job: job.clone(),
                 tenant,
                 due_at,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes what to send to this peer now. It is sent once: a lost entry costs one client its position, no more.
+    /// Takes the updates to send to this peer now. They are sent once: a lost update costs only that client's position.
     pub(crate) fn take(&mut self, peer: usize, now: Micros) -> Vec<QueueGossip> {
         let Some(peer) = self.peers.get_mut(peer) else {
             return Vec::new();
@@ -79,14 +79,14 @@
             .collect()
     }
 
-    /// A message of a peer arrived.
+    /// Records that a message of a peer arrived.
     pub(crate) fn gossip_received(&mut self, peer: usize, now: Micros) {
         if let Some(peer) = self.peers.get_mut(peer) {
             peer.last_message_at = Some(now);
         }
     }
 
-    /// How many nodes share the queue, this one included.
+    /// Returns how many nodes share the queue, including this one.
     pub(crate) fn sharing_nodes(&self, now: Micros) -> usize {
         1 + self
             .peers
--- a/crates/hopyoke-admission/src/lib.rs
+++ b/crates/hopyoke-admission/src/lib.rs
@@ -1,19 +1,20 @@
-//! Admission control and rate limits for a service that all nodes share, without any I/O.
+//! Admission control and rate limits for a shared key-value store, without I/O.
 //!
-//! The key-value store counts the requests and changes of all nodes together and refuses everything above its
-//! limits, leader leases and failovers included. So every node keeps to its own share of each limit, which needs
-//! no agreement, and spends that share by priority:
+//! The store limits the requests and changes (key updates) of all nodes together and refuses everything above,
+//! including lease renewals and the requests of a failover. So each node keeps to its own share of each limit, which
+//! needs no coordination, and spends the share by priority:
 //!
-//! - [`RateLimiter`]: one limit. Each [`RequestPriority`] may use the node's share only while more than its own
-//!   floor is left, so requests of a higher priority always find room, whatever the load of the others.
-//! - [`AdmissionGate`]: which submissions are admitted, by team, and after how long a rejected one may retry at
-//!   the queue position that it keeps.
-//! - [`WriteDemand`]: the changes that the leader's own records need, which the leader announces to its peers.
-//! - [`RateShare`]: the changes that a node may spend on new work: by that announcement while it is valid, and by
-//!   what the nodes lend each other.
-//! - [`AdmissionController`]: the last three together.
+//! - [`RateLimiter`]: enforces one limit. Each [`RequestPriority`] has a floor that it must leave in the node's token
+//!   bucket, so higher priorities have capacity whatever the load of lower ones.
+//! - [`AdmissionGate`]: admits submissions with fair sharing among teams. A rejected submission gets a retry delay and
+//!   keeps its queue position.
+//! - [`WriteDemand`]: measures the changes per second that the leader's job records need; the leader announces them to
+//!   its peers.
+//! - [`RateShare`]: computes the changes per second that a node may spend on new work, from the leader's announcement
+//!   and the loans among nodes.
+//! - [`AdmissionController`]: combines gate, share and demand.
 //!
-//! Time is a parameter everywhere: events and `now` in, decisions out.
+//! Time is a parameter of all functions.
 
 mod controller;
 mod gate;
--- a/crates/hopyoke-admission/src/rate_limiter.rs
+++ b/crates/hopyoke-admission/src/rate_limiter.rs
@@ -1,22 +1,22 @@
-//! One limit of a shared service, spent by priority.
+//! Limits a node's requests to its share of a shared limit, by priority.
 
 use crate::token_bucket::TokenBucket;
 use hopyoke_types::Micros;
 
-/// The priority of a request to the key-value store, highest first.
+/// Priority of a request to the key-value store, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestPriority {
-    /// Leases, grants, and what a new leader reads: a safety rule or the whole service depends on it.
+    /// Leases, grants of lease support and reads of a new leader, on which safety or the whole service depends.
     Critical,
-    /// The leader's records, and its watch of them.
+    /// Writes of the leader's job records, and its watch of them.
     Records,
-    /// Cancellations: tasks go on in vain until they are recorded.
+    /// Cancellations: tasks keep running until these are recorded.
     Cancels,
-    /// New submissions, and repeated ones.
+    /// Submissions, including repeated ones.
     Accepts,
-    /// Polls: clients repeat them by themselves.
+    /// Status polls, which clients repeat anyway.
     Polls,
-    /// What can be delayed: learned run times, garbage collection, probes.
+    /// Deferrable work: learned run times, garbage collection, probes.
     Background,
 }
 
@@ -31,7 +31,7 @@
         RequestPriority::Background,
     ];
 
-    /// The share of the node's bucket that is reserved for higher priorities.
+    /// Share of the bucket's capacity that is reserved for higher priorities.
     fn floor(self) -> f64 {
         match self {
             RequestPriority::Critical => 0.0,
@@ -44,24 +44,24 @@
     }
 }
 
-/// A limit that all nodes share.
+/// A rate limit that all nodes share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SharedLimit {
-    /// What the service accepts a second from all nodes together, with bursts worth one second.
+    /// Rate per second that the service accepts from all nodes together, with bursts of up to one second's worth.
     pub per_second: f64,
-    /// The number of nodes, up or not.
+    /// Number of nodes, whether up or down.
     pub nodes: u32,
 }
 
-/// The part of the limit that is divided among the nodes: requests that were spread over time when they were sent
-/// may arrive closer together.
+/// Share of the limit that is divided among the nodes. The rest is headroom for requests that arrive closer together
+/// than they were sent.
 const ALLOCATED_SHARE: f64 = 0.95;
 
-/// A node's share of a limit, spent by priority.
+/// Limits one node to its share of a limit, by priority.
 ///
-/// The shares of all nodes add up to less than the limit, bursts included, whatever any node knows of the others;
-/// so while nodes keep to them the service refuses nothing, and no node's overload uses up the room that another's
-/// leases need.
+/// The shares of all nodes, including bursts, add up to less than the limit, whatever a node knows of the others. So the
+/// service refuses nothing while nodes keep to their shares, and an overloaded node can't use up the capacity that
+/// another node needs for its leases.
 #[derive(Debug, Clone)]
 pub struct RateLimiter {
     bucket: TokenBucket,
@@ -70,7 +70,7 @@
 }
 
 impl RateLimiter {
-    /// For one node's equal share of `limit`.
+    /// Creates a limiter for one node's equal share of `limit`.
     #[must_use]
     pub fn new(limit: SharedLimit, now: Micros) -> RateLimiter {
         let share = limit.per_second * ALLOCATED_SHARE / f64::from(limit.nodes.max(1));
@@ -81,10 +81,10 @@
         }
     }
 
-    /// Takes `count` requests, or changes.
+    /// Takes capacity for `count` requests or changes.
     ///
     /// # Errors
-    /// There is no room: the minimum time until there may be.
+    /// Returns the minimum time until there may be enough capacity.
     pub fn take(
         &mut self,
         priority: RequestPriority,
@@ -102,14 +102,14 @@
         taken
     }
 
-    /// Whether [`RateLimiter::take`] would succeed.
+    /// Returns whether [`RateLimiter::take`] would succeed.
     #[must_use]
     pub fn has_room(&mut self, priority: RequestPriority, count: u32, now: Micros) -> bool {
         let floor = priority.floor() * self.bucket.capacity();
         self.bucket.has_room(f64::from(count), floor, now)
     }
 
-    /// How often there was room and how often not, for operators.
+    /// Returns how often capacity was taken and how often it was refused.
     #[must_use]
     pub fn counts(&self, priority: RequestPriority) -> (u64, u64) {
         (
--- a/crates/hopyoke-admission/src/rate_share.rs
+++ b/crates/hopyoke-admission/src/rate_share.rs
@@ -1,28 +1,29 @@
-//! The changes that one node may spend on new work: its own share, less what it lends, plus what it borrows.
+//! Computes the write rate that one node may spend on new work: its own share, minus loans to peers, plus loans from
+//! peers.
 
 use crate::rate_limiter::SharedLimit;
 use crate::write_demand::MAX_RECORDS_SHARE;
 use hopyoke_types::Micros;
 
-/// The part of all changes that is allocated to records and new work.
+/// Share of the limit that is allocated to records and new work; the rest is headroom.
 const ALLOCATED_SHARE: f64 = 0.9;
-/// The part of all changes that is reserved for the leader's records however little they need: their demand can rise
-/// before the peers learn of it.
+/// Minimum share of the limit that is reserved for the leader's records, as their demand can rise before the peers
+/// receive an announcement of it.
 const MIN_RECORDS_SHARE: f64 = 0.1;
-/// An announcement of the leader, and a loan, are valid for this long from when they were requested.
+/// Time for which a loan, or an announcement of the leader, is valid after it was requested.
 pub(crate) const VALIDITY: Micros = Micros::from_millis(2_500);
-/// The part of its own share that a node never lends, however little it uses: users may come at any moment.
+/// Share of its own share that a node never lends, as its own load may rise at any time.
 const RETAINED_SHARE: f64 = 0.3;
 
-/// A rate that was lent to a peer, borrowed from it, or announced by the leader.
+/// A rate with an expiry: lent to a peer, borrowed from a peer, or announced by the leader.
 #[derive(Debug, Clone, Copy, Default)]
-struct Loan {
-    /// Changes a second.
+struct ExpiringRate {
+    /// Changes per second.
     rate: f64,
     expires_at: Micros,
 }
 
-impl Loan {
+impl ExpiringRate {
     fn rate_at(&self, now: Micros) -> f64 {
         if now < self.expires_at {
             self.rate
@@ -36,32 +37,32 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct BorrowedLoan {
     requested_at: Micros,
-    loan: Loan,
+    loan: ExpiringRate,
 }
 
-/// The changes a second that one node may spend on new work.
+/// Computes the changes per second that one node may spend on new work.
 ///
-/// Without any message it is what is safe whatever the others do: the shares of all nodes and all that the leader's
-/// records may need stay within the limit. An announcement of the leader that it needs less makes each share larger;
-/// a peer that uses little of its share lends to one that asks.
+/// Without any message, the rate is safe whatever the other nodes do: the shares of all nodes plus the maximum demand of
+/// the leader's records stay within the limit. If the leader announces a lower demand, each share grows; a peer that uses
+/// little of its share lends to one that asks.
 ///
-/// A loan counts from when it was requested at the borrower, and from the answer at the lender, which is later:
-/// messages that are lost, delayed, repeated or reordered never let both spend the same rate. Only the leader's
-/// demand can rise before its peers learn of it: for `VALIDITY` at the most, together they may then exceed the limit
-/// by up to half of it, which the service refuses.
+/// The validity of a loan starts when it was requested at the borrower, but when it was granted, which is later, at the
+/// lender. So messages that are lost, delayed, repeated or reordered never let both spend the same rate. Only the leader's
+/// demand can rise before its peers receive the announcement: for at most `VALIDITY`, all nodes together may then exceed
+/// the limit by up to half of it, and the store refuses the excess.
 #[derive(Debug, Clone)]
 pub struct RateShare {
     limit: SharedLimit,
-    /// The write demand that the leader announced last.
-    announced_demand: Option<Loan>,
-    /// By peer: loans to it that it may still rely on.
-    lent: Vec<Vec<Loan>>,
+    /// Latest write demand that the leader announced.
+    announced_demand: Option<ExpiringRate>,
+    /// By peer: loans to it that may still be in use.
+    lent: Vec<Vec<ExpiringRate>>,
     /// By peer: its latest loan to this node.
     borrowed: Vec<BorrowedLoan>,
 }
 
 impl RateShare {
-    /// For a node with `limit.nodes - 1` peers.
+    /// Creates the share of a node with `limit.nodes - 1` peers.
     #[must_use]
     pub fn new(limit: SharedLimit) -> RateShare {
         let peers = limit.nodes.saturating_sub(1) as usize;
@@ -73,8 +74,9 @@
         }
     }
 
-    /// The leader announced the changes a second that its records need; `sent_at` is when this node sent its request,
-    /// so that no announcement is used for longer than it is valid. What is not a finite number from 0 on is ignored.
+    /// Records the changes per second that the leader's records need, as announced in answer to a request that this node
+    /// sent at `sent_at`. Validity counts from `sent_at`, so a delayed answer isn't used beyond it. Ignores values that are
+    /// negative or not finite, and outdated announcements.
     pub fn write_demand_received(&mut self, write_demand: f64, sent_at: Micros) {
         let expires_at = sent_at + VALIDITY;
         if write_demand.is_finite()
@@ -83,14 +85,14 @@
                 .announced_demand
                 .is_none_or(|d| expires_at >= d.expires_at)
         {
-            self.announced_demand = Some(Loan {
+            self.announced_demand = Some(ExpiringRate {
                 rate: write_demand,
                 expires_at,
             });
         }
     }
 
-    /// This node's own share, in changes a second, without loans.
+    /// Returns this node's own share, without loans, in changes per second.
     #[must_use]
     pub fn own_share(&self, now: Micros) -> f64 {
         let max_demand = self.limit.per_second * MAX_RECORDS_SHARE;
@@ -104,7 +106,7 @@
             / f64::from(self.limit.nodes.max(1))
     }
 
-    /// The changes a second that may be spent on new work.
+    /// Returns the rate that may be spent on new work, in changes per second.
     #[must_use]
     pub fn rate(&self, now: Micros) -> f64 {
         let borrowed: f64 = self.borrowed.iter().map(|b| b.loan.rate_at(now)).sum();
@@ -115,15 +117,15 @@
         (0..self.lent.len()).map(|p| self.lent_to(p, now)).sum()
     }
 
-    /// The peer may not have received a later, smaller loan yet: the largest counts.
+    /// Returns the largest valid loan to a peer, which may not have received a later, smaller one yet.
     fn lent_to(&self, peer: usize, now: Micros) -> f64 {
         self.lent.get(peer).map_or(0.0, |l| {
             l.iter().map(|l| l.rate_at(now)).fold(0.0, f64::max)
         })
     }
 
-    /// Grants a peer that asks for `requested` changes a second a loan, in place of earlier loans to it, and returns
-    /// its rate. This node uses `used` changes a second itself; while it is `overloaded`, it lends nothing.
+    /// Grants a loan to a peer that requests `requested` changes per second, and returns its rate. It replaces earlier
+    /// loans to that peer. `used` is the rate that this node uses itself; while it is `overloaded`, it lends nothing.
     pub fn grant_loan(
         &mut self,
         peer: usize,
@@ -150,19 +152,19 @@
         };
         lent.retain(|l| now < l.expires_at);
         if rate > 0.0 {
-            let loan = Loan {
+            let loan = ExpiringRate {
                 rate,
                 expires_at: now + VALIDITY.with_drift(),
             };
-            // One loan stands for those that expire before it and are no larger.
+            // Earlier loans that are no larger expire before this one, so it covers them.
             lent.retain(|l| l.rate > rate);
             lent.push(loan);
         }
         rate
     }
 
-    /// A peer granted a loan of `rate` changes a second, in answer to a request sent at `sent_at`. An answer to an
-    /// earlier request than that of the latest loan is ignored.
+    /// Records that a peer granted a loan of `rate` changes per second, in answer to a request sent at `sent_at`. Ignores
+    /// answers to requests that were sent before that of the latest loan.
     pub fn loan_received(&mut self, peer: usize, rate: f64, sent_at: Micros) {
         if let Some(borrowed) = self.borrowed.get_mut(peer)
             && sent_at >= borrowed.requested_at
@@ -170,7 +172,7 @@
         {
             *borrowed = BorrowedLoan {
                 requested_at: sent_at,
-                loan: Loan {
+                loan: ExpiringRate {
                     rate: rate.clamp(0.0, self.limit.per_second),
                     expires_at: sent_at + VALIDITY,
                 },
--- a/crates/hopyoke-admission/src/wait_queue.rs
+++ b/crates/hopyoke-admission/src/wait_queue.rs
@@ -1,11 +1,11 @@
-//! The queue of rejected jobs: each keeps its position until its retry is due.
+//! Queue of rejected jobs, which keep their positions until they are retried or expire.
 
 use hopyoke_types::{JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Positions that are kept; a job that is rejected beyond them retries as a new one.
+/// Maximum number of positions; a job rejected beyond that retries as a new one.
 const MAX_ENTRIES: usize = 1024;
-/// A position is kept for this long after its retry was due: clients add a delay of their own.
+/// Time for which a position is kept after its retry was due, as clients add a delay of their own.
 const GRACE_PERIOD: Micros = Micros::from_secs(6);
 
 #[derive(Debug, Clone)]
@@ -13,11 +13,11 @@
     job: JobId,
     tenant: usize,
     due_at: Micros,
-    /// Rejected by this node rather than by a peer.
+    /// Whether this node rejected the job, rather than a peer.
     own: bool,
 }
 
-/// Queue positions in the order in which they were first given out.
+/// Queue positions in the order in which they were assigned.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WaitQueue {
     entries: BTreeMap<u64, Entry>,
@@ -27,7 +27,7 @@
 }
 
 impl WaitQueue {
-    /// Drops positions whose jobs were not retried within the grace period.
+    /// Drops the positions of jobs that weren't retried within the grace period.
     pub(crate) fn expire(&mut self, now: Micros) {
         while let Some((due_at, position)) = self
             .by_due_time
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Removes a job that was admitted; false if it had no position.
+    /// Removes an admitted job. Returns false if it had no position.
     pub(crate) fn remove(&mut self, job: &JobId) -> bool {
         let removed = self
             .position_by_job
@@ -54,7 +54,8 @@
         removed.is_some()
     }
 
-    /// How many jobs are ahead of this one: all in the queue, if it has no position yet. `None`: the queue is full.
+    /// Returns how many jobs are ahead of this one, which are all queued jobs if it has no position yet. Returns `None` if
+    /// it has no position and the queue is full.
     pub(crate) fn ahead_of(&self, job: &JobId) -> Option<usize> {
         match self.position_by_job.get(job) {
             Some(position) => Some(self.entries.range(..position).count()),
@@ -62,7 +63,7 @@
         }
     }
 
-    /// How many jobs ahead of this one are due until `deadline`, of tenants that the filter accepts.
+    /// Returns how many jobs ahead of this one are due by `deadline`, among tenants that the filter accepts.
     pub(crate) fn due_ahead_of(
         &self,
         deadline: Micros,
@@ -82,7 +83,7 @@
         .count()
     }
 
-    /// Sets a job's retry time; it keeps the position that it has, or gets the next one while the queue has room.
+    /// Sets a job's retry time. A job without a position gets the next one unless the queue is full.
     pub(crate) fn upsert(&mut self, job: &JobId, tenant: usize, due_at: Micros, own: bool) {
         if let Some(position) = self.position_by_job.get(job)
             && let Some(entry) = self.entries.get_mut(position)
@@ -109,7 +110,7 @@
         }
     }
 
-    /// How many jobs in the queue were rejected by this node.
+    /// Returns how many queued jobs were rejected by this node.
     pub(crate) fn own_entries(&self) -> usize {
         self.entries.values().filter(|e| e.own).count()
     }
--- a/crates/hopyoke-admission/src/write_demand.rs
+++ b/crates/hopyoke-admission/src/write_demand.rs
@@ -1,29 +1,30 @@
-//! The leader's write demand: the changes that its own records need of those that the key-value store accepts.
+//! Measures the leader's write demand: the part of the key-value store's write limit that its job records need.
 
 use crate::rate_limiter::SharedLimit;
 use crate::rate_share::VALIDITY;
 use hopyoke_types::Micros;
 
-/// The leader's records may use up to this share of all changes.
+/// Maximum share of all changes for the leader's records.
 pub(crate) const MAX_RECORDS_SHARE: f64 = 0.5;
-/// Changes are counted over this window.
+/// Window over which changes are counted.
 const WINDOW: Micros = Micros::from_secs(1);
 
-/// The changes a second that the leader's records need, as it announces them to its peers.
+/// Measures the changes per second that the leader's records need, which the leader announces to its peers.
 #[derive(Debug, Clone)]
 pub struct WriteDemand {
-    /// Changes a second.
+    /// Maximum demand, in changes per second.
     max_rate: f64,
     window_start: Micros,
-    /// Changes in the present window.
+    /// Changes in the current window.
     count: f64,
-    /// Changes a second in the window before.
+    /// Changes per second in the previous window.
     last_rate: f64,
     deferred_until: Micros,
 }
 
 impl WriteDemand {
-    /// `changes`: the changes a second that the key-value store accepts from all nodes.
+    /// Creates the measurement. `changes` is the rate of changes per second that the key-value store accepts from all
+    /// nodes together.
     #[must_use]
     pub fn new(changes: SharedLimit, now: Micros) -> WriteDemand {
         WriteDemand {
@@ -35,27 +36,28 @@
         }
     }
 
-    /// So many changes were written.
+    /// Records that `changes` changes were written.
     pub fn changes_written(&mut self, changes: usize, now: Micros) {
         self.roll_window(now);
         self.count += changes as f64;
     }
 
-    /// More is to be written than the rate allows: the demand is at its maximum for a while.
+    /// Records that there is more to write than the rate limit allows, which raises the demand to its maximum for
+    /// `VALIDITY`.
     pub fn writes_deferred(&mut self, now: Micros) {
         self.deferred_until = now + VALIDITY;
     }
 
     fn roll_window(&mut self, now: Micros) {
-        let span = now - self.window_start;
-        if span >= WINDOW {
-            self.last_rate = self.count / span.as_secs_f64();
+        let elapsed = now - self.window_start;
+        if elapsed >= WINDOW {
+            self.last_rate = self.count / elapsed.as_secs_f64();
             self.count = 0.0;
             self.window_start = now;
         }
     }
 
-    /// The demand in changes a second: a quarter and one more than what was written of late, up to the maximum.
+    /// Returns the demand in changes per second: the recent rate plus a quarter plus one, up to the maximum.
     pub fn rate(&mut self, now: Micros) -> f64 {
         self.roll_window(now);
         if now < self.deferred_until {
--- a/crates/hopyoke-admission/tests/admission.rs
+++ b/crates/hopyoke-admission/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The limits hold for any order of events; each check fails where a limit is left out.
+//! Rate limits, loans and admission fairness hold for any order of events.
 
 use hopyoke_admission::{
     AdmissionGate, RateLimiter, RateShare, RequestPriority, SharedLimit, WriteDemand,
@@ -19,16 +19,16 @@
     JobId::new(&format!("req-{n:06}"))
 }
 
-/// The key-value store's own limiter: what it refuses.
-struct Service {
+/// Models the key-value store's own rate limiter.
+struct StoreLimiter {
     rate: f64,
     level: f64,
     refilled_at: Micros,
 }
 
-impl Service {
-    fn new(rate: f64) -> Service {
-        Service {
+impl StoreLimiter {
+    fn new(rate: f64) -> StoreLimiter {
+        StoreLimiter {
             rate,
             level: rate,
             refilled_at: Micros::ZERO,
@@ -52,23 +52,23 @@
 }
 
 proptest! {
-    /// Whatever load the nodes get and when, the service refuses nothing that their limiters allow.
+    /// The store refuses no request that the nodes' limiters allow, for any load.
     #[test]
     fn shares_never_exceed_the_limit(events in prop::collection::vec((0u64..40_000, 0usize..3, 0u8..6, 1u32..5), 1..2000)) {
         let mut nodes: Vec<RateLimiter> = (0..3).map(|_| RateLimiter::new(REQUESTS, Micros::ZERO)).collect();
-        let mut service = Service::new(REQUESTS.per_second);
+        let mut store = StoreLimiter::new(REQUESTS.per_second);
         let mut now = Micros::ZERO;
         for (pause, node, class, n) in events {
             now += Micros(pause);
             if nodes[node].take(priority(class), n, now).is_ok() {
-                prop_assert!(service.accepts(f64::from(n), now), "refused at {now:?}");
+                prop_assert!(store.accepts(f64::from(n), now), "refused at {now:?}");
             }
         }
     }
 
-    /// An overload of any lower priority never delays the renewal of a lease.
+    /// Overload with requests of any lower priority never delays a lease renewal.
     #[test]
-    fn critical_always_finds_room(class in 1u8..6, offered in 1u32..200) {
+    fn critical_requests_always_have_capacity(class in 1u8..6, offered in 1u32..200) {
         let mut limiter = RateLimiter::new(REQUESTS, Micros::ZERO);
         for ms in 0..5_000u64 {
             let now = Micros::from_millis(ms);
@@ -83,8 +83,8 @@
         }
     }
 
-    /// The records' demand and all nodes' shares together stay within the limit, when nobody has received the
-    /// leader's announcement, and when all have received the same.
+    /// The write demand and all nodes' shares together stay within the limit, whether no node or all nodes have received
+    /// the leader's announcement.
     #[test]
     fn shares_and_write_demand_stay_within_the_limit(write_demand in 0.0f64..200.0, announced in any::<bool>()) {
         let mut share = RateShare::new(CHANGES);
@@ -96,11 +96,11 @@
         prop_assert!(total <= CHANGES.per_second, "{total}");
     }
 
-    /// For any order, loss, delay and repetition of messages the nodes together never spend more than
-    /// is allocated, and each retains a minimum of its own.
+    /// All nodes together never spend more than is allocated, and each retains a minimum of its own share, for any order,
+    /// loss, delay and repetition of messages.
     #[test]
-    fn loans_never_count_twice(events in prop::collection::vec((0u64..400_000, 0usize..3, 0usize..2, 0u8..6, 0.0f64..60.0), 1..1500)) {
-        // Whose peer number `p` of node `n` is, and which peer of that one `n` is.
+    fn lent_rate_is_never_spent_twice(events in prop::collection::vec((0u64..400_000, 0usize..3, 0usize..2, 0u8..6, 0.0f64..60.0), 1..1500)) {
+        // Returns the node that is peer `p` of node `n`, and the peer index of `n` at that node.
         let other = |n: usize, p: usize| { let o = [[1, 2], [0, 2], [0, 1]][n][p]; (o, usize::from(n > [[2, 1], [2, 0], [1, 0]][n][p])) };
         let mut nodes: Vec<RateShare> = (0..3).map(|_| RateShare::new(CHANGES)).collect();
         let own_share = nodes[0].own_share(Micros::ZERO);
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Retries are spread no denser than the gate admits, and none later than clients wait.
+    /// Retries are spread at no more than the admission rate, and within the maximum retry delay.
     #[test]
     fn retries_are_spread_at_the_admission_rate(rate in 1.0f64..50.0, jobs in 1usize..1500) {
         let mut gate = AdmissionGate::new(rate, &[true], 0, Micros::ZERO);
@@ -141,7 +141,7 @@
                 retries_by_second[after.0 as usize] += 1;
             }
         }
-        // The last second gathers all that the queue has no position for.
+        // The last second holds all jobs beyond the capacity of the queue.
         for (s, n) in retries_by_second.iter().enumerate().take(30) {
             prop_assert!(*n as f64 <= rate.ceil() + 1.0, "{n} retries after {s} s at {rate} a second");
         }
@@ -154,9 +154,9 @@
     let safe_rate = share.rate(Micros::ZERO);
     share.write_demand_received(1.0, Micros::from_secs(1));
     assert!(share.rate(Micros::from_millis(3_400)) > safe_rate);
-    // The answer may have taken two seconds: it is valid no longer for that.
+    // Validity counts from the request, even if the answer was delayed.
     assert!((share.rate(Micros::from_millis(3_500)) - safe_rate).abs() < 1e-9);
-    // An older announcement that arrives later changes nothing.
+    // An older announcement that arrives later is ignored.
     share.write_demand_received(0.0, Micros::ZERO);
     assert!((share.rate(Micros::from_millis(3_600)) - safe_rate).abs() < 1e-9);
 }
@@ -168,7 +168,7 @@
         let _ = gate.admit(&job(n), 0, Micros::ZERO);
     }
     assert_eq!(gate.estimated_wait(Micros::ZERO), Micros::from_secs(5));
-    // Nobody retries: their positions expire.
+    // No job is retried, so all positions expire.
     assert_eq!(gate.estimated_wait(Micros::from_secs(12)), Micros::ZERO);
     assert!(gate.admit(&job(60), 0, Micros::from_secs(12)).is_ok());
 }
@@ -186,17 +186,17 @@
     assert!(write_demand.rate(Micros::from_secs(30)) < 2.0);
 }
 
-/// How the submissions of one team ended.
+/// Outcome of one team's submissions.
 #[derive(Debug, Clone, Copy, Default)]
 struct Outcome {
     admitted: usize,
     given_up: usize,
-    /// Of those admitted.
+    /// Longest wait of an admitted submission.
     longest_wait_s: f64,
 }
 
-/// Clients of two teams at one gate: `load[t]` jobs a second of team `t`, each retried as answered for a minute.
-/// Returns the outcome by team.
+/// Submits `load[t]` jobs per second of team `t` to one gate, each retried when told to for up to a minute. Returns the
+/// outcome by team.
 fn submit_load(gate: &mut AdmissionGate, load: [usize; 2], seconds: u64) -> [Outcome; 2] {
     let mut attempts: std::collections::BTreeMap<(Micros, usize), (usize, Micros)> =
         Default::default();
@@ -221,7 +221,7 @@
                 outcomes[team].longest_wait_s = outcomes[team].longest_wait_s.max(waited_s);
             }
             Err(after) => {
-                // Answered in whole seconds, with a latency of some milliseconds.
+                // Adds a network latency to the delay.
                 let retry_at =
                     now + Micros::from_secs(u64::from(after.0)) + Micros::from_millis(20);
                 if retry_at < first_attempt_at + Micros::from_secs(60) {
@@ -241,13 +241,13 @@
     let [overloading, other] = submit_load(&mut gate, [40, 4], 60);
     assert_eq!((other.admitted, other.given_up), (240, 0));
     assert!(other.longest_wait_s < 3.0, "{other:?}");
-    // What the other does not use is available to the overloading one.
+    // Capacity that the other team doesn't use is available to the overloading one.
     assert!(overloading.admitted >= 340, "{overloading:?}");
 }
 
 #[test]
-fn a_retry_as_answered_is_not_overtaken() {
-    // A third more than the rate, for forty seconds: all are admitted, in the order of their first attempts.
+fn a_timely_retry_is_not_overtaken() {
+    // A third above the rate for 40 s: all jobs are admitted, in the order of their first attempts.
     let mut gate = AdmissionGate::new(9.0, &[true, true], 0, Micros::ZERO);
     let outcomes = submit_load(&mut gate, [6, 6], 40);
     assert_eq!((outcomes[0].given_up, outcomes[1].given_up), (0, 0));
