--- a/crates/hopyoke-event-loop/src/cancel.rs
+++ b/crates/hopyoke-event-loop/src/cancel.rs
@@ -1,11 +1,11 @@
-//! Cooperative cancellation: one token that many routines observe.
+//! Cooperative cancellation of routines by a shared token.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// A cancellation token; clones observe the same cancellation, which is final.
+/// A cancellation token. Clones share the same state; a cancellation can't be undone.
 #[derive(Clone, Default)]
 pub struct CancellationToken(Rc<State>);
 
@@ -16,12 +16,12 @@
 }
 
 impl CancellationToken {
-    /// A token that is not cancelled.
+    /// Creates a token that isn't cancelled.
     pub fn new() -> CancellationToken {
         CancellationToken::default()
     }
 
-    /// Cancels the token and wakes all routines that observe it. Cancelling again has no effect.
+    /// Cancels the token and wakes all routines that wait on it. Idempotent.
     pub fn cancel(&self) {
         self.0.cancelled.set(true);
         for waker in self.0.wakers.borrow_mut().drain() {
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Whether the token is cancelled.
+    /// Returns whether the token is cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.0.cancelled.get()
     }
 
-    /// Runs `future` until it completes (`Some`) or the token is cancelled (`None`).
+    /// Runs `future` to completion and returns its output, or `None` if the token is cancelled first.
     pub async fn run<F: Future>(&self, future: F) -> Option<F::Output> {
         let mut future = std::pin::pin!(future);
         let mut registration = WakerRegistration {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Removes the waker when the observing routine ends before a cancellation.
+/// Removes the waker on drop, in case the routine ends before a cancellation.
 struct WakerRegistration {
     token: CancellationToken,
     key: Option<usize>,
--- a/crates/hopyoke-event-loop/src/executor.rs
+++ b/crates/hopyoke-event-loop/src/executor.rs
@@ -1,4 +1,4 @@
-//! The executor: polls routines that are ready, and waits for sockets and timers in between.
+//! The executor, which polls ready routines and waits for sockets and timers in between.
 
 use crate::cancel::CancellationToken;
 use hopyoke_types::Micros;
@@ -15,7 +15,7 @@
 
 type BoxedRoutine = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Keys of routines to poll. Wakers must be `Send`, so the queue is behind a lock, which is never contended.
+/// Keys of routines to poll. Wakers must be `Send`, so the queue needs a lock, which is never contended.
 #[derive(Default)]
 struct ReadyQueue(Mutex<VecDeque<usize>>);
 
@@ -41,7 +41,7 @@
 
 struct RoutineWaker {
     key: usize,
-    /// In the ready queue already; a second wake-up adds nothing.
+    /// Whether the routine is in the ready queue already.
     is_queued: AtomicBool,
     ready: Arc<ReadyQueue>,
 }
@@ -59,28 +59,28 @@
 }
 
 struct Routine {
-    /// Taken out while it is being polled.
+    /// `None` while it is being polled.
     future: Option<BoxedRoutine>,
     waker: Arc<RoutineWaker>,
 }
 
-/// Wakers of the routines that wait for one socket's readiness.
+/// Wakers of the routines that wait for one socket to become readable or writable.
 #[derive(Default)]
 pub(crate) struct SocketWakers {
     pub(crate) read: Option<Waker>,
     pub(crate) write: Option<Waker>,
 }
 
-/// The state of one thread's executor.
+/// State of one thread's executor.
 pub(crate) struct Runtime {
     started_at: Instant,
     routines: RefCell<slab::Slab<Routine>>,
     ready: Arc<ReadyQueue>,
-    /// By deadline and timer id.
+    /// Wakers by deadline and timer ID.
     timers: RefCell<BTreeMap<(Micros, u64), Waker>>,
     next_timer_id: Cell<u64>,
     pub(crate) registry: mio::Registry,
-    /// By the socket's `mio::Token`.
+    /// Wakers by the socket's `mio::Token`.
     pub(crate) sockets: RefCell<slab::Slab<SocketWakers>>,
 }
 
@@ -88,23 +88,23 @@
     static CURRENT: RefCell<Option<Rc<Runtime>>> = const { RefCell::new(None) };
 }
 
-/// The running executor of this thread.
+/// Returns the running executor of this thread.
 ///
 /// # Panics
-/// If none is running.
+/// Panics if none is running.
 pub(crate) fn runtime() -> Rc<Runtime> {
     try_runtime().expect("used outside of a running event loop")
 }
 
-/// The running executor of this thread, if there is one: destructors may run after it has ended.
+/// Returns the running executor of this thread, or `None`, as destructors may run after it has ended.
 pub(crate) fn try_runtime() -> Option<Rc<Runtime>> {
     CURRENT.with(|current| current.borrow().clone())
 }
 
-/// Runs `main` and all routines that it spawns; when `main` completes, the others are dropped.
+/// Runs `main` and all routines that it spawns. When `main` completes, the others are dropped.
 ///
 /// # Errors
-/// If the operating system's poll cannot be created, or fails other than by an interrupt.
+/// Returns an error if the operating system's poll can't be created, or fails other than by an interrupt.
 pub fn run<F: Future<Output = ()> + 'static>(main: F) -> io::Result<()> {
     let mut poll = mio::Poll::new()?;
     let runtime = Rc::new(Runtime {
@@ -137,17 +137,17 @@
         runtime.wake_sockets(&events);
         runtime.fire_timers();
     }
-    // Dropped outside of the borrow: destructors may cancel timers or spawn.
+    // Dropped outside of the borrow, as destructors may cancel timers or spawn.
     let unfinished = std::mem::take(&mut *runtime.routines.borrow_mut());
     drop(unfinished);
     CURRENT.with(|current| *current.borrow_mut() = None);
     Ok(())
 }
 
-/// Starts a routine.
+/// Spawns a routine.
 ///
 /// # Panics
-/// Outside of [`run`].
+/// Panics outside of [`run`].
 pub fn spawn<F: Future<Output = ()> + 'static>(future: F) {
     let runtime = runtime();
     let key = {
@@ -168,10 +168,10 @@
     runtime.ready.push(key);
 }
 
-/// Starts a routine that ends, at its next suspension point, when `cancel` is cancelled.
+/// Spawns a routine that is dropped at its next suspension point after `cancel` is cancelled.
 ///
 /// # Panics
-/// Outside of [`run`].
+/// Panics outside of [`run`].
 pub fn spawn_until<F: Future<Output = ()> + 'static>(cancel: CancellationToken, future: F) {
     spawn(async move {
         cancel.run(future).await;
@@ -179,8 +179,8 @@
 }
 
 impl Runtime {
-    /// Polls what is ready now; what becomes ready meanwhile waits for the next pass, so that
-    /// sockets and timers are served in between.
+    /// Polls the routines that are ready now. Those that become ready meanwhile wait for the next pass, so that they
+    /// can't starve sockets and timers.
     fn run_ready(&self) {
         for _ in 0..self.ready.len() {
             let Some(key) = self.ready.pop() else { return };
@@ -197,7 +197,7 @@
                 .poll(&mut Context::from_waker(&waker))
                 .is_ready();
             if is_finished {
-                // Dropped outside of the borrow: a destructor may spawn or cancel timers.
+                // Dropped outside of the borrow, as a destructor may spawn or cancel timers.
                 drop(future);
                 self.routines.borrow_mut().remove(key);
             } else if let Some(routine) = self.routines.borrow_mut().get_mut(key) {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// How long the poll may block; `None` without limit.
+    /// Returns how long the poll may block, or `None` if there is no limit.
     fn poll_timeout(&self) -> Option<Duration> {
         if self.ready.len() > 0 {
             return Some(Duration::ZERO);
@@ -215,20 +215,21 @@
         Some(Duration::from_micros(deadline.saturating_sub(self.now()).0))
     }
 
-    /// Wakes the routines whose sockets are ready; an error or a hang-up is for readers and writers to find.
+    /// Wakes the routines whose sockets are ready. After an error or hang-up, both readers and writers are woken, whose
+    /// next system call returns the error.
     fn wake_sockets(&self, events: &mio::Events) {
         for event in events {
             let mut sockets = self.sockets.borrow_mut();
             let Some(wakers) = sockets.get_mut(event.token().0) else {
                 continue;
             };
-            let hung_up = event.is_error() || event.is_read_closed() || event.is_write_closed();
-            if (event.is_readable() || hung_up)
+            let is_hung_up = event.is_error() || event.is_read_closed() || event.is_write_closed();
+            if (event.is_readable() || is_hung_up)
                 && let Some(waker) = wakers.read.take()
             {
                 waker.wake();
             }
-            if (event.is_writable() || hung_up)
+            if (event.is_writable() || is_hung_up)
                 && let Some(waker) = wakers.write.take()
             {
                 waker.wake();
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Time since the runtime's start.
+    /// Returns the time since the start of the runtime.
     pub(crate) fn now(&self) -> Micros {
         Micros(self.started_at.elapsed().as_micros() as u64)
     }
--- a/crates/hopyoke-event-loop/src/http/client.rs
+++ b/crates/hopyoke-event-loop/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A client for one address with kept-alive connections.
+//! HTTP client for one address, with persistent connections.
 
 use super::error::ReadError;
 use super::head::MessageKind;
@@ -9,35 +9,35 @@
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
-/// In bytes. Responses to the key-value store's watches have no limit of their own; this bounds the memory of one.
+/// Maximum size of a response, in bytes. Bounds memory, as responses to watches of the key-value store have no limit.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
-/// Connections kept open between requests.
+/// Maximum number of idle connections kept open.
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// Requests under way at once.
+/// Maximum number of concurrent requests.
 const MAX_OPEN_REQUESTS: usize = 64;
 
-/// Why there is no response.
+/// Error of a request without a response.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The request was certainly not executed.
+    /// The request wasn't sent, so it wasn't executed.
     #[error("not sent: {0}")]
     NotSent(NotSent),
-    /// The request may have been executed, or may yet be.
-    #[error("no answer")]
+    /// The request may have been executed, or may still be.
+    #[error("no response")]
     Unknown,
 }
 
-/// Why a request was not sent.
+/// Reason why a request wasn't sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NotSent {
-    /// The client has as many requests under way as it may have.
-    #[error("too many requests open")]
+    /// The maximum number of concurrent requests is reached.
+    #[error("too many concurrent requests")]
     TooManyOpen,
     /// No connection could be established in time.
-    #[error("no connection")]
+    #[error("could not connect")]
     NoConnection,
     /// The caller's condition no longer held when the connection was ready.
-    #[error("it may no longer be sent")]
+    #[error("condition for sending no longer holds")]
     ConditionFailed,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// An HTTP client of one address, with a pool of connections.
+/// HTTP client for one address, with a connection pool.
 pub struct Client {
     addr: SocketAddr,
     host: String,
@@ -55,17 +55,17 @@
     open_requests: Cell<usize>,
 }
 
-/// Counts a request as under way while it lives.
-struct OpenGuard<'a>(&'a Cell<usize>);
+/// Counts a request as open until it is dropped.
+struct OpenRequestGuard<'a>(&'a Cell<usize>);
 
-impl Drop for OpenGuard<'_> {
+impl Drop for OpenRequestGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl Client {
-    /// A client without connections; each is made when a request needs it.
+    /// Creates a client without connections; they are established on demand.
     pub fn new(addr: SocketAddr) -> Client {
         Client {
             addr,
@@ -75,10 +75,10 @@
         }
     }
 
-    /// Sends a request with a MessagePack body and waits for its response, `limit` at most in all.
+    /// Sends a request with a MessagePack body and waits for its response, for at most `limit` in total.
     ///
     /// # Errors
-    /// [`ClientError`] tells whether the request may have been executed.
+    /// Returns a [`ClientError`], which tells whether the request may have been executed.
     pub async fn send(
         &self,
         method: Method,
@@ -90,11 +90,11 @@
             .await
     }
 
-    /// As [`Client::send`], provided that `is_permitted` still holds once the connection stands and the first byte is
-    /// about to be written: connecting can take as long as this process lags behind.
+    /// Like [`Client::send`], but checks `is_permitted` after connecting, right before the first byte is written, as
+    /// connecting takes longer when this process lags.
     ///
     /// # Errors
-    /// As for [`Client::send`], and [`NotSent::ConditionFailed`].
+    /// Like [`Client::send`]. Returns [`NotSent::ConditionFailed`] if `is_permitted` returns false.
     pub async fn send_if(
         &self,
         is_permitted: impl Fn() -> bool,
@@ -103,21 +103,20 @@
         body: &[u8],
         limit: Micros,
     ) -> Result<Response, ClientError> {
-        let message = Outgoing {
+        let request = OutgoingRequest {
             method,
             path,
             content_type: MSGPACK,
             body,
             headers: "",
         };
-        self.send_outgoing(&is_permitted, message, limit).await
+        self.send_request(&is_permitted, request, limit).await
     }
 
-    /// As [`Client::send`], with a body of any content type (`(content_type, body)`) and further header lines, each
-    /// with its line end.
+    /// Like [`Client::send`], with a body of any content type and additional header lines, each terminated by CRLF.
     ///
     /// # Errors
-    /// As for [`Client::send`].
+    /// Like [`Client::send`].
     pub async fn send_with_headers(
         &self,
         method: Method,
@@ -126,27 +125,27 @@
         headers: &str,
         limit: Micros,
     ) -> Result<Response, ClientError> {
-        let message = Outgoing {
+        let request = OutgoingRequest {
             method,
             path,
             content_type,
             body,
             headers,
         };
-        self.send_outgoing(&|| true, message, limit).await
+        self.send_request(&|| true, request, limit).await
     }
 
-    async fn send_outgoing(
+    async fn send_request(
         &self,
         is_permitted: &dyn Fn() -> bool,
-        message: Outgoing<'_>,
+        request: OutgoingRequest<'_>,
         limit: Micros,
     ) -> Result<Response, ClientError> {
         if self.open_requests.get() >= MAX_OPEN_REQUESTS {
             return Err(NotSent::TooManyOpen.into());
         }
         self.open_requests.set(self.open_requests.get() + 1);
-        let _guard = OpenGuard(&self.open_requests);
+        let _guard = OpenRequestGuard(&self.open_requests);
         let deadline = runtime::now() + limit;
         let stream = match self.idle_connection() {
             Some(stream) => stream,
@@ -158,7 +157,7 @@
             return Err(NotSent::ConditionFailed.into());
         }
         let remaining = deadline - runtime::now();
-        match runtime::timeout(remaining, self.exchange(&stream, &message)).await {
+        match runtime::timeout(remaining, self.exchange(&stream, &request)).await {
             Ok(Ok((response, is_reusable))) => {
                 if is_reusable && self.idle.borrow().len() < MAX_IDLE_CONNECTIONS {
                     self.idle.borrow_mut().push(stream);
@@ -178,19 +177,19 @@
         }
     }
 
-    /// Writes a request and reads its response, and whether the connection can be used again.
+    /// Writes a request and reads its response. Also returns whether the connection is reusable.
     async fn exchange(
         &self,
         stream: &TcpStream,
-        message: &Outgoing<'_>,
+        request: &OutgoingRequest<'_>,
     ) -> Result<(Response, bool), ReadError> {
-        stream.write_all(&message.encode(&self.host)).await?;
+        stream.write_all(&request.encode(&self.host)).await?;
         let mut reader = Reader::default();
-        let mut head = reader.head(stream, MessageKind::Response).await?;
+        let mut head = reader.read_head(stream, MessageKind::Response).await?;
         while head.status == 100 {
-            head = reader.head(stream, MessageKind::Response).await?;
+            head = reader.read_head(stream, MessageKind::Response).await?;
         }
-        let body = reader.body(stream, &head, MAX_RESPONSE_BYTES).await?;
+        let body = reader.read_body(stream, &head, MAX_RESPONSE_BYTES).await?;
         let is_reusable = !head.close && !reader.has_buffered();
         let response = Response {
             body,
@@ -201,17 +200,17 @@
     }
 }
 
-/// A request to be sent.
-struct Outgoing<'a> {
+/// A request to send.
+struct OutgoingRequest<'a> {
     method: Method,
     path: &'a str,
     content_type: &'a str,
     body: &'a [u8],
-    /// Further header lines, each with its line end.
+    /// Additional header lines, each terminated by CRLF.
     headers: &'a str,
 }
 
-impl Outgoing<'_> {
+impl OutgoingRequest<'_> {
     fn encode(&self, host: &str) -> Vec<u8> {
         use std::io::Write;
         let mut out = Vec::with_capacity(128 + self.path.len() + self.body.len());
--- a/crates/hopyoke-event-loop/src/http/error.rs
+++ b/crates/hopyoke-event-loop/src/http/error.rs
@@ -1,8 +1,8 @@
-//! Why a message could not be read.
+//! Errors while reading a message.
 
 use std::io;
 
-/// Why a message could not be read from a connection.
+/// Error while reading a message from a connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
     /// The socket failed.
@@ -11,10 +11,10 @@
     /// The stream ended before the message did.
     #[error("the peer closed the connection")]
     Closed,
-    /// Not HTTP/1.1 as it is supported here; names the part at fault.
+    /// The message isn't valid or uses unsupported features of HTTP/1.1; names the part.
     #[error("malformed: {0}")]
     Malformed(&'static str),
-    /// The body is longer than permitted.
+    /// The body exceeds the size limit.
     #[error("body over the limit")]
     TooLarge,
 }
--- a/crates/hopyoke-event-loop/src/http/head.rs
+++ b/crates/hopyoke-event-loop/src/http/head.rs
@@ -1,18 +1,19 @@
-//! Parses the head of a request or a response.
+//! Parses the heads of requests and responses.
 
 use super::error::ReadError;
 use super::message::{MSGPACK, Method};
 
+/// Maximum number of header fields.
 const MAX_HEADERS: usize = 48;
 
-/// Which kind of head is to be parsed.
+/// Kind of message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MessageKind {
     Request,
     Response,
 }
 
-/// The head of a message; `method` and `path` are a request's, `status` is a response's.
+/// Head of a message. `method` and `path` are set for a request, `status` for a response.
 #[derive(Debug, Default)]
 pub(super) struct Head {
     pub(super) method: Method,
@@ -20,24 +21,24 @@
     pub(super) status: u16,
     /// `Content-Length`, in bytes.
     pub(super) content_length: Option<usize>,
-    /// `Transfer-Encoding: chunked`.
+    /// Whether `Transfer-Encoding` is `chunked`.
     pub(super) is_chunked: bool,
-    /// The connection ends with this message.
+    /// Whether the connection is closed after this message.
     pub(super) close: bool,
-    /// `Expect: 100-continue`.
+    /// Whether `Expect` is `100-continue`.
     pub(super) expects_continue: bool,
     pub(super) authorization: Option<String>,
-    /// `Content-Type`, unless it is that of the platform's interfaces.
+    /// `Content-Type`, unless it is `application/msgpack`.
     pub(super) content_type: Option<String>,
-    /// `Retry-After`, if it is in seconds.
+    /// `Retry-After` in seconds; `None` if it is absent or a date.
     pub(super) retry_after_s: Option<u32>,
 }
 
-/// Parses the head at the start of `buf`, and says how long it is; `None` if it is not complete.
+/// Parses the head at the start of `buf`. Returns it with its length in bytes, or `None` if it is incomplete.
 ///
 /// # Errors
-/// [`ReadError::Malformed`] if it is no head, has more than [`MAX_HEADERS`] fields, or contradicts itself about the
-/// body's length: two readings of one message would let a request hide in another's body.
+/// Returns [`ReadError::Malformed`] if the head is invalid, has more than [`MAX_HEADERS`] fields, or has conflicting
+/// body lengths, which would allow request smuggling.
 pub(super) fn parse(buf: &[u8], kind: MessageKind) -> Result<Option<(Head, usize)>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let malformed = |_| ReadError::Malformed("head");
--- a/crates/hopyoke-event-loop/src/http/message.rs
+++ b/crates/hopyoke-event-loop/src/http/message.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// A request's method, as far as the interfaces have use for it.
+/// Request method. Only the methods that the APIs use are distinguished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Method {
     /// `GET`
@@ -11,13 +11,13 @@
     Post,
     /// `DELETE`
     Delete,
-    /// Any other; it is never sent.
+    /// Any other method; never sent.
     #[default]
     Other,
 }
 
 impl Method {
-    /// The method's name in a request line.
+    /// Returns the method's name for the request line.
     pub fn as_str(self) -> &'static str {
         match self {
             Method::Get => "GET",
@@ -37,23 +37,23 @@
     }
 }
 
-/// A request as a server's handler gets it.
+/// A request as passed to a server's handler.
 #[derive(Debug, Default)]
 pub struct Request {
-    /// What is to be done.
+    /// Request method.
     pub method: Method,
-    /// The target as sent: the path, percent-encoded, with its query if there is one.
+    /// Request target as sent: the percent-encoded path, with the query if there is one.
     pub path: String,
-    /// The whole body; empty if there is none.
+    /// The complete body; empty if there is none.
     pub body: Vec<u8>,
-    /// `Authorization`, if there is one.
+    /// `Authorization`, if present.
     pub authorization: Option<String>,
-    /// `Content-Type`, unless it is that of the platform's interfaces.
+    /// `Content-Type`, unless it is `application/msgpack`.
     pub content_type: Option<String>,
 }
 
 impl Request {
-    /// A request without an authorization, of the content type of the platform's interfaces.
+    /// Creates a request with a MessagePack body and without authorization.
     pub fn new(method: Method, path: String, body: Vec<u8>) -> Request {
         Request {
             method,
@@ -64,25 +64,25 @@
     }
 }
 
-/// A response, as a handler gives it and a client gets it.
+/// A response as returned by a handler or received by a client.
 #[derive(Debug)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// The whole body; empty if there is none.
+    /// The complete body; empty if there is none.
     pub body: Vec<u8>,
     /// `Retry-After`, in seconds.
     pub retry_after_s: Option<u32>,
-    /// `Content-Type`; a client leaves it at that of the platform's interfaces, whatever was received.
+    /// `Content-Type`. A client doesn't set it from the received header; it is always `application/msgpack` there.
     pub content_type: &'static str,
     pub(super) close: bool,
 }
 
-/// The content type of the platform's interfaces.
+/// Content type of the platform's APIs.
 pub(super) const MSGPACK: &str = "application/msgpack";
 
 impl Response {
-    /// A response without a body.
+    /// Creates a response without a body.
     pub fn empty(status: u16) -> Response {
         Response {
             status,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// `body` as MessagePack, the form of the platform's interfaces.
+    /// Creates a response with `body` encoded as MessagePack.
     pub fn msgpack<T: Serialize>(status: u16, body: &T) -> Response {
         Response {
             body: hopyoke_protocol::encode(body),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A body of any other content type.
+    /// Creates a response with a body of any content type.
     pub fn with_body(status: u16, content_type: &'static str, body: Vec<u8>) -> Response {
         Response {
             body,
@@ -110,13 +110,13 @@
         }
     }
 
-    /// With a `Retry-After` of whole seconds.
+    /// Sets `Retry-After`, in seconds.
     pub fn retry_after(mut self, seconds: u32) -> Response {
         self.retry_after_s = Some(seconds);
         self
     }
 
-    /// With the connection closed after it.
+    /// Closes the connection after the response.
     pub fn closing(mut self) -> Response {
         self.close = true;
         self
@@ -129,7 +129,7 @@
             out,
             "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
             self.status,
-            reason(self.status),
+            reason_phrase(self.status),
             self.content_type,
             self.body.len()
         );
@@ -148,7 +148,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/crates/hopyoke-event-loop/src/http/mod.rs
+++ b/crates/hopyoke-event-loop/src/http/mod.rs
@@ -1,6 +1,6 @@
-//! HTTP/1.1 on the event loop, parsed by `httparse`: a server and a pooled client.
+//! An HTTP/1.1 server and a client with a connection pool, based on the parser `httparse`.
 //!
-//! Bodies are read whole; there is no streaming, pipelining or TLS.
+//! Bodies are read into memory as a whole. Streaming, pipelining and TLS aren't supported.
 
 mod client;
 mod error;
--- a/crates/hopyoke-event-loop/src/http/reader.rs
+++ b/crates/hopyoke-event-loop/src/http/reader.rs
@@ -4,33 +4,34 @@
 use super::head::{Head, MessageKind, parse};
 use crate::net::TcpStream;
 
-/// The longest head, and the longest trailers, in bytes.
+/// Maximum size of a head, and of a trailer line, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest line with a chunk's size, in bytes.
-const MAX_CHUNK_SIZE_LINE: usize = 256;
+/// Maximum length of a chunk-size line, in bytes.
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
+/// Size of a read, in bytes.
 const READ_BYTES: usize = 4096;
-/// For long bodies, to have fewer system calls.
+/// Size of a read for long bodies, in bytes; saves system calls.
 const LONG_READ_BYTES: usize = 32 * 1024;
 
-/// Reads messages from one connection; keeps what was read beyond a message's end.
+/// Reads messages from one connection, and buffers data read beyond the end of a message.
 #[derive(Default)]
 pub(super) struct Reader {
     buf: Vec<u8>,
 }
 
 impl Reader {
-    /// Whether a part of the next message has been read.
+    /// Returns whether a part of the next message is buffered.
     pub(super) fn has_buffered(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// Waits for more bytes of the connection.
+    /// Waits for more data from the connection and buffers it.
     pub(super) async fn fill(&mut self, stream: &TcpStream) -> Result<(), ReadError> {
         let mut chunk = [0u8; READ_BYTES];
-        self.fill_by(stream, &mut chunk).await
+        self.fill_using(stream, &mut chunk).await
     }
 
-    async fn fill_by(&mut self, stream: &TcpStream, chunk: &mut [u8]) -> Result<(), ReadError> {
+    async fn fill_using(&mut self, stream: &TcpStream, chunk: &mut [u8]) -> Result<(), ReadError> {
         let length = stream.read(chunk).await?;
         if length == 0 {
             return Err(ReadError::Closed);
@@ -40,7 +41,7 @@
     }
 
     /// Reads a head.
-    pub(super) async fn head(
+    pub(super) async fn read_head(
         &mut self,
         stream: &TcpStream,
         kind: MessageKind,
@@ -59,38 +60,43 @@
         }
     }
 
-    /// Reads the body that `head` announces, of up to `max_bytes`; of a longer one nothing more is read.
-    pub(super) async fn body(
+    /// Reads the body of the message with this `head`. A body of more than `max_bytes` is an error, and the rest of it
+    /// isn't read.
+    pub(super) async fn read_body(
         &mut self,
         stream: &TcpStream,
         head: &Head,
         max_bytes: usize,
     ) -> Result<Vec<u8>, ReadError> {
         if head.is_chunked {
-            return self.chunked(stream, max_bytes).await;
+            return self.read_chunked_body(stream, max_bytes).await;
         }
         let length = head.content_length.unwrap_or(0);
         if length > max_bytes {
             return Err(ReadError::TooLarge);
         }
-        self.take(stream, length).await
+        self.read_exact(stream, length).await
     }
 
     /// Reads exactly `length` bytes.
-    async fn take(&mut self, stream: &TcpStream, length: usize) -> Result<Vec<u8>, ReadError> {
+    async fn read_exact(
+        &mut self,
+        stream: &TcpStream,
+        length: usize,
+    ) -> Result<Vec<u8>, ReadError> {
         while self.buf.len() < length {
             if length - self.buf.len() <= READ_BYTES {
                 self.fill(stream).await?;
             } else {
                 let mut chunk = vec![0u8; LONG_READ_BYTES];
-                self.fill_by(stream, &mut chunk).await?;
+                self.fill_using(stream, &mut chunk).await?;
             }
         }
         let rest = self.buf.split_off(length);
         Ok(std::mem::replace(&mut self.buf, rest))
     }
 
-    async fn chunked(
+    async fn read_chunked_body(
         &mut self,
         stream: &TcpStream,
         max_bytes: usize,
@@ -100,7 +106,9 @@
             let (line_length, size) = loop {
                 match httparse::parse_chunk_size(&self.buf) {
                     Ok(httparse::Status::Complete(parsed)) => break parsed,
-                    Ok(httparse::Status::Partial) if self.buf.len() <= MAX_CHUNK_SIZE_LINE => {
+                    Ok(httparse::Status::Partial)
+                        if self.buf.len() <= MAX_CHUNK_SIZE_LINE_BYTES =>
+                    {
                         self.fill(stream).await?
                     }
                     _ => return Err(ReadError::Malformed("chunk size")),
@@ -111,17 +119,17 @@
                 return Err(ReadError::TooLarge);
             }
             if size == 0 {
-                return self.trailers(stream).await.map(|()| body);
+                return self.skip_trailers(stream).await.map(|()| body);
             }
-            body.extend(self.take(stream, size as usize).await?);
-            if self.take(stream, 2).await? != b"\r\n" {
+            body.extend(self.read_exact(stream, size as usize).await?);
+            if self.read_exact(stream, 2).await? != b"\r\n" {
                 return Err(ReadError::Malformed("chunk end"));
             }
         }
     }
 
-    /// Reads and drops the trailers of a chunked body.
-    async fn trailers(&mut self, stream: &TcpStream) -> Result<(), ReadError> {
+    /// Reads and discards the trailers of a chunked body.
+    async fn skip_trailers(&mut self, stream: &TcpStream) -> Result<(), ReadError> {
         loop {
             if let Some(line_end) = self.buf.windows(2).position(|w| w == b"\r\n") {
                 self.buf.drain(..line_end + 2);
--- a/crates/hopyoke-event-loop/src/http/server.rs
+++ b/crates/hopyoke-event-loop/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server: a routine per connection, with limits on connections, bodies and time.
+//! HTTP server with a routine per connection and limits on connections, body size and time.
 
 use super::error::ReadError;
 use super::head::MessageKind;
@@ -11,24 +11,23 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// Bounds on what a server's peers take up.
+/// Limits on the resources that clients of a server use.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Open connections; further ones are closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub max_connections: usize,
-    /// With more connections open than this, each is closed after its response: a peer that sends requests now and
-    /// then holds a socket only meanwhile. (Guards against peers that find no free connection because others sit
-    /// idle.)
+    /// If more connections than this are open, each is closed after its response. Guards against idle connections that
+    /// leave no free ones to other clients.
     pub max_persistent_connections: usize,
-    /// An idle connection is closed after this.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Micros,
-    /// A request must be complete this long after its first byte, and a response be taken this long after it is ready.
+    /// Time limit for reading a request, from its first byte, and for writing its response.
     pub request_timeout: Micros,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
 }
 
-/// A server's open connections; clones refer to the same server.
+/// Open connections of a server. Clones refer to the same server.
 #[derive(Clone, Default)]
 pub struct OpenConnections {
     count: Rc<Cell<usize>>,
@@ -36,27 +35,27 @@
 }
 
 impl OpenConnections {
-    /// Accepts no new connection before `time` (replaces an earlier one): requests already begun come first. Connections
-    /// that arrive meanwhile wait in the operating system's backlog, as far as it goes.
+    /// Pauses accepting new connections until `time`, so that requests in progress are served first. Replaces an earlier
+    /// pause. New connections meanwhile wait in the operating system's backlog, while it has space.
     pub fn pause_accept_until(&self, time: Micros) {
         self.accept_paused_until.set(time);
     }
 
-    /// How many are open.
+    /// Returns the number of open connections.
     pub fn count(&self) -> u64 {
         self.count.get() as u64
     }
 }
 
-/// How often a paused server checks whether the pause was ended early.
+/// Interval at which a paused server checks whether the pause was ended early.
 const PAUSE_CHECK_INTERVAL: Micros = Micros::from_millis(25);
-/// After a failed accept, for which sockets have usually run out.
+/// Delay after a failed accept, which usually means too many open files.
 const ACCEPT_RETRY_DELAY: Micros = Micros::from_millis(50);
 
 type Handler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, Response>>;
 
-/// Serves `listener` by `handler`, one request at a time on each connection. It and its connections end when `cancel`
-/// is cancelled.
+/// Serves connections of `listener` with `handler`, one request at a time per connection. When `cancel` is cancelled, its
+/// connections are closed.
 pub async fn serve(
     listener: TcpListener,
     limits: ServerLimits,
@@ -91,7 +90,7 @@
     }
 }
 
-/// Counts a connection as open while it lives.
+/// Counts a connection as open until it is dropped.
 struct ConnectionGuard(Rc<Cell<usize>>);
 
 impl Drop for ConnectionGuard {
@@ -101,7 +100,7 @@
 }
 
 #[derive(serde::Serialize)]
-struct Refusal<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
@@ -123,8 +122,8 @@
         let (request, close) = match runtime::timeout(limits.request_timeout, read).await {
             Ok(Ok(read)) => read,
             Ok(Err(e @ (ReadError::Malformed(_) | ReadError::TooLarge))) => {
-                let refusal = refusal(&e).encode();
-                let _ = runtime::timeout(limits.request_timeout, stream.write_all(&refusal)).await;
+                let encoded = error_response(&e).encode();
+                let _ = runtime::timeout(limits.request_timeout, stream.write_all(&encoded)).await;
                 return;
             }
             _ => return,
@@ -139,23 +138,23 @@
     }
 }
 
-/// 400 even for an oversized body: users retry on any other status.
-fn refusal(error: &ReadError) -> Response {
+/// Returns a response with status 400, even for an oversized body, as clients retry on other statuses.
+fn error_response(error: &ReadError) -> Response {
     let error = &error.to_string();
-    Response::msgpack(400, &Refusal { error }).closing()
+    Response::msgpack(400, &ErrorBody { error }).closing()
 }
 
-/// Reads a request, and whether the connection ends with it.
+/// Reads a request. Also returns whether the connection is to be closed after it.
 async fn read_request(
     reader: &mut Reader,
     stream: &TcpStream,
     max_body_bytes: usize,
 ) -> Result<(Request, bool), ReadError> {
-    let head = reader.head(stream, MessageKind::Request).await?;
+    let head = reader.read_head(stream, MessageKind::Request).await?;
     if head.expects_continue {
         stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
     }
-    let body = reader.body(stream, &head, max_body_bytes).await?;
+    let body = reader.read_body(stream, &head, max_body_bytes).await?;
     let request = Request {
         method: head.method,
         path: head.path,
--- a/crates/hopyoke-event-loop/src/lib.rs
+++ b/crates/hopyoke-event-loop/src/lib.rs
@@ -1,13 +1,13 @@
 //! A single-threaded asynchronous runtime on `mio`, with timers, TCP sockets and HTTP/1.1.
 //!
-//! Futures are called *routines* here, since a task is what the cluster runs. Each connection and each periodic duty is a
-//! routine of its own; a [`CancellationToken`] ends one at its next suspension point. One runtime runs per thread.
+//! A spawned future is called a *routine*, as tasks are what the cluster runs. Each connection and each periodic job is a
+//! routine; a [`CancellationToken`] ends one at its next suspension point. There is at most one runtime per thread.
 //!
-//! - [`run`], [`spawn`]: the executor, which polls routines whose sockets, timers or wakers are ready.
-//! - [`now`], [`sleep`], [`timeout`]: the monotonic clock and its timers.
+//! - [`run`], [`spawn`]: the executor, which polls routines that were woken by sockets, timers or other routines.
+//! - [`now`], [`sleep`], [`timeout`]: the monotonic clock and timers; [`unix_time`]: the wall clock.
 //! - [`Notify`], [`CancellationToken`]: signals between routines.
 //! - [`TcpListener`], [`TcpStream`]: non-blocking sockets.
-//! - [`http`]: a server and a pooled client on these sockets.
+//! - [`http`]: an HTTP server and a client with a connection pool.
 
 mod cancel;
 mod executor;
--- a/crates/hopyoke-event-loop/src/net.rs
+++ b/crates/hopyoke-event-loop/src/net.rs
@@ -11,10 +11,10 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// `EINPROGRESS` of Linux: the connection is being established.
+/// `EINPROGRESS` on Linux: the connection is being established.
 const EINPROGRESS: i32 = 115;
 
-/// A socket's registration with the poll; its key is freed on drop.
+/// Registration of a socket with the poll. Frees its key on drop.
 struct Registration {
     runtime: Rc<Runtime>,
     key: usize,
@@ -61,10 +61,10 @@
 }
 
 impl TcpListener {
-    /// Listens on `addr`; port 0 is any free one.
+    /// Listens on `addr`. Port 0 selects any free port.
     ///
     /// # Errors
-    /// As the operating system reports them: address in use, no permission, no sockets left.
+    /// Returns an operating system error, such as address in use, permission denied or too many open files.
     pub fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
         let mut socket = mio::net::TcpListener::bind(addr)?;
         let registration = Registration::new(&mut socket, Interest::READABLE)?;
@@ -74,10 +74,10 @@
         })
     }
 
-    /// The address that the socket is bound to.
+    /// Returns the address that the socket is bound to.
     ///
     /// # Errors
-    /// As the operating system reports them.
+    /// Returns an operating system error.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
@@ -85,7 +85,7 @@
     /// Waits for the next connection.
     ///
     /// # Errors
-    /// As the operating system reports them, above all that no sockets are left; the listener stays usable.
+    /// Returns an operating system error, usually too many open files. The listener stays usable.
     pub async fn accept(&self) -> io::Result<TcpStream> {
         poll_fn(|cx| {
             loop {
@@ -104,7 +104,7 @@
     }
 }
 
-/// A connected socket, without Nagle's delay (`TCP_NODELAY`).
+/// A connected socket with `TCP_NODELAY`.
 pub struct TcpStream {
     // Field order: the socket is closed before its key is freed.
     socket: mio::net::TcpStream,
@@ -124,7 +124,7 @@
     /// Connects within `limit`.
     ///
     /// # Errors
-    /// `TimedOut` after `limit`, otherwise as the operating system reports them.
+    /// Returns `TimedOut` after `limit`, or an operating system error.
     pub async fn connect(addr: SocketAddr, limit: Micros) -> io::Result<TcpStream> {
         let stream = TcpStream::new(mio::net::TcpStream::connect(addr)?)?;
         let connected = poll_fn(|cx| {
@@ -149,10 +149,11 @@
         }
     }
 
-    /// Reads into `buf`; 0 bytes are the end of the stream. Registers the waker if nothing has arrived.
+    /// Reads into `buf` and returns the number of bytes; 0 means the end of the stream. Registers the waker if no data is
+    /// available.
     ///
     /// # Errors
-    /// As the operating system reports them.
+    /// Returns an operating system error.
     pub fn poll_read(&self, cx: &Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             match (&self.socket).read(buf) {
@@ -166,10 +167,10 @@
         }
     }
 
-    /// Writes a part of `buf` and says how many bytes. Registers the waker if the send buffer is full.
+    /// Writes a part of `buf` and returns the number of bytes. Registers the waker if the send buffer is full.
     ///
     /// # Errors
-    /// As the operating system reports them.
+    /// Returns an operating system error.
     pub fn poll_write(&self, cx: &Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             match (&self.socket).write(buf) {
@@ -183,18 +184,18 @@
         }
     }
 
-    /// Reads what has arrived, at least one byte; 0 bytes are the end of the stream.
+    /// Waits for data, reads into `buf` and returns the number of bytes; 0 means the end of the stream.
     ///
     /// # Errors
-    /// As the operating system reports them.
+    /// Returns an operating system error.
     pub async fn read(&self, buf: &mut [u8]) -> io::Result<usize> {
         poll_fn(|cx| self.poll_read(cx, buf)).await
     }
 
-    /// Writes all of `buf`; when it fails, a part may have been sent.
+    /// Writes all of `buf`. If it fails, a part may have been sent.
     ///
     /// # Errors
-    /// `WriteZero` if the socket takes no more, otherwise as the operating system reports them.
+    /// Returns `WriteZero` if the socket accepts no more data, or an operating system error.
     pub async fn write_all(&self, mut buf: &[u8]) -> io::Result<()> {
         while !buf.is_empty() {
             let written = poll_fn(|cx| self.poll_write(cx, buf)).await?;
@@ -206,7 +207,7 @@
         Ok(())
     }
 
-    /// Whether the peer has closed an idle connection, or sent something unrequested on it.
+    /// Returns whether the peer has closed an idle connection or sent unrequested data on it.
     pub fn is_stale(&self) -> bool {
         let mut byte = [0u8; 1];
         !matches!(self.socket.peek(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
--- a/crates/hopyoke-event-loop/src/notify.rs
+++ b/crates/hopyoke-event-loop/src/notify.rs
@@ -1,4 +1,4 @@
-//! A notification from any routines to one that waits.
+//! Notification of one waiting routine by any number of others.
 
 use crate::timer::{now, timeout};
 use hopyoke_types::Micros;
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// Notifies one waiting routine; clones are the same notification.
+/// Notifies one waiting routine. Clones share the same state.
 ///
-/// A notification while no routine waits is stored, and several are stored as one. Only the routine that
-/// waited last is woken.
+/// A notification without a waiter is stored; several are coalesced into one. If several routines wait, only the last
+/// one is woken.
 #[derive(Clone, Default)]
 pub struct Notify(Rc<State>);
 
@@ -20,7 +20,7 @@
 }
 
 impl Notify {
-    /// Wakes the waiting routine, or lets the next wait return at once.
+    /// Wakes the waiting routine, or lets the next wait return immediately.
     pub fn notify(&self) {
         self.0.is_notified.set(true);
         if let Some(waker) = self.0.waker.borrow_mut().take() {
@@ -40,7 +40,7 @@
         .await
     }
 
-    /// Waits for a notification, until `deadline` at the latest.
+    /// Waits for a notification until `deadline` at most.
     pub async fn wait_until(&self, deadline: Micros) {
         let _ = timeout(deadline - now(), self.wait()).await;
     }
--- a/crates/hopyoke-event-loop/src/timer.rs
+++ b/crates/hopyoke-event-loop/src/timer.rs
@@ -1,4 +1,4 @@
-//! The clocks and timers.
+//! Clocks and timers.
 
 use crate::executor::{runtime, try_runtime};
 use hopyoke_types::Micros;
@@ -7,15 +7,15 @@
 use std::task::{Context, Poll};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The monotonic clock, counted from the start of the runtime.
+/// Returns the time of the monotonic clock since the start of the runtime.
 ///
 /// # Panics
-/// Outside of [`crate::run`].
+/// Panics outside of [`crate::run`].
 pub fn now() -> Micros {
     runtime().now()
 }
 
-/// The wall clock, counted from 1970 in UTC; it may be off by the settings' `skew_ms`.
+/// Returns the time of the wall clock since the Unix epoch. The setting `skew_ms` bounds its error.
 pub fn unix_time() -> Micros {
     Micros(
         SystemTime::now()
@@ -24,7 +24,7 @@
     )
 }
 
-/// Waits until the monotonic clock reaches `deadline`.
+/// Returns a future that completes when the monotonic clock reaches `deadline`.
 pub fn sleep_until(deadline: Micros) -> Sleep {
     Sleep {
         deadline,
@@ -32,15 +32,15 @@
     }
 }
 
-/// Waits for `duration`.
+/// Returns a future that completes after `duration`.
 ///
 /// # Panics
-/// Outside of [`crate::run`].
+/// Panics outside of [`crate::run`].
 pub fn sleep(duration: Micros) -> Sleep {
     sleep_until(now() + duration)
 }
 
-/// The future of [`sleep_until`] and [`sleep`].
+/// Future returned by [`sleep_until`] and [`sleep`].
 pub struct Sleep {
     deadline: Micros,
     /// Set while the timer is registered.
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Moves the deadline; the future must be polled again for it to take effect.
+    /// Changes the deadline. The future must be polled again for it to take effect.
     pub fn reset(&mut self, deadline: Micros) {
         self.deregister();
         self.deadline = deadline;
@@ -84,15 +84,15 @@
     }
 }
 
-/// A future did not complete in time.
+/// Error of [`timeout`] for a future that didn't complete in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("timed out")]
 pub struct TimedOut;
 
-/// Runs `future` for at most `limit`; a future that is ready when polled first completes even if `limit` is zero.
+/// Runs `future` for at most `limit`. A future that is ready on its first poll completes even if `limit` is zero.
 ///
 /// # Errors
-/// [`TimedOut`] if it has not completed by then; it is dropped.
+/// Returns [`TimedOut`] if the future hasn't completed by then; it is dropped.
 pub async fn timeout<F: Future>(limit: Micros, future: F) -> Result<F::Output, TimedOut> {
     use futures_util::future::{Either, select};
     let future = std::pin::pin!(future);
