--- a/crates/hopyoke-wes/src/client.rs
+++ b/crates/hopyoke-wes/src/client.rs
@@ -71,7 +71,7 @@
             let path = format!("{}{path}", self.base_path);
             let (error, delay) = match self
                 .http
-                .send_as(method, &path, body, &self.headers, REQUEST_TIMEOUT)
+                .send_with_headers(method, &path, body, &self.headers, REQUEST_TIMEOUT)
                 .await
             {
                 Ok(r) if r.status < 300 => {
--- a/crates/hopyoke-wes/tests/loopback.rs
+++ b/crates/hopyoke-wes/tests/loopback.rs
@@ -480,7 +480,7 @@
     let get = async |path: &str, token: Option<&str>| {
         let headers = token.map_or(String::new(), |t| format!("Authorization: Bearer {t}\r\n"));
         let path = format!("{BASE_PATH}{path}");
-        http.send_as(
+        http.send_with_headers(
             Method::Get,
             &path,
             ("application/json", &[]),
--- a/crates/hopyoke/src/agents/heartbeats.rs
+++ b/crates/hopyoke/src/agents/heartbeats.rs
@@ -45,7 +45,7 @@
 }
 
 fn serve_as_leader(node: &Node, leadership: &Leadership, request: &Request) -> Response {
-    let route = node.routes.borrow_mut().at_leader(
+    let route = node.routes.borrow_mut().route_at_leader(
         node.is_cpu_overloaded(),
         node.open_connections.count(),
         node.max_open_connections(),
@@ -58,7 +58,7 @@
         return redirect(Some(target)).closing();
     }
     match process(node, leadership, &request.body) {
-        Ok(response) => Response::of(200, &response),
+        Ok(response) => Response::msgpack(200, &response),
         Err(e) => Response::empty(e.status()),
     }
 }
@@ -70,7 +70,7 @@
         .borrow()
         .as_deref()
         .and_then(|l| node.peers.index_of(l));
-    if node.routes.borrow().at_follower(leader, now) == Route::Relay {
+    if node.routes.borrow().route_at_follower(leader, now) == Route::Relay {
         return match node.heartbeat_relay.relay(request.body).await {
             Some(body) => {
                 let mut response = Response::empty(200);
@@ -85,7 +85,7 @@
 }
 
 fn redirect(target: Option<&str>) -> Response {
-    Response::of(421, &HeartbeatRedirect { target })
+    Response::msgpack(421, &HeartbeatRedirect { target })
 }
 
 /// Serves a heartbeat that a follower relayed. Returns the encoded response, or an empty body if this node rejects the
--- a/crates/hopyoke/src/leadership/failover.rs
+++ b/crates/hopyoke/src/leadership/failover.rs
@@ -46,7 +46,7 @@
     scheduler.set_tuning(settings::scheduler_tuning(
         &node.policy.evaluate(&Metrics::default()),
     ));
-    scheduler.record_grant_time(runtime::now(), runtime::time_of_day());
+    scheduler.record_grant_time(runtime::now(), runtime::unix_time());
     scheduler.set_staffed_hours(staffed_hours::initial(node));
     scheduler.set_catalog(node.catalog.borrow().clone());
     Some(scheduler)
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -190,7 +190,7 @@
             &request.owner,
             &plan,
             pages.len() as u32,
-            runtime::time_of_day().0,
+            runtime::unix_time().0,
         )
     };
     if serde_json::to_string(&head).map_or(usize::MAX, |t| t.len()) > node.config.max_value_bytes {
@@ -574,7 +574,7 @@
     }
     let new_head = Head {
         state: RunState::Running,
-        submitted_us: runtime::time_of_day().0,
+        submitted_us: runtime::unix_time().0,
         ended_us: 0,
         reason: String::new(),
         done: 0,
