--- a/crates/hopyoke-experiments/src/flows.rs
+++ b/crates/hopyoke-experiments/src/flows.rs
@@ -1,5 +1,5 @@
-//! Runs of workflows on a site of real processes on loopback: what a step costs, what it waits, and
-//! what is left of many runs when all controllers end. Figures are from stand-ins on one machine.
+//! Workflow runs on an emulated cluster with real controller processes: CPU time and latency per step, and recovery
+//! of many runs after a restart of all controllers.
 
 use hopyoke::peers::client::proto::flow_request::Operation;
 use hopyoke::peers::client::proto::{RunQuestion, SubmitRun};
@@ -14,16 +14,18 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// What one experiment showed, line by line, and whether what must hold did.
-pub struct Shown {
+/// Result of an experiment.
+pub struct ExperimentResult {
+    /// Lines of the report.
     pub lines: Vec<String>,
-    pub holds: bool,
+    /// Whether all checks passed.
+    pub passed: bool,
 }
 
-/// How long a task runs.
+/// Run time of a task in seconds.
 const TASK_S: f64 = 0.2;
 
-fn spec(id: JobId, tasks: u32) -> JobSpec {
+fn job_spec(id: JobId, tasks: u32) -> JobSpec {
     let plain = JobSpec::with_defaults(id, "step", "crew", "img");
     JobSpec {
         tasks,
@@ -33,8 +35,8 @@
     }
 }
 
-/// So many chains of so many steps, beside each other.
-fn plan(chains: u32, length: u32) -> Plan {
+/// Returns a plan of independent chains of `length` steps each.
+fn chain_plan(chains: u32, length: u32) -> Plan {
     let step = |i: u32| PlanStep {
         path: format!("chain{}/step{}", i / length, i % length),
         dependencies: if i.is_multiple_of(length) {
@@ -46,13 +48,18 @@
         tasks: 1,
     };
     Plan {
-        job_templates: vec![spec(JobId::new("req-0"), 1)],
+        job_templates: vec![job_spec(JobId::new("req-0"), 1)],
         steps: (0..chains * length).map(step).collect(),
         outputs: "{}".into(),
     }
 }
 
-fn site_plan(program: &Path, dir: &Path, controllers: usize, machines: usize) -> ClusterConfig {
+fn cluster_config(
+    program: &Path,
+    dir: &Path,
+    controllers: usize,
+    machines: usize,
+) -> ClusterConfig {
     ClusterConfig {
         controllers,
         max_machines: machines,
@@ -83,43 +90,52 @@
         .map_err(|e| e.to_string())
 }
 
-/// Waits until all these runs are over, by their records; the time that took.
-async fn over(site: &Cluster, runs: &[RunId], limit_s: u64) -> Option<Micros> {
+/// Waits until all these runs have an end record, and returns how long that took, or `None` after `limit_s`.
+async fn wait_for_runs(cluster: &Cluster, runs: &[RunId], limit_s: u64) -> Option<Micros> {
     let began = runtime::now();
-    let all = |s: &Cluster| {
+    let all_ended = |s: &Cluster| {
         runs.iter()
             .all(|r| s.store.get(&format!("flowend/{r}")).is_some())
     };
-    site.wait_for(Micros::from_secs(limit_s), all)
+    cluster
+        .wait_for(Micros::from_secs(limit_s), all_ended)
         .await
         .then(|| runtime::now() - began)
 }
 
-fn processor_ms(site: &Cluster) -> f64 {
-    (0..site.config.controllers)
-        .map(|i| site.cpu_time_s(i))
+/// Returns the CPU time of all controllers so far, in milliseconds.
+fn cpu_time_ms(cluster: &Cluster) -> f64 {
+    (0..cluster.config.controllers)
+        .map(|i| cluster.cpu_time_s(i))
         .sum::<f64>()
         * 1e3
 }
 
-fn run(n: u64) -> RunId {
+fn run_id(n: u64) -> RunId {
     RunId::wrapping_new(n + 1)
 }
 
-/// What a step costs one controller beside what a native job costs it, and how long after a step's
-/// end the next one begins.
-pub async fn cost(program: &Path, dir: &Path, steps: u32) -> Result<Shown, String> {
+/// Measures the CPU time that a controller spends per workflow step and per plain job, and the delay between the
+/// end of a step and the start of the next one.
+///
+/// # Errors
+/// Returns a message if the cluster cannot start or the jobs take too long.
+pub async fn measure_step_cost(
+    program: &Path,
+    dir: &Path,
+    steps: u32,
+) -> Result<ExperimentResult, String> {
     let mut lines = Vec::new();
     let chains = 40;
     let length = (steps / chains).max(2);
     let total = chains * length;
-    // Natively: the same jobs, each submitted when the one before it in its chain is done.
-    let site =
-        Cluster::start(site_plan(program, &dir.join("native"), 1, 8)).map_err(|e| e.to_string())?;
-    warm(&site).await?;
-    let (before, began) = (processor_ms(&site), runtime::now());
+    // Baseline: the same jobs without a workflow, each submitted once its predecessor is done.
+    let cluster = Cluster::start(cluster_config(program, &dir.join("native"), 1, 8))
+        .map_err(|e| e.to_string())?;
+    warm_up(&cluster).await?;
+    let (before, began) = (cpu_time_ms(&cluster), runtime::now());
     let mut next: Vec<u32> = vec![0; chains as usize];
-    let client = Client::new(site.api_addrs[0]);
+    let client = Client::new(cluster.api_addrs[0]);
     let mut finished = 0;
     while finished < total {
         for (c, step) in next.iter_mut().enumerate() {
@@ -128,90 +144,94 @@
             }
             let id = JobId::new(&format!("req-{}", 1000 + c as u32 * length + *step / 2));
             if step.is_multiple_of(2) {
-                let body = hopyoke_protocol::encode(&spec(id, 1));
+                let body = hopyoke_protocol::encode(&job_spec(id, 1));
                 let answer = client
                     .send(Method::Post, "/api/jobs", &body, Micros::from_secs(5))
                     .await;
                 *step += u32::from(answer.is_ok_and(|r| r.status < 300));
-            } else if site.store.get(&format!("end/{id}")).is_some() {
+            } else if cluster.store.get(&format!("end/{id}")).is_some() {
                 *step += 1;
                 finished += 1;
             }
         }
         if runtime::now() > began + Micros::from_secs(300) {
-            return Err("the native jobs take too long".into());
+            return Err("plain jobs not done after 300 s".into());
         }
         runtime::sleep(Micros::from_millis(5)).await;
     }
-    let native_ms = (processor_ms(&site) - before) / f64::from(total);
-    let native_gap = gap(&site, |job| {
+    let plain_ms = (cpu_time_ms(&cluster) - before) / f64::from(total);
+    let plain_gap_s = median_step_gap_s(&cluster, |job| {
         let n: u32 = job.as_str().strip_prefix("req-")?.parse().ok()?;
         let n = n.checked_sub(1000)?;
         Some((u64::from(n / length), n % length))
     });
-    drop(site);
-    // The same as a run.
-    let site =
-        Cluster::start(site_plan(program, &dir.join("run"), 1, 8)).map_err(|e| e.to_string())?;
-    warm(&site).await?;
-    let controllers = Controllers::new(site.mesh_addrs.clone());
-    let before = processor_ms(&site);
-    submit(&controllers, run(1), &plan(chains, length)).await?;
-    let took = over(&site, &[run(1)], 300)
+    drop(cluster);
+    // The same steps as a workflow run.
+    let cluster = Cluster::start(cluster_config(program, &dir.join("run"), 1, 8))
+        .map_err(|e| e.to_string())?;
+    warm_up(&cluster).await?;
+    let controllers = Controllers::new(cluster.mesh_addrs.clone());
+    let before = cpu_time_ms(&cluster);
+    submit(&controllers, run_id(1), &chain_plan(chains, length)).await?;
+    let took = wait_for_runs(&cluster, &[run_id(1)], 300)
         .await
-        .ok_or("the run takes too long")?;
-    let run_ms = (processor_ms(&site) - before) / f64::from(total);
-    let run_gap = gap(&site, |job| {
+        .ok_or("workflow run not done after 300 s")?;
+    let run_ms = (cpu_time_ms(&cluster) - before) / f64::from(total);
+    let run_gap_s = median_step_gap_s(&cluster, |job| {
         let (r, step, _) = parse_job_id(job)?;
-        (r == run(1)).then_some((u64::from(step.0 / length), step.0 % length))
+        (r == run_id(1)).then_some((u64::from(step.0 / length), step.0 % length))
     });
-    let bytes = |prefix: &str| {
-        site.store
+    let written_bytes = |prefix: &str| {
+        cluster
+            .store
             .written_bytes
             .borrow()
             .get(prefix)
             .copied()
             .unwrap_or(0) as f64
     };
-    let per_step = |prefix: &str| bytes(prefix) / f64::from(total);
+    let per_step = |prefix: &str| written_bytes(prefix) / f64::from(total);
     lines.push(format!(
         "{total} steps in {chains} chains, tasks of {TASK_S} s, one controller, 8 machines"
     ));
     lines.push(format!(
-        "processor a step: {run_ms:.2} ms, of a native job: {native_ms:.2} ms"
+        "CPU time per step: {run_ms:.2} ms, per plain job: {plain_ms:.2} ms"
     ));
     lines.push(format!(
-        "next step begins after the last one's end: median {run_gap:.2} s, natively {native_gap:.2} s"
+        "delay between steps: median {run_gap_s:.2} s, between plain jobs {plain_gap_s:.2} s"
     ));
     for share in [0.096, 0.16] {
         lines.push(format!(
-            "steps a second at {:.1}% of a core: {:.0}",
+            "steps per second at {:.1}% of a core: {:.0}",
             share * 100.0,
             share * 1e3 / run_ms
         ));
     }
     lines.push(format!(
-        "bytes written a step: plan {:.0}, progress {:.0}, head and grant {:.0}; of its job {:.0}",
+        "bytes written per step: plan {:.0}, progress {:.0}, run and end records {:.0}; for its job {:.0}",
         per_step("flowplan"),
         per_step("flowpage"),
         per_step("flow") + per_step("flowend"),
         per_step("job") + per_step("end")
     ));
     lines.push(format!(
-        "the run took {:.1} s, its controller {:.0} MB",
+        "the run took {:.1} s, memory of its controller {:.0} MB",
         took.as_secs_f64(),
-        site.memory_mb(0)
+        cluster.memory_mb(0)
     ));
-    let holds = site.fleet.violations.borrow().is_empty();
-    Ok(Shown { lines, holds })
+    let passed = cluster.fleet.violations.borrow().is_empty();
+    Ok(ExperimentResult { lines, passed })
 }
 
-/// Machines are up before anything is measured.
-async fn warm(site: &Cluster) -> Result<(), String> {
-    let client = Client::new(site.api_addrs[0]);
+/// Runs one job, so that the machines have booted before the measurement.
+///
+/// # Errors
+/// Returns a message if the job is not accepted or not done in time.
+async fn warm_up(cluster: &Cluster) -> Result<(), String> {
+    let client = Client::new(cluster.api_addrs[0]);
     let body = hopyoke_protocol::encode(&JobSpec {
         class: "warm".into(),
-        ..spec(JobId::new("req-7"), 100)
+        ..job_spec(JobId::new("req-7"), 100)
     });
     let began = runtime::now();
     loop {
@@ -222,159 +242,173 @@
             break;
         }
         if runtime::now() > began + Micros::from_secs(30) {
-            return Err("no controller takes jobs".into());
+            return Err("no controller accepts jobs".into());
         }
         runtime::sleep(Micros::from_millis(200)).await;
     }
     let done = |s: &Cluster| s.store.get("end/req-7").is_some();
-    if site.wait_for(Micros::from_secs(60), done).await {
+    if cluster.wait_for(Micros::from_secs(60), done).await {
         Ok(())
     } else {
-        Err("machines don't come up".into())
+        Err("warm-up job not done after 60 s".into())
     }
 }
 
-/// The median time from a step's end to the start of the next one in its chain, in seconds.
-fn gap(site: &Cluster, place: impl Fn(&JobId) -> Option<(u64, u32)>) -> f64 {
+/// Returns the median time from the end of a step to the start of the next one in its chain, in seconds.
+fn median_step_gap_s(cluster: &Cluster, position: impl Fn(&JobId) -> Option<(u64, u32)>) -> f64 {
     let mut task_starts: BTreeMap<(u64, u32), Micros> = BTreeMap::new();
-    for s in site.fleet.task_starts.borrow().iter() {
-        if let Some(p) = place(&s.task.job) {
+    for s in cluster.fleet.task_starts.borrow().iter() {
+        if let Some(p) = position(&s.task.job) {
             task_starts.entry(p).or_insert(s.at);
         }
     }
-    let task = Micros::from_secs_f64(TASK_S * site.config.run_time_factor);
-    let mut gaps: Vec<f64> = task_starts
+    let task = Micros::from_secs_f64(TASK_S * cluster.config.run_time_factor);
+    let mut gaps_s: Vec<f64> = task_starts
         .iter()
         .filter_map(|((c, i), at)| {
             let next = task_starts.get(&(*c, i + 1))?;
             Some((*next - (*at + task)).as_secs_f64())
         })
         .collect();
-    gaps.sort_by(f64::total_cmp);
-    gaps.get(gaps.len() / 2).copied().unwrap_or(0.0)
+    gaps_s.sort_by(f64::total_cmp);
+    gaps_s.get(gaps_s.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// All controllers end with many runs under way: how long until they go on, and whether all is done,
-/// once.
-pub async fn recovery(program: &Path, dir: &Path, runs: u64, steps: u32) -> Result<Shown, String> {
+/// Kills and restarts all controllers during many runs; measures the time until the runs make progress, and checks that
+/// each step is done exactly once.
+///
+/// # Errors
+/// Returns a message if the cluster cannot start or the runs make no progress before the restart.
+pub async fn measure_recovery(
+    program: &Path,
+    dir: &Path,
+    runs: u64,
+    steps: u32,
+) -> Result<ExperimentResult, String> {
     let mut lines = Vec::new();
-    let mut site = Cluster::start(site_plan(program, &dir.join("recovery"), 3, 60))
+    let mut cluster = Cluster::start(cluster_config(program, &dir.join("recovery"), 3, 60))
         .map_err(|e| e.to_string())?;
-    warm(&site).await?;
-    let controllers = Controllers::new(site.mesh_addrs.clone());
+    warm_up(&cluster).await?;
+    let controllers = Controllers::new(cluster.mesh_addrs.clone());
     let length = 10.min(steps);
-    let plan = plan((steps / length).max(1), length);
+    let plan = chain_plan((steps / length).max(1), length);
     let total = runs * plan.steps.len() as u64;
-    let ids: Vec<RunId> = (0..runs).map(run).collect();
+    let ids: Vec<RunId> = (0..runs).map(run_id).collect();
     for id in &ids {
         submit(&controllers, *id, &plan).await?;
     }
-    let ends = |s: &Cluster| s.store.keys("end/req-9").len() as u64;
-    if !site
-        .wait_for(Micros::from_secs(300), |s| ends(s) >= total * 2 / 5)
+    let finished_steps = |s: &Cluster| s.store.keys("end/req-9").len() as u64;
+    if !cluster
+        .wait_for(Micros::from_secs(300), |s| {
+            finished_steps(s) >= total * 2 / 5
+        })
         .await
     {
         return Err(format!(
             "{} of {total} steps are done after 300 s",
-            ends(&site)
+            finished_steps(&cluster)
         ));
     }
-    let (done_then, open_then) = (ends(&site), site.store.keys("job/req-9").len());
+    let (done_at_kill, open_at_kill) = (
+        finished_steps(&cluster),
+        cluster.store.keys("job/req-9").len(),
+    );
     for i in 0..3 {
-        site.kill_controller(i);
+        cluster.kill_controller(i);
     }
     let open: Vec<RunId> = ids
         .iter()
         .copied()
-        .filter(|r| site.store.get(&format!("flowend/{r}")).is_none())
+        .filter(|r| cluster.store.get(&format!("flowend/{r}")).is_none())
         .collect();
     let killed = runtime::now();
     runtime::sleep(Micros::from_secs(5)).await;
     for i in 0..3 {
-        site.start_controller(i).map_err(|e| e.to_string())?;
+        cluster.start_controller(i).map_err(|e| e.to_string())?;
     }
     let restarted = runtime::now();
     let since = |t: Micros| (runtime::now() - t).as_secs_f64();
-    // A run goes on once a job of it was accepted, or it ended, after the restart.
-    let known: BTreeMap<String, u64> = open
+    // A run has resumed once one of its jobs was accepted, or it ended, after the restart.
+    let accepted_before: BTreeMap<String, u64> = open
         .iter()
-        .map(|r| (r.to_string(), accepted(&site, *r)))
+        .map(|r| (r.to_string(), accepted_jobs(&cluster, *r)))
         .collect();
-    let mut first = None;
-    let mut all = None;
+    let mut first_resumed = None;
+    let mut all_resumed = None;
     let limit = runtime::now() + Micros::from_secs(120);
-    while all.is_none() && runtime::now() < limit {
-        let on = |r: &&RunId| {
-            accepted(&site, **r) > known[&r.to_string()]
-                || site.store.get(&format!("flowend/{r}")).is_some()
+    while all_resumed.is_none() && runtime::now() < limit {
+        let has_resumed = |r: &&RunId| {
+            accepted_jobs(&cluster, **r) > accepted_before[&r.to_string()]
+                || cluster.store.get(&format!("flowend/{r}")).is_some()
         };
-        let n = open.iter().filter(on).count();
-        if n > 0 && first.is_none() {
-            first = Some(since(restarted));
+        let n = open.iter().filter(has_resumed).count();
+        if n > 0 && first_resumed.is_none() {
+            first_resumed = Some(since(restarted));
         }
         if n == open.len() {
-            all = Some(since(restarted));
+            all_resumed = Some(since(restarted));
         }
         runtime::sleep(Micros::from_millis(50)).await;
     }
-    let ended = over(&site, &ids, 400).await;
+    let ended = wait_for_runs(&cluster, &ids, 400).await;
     let states: Vec<String> = ids
         .iter()
-        .filter_map(|r| site.store.get(&format!("flowend/{r}")))
+        .filter_map(|r| cluster.store.get(&format!("flowend/{r}")))
         .filter_map(|v: Value| v["state"].as_str().map(str::to_owned))
         .collect();
     let done = states.iter().filter(|s| *s == "done").count();
-    let jobs = site.store.keys("end/req-9");
-    let steps_seen: std::collections::BTreeSet<(RunId, StepNo)> = jobs
+    let jobs = cluster.store.keys("end/req-9");
+    let steps_done: std::collections::BTreeSet<(RunId, StepNo)> = jobs
         .iter()
         .filter_map(|k| parse_job_id(&JobId::parse(k.strip_prefix("end/")?)?))
         .map(|(r, s, _)| (r, s))
         .collect();
-    let twice = jobs.len() - steps_seen.len();
-    let violations = site.fleet.violations.borrow().len();
-    let told = controllers.ask(
+    let duplicates = jobs.len() - steps_done.len();
+    let violations = cluster.fleet.violations.borrow().len();
+    let response = controllers.ask(
         Operation::Get(RunQuestion {
             run: ids[0].number(),
             ..RunQuestion::default()
         }),
         Micros::from_secs(20),
     );
-    let told = told.await.map_err(|e| e.to_string())?;
+    let response = response.await.map_err(|e| e.to_string())?;
     lines.push(format!(
         "{runs} runs of {} steps, 3 controllers, 60 machines",
         plan.steps.len()
     ));
     lines.push(format!(
-        "all controllers end with {done_then} of {total} steps done and {open_then} under way"
+        "all controllers killed with {done_at_kill} of {total} steps done and {open_at_kill} in progress"
     ));
     lines.push(format!(
-        "5 s later they are back; of {} open runs the first goes on after {}, all after {}",
+        "restarted 5 s later; of {} unfinished runs the first resumed after {}, all after {}",
         open.len(),
-        first.map_or("-".into(), |t| format!("{t:.1} s")),
-        all.map_or("-".into(), |t| format!("{t:.1} s"))
+        first_resumed.map_or("-".into(), |t| format!("{t:.1} s")),
+        all_resumed.map_or("-".into(), |t| format!("{t:.1} s"))
     ));
     lines.push(format!(
-        "all over {:.1} s after the end of the controllers: {done} runs done, steps lost {}, jobs beside a step's own {twice}, rules broken {violations}",
+        "all runs ended {:.1} s after the kill: {done} runs done, {} steps lost, {duplicates} duplicate jobs, {violations} invariant violations",
         since(killed),
-        total as usize - steps_seen.len().min(total as usize),
+        total as usize - steps_done.len().min(total as usize),
     ));
     lines.push(format!(
-        "largest controller {:.0} MB; the first run is told as {}",
-        (0..3).map(|i| site.memory_mb(i)).fold(0.0, f64::max),
-        told.runs.first().map_or("-", |r| r.state.as_str())
+        "largest controller {:.0} MB; state of the first run: {}",
+        (0..3).map(|i| cluster.memory_mb(i)).fold(0.0, f64::max),
+        response.runs.first().map_or("-", |r| r.state.as_str())
     ));
-    let holds = ended.is_some()
+    let passed = ended.is_some()
         && done == ids.len()
-        && twice == 0
+        && duplicates == 0
         && violations == 0
-        && steps_seen.len() as u64 == total;
-    Ok(Shown { lines, holds })
+        && steps_done.len() as u64 == total;
+    Ok(ExperimentResult { lines, passed })
 }
 
-/// Jobs of a run that were ever accepted.
-fn accepted(site: &Cluster, run: RunId) -> u64 {
+/// Counts the jobs of a run that were ever accepted.
+fn accepted_jobs(cluster: &Cluster, run: RunId) -> u64 {
     let under = |first: &str| {
-        site.store
+        cluster
+            .store
             .keys(&format!("{first}/{}", hopyoke_workflow::job_id_prefix(run)))
             .len() as u64
     };
--- a/crates/hopyoke-experiments/src/lib.rs
+++ b/crates/hopyoke-experiments/src/lib.rs
@@ -1,10 +1,10 @@
-//! Experiments on the emulator.
+//! Experiments on simulated and emulated clusters.
 //!
-//! - [`generate`]: traces from a seeded generator, named as such.
-//! - [`replay`]: a history against stand-in workers in virtual time, with the real core.
-//! - [`figures`]: what came out, in numbers.
-//! - [`flows`]: runs of workflows on real processes on loopback.
-//! - [`report`]: the same as a self-contained HTML page with plots.
+//! - [`generate`]: synthetic workload traces.
+//! - [`replay`]: replays of workload traces on simulated workers in virtual time, with the production scheduler.
+//! - [`figures`]: accuracy of the predicted completion times in a replay.
+//! - [`flows`]: workflow runs on an emulated cluster with real controller processes.
+//! - [`report`]: replay results as a self-contained HTML page with plots.
 
 pub mod figures;
 pub mod flows;
--- a/crates/hopyoke-experiments/src/main.rs
+++ b/crates/hopyoke-experiments/src/main.rs
@@ -1,16 +1,16 @@
-//! The program: experiments by name.
+//! Command-line interface of the experiments.
 
 use clap::{Parser, Subcommand, ValueEnum};
-use hopyoke_experiments::figures::{Figures, figures};
-use hopyoke_experiments::generate::{Kind, trace};
-use hopyoke_experiments::replay::{Options, Replayed, replay};
-use hopyoke_experiments::report::html;
+use hopyoke_experiments::figures::{AccuracyReport, measure_accuracy};
+use hopyoke_experiments::generate::{TraceKind, generate_trace};
+use hopyoke_experiments::replay::{ReplayOptions, ReplayResult, replay};
+use hopyoke_experiments::report::render_html;
 use hopyoke_types::Micros;
 use hopyoke_workload_trace::History;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Experiments on the emulator of hopyoke.
+/// Experiments on simulated and emulated clusters
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
 struct Args {
@@ -20,53 +20,53 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Write a trace from the seeded generator (Standard Workload Format) to standard output
+    /// Write a synthetic workload trace (Standard Workload Format) to standard output
     Generate {
         #[arg(value_enum)]
-        kind: KindName,
+        kind: TraceKindArg,
         #[arg(long, default_value_t = 10_000)]
         jobs: usize,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Replay a history against stand-in workers in virtual time, and compare predicted and actual ends
+    /// Replay a workload trace on simulated workers in virtual time, and compare predicted and actual completion times
     Replay {
-        /// A history: the Standard Workload Format, or what `hopyoke history` writes
+        /// Trace in the Standard Workload Format, or as `hopyoke history` writes it
         trace: PathBuf,
-        /// Kill the leader every so many seconds
+        /// Interval at which the leader is killed
         #[arg(long, value_name = "SECONDS", value_parser = clap::value_parser!(u64).range(20..=1_000_000))]
         kill_every: Option<u64>,
         /// Write a report with plots to this file
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
-        /// Refuse a history with a line that can't be used, instead of skipping the line
+        /// Reject a trace with an invalid line instead of skipping the line
         #[arg(long)]
         strict: bool,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// All generated traces, each with and without leaders killed every 60 s, against what must hold
+    /// Replay all kinds of generated traces, with and without a leader failure every 60 s, and check the accuracy
     Evidence {
         #[arg(long, default_value_t = 10_000)]
         jobs: usize,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Write a report for each trace into this folder
+        /// Write a report for each replay into this directory
         #[arg(long, value_name = "DIR")]
         html: Option<PathBuf>,
     },
-    /// Runs of workflows on real processes on loopback, around stand-ins
+    /// Run workflows on an emulated cluster with real controller processes
     Flows {
         #[arg(value_enum, default_value_t = Experiment::All)]
         which: Experiment,
-        /// The controllers' program; by default `hopyoke` beside this one
+        /// Controller executable; defaults to `hopyoke` in the directory of this program
         #[arg(long, value_name = "FILE")]
         program: Option<PathBuf>,
         #[arg(long, value_name = "DIR", default_value = "target/flows")]
         dir: PathBuf,
         #[arg(long, default_value_t = 50, value_parser = clap::value_parser!(u64).range(1..=500))]
         runs: u64,
-        /// Steps of a run
+        /// Steps per workflow run
         #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u32).range(10..=2000))]
         steps: u32,
     },
@@ -74,15 +74,15 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Experiment {
-    /// What a step costs beside a native job
+    /// CPU time of a workflow step compared with a plain job
     Cost,
-    /// All controllers end with many runs under way
+    /// Restart all controllers during many workflow runs
     Recovery,
     All,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum KindName {
+enum TraceKindArg {
     Steady,
     Doubling,
     NewClass,
@@ -90,14 +90,14 @@
     HeavyTail,
 }
 
-impl From<KindName> for Kind {
-    fn from(k: KindName) -> Kind {
+impl From<TraceKindArg> for TraceKind {
+    fn from(k: TraceKindArg) -> TraceKind {
         match k {
-            KindName::Steady => Kind::Steady,
-            KindName::Doubling => Kind::Doubling,
-            KindName::NewClass => Kind::NewClass,
-            KindName::Biased => Kind::Biased,
-            KindName::HeavyTail => Kind::HeavyTail,
+            TraceKindArg::Steady => TraceKind::Steady,
+            TraceKindArg::Doubling => TraceKind::Doubling,
+            TraceKindArg::NewClass => TraceKind::NewClass,
+            TraceKindArg::Biased => TraceKind::Biased,
+            TraceKindArg::HeavyTail => TraceKind::HeavyTail,
         }
     }
 }
@@ -105,7 +105,7 @@
 fn main() -> ExitCode {
     let result = match Args::parse().command {
         Command::Generate { kind, jobs, seed } => {
-            print!("{}", trace(kind.into(), jobs, seed));
+            print!("{}", generate_trace(kind.into(), jobs, seed));
             Ok(true)
         }
         Command::Replay {
@@ -114,15 +114,15 @@
             html,
             strict,
             seed,
-        } => one(&trace, kill_every, html.as_deref(), strict, seed).map(|()| true),
+        } => replay_file(&trace, kill_every, html.as_deref(), strict, seed).map(|()| true),
         Command::Flows {
             which,
             program,
             dir,
             runs,
             steps,
-        } => flows(which, program, dir, runs, steps),
-        Command::Evidence { jobs, seed, html } => evidence(jobs, seed, html.as_deref()),
+        } => run_flows(which, program, dir, runs, steps),
+        Command::Evidence { jobs, seed, html } => run_evidence(jobs, seed, html.as_deref()),
     };
     match result {
         Ok(true) => ExitCode::SUCCESS,
@@ -134,128 +134,139 @@
     }
 }
 
-fn flows(
+/// Runs the workflow experiments; returns false if one failed.
+fn run_flows(
     which: Experiment,
     program: Option<PathBuf>,
     dir: PathBuf,
     runs: u64,
     steps: u32,
 ) -> Result<bool, String> {
-    use hopyoke_experiments::flows::{Shown, cost, recovery};
-    let beside = || Some(std::env::current_exe().ok()?.parent()?.join("hopyoke"));
-    let program = program.or_else(beside).filter(|p| p.is_file());
+    use hopyoke_experiments::flows::{ExperimentResult, measure_recovery, measure_step_cost};
+    let sibling = || Some(std::env::current_exe().ok()?.parent()?.join("hopyoke"));
+    let program = program.or_else(sibling).filter(|p| p.is_file());
     let program = program.ok_or(
-        "no controllers' program: `cargo build --release` makes it, or say --program FILE",
+        "controller executable not found: run `cargo build --release` or pass --program FILE",
     )?;
-    let slot = std::rc::Rc::new(std::cell::RefCell::new(Err("nothing was shown".to_owned())));
-    let out = slot.clone();
+    let outcome = std::rc::Rc::new(std::cell::RefCell::new(Err(
+        "no experiment was run".to_owned()
+    )));
+    let out = outcome.clone();
     hopyoke_event_loop::run(async move {
-        let mut holds = true;
-        let mut show = |name: &str, shown: Shown| {
+        let mut passed = true;
+        let mut show = |name: &str, experiment: ExperimentResult| {
             println!("{name}");
-            for line in shown.lines {
+            for line in experiment.lines {
                 println!("  {line}");
             }
             println!(
                 "  {}",
-                if shown.holds {
+                if experiment.passed {
                     "holds"
                 } else {
                     "DOES NOT HOLD"
                 }
             );
-            holds &= shown.holds;
+            passed &= experiment.passed;
         };
         if matches!(which, Experiment::Cost | Experiment::All) {
-            match cost(&program, &dir, 1200).await {
+            match measure_step_cost(&program, &dir, 1200).await {
                 Ok(s) => show("cost of a step", s),
                 Err(e) => return *out.borrow_mut() = Err(e),
             }
         }
         if matches!(which, Experiment::Recovery | Experiment::All) {
-            match recovery(&program, &dir, runs, steps).await {
+            match measure_recovery(&program, &dir, runs, steps).await {
                 Ok(s) => show("recovery", s),
                 Err(e) => return *out.borrow_mut() = Err(e),
             }
         }
-        *out.borrow_mut() = Ok(holds);
+        *out.borrow_mut() = Ok(passed);
     })
     .map_err(|e| e.to_string())?;
-    slot.replace(Ok(false))
+    outcome.replace(Ok(false))
 }
 
-fn one(
+/// Replays one trace file, and prints and optionally writes its report.
+fn replay_file(
     file: &Path,
-    kill: Option<u64>,
-    page: Option<&Path>,
+    kill_interval: Option<u64>,
+    report_path: Option<&Path>,
     strict: bool,
     seed: u64,
 ) -> Result<(), String> {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: cannot be read: {e}"))?;
+    let text =
+        std::fs::read_to_string(file).map_err(|e| format!("{name}: cannot read trace: {e}"))?;
     let history =
         hopyoke_workload_trace::read(&text, strict).map_err(|f| format!("{name}: {f}"))?;
     for f in history.skipped.iter().take(10) {
         eprintln!("{name}: {f}: skipped");
     }
     if history.skipped.len() > 10 {
-        eprintln!(
-            "{name}: {} lines more were skipped",
-            history.skipped.len() - 10
-        );
+        eprintln!("{name}: {} more lines skipped", history.skipped.len() - 10);
     }
-    let options = Options {
+    let options = ReplayOptions {
         seed,
-        kill_every: kill.map(Micros::from_secs),
+        kill_every: kill_interval.map(Micros::from_secs),
     };
-    let replayed = replay(&history, options)?;
-    let found = figures(&replayed, &history.changes);
-    print!("{}", found.table());
-    told(&replayed);
-    write_page(page, &name, &replayed, &found)
+    let result = replay(&history, options)?;
+    let report = measure_accuracy(&result, &history.changes);
+    print!("{}", report.table());
+    print_summary(&result);
+    write_report(report_path, &name, &result, &report)
 }
 
-fn told(r: &Replayed) {
+fn print_summary(r: &ReplayResult) {
     println!(
-        "{} predictions, {} jobs unseen, {} left aside, {} leaders, {:.0} s of virtual time (from simulated machines)",
+        "{} predictions, {} jobs not observed, {} skipped, {} leaders, {:.0} s of virtual time (simulated machines)",
         r.outcomes.len(),
-        r.unseen,
-        r.left_aside,
-        r.leaders,
-        r.span_s
+        r.unobserved_jobs,
+        r.skipped_jobs,
+        r.elected_leaders,
+        r.virtual_time_s
     );
 }
 
-fn write_page(page: Option<&Path>, title: &str, r: &Replayed, f: &Figures) -> Result<(), String> {
-    let Some(page) = page else { return Ok(()) };
-    std::fs::write(page, html(title, r, f)?).map_err(|e| format!("{}: {e}", page.display()))
+fn write_report(
+    report_path: Option<&Path>,
+    title: &str,
+    r: &ReplayResult,
+    f: &AccuracyReport,
+) -> Result<(), String> {
+    let Some(report_path) = report_path else {
+        return Ok(());
+    };
+    std::fs::write(report_path, render_html(title, r, f)?)
+        .map_err(|e| format!("{}: {e}", report_path.display()))
 }
 
-/// What must hold, printed with what came out; false if something does not.
-fn evidence(jobs: usize, seed: u64, pages: Option<&Path>) -> Result<bool, String> {
-    let mut all_hold = true;
+/// Replays all kinds of generated traces and checks their accuracy; returns false if a check failed.
+fn run_evidence(jobs: usize, seed: u64, report_dir: Option<&Path>) -> Result<bool, String> {
+    let mut all_passed = true;
     let mut check = |ok: bool, what: String| {
-        all_hold &= ok;
+        all_passed &= ok;
         println!("  {} {what}", if ok { "holds:" } else { "DOES NOT HOLD:" });
     };
-    let kills = [None, Some(Micros::from_secs(60))];
-    // Each replay is a world of its own, so they may run side by side.
-    type Done = Vec<Result<Replayed, String>>;
-    let replays: Vec<(Kind, History, Done)> = std::thread::scope(|scope| {
-        let started: Vec<_> = Kind::ALL
+    let kill_intervals = [None, Some(Micros::from_secs(60))];
+    // Replays share no state, so they run in parallel.
+    type Results = Vec<Result<ReplayResult, String>>;
+    let replays: Vec<(TraceKind, History, Results)> = std::thread::scope(|scope| {
+        let started: Vec<_> = TraceKind::ALL
             .into_iter()
             .map(|kind| {
-                let history = hopyoke_workload_trace::read(&trace(kind, jobs, seed), true)
+                let history = hopyoke_workload_trace::read(&generate_trace(kind, jobs, seed), true)
                     .unwrap_or_default();
-                let threads = kills.map(|kill_every| {
+                let threads = kill_intervals.map(|kill_every| {
                     let history = history.clone();
-                    scope.spawn(move || replay(&history, Options { seed, kill_every }))
+                    scope.spawn(move || replay(&history, ReplayOptions { seed, kill_every }))
                 });
                 (kind, history, threads)
             })
             .collect();
         let join = |t: std::thread::ScopedJoinHandle<'_, _>| {
-            t.join().unwrap_or_else(|_| Err("it panicked".into()))
+            t.join()
+                .unwrap_or_else(|_| Err("replay thread panicked".into()))
         };
         started
             .into_iter()
@@ -263,46 +274,53 @@
             .collect()
     });
     for (kind, history, replays) in replays {
-        let mut both = Vec::new();
-        for (kill, replayed) in kills.into_iter().zip(replays) {
+        let mut accuracies = Vec::new();
+        for (kill_interval, result) in kill_intervals.into_iter().zip(replays) {
             let title = format!(
                 "{}, {}",
                 kind.name(),
-                if kill.is_some() {
-                    "leaders killed every 60 s"
+                if kill_interval.is_some() {
+                    "leader killed every 60 s"
                 } else {
-                    "undisturbed"
+                    "no failures"
                 }
             );
             println!("== {title} (generated, {jobs} jobs, seed {seed})");
-            let replayed = replayed.map_err(|e| format!("{title}: {e}"))?;
-            let found = figures(&replayed, &history.changes);
-            print!("{}", found.table());
-            told(&replayed);
-            if let Some(dir) = pages {
+            let result = result.map_err(|e| format!("{title}: {e}"))?;
+            let report = measure_accuracy(&result, &history.changes);
+            print!("{}", report.table());
+            print_summary(&result);
+            if let Some(dir) = report_dir {
                 std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
                 let name = format!(
                     "{}{}.html",
                     kind.name(),
-                    if kill.is_some() { "-killed" } else { "" }
+                    if kill_interval.is_some() {
+                        "-killed"
+                    } else {
+                        ""
+                    }
                 );
-                write_page(Some(&dir.join(name)), &title, &replayed, &found)?;
+                write_report(Some(&dir.join(name)), &title, &result, &report)?;
             }
-            let all = found.all();
+            let all = report.all();
             check(
-                (75.0..=85.0).contains(&all.inside),
-                format!("{:.1}% of ends inside p10 to p90 (75 to 85)", all.inside),
+                (75.0..=85.0).contains(&all.in_band),
+                format!(
+                    "{:.1}% of completions within p10 to p90 (75 to 85)",
+                    all.in_band
+                ),
             );
-            let most = if kind == Kind::Biased { 0.5 } else { 1.0 };
-            let ratio = all.error / all.owner_error;
+            let max_ratio = if kind == TraceKind::Biased { 0.5 } else { 1.0 };
+            let ratio = all.median_error / all.estimate_error;
             check(
-                ratio <= most,
+                ratio <= max_ratio,
                 format!(
-                    "median error {:.2} times the owners' (at most {most})",
+                    "median error {:.2} times that of the estimates (at most {max_ratio})",
                     ratio
                 ),
             );
-            for r in &found.recoveries {
+            for r in &report.recoveries {
                 let ok = r.completions.is_some_and(|k| k <= 10);
                 check(
                     ok,
@@ -312,13 +330,13 @@
                     ),
                 );
             }
-            both.push((all.inside, all.error));
+            accuracies.push((all.in_band, all.median_error));
         }
-        if let [(a, e), (b, f)] = both[..] {
+        if let [(a, e), (b, f)] = accuracies[..] {
             check(
                 (a - b).abs() <= 2.0,
                 format!(
-                    "inside differs by {:.1} points when leaders are killed (at most 2)",
+                    "share within p10 to p90 differs by {:.1} points when leaders are killed (at most 2)",
                     (a - b).abs()
                 ),
             );
@@ -331,5 +349,5 @@
             );
         }
     }
-    Ok(all_hold)
+    Ok(all_passed)
 }
--- a/crates/hopyoke-experiments/src/replay.rs
+++ b/crates/hopyoke-experiments/src/replay.rs
@@ -1,6 +1,6 @@
-//! A history against stand-in workers in virtual time: the real core places the jobs, workers run
-//! them for as long as the history says, and the leader's predictions are written down as each
-//! job is first seen running.
+//! Replays a workload trace in virtual time: the production scheduler places the jobs on simulated workers, which
+//! run them for their recorded run times. The leader's prediction of each job's completion is recorded when the
+//! job is first observed running.
 
 use hopyoke_protocol::cloud::MachineType;
 use hopyoke_protocol::user::{JobKind, JobSpec, Priority};
@@ -12,78 +12,81 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How a history is replayed.
+/// Options of a replay.
 #[derive(Debug, Clone, Copy)]
-pub struct Options {
+pub struct ReplayOptions {
+    /// Seed of the simulation.
     pub seed: u64,
-    /// The leader is killed this often; `None`: never.
+    /// Interval at which the leader is killed; with `None` it never is.
     pub kill_every: Option<Micros>,
 }
 
-/// One job's prediction, and what became of it.
+/// A job's predicted and actual completion. Times are in seconds since the start of the replay.
 #[derive(Debug, Clone)]
-pub struct Outcome {
+pub struct JobOutcome {
+    /// Job class.
     pub class: String,
-    /// All in seconds since the start of the replay.
     pub submitted_s: f64,
     pub predicted_at_s: f64,
     pub p10_s: f64,
     pub p50_s: f64,
     pub p90_s: f64,
     pub finished_s: f64,
-    /// What it ran, and what its owner had guessed; 0: no guess.
-    pub ran_s: f64,
-    pub guess_s: f64,
+    /// Recorded run time.
+    pub run_time_s: f64,
+    /// Run time that the submitter estimated; 0 if there is no estimate.
+    pub estimate_s: f64,
 }
 
-/// What came out of a replay.
+/// Result of a replay.
 #[derive(Debug, Clone, Default)]
-pub struct Replayed {
-    /// In the order of predictions.
-    pub outcomes: Vec<Outcome>,
-    /// Jobs that ended before a leader had seen them running.
-    pub unseen: usize,
-    /// Jobs that were left aside: wider than the machines here.
-    pub left_aside: usize,
-    /// Leaders that there were.
-    pub leaders: u32,
-    /// How long it took, in virtual seconds.
-    pub span_s: f64,
+pub struct ReplayResult {
+    /// Outcomes in the order of their predictions.
+    pub outcomes: Vec<JobOutcome>,
+    /// Jobs that finished before a leader observed them running.
+    pub unobserved_jobs: usize,
+    /// Jobs that were not replayed because they exceed the simulated machines.
+    pub skipped_jobs: usize,
+    /// Number of leader elections.
+    pub elected_leaders: u32,
+    /// Duration of the replay in virtual seconds.
+    pub virtual_time_s: f64,
 }
 
-struct Watch {
-    /// Jobs without a prediction: accepted by the emulator's users, not yet seen running.
-    open: BTreeMap<JobId, usize>,
-    /// By job's place in the history: when, and p10, p50, p90 of its end.
-    told: BTreeMap<usize, (f64, f64, f64, f64)>,
+/// Predictions recorded during a replay.
+struct PredictionLog {
+    /// Submitted jobs without a prediction, with their index in the trace.
+    pending: BTreeMap<JobId, usize>,
+    /// By index in the trace: time of the prediction, and p10, p50 and p90 of the completion time.
+    predictions: BTreeMap<usize, (f64, f64, f64, f64)>,
 }
 
-/// One kind of machine, wide enough for most jobs.
+/// CPUs of the only machine type.
 const CPUS: f64 = 32.0;
-/// Jobs wider than this are left aside.
-const MOST_TASKS: u32 = 128;
+/// Jobs with more tasks are not replayed.
+const MAX_TASKS: u32 = 128;
 
-/// Replays a history.
+/// Replays a workload trace.
 ///
 /// # Errors
-/// A rule that broke, or that the replay did not come to its end.
-pub fn replay(history: &History, options: Options) -> Result<Replayed, String> {
+/// Returns a message if no run can be replayed, an invariant is violated, or jobs remain unfinished.
+pub fn replay(history: &History, options: ReplayOptions) -> Result<ReplayResult, String> {
     let runs: Vec<Run> = history
         .runs
         .iter()
-        .filter(|r| r.tasks <= MOST_TASKS && r.cpus <= CPUS)
+        .filter(|r| r.tasks <= MAX_TASKS && r.cpus <= CPUS)
         .cloned()
         .collect();
-    let left_aside = history.runs.len() - runs.len();
+    let skipped_jobs = history.runs.len() - runs.len();
     let Some(first) = runs.first().map(|r| r.submitted_us) else {
-        return Err("no run can be replayed".into());
+        return Err("no run in the trace can be replayed".into());
     };
     let start = Micros::from_secs(5);
     let at = |r: &Run| start + Micros(r.submitted_us - first);
     let last = runs.iter().map(at).max().unwrap_or(start);
-    let mut w = Simulation::new(options.seed, 3);
-    w.exhaustive_checks = false;
-    w.machine_types.push(MachineType {
+    let mut simulation = Simulation::new(options.seed, 3);
+    simulation.exhaustive_checks = false;
+    simulation.machine_types.push(MachineType {
         name: "std".into(),
         cpus: CPUS,
         gpus: 8.0,
@@ -93,82 +96,86 @@
         price: 1.0,
         spot_price: 0.0,
         boot_s: 10.0,
-        zones: w.config.zones.clone(),
+        zones: simulation.config.zones.clone(),
     });
     let teams: std::collections::BTreeSet<&str> = runs.iter().map(|r| r.team.as_str()).collect();
-    w.config.teams = teams
+    simulation.config.teams = teams
         .into_iter()
         .map(|t| Team {
             name: t.to_owned(),
             ..Team::default()
         })
         .collect();
-    // Machines are there from the start, stay, and are enough for the busiest hour: it is run
-    // times that are replayed, not queues.
-    w.tuning.idle_return = Micros::from_secs(100_000_000);
-    let zones = w.config.zones.clone();
-    for i in 0..machines(&runs) {
-        w.add_machine(
+    // The cluster has a fixed size that covers peak demand, because the replay evaluates run time
+    // predictions and not queueing.
+    simulation.tuning.idle_return = Micros::from_secs(100_000_000);
+    let zones = simulation.config.zones.clone();
+    for i in 0..machine_count(&runs) {
+        simulation.add_machine(
             "std",
             &zones[i % zones.len()],
             false,
             Some(Micros::from_millis(10)),
         );
     }
-    w.expire_leases();
+    simulation.expire_leases();
     for i in 0..3 {
-        w.start_node(i);
+        simulation.start_node(i);
     }
-    let watch = Rc::new(RefCell::new(Watch {
-        open: BTreeMap::new(),
-        told: BTreeMap::new(),
+    let log = Rc::new(RefCell::new(PredictionLog {
+        pending: BTreeMap::new(),
+        predictions: BTreeMap::new(),
     }));
     for (n, run) in runs.iter().enumerate() {
-        let truth = truth_of(n, run);
-        let (id, watch) = (truth.spec.id.clone(), watch.clone());
-        w.at(at(run), move |w| {
-            w.jobs.insert(id.clone(), truth);
-            watch.borrow_mut().open.insert(id.clone(), n);
-            w.submit(id);
+        let truth = ground_truth(n, run);
+        let (id, log) = (truth.spec.id.clone(), log.clone());
+        simulation.at(at(run), move |simulation| {
+            simulation.jobs.insert(id.clone(), truth);
+            log.borrow_mut().pending.insert(id.clone(), n);
+            simulation.submit(id);
         });
     }
-    look(&mut w, watch.clone());
+    record_predictions(&mut simulation, log.clone());
     if let Some(every) = options.kill_every {
-        kill(&mut w, every);
+        kill_leaders(&mut simulation, every);
     }
     let longest = runs.iter().map(|r| r.ran_s).fold(0.0, f64::max);
     let end = last + Micros::from_secs_f64(longest * 2.0 + 600.0);
-    while w.now < end {
-        let next = w.now + Micros::from_secs(60);
-        w.run_until(next);
-        if let Some(broken) = w.violations.first() {
-            return Err(format!("a rule broke: {broken}"));
+    while simulation.now < end {
+        let next = simulation.now + Micros::from_secs(60);
+        simulation.run_until(next);
+        if let Some(violation) = simulation.violations.first() {
+            return Err(format!("invariant violated: {violation}"));
         }
-        if w.now > last && w.jobs.values().all(|j| j.done_at.is_some()) {
+        if simulation.now > last && simulation.jobs.values().all(|j| j.done_at.is_some()) {
             break;
         }
     }
-    let undone = w.jobs.values().filter(|j| j.done_at.is_none()).count();
-    if undone > 0 {
+    let unfinished = simulation
+        .jobs
+        .values()
+        .filter(|j| j.done_at.is_none())
+        .count();
+    if unfinished > 0 {
         return Err(format!(
-            "{undone} jobs were not done after {:.0} s",
-            w.now.as_secs_f64()
+            "{unfinished} jobs unfinished after {:.0} s of virtual time",
+            simulation.now.as_secs_f64()
         ));
     }
-    let told = &watch.borrow().told;
-    let mut out = Replayed {
-        unseen: runs.len() - told.len(),
-        left_aside,
-        leaders: w.elected_leaders,
-        span_s: w.now.as_secs_f64(),
-        ..Replayed::default()
+    let predictions = &log.borrow().predictions;
+    let mut result = ReplayResult {
+        unobserved_jobs: runs.len() - predictions.len(),
+        skipped_jobs,
+        elected_leaders: simulation.elected_leaders,
+        virtual_time_s: simulation.now.as_secs_f64(),
+        ..ReplayResult::default()
     };
-    for (n, (predicted_at_s, p10_s, p50_s, p90_s)) in told {
+    for (n, (predicted_at_s, p10_s, p50_s, p90_s)) in predictions {
         let run = &runs[*n];
-        let Some(finished) = w.jobs.get(&id_of(*n)).and_then(|j| j.done_at) else {
+        let Some(finished) = simulation.jobs.get(&job_id(*n)).and_then(|j| j.done_at) else {
             continue;
         };
-        out.outcomes.push(Outcome {
+        result.outcomes.push(JobOutcome {
             class: run.class.clone(),
             submitted_s: at(run).as_secs_f64(),
             predicted_at_s: *predicted_at_s,
@@ -176,42 +183,43 @@
             p50_s: *p50_s,
             p90_s: *p90_s,
             finished_s: finished.as_secs_f64(),
-            ran_s: run.ran_s,
-            guess_s: run.estimate_s,
+            run_time_s: run.ran_s,
+            estimate_s: run.estimate_s,
         });
     }
-    out.outcomes
+    result
+        .outcomes
         .sort_by(|a, b| a.predicted_at_s.total_cmp(&b.predicted_at_s));
-    Ok(out)
+    Ok(result)
 }
 
-fn id_of(n: usize) -> JobId {
+fn job_id(n: usize) -> JobId {
     JobId::new(&format!("req-{n:06}"))
 }
 
-/// Machines for the largest sum of what runs at once, and a third more.
-fn machines(runs: &[Run]) -> usize {
+/// Returns the number of machines for the peak concurrent CPU demand plus 35 % headroom.
+fn machine_count(runs: &[Run]) -> usize {
     let mut edges: Vec<(u64, f64)> = Vec::with_capacity(2 * runs.len());
     for r in runs {
-        let takes = f64::from(r.tasks) * r.cpus.max(0.1);
-        edges.push((r.submitted_us, takes));
+        let cpus = f64::from(r.tasks) * r.cpus.max(0.1);
+        edges.push((r.submitted_us, cpus));
         edges.push((
             r.submitted_us + Micros::from_secs_f64(r.ran_s + 20.0).0,
-            -takes,
+            -cpus,
         ));
     }
     edges.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
-    let (mut now, mut most) = (0.0f64, 0.0f64);
-    for (_, takes) in edges {
-        now += takes;
-        most = most.max(now);
+    let (mut used_cpus, mut peak_cpus) = (0.0f64, 0.0f64);
+    for (_, cpus) in edges {
+        used_cpus += cpus;
+        peak_cpus = peak_cpus.max(used_cpus);
     }
-    ((most * 1.35 / CPUS).ceil() as usize).clamp(3, 2_000)
+    ((peak_cpus * 1.35 / CPUS).ceil() as usize).clamp(3, 2_000)
 }
 
-fn truth_of(n: usize, run: &Run) -> JobGroundTruth {
+fn ground_truth(n: usize, run: &Run) -> JobGroundTruth {
     let spec = JobSpec {
-        id: id_of(n),
+        id: job_id(n),
         class: run.class.clone(),
         team: run.team.clone(),
         kind: if run.tasks == 1 {
@@ -240,17 +248,17 @@
         run_time: Micros::from_secs_f64(run.ran_s),
         done: vec![false; run.tasks as usize],
         spec: Rc::new(spec),
-        ..JobGroundTruth::new(id_of(n))
+        ..JobGroundTruth::new(job_id(n))
     }
 }
 
-/// Twice a second, whoever leads is asked about jobs that are newly seen running.
-fn look(w: &mut Simulation, watch: Rc<RefCell<Watch>>) {
-    let now = w.now;
-    if let Some(scheduler) = w.leading_scheduler() {
-        let mut watch_now = watch.borrow_mut();
-        let mut told = Vec::new();
-        for (id, n) in &watch_now.open {
+/// Every 500 ms, records the leader's predictions for jobs that have started since.
+fn record_predictions(simulation: &mut Simulation, log: Rc<RefCell<PredictionLog>>) {
+    let now = simulation.now;
+    if let Some(scheduler) = simulation.leading_scheduler() {
+        let mut entries = log.borrow_mut();
+        let mut predictions = Vec::new();
+        for (id, n) in &entries.pending {
             let Some(job) = scheduler.jobs.get(id) else {
                 continue;
             };
@@ -264,35 +272,45 @@
                 job: id.clone(),
                 index: *index,
             };
-            let left = |p: f64| scheduler.remaining_s(&task, *attempt, p, now);
-            if let (Some(p10), Some(p50), Some(p90)) = (left(0.1), left(0.5), left(0.9)) {
+            let remaining = |p: f64| scheduler.remaining_s(&task, *attempt, p, now);
+            if let (Some(p10), Some(p50), Some(p90)) =
+                (remaining(0.1), remaining(0.5), remaining(0.9))
+            {
                 let t = now.as_secs_f64();
-                told.push((id.clone(), *n, (t, t + p10, t + p50, t + p90)));
+                predictions.push((id.clone(), *n, (t, t + p10, t + p50, t + p90)));
             }
         }
-        for (id, n, t) in told {
-            watch_now.open.remove(&id);
-            watch_now.told.insert(n, t);
+        for (id, n, t) in predictions {
+            entries.pending.remove(&id);
+            entries.predictions.insert(n, t);
         }
-        // What ended before it was seen running has no prediction.
-        let over: Vec<JobId> = watch_now
-            .open
+        // Jobs that finished before they were observed running have no prediction.
+        let finished_jobs: Vec<JobId> = entries
+            .pending
             .keys()
-            .filter(|id| w.jobs.get(*id).is_some_and(|j| j.done_at.is_some()))
+            .filter(|id| {
+                simulation
+                    .jobs
+                    .get(*id)
+                    .is_some_and(|j| j.done_at.is_some())
+            })
             .cloned()
             .collect();
-        for id in over {
-            watch_now.open.remove(&id);
+        for id in finished_jobs {
+            entries.pending.remove(&id);
         }
     }
-    w.after(Micros::from_millis(500), move |w| look(w, watch));
+    simulation.after(Micros::from_millis(500), move |simulation| {
+        record_predictions(simulation, log)
+    });
 }
 
-fn kill(w: &mut Simulation, every: Micros) {
-    w.after(every, move |w| {
-        if let Some(i) = w.leader() {
-            w.crash_node(i, Micros::from_secs(6));
+/// Crashes the leader's node for 6 s, at the given interval.
+fn kill_leaders(simulation: &mut Simulation, every: Micros) {
+    simulation.after(every, move |simulation| {
+        if let Some(i) = simulation.leader() {
+            simulation.crash_node(i, Micros::from_secs(6));
         }
-        kill(w, every);
+        kill_leaders(simulation, every);
     });
 }
--- a/crates/hopyoke-experiments/src/report.rs
+++ b/crates/hopyoke-experiments/src/report.rs
@@ -1,15 +1,15 @@
-//! A self-contained HTML page with plots.
+//! Self-contained HTML report with plots.
 
-use crate::figures::{Figures, error, median};
-use crate::replay::Replayed;
+use crate::figures::{AccuracyReport, median, relative_error};
+use crate::replay::ReplayResult;
 use plotters::prelude::*;
 use std::fmt::Write;
 
-type Drawn = Result<String, String>;
+type SvgResult = Result<String, String>;
 
-const SIZE: (u32, u32) = (860, 380);
-const OURS: RGBColor = RGBColor(31, 119, 180);
-const OWNERS: RGBColor = RGBColor(214, 120, 39);
+const PLOT_SIZE: (u32, u32) = (860, 380);
+const PREDICTION_COLOR: RGBColor = RGBColor(31, 119, 180);
+const ESTIMATE_COLOR: RGBColor = RGBColor(214, 120, 39);
 
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
@@ -18,11 +18,15 @@
         .replace('"', "&quot;")
 }
 
-/// The page.
+/// Renders the report as an HTML page.
 ///
 /// # Errors
-/// Why a plot could not be drawn.
-pub fn html(title: &str, replayed: &Replayed, figures: &Figures) -> Result<String, String> {
+/// Returns the plotting library's message if a plot cannot be drawn.
+pub fn render_html(
+    title: &str,
+    result: &ReplayResult,
+    report: &AccuracyReport,
+) -> Result<String, String> {
     let mut out = String::from(
         "<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\">\n<meta name=\"viewport\" content=\"width=device-width\">\n",
     );
@@ -34,50 +38,53 @@
     );
     let _ = writeln!(
         out,
-        "<p>{} predictions in {:.0} s of virtual time under {} leaders; {} jobs ended unseen, {} were left aside. \
-         All figures are from simulated machines.</p>",
-        replayed.outcomes.len(),
-        replayed.span_s,
-        replayed.leaders,
-        replayed.unseen,
-        replayed.left_aside
+        "<p>{} predictions in {:.0} s of virtual time; {} elected leaders; {} jobs finished before they were observed, {} were skipped. \
+         All machines are simulated.</p>",
+        result.outcomes.len(),
+        result.virtual_time_s,
+        result.elected_leaders,
+        result.unobserved_jobs,
+        result.skipped_jobs
     );
-    out += "<table><tr><th>class<th>jobs<th>inside p10–p90<th>before<th>after<th>median error<th>owner's<th>band's width</tr>\n";
-    for r in &figures.rows {
+    out += "<table><tr><th>class<th>jobs<th>within p10–p90<th>early<th>late<th>median error<th>median estimate error<th>band width</tr>\n";
+    for r in &report.rows {
         let _ = writeln!(
             out,
             "<tr><td>{}<td>{}<td>{:.1}%<td>{:.1}%<td>{:.1}%<td>{:.1}%<td>{:.1}%<td>{:.0}%</tr>",
             escape(&r.name),
             r.jobs,
-            r.inside,
-            r.before,
-            r.after,
-            r.error,
-            r.owner_error,
-            r.width
+            r.in_band,
+            r.early,
+            r.late,
+            r.median_error,
+            r.estimate_error,
+            r.band_width
         );
     }
     out += "</table>\n";
-    for r in &figures.recoveries {
+    for r in &report.recoveries {
         let when = r
             .completions
             .map_or("not within 40".to_owned(), |k| format!("after {k}"));
         let _ = writeln!(
             out,
-            "<p>{} changed at {:.0} s: predictions are as good as before (median error {:.1}%) {when} completions.</p>",
+            "<p>{} changed at {:.0} s: the error was back at its baseline (median {:.1}%) {when} completions.</p>",
             escape(&r.class),
-            r.at_s,
-            r.ordinary
+            r.changed_at_s,
+            r.baseline_error
         );
     }
     for (heading, plot) in [
-        ("Predicted against actual run", scatter(replayed)),
+        ("Predicted and actual run times", plot_run_times(result)),
         (
-            "Calibration: how many ends lie below each predicted quantile",
-            calibration(replayed),
+            "Calibration: share of jobs that finished by each predicted quantile",
+            plot_calibration(result),
+        ),
+        ("Median error over time", plot_error_over_time(result)),
+        (
+            "Distribution of errors: predictions and submitted estimates",
+            plot_error_distribution(result),
         ),
-        ("Median error over time", over_time(replayed)),
-        ("Errors, ours and the owners'", errors(replayed)),
     ] {
         let _ = write!(out, "<h2>{heading}</h2>\n{}\n", plot?);
     }
@@ -88,10 +95,10 @@
     f: impl FnOnce(
         &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     ) -> Result<(), Box<dyn std::error::Error>>,
-) -> Drawn {
+) -> SvgResult {
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(|e| e.to_string())?;
         f(&area).map_err(|e| e.to_string())?;
         area.present().map_err(|e| e.to_string())?;
@@ -99,19 +106,24 @@
     Ok(svg)
 }
 
-/// At most this many points are drawn, evenly chosen.
-const MOST_POINTS: usize = 3000;
+/// Maximum number of points in the run time plot; larger results are sampled evenly.
+const MAX_POINTS: usize = 3000;
 
-fn scatter(replayed: &Replayed) -> Drawn {
-    let step = replayed.outcomes.len().div_ceil(MOST_POINTS).max(1);
-    let points: Vec<(f64, f64, bool)> = replayed
+/// Plots predicted against actual run times.
+fn plot_run_times(result: &ReplayResult) -> SvgResult {
+    let step = result.outcomes.len().div_ceil(MAX_POINTS).max(1);
+    let points: Vec<(f64, f64, bool)> = result
         .outcomes
         .iter()
         .step_by(step)
         .map(|o| {
-            let began = o.finished_s - o.ran_s;
+            let started_s = o.finished_s - o.run_time_s;
             let inside = o.p10_s <= o.finished_s && o.finished_s <= o.p90_s;
-            (o.ran_s.max(0.5), (o.p50_s - began).max(0.5), inside)
+            (
+                o.run_time_s.max(0.5),
+                (o.p50_s - started_s).max(0.5),
+                inside,
+            )
         })
         .collect();
     let most = points.iter().map(|p| p.0.max(p.1)).fold(1.0, f64::max) * 1.2;
@@ -123,31 +135,32 @@
             .build_cartesian_2d((1.0..most).log_scale(), (1.0..most).log_scale())?;
         chart
             .configure_mesh()
-            .x_desc("ran, s")
+            .x_desc("run time, s")
             .y_desc("predicted p50, s")
             .light_line_style(WHITE)
             .draw()?;
         chart.draw_series(points.iter().map(|(x, y, inside)| {
-            let colour = if *inside {
-                OURS.mix(0.35)
+            let color = if *inside {
+                PREDICTION_COLOR.mix(0.35)
             } else {
-                OWNERS.mix(0.5)
+                ESTIMATE_COLOR.mix(0.5)
             };
-            Circle::new((*x, *y), 2, colour.filled())
+            Circle::new((*x, *y), 2, color.filled())
         }))?;
         chart.draw_series(LineSeries::new([(1.0, 1.0), (most, most)], BLACK.mix(0.6)))?;
         Ok(())
     })
 }
 
-fn calibration(replayed: &Replayed) -> Drawn {
-    let share = |f: &dyn Fn(&crate::replay::Outcome) -> f64| {
-        let below = replayed
+/// Plots the observed share of jobs below each predicted quantile.
+fn plot_calibration(result: &ReplayResult) -> SvgResult {
+    let share = |f: &dyn Fn(&crate::replay::JobOutcome) -> f64| {
+        let below = result
             .outcomes
             .iter()
             .filter(|o| o.finished_s <= f(o))
             .count();
-        100.0 * below as f64 / replayed.outcomes.len().max(1) as f64
+        100.0 * below as f64 / result.outcomes.len().max(1) as f64
     };
     let points = [
         (10.0, share(&|o| o.p10_s)),
@@ -163,45 +176,57 @@
         chart
             .configure_mesh()
             .x_desc("predicted, %")
-            .y_desc("ended below, %")
+            .y_desc("finished by, %")
             .light_line_style(WHITE)
             .draw()?;
         chart.draw_series(LineSeries::new(
             [(0.0, 0.0), (100.0, 100.0)],
             BLACK.mix(0.5),
         ))?;
-        chart.draw_series(LineSeries::new(points, OURS.stroke_width(2)))?;
-        chart.draw_series(points.iter().map(|p| Circle::new(*p, 5, OURS.filled())))?;
+        chart.draw_series(LineSeries::new(points, PREDICTION_COLOR.stroke_width(2)))?;
+        chart.draw_series(
+            points
+                .iter()
+                .map(|p| Circle::new(*p, 5, PREDICTION_COLOR.filled())),
+        )?;
         Ok(())
     })
 }
 
-/// Median errors of stretches of a hundred predictions.
-fn over_time(replayed: &Replayed) -> Drawn {
-    let width = (replayed.outcomes.len() / 100).max(20);
-    let (mut ours, mut owners) = (Vec::new(), Vec::new());
-    for part in replayed.outcomes.chunks(width) {
-        let Some(at) = part.first().map(|o| o.predicted_at_s) else {
+/// Plots the median error over consecutive chunks of predictions, about a hundred of them.
+fn plot_error_over_time(result: &ReplayResult) -> SvgResult {
+    let width = (result.outcomes.len() / 100).max(20);
+    let (mut predictions, mut estimates) = (Vec::new(), Vec::new());
+    for chunk in result.outcomes.chunks(width) {
+        let Some(at) = chunk.first().map(|o| o.predicted_at_s) else {
             continue;
         };
-        ours.push((at, 100.0 * median(part.iter().map(error).collect())));
-        let guesses = part.iter().filter(|o| o.guess_s > 0.0);
-        owners.push((
+        predictions.push((
+            at,
+            100.0 * median(chunk.iter().map(relative_error).collect()),
+        ));
+        let estimated = chunk.iter().filter(|o| o.estimate_s > 0.0);
+        estimates.push((
             at,
             100.0
                 * median(
-                    guesses
-                        .map(|o| (o.guess_s - o.ran_s).abs() / o.ran_s)
+                    estimated
+                        .map(|o| (o.estimate_s - o.run_time_s).abs() / o.run_time_s)
                         .collect(),
                 ),
         ));
     }
-    owners.retain(|p| p.1.is_finite());
+    estimates.retain(|p| p.1.is_finite());
     let (from, to) = (
-        ours.first().map_or(0.0, |p| p.0),
-        ours.last().map_or(1.0, |p| p.0).max(1.0),
+        predictions.first().map_or(0.0, |p| p.0),
+        predictions.last().map_or(1.0, |p| p.0).max(1.0),
     );
-    let most = ours.iter().chain(&owners).map(|p| p.1).fold(10.0, f64::max) * 1.1;
+    let most = predictions
+        .iter()
+        .chain(&estimates)
+        .map(|p| p.1)
+        .fold(10.0, f64::max)
+        * 1.1;
     draw(|area| {
         let mut chart = ChartBuilder::on(area)
             .margin(12)
@@ -210,20 +235,23 @@
             .build_cartesian_2d(from..to, 0.0..most)?;
         chart
             .configure_mesh()
-            .x_desc("s")
+            .x_desc("virtual time, s")
             .y_desc("median error, %")
             .light_line_style(WHITE)
             .draw()?;
         let line =
             |c: RGBColor| move |(x, y)| PathElement::new([(x, y), (x + 18, y)], c.stroke_width(2));
         chart
-            .draw_series(LineSeries::new(owners, OWNERS.stroke_width(2)))?
-            .label("owners' guesses")
-            .legend(line(OWNERS));
+            .draw_series(LineSeries::new(estimates, ESTIMATE_COLOR.stroke_width(2)))?
+            .label("submitted estimates")
+            .legend(line(ESTIMATE_COLOR));
         chart
-            .draw_series(LineSeries::new(ours, OURS.stroke_width(2)))?
-            .label("learned")
-            .legend(line(OURS));
+            .draw_series(LineSeries::new(
+                predictions,
+                PREDICTION_COLOR.stroke_width(2),
+            ))?
+            .label("predictions")
+            .legend(line(PREDICTION_COLOR));
         chart
             .configure_series_labels()
             .background_style(WHITE.mix(0.8))
@@ -232,8 +260,8 @@
     })
 }
 
-/// Which share of predictions is off by at most so much.
-fn errors(replayed: &Replayed) -> Drawn {
+/// Plots the cumulative distribution of relative errors.
+fn plot_error_distribution(result: &ReplayResult) -> SvgResult {
     let curve = |mut v: Vec<f64>| -> Vec<(f64, f64)> {
         v.sort_by(f64::total_cmp);
         let n = v.len().max(1);
@@ -241,11 +269,11 @@
             .filter_map(|p| Some((100.0 * *v.get((p * (n - 1)) / 100)?, p as f64)))
             .collect()
     };
-    let ours = curve(replayed.outcomes.iter().map(error).collect());
-    let guesses = replayed.outcomes.iter().filter(|o| o.guess_s > 0.0);
-    let owners = curve(
-        guesses
-            .map(|o| (o.guess_s - o.ran_s).abs() / o.ran_s)
+    let predictions = curve(result.outcomes.iter().map(relative_error).collect());
+    let estimated = result.outcomes.iter().filter(|o| o.estimate_s > 0.0);
+    let estimates = curve(
+        estimated
+            .map(|o| (o.estimate_s - o.run_time_s).abs() / o.run_time_s)
             .collect(),
     );
     draw(|area| {
@@ -256,20 +284,23 @@
             .build_cartesian_2d(0.0..200.0, 0.0..100.0)?;
         chart
             .configure_mesh()
-            .x_desc("off by at most, % of the run")
-            .y_desc("% of runs")
+            .x_desc("error at most, % of run time")
+            .y_desc("% of jobs")
             .light_line_style(WHITE)
             .draw()?;
         let line =
             |c: RGBColor| move |(x, y)| PathElement::new([(x, y), (x + 18, y)], c.stroke_width(2));
         chart
-            .draw_series(LineSeries::new(owners, OWNERS.stroke_width(2)))?
-            .label("owners' guesses")
-            .legend(line(OWNERS));
+            .draw_series(LineSeries::new(estimates, ESTIMATE_COLOR.stroke_width(2)))?
+            .label("submitted estimates")
+            .legend(line(ESTIMATE_COLOR));
         chart
-            .draw_series(LineSeries::new(ours, OURS.stroke_width(2)))?
-            .label("learned")
-            .legend(line(OURS));
+            .draw_series(LineSeries::new(
+                predictions,
+                PREDICTION_COLOR.stroke_width(2),
+            ))?
+            .label("predictions")
+            .legend(line(PREDICTION_COLOR));
         chart
             .configure_series_labels()
             .background_style(WHITE.mix(0.8))
