--- a/crates/hopyoke-experiments/src/figures.rs
+++ b/crates/hopyoke-experiments/src/figures.rs
@@ -150,7 +150,7 @@
     pub fn table(&self) -> String {
         let mut out = format!(
             "{:<10} {:>6} {:>9} {:>8} {:>8} {:>9} {:>9} {:>8}\n",
-            "class", "jobs", "in band %", "early %", "late %", "error %", "estimate", "width %"
+            "class", "jobs", "in band %", "before", "after", "error %", "est. %", "width %"
         );
         for r in &self.rows {
             let _ = writeln!(
--- a/crates/hopyoke-experiments/src/main.rs
+++ b/crates/hopyoke-experiments/src/main.rs
@@ -229,16 +229,13 @@
 }
 
 fn write_report(
-    report_path: Option<&Path>,
+    path: Option<&Path>,
     title: &str,
     r: &ReplayResult,
     f: &AccuracyReport,
 ) -> Result<(), String> {
-    let Some(report_path) = report_path else {
-        return Ok(());
-    };
-    std::fs::write(report_path, render_html(title, r, f)?)
-        .map_err(|e| format!("{}: {e}", report_path.display()))
+    let Some(path) = path else { return Ok(()) };
+    std::fs::write(path, render_html(title, r, f)?).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Replays all kinds of generated traces and checks their accuracy; returns false if a check failed.
@@ -282,7 +279,7 @@
                 if kill_interval.is_some() {
                     "leader killed every 60 s"
                 } else {
-                    "no failures"
+                    "undisturbed"
                 }
             );
             println!("== {title} (generated, {jobs} jobs, seed {seed})");
--- a/crates/hopyoke-experiments/src/report.rs
+++ b/crates/hopyoke-experiments/src/report.rs
@@ -235,7 +235,7 @@
             .build_cartesian_2d(from..to, 0.0..most)?;
         chart
             .configure_mesh()
-            .x_desc("virtual time, s")
+            .x_desc("s")
             .y_desc("median error, %")
             .light_line_style(WHITE)
             .draw()?;
@@ -250,7 +250,7 @@
                 predictions,
                 PREDICTION_COLOR.stroke_width(2),
             ))?
-            .label("predictions")
+            .label("learned")
             .legend(line(PREDICTION_COLOR));
         chart
             .configure_series_labels()
@@ -299,7 +299,7 @@
                 predictions,
                 PREDICTION_COLOR.stroke_width(2),
             ))?
-            .label("predictions")
+            .label("learned")
             .legend(line(PREDICTION_COLOR));
         chart
             .configure_series_labels()
