--- a/crates/hopyoke-emulator/src/agent.rs
+++ b/crates/hopyoke-emulator/src/agent.rs
@@ -1,4 +1,4 @@
-//! A machine's agent: sends heartbeats, and carries out the commands of the controller that leads.
+//! Agent of a machine: sends heartbeats to the leader and executes its commands.
 
 use crate::agent_tasks::Task;
 use crate::fleet::Fleet;
@@ -18,14 +18,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A controller that does not answer a heartbeat within this is given up for the next one.
+/// Timeout of a heartbeat, after which the agent tries the next controller.
 const HEARTBEAT_TIMEOUT: Micros = Micros::from_secs(4);
-/// After a heartbeat that was not accepted.
+/// Delay after a heartbeat that was not accepted.
 const HEARTBEAT_RETRY_DELAY: Micros = Micros::from_secs(1);
-/// Heartbeats of one agent come no faster than this.
+/// Minimum interval between the heartbeats of an agent.
 const MIN_HEARTBEAT_INTERVAL: Micros = Micros::from_millis(500);
 
-/// What an agent knows of its machine.
+/// Machine on which an agent runs.
 pub(crate) struct Machine {
     pub(crate) id: MachineId,
     pub(crate) machine_type: MachineType,
@@ -33,32 +33,33 @@
     pub(crate) spot: bool,
 }
 
+/// Mutable state of an agent.
 pub(crate) struct State {
-    /// Begins anew when the lease has expired.
+    /// Incremented when the lease expires.
     epoch: u64,
-    /// The last heartbeat's sequence number.
+    /// Sequence number of the last heartbeat.
     sequence: u64,
-    /// The highest fencing token seen; commands under a lower one are refused.
+    /// Highest fencing token seen; commands with a lower one are rejected.
     token: FencingToken,
     pub(crate) tasks: BTreeMap<(TaskId, Attempt), Task>,
-    /// Images that the machine has fetched.
+    /// Container images cached on the machine.
     pub(crate) images: BTreeSet<String>,
-    /// When the last heartbeat was sent that was answered.
+    /// Time at which the last acknowledged heartbeat was sent; the lease is counted from it.
     last_heartbeat_at: Micros,
 }
 
 /// The agent of one machine.
 pub struct Agent {
-    /// Where it takes pushed commands.
+    /// Address on which it accepts pushed commands.
     pub(crate) address: SocketAddr,
     pub(crate) machine: Machine,
     pub(crate) fleet: Rc<Fleet>,
     pub(crate) state: RefCell<State>,
-    /// A task's state changed: the next heartbeat is due.
+    /// Notified when a task changes state, so that the next heartbeat is sent early.
     pub(crate) changed: Notify,
 }
 
-/// A controller's answer that it does not lead.
+/// Response of a controller that is not the leader.
 #[derive(Deserialize)]
 struct NotLeader {
     #[serde(rename = "harbormaster", default)]
@@ -66,10 +67,10 @@
 }
 
 impl Agent {
-    /// Starts an agent; it ends with `cancel`, and all its tasks with it.
+    /// Starts an agent, which stops with all its tasks when `cancel` is cancelled.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// Returns an error if it cannot listen.
     pub(crate) fn start(
         machine: Machine,
         fleet: Rc<Fleet>,
@@ -99,7 +100,7 @@
         *started.borrow_mut() = Some(agent.clone());
         runtime::spawn_until(cancel.clone(), agent.clone().send_heartbeats());
         runtime::spawn_until(cancel.clone(), agent.clone().watch_lease());
-        // The machine is deleted: its tasks are gone.
+        // Deleting the machine kills its tasks.
         let (deleted, token) = (agent.clone(), cancel.clone());
         runtime::spawn(async move {
             token.run(std::future::pending::<()>()).await;
@@ -123,7 +124,7 @@
                 if !is_current {
                     return Response::of(409, &self.heartbeat());
                 }
-                self.carry_out(pushed.token, pushed.commands);
+                self.execute(pushed.token, pushed.commands);
                 Response::of(200, &self.heartbeat())
             }
             _ => Response::empty(404),
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Sends heartbeats to one controller after the other until one accepts them, and then to that one.
+    /// Sends heartbeats to the leader, and looks for it among the controllers in turn if it is unknown.
     async fn send_heartbeats(self: Rc<Agent>) {
         let mut index = rand::random_range(0..1024usize);
         let mut connected: Option<(SocketAddr, Client)> = None;
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Sends one heartbeat and carries out the commands that it is answered with.
+    /// Sends one heartbeat and executes the commands in the response.
     async fn send_heartbeat(self: &Rc<Agent>, client: &Client) -> Delivery {
         let heartbeat = self.heartbeat();
         let (sent_at, epoch) = (runtime::now(), heartbeat.epoch);
@@ -207,7 +208,7 @@
                 if let Ok(answer) = decode::<HeartbeatResponse>(&r.body)
                     && self.renew_lease(answer.token, epoch, sent_at)
                 {
-                    self.carry_out(answer.token, answer.commands);
+                    self.execute(answer.token, answer.commands);
                 }
                 Delivery::Accepted { sent_at }
             }
@@ -219,7 +220,8 @@
         }
     }
 
-    /// False if the answer is of a stale leaseholder, or to a heartbeat of an earlier epoch.
+    /// Renews the lease as of `sent_at`. Returns false if the response is from a former leader, or acknowledges a heartbeat
+    /// of an earlier epoch.
     fn renew_lease(&self, token: FencingToken, epoch: u64, sent_at: Micros) -> bool {
         let mut state = self.state.borrow_mut();
         let is_current = token >= state.token && state.epoch == epoch;
@@ -229,7 +231,7 @@
         is_current
     }
 
-    /// Once the lease has expired, kills and drops all tasks, and begins a new epoch.
+    /// Kills and removes all tasks and starts a new epoch whenever the lease expires.
     async fn watch_lease(self: Rc<Agent>) {
         loop {
             runtime::sleep(Micros::from_millis(50)).await;
@@ -242,7 +244,7 @@
         }
     }
 
-    fn carry_out(self: &Rc<Agent>, token: FencingToken, commands: Vec<Command>) {
+    fn execute(self: &Rc<Agent>, token: FencingToken, commands: Vec<Command>) {
         self.state.borrow_mut().token = token;
         for command in commands {
             match command {
@@ -258,14 +260,14 @@
                 }
                 Command::Acknowledge { task, attempt } => {
                     if let Some(task) = TaskId::parse(&task) {
-                        self.drop_ended(task, attempt);
+                        self.remove_ended(task, attempt);
                     }
                 }
             }
         }
     }
 
-    fn drop_ended(&self, task: TaskId, attempt: Attempt) {
+    fn remove_ended(&self, task: TaskId, attempt: Attempt) {
         let key = (task, attempt);
         let mut state = self.state.borrow_mut();
         let has_ended = |t: &Task| t.state == TaskState::Ended;
@@ -275,12 +277,12 @@
     }
 }
 
-/// What became of a heartbeat.
+/// Outcome of sending a heartbeat.
 enum Delivery {
-    /// The controller leads.
+    /// The controller is the leader.
     Accepted { sent_at: Micros },
-    /// The controller does not lead, and may know who does.
+    /// The controller is not the leader, and names the leader if it knows it.
     Redirected(Option<String>),
-    /// No answer, or another status.
+    /// No response, or an unexpected status.
     Failed,
 }
--- a/crates/hopyoke-emulator/src/agent_tasks.rs
+++ b/crates/hopyoke-emulator/src/agent_tasks.rs
@@ -1,4 +1,4 @@
-//! An agent's tasks, from their start to their end.
+//! Lifecycle of an agent's tasks.
 
 use crate::agent::Agent;
 use crate::fleet::TaskStart;
@@ -8,7 +8,7 @@
 use hopyoke_types::{Attempt, Micros, TaskId};
 use std::rc::Rc;
 
-/// A task on a machine, until its end is acknowledged.
+/// A task on a machine, kept until the leader acknowledges its end.
 pub(crate) struct Task {
     pub(crate) state: TaskState,
     /// Set once it has ended.
@@ -17,11 +17,11 @@
     cancel: CancellationToken,
 }
 
-/// Rounding errors that a sum of resources may have.
+/// Tolerance for rounding errors in sums of resources.
 const RESOURCE_EPSILON: f64 = 1e-9;
 
 impl Agent {
-    /// Kills and drops all tasks.
+    /// Kills and removes all tasks.
     pub(crate) fn kill_all(&self) {
         let tasks = std::mem::take(&mut self.state.borrow_mut().tasks);
         for ((id, _), task) in tasks {
@@ -37,15 +37,15 @@
         }
     }
 
-    /// Starts a task, or records why it cannot start. A repeated command has no effect.
+    /// Starts a task, or records why it cannot start. The command is idempotent.
     pub(crate) fn start_task(self: &Rc<Agent>, task: TaskId, attempt: Attempt) {
         let key = (task.clone(), attempt);
         if self.state.borrow().tasks.contains_key(&key) {
             return;
         }
         let spec = self.fleet.spec(&task);
-        let refusal = self.refusal(&task, spec.as_ref());
-        let state = if refusal.is_some() {
+        let rejection = self.rejection(&task, spec.as_ref());
+        let state = if rejection.is_some() {
             TaskState::Ended
         } else {
             TaskState::Fetching
@@ -53,13 +53,13 @@
         let cancel = CancellationToken::new();
         let entry = Task {
             state,
-            exit_reason: refusal,
+            exit_reason: rejection,
             spec: spec.clone(),
             cancel: cancel.clone(),
         };
         self.state.borrow_mut().tasks.insert(key, entry);
         self.changed.notify();
-        if let Some(spec) = spec.filter(|_| refusal.is_none()) {
+        if let Some(spec) = spec.filter(|_| rejection.is_none()) {
             let agent = self.clone();
             runtime::spawn_until(cancel, async move {
                 agent.run_task(task, attempt, spec).await;
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Why a task cannot start here, if it cannot.
-    fn refusal(&self, task: &TaskId, spec: Option<&JobSpec>) -> Option<ExitReason> {
+    /// Returns the reason why a task cannot start on this machine, or `None` if it can.
+    fn rejection(&self, task: &TaskId, spec: Option<&JobSpec>) -> Option<ExitReason> {
         let Some(spec) = spec.filter(|s| task.index < s.tasks) else {
             return Some(ExitReason::UnknownTask);
         };
@@ -95,7 +95,7 @@
         exceeds.then_some(ExitReason::InsufficientResources)
     }
 
-    /// A started task: fetches its image, waits for its gang, runs, and ends.
+    /// Fetches the image, waits for the gang if there is one, runs the task and ends it.
     async fn run_task(self: Rc<Agent>, task: TaskId, attempt: Attempt, spec: JobSpec) {
         self.fetch_image(&spec).await;
         self.check_runs_once(&task);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Records a violation if the task is live on another machine.
+    /// Records a violation of the invariant `ran_twice` if the task is live on another machine.
     fn check_runs_once(&self, task: &TaskId) {
         let here = &self.machine.id;
         let other = self
@@ -167,7 +167,7 @@
         self.changed.notify();
     }
 
-    /// Ends a task that has not ended.
+    /// Ends a task; has no effect if it has ended.
     pub(crate) fn end_task(&self, task: &TaskId, attempt: Attempt, reason: ExitReason) {
         let mut state = self.state.borrow_mut();
         let Some(t) = state.tasks.get_mut(&(task.clone(), attempt)) else {
--- a/crates/hopyoke-emulator/src/cloud.rs
+++ b/crates/hopyoke-emulator/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud, whose machines are routines of this process.
+//! Emulated cloud whose machines are tasks of this process.
 
 use crate::agent::{Agent, Machine};
 use crate::fleet::Fleet;
@@ -16,13 +16,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A machine that was created and not deleted.
+/// A machine that exists.
 struct Instance {
     machine_type: String,
     zone: String,
     spot: bool,
     created_at: Micros,
-    /// Once it has booted.
+    /// `None` until the machine has booted.
     agent: Option<Rc<Agent>>,
     cancel: CancellationToken,
 }
@@ -33,7 +33,7 @@
     max_machines: usize,
     fleet: Rc<Fleet>,
     instances: RefCell<BTreeMap<MachineId, Instance>>,
-    /// What each request to create machines was answered, by its idempotency key.
+    /// Machines created by each request, by idempotency key.
     created: RefCell<BTreeMap<String, Vec<MachineId>>>,
     last_number: Cell<u32>,
     cancel: CancellationToken,
@@ -59,16 +59,16 @@
     machines: Vec<MachineId>,
 }
 
-/// The most machines of one request to create some.
+/// Maximum number of machines created by one request.
 const MAX_SCALE_OUT: usize = 50;
-/// The most machines on one page of the list.
+/// Maximum number of machines per page of the list.
 const MAX_LIST: usize = 500;
 
 impl Cloud {
-    /// Starts a cloud, which ends with `cancel`, and its address.
+    /// Starts a cloud, which stops when `cancel` is cancelled, and returns it with its address.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// Returns an error if it cannot listen.
     pub(crate) fn start(
         cancel: &CancellationToken,
         types: Vec<MachineType>,
@@ -92,7 +92,7 @@
         Ok((cloud, addr))
     }
 
-    /// How many machines have booted.
+    /// Returns the number of machines that have booted.
     pub fn running_machines(&self) -> usize {
         self.instances
             .borrow()
@@ -148,7 +148,7 @@
         Response::of(200, &json!({ "vessels": ids }))
     }
 
-    /// Creates a machine, whose agent starts once it has booted.
+    /// Creates a machine, whose agent starts after the boot time.
     fn create(self: &Rc<Cloud>, machine_type: &MachineType, zone: &str, spot: bool) -> MachineId {
         self.last_number.set(self.last_number.get() + 1);
         let id = MachineId::new(&format!("m-{:06}", self.last_number.get()));
--- a/crates/hopyoke-emulator/src/cluster.rs
+++ b/crates/hopyoke-emulator/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The whole cluster: emulated parts in this process, controllers in theirs.
+//! Emulated cluster: store, cloud and agents run in this process, controllers in processes of their own.
 
 use crate::cloud::Cloud;
 use crate::controller_settings::{
@@ -17,33 +17,34 @@
 
 /// A running cluster. Its controllers are killed when it is dropped.
 pub struct Cluster {
-    /// The key-value store.
+    /// The emulated key-value store.
     pub store: Rc<KvStore>,
-    /// The cloud.
+    /// The emulated cloud.
     pub cloud: Rc<Cloud>,
-    /// What the agents share and observe.
+    /// State shared by the agents, and their observations.
     pub fleet: Rc<Fleet>,
-    /// Addresses for users, by controller.
+    /// Addresses of the user API, by controller.
     pub api_addrs: Vec<SocketAddr>,
-    /// Addresses of the mesh, by controller.
+    /// Addresses for peer controllers, by controller.
     pub mesh_addrs: Vec<SocketAddr>,
-    /// What it was started from.
+    /// Configuration of the cluster.
     pub config: ClusterConfig,
     children: Vec<Option<Child>>,
     cancel: CancellationToken,
 }
 
-/// Ports for controllers, below the range from which operating systems choose by themselves: no listener on port 0 and no
-/// outgoing connection, of this cluster or another, can take one between the check here and a controller's bind.
+/// Ports for controllers. They lie below the ephemeral range, so that no listener on port 0 and no outgoing connection
+/// can take one between the check here and the controller's bind.
 const CONTROLLER_PORTS: std::ops::Range<u16> = 20_000..32_000;
 
-/// How far apart the first ports of two processes with neighbouring ids are.
+/// Distance between the first ports of processes with consecutive ids.
 const PORTS_BETWEEN_PROCESSES: u32 = 97;
 
-/// Counts the ports tried by this process, so that none is given to two clusters.
+/// Number of ports tried by this process; ensures that no two clusters get the same port.
 static PORTS_TRIED: AtomicU32 = AtomicU32::new(0);
 
-/// Addresses that are free now, each given out once by this process. Processes start at different ports.
+/// Returns addresses that are currently free, each at most once per process. Processes start their search at different
+/// ports.
 fn free_addresses(count: usize) -> io::Result<Vec<SocketAddr>> {
     let ports = u32::from(CONTROLLER_PORTS.end - CONTROLLER_PORTS.start);
     let first = std::process::id().wrapping_mul(PORTS_BETWEEN_PROCESSES);
@@ -66,7 +67,7 @@
     ))
 }
 
-/// The only machine type that the cloud offers.
+/// Returns the only machine type of the cloud.
 fn machine_type(boot_s: f64) -> MachineType {
     MachineType {
         name: "std".into(),
@@ -83,10 +84,10 @@
 }
 
 impl Cluster {
-    /// Starts a cluster, within a running event loop.
+    /// Starts a cluster. Must be called within a running event loop.
     ///
     /// # Errors
-    /// If a socket, file or process cannot be had.
+    /// Returns an error if a socket, file or process cannot be created.
     pub fn start(config: ClusterConfig) -> io::Result<Cluster> {
         std::fs::create_dir_all(&config.dir)?;
         let cancel = CancellationToken::new();
@@ -132,10 +133,10 @@
         Ok(cluster)
     }
 
-    /// Starts a controller, if it is not running.
+    /// Starts a controller if it is not running.
     ///
     /// # Errors
-    /// If the program cannot be started.
+    /// Returns an error if the log cannot be opened or the process cannot be started.
     pub fn start_controller(&mut self, i: usize) -> io::Result<()> {
         if self.children[i].is_some() {
             return Ok(());
@@ -158,7 +159,7 @@
         Ok(())
     }
 
-    /// Kills a controller (`SIGKILL`) and waits for its end.
+    /// Kills a controller (`SIGKILL`) and waits for it to exit.
     pub fn kill_controller(&mut self, i: usize) {
         if let Some(mut child) = self.children[i].take() {
             let _ = child.kill();
@@ -166,18 +167,18 @@
         }
     }
 
-    /// Freezes a controller (`SIGSTOP`): its clocks run on.
+    /// Suspends a controller (`SIGSTOP`) while its clocks continue.
     ///
     /// # Errors
-    /// If the signal can't be sent.
+    /// Returns an error if the signal cannot be sent.
     pub fn freeze_controller(&self, i: usize) -> io::Result<()> {
         self.signal(i, "-STOP")
     }
 
-    /// Lets a frozen controller go on.
+    /// Resumes a suspended controller (`SIGCONT`).
     ///
     /// # Errors
-    /// If the signal can't be sent.
+    /// Returns an error if the signal cannot be sent.
     pub fn thaw_controller(&self, i: usize) -> io::Result<()> {
         self.signal(i, "-CONT")
     }
@@ -197,15 +198,15 @@
         }
     }
 
-    /// A controller's CPU time so far, in seconds; 0 if it does not run.
+    /// Returns a controller's CPU time so far in seconds, or 0 if it is not running.
     pub fn cpu_time_s(&self, i: usize) -> f64 {
         let Some(child) = &self.children[i] else {
             return 0.0;
         };
         let stat =
             std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
-        // The name, which may hold blanks, is in brackets; after it, fields 14 and 15 are user and system time in
-        // hundredths of a second.
+        // The command name in parentheses may contain spaces. Fields 14 and 15 are user and system time in hundredths
+        // of a second.
         let rest = stat.rsplit(')').next().unwrap_or("");
         let field = |n: usize| {
             rest.split_whitespace()
@@ -216,7 +217,7 @@
         (field(11) + field(12)) / 100.0
     }
 
-    /// A controller's resident memory in MiB; 0 if it does not run.
+    /// Returns a controller's resident memory in MiB, or 0 if it is not running.
     pub fn memory_mb(&self, i: usize) -> f64 {
         let Some(child) = &self.children[i] else {
             return 0.0;
@@ -234,7 +235,7 @@
             / 1024.0
     }
 
-    /// A controller that has exited by itself, if there is one.
+    /// Returns a controller that has exited without being killed, if there is one.
     pub fn exited_controller(&mut self) -> Option<usize> {
         let has_exited = |child: &mut Option<Child>| {
             child
@@ -244,7 +245,7 @@
         self.children.iter_mut().position(has_exited)
     }
 
-    /// Waits until `condition` holds, for at most `limit`; says whether it does.
+    /// Waits for at most `limit` until `condition` holds, and returns whether it does.
     pub async fn wait_for(
         &self,
         limit: Micros,
--- a/crates/hopyoke-emulator/src/controller_settings.rs
+++ b/crates/hopyoke-emulator/src/controller_settings.rs
@@ -1,51 +1,51 @@
-//! What a cluster is made of, and the settings files of its controllers.
+//! Cluster configuration, and the settings files of its controllers.
 
 use std::fmt::{self, Write};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Zones of the cluster; controllers take turns in them.
+/// Zones of the cluster; controllers are assigned round robin.
 pub(crate) const ZONES: [&str; 3] = ["a", "b", "c"];
-/// How often agents send heartbeats.
+/// Interval between heartbeats of an agent, in seconds.
 pub(crate) const HEARTBEAT_S: f64 = 0.5;
-/// How long an agent keeps its tasks without an acknowledged heartbeat.
+/// Time in seconds for which an agent keeps its tasks without an acknowledged heartbeat.
 pub(crate) const LEASE_S: f64 = 6.0;
 
-/// What a cluster is made of.
+/// Configuration of an emulated cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
-    /// The controllers' program.
+    /// Controller executable.
     pub program: PathBuf,
-    /// Where settings and logs go.
+    /// Directory for settings and logs.
     pub dir: PathBuf,
-    /// How many controllers there are.
+    /// Number of controllers.
     pub controllers: usize,
-    /// How many machines the cloud has.
+    /// Maximum number of machines in the cloud.
     pub max_machines: usize,
-    /// The teams whose jobs are accepted.
+    /// Teams whose jobs are accepted.
     pub teams: Vec<TeamQuota>,
-    /// The operators' settings, as the text of their file.
+    /// Content of the operator settings file.
     pub policy: String,
-    /// How long a machine takes to boot.
+    /// Boot time of a machine, in seconds.
     pub boot_s: f64,
-    /// A task runs for its job's estimate times this.
+    /// Factor between a job's estimate and the run time of its tasks.
     pub run_time_factor: f64,
-    /// Writes to the key-value store that the settings allow, per second.
+    /// Write rate limit for the key-value store, per second.
     pub max_writes_per_s: f64,
-    /// Requests to the key-value store that the settings allow, per second.
+    /// Request rate limit for the key-value store, per second.
     pub max_requests_per_s: f64,
-    /// The controllers' `LOG_LEVEL`.
+    /// `LOG_LEVEL` of the controllers.
     pub log_level: String,
 }
 
-/// A team's quota of GPUs; its CPUs are not limited.
+/// GPU quota of a team, whose CPUs are not limited.
 #[derive(Debug, Clone)]
 pub struct TeamQuota {
-    /// The team.
+    /// Name of the team.
     pub name: String,
-    /// GPUs that the team is guaranteed.
+    /// Guaranteed number of GPUs.
     pub guaranteed_gpus: f64,
-    /// GPUs that the team may have at once.
+    /// Maximum number of GPUs in use at once.
     pub max_gpus: f64,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl ClusterConfig {
-    /// Three controllers, eight machines and two teams.
+    /// Returns a configuration with three controllers, eight machines and two teams.
     pub fn new(program: &Path, dir: &Path) -> ClusterConfig {
         ClusterConfig {
             program: program.to_owned(),
@@ -81,17 +81,17 @@
     }
 }
 
-/// Where the parts of a cluster listen.
+/// Listen addresses of the components of a cluster.
 pub(crate) struct Endpoints {
     pub(crate) store: SocketAddr,
     pub(crate) cloud: SocketAddr,
-    /// By controller: for users and agents.
+    /// User and agent APIs, by controller.
     pub(crate) api: Vec<SocketAddr>,
-    /// By controller: for the other controllers.
+    /// Addresses for peer controllers, by controller.
     pub(crate) mesh: Vec<SocketAddr>,
 }
 
-/// A controller's name.
+/// Returns a controller's node name.
 pub(crate) fn node_name(controller: usize) -> String {
     format!("node-{controller}")
 }
@@ -100,7 +100,7 @@
     ZONES[controller % ZONES.len()]
 }
 
-/// A controller's settings file.
+/// Renders a controller's settings file.
 pub(crate) fn render(
     config: &ClusterConfig,
     endpoints: &Endpoints,
--- a/crates/hopyoke-emulator/src/fleet.rs
+++ b/crates/hopyoke-emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What all agents of a cluster share and observe.
+//! State shared by all agents of a cluster, and their observations.
 
 use crate::kv_store::KvStore;
 use hopyoke_protocol::user::JobSpec;
@@ -8,42 +8,42 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What all agents of a cluster share, and what they observed.
+/// State shared by all agents of a cluster, and their observations.
 pub struct Fleet {
     pub(crate) store: Rc<KvStore>,
-    /// Controllers by name, with their addresses for agents, in the order in which agents try them.
+    /// Names and agent API addresses of the controllers, in the order in which agents try them.
     pub(crate) controllers: RefCell<Vec<(String, SocketAddr)>>,
     pub(crate) heartbeat_interval: Micros,
-    /// An agent without an acknowledged heartbeat for so long kills its tasks and begins a new epoch.
+    /// Time without an acknowledged heartbeat after which an agent kills its tasks and starts a new epoch.
     pub(crate) lease: Micros,
-    /// A task runs for its job's estimate times this.
+    /// Factor between a job's estimate and the run time of its tasks.
     pub(crate) run_time_factor: f64,
-    /// Tasks of this class fail on every machine; empty: none.
+    /// Job class whose tasks fail on every machine, or empty.
     pub failing_class: RefCell<String>,
-    /// What has started, in its order.
+    /// Task starts in the order in which they happened.
     pub task_starts: RefCell<Vec<TaskStart>>,
-    /// Tasks that have succeeded: results outlive attempts and machines.
+    /// Tasks that have succeeded. Their results outlive attempts and machines, so a further attempt ends at once.
     pub(crate) succeeded: RefCell<BTreeSet<TaskId>>,
-    /// Tasks on machines now; one that starts while it is here violates `ran_twice`.
+    /// Tasks that are on a machine. A task that starts on another machine meanwhile violates the invariant `ran_twice`.
     pub(crate) live_tasks: RefCell<BTreeMap<TaskId, MachineId>>,
-    /// Violated invariants, each with its name first.
+    /// Violations, each beginning with the name of the invariant.
     pub violations: RefCell<Vec<String>>,
-    /// How many gang members have fetched their image and wait for the others, by job and attempt.
+    /// Number of gang members that have fetched their image and wait for the others, by job and attempt.
     pub(crate) waiting_gang_members: RefCell<BTreeMap<(String, Attempt), u32>>,
 }
 
-/// A task's start.
+/// Start of a task.
 #[derive(Debug, Clone)]
 pub struct TaskStart {
-    /// When, by the event loop's monotonic clock.
+    /// Time by the event loop's monotonic clock.
     pub at: Micros,
-    /// What started.
+    /// The task.
     pub task: TaskId,
-    /// On which machine.
+    /// The machine on which it started.
     pub machine: MachineId,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// The job's class.
+    /// Class of the job.
     pub class: String,
 }
 
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Whether a task of the job is on a machine.
+    /// Returns whether a task of the job is on a machine.
     pub fn has_task_of(&self, job: &JobId) -> bool {
         self.live_tasks.borrow().keys().any(|t| t.job == *job)
     }
 
-    /// A job's description. Real agents get it from where users upload it; here it is in the job's record.
+    /// Returns the specification of a task's job from the job's record, or `None` if it is missing or unreadable.
     pub(crate) fn spec(&self, task: &TaskId) -> Option<JobSpec> {
         let record = self.store.get(&format!("job/{}", task.job))?;
         serde_json::from_value(record.get("spec")?.clone()).ok()
--- a/crates/hopyoke-emulator/src/kv_store.rs
+++ b/crates/hopyoke-emulator/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! The key-value store: revisions, transactions, leases and watches.
+//! Emulated key-value store with revisions, transactions, leases and watches.
 
 use crate::server::{Query, serve, target};
 use hopyoke_event_loop::http::{Method, Request, Response};
@@ -20,7 +20,7 @@
     lease: Option<u64>,
 }
 
-/// One change of the log.
+/// An entry of the change log.
 struct Change {
     revision: u64,
     key: String,
@@ -37,42 +37,42 @@
     keys: BTreeMap<String, Entry>,
     revision: u64,
     log: VecDeque<Change>,
-    /// How many changes the log keeps, if not [`LOG_LENGTH`].
+    /// Maximum length of the log; [`LOG_LENGTH`] if `None`.
     log_length: Option<usize>,
-    /// The latest revision of which a change is no longer in the log.
+    /// Latest revision with a change that is no longer in the log.
     compacted_revision: u64,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
     watchers: Vec<Waker>,
 }
 
-/// Latency that a request gets in addition to its own.
+/// Latency added to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct InjectedLatency {
-    /// Before it is carried out.
+    /// Delay before the request is executed.
     pub before: Micros,
-    /// After that, before it is answered.
+    /// Delay between execution and response.
     pub after: Micros,
 }
 
-/// Which latency a request gets.
+/// Function that determines the latency of a request.
 pub type LatencyRule = Box<dyn Fn(&Request) -> InjectedLatency>;
 
 /// A key-value store on loopback.
 #[derive(Default)]
 pub struct KvStore {
     inner: RefCell<Inner>,
-    /// Answers everything with 503.
+    /// While set, all requests are answered with 503.
     is_down: Cell<bool>,
-    /// Slows requests down, if set.
+    /// Latency injected into requests, if set.
     pub latency: RefCell<Option<LatencyRule>>,
-    /// Requests so far.
+    /// Number of requests received.
     pub request_count: Cell<u64>,
-    /// Mutations so far, those of failed transactions too, as the protocol counts them.
+    /// Number of mutations received, including those of failed transactions, as the protocol counts them.
     pub mutation_count: Cell<u64>,
-    /// Watches refused (410) because the log no longer has the changes since.
+    /// Number of watches rejected with 410 because their start revision is compacted.
     pub refused_watches: Cell<u64>,
-    /// Bytes of values written, by the first part of the key.
+    /// Bytes of values written, by first segment of the key.
     pub written_bytes: RefCell<BTreeMap<String, u64>>,
 }
 
@@ -108,22 +108,22 @@
     ttl_ms: u64,
 }
 
-/// Changes that the log keeps unless told otherwise.
+/// Default length of the change log.
 const LOG_LENGTH: usize = 10_000;
-/// The largest value, as JSON.
+/// Maximum size of a value as JSON.
 const MAX_VALUE_BYTES: usize = 8 * 1024;
 const MAX_MUTATIONS: usize = 16;
 const MAX_COMPARES: usize = 64;
-/// Keys on one page of a list.
+/// Maximum number of keys per page of a list.
 const MAX_LIST: usize = 1000;
 const MAX_WATCH_MS: u64 = 60_000;
 const LEASE_CHECK_INTERVAL: Micros = Micros::from_millis(20);
 
 impl KvStore {
-    /// Starts a store, which ends with `cancel`, and its address.
+    /// Starts a store, which stops when `cancel` is cancelled, and returns it with its address.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// Returns an error if it cannot listen.
     pub(crate) fn start(cancel: &CancellationToken) -> io::Result<(Rc<KvStore>, SocketAddr)> {
         let store = Rc::new(KvStore::default());
         let serving = store.clone();
@@ -153,17 +153,17 @@
         Ok((store, addr))
     }
 
-    /// A key's value.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<Value> {
         self.inner.borrow().keys.get(key).map(|e| e.value.clone())
     }
 
-    /// Keeps only so many of the latest changes from now on, so that watches are refused sooner.
+    /// Limits the change log to the latest `changes` entries, so that watches are rejected sooner.
     pub fn set_log_length(&self, changes: usize) {
         self.inner.borrow_mut().log_length = Some(changes);
     }
 
-    /// Writes a value of any size, whatever the key's revision.
+    /// Writes a value unconditionally, without a size limit.
     pub fn put(&self, key: &str, value: Value) {
         let mut inner = self.inner.borrow_mut();
         inner.revision += 1;
@@ -171,7 +171,7 @@
         inner.wake_watchers();
     }
 
-    /// The keys under a prefix, in their order.
+    /// Returns the keys with a prefix in ascending order.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let inner = self.inner.borrow();
         inner
@@ -182,7 +182,7 @@
             .collect()
     }
 
-    /// Begins or ends an outage. After one, every lease has its full time again.
+    /// Starts or ends an outage. All leases are renewed for their full time to live.
     pub fn set_down(&self, is_down: bool) {
         self.is_down.set(is_down);
         let now = runtime::now();
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Ends the lease that a key is on, as if it had expired.
+    /// Ends the lease to which a key is attached, as if it had expired.
     pub fn expire_lease_of(&self, key: &str) {
         let lease = self.inner.borrow().keys.get(key).and_then(|e| e.lease);
         if let Some(lease) = lease {
@@ -397,9 +397,9 @@
 }
 
 impl Inner {
-    /// Changes under a prefix after a revision, oldest first.
+    /// Returns the changes under a prefix after a revision, oldest first.
     fn events(&self, prefix: &str, since: u64) -> Vec<Value> {
-        // Newest first, so that a watch visits no more than what is new.
+        // Iterates from the newest change, so that a watch visits new changes only.
         let new = self.log.iter().rev().take_while(|c| c.revision > since);
         let mut events: Vec<Value> = new
             .filter(|c| c.key.starts_with(prefix))
@@ -413,7 +413,7 @@
             })
             .collect();
         events.reverse();
-        // A value overwritten since then is reported by its later event alone.
+        // A value that has been overwritten since is reported by its latest event only.
         events.retain(|e| {
             let deleted = e["drop"].as_str().unwrap_or("");
             deleted.is_empty() || !self.keys.contains_key(deleted)
--- a/crates/hopyoke-emulator/src/lib.rs
+++ b/crates/hopyoke-emulator/src/lib.rs
@@ -1,13 +1,13 @@
-//! An emulated cluster on loopback: key-value store, cloud and agents, by the published protocols, around real
-//! controller processes. For tests, measurements and trying things out; not for production.
+//! An emulated cluster on loopback: a key-value store, a cloud and agents that speak the published protocols, and real
+//! controller processes. Intended for tests, measurements and demonstrations, not for production.
 //!
-//! What is left out: agents run no commands (a task takes its job's estimate times a factor), gangs start together but
-//! do not lose members, and spot machines are never preempted.
+//! Limitations: agents execute no commands (a task takes its job's estimate times a factor), gangs start together but
+//! lose no members, and spot machines are never preempted.
 //!
-//! - [`Cluster`]: starts everything from a [`ClusterConfig`], and starts and kills controllers.
-//! - [`KvStore`]: the key-value store, with outages, latency and a short change log to order.
-//! - [`Cloud`]: creates and deletes machines; each runs an [`Agent`].
-//! - [`Fleet`]: what all agents share, and what they observed: task starts and violated invariants.
+//! - [`Cluster`]: starts all components of a [`ClusterConfig`], and starts and kills controllers.
+//! - [`KvStore`]: the key-value store, with configurable outages, latency and change log length.
+//! - [`Cloud`]: creates and deletes machines, each of which runs an [`Agent`].
+//! - [`Fleet`]: state shared by all agents, and their observations: task starts and violated invariants.
 
 mod agent;
 mod agent_tasks;
--- a/crates/hopyoke-emulator/src/main.rs
+++ b/crates/hopyoke-emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: an emulated cluster on loopback, to try things out.
+//! Runs an emulated cluster on loopback for demonstrations and manual tests.
 
 use clap::Parser;
 use hopyoke_emulator::{Cluster, ClusterConfig};
@@ -15,35 +15,35 @@
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
-    /// The controllers' program; by default `hopyoke` beside this one
+    /// Controller executable; defaults to `hopyoke` in the directory of this program
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Where settings and logs go
+    /// Directory for settings and logs
     #[arg(long, value_name = "DIR", default_value = "target/site")]
     dir: PathBuf,
-    /// How many controllers
+    /// Number of controllers
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=9))]
     controllers: u64,
-    /// Most machines that the cloud has
+    /// Maximum number of machines in the cloud
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=500))]
     machines: u64,
-    /// The operators' settings; without them runs of workflows are taken and nothing else is changed
+    /// File with operator settings; without it, workflow runs are enabled and all other settings keep their defaults
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
-    /// A task takes its job's estimate times this
+    /// Factor between a job's estimate and the run time of its tasks
     #[arg(long, default_value_t = 0.1)]
     factor: f64,
-    /// End after so many seconds
+    /// Number of seconds after which the program exits
     #[arg(long, default_value_t = 600, value_parser = clap::value_parser!(u64).range(1..=86400))]
     seconds: u64,
 }
 
-/// Why the program ends with a failure.
+/// Reason for which the program fails.
 #[derive(Debug, thiserror::Error)]
 enum Error {
-    #[error("--program is needed")]
+    #[error("no controller executable: pass --program")]
     ProgramNeeded,
-    #[error("{}: no such program; `cargo build --release` makes it", .0.display())]
+    #[error("{}: controller executable not found; run `cargo build --release`", .0.display())]
     NoProgram(PathBuf),
     #[error("{}: {}", .0.display(), .1)]
     Policy(PathBuf, #[source] io::Error),
@@ -92,7 +92,7 @@
     })
 }
 
-/// Runs the cluster for so long; starts controllers again that exit, and prints violated invariants.
+/// Runs the cluster for `duration`, restarts controllers that exit, and prints violated invariants.
 async fn emulate(config: ClusterConfig, duration: Micros) -> io::Result<()> {
     let mut cluster = Cluster::start(config)?;
     println!("users {}", join(&cluster.api_addrs));
@@ -102,7 +102,7 @@
     while runtime::now() < end {
         runtime::sleep(Micros::from_millis(500)).await;
         if let Some(i) = cluster.exited_controller() {
-            println!("node-{i} ended; started again");
+            println!("node-{i} exited; restarted");
             cluster.kill_controller(i);
             cluster.start_controller(i)?;
         }
--- a/crates/hopyoke-emulator/src/server.rs
+++ b/crates/hopyoke-emulator/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers on loopback, and their requests' targets.
+//! HTTP servers on loopback, and parsing of request targets.
 
 use hopyoke_event_loop::http::{self, OpenConnections, Request, Response, ServerLimits};
 use hopyoke_event_loop::{self as runtime, CancellationToken, TcpListener};
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Serves requests on a loopback port of the system's choice, until cancelled.
+/// Serves requests on an ephemeral loopback port until cancelled, and returns the address.
 ///
 /// # Errors
-/// If it cannot listen.
+/// Returns an error if it cannot listen.
 pub(crate) fn serve<F, G>(cancel: &CancellationToken, handler: F) -> io::Result<SocketAddr>
 where
     F: Fn(Request) -> G + 'static,
@@ -34,24 +34,24 @@
     Ok(addr)
 }
 
-/// A request's path without its query, and the query.
+/// Splits a request target into path and query.
 pub(crate) fn target(path: &str) -> (&str, Query<'_>) {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let pairs = query.split('&').filter_map(|p| p.split_once('=')).collect();
     (path, Query(pairs))
 }
 
-/// A request's parameters, as sent.
+/// Query parameters, not percent-decoded.
 pub(crate) struct Query<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Query<'a> {
-    /// A parameter's value; empty if it is not there.
+    /// Returns the value of a parameter, or an empty string if it is missing.
     pub(crate) fn text(&self, name: &str) -> &'a str {
         let pair = self.0.iter().find(|(key, _)| *key == name);
         pair.map_or("", |(_, value)| value)
     }
 
-    /// A parameter's value, if it is there and a number.
+    /// Returns the value of a numeric parameter, or `None` if it is missing or malformed.
     pub(crate) fn number<N: std::str::FromStr>(&self, name: &str) -> Option<N> {
         self.text(name).parse().ok()
     }
