--- a/crates/hopyoke-emulator/tests/concurrent_reads/history.rs
+++ b/crates/hopyoke-emulator/tests/concurrent_reads/history.rs
@@ -1,8 +1,8 @@
-//! What users observe of a job, and which observations contradict each other.
+//! Observations that users make of a job, and the check that they are consistent.
 
 use std::fmt;
 
-/// What a user requested of a node.
+/// Kind of request that a user sends to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Request {
     Submit,
@@ -10,7 +10,7 @@
     Cancel,
 }
 
-/// What a response says of the job.
+/// State of the job according to a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Answer {
     /// 404.
@@ -26,7 +26,7 @@
 }
 
 impl Answer {
-    /// A job is never at an earlier stage than it was.
+    /// Returns the stage of the job, which never decreases, or `None` if the response tells nothing about the job.
     pub(crate) fn stage(self) -> Option<u8> {
         match self {
             Answer::NoInformation => None,
@@ -41,8 +41,7 @@
     }
 }
 
-/// One request and its answer. Times are unique numbers: what was received at 4 was received before a request that was
-/// sent at 5.
+/// A request and its answer. Times are unique logical timestamps: a response received at 4 precedes a request sent at 5.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Observation {
     pub(crate) node: usize,
@@ -62,53 +61,53 @@
     }
 }
 
-/// Violations in one job's history: an answer of an earlier stage than one received before its request was sent, two
-/// ends, a cancellation that was not requested, a job known before it was submitted.
+/// Returns the violations in one job's history: an answer of an earlier stage than one received before its request was
+/// sent, conflicting final states, a cancellation that was not requested, or a job known before it was submitted.
 pub(crate) fn find_violations(observations: &[Observation]) -> Vec<String> {
     let mut violations = Vec::new();
     let mut by_send_time: Vec<&Observation> = observations
         .iter()
-        .filter(|l| l.answer.stage().is_some())
+        .filter(|o| o.answer.stage().is_some())
         .collect();
     let mut by_receive_time = by_send_time.clone();
-    by_send_time.sort_by_key(|l| l.sent_at);
-    by_receive_time.sort_by_key(|l| l.received_at);
+    by_send_time.sort_by_key(|o| o.sent_at);
+    by_receive_time.sort_by_key(|o| o.received_at);
     let mut receipts = by_receive_time.iter().peekable();
-    let mut newest: Option<&Observation> = None;
+    let mut latest: Option<&Observation> = None;
     for observation in &by_send_time {
         while let Some(before) = receipts.next_if(|r| r.received_at < observation.sent_at) {
-            if newest.is_none_or(|n| n.answer.stage() < before.answer.stage()) {
-                newest = Some(before);
+            if latest.is_none_or(|n| n.answer.stage() < before.answer.stage()) {
+                latest = Some(before);
             }
         }
-        if let Some(known) = newest
+        if let Some(known) = latest
             && observation.answer.stage() < known.answer.stage()
         {
-            violations.push(format!("older: {observation}; known by then: {known}"));
+            violations.push(format!("stale: {observation}; already known: {known}"));
         }
     }
-    let first_end = by_receive_time.iter().find(|l| l.answer.is_final());
+    let first_end = by_receive_time.iter().find(|o| o.answer.is_final());
     let other_end =
-        |l: &&&Observation| l.answer.is_final() && first_end.is_some_and(|f| f.answer != l.answer);
+        |o: &&&Observation| o.answer.is_final() && first_end.is_some_and(|f| f.answer != o.answer);
     if let (Some(first), Some(other)) = (first_end, by_receive_time.iter().find(other_end)) {
-        violations.push(format!("two ends: {first}; {other}"));
+        violations.push(format!("conflicting ends: {first}; {other}"));
     }
     let first_sent_at = |request| {
         observations
             .iter()
-            .filter(|l| l.request == request)
-            .map(|l| l.sent_at)
+            .filter(|o| o.request == request)
+            .map(|o| o.sent_at)
             .min()
     };
-    let before = |l: &Observation, request| {
-        first_sent_at(request).is_none_or(|sent_at| l.received_at < sent_at)
+    let before = |o: &Observation, request| {
+        first_sent_at(request).is_none_or(|sent_at| o.received_at < sent_at)
     };
-    for l in &by_receive_time {
-        if l.answer == Answer::Cancelled && before(l, Request::Cancel) {
-            violations.push(format!("cancelled unasked: {l}"));
+    for o in &by_receive_time {
+        if o.answer == Answer::Cancelled && before(o, Request::Cancel) {
+            violations.push(format!("unrequested cancellation: {o}"));
         }
-        if l.answer.stage() > Some(0) && before(l, Request::Submit) {
-            violations.push(format!("invented: {l}"));
+        if o.answer.stage() > Some(0) && before(o, Request::Submit) {
+            violations.push(format!("invented: {o}"));
         }
     }
     violations
@@ -139,9 +138,9 @@
             .map(|f| f.split(':').next().unwrap_or(""))
             .collect();
         assert_eq!(kinds, expected, "{violations:#?}");
-        // The order in which answers are noted doesn't matter.
-        let turned: Vec<Observation> = observations.iter().rev().copied().collect();
-        assert_eq!(find_violations(&turned).len(), violations.len());
+        // The result does not depend on the order in which observations are recorded.
+        let reversed: Vec<Observation> = observations.iter().rev().copied().collect();
+        assert_eq!(find_violations(&reversed).len(), violations.len());
     }
 
     #[test]
@@ -166,11 +165,11 @@
         let accepted = observation(Submit, (1, 2), Answer::Accepted);
         check(
             &[accepted, observation(Poll, (3, 4), Answer::Unknown)],
-            &["older"],
+            &["stale"],
         );
         check(
             &[accepted, observation(Submit, (3, 4), Answer::Refused)],
-            &["older"],
+            &["stale"],
         );
         let cancelled = observation(Cancel, (3, 4), Answer::Cancelled);
         check(
@@ -179,7 +178,7 @@
                 cancelled,
                 observation(Poll, (5, 9), Answer::Accepted),
             ],
-            &["older"],
+            &["stale"],
         );
         check(
             &[
@@ -187,7 +186,7 @@
                 cancelled,
                 observation(Submit, (5, 9), Answer::Accepted),
             ],
-            &["older"],
+            &["stale"],
         );
         check(
             &[
@@ -195,7 +194,7 @@
                 cancelled,
                 observation(Cancel, (5, 9), Answer::Unknown),
             ],
-            &["older"],
+            &["stale"],
         );
         let done = observation(Poll, (3, 4), Answer::Done);
         check(
@@ -205,9 +204,9 @@
                 observation(Poll, (5, 6), Answer::Accepted),
                 observation(Poll, (7, 8), Answer::Unknown),
             ],
-            &["older"; 2],
+            &["stale"; 2],
         );
-        // One that was received first counts, also if it was asked for last.
+        // Responses count in the order of receipt, not in the order of their requests.
         let long = observation(Poll, (2, 30), Answer::Accepted);
         check(
             &[
@@ -215,7 +214,7 @@
                 observation(Submit, (1, 20), Answer::Done),
                 observation(Poll, (21, 22), Answer::Accepted),
             ],
-            &["older"],
+            &["stale"],
         );
     }
 
@@ -244,18 +243,18 @@
     fn conflicting_ends_and_unsubmitted_jobs_are_found() {
         use Request::*;
         let accepted = observation(Submit, (1, 9), Answer::Accepted);
-        // At the same time, but there is only one end.
+        // The requests overlap, but a job has only one final state.
         check(
             &[
                 accepted,
                 observation(Cancel, (10, 20), Answer::Cancelled),
                 observation(Poll, (11, 19), Answer::Done),
             ],
-            &["two ends"],
+            &["conflicting ends"],
         );
         check(
             &[accepted, observation(Poll, (10, 20), Answer::Cancelled)],
-            &["cancelled unasked"],
+            &["unrequested cancellation"],
         );
         check(
             &[
@@ -263,7 +262,7 @@
                 observation(Poll, (10, 20), Answer::Cancelled),
                 observation(Cancel, (21, 22), Answer::Cancelled),
             ],
-            &["cancelled unasked"],
+            &["unrequested cancellation"],
         );
         check(
             &[
--- a/crates/hopyoke-emulator/tests/concurrent_reads/setup.rs
+++ b/crates/hopyoke-emulator/tests/concurrent_reads/setup.rs
@@ -1,4 +1,4 @@
-//! Clusters for these tests, and what slows their requests down.
+//! Test clusters, and injected latency of their stores.
 
 use crate::history::Request;
 use crate::users::{NODES, Users, ms};
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The programs are beside the test's own directory.
+/// Returns the controller executable, which is in the parent of the directory of the test executable.
 fn program() -> PathBuf {
     let test = std::env::current_exe().expect("a path");
     let dir = test
@@ -22,13 +22,13 @@
     let path = dir.join("hopyoke");
     assert!(
         path.is_file(),
-        "{} is missing: `cargo build --release` makes it",
+        "{} not found; run `cargo build --release`",
         path.display()
     );
     path
 }
 
-/// A cluster with high request limits, whose machines and leader are up.
+/// Starts a cluster with high request limits, and waits until it has run a job.
 pub(crate) async fn cluster(name: &str) -> Cluster {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&dir);
@@ -43,15 +43,15 @@
     let first = users.job(1, 0.1);
     users.submit_until_accepted(&first, 0).await;
     for node in (0..NODES).cycle() {
-        if users.ask(&first, node, Request::Poll).await.is_final() {
+        if users.send(&first, node, Request::Poll).await.is_final() {
             return cluster;
         }
         runtime::sleep(ms(30)).await;
     }
-    unreachable!("it is asked until then")
+    unreachable!("the loop ends with an expected answer")
 }
 
-pub(crate) fn on_runtime<F: Future<Output = ()> + 'static>(test: F) {
+pub(crate) fn run_on_event_loop<F: Future<Output = ()> + 'static>(test: F) {
     let done = Rc::new(Cell::new(false));
     let flag = done.clone();
     runtime::run(async move {
@@ -62,12 +62,12 @@
     assert!(done.get());
 }
 
-/// Latency before a request is carried out, and after that.
+/// Returns latency before and after the execution of a request.
 pub(crate) fn latency(before: Micros, after: Micros) -> InjectedLatency {
     InjectedLatency { before, after }
 }
 
-/// Makes every other request that reads or writes jobs' records slow, before it is carried out or after.
+/// Adds random latency, before and after execution, to about half of the requests that read or write job records.
 pub(crate) fn slow_down_records(cluster: &Cluster) {
     let rng = RefCell::new(StdRng::seed_from_u64(2035));
     let read_index_queries = Cell::new(0);
@@ -87,10 +87,10 @@
         } else if path == "/multi" && body.contains("end/") {
             latency(random_latency(60), random_latency(40))
         } else if path.starts_with("/changes?under=job/") && !path.ends_with("wait_ms=0") {
-            // The watch is slower than the queries of reads that wait.
+            // The watch is slower than the queries of waiting reads.
             latency(random_latency(10), ms(300) + random_latency(500))
         } else if path.starts_with("/changes?under=job/") {
-            // Now and then so slow that the node that forwarded a poll to the leader answers by itself.
+            // Every tenth query is so slow that a node that has forwarded a poll to the leader answers the poll itself.
             read_index_queries.set(read_index_queries.get() + 1u32);
             latency(
                 random_latency(10),
@@ -107,6 +107,7 @@
     *cluster.store.latency.borrow_mut() = Some(Box::new(rule));
 }
 
+/// Returns the node in the leader record, or `None` if there is no leader.
 pub(crate) fn leader(cluster: &Cluster) -> Option<usize> {
     let name = cluster.store.get("leader")?;
     name.get("node")
--- a/crates/hopyoke-emulator/tests/concurrent_reads/slow_store.rs
+++ b/crates/hopyoke-emulator/tests/concurrent_reads/slow_store.rs
@@ -1,16 +1,14 @@
-//! A key-value store that answers slowly, and a leader that ends meanwhile: a sweep over latencies, requests and events.
+//! Failover while the key-value store is slow: a sweep over latencies, kinds of requests and failures.
 //!
-//! What happened: reads, grants and releases were given up after 1.5 s, however slow the store was. With answers after
-//! 1.7 s no node learned who leads, none could take over, and no question about a job was answered until the store was
-//! fast again ("leader key not read error=no answer" some twenty times a node in 40 s, "leadership acquired" never;
-//! docs/incidents/slow-state-no-leader.md).
+//! Guards against fixed timeouts of store requests: with 1.5 s for reads, grants and releases and a store that responds
+//! after 1.7 s, no leader could be elected and no poll was answered (docs/incidents/slow-state-no-leader.md).
 //!
-//! What must hold: below the latency at which a leader can be elected at all ([`max_election_latency`]), a leader acts and
-//! users are served within their bounds; above it no rule breaks, users get their 503 in time, and service is back 15 s
-//! after the store is fast.
+//! Below the latency at which a leader can be elected ([`max_election_latency`]), a leader acts and users are served
+//! within their bounds. Above it no invariant is violated, users get a 503 in time, and service recovers within 15 s
+//! after the store is fast again.
 
 use crate::history::{Answer, Request, find_violations};
-use crate::setup::{cluster, latency, leader, on_runtime};
+use crate::setup::{cluster, latency, leader, run_on_event_loop};
 use crate::users::{Job, NODES, Users, ms};
 use hopyoke_consistency::latency::SAMPLE_VALIDITY;
 use hopyoke_consistency::leader_lease::max_election_latency;
@@ -23,38 +21,38 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The time to live of the leader lease by this cluster's settings: a third of what `cancel_s` (20 s) leaves after the
-/// agents' lease (6 s) and the watch's wait (2 s).
+/// Time to live of the leader lease with this cluster's settings: a third of what `cancel_s` (20 s) leaves after the
+/// agents' lease (6 s) and the wait of a watch (2 s).
 const LEADER_TTL: Micros = Micros::from_millis(3_995);
-/// The users' bound: no job stays without an answer for longer.
+/// Maximum time for which a job may be without an answer.
 const MAX_UNANSWERED: Micros = Micros::from_secs(75);
-/// For how long users repeat a submission or cancellation.
+/// Time for which users repeat a submission or cancellation.
 const MAX_PATIENCE: Micros = Micros::from_secs(60);
-/// `cancel_s` of the cluster's settings.
+/// Maximum time from a cancellation until its tasks are stopped: `cancel_s` of the cluster's settings.
 const CANCEL_BOUND: Micros = Micros::from_secs(20);
-/// After the store is fast again, service is back within this.
+/// Maximum time to recover after the store is fast again.
 const MAX_RECOVERY: Micros = Micros::from_secs(15);
-/// A poll's user waits for 2 s, of which this is left for the store: above that a poll can't be answered from it.
+/// Maximum latency at which a poll can be answered from the store, as its client times out after 2 s.
 const MAX_POLL_LATENCY: Micros = Micros::from_millis(1_750);
 
-/// How latency changes with time.
+/// Latency over time, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 enum Pattern {
     Constant(u64),
-    /// Each request takes one of several latencies between these, in turn.
+    /// Cycles through latencies between the two values.
     Jitter(u64, u64),
-    /// Every fourth request takes the longer latency.
+    /// The second latency for every fourth request, the first for the others.
     Spikes(u64, u64),
-    /// From the first to the second latency within 20 s.
+    /// Increases linearly from the first to the second latency within 20 s.
     Growing(u64, u64),
-    /// The latency, and none from 25 s on.
+    /// The latency for 25 s, and none afterwards.
     FallingBack(u64),
 }
 
 impl Pattern {
     fn at(self, elapsed: Micros, request_number: u64) -> Micros {
         match self {
-            Pattern::Constant(l) => ms(l),
+            Pattern::Constant(latency_ms) => ms(latency_ms),
             Pattern::Jitter(from, to) => ms(from + (to - from) * (request_number * 7 % 11) / 10),
             Pattern::Spikes(base, spike) => ms(if request_number.is_multiple_of(4) {
                 spike
@@ -64,8 +62,8 @@
             Pattern::Growing(from, to) => {
                 ms(from + (to - from) * elapsed.as_millis().min(20_000) / 20_000)
             }
-            Pattern::FallingBack(l) => ms(if elapsed < Micros::from_secs(25) {
-                l
+            Pattern::FallingBack(latency_ms) => ms(if elapsed < Micros::from_secs(25) {
+                latency_ms
             } else {
                 0
             }),
@@ -74,16 +72,16 @@
 
     fn longest(self) -> Micros {
         match self {
-            Pattern::Constant(l)
-            | Pattern::Jitter(_, l)
-            | Pattern::Spikes(_, l)
-            | Pattern::Growing(_, l)
-            | Pattern::FallingBack(l) => ms(l),
+            Pattern::Constant(latency_ms)
+            | Pattern::Jitter(_, latency_ms)
+            | Pattern::Spikes(_, latency_ms)
+            | Pattern::Growing(_, latency_ms)
+            | Pattern::FallingBack(latency_ms) => ms(latency_ms),
         }
     }
 }
 
-/// Which requests are slow.
+/// Requests that are slow.
 #[derive(Debug, Clone, Copy)]
 enum Slow {
     All,
@@ -106,22 +104,22 @@
     }
 }
 
-/// Whether the store executes a request late, or answers it late.
+/// Whether latency is added before or after the execution of a request.
 #[derive(Debug, Clone, Copy)]
 enum Side {
     Before,
     After,
 }
 
-/// What happens to the leader.
+/// Failure that is injected.
 #[derive(Debug, Clone, Copy)]
 enum Event {
     KilledAndBack,
     Killed,
-    /// For 12 s.
+    /// Suspended for 12 s.
     Frozen,
     AllRestarted,
-    /// Killed, and the store refuses everybody from 2 s later on for 8 s.
+    /// Killed, and 2 s later the store is unavailable for 8 s.
     KilledThenOutage,
 }
 
@@ -149,17 +147,17 @@
             return InjectedLatency::default();
         }
         count.set(count.get() + 1);
-        let by = case.pattern.at(runtime::now() - start, count.get());
+        let delay = case.pattern.at(runtime::now() - start, count.get());
         match case.side {
-            Side::Before => latency(by, Micros::ZERO),
-            Side::After => latency(Micros::ZERO, by),
+            Side::Before => latency(delay, Micros::ZERO),
+            Side::After => latency(Micros::ZERO, delay),
         }
     };
     *cluster.store.latency.borrow_mut() = Some(Box::new(rule));
 }
 
-/// Does to the leader what the case says.
-async fn strike(cluster: &mut Cluster, event: Event) {
+/// Injects the failure of a case.
+async fn inject_event(cluster: &mut Cluster, event: Event) {
     let former = leader(cluster).expect("a leader");
     match event {
         Event::KilledAndBack => {
@@ -186,90 +184,90 @@
     }
 }
 
-/// Repeats a request at one node after the other, as users do, until it is answered as expected.
-async fn ask_until(
+/// Repeats a request at the nodes in turn until the answer is as expected. Returns false if it is not within `limit`.
+async fn retry_until(
     users: &Rc<Users>,
     job: &Rc<Job>,
     request: Request,
     limit: Micros,
     is_expected: impl Fn(&Answer) -> bool,
 ) -> bool {
-    let end = runtime::now() + limit;
+    let deadline = runtime::now() + limit;
     for node in (0..NODES).cycle() {
-        if is_expected(&users.ask(job, node, request).await) {
+        if is_expected(&users.send(job, node, request).await) {
             return true;
         }
-        if runtime::now() > end {
+        if runtime::now() > deadline {
             return false;
         }
         runtime::sleep(ms(1_000)).await;
     }
-    unreachable!("it is asked until then")
+    unreachable!("the loop ends with an expected answer")
 }
 
-/// Plays a case whose latency leaves a leader electable; the time from the event until a leader has acted: a job that was
-/// submitted after it is done.
-async fn play(case: Case, name: &str) -> Micros {
+/// Runs a case whose latency permits an election. Returns the time from the failure until a leader has acted, that is,
+/// until a job submitted after the failure is done.
+async fn run_case(case: Case, name: &str) -> Micros {
     let mut cluster = cluster(name).await;
     let users = Users::new(&cluster);
     let long = users.job(2, 600.0);
     users.submit_until_accepted(&long, 0).await;
     let fleet = cluster.fleet.clone();
-    let runs = |_: &Cluster| fleet.has_task_of(&long.id);
-    assert!(cluster.wait_for(Micros::from_secs(10), runs).await);
+    let is_live = |_: &Cluster| fleet.has_task_of(&long.id);
+    assert!(cluster.wait_for(Micros::from_secs(10), is_live).await);
     slow_down(&cluster, case);
     runtime::sleep(ms(2_500)).await;
-    let struck_at = runtime::now();
-    strike(&mut cluster, case.event).await;
-    let over_at = runtime::now();
+    let event_at = runtime::now();
+    inject_event(&mut cluster, case.event).await;
+    let event_done_at = runtime::now();
     let short = users.job(3, 0.1);
     let is_known = |a: &Answer| a.stage() >= Some(1);
     assert!(
-        ask_until(&users, &short, Request::Submit, MAX_PATIENCE, is_known).await,
+        retry_until(&users, &short, Request::Submit, MAX_PATIENCE, is_known).await,
         "{case:?}: not accepted"
     );
     let is_cancelled = |a: &Answer| *a == Answer::Cancelled;
     assert!(
-        ask_until(&users, &long, Request::Cancel, MAX_PATIENCE, is_cancelled).await,
+        retry_until(&users, &long, Request::Cancel, MAX_PATIENCE, is_cancelled).await,
         "{case:?}: not cancelled"
     );
     let cancelled_at = runtime::now();
     let key = format!("end/{}", short.id);
-    let acted = cluster
+    let has_acted = cluster
         .wait_for(MAX_UNANSWERED, |c| c.store.get(&key).is_some())
         .await;
     let acted_at = runtime::now();
     assert!(
-        acted && acted_at < over_at + MAX_UNANSWERED,
-        "{case:?}: nobody leads"
+        has_acted && acted_at < event_done_at + MAX_UNANSWERED,
+        "{case:?}: no leader has acted"
     );
-    let is_gone = |_: &Cluster| !fleet.has_task_of(&long.id);
+    let is_stopped = |_: &Cluster| !fleet.has_task_of(&long.id);
     let left = (cancelled_at + CANCEL_BOUND) - runtime::now();
     assert!(
-        cluster.wait_for(left, is_gone).await,
-        "{case:?}: a task of the cancelled job is left"
+        cluster.wait_for(left, is_stopped).await,
+        "{case:?}: a task of the cancelled job is live"
     );
     if case.pattern.longest() <= MAX_POLL_LATENCY {
         let is_done = |a: &Answer| *a == Answer::Done;
-        let left = (over_at + MAX_UNANSWERED) - runtime::now();
+        let left = (event_done_at + MAX_UNANSWERED) - runtime::now();
         assert!(
-            ask_until(&users, &short, Request::Poll, left, is_done).await,
+            retry_until(&users, &short, Request::Poll, left, is_done).await,
             "{case:?}: no poll answered"
         );
     }
     assert_eq!(*cluster.fleet.violations.borrow(), Vec::<String>::new());
-    acted_at - struck_at
+    acted_at - event_at
 }
 
-/// Plays a latency at which nobody can be elected: polls are answered in time nevertheless, with a 503, and service is back
-/// soon after the store is fast.
-async fn play_above_limit(case: Case, name: &str) {
+/// Runs a case whose latency prevents an election: polls are answered with a 503 in time, and service recovers once the
+/// store is fast.
+async fn run_case_above_limit(case: Case, name: &str) {
     let mut cluster = cluster(name).await;
     let users = Users::new(&cluster);
     slow_down(&cluster, case);
     runtime::sleep(ms(2_500)).await;
-    strike(&mut cluster, case.event).await;
-    // The nodes learn that the store is slow by what they wait for themselves.
+    inject_event(&mut cluster, case.event).await;
+    // Nodes learn the latency from their own requests.
     runtime::sleep(Micros::from_secs(10)).await;
     let unknown = users.job(9, 0.1);
     let path = format!("/api/jobs/{}", unknown.id);
@@ -289,94 +287,97 @@
     let job = users.job(10, 0.1);
     let is_known = |a: &Answer| a.stage() >= Some(1);
     assert!(
-        ask_until(&users, &job, Request::Submit, MAX_RECOVERY, is_known).await,
+        retry_until(&users, &job, Request::Submit, MAX_RECOVERY, is_known).await,
         "{case:?}: not accepted"
     );
     let is_done = |a: &Answer| *a == Answer::Done;
     let left = (fast_at + MAX_RECOVERY) - runtime::now();
     assert!(
-        ask_until(&users, &job, Request::Poll, left, is_done).await,
+        retry_until(&users, &job, Request::Poll, left, is_done).await,
         "{case:?}: not done {MAX_RECOVERY:?} after the store was fast"
     );
     assert_eq!(*cluster.fleet.violations.borrow(), Vec::<String>::new());
 }
 
-fn play_one(case: Case, name: &'static str) {
+fn run_electable_case(case: Case, name: &'static str) {
     assert!(case.pattern.longest() < max_election_latency(LEADER_TTL));
-    on_runtime(async move {
-        let span = play(case, name).await;
-        println!("{case:?}: a leader acted after {:.1} s", span.as_secs_f64());
+    run_on_event_loop(async move {
+        let elapsed = run_case(case, name).await;
+        println!(
+            "{case:?}: a leader acted after {:.1} s",
+            elapsed.as_secs_f64()
+        );
     });
 }
 
 #[test]
-fn a_leader_that_is_back_at_once_under_1_4_s() {
+fn leader_restarted_at_once_with_latency_of_1_4_s() {
     let case = case(
         Pattern::Constant(1_400),
         Slow::All,
         Side::Before,
         Event::KilledAndBack,
     );
-    play_one(case, "slow-back-at-once");
+    run_electable_case(case, "slow-back-at-once");
 }
 
 #[test]
-fn a_leader_killed_for_good_under_1_7_s() {
+fn leader_killed_with_latency_of_1_7_s() {
     let case = case(
         Pattern::Constant(1_700),
         Slow::All,
         Side::After,
         Event::Killed,
     );
-    play_one(case, "slow-killed");
+    run_electable_case(case, "slow-killed");
 }
 
 #[test]
-fn all_controllers_restarted_under_jitter_up_to_1_7_s() {
+fn all_controllers_restarted_with_jitter_up_to_1_7_s() {
     let case = case(
         Pattern::Jitter(300, 1_700),
         Slow::All,
         Side::Before,
         Event::AllRestarted,
     );
-    play_one(case, "slow-all-restarted");
+    run_electable_case(case, "slow-all-restarted");
 }
 
 #[test]
-fn a_leader_killed_just_below_the_limit() {
+fn leader_restarted_just_below_the_latency_limit() {
     let case = case(
         Pattern::Constant(1_900),
         Slow::All,
         Side::After,
         Event::KilledAndBack,
     );
-    play_one(case, "slow-below-limit");
+    run_electable_case(case, "slow-below-limit");
 }
 
 #[test]
-fn slow_watches_alone() {
+fn leader_restarted_with_slow_watches_only() {
     let case = case(
         Pattern::Constant(1_700),
         Slow::Watches,
         Side::After,
         Event::KilledAndBack,
     );
-    play_one(case, "slow-watches");
+    run_electable_case(case, "slow-watches");
 }
 
-/// A job is over and all controllers are restarted, so that none remembers its end; the store answers after 1.5 s. Every
-/// node, the leader too, tells of the job again and again. (Guards `forgotten`: a leader that had measured no read lately
-/// asked for changes first and had no time left for the job's records. Not seen red here, where probes keep reads measured;
-/// `kinds_share_measurements_and_not_backoff` and days of the bench were: docs/incidents/slow-state-no-leader.md.)
+/// After a restart of all controllers, and with a store that responds after 1.5 s, every node including the leader
+/// answers polls for a finished job. Guards the invariant `forgotten`: a leader without recent latency samples of reads
+/// asked for changes first and had no time left to read the job's records. Probes keep samples of reads recent here, so
+/// `kinds_share_samples_but_not_backoff` covers the cause (docs/incidents/slow-state-no-leader.md).
 #[test]
-fn every_node_tells_of_a_finished_job() {
-    on_runtime(async {
+fn every_node_answers_for_a_finished_job() {
+    run_on_event_loop(async {
         let mut cluster = cluster("slow-finished-job").await;
         let users = Users::new(&cluster);
         let finished = users.job(1, 0.1);
-        // Its users' own questions are over by then.
+        // Waits for outstanding requests of its users.
         runtime::sleep(ms(1_500)).await;
-        strike(&mut cluster, Event::AllRestarted).await;
+        inject_event(&mut cluster, Event::AllRestarted).await;
         let case = case(
             Pattern::Constant(1_500),
             Slow::All,
@@ -386,26 +387,26 @@
         slow_down(&cluster, case);
         let fresh = users.job(2, 0.1);
         let is_known = |a: &Answer| a.stage() >= Some(1);
-        assert!(ask_until(&users, &fresh, Request::Submit, MAX_PATIENCE, is_known).await);
+        assert!(retry_until(&users, &fresh, Request::Submit, MAX_PATIENCE, is_known).await);
         let key = format!("end/{}", fresh.id);
         assert!(
             cluster
                 .wait_for(MAX_UNANSWERED, |c| c.store.get(&key).is_some())
                 .await
         );
-        // Users ask about an unfinished job all the time: the leader has answers of the store, and reads nothing else.
+        // Constant polls for an unfinished job keep the leader's change queries answered while it reads no other records.
         let unfinished = users.job(4, 600.0);
-        assert!(ask_until(&users, &unfinished, Request::Submit, MAX_PATIENCE, is_known).await);
+        assert!(retry_until(&users, &unfinished, Request::Submit, MAX_PATIENCE, is_known).await);
         for node in 0..NODES {
             let (users, unfinished) = (users.clone(), unfinished.clone());
             runtime::spawn(async move {
                 loop {
-                    users.ask(&unfinished, node, Request::Poll).await;
+                    users.send(&unfinished, node, Request::Poll).await;
                     runtime::sleep(ms(20)).await;
                 }
             });
         }
-        // What was measured of reads during the election is forgotten by then.
+        // Latency samples of reads from the election expire.
         runtime::sleep(SAMPLE_VALIDITY.times(2)).await;
         let path = format!("/api/jobs/{}", finished.id);
         let mut answered = [0; NODES];
@@ -426,12 +427,12 @@
     });
 }
 
-/// The store takes 1.95 s, longer than a poll's user leaves for it, and the leader goes on leading: questions about an
-/// unfinished job are answered all the same, at every node, and one that was cancelled is never called unfinished again.
-/// (Guards `forgotten`, which counts a job whose questions all fail for 90 s, and `went_back`.)
+/// The store takes 1.95 s, more than the timeout of a poll allows, and the leader stays: every node answers polls for an
+/// unfinished job, and a cancelled job is never reported as unfinished again. Guards the invariants `forgotten`, which is
+/// violated when all polls for a job fail for 90 s, and `went_back`.
 #[test]
-fn unfinished_jobs_are_answered_for_under_a_store_too_slow_for_polls() {
-    on_runtime(async {
+fn unfinished_jobs_are_known_when_latency_exceeds_the_poll_limit() {
+    run_on_event_loop(async {
         let cluster = cluster("slow-unfinished").await;
         let users = Users::new(&cluster);
         let (kept, cancelled) = (users.job(2, 600.0), users.job(3, 600.0));
@@ -444,13 +445,13 @@
             Event::Killed,
         );
         slow_down(&cluster, case);
-        // The nodes learn how slow it is.
+        // Nodes learn the latency.
         runtime::sleep(Micros::from_secs(10)).await;
         let mut answered = [0; NODES];
         const POLLS: usize = 6;
         for _ in 0..POLLS {
             for (node, count) in answered.iter_mut().enumerate() {
-                let answer = users.ask(&kept, node, Request::Poll).await;
+                let answer = users.send(&kept, node, Request::Poll).await;
                 *count += usize::from(answer == Answer::Accepted);
             }
         }
@@ -461,7 +462,7 @@
         );
         let is_cancelled = |a: &Answer| *a == Answer::Cancelled;
         assert!(
-            ask_until(
+            retry_until(
                 &users,
                 &cancelled,
                 Request::Cancel,
@@ -471,7 +472,7 @@
             .await
         );
         for node in (0..NODES).cycle().take(2 * NODES) {
-            users.ask(&cancelled, node, Request::Poll).await;
+            users.send(&cancelled, node, Request::Poll).await;
         }
         for job in [&kept, &cancelled] {
             let violations = find_violations(&job.observations.borrow());
@@ -480,23 +481,23 @@
     });
 }
 
-/// A job is over, and no node remembers it; the store takes 1.95 s, longer than a poll's user leaves for it. Each node
-/// answers within the users' bound nevertheless: what it reads too late for one poll, it knows at the next. (Guards
-/// `forgotten`: every such poll was refused at once, for ever.)
+/// A job has finished, no node has it in memory, and the store takes 1.95 s, more than the timeout of a poll allows. Each
+/// node answers within [`MAX_UNANSWERED`], because a record read too late for one poll is available to the next. Guards
+/// the invariant `forgotten`: every such poll was rejected at once, indefinitely.
 #[test]
-fn finished_jobs_are_answered_for_under_a_store_too_slow_for_polls() {
-    on_runtime(async {
+fn finished_jobs_are_known_when_latency_exceeds_the_poll_limit() {
+    run_on_event_loop(async {
         let mut cluster = cluster("slow-finished").await;
         let users = Users::new(&cluster);
         let finished = users.job(1, 0.1);
-        // Its users' own questions are over by then.
+        // Waits for outstanding requests of its users.
         runtime::sleep(ms(1_500)).await;
-        strike(&mut cluster, Event::AllRestarted).await;
+        inject_event(&mut cluster, Event::AllRestarted).await;
         let fresh = users.job(2, 0.1);
         users.submit_until_accepted(&fresh, 0).await;
         let key = format!("end/{}", fresh.id);
-        let is_over = |c: &Cluster| c.store.get(&key).is_some();
-        assert!(cluster.wait_for(MAX_UNANSWERED, is_over).await);
+        let has_ended = |c: &Cluster| c.store.get(&key).is_some();
+        assert!(cluster.wait_for(MAX_UNANSWERED, has_ended).await);
         let case = case(
             Pattern::Constant(1_950),
             Slow::All,
@@ -507,7 +508,7 @@
         runtime::sleep(Micros::from_secs(10)).await;
         let path = format!("/api/jobs/{}", finished.id);
         for node in 0..NODES {
-            let end = runtime::now() + MAX_UNANSWERED;
+            let deadline = runtime::now() + MAX_UNANSWERED;
             loop {
                 let answer = users.clients[node]
                     .send(Method::Get, &path, &[], ms(2_000))
@@ -515,16 +516,16 @@
                 if matches!(&answer, Ok(r) if r.status == 200) {
                     break;
                 }
-                assert!(runtime::now() < end, "node {node}: {answer:?}");
+                assert!(runtime::now() < deadline, "node {node}: {answer:?}");
                 runtime::sleep(ms(1_000)).await;
             }
         }
     });
 }
 
-/// At 4 s nobody can be elected under a lease of 4 s.
+/// With a latency of 4 s no leader can be elected under a lease of 4 s.
 #[test]
-fn above_the_limit_users_are_told_and_service_comes_back() {
+fn above_the_latency_limit_polls_get_503_and_service_recovers() {
     let case = case(
         Pattern::Constant(4_000),
         Slow::All,
@@ -532,18 +533,18 @@
         Event::KilledAndBack,
     );
     assert!(case.pattern.longest() > max_election_latency(LEADER_TTL));
-    on_runtime(play_above_limit(case, "slow-above-limit"));
+    run_on_event_loop(run_case_above_limit(case, "slow-above-limit"));
 }
 
-/// All cases of the sweep whose latency leaves a leader electable.
+/// Returns all cases of the sweep; their latencies permit an election.
 fn sweep() -> Vec<Case> {
     use Event::*;
     use Pattern::*;
     let mut cases = Vec::new();
-    for l in [300, 1_000, 1_400, 1_600, 1_700, 1_900] {
+    for latency_ms in [300, 1_000, 1_400, 1_600, 1_700, 1_900] {
         for side in [Side::Before, Side::After] {
-            cases.push(case(Constant(l), Slow::All, side, KilledAndBack));
-            cases.push(case(Constant(l), Slow::All, side, Killed));
+            cases.push(case(Constant(latency_ms), Slow::All, side, KilledAndBack));
+            cases.push(case(Constant(latency_ms), Slow::All, side, Killed));
         }
     }
     for event in [
@@ -580,12 +581,12 @@
     cases
 }
 
-/// Cases played at once: each has three controllers.
+/// Number of cases run in parallel, each with three controllers.
 const CASES_AT_ONCE: usize = 8;
 
-/// The whole sweep, some minutes; prints how long it took until a leader acted.
+/// Runs the whole sweep, and prints the time until a leader acted in each case.
 #[test]
-#[ignore = "takes minutes; a compact part runs above"]
+#[ignore = "takes minutes; the tests above run a subset"]
 fn leaders_are_found_under_all_slow_stores() {
     let cases = sweep();
     let (next, failures) = (
@@ -601,13 +602,13 @@
                     let Some(case) = cases.get(index).copied() else {
                         return;
                     };
-                    let played = std::panic::catch_unwind(|| {
-                        on_runtime(async move {
-                            let span = play(case, &format!("slow-sweep-{index}")).await;
-                            println!("{case:?}: acted after {:.1} s", span.as_secs_f64());
+                    let case_result = std::panic::catch_unwind(|| {
+                        run_on_event_loop(async move {
+                            let elapsed = run_case(case, &format!("slow-sweep-{index}")).await;
+                            println!("{case:?}: acted after {:.1} s", elapsed.as_secs_f64());
                         });
                     });
-                    if played.is_err() {
+                    if case_result.is_err() {
                         failures
                             .lock()
                             .unwrap_or_else(std::sync::PoisonError::into_inner)
--- a/crates/hopyoke-emulator/tests/concurrent_reads/users.rs
+++ b/crates/hopyoke-emulator/tests/concurrent_reads/users.rs
@@ -1,4 +1,4 @@
-//! Users of a cluster, and what they observe.
+//! Users of a cluster, and the observations they make.
 
 use crate::history::{Answer, Observation, Request, find_violations};
 use hopyoke_emulator::Cluster;
@@ -18,19 +18,19 @@
     Micros::from_millis(n)
 }
 
-/// A job, and what its users observed.
+/// A job, and the observations of its users.
 pub(crate) struct Job {
     pub(crate) id: JobId,
     body: Vec<u8>,
     pub(crate) observations: RefCell<Vec<Observation>>,
-    /// The latest stage of all answers.
+    /// Latest stage of all answers so far.
     stage: Cell<u8>,
 }
 
-/// The users of a cluster: one client for each node.
+/// Users of a cluster, with one client per node.
 pub(crate) struct Users {
     pub(crate) clients: Vec<Client>,
-    /// Orders the events of all users.
+    /// Logical clock that orders the events of all users.
     clock: Cell<u64>,
     rng: RefCell<StdRng>,
 }
@@ -50,7 +50,7 @@
         self.clock.get()
     }
 
-    /// A random delay in milliseconds.
+    /// Returns a random delay from a range in milliseconds.
     fn random_delay(&self, range: std::ops::Range<u64>) -> Micros {
         ms(self.rng.borrow_mut().random_range(range))
     }
@@ -69,8 +69,8 @@
         })
     }
 
-    /// Sends a request to one node, and at once to all nodes whenever the answer is of a later stage than was known.
-    pub(crate) async fn ask(
+    /// Sends a request to one node. If the answer is of a later stage than known so far, sends requests to all nodes.
+    pub(crate) async fn send(
         self: &Rc<Users>,
         job: &Rc<Job>,
         node: usize,
@@ -111,59 +111,59 @@
         });
         if let Some(stage) = answer.stage().filter(|s| *s > job.stage.get()) {
             job.stage.set(stage);
-            self.ask_everywhere(job, stage);
+            self.send_to_all_nodes(job, stage);
         }
         answer
     }
 
-    fn ask_later(self: &Rc<Users>, job: &Rc<Job>, node: usize, request: Request, after: Micros) {
+    fn send_later(self: &Rc<Users>, job: &Rc<Job>, node: usize, request: Request, after: Micros) {
         let (users, job) = (self.clone(), job.clone());
         runtime::spawn(async move {
-            // Not by a timer if it is to be at once.
+            // A delay of zero bypasses the timer, so that the request is sent at once.
             if after > Micros::ZERO {
                 runtime::sleep(after).await;
             }
-            users.ask(&job, node, request).await;
+            users.send(&job, node, request).await;
         });
     }
 
-    /// Polls all nodes again and again, and repeats the submission; once the job is over, cancels it too.
-    fn ask_everywhere(self: &Rc<Users>, job: &Rc<Job>, stage: u8) {
+    /// Polls all nodes repeatedly and repeats the submission; a job in a final state is also cancelled.
+    fn send_to_all_nodes(self: &Rc<Users>, job: &Rc<Job>, stage: u8) {
         for node in 0..NODES {
             for after in [0, 1, 4, 11, 25, 60, 250, 700, 1200] {
-                self.ask_later(job, node, Request::Poll, ms(after));
+                self.send_later(job, node, Request::Poll, ms(after));
             }
             for after in [0, 9, 35] {
-                self.ask_later(job, node, Request::Submit, ms(after));
+                self.send_later(job, node, Request::Submit, ms(after));
                 if stage == 2 {
-                    self.ask_later(job, node, Request::Cancel, ms(after + 2));
+                    self.send_later(job, node, Request::Cancel, ms(after + 2));
                 }
             }
         }
     }
 
-    /// Submits, at one node after the other, until the job is accepted.
+    /// Submits the job to the nodes in turn until it is accepted.
     pub(crate) async fn submit_until_accepted(self: &Rc<Users>, job: &Rc<Job>, first: usize) {
         for node in (0..NODES).cycle().skip(first) {
-            if self.ask(job, node, Request::Submit).await.stage() >= Some(1) {
+            if self.send(job, node, Request::Submit).await.stage() >= Some(1) {
                 return;
             }
             runtime::sleep(self.random_delay(20..60)).await;
         }
     }
 
-    /// Cancels, at one node after the other, until an answer is final.
+    /// Cancels the job at the nodes in turn until an answer is final.
     async fn cancel_until_final(self: &Rc<Users>, job: &Rc<Job>, first: usize) {
         for node in (0..NODES).cycle().skip(first) {
-            if self.ask(job, node, Request::Cancel).await.is_final() {
+            if self.send(job, node, Request::Cancel).await.is_final() {
                 return;
             }
             runtime::sleep(self.random_delay(1..15)).await;
         }
     }
 
-    /// Cancels at all nodes, each a little later than the one before.
-    fn cancel_everywhere(self: &Rc<Users>, job: &Rc<Job>, first: usize) {
+    /// Cancels the job at all nodes, each with a small random delay after the previous one.
+    fn cancel_at_all_nodes(self: &Rc<Users>, job: &Rc<Job>, first: usize) {
         let mut after = Micros::ZERO;
         for k in 0..NODES {
             let (users, job, start) = (self.clone(), job.clone(), after);
@@ -177,7 +177,7 @@
 
     /// Polls one node until its answer is final.
     async fn poll_until_final(self: &Rc<Users>, job: &Rc<Job>, node: usize) {
-        while !self.ask(job, node, Request::Poll).await.is_final() {
+        while !self.send(job, node, Request::Poll).await.is_final() {
             runtime::sleep(self.random_delay(1..8)).await;
         }
     }
@@ -190,37 +190,37 @@
 
 pub(crate) const JOBS: u32 = 90;
 
-/// One job's user: how and when it submits and cancels goes by the job's number.
+/// Runs the user of one job; the job's number determines how and when it is submitted and cancelled.
 async fn run_user(users: Rc<Users>, cluster: Rc<RefCell<Cluster>>, job: Rc<Job>, number: u32) {
     let node = number as usize % NODES;
     for n in 0..NODES {
         let (users, job) = (users.clone(), job.clone());
         runtime::spawn(async move { users.poll_until_final(&job, n).await });
     }
-    // They poll before the submission, too.
+    // Polls start before the submission.
     runtime::sleep(users.random_delay(0..160)).await;
     match number / NODES as u32 % 6 {
-        // Ends by itself.
+        // Completes without cancellation.
         0 => users.submit_until_accepted(&job, node).await,
         // Submitted at all nodes at once.
-        1 => (0..NODES).for_each(|n| users.ask_later(&job, n, Request::Submit, Micros::ZERO)),
-        // Cancelled at once, mostly before the acceptance's answer.
+        1 => (0..NODES).for_each(|n| users.send_later(&job, n, Request::Submit, Micros::ZERO)),
+        // Cancelled at once, mostly before the response to the submission.
         2 => {
             let (u, j) = (users.clone(), job.clone());
             runtime::spawn(async move { u.submit_until_accepted(&j, node).await });
             runtime::sleep(users.random_delay(0..30)).await;
-            users.cancel_everywhere(&job, node + 1);
+            users.cancel_at_all_nodes(&job, node + 1);
         }
         3 => {
             users.submit_until_accepted(&job, node).await;
-            users.cancel_everywhere(&job, node);
+            users.cancel_at_all_nodes(&job, node);
         }
         4 => {
             users.submit_until_accepted(&job, node).await;
             runtime::sleep(users.random_delay(100..500)).await;
-            users.cancel_everywhere(&job, node + 2);
+            users.cancel_at_all_nodes(&job, node + 2);
         }
-        // Cancelled at the end of its last task.
+        // Cancelled around the end of its last task.
         _ => {
             users.submit_until_accepted(&job, node).await;
             let fleet = cluster.borrow().fleet.clone();
@@ -233,17 +233,17 @@
                 runtime::sleep(ms(5)).await;
             }
             runtime::sleep(Micros::from_secs_f64(ESTIMATE_S) + users.random_delay(0..120)).await;
-            users.cancel_everywhere(&job, node + 1);
+            users.cancel_at_all_nodes(&job, node + 1);
         }
     }
 }
 
 pub(crate) const ESTIMATE_S: f64 = 0.3;
 
-/// Plays one user for each job, one beginning every 75 ms, with something that happens as each begins; then no node may
-/// have answered with an older state than was known, no invariant of the agents be violated, and every node have
-/// answered with every job's end.
-pub(crate) async fn play(
+/// Runs one user per job, started 75 ms apart, and calls `inject` at each start. Checks that no node answered with an
+/// older state than was known, that the agents observed no violation, and that every node reported the final state of
+/// every job.
+pub(crate) async fn run_all_users(
     users: &Rc<Users>,
     cluster: Cluster,
     jobs: &[Rc<Job>],
@@ -265,16 +265,19 @@
         job.observations
             .borrow()
             .iter()
-            .any(|l| l.node == node && l.request == Request::Poll && l.answer.is_final())
+            .any(|o| o.node == node && o.request == Request::Poll && o.answer.is_final())
     };
     let all_answered = || jobs.iter().all(|j| (0..NODES).all(|n| has_answered(j, n)));
-    let end = runtime::now() + Micros::from_secs(30);
-    while !all_answered() && runtime::now() < end {
+    let deadline = runtime::now() + Micros::from_secs(30);
+    while !all_answered() && runtime::now() < deadline {
         runtime::sleep(ms(20)).await;
     }
-    // What is under way ends.
+    // Waits for outstanding requests.
     runtime::sleep(ms(1_600)).await;
-    println!("over after {} ms", (runtime::now() - started).as_millis());
+    println!(
+        "finished after {} ms",
+        (runtime::now() - started).as_millis()
+    );
     let mut violations = Vec::new();
     for job in jobs {
         violations.extend(
@@ -285,7 +288,7 @@
     }
     assert!(
         violations.is_empty(),
-        "{} faults, the first:\n{}",
+        "{} violations, the first:\n{}",
         violations.len(),
         violations[..violations.len().min(12)].join("\n")
     );
@@ -293,5 +296,8 @@
         *cluster.borrow().fleet.violations.borrow(),
         Vec::<String>::new()
     );
-    assert!(all_answered(), "a job's end is not known at all nodes");
+    assert!(
+        all_answered(),
+        "the final state of a job is not known at all nodes"
+    );
 }
