--- a/deploy/example.cwl
+++ b/deploy/example.cwl
@@ -1,5 +1,5 @@
 #!/usr/bin/env cwl-runner
-# Converts the pages of a ledger and adds them up.
+# Converts the pages of a ledger in parallel and merges them into a sum.
 cwlVersion: v1.2
 class: Workflow
 $namespaces: {hopyoke: "urn:hopyoke:cwl#"}
