--- a/crates/hopyoke-run-times/src/distribution.rs
+++ b/crates/hopyoke-run-times/src/distribution.rs
@@ -4,8 +4,11 @@
 pub(crate) const GRID: [f32; 13] = [
     0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.99,
 ];
+/// Index of the median in [`GRID`].
 pub(crate) const MEDIAN: usize = 6;
+/// Index of the 10th percentile in [`GRID`].
 pub(crate) const P10: usize = 2;
+/// Index of the 90th percentile in [`GRID`].
 pub(crate) const P90: usize = 10;
 
 /// Lower bound on log run times (in log seconds): 0.1 ms.
@@ -38,26 +41,33 @@
         f64::from(quantile_at(&self.0, p as f32)).exp()
     }
 
-    /// Returns the probability that a run takes at most this many seconds.
+    /// Returns the probability that a run takes at most `seconds`.
     pub fn probability_below(&self, seconds: f64) -> f64 {
         f64::from(probability_at(&self.0, seconds.max(1e-9).ln() as f32))
     }
 
     /// Returns the quantile at probability `p` of the remaining time, in seconds, of a run that has been
-    /// active for `elapsed_s` seconds, conditional on its not having ended.
+    /// active for `elapsed_s` seconds and has not ended.
     ///
-    /// Beyond the last quantile the tail is extrapolated with the spread between median and p90.
+    /// Beyond the last stored quantile the tail is extrapolated from the spread between median and p90.
     pub fn remaining_quantile(&self, elapsed_s: f64, p: f64) -> f64 {
         if elapsed_s <= 0.0 {
             return self.quantile(p);
         }
         let x = elapsed_s.ln() as f32;
-        let below = probability_at(&self.0, x);
-        let end = quantile_at(&self.0, below + (p as f32) * (1.0 - below));
-        // Beyond the last quantile the tail extends by a factor of the elapsed time, not by an amount.
+        let elapsed_probability = probability_at(&self.0, x);
+        let end = quantile_at(
+            &self.0,
+            elapsed_probability + (p as f32) * (1.0 - elapsed_probability),
+        );
+        // The extrapolation is in log time, so the tail is proportional to the elapsed time.
         let spread = (self.0[P90] - self.0[MEDIAN]).max(0.05);
         let tail = x + spread * (-(1.0 - p.min(0.999)).ln() as f32) * 0.7;
-        let end = if below >= GRID[12] { tail } else { end.max(x) };
+        let end = if elapsed_probability >= GRID[12] {
+            tail
+        } else {
+            end.max(x)
+        };
         (f64::from(end).exp() - elapsed_s).max(0.0)
     }
 
@@ -77,25 +87,26 @@
     if i >= GRID.len() {
         return q[12];
     }
-    let share = (p - GRID[i - 1]) / (GRID[i] - GRID[i - 1]);
-    q[i - 1] + share * (q[i] - q[i - 1])
+    let fraction = (p - GRID[i - 1]) / (GRID[i] - GRID[i - 1]);
+    q[i - 1] + fraction * (q[i] - q[i - 1])
 }
 
-/// Returns the cumulative probability of `x`, interpolated linearly between the quantiles.
+/// Returns the cumulative probability of `x`, interpolated linearly between the quantiles: 0 below the first one and the last
+/// probability of `GRID` from the last one on.
 pub(crate) fn probability_at(q: &[f32; 13], x: f32) -> f32 {
     if x < q[0] {
         return 0.0;
     }
-    // Among equal quantiles the last one counts: all their weight lies at or below `x`.
+    // Of equal quantiles the last applies, as their entire probability mass lies at or below `x`.
     let i = q.partition_point(|v| *v <= x);
     if i >= q.len() {
         return GRID[12];
     }
     let (lower, upper) = (q[i - 1], q[i]);
-    let share = if upper > lower {
+    let fraction = if upper > lower {
         (x - lower) / (upper - lower)
     } else {
         1.0
     };
-    GRID[i - 1] + share * (GRID[i] - GRID[i - 1])
+    GRID[i - 1] + fraction * (GRID[i] - GRID[i - 1])
 }
