--- a/crates/hopyoke-admission/src/controller.rs
+++ b/crates/hopyoke-admission/src/controller.rs
@@ -31,7 +31,8 @@
 
 impl AdmissionController {
     /// Creates the controller. `changes` is the rate of changes per second that the key-value store accepts from all
-    /// nodes together, with the number of nodes; `guaranteed` tells for each configured team whether it has a guarantee.
+    /// nodes together, with the number of nodes; `guaranteed` tells for each configured team whether it has a
+    /// guarantee.
     #[must_use]
     pub fn new(changes: SharedLimit, guaranteed: &[bool], now: Micros) -> AdmissionController {
         let share = RateShare::new(changes);
@@ -113,8 +114,8 @@
         self.gate.gossip_received(peer, gossip, now);
     }
 
-    /// Returns whether rejected jobs are still waiting for their retries. As users are load-balanced, the other nodes are
-    /// likely to be overloaded as well.
+    /// Returns whether rejected jobs are still waiting for their retries. As users are load-balanced, the other nodes
+    /// are likely to be overloaded as well.
     pub fn is_overloaded(&mut self, now: Micros) -> bool {
         self.gate.estimated_wait(now) > Micros::ZERO
     }
--- a/crates/hopyoke-admission/src/gate.rs
+++ b/crates/hopyoke-admission/src/gate.rs
@@ -27,8 +27,8 @@
 /// overtaken. Clients may retry at any node, so nodes gossip their queue positions, and each node expects an equal part
 /// of the retries that are due. Without gossip, a node knows only its own queue.
 ///
-/// Active tenants share the rate by weight, and unused share is available to others. A tenant that has used up its share
-/// must leave a reserve for the others, whose new submissions don't wait behind its queue.
+/// Active tenants share the rate by weight, and unused share is available to others. A tenant that has used up its
+/// share must leave a reserve for the others, whose new submissions don't wait behind its queue.
 #[derive(Debug, Clone)]
 pub struct AdmissionGate {
     bucket: TokenBucket,
@@ -46,8 +46,8 @@
 }
 
 impl AdmissionGate {
-    /// Creates a gate that admits `rate` jobs per second. `guaranteed` tells for each tenant, by index, whether it has a
-    /// guarantee; `peers` is the number of other nodes that may share the queue.
+    /// Creates a gate that admits `rate` jobs per second. `guaranteed` tells for each tenant, by index, whether it has
+    /// a guarantee; `peers` is the number of other nodes that may share the queue.
     #[must_use]
     pub fn new(rate: f64, guaranteed: &[bool], peers: usize, now: Micros) -> AdmissionGate {
         AdmissionGate {
--- a/crates/hopyoke-admission/src/rate_share.rs
+++ b/crates/hopyoke-admission/src/rate_share.rs
@@ -42,14 +42,14 @@
 
 /// Computes the changes per second that one node may spend on new work.
 ///
-/// Without any message, the rate is safe whatever the other nodes do: the shares of all nodes plus the maximum demand of
-/// the leader's records stay within the limit. If the leader announces a lower demand, each share grows; a peer that uses
-/// little of its share lends to one that asks.
+/// Without any message, the rate is safe whatever the other nodes do: the shares of all nodes plus the maximum demand
+/// of the leader's records stay within the limit. If the leader announces a lower demand, each share grows; a peer that
+/// uses little of its share lends to one that asks.
 ///
-/// The validity of a loan starts when it was requested at the borrower, but when it was granted, which is later, at the
-/// lender. So messages that are lost, delayed, repeated or reordered never let both spend the same rate. Only the leader's
-/// demand can rise before its peers receive the announcement: for at most `VALIDITY`, all nodes together may then exceed
-/// the limit by up to half of it, and the store refuses the excess.
+/// The borrower counts the validity of a loan from its request, the lender from its answer, which is later. So messages
+/// that are lost, delayed, repeated or reordered never let both spend the same rate. Only the leader's demand can rise
+/// before its peers receive the announcement: for at most `VALIDITY`, all nodes together may then exceed the limit by
+/// up to half of it, and the store refuses the excess.
 #[derive(Debug, Clone)]
 pub struct RateShare {
     limit: SharedLimit,
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Records the changes per second that the leader's records need, as announced in answer to a request that this node
-    /// sent at `sent_at`. Validity counts from `sent_at`, so a delayed answer isn't used beyond it. Ignores values that are
-    /// negative or not finite, and outdated announcements.
+    /// Records the changes per second that the leader's records need, as announced in answer to a request that this
+    /// node sent at `sent_at`, from which its validity counts. Ignores values that are negative or not finite, and
+    /// outdated announcements.
     pub fn write_demand_received(&mut self, write_demand: f64, sent_at: Micros) {
         let expires_at = sent_at + VALIDITY;
         if write_demand.is_finite()
@@ -163,8 +163,8 @@
         rate
     }
 
-    /// Records that a peer granted a loan of `rate` changes per second, in answer to a request sent at `sent_at`. Ignores
-    /// answers to requests that were sent before that of the latest loan.
+    /// Records that a peer granted a loan of `rate` changes per second, in answer to a request sent at `sent_at`.
+    /// Ignores answers to requests that were sent before that of the latest loan.
     pub fn loan_received(&mut self, peer: usize, rate: f64, sent_at: Micros) {
         if let Some(borrowed) = self.borrowed.get_mut(peer)
             && sent_at >= borrowed.requested_at
--- a/crates/hopyoke-admission/src/token_bucket.rs
+++ b/crates/hopyoke-admission/src/token_bucket.rs
@@ -46,7 +46,8 @@
         self.level
     }
 
-    /// Takes `count` tokens if at least `floor` tokens are left afterwards, else returns the time until that is possible.
+    /// Takes `count` tokens if at least `floor` tokens are left afterwards. Otherwise returns the time until that is
+    /// possible.
     pub(crate) fn take(&mut self, count: f64, floor: f64, now: Micros) -> Result<(), Micros> {
         let deficit = self.deficit(count, floor, now);
         if deficit <= 0.0 {
--- a/crates/hopyoke-admission/src/wait_queue.rs
+++ b/crates/hopyoke-admission/src/wait_queue.rs
@@ -54,8 +54,8 @@
         removed.is_some()
     }
 
-    /// Returns how many jobs are ahead of this one, which are all queued jobs if it has no position yet. Returns `None` if
-    /// it has no position and the queue is full.
+    /// Returns how many jobs are ahead of this one: all queued jobs if it has no position yet. Returns `None` if it has
+    /// no position and the queue is full.
     pub(crate) fn ahead_of(&self, job: &JobId) -> Option<usize> {
         match self.position_by_job.get(job) {
             Some(position) => Some(self.entries.range(..position).count()),
