--- a/crates/hopyoke-admission/src/rate_limiter.rs
+++ b/crates/hopyoke-admission/src/rate_limiter.rs
@@ -59,8 +59,8 @@
 
 /// Limits one node to its share of a limit, by priority.
 ///
-/// The shares of all nodes, including bursts, add up to less than the limit, whatever a node knows of the others. So the
-/// service refuses nothing while nodes keep to their shares, and an overloaded node can't use up the capacity that
+/// The shares of all nodes, including bursts, add up to less than the limit, whatever a node knows of the others. So
+/// the service refuses nothing while nodes keep to their shares, and an overloaded node can't use up the capacity that
 /// another node needs for its leases.
 #[derive(Debug, Clone)]
 pub struct RateLimiter {
--- a/crates/hopyoke-event-loop/src/http/server.rs
+++ b/crates/hopyoke-event-loop/src/http/server.rs
@@ -35,8 +35,8 @@
 }
 
 impl OpenConnections {
-    /// Pauses accepting new connections until `time`, so that requests in progress are served first. Replaces an earlier
-    /// pause. New connections meanwhile wait in the operating system's backlog, while it has space.
+    /// Pauses accepting new connections until `time`, so that requests in progress are served first. Replaces an
+    /// earlier pause. New connections meanwhile wait in the operating system's backlog, while it has space.
     pub fn pause_accept_until(&self, time: Micros) {
         self.accept_paused_until.set(time);
     }
@@ -54,8 +54,8 @@
 
 type Handler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, Response>>;
 
-/// Serves connections of `listener` with `handler`, one request at a time per connection. When `cancel` is cancelled, its
-/// connections are closed.
+/// Serves connections of `listener` with `handler`, one request at a time per connection. When `cancel` is cancelled,
+/// its connections are closed.
 pub async fn serve(
     listener: TcpListener,
     limits: ServerLimits,
--- a/crates/hopyoke-event-loop/src/lib.rs
+++ b/crates/hopyoke-event-loop/src/lib.rs
@@ -1,7 +1,7 @@
 //! A single-threaded asynchronous runtime on `mio`, with timers, TCP sockets and HTTP/1.1.
 //!
-//! A spawned future is called a *routine*, as tasks are what the cluster runs. Each connection and each periodic job is a
-//! routine; a [`CancellationToken`] ends one at its next suspension point. There is at most one runtime per thread.
+//! A spawned future is called a *routine*, as tasks are what the cluster runs. Each connection and each periodic job is
+//! a routine; a [`CancellationToken`] ends one at its next suspension point. There is at most one runtime per thread.
 //!
 //! - [`run`], [`spawn`]: the executor, which polls routines that were woken by sockets, timers or other routines.
 //! - [`now`], [`sleep`], [`timeout`]: the monotonic clock and timers; [`unix_time`]: the wall clock.
--- a/crates/hopyoke-event-loop/src/net.rs
+++ b/crates/hopyoke-event-loop/src/net.rs
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Reads into `buf` and returns the number of bytes; 0 means the end of the stream. Registers the waker if no data is
-    /// available.
+    /// Reads into `buf` and returns the number of bytes; 0 means the end of the stream. Registers the waker if no data
+    /// is available.
     ///
     /// # Errors
     /// Returns an operating system error.
--- a/crates/hopyoke-heartbeat/src/batcher.rs
+++ b/crates/hopyoke-heartbeat/src/batcher.rs
@@ -70,8 +70,8 @@
         })
     }
 
-    /// Begins a call. Returns its batch, which is empty if no call is due, and the IDs of heartbeats dropped because they
-    /// were queued for too long. If the batch isn't empty, [`Self::call_ended`] must follow.
+    /// Begins a call. Returns its batch, which is empty if no call is due, and the IDs of heartbeats dropped because
+    /// they were queued for too long. If the batch isn't empty, [`Self::call_ended`] must follow.
     pub fn begin_call(&mut self, now: Micros) -> (Batch, Vec<HeartbeatId>) {
         let mut dropped = Vec::new();
         while let Some(oldest) = self.queue.front()
--- a/crates/hopyoke-heartbeat/src/monitor.rs
+++ b/crates/hopyoke-heartbeat/src/monitor.rs
@@ -6,12 +6,13 @@
 /// Detects that the leader receives no heartbeats although it should, so that it is isolated from its agents and must
 /// step down. The timeout depends on the number of machines.
 ///
-/// Each agent sends a heartbeat every `heartbeat_interval`, with a jitter of a quarter. Once many agents have discovered
-/// the leader, one and a half intervals without any heartbeat mean isolation; with few agents, it may be chance. After a
-/// failover, agents first have to discover the new leader: each tries one node after the other, with a response timeout
-/// for each node that is down. An agent that answers pushed commands meanwhile shows that the leader isn't isolated, so
-/// the leader then waits for discovery. Only time during which this process ran and held a valid lease counts: after a
-/// stall, the heartbeats of that time are still in socket buffers, so their absence says nothing about the agents.
+/// Each agent sends a heartbeat every `heartbeat_interval`, with a jitter of a quarter. Once many agents have
+/// discovered the leader, one and a half intervals without any heartbeat mean isolation; with few agents, it may be
+/// chance. After a failover, agents first have to discover the new leader: each tries one node after the other, with a
+/// response timeout for each node that is down. An agent that answers pushed commands meanwhile shows that the leader
+/// isn't isolated, so the leader then waits for discovery. Only time during which this process ran and held a valid
+/// lease counts: after a stall, the heartbeats of that time are still in socket buffers, so their absence says nothing
+/// about the agents.
 ///
 /// Guards against a leader that steps down on resuming from a stall, against machine leases that expire while an
 /// overloaded leader waits, and against a new leader that steps down before agents have tried the nodes that are down.
@@ -70,8 +71,8 @@
         self.command_answered = true;
     }
 
-    /// Returns whether the leader is isolated: no heartbeat arrives although this number of `machines` should send them.
-    /// Must be called several times a second.
+    /// Returns whether the leader is isolated: no heartbeat arrives although this number of `machines` should send
+    /// them. Must be called several times a second.
     pub fn is_isolated(&mut self, machines: usize, lease_is_valid: bool, now: Micros) -> bool {
         let elapsed = now - self.last_check_at;
         self.last_check_at = self.last_check_at.max(now);
--- a/crates/hopyoke-heartbeat/src/routes.rs
+++ b/crates/hopyoke-heartbeat/src/routes.rs
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Decides whether this node offloads, and returns the load to announce. `open` of `max_open` connections are in use.
+    /// Decides whether this node offloads, and returns the load to announce. `open` of `max_open` connections are in
+    /// use.
     pub fn update_own_load(
         &mut self,
         leads: bool,
