--- a/crates/hopyoke-cwl/benches/documents.rs
+++ b/crates/hopyoke-cwl/benches/documents.rs
@@ -1,7 +1,7 @@
-//! What reading and expanding documents costs.
+//! Benchmarks for reading, checking and expanding documents.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use hopyoke_cwl::{Faults, Options, expand, open, yaml};
+use hopyoke_cwl::{Diagnostics, Options, expand, open, yaml};
 use hopyoke_workflow::RunId;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,7 +9,7 @@
 const TOOL: &str = "{class: CommandLineTool, baseCommand: convert, inputs: {page: {type: File, inputBinding: {}}, \
                     level: int?}, outputs: {out: {type: File, outputBinding: {glob: $(inputs.page.nameroot).json}}}}";
 
-/// A chain of `steps`, or one step scattered over `wide`.
+/// Returns a workflow that is a chain of `steps` steps or, if `wide`, one scattered step.
 fn document(steps: usize, wide: bool) -> String {
     let mut text = String::from(
         "cwlVersion: v1.2\nclass: Workflow\nrequirements: {ScatterFeatureRequirement: {}, \
@@ -48,7 +48,7 @@
         for i in 0..pages {
             let _ = writeln!(job, "- {{class: File, location: p{i}.csv}}");
         }
-        let inputs = yaml::parse(&job, 0, &mut 0, &mut Faults::default()).expect("inputs");
+        let inputs = yaml::parse(&job, 0, &mut 0, &mut Diagnostics::default()).expect("inputs");
         c.bench_function(&format!("read and check {name}"), |b| {
             b.iter(|| open(&files, "main.cwl").expect("sound"))
         });
@@ -59,7 +59,7 @@
                     team: Some("crew".into()),
                     ..Options::new(RunId::new(1).expect("in range"))
                 };
-                expand(&process, &inputs, &options, &mut Faults::default()).expect("sound")
+                expand(&process, &inputs, &options, &mut Diagnostics::default()).expect("sound")
             })
         });
     }
--- a/crates/hopyoke-emulator/src/kv_store.rs
+++ b/crates/hopyoke-emulator/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! The key-value store: revisions, transactions, leases and watches.
+//! Emulated key-value store with revisions, transactions, leases and watches.
 
 use crate::server::{Query, serve, target};
 use hopyoke_event_loop::http::{Method, Request, Response};
@@ -20,7 +20,7 @@
     lease: Option<u64>,
 }
 
-/// One change of the log.
+/// An entry of the change log.
 struct Change {
     revision: u64,
     key: String,
@@ -37,42 +37,42 @@
     keys: BTreeMap<String, Entry>,
     revision: u64,
     log: VecDeque<Change>,
-    /// How many changes the log keeps, if not [`LOG_LENGTH`].
+    /// Maximum length of the log; [`LOG_LENGTH`] if `None`.
     log_length: Option<usize>,
-    /// The latest revision of which a change is no longer in the log.
+    /// Latest revision with a change that is no longer in the log.
     compacted_revision: u64,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
     watchers: Vec<Waker>,
 }
 
-/// Latency that a request gets in addition to its own.
+/// Latency added to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct InjectedLatency {
-    /// Before it is carried out.
+    /// Delay before the request is executed.
     pub before: Micros,
-    /// After that, before it is answered.
+    /// Delay between execution and response.
     pub after: Micros,
 }
 
-/// Which latency a request gets.
+/// Function that determines the latency of a request.
 pub type LatencyRule = Box<dyn Fn(&Request) -> InjectedLatency>;
 
 /// A key-value store on loopback.
 #[derive(Default)]
 pub struct KvStore {
     inner: RefCell<Inner>,
-    /// Answers everything with 503.
+    /// While set, all requests are answered with 503.
     is_down: Cell<bool>,
-    /// Slows requests down, if set.
+    /// Latency injected into requests, if set.
     pub latency: RefCell<Option<LatencyRule>>,
-    /// Requests so far.
+    /// Number of requests received.
     pub request_count: Cell<u64>,
-    /// Mutations so far, those of failed transactions too, as the protocol counts them.
+    /// Number of mutations received, including those of failed transactions, as the protocol counts them.
     pub mutation_count: Cell<u64>,
-    /// Watches refused (410) because the log no longer has the changes since.
+    /// Number of watches rejected with 410 because their start revision is compacted.
     pub refused_watches: Cell<u64>,
-    /// Bytes of values written, by the first part of the key.
+    /// Bytes of values written, by first segment of the key.
     pub written_bytes: RefCell<BTreeMap<String, u64>>,
 }
 
@@ -108,22 +108,22 @@
     ttl_ms: u64,
 }
 
-/// Changes that the log keeps unless told otherwise.
+/// Default length of the change log.
 const LOG_LENGTH: usize = 10_000;
-/// The largest value, as JSON.
+/// Maximum size of a value as JSON.
 const MAX_VALUE_BYTES: usize = 8 * 1024;
 const MAX_MUTATIONS: usize = 16;
 const MAX_COMPARES: usize = 64;
-/// Keys on one page of a list.
+/// Maximum number of keys per page of a list.
 const MAX_LIST: usize = 1000;
 const MAX_WATCH_MS: u64 = 60_000;
 const LEASE_CHECK_INTERVAL: Micros = Micros::from_millis(20);
 
 impl KvStore {
-    /// Starts a store, which ends with `cancel`, and its address.
+    /// Starts a store, which stops when `cancel` is cancelled, and returns it with its address.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// Returns an error if it cannot listen.
     pub(crate) fn start(cancel: &CancellationToken) -> io::Result<(Rc<KvStore>, SocketAddr)> {
         let store = Rc::new(KvStore::default());
         let serving = store.clone();
@@ -153,17 +153,17 @@
         Ok((store, addr))
     }
 
-    /// A key's value.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<Value> {
         self.inner.borrow().keys.get(key).map(|e| e.value.clone())
     }
 
-    /// Keeps only so many of the latest changes from now on, so that watches are refused sooner.
+    /// Limits the change log to the latest `changes` entries, so that watches are rejected sooner.
     pub fn set_log_length(&self, changes: usize) {
         self.inner.borrow_mut().log_length = Some(changes);
     }
 
-    /// Writes a value of any size, whatever the key's revision.
+    /// Writes a value unconditionally, without a size limit.
     pub fn put(&self, key: &str, value: Value) {
         let mut inner = self.inner.borrow_mut();
         inner.revision += 1;
@@ -171,7 +171,7 @@
         inner.wake_watchers();
     }
 
-    /// The keys under a prefix, in their order.
+    /// Returns the keys with a prefix in ascending order.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let inner = self.inner.borrow();
         inner
@@ -182,7 +182,7 @@
             .collect()
     }
 
-    /// Begins or ends an outage. After one, every lease has its full time again.
+    /// Starts or ends an outage. All leases are renewed for their full time to live.
     pub fn set_down(&self, is_down: bool) {
         self.is_down.set(is_down);
         let now = runtime::now();
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Ends the lease that a key is on, as if it had expired.
+    /// Ends the lease to which a key is attached, as if it had expired.
     pub fn expire_lease_of(&self, key: &str) {
         let lease = self.inner.borrow().keys.get(key).and_then(|e| e.lease);
         if let Some(lease) = lease {
@@ -235,7 +235,7 @@
     async fn handle(&self, request: Request) -> Response {
         self.request_count.set(self.request_count.get() + 1);
         if self.is_down.get() {
-            return Response::of(503, &json!({ "error": "trouble" }));
+            return Response::msgpack(503, &json!({ "error": "trouble" }));
         }
         let (path, query) = target(&request.path);
         let parts: Vec<&str> = path.trim_start_matches('/').splitn(2, '/').collect();
@@ -247,7 +247,7 @@
             (Method::Post, ["holds", rest]) => self.renew_lease(rest),
             (Method::Delete, ["holds", id]) => id.parse().map_or(Response::empty(400), |lease| {
                 self.end_lease(lease);
-                Response::of(200, &json!({}))
+                Response::msgpack(200, &json!({}))
             }),
             (Method::Get, ["changes"]) => self.watch(&query).await,
             _ => Response::empty(404),
@@ -257,11 +257,11 @@
     fn read(&self, key: &str) -> Response {
         let inner = self.inner.borrow();
         match inner.keys.get(key) {
-            Some(e) => Response::of(
+            Some(e) => Response::msgpack(
                 200,
                 &json!({ "key": key, "v": e.value, "mark": e.mod_revision, "tether": e.lease }),
             ),
-            None => Response::of(404, &json!({ "tide": inner.revision })),
+            None => Response::msgpack(404, &json!({ "tide": inner.revision })),
         }
     }
 
@@ -280,7 +280,7 @@
             .map(|(k, e)| json!({ "key": k, "v": e.value, "mark": e.mod_revision, "tether": e.lease }))
             .collect();
         let more = after.next().is_some();
-        Response::of(
+        Response::msgpack(
             200,
             &json!({ "pairs": pairs, "more": more, "tide": inner.revision }),
         )
@@ -302,14 +302,14 @@
             .map(|c| &c.key)
             .collect();
         if !failed.is_empty() {
-            return Response::of(409, &json!({ "failed": failed, "tide": inner.revision }));
+            return Response::msgpack(409, &json!({ "failed": failed, "tide": inner.revision }));
         }
         let lease_is_gone = |id: &u64| !inner.leases.contains_key(id);
         if mutations
             .iter()
             .any(|m| m.lease.as_ref().is_some_and(lease_is_gone))
         {
-            return Response::of(400, &json!({ "error": "no such lease" }));
+            return Response::msgpack(400, &json!({ "error": "no such lease" }));
         }
         if mutations
             .iter()
@@ -317,7 +317,7 @@
             || mutations.len() > MAX_MUTATIONS
             || transaction.compares.len() > MAX_COMPARES
         {
-            return Response::of(400, &json!({ "error": "over the limits" }));
+            return Response::msgpack(400, &json!({ "error": "over the limits" }));
         }
         inner.revision += 1;
         for m in mutations {
@@ -331,7 +331,7 @@
             }
         }
         inner.wake_watchers();
-        Response::of(200, &json!({ "tide": inner.revision }))
+        Response::msgpack(200, &json!({ "tide": inner.revision }))
     }
 
     fn grant_lease(&self, body: &[u8]) -> Response {
@@ -344,7 +344,7 @@
         let id = inner.last_lease;
         let expires_at = runtime::now() + ttl;
         inner.leases.insert(id, Lease { expires_at, ttl });
-        Response::of(200, &json!({ "tether": id }))
+        Response::msgpack(200, &json!({ "tether": id }))
     }
 
     fn renew_lease(&self, rest: &str) -> Response {
@@ -355,7 +355,7 @@
         match id.and_then(|id| inner.leases.get_mut(&id)) {
             Some(lease) => {
                 lease.expires_at = runtime::now() + lease.ttl;
-                Response::of(200, &json!({}))
+                Response::msgpack(200, &json!({}))
             }
             None => Response::empty(404),
         }
@@ -375,7 +375,10 @@
                 }
                 let events = inner.events(prefix, since);
                 if !events.is_empty() || runtime::now() >= deadline {
-                    return Response::of(200, &json!({ "tide": inner.revision, "events": events }));
+                    return Response::msgpack(
+                        200,
+                        &json!({ "tide": inner.revision, "events": events }),
+                    );
                 }
                 inner.revision
             };
@@ -397,9 +400,9 @@
 }
 
 impl Inner {
-    /// Changes under a prefix after a revision, oldest first.
+    /// Returns the changes under a prefix after a revision, oldest first.
     fn events(&self, prefix: &str, since: u64) -> Vec<Value> {
-        // Newest first, so that a watch visits no more than what is new.
+        // Iterates from the newest change, so that a watch visits new changes only.
         let new = self.log.iter().rev().take_while(|c| c.revision > since);
         let mut events: Vec<Value> = new
             .filter(|c| c.key.starts_with(prefix))
@@ -413,7 +416,7 @@
             })
             .collect();
         events.reverse();
-        // A value overwritten since then is reported by its later event alone.
+        // A value that has been overwritten since is reported by its latest event only.
         events.retain(|e| {
             let deleted = e["drop"].as_str().unwrap_or("");
             deleted.is_empty() || !self.keys.contains_key(deleted)
--- a/crates/hopyoke-scheduler/src/persist/registry.rs
+++ b/crates/hopyoke-scheduler/src/persist/registry.rs
@@ -36,7 +36,7 @@
 }
 
 impl MachineRegistry {
-    /// Loads a stored page and returns its machines. `None` stands for a page that can't be decoded.
+    /// Loads a stored page and returns its machines. `None` is a page that can't be decoded.
     pub(crate) fn load_page(
         &mut self,
         key: String,
@@ -93,7 +93,7 @@
         std::mem::take(&mut self.pending)
     }
 
-    /// Adds a machine to a page of its type, zone and kind with room for it, or to a new page.
+    /// Adds a machine to a page of its type, zone and kind with enough free space, or to a new page.
     ///
     /// `kind` is (type, zone, spot); `value_bytes` is the largest value that the store accepts.
     pub(crate) fn add(
@@ -104,12 +104,13 @@
         value_bytes: usize,
         new_key: impl FnOnce() -> String,
     ) {
-        let of_kind = |c: &RegistryPage| (c.machine_type.as_str(), c.zone.as_str(), c.spot) == kind;
-        let room = |p: &&mut Page| {
-            of_kind(&p.content)
+        let is_of_kind =
+            |c: &RegistryPage| (c.machine_type.as_str(), c.zone.as_str(), c.spot) == kind;
+        let has_capacity = |p: &&mut Page| {
+            is_of_kind(&p.content)
                 && p.content.bytes() + id.as_str().len() + ADDRESS_BYTES < value_bytes
         };
-        let found = self.pages.iter_mut().find(|(_, p)| room(p));
+        let found = self.pages.iter_mut().find(|(_, p)| has_capacity(p));
         let key = match found {
             Some((key, page)) => {
                 page.content.machines.insert(id.clone(), address);
@@ -167,18 +168,18 @@
                 .any(|p| p.removals_pending && !p.write_in_flight)
     }
 
-    /// Returns the next write: of a page with additions or, if `removals` is set, of one with removals or
-    /// a delete. A page without machines is deleted.
-    pub(crate) fn next_write(&mut self, removals: bool) -> Option<Write> {
+    /// Returns the next write: of a page with additions or, if `include_removals` is set, of one with removals
+    /// or a delete. A page without machines is deleted.
+    pub(crate) fn next_write(&mut self, include_removals: bool) -> Option<Write> {
         // A page is deleted only once its machines are stored on other pages, or in the same batch.
-        if removals
+        if include_removals
             && !self.pages.values().any(|p| p.additions_pending)
             && let Some(key) = self.pending_deletes.pop()
         {
             return Some(Write::DeletePage { key });
         }
         let due = |p: &&mut Page| {
-            !p.write_in_flight && (p.additions_pending || (removals && p.removals_pending))
+            !p.write_in_flight && (p.additions_pending || (include_removals && p.removals_pending))
         };
         let (key, page) = self.pages.iter_mut().find(|(_, p)| due(p))?;
         page.write_in_flight = true;
--- a/crates/hopyoke-simulator/src/agent/heartbeats.rs
+++ b/crates/hopyoke-simulator/src/agent/heartbeats.rs
@@ -1,15 +1,15 @@
-//! Heartbeats of agents, their responses and pushed commands, and the agent's lease.
+//! Heartbeats of agents, responses to them, pushed commands, and the lease of an agent.
 
-use super::Answer;
+use super::HeartbeatResult;
 use crate::{Host, Simulation};
 use hopyoke_protocol::worker::{Command, Heartbeat};
 use hopyoke_types::{Attempt, FencingToken, MachineId, Micros, TaskId};
 
-/// A heartbeat without a response within this has failed.
+/// Time after which an unanswered heartbeat counts as failed.
 const HEARTBEAT_TIMEOUT: Micros = Micros::from_secs(4);
 
 impl Simulation {
-    /// A machine is up: its agent starts.
+    /// Starts the agent of a machine that has booted.
     pub(crate) fn boot(&mut self, id: &MachineId) {
         let nodes = self.nodes.len() as u64;
         let node = self.random(0, nodes - 1) as usize;
@@ -25,47 +25,48 @@
         self.run_heartbeat_timer(&id);
     }
 
-    /// Sends heartbeats at intervals that vary by a quarter.
+    /// Sends heartbeats periodically, with a jitter of 25 % of the interval.
     fn run_heartbeat_timer(&mut self, id: &MachineId) {
         let base = self.config.heartbeat_interval.0;
-        let wait = Micros(self.random(base * 3 / 4, base * 5 / 4));
+        let interval = Micros(self.random(base * 3 / 4, base * 5 / 4));
         let m = id.clone();
-        self.after(wait, move |w| {
-            if w.machines.contains_key(&m) {
-                w.send_heartbeat(&m);
-                w.run_heartbeat_timer(&m);
+        self.after(interval, move |sim| {
+            if sim.machines.contains_key(&m) {
+                sim.send_heartbeat(&m);
+                sim.run_heartbeat_timer(&m);
             }
         });
         let m = id.clone();
-        self.lease_check(&m);
+        self.check_agent_lease(&m);
     }
 
-    /// Kills all tasks when the last answered heartbeat was sent too long ago: the epoch ends.
-    fn lease_check(&mut self, id: &MachineId) {
+    /// Ends the epoch and kills all tasks once the lease has expired. The lease runs from the sending of the last
+    /// answered heartbeat, by the agent's own clock.
+    fn check_agent_lease(&mut self, id: &MachineId) {
         let lease = self.config.lease;
         let now = self.now;
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        let limit = Micros((lease.0 as f64 * (1.0 + m.drift)) as u64);
+        let limit = Micros((lease.0 as f64 * (1.0 + m.clock_drift)) as u64);
         if now > m.lease_started_at + limit {
             m.epoch += 1;
             self.expired_epochs += 1;
             m.lease_started_at = now;
             m.in_flight = None;
-            let gone: Vec<(TaskId, Attempt)> = std::mem::take(&mut m.tasks).into_keys().collect();
-            self.log(|| format!("{id} session over, {} tasks killed", gone.len()));
-            for (t, a) in gone {
-                self.gang_lost(&t.job, a);
+            let killed: Vec<(TaskId, Attempt)> = std::mem::take(&mut m.tasks).into_keys().collect();
+            self.log(|| format!("{id} lease expired, {} tasks killed", killed.len()));
+            for (t, a) in killed {
+                self.end_gang_on_member_loss(&t.job, a);
             }
         } else {
             let at = m.lease_started_at + limit + Micros(1);
             let id = id.clone();
-            self.at(at, move |w| w.lease_check(&id));
+            self.at(at, move |sim| sim.check_agent_lease(&id));
         }
     }
 
-    /// Sends a heartbeat because something has changed, at least half a second after the last.
+    /// Schedules a heartbeat that reports a change, at least half a second after the previous heartbeat.
     pub(crate) fn schedule_heartbeat(&mut self, id: &MachineId) {
         let now = self.now;
         let Some(m) = self.machines.get_mut(id) else {
@@ -76,19 +77,19 @@
         }
         let at = now.max(m.last_heartbeat_at + Micros::from_millis(500));
         let id = id.clone();
-        self.at(at, move |w| {
-            if let Some(m) = w.machines.get_mut(&id) {
+        self.at(at, move |sim| {
+            if let Some(m) = sim.machines.get_mut(&id) {
                 m.heartbeat_scheduled = false;
-                w.send_heartbeat(&id);
+                sim.send_heartbeat(&id);
             }
         });
     }
 
-    /// Sends a heartbeat, unless one is in flight.
+    /// Sends a heartbeat unless one is in flight. A machine that hangs sends it when it resumes.
     fn send_heartbeat(&mut self, id: &MachineId) {
         if let Some(t) = self.paused_until(id) {
             let m = id.clone();
-            return self.at(t, move |w| w.send_heartbeat(&m));
+            return self.at(t, move |sim| sim.send_heartbeat(&m));
         }
         let now = self.now;
         let Some(m) = self.machines.get_mut(id) else {
@@ -97,9 +98,9 @@
         if !m.up || m.in_flight.is_some() {
             return;
         }
-        let heartbeat = m.heartbeat(now);
-        let (number, epoch) = (m.sequence, m.epoch);
-        m.in_flight = Some(number);
+        let heartbeat = m.next_heartbeat(now);
+        let (sequence, epoch) = (m.sequence, m.epoch);
+        m.in_flight = Some(sequence);
         m.last_heartbeat_at = now;
         let is_outbound_lost = now < m.outbound_lost_until;
         let node = m.node;
@@ -109,29 +110,29 @@
             .get(id)
             .is_some_and(|t| now < *t)
         {
-            return self.after(Micros::from_millis(1), move |w| {
-                w.receive_heartbeat_response(&machine, epoch, number, now, Some(Err(None)));
+            return self.after(Micros::from_millis(1), move |sim| {
+                sim.receive_heartbeat_response(&machine, epoch, sequence, now, Some(Err(None)));
             });
         }
         if !is_outbound_lost {
             self.transmit_heartbeat(node, heartbeat);
         }
-        self.after(HEARTBEAT_TIMEOUT, move |w| {
-            w.receive_heartbeat_response(&machine, epoch, number, now, None);
+        self.after(HEARTBEAT_TIMEOUT, move |sim| {
+            sim.receive_heartbeat_response(&machine, epoch, sequence, now, None);
         });
     }
 
-    /// Sends a heartbeat to a node; faults may repeat it, or hold it for the next leader.
+    /// Sends a heartbeat to a node. Injected faults may duplicate it or hold it back for the next leader.
     fn transmit_heartbeat(&mut self, node: usize, heartbeat: Heartbeat) {
-        let number = heartbeat.sequence;
+        let sequence = heartbeat.sequence;
         if self.draws_fault(self.duplicated_heartbeats) {
-            // A copy arrives again, up to well over a lease later.
+            // The duplicate may arrive after the lease has expired.
             let copy = heartbeat.clone();
-            let span = Micros(self.random(2_000_000, self.config.lease.0 * 8 / 5));
-            self.after(span, move |w| {
-                let from = w.agent_host(&copy.machine);
-                w.send(from, Host::Node(node), move |w| {
-                    w.node_heartbeat(node, copy, number, true)
+            let delay = Micros(self.random(2_000_000, self.config.lease.0 * 8 / 5));
+            self.after(delay, move |sim| {
+                let from = sim.agent_host(&copy.machine);
+                sim.send(from, Host::Node(node), move |sim| {
+                    sim.node_heartbeat(node, copy, sequence, true)
                 });
             });
         }
@@ -142,40 +143,40 @@
             self.heartbeats_for_next_leader.kept.push(heartbeat);
         } else {
             let from = self.agent_host(&heartbeat.machine);
-            self.send(from, Host::Node(node), move |w| {
-                w.node_heartbeat(node, heartbeat, number, false)
+            self.send(from, Host::Node(node), move |sim| {
+                sim.node_heartbeat(node, heartbeat, sequence, false)
             });
         }
     }
 
-    /// A new leader begins: heartbeats that were held for it reach every node, out of order.
+    /// Delivers the heartbeats that were held back for a new leader to every node, out of order.
     pub(crate) fn deliver_heartbeats_held_for_leader(&mut self) {
         for heartbeat in std::mem::take(&mut self.heartbeats_for_next_leader.kept) {
             for node in 0..self.nodes.len() {
                 let (heartbeat, sequence) = (heartbeat.clone(), heartbeat.sequence);
-                self.after(self.heartbeats_for_next_leader.after, move |w| {
-                    let from = w.agent_host(&heartbeat.machine);
-                    w.send(from, Host::Node(node), move |w| {
-                        w.node_heartbeat(node, heartbeat, sequence, true)
+                self.after(self.heartbeats_for_next_leader.after, move |sim| {
+                    let from = sim.agent_host(&heartbeat.machine);
+                    sim.send(from, Host::Node(node), move |sim| {
+                        sim.node_heartbeat(node, heartbeat, sequence, true)
                     });
                 });
             }
         }
     }
 
-    /// A response to a heartbeat, or its absence (`None`).
+    /// Handles the response to a heartbeat that was sent at `sent`. `None` means that it timed out.
     pub(crate) fn receive_heartbeat_response(
         &mut self,
         id: &MachineId,
         epoch: u64,
-        number: u64,
+        sequence: u64,
         sent: Micros,
-        answer: Option<Answer>,
+        response: Option<HeartbeatResult>,
     ) {
         if let Some(t) = self.paused_until(id) {
             let id = id.clone();
-            return self.at(t, move |w| {
-                w.receive_heartbeat_response(&id, epoch, number, sent, answer)
+            return self.at(t, move |sim| {
+                sim.receive_heartbeat_response(&id, epoch, sequence, sent, response)
             });
         }
         let nodes = self.nodes.len();
@@ -183,52 +184,53 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        if now < m.responses_lost_until && answer.is_some() {
+        if now < m.responses_lost_until && response.is_some() {
             return;
         }
-        if now < m.responses_held_until && answer.is_some() {
+        if now < m.responses_held_until && response.is_some() {
             let (id, until) = (id.clone(), m.responses_held_until);
-            return self.at(until, move |w| {
-                w.receive_heartbeat_response(&id, epoch, number, sent, answer)
+            return self.at(until, move |sim| {
+                sim.receive_heartbeat_response(&id, epoch, sequence, sent, response)
             });
         }
-        if m.in_flight != Some(number) || m.epoch != epoch {
+        if m.in_flight != Some(sequence) || m.epoch != epoch {
             return;
         }
-        if now > sent + HEARTBEAT_TIMEOUT && answer.is_some() {
+        if now > sent + HEARTBEAT_TIMEOUT && response.is_some() {
             return;
         }
         m.in_flight = None;
-        match answer {
+        match response {
             Some(Ok((token, commands))) => {
                 self.digest_heartbeat_response(token, &commands);
                 let Some(m) = self.machines.get_mut(id) else {
                     return;
                 };
                 if token >= m.token {
-                    let higher = token > m.token;
+                    let is_new_leader = token > m.token;
                     m.token = token;
                     m.lease_started_at = sent;
-                    if higher {
+                    if is_new_leader {
                         self.schedule_heartbeat(id);
                     }
-                    self.execute(id, commands);
+                    self.execute_commands(id, commands);
                 }
             }
-            Some(Err(Some(to))) if to != m.node => {
-                m.node = to;
+            Some(Err(Some(redirect))) if redirect != m.node => {
+                m.node = redirect;
                 let id = id.clone();
-                self.after(Micros::from_millis(100), move |w| w.send_heartbeat(&id));
+                self.after(Micros::from_millis(100), move |sim| sim.send_heartbeat(&id));
             }
             _ => {
                 m.node = (m.node + 1) % nodes;
                 let id = id.clone();
-                self.after(Micros::from_secs(1), move |w| w.send_heartbeat(&id));
+                self.after(Micros::from_secs(1), move |sim| sim.send_heartbeat(&id));
             }
         }
     }
 
-    /// Commands that a leader pushed to an agent; `None`: the machine is gone or its response is lost.
+    /// Handles commands that a leader pushed to an agent. Returns whether they were accepted and the agent's next
+    /// heartbeat. Returns `None` if the machine no longer exists or its response is lost.
     pub(crate) fn receive_pushed_commands(
         &mut self,
         id: &MachineId,
@@ -242,12 +244,12 @@
             .machines
             .get_mut(id)
             .filter(|m| now >= m.responses_lost_until)?;
-        let ok = token >= m.token && epoch == m.epoch;
-        if ok {
+        let is_accepted = token >= m.token && epoch == m.epoch;
+        if is_accepted {
             m.token = token;
-            self.execute(id, commands);
+            self.execute_commands(id, commands);
         }
         let m = self.machines.get_mut(id)?;
-        Some((ok, m.heartbeat(now)))
+        Some((is_accepted, m.next_heartbeat(now)))
     }
 }
--- a/crates/hopyoke-simulator/src/event_queue.rs
+++ b/crates/hopyoke-simulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of events in virtual time.
+//! Event queue of the simulation, ordered by virtual time.
 
 use crate::Simulation;
 use crate::digest::Channel;
@@ -6,22 +6,22 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// How long invariants of the whole cluster go unchecked where they aren't checked after each event.
+/// Interval between checks of the cluster-wide invariants if they aren't checked after each event.
 const CHECK_INTERVAL: Micros = Micros::from_millis(250);
 
-/// What an event does to the simulation.
+/// Effect of an event on the simulation.
 type EventHandler = Box<dyn FnOnce(&mut Simulation)>;
 
-/// An event and when it is due; events of the same time run in the order in which they were scheduled.
+/// An event with its due time. Events with equal due times run in the order in which they were scheduled.
 struct ScheduledEvent {
     due_at: Micros,
-    number: u64,
+    sequence: u64,
     handler: EventHandler,
 }
 
 impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &ScheduledEvent) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
@@ -35,29 +35,29 @@
 
 impl Ord for ScheduledEvent {
     fn cmp(&self, other: &ScheduledEvent) -> Ordering {
-        (self.due_at, self.number).cmp(&(other.due_at, other.number))
+        (self.due_at, self.sequence).cmp(&(other.due_at, other.sequence))
     }
 }
 
-/// Events that are still to come, the next one first.
+/// Priority queue of pending events, earliest first.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     events: BinaryHeap<Reverse<ScheduledEvent>>,
-    last_number: u64,
+    last_sequence: u64,
 }
 
 impl EventQueue {
     /// Adds an event.
     fn push(&mut self, due_at: Micros, handler: EventHandler) {
-        self.last_number += 1;
+        self.last_sequence += 1;
         self.events.push(Reverse(ScheduledEvent {
             due_at,
-            number: self.last_number,
+            sequence: self.last_sequence,
             handler,
         }));
     }
 
-    /// Takes the next event that is due at `end` or before.
+    /// Removes and returns the next event that is due by `end`. Returns `None` if there is none.
     fn pop_due(&mut self, end: Micros) -> Option<ScheduledEvent> {
         if self.events.peek()?.0.due_at > end {
             return None;
@@ -67,18 +67,18 @@
 }
 
 impl Simulation {
-    /// Schedules an event at a virtual time; now, if that is past.
+    /// Schedules an event at a virtual time, or now if that time has passed.
     pub fn at(&mut self, t: Micros, handler: impl FnOnce(&mut Simulation) + 'static) {
         let due_at = t.max(self.now);
         self.events.push(due_at, Box::new(handler));
     }
 
-    /// Schedules an event after a span of virtual time.
-    pub fn after(&mut self, span: Micros, handler: impl FnOnce(&mut Simulation) + 'static) {
-        self.at(self.now + span, handler);
+    /// Schedules an event after a delay in virtual time.
+    pub fn after(&mut self, delay: Micros, handler: impl FnOnce(&mut Simulation) + 'static) {
+        self.at(self.now + delay, handler);
     }
 
-    /// Runs the events that are due until `end`, and checks the invariants. Stops at the first violation.
+    /// Runs the events that are due by `end` and checks the invariants. Stops at the first violation.
     pub fn run_until(&mut self, end: Micros) {
         while let Some(event) = self.events.pop_due(end) {
             self.now = event.due_at;
--- a/crates/hopyoke-simulator/src/invariants/schedulable.rs
+++ b/crates/hopyoke-simulator/src/invariants/schedulable.rs
@@ -1,4 +1,4 @@
-//! No job waits long though it could run.
+//! Check that no job waits long although it could run.
 
 use crate::agent::Agent;
 use crate::{JobGroundTruth, Simulation};
@@ -8,28 +8,28 @@
 use hopyoke_types::{JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Once all faults are over, no job may wait for so long though it could run.
+/// Longest time for which a job that could run may wait once all faults are over.
 const MAX_SCHEDULABLE_WAIT: Micros = Micros::from_secs(90);
 
-/// A heartbeat holds so many attempts that no node puts more on the machine.
+/// Maximum number of attempts on a machine. Nodes place no more, as a heartbeat could not hold them.
 const MAX_ATTEMPTS_PER_HEARTBEAT: usize = 500;
 
-/// Free resources of a machine on which tasks can start.
+/// A machine on which tasks can start, with its free resources.
 struct FreeMachine {
-    kind: String,
+    machine_type: String,
     zone: String,
     spot: bool,
     free: Resources,
 }
 
-/// Tasks of a job that hold resources.
+/// Tasks of a job that hold resources, and their number by zone.
 #[derive(Default)]
 struct Allocated {
     tasks: BTreeSet<u32>,
     zones: BTreeMap<String, u32>,
 }
 
-/// What is allocated and free by what is true.
+/// True allocation of resources to jobs and teams, and free machines.
 #[derive(Default)]
 struct Usage {
     jobs: BTreeMap<JobId, Allocated>,
@@ -38,9 +38,9 @@
 }
 
 impl Simulation {
-    /// Guards `waits`: once all faults are over no job waits long while it could run by what is true: on a machine
-    /// that fits, is up and sound, and within its team's quota. A job could run of which no task holds resources, a
-    /// service of which any task lacks them.
+    /// Guards the invariant `waits`: once all faults are over no job waits long while, by the ground truth, it could
+    /// run on healthy machines with enough free resources and within its team's quota. A job waits while none of its
+    /// tasks holds resources, a service while any of its tasks does not.
     pub(super) fn check_schedulable_jobs(&mut self) {
         let now = self.now;
         if now < self.faults_end_at {
@@ -62,47 +62,47 @@
                 );
             }
         }
-        let late = schedulable_since
+        let overdue = schedulable_since
             .iter()
             .find(|(_, since)| now > **since + MAX_SCHEDULABLE_WAIT)
             .map(|(id, _)| id.clone());
         self.schedulable_since = schedulable_since;
-        if let Some(id) = late {
-            let why = self.leading_scheduler().map_or("no leader", |c| {
-                c.jobs.get(&id).map_or("unknown", |j| {
+        if let Some(id) = overdue {
+            let wait_reason = self.leader_scheduler().map_or("no leader", |scheduler| {
+                scheduler.jobs.get(&id).map_or("unknown", |j| {
                     j.wait_reason
                         .map_or("", hopyoke_scheduler::WaitReason::as_str)
                 })
             });
             self.record_violation(
                 "waits",
-                format!("{id} could have begun for {MAX_SCHEDULABLE_WAIT:?} ({why})"),
+                format!("{id} could run but has waited over {MAX_SCHEDULABLE_WAIT:?}, reported reason: {wait_reason:?}"),
             );
         }
     }
 
-    /// What is allocated and free now.
+    /// Returns the current allocation and the free machines.
     fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         for m in self.machines.values() {
-            let mut free = Resources::of_machine_type(&self.machine_type(&m.kind));
+            let mut free = Resources::of_machine_type(&self.machine_type(&m.machine_type));
             for ((task, _), _) in m.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended) {
                 let spec = &self.jobs[&task.job].spec;
-                let takes = Resources::of_task(spec);
-                free = free - takes;
+                let required = Resources::of_task(spec);
+                free = free - required;
                 let team = usage.teams.entry(spec.team.clone()).or_default();
-                *team = *team + takes;
+                *team = *team + required;
                 let allocated = usage.jobs.entry(task.job.clone()).or_default();
                 allocated.tasks.insert(task.index);
                 *allocated.zones.entry(m.zone.clone()).or_default() += 1;
             }
-            if is_sound(m, self.now)
+            if is_healthy(m, self.now)
                 && m.preemption_at.is_none()
                 && m.tasks.len() < MAX_ATTEMPTS_PER_HEARTBEAT
                 && free.cpus > 0.0
             {
                 usage.free.push(FreeMachine {
-                    kind: m.kind.clone(),
+                    machine_type: m.machine_type.clone(),
                     zone: m.zone.clone(),
                     spot: m.spot,
                     free,
@@ -112,44 +112,45 @@
         usage
     }
 
-    /// One more task of a job, or all of a gang's, could begin.
+    /// Returns whether one more task of a job, or all tasks of a gang, could start.
     fn could_run(&self, spec: &JobSpec, allocated: &Allocated, usage: &Usage) -> bool {
         if let Some(h) = &self.hours
             && h.holds(spec)
         {
             return false;
         }
-        let gang = spec.kind == JobKind::Gang;
+        let is_gang = spec.kind == JobKind::Gang;
         let task = Resources::of_task(spec);
-        let tasks = if gang { spec.tasks } else { 1 };
-        let taken = usage.teams.get(&spec.team).copied().unwrap_or_default();
+        let tasks = if is_gang { spec.tasks } else { 1 };
+        let used = usage.teams.get(&spec.team).copied().unwrap_or_default();
         if !self
             .team(&spec.team)
-            .is_within_limit(&(taken + task.times(f64::from(tasks))))
+            .is_within_limit(&(used + task.times(f64::from(tasks))))
         {
             return false;
         }
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
-        for r in &usage.free {
+        for machine in &usage.free {
             let allowed = spec
                 .machine_types
                 .as_ref()
-                .is_none_or(|t| t.contains(&r.kind))
-                && spec.zone.as_ref().is_none_or(|z| *z == r.zone)
-                && (spec.spot || !r.spot);
+                .is_none_or(|t| t.contains(&machine.machine_type))
+                && spec.zone.as_ref().is_none_or(|z| *z == machine.zone)
+                && (spec.spot || !machine.spot);
             if allowed {
-                let room = by_zone.entry(&r.zone).or_default();
-                *room = room.saturating_add(r.free.max_tasks(&task));
+                let fitting_tasks = by_zone.entry(&machine.zone).or_default();
+                *fitting_tasks = fitting_tasks.saturating_add(machine.free.max_tasks(&task));
             }
         }
-        let half = spec.tasks.div_ceil(2);
-        for (zone, room) in &mut by_zone {
-            let here = allocated.zones.get(*zone).copied().unwrap_or(0);
+        // A spread job may have at most half of its tasks in a zone.
+        let max_in_zone = spec.tasks.div_ceil(2);
+        for (zone, fitting_tasks) in &mut by_zone {
+            let in_zone = allocated.zones.get(*zone).copied().unwrap_or(0);
             if spec.one_zone && allocated.zones.keys().any(|z| z != zone) {
-                *room = 0;
+                *fitting_tasks = 0;
             }
             if spec.spread {
-                *room = (*room).min(half.saturating_sub(here));
+                *fitting_tasks = (*fitting_tasks).min(max_in_zone.saturating_sub(in_zone));
             }
         }
         let capacity = if spec.one_zone {
@@ -161,13 +162,14 @@
     }
 }
 
-/// Tasks of a job that is open, and of which more could run, hold no resources.
+/// Returns whether a job should be running but lacks tasks that hold resources: it is accepted, unfinished, not being
+/// cancelled and not bound to fail.
 fn lacks_tasks(job: &JobGroundTruth, allocated: &Allocated) -> bool {
-    let open = job.accepted_at.is_some()
+    let is_open = job.accepted_at.is_some()
         && job.observed_end.is_none()
         && !job.cancel_requested
         && !job.always_fails;
-    if !open || job.done_at.is_some() {
+    if !is_open || job.done_at.is_some() {
         return false;
     }
     if job.spec.kind == JobKind::Service {
@@ -177,8 +179,8 @@
     }
 }
 
-/// A machine is up, reachable and neither faulty nor slow.
-fn is_sound(m: &Agent, now: Micros) -> bool {
+/// Returns whether a machine is up, reachable and neither faulty nor slow.
+fn is_healthy(m: &Agent, now: Micros) -> bool {
     m.up && m.hangs_until <= now
         && m.responses_lost_until <= now
         && !m.is_faulty
--- a/crates/hopyoke-simulator/src/node/mod.rs
+++ b/crates/hopyoke-simulator/src/node/mod.rs
@@ -30,27 +30,28 @@
 
 /// A node and the state of its current process.
 pub(crate) struct Node {
-    /// The node's share of the store's rates; `None` if the scenario sets no limits.
-    pub(crate) limits_of_node: Option<NodeLimits>,
+    /// The node's share of the store's rate limits. `None` if the scenario sets no limits.
+    pub(crate) limits: Option<NodeLimits>,
     /// Whether its process is running.
     pub(crate) up: bool,
     /// Incarnation of the process: messages that belong to an earlier one are dropped.
     pub(crate) process: u64,
-    /// The node's state as the leader; `None` if it doesn't lead.
+    /// The node's state as the leader. `None` if it does not lead.
     pub(crate) leadership: Option<Leadership>,
-    /// The leader that the node last learned of.
+    /// The last leader that the node observed.
     pub(crate) observed_leader: Option<usize>,
     /// Earliest time to succeed another node, since a former process may have granted lease support.
     takeover_not_before: Micros,
     /// Earliest time to campaign at all, since this process granted lease support or stepped down.
     campaign_not_before: Micros,
-    /// The campaign that waits for its response; no other one begins meanwhile.
+    /// The campaign that waits for its response. No other one begins meanwhile.
     open_campaign: Option<OpenCampaign>,
     /// The lease under which the node reads the records before it leads.
     acquired_lease: Option<AcquiredLease>,
-    /// Number of campaigns whose outcome is unknown; they may succeed late.
+    /// Number of campaigns that have not definitely failed, including one that was won. While there are any, the node
+    /// grants no lease support.
     pending_campaigns: u32,
-    /// Cancellations that the node has confirmed to users.
+    /// Cancellations that the node has acknowledged to users.
     pub(crate) cancellation_log: CancellationLog,
     /// Latency of the store, measured by this process.
     pub(crate) store_latency: StoreLatency,
@@ -82,13 +83,13 @@
     lease: u64,
     /// Validity of the leadership: by renewals at the store and by lease support.
     leader_lease: LeaderLease,
-    /// Positions up to which peers have delivered the cancellations that they confirmed.
+    /// Positions up to which peers have delivered the cancellations that they acknowledged.
     delivery_cursors: DeliveryCursors,
     /// Number of the open watch.
     watch_number: u64,
     /// Whether a batch of writes has no outcome yet.
     batch_in_flight: bool,
-    /// When the node was elected; `None` once reconciliation is complete.
+    /// When the node was elected. `None` once reconciliation is complete.
     reconciling_since: Option<Micros>,
     next_audit_at: Micros,
 }
@@ -96,7 +97,7 @@
 impl Default for Node {
     fn default() -> Node {
         Node {
-            limits_of_node: None,
+            limits: None,
             up: false,
             process: 0,
             leadership: None,
@@ -115,83 +116,86 @@
 
 impl Simulation {
     /// Starts a node's process.
-    pub fn start_node(&mut self, i: usize) {
+    pub fn start_node(&mut self, node: usize) {
         let (now, nodes) = (self.now, self.nodes.len());
-        let limits_of_node = self
+        let limits = self
             .limits
             .as_ref()
-            .map(|l| l.limits_of_node(nodes, &self.config.teams, now));
-        let n = &mut self.nodes[i];
-        n.limits_of_node = limits_of_node;
-        n.up = true;
-        n.process += 1;
-        n.leadership = None;
-        n.takeover_not_before = self.now + SUPPORT_DURATION.with_drift();
-        n.campaign_not_before = Micros::ZERO;
-        n.open_campaign = None;
-        n.acquired_lease = None;
-        n.pending_campaigns = 0;
-        n.cancellation_log = CancellationLog::new(CANCELLATION_LOG_CAPACITY);
-        n.terminal_states.clear();
-        n.store_latency = StoreLatency::default();
-        let p = n.process;
-        self.read_start_revision(i, p);
+            .map(|l| l.node_limits(nodes, &self.config.teams, now));
+        let state = &mut self.nodes[node];
+        state.limits = limits;
+        state.up = true;
+        state.process += 1;
+        state.leadership = None;
+        state.takeover_not_before = self.now + SUPPORT_DURATION.with_drift();
+        state.campaign_not_before = Micros::ZERO;
+        state.open_campaign = None;
+        state.acquired_lease = None;
+        state.pending_campaigns = 0;
+        state.cancellation_log = CancellationLog::new(CANCELLATION_LOG_CAPACITY);
+        state.terminal_states.clear();
+        state.store_latency = StoreLatency::default();
+        let process = state.process;
+        self.read_start_revision(node, process);
         let wait = Micros(self.random(1_000, 100_000));
-        self.timer(i, wait, move |w| w.campaign(i, p, true));
+        self.timer(node, wait, move |sim| sim.campaign(node, process, true));
         if self.limits.is_some() {
-            self.gossip_queue(i, p);
+            self.gossip_queue(node, process);
         }
     }
 
-    /// Ends a node's process; another one starts after `restart_delay`.
-    pub fn crash_node(&mut self, i: usize, restart_delay: Micros) {
-        let n = &mut self.nodes[i];
-        n.up = false;
-        n.leadership = None;
-        n.process += 1;
-        self.paused_nodes.remove(&i);
-        self.log(|| format!("node {i} crashes"));
-        self.after(restart_delay, move |w| w.start_node(i));
+    /// Ends a node's process. Another one starts after `restart_delay`.
+    pub fn crash_node(&mut self, node: usize, restart_delay: Micros) {
+        let state = &mut self.nodes[node];
+        state.up = false;
+        state.leadership = None;
+        state.process += 1;
+        self.paused_nodes.remove(&node);
+        self.log(|| format!("node {node} crashes"));
+        self.after(restart_delay, move |sim| sim.start_node(node));
     }
 
-    /// Reads the revision at which the process began, since former processes may have confirmed cancellations before it.
-    fn read_start_revision(&mut self, i: usize, process: u64) {
-        if !self.alive(i, process) {
+    /// Reads the revision at which the process began, since former processes may have acknowledged cancellations before
+    /// it.
+    fn read_start_revision(&mut self, node: usize, process: u64) {
+        if !self.alive(node, process) {
             return;
         }
-        self.send(Host::Node(i), Host::KvStore, move |w| {
-            if w.store_rejects(i) {
-                return w.after(Micros::from_millis(500), move |w| {
-                    w.read_start_revision(i, process)
+        self.send(Host::Node(node), Host::KvStore, move |sim| {
+            if sim.store_rejects(node) {
+                return sim.after(Micros::from_millis(500), move |sim| {
+                    sim.read_start_revision(node, process)
                 });
             }
-            let revision = ModRevision(w.kv_store.revision);
-            w.send(Host::KvStore, Host::Node(i), move |w| {
-                if w.alive(i, process) {
-                    w.nodes[i].cancellation_log.set_start_revision(revision);
+            let revision = ModRevision(sim.kv_store.revision);
+            sim.send(Host::KvStore, Host::Node(node), move |sim| {
+                if sim.alive(node, process) {
+                    sim.nodes[node]
+                        .cancellation_log
+                        .set_start_revision(revision);
                 }
             });
         });
     }
 
-    /// Returns whether the process is the node's current one and runs.
-    pub(crate) fn alive(&self, i: usize, process: u64) -> bool {
-        self.nodes[i].up && self.nodes[i].process == process
+    /// Returns whether the process is the node's current one and is running.
+    pub(crate) fn alive(&self, node: usize, process: u64) -> bool {
+        self.nodes[node].up && self.nodes[node].process == process
     }
 
     /// Returns whether the node leads with a valid leader lease.
-    pub(super) fn lease_is_valid(&self, i: usize) -> bool {
-        self.nodes[i]
+    pub(super) fn lease_is_valid(&self, node: usize) -> bool {
+        self.nodes[node]
             .leadership
             .as_ref()
             .is_some_and(|l| l.leader_lease.is_valid(self.now))
     }
 
-    /// Returns the process's state as the leader; `None` if it doesn't lead or has ended.
-    pub(crate) fn leadership(&mut self, i: usize, process: u64) -> Option<&mut Leadership> {
-        if !self.alive(i, process) {
+    /// Returns the process's state as the leader. Returns `None` if the process does not lead or has ended.
+    pub(crate) fn leadership(&mut self, node: usize, process: u64) -> Option<&mut Leadership> {
+        if !self.alive(node, process) {
             return None;
         }
-        self.nodes[i].leadership.as_mut()
+        self.nodes[node].leadership.as_mut()
     }
 }
--- a/crates/hopyoke-simulator/src/user_observations.rs
+++ b/crates/hopyoke-simulator/src/user_observations.rs
@@ -1,67 +1,69 @@
-//! Linearizability of the users' API: no request that begins after an answer was received may get an older one,
-//! whatever node gave either.
+//! Linearizability checks of the user API: a request that begins after a response was received must not return an older
+//! state, whichever nodes gave the responses.
 
 use super::Simulation;
-use super::api::{Answer, Request};
+use super::api::{Request, Response};
 use super::digest::Channel;
 use hopyoke_protocol::user::JobState;
 use hopyoke_types::{JobId, Micros};
 
-/// What a job's user knows when a request of its begins.
+/// State of a job as its user has observed it, captured when a request begins.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ObservedState {
     accepted: bool,
-    over: Option<JobState>,
+    end: Option<JobState>,
 }
 
 impl Simulation {
-    /// What a job's user knows now.
+    /// Returns the state of a job as its user has observed it so far.
     pub(crate) fn observed_state(&self, id: &JobId) -> ObservedState {
         let job = self.jobs.get(id);
         ObservedState {
             accepted: job.is_some_and(|j| j.accepted_at.is_some()),
-            over: job.and_then(|j| j.observed_end),
+            end: job.and_then(|j| j.observed_end),
         }
     }
 
-    /// A user receives an answer to a request that began when so much was known.
-    pub(crate) fn observe_answer(
+    /// Handles a response to a user: checks it against `observed_state`, the state observed when the request began, and
+    /// updates what the user has observed.
+    pub(crate) fn observe_response(
         &mut self,
         id: &JobId,
         request: Request,
         observed_state: ObservedState,
-        answer: Answer,
+        response: Response,
     ) {
-        if matches!(answer, Answer::RetryAfter(_)) {
+        if matches!(response, Response::RetryAfter(_)) {
             return;
         }
-        let code = match answer {
-            Answer::Unfinished => 1,
-            Answer::Finished(JobState::Done) => 2,
-            Answer::Finished(JobState::Cancelled) => 3,
-            Answer::Finished(_) => 4,
-            Answer::Missing => 5,
-            Answer::Malformed => 6,
-            Answer::NeverRuns => 7,
-            Answer::RetryAfter(_) => 8,
+        let code = match response {
+            Response::Unfinished => 1,
+            Response::Finished(JobState::Done) => 2,
+            Response::Finished(JobState::Cancelled) => 3,
+            Response::Finished(_) => 4,
+            Response::Missing => 5,
+            Response::Malformed => 6,
+            Response::Unschedulable => 7,
+            Response::RetryAfter(_) => 8,
         };
-        self.digest_bytes(Channel::UserAnswer, &[code]);
-        self.digest_bytes(Channel::UserAnswer, id.as_str().as_bytes());
+        self.digest_bytes(Channel::UserResponse, &[code]);
+        self.digest_bytes(Channel::UserResponse, id.as_str().as_bytes());
         let now = self.now;
-        if let Some((rule, why)) = self.violation_in(id, request, observed_state, answer) {
-            self.record_violation(rule, format!("{id}: {why}"));
+        if let Some((rule, reason)) = self.response_violation(id, request, observed_state, response)
+        {
+            self.record_violation(rule, format!("{id}: {reason}"));
         }
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let end = match answer {
-            Answer::Finished(end) => Some(end),
-            Answer::Unfinished => None,
+        let end = match response {
+            Response::Finished(end) => Some(end),
+            Response::Unfinished => None,
             _ => return,
         };
-        job.last_answer_at = now;
-        let is_change = job.accepted_at.is_none() || (end.is_some() && job.observed_end.is_none());
-        let first = job
+        job.last_response_at = now;
+        let changed = job.accepted_at.is_none() || (end.is_some() && job.observed_end.is_none());
+        let is_first = job
             .accepted_at
             .replace(job.accepted_at.unwrap_or(now))
             .is_none();
@@ -71,68 +73,77 @@
         if end == Some(JobState::Cancelled) {
             job.cancelled_at.get_or_insert(now);
         }
-        if first && self.limits.is_none() {
+        if is_first && self.limits.is_none() {
             let id = id.clone();
-            self.after(Micros::from_secs(1), move |w| w.poll(id));
+            self.after(Micros::from_secs(1), move |sim| sim.poll(id));
         }
-        if is_change {
-            self.news_observed(id, end);
+        if changed {
+            self.job_progress_observed(id, end);
         }
     }
 
-    /// The rule that an answer breaks, and why.
-    fn violation_in(
+    /// Returns the invariant that a response violates, and the reason. Returns `None` if it violates none.
+    fn response_violation(
         &self,
         id: &JobId,
         request: Request,
         observed_state: ObservedState,
-        answer: Answer,
+        response: Response,
     ) -> Option<(&'static str, String)> {
         let Some(job) = self.jobs.get(id) else {
-            let ok = matches!(answer, Answer::Unfinished | Answer::Finished(_));
-            return ok.then(|| {
+            let is_known = matches!(response, Response::Unfinished | Response::Finished(_));
+            return is_known.then(|| {
                 (
                     "invented",
-                    format!("nobody submitted it, and a {request:?} gets {answer:?}"),
+                    format!(
+                        "response {response:?} to {request:?} for a job that was never submitted"
+                    ),
                 )
             });
         };
-        match answer {
-            Answer::Missing | Answer::Malformed | Answer::NeverRuns if observed_state.accepted => {
+        match response {
+            Response::Missing | Response::Malformed | Response::Unschedulable
+                if observed_state.accepted =>
+            {
                 Some((
                     "forgotten",
-                    format!("accepted, and a {request:?} gets {answer:?}"),
+                    format!("response {response:?} to {request:?} for an accepted job"),
                 ))
             }
-            Answer::Unfinished | Answer::Finished(_) if job.malformed_body.is_some() => {
-                Some(("accepted_odd", format!("a {request:?} gets {answer:?}")))
-            }
-            Answer::Unfinished => {
-                let over = observed_state.over?;
+            Response::Unfinished | Response::Finished(_) if job.malformed_body.is_some() => Some((
+                "accepted_odd",
+                format!("response {response:?} to {request:?} for a malformed submission"),
+            )),
+            Response::Unfinished => {
+                let end = observed_state.end?;
                 Some((
                     "went_back",
-                    format!("was called {over:?}, and a {request:?} gets {answer:?}"),
+                    format!(
+                        "response {response:?} to {request:?} after the final state {end:?} was observed"
+                    ),
                 ))
             }
-            // Final states exclude each other in whatever order their answers come.
-            Answer::Finished(end) if job.observed_end.is_some_and(|t| t != end) => Some((
+            // Compared with the latest observation: two different final states are a violation even if the requests
+            // overlapped.
+            Response::Finished(end) if job.observed_end.is_some_and(|t| t != end) => Some((
                 "went_back",
                 format!(
-                    "was called {:?}, and a {request:?} gets {end:?}",
+                    "observed the final state {:?}, then {request:?} returned {end:?}",
                     job.observed_end
                 ),
             )),
-            Answer::Finished(JobState::Cancelled)
+            Response::Finished(JobState::Cancelled)
                 if !job.cancel_requested && !job.is_workflow_step =>
             {
                 Some((
                     "went_back",
-                    "its user did not cancel it, and it is called cancelled".to_owned(),
+                    "reported as cancelled although its user did not cancel it".to_owned(),
                 ))
             }
-            Answer::Finished(JobState::Done) if !job.done.iter().all(|d| *d) => {
-                Some(("not_done", format!("a {request:?} gets {answer:?}")))
-            }
+            Response::Finished(JobState::Done) if !job.done.iter().all(|d| *d) => Some((
+                "not_done",
+                format!("response {response:?} to {request:?} before all tasks completed"),
+            )),
             _ => None,
         }
     }
--- a/crates/hopyoke-wes/src/calls.rs
+++ b/crates/hopyoke-wes/src/calls.rs
@@ -1,7 +1,7 @@
-//! The controllers, whichever of them answers. Every call here may be repeated: it changes nothing
-//! the second time.
+//! Calls to the controllers over the mesh, with failover. Every operation is idempotent and therefore safe
+//! to retry.
 
-use hopyoke::peers::client::call_flow;
+use hopyoke::peers::client::call_workflows;
 use hopyoke::peers::client::proto::flow_request::Operation;
 use hopyoke::peers::client::proto::{FlowRequest, FlowResponse};
 use hopyoke_event_loop as runtime;
@@ -10,27 +10,29 @@
 use std::net::SocketAddr;
 use tracing::debug;
 
+/// Client of a set of controllers, any of which can serve a call.
 pub struct Controllers {
     addrs: Vec<SocketAddr>,
-    /// The one that answered last is asked first.
-    first: Cell<usize>,
+    /// Index of the controller that last served a call; the next call tries it first.
+    preferred: Cell<usize>,
 }
 
-/// Why there is no answer.
+/// A failed call, with the response that it maps to.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{error}")]
-pub struct Refused {
-    /// As in HTTP.
+#[error("{message}")]
+pub struct ApiError {
+    /// HTTP status code.
     pub status: u16,
-    pub error: String,
+    pub message: String,
     pub retry_after_s: Option<u32>,
 }
 
-impl Refused {
-    pub fn new(status: u16, error: impl Into<String>) -> Refused {
-        Refused {
+impl ApiError {
+    /// Creates an error; status 503 suggests a retry after one second.
+    pub fn new(status: u16, message: impl Into<String>) -> ApiError {
+        ApiError {
             status,
-            error: error.into(),
+            message: message.into(),
             retry_after_s: (status == 503).then_some(1),
         }
     }
@@ -40,58 +42,67 @@
     pub fn new(addrs: Vec<SocketAddr>) -> Controllers {
         Controllers {
             addrs,
-            first: Cell::new(0),
+            preferred: Cell::new(0),
         }
     }
 
-    /// Asks one after the other until one decides, until `patience` has passed.
+    /// Tries each controller in turn, with exponential backoff between rounds, until one completes or
+    /// rejects the operation or `timeout` has passed.
     ///
     /// # Errors
-    /// What the last one said.
-    pub async fn ask(&self, ask: Operation, patience: Micros) -> Result<FlowResponse, Refused> {
-        let until = runtime::now() + patience;
-        let mut last = Refused::new(503, "no controller answers");
-        let mut pause = Micros::from_millis(100);
+    /// Returns the rejection, or the last error if `timeout` has passed.
+    pub async fn call(
+        &self,
+        operation: Operation,
+        timeout: Micros,
+    ) -> Result<FlowResponse, ApiError> {
+        let deadline = runtime::now() + timeout;
+        let mut last_error = ApiError::new(503, "no controller responded");
+        let mut backoff = Micros::from_millis(100);
         loop {
             for i in 0..self.addrs.len() {
-                let at = (self.first.get() + i) % self.addrs.len();
-                let addr = self.addrs[at];
-                match call_flow(
+                let index = (self.preferred.get() + i) % self.addrs.len();
+                let addr = self.addrs[index];
+                match call_workflows(
                     addr,
                     FlowRequest {
-                        operation: Some(ask.clone()),
+                        operation: Some(operation.clone()),
                     },
                 )
                 .await
                 {
-                    Ok(a) if a.status < 400 => {
-                        self.first.set(at);
-                        return Ok(a);
+                    Ok(response) if response.status < 400 => {
+                        self.preferred.set(index);
+                        return Ok(response);
                     }
-                    Ok(a) => {
-                        let status = u16::try_from(a.status).unwrap_or(500);
-                        let retry_after_s = (a.retry_after_s > 0).then_some(a.retry_after_s);
-                        last = Refused {
+                    Ok(response) => {
+                        let status = u16::try_from(response.status).unwrap_or(500);
+                        let retry_after_s =
+                            (response.retry_after_s > 0).then_some(response.retry_after_s);
+                        last_error = ApiError {
                             status,
-                            error: a.error,
+                            message: response.error,
                             retry_after_s,
                         };
-                        // Another may take runs, or reach the state service.
+                        // Another controller may accept runs or be able to reach the consensus store.
                         if !matches!(status, 501 | 503) {
-                            return Err(last);
+                            return Err(last_error);
                         }
                     }
                     Err(e) => {
-                        debug!(%addr, error = %e, "controller not reached");
-                        last = Refused::new(503, format!("{addr}: {e}"));
+                        debug!(%addr, error = %e, "controller unreachable");
+                        last_error = ApiError::new(503, format!("{addr}: {e}"));
                     }
                 }
             }
-            if runtime::now() + pause >= until {
-                return Err(last);
+            if runtime::now() + backoff >= deadline {
+                return Err(last_error);
             }
-            runtime::sleep(Micros(pause.0 / 2 + rand::random_range(0..=pause.0 / 2))).await;
-            pause = Micros((pause.0 * 2).min(2_000_000));
+            runtime::sleep(Micros(
+                backoff.0 / 2 + rand::random_range(0..=backoff.0 / 2),
+            ))
+            .await;
+            backoff = Micros((backoff.0 * 2).min(2_000_000));
         }
     }
 }
--- a/crates/hopyoke-workflow/tests/model/actions.rs
+++ b/crates/hopyoke-workflow/tests/model/actions.rs
@@ -1,10 +1,10 @@
-//! What the model does for each action of an engine.
+//! Execution of the engines' actions against the model's key-value store.
 
 use super::{Event, JobBehavior, Model, Reply, Value};
 use hopyoke_protocol::user::JobSpec;
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
-    Action, JobEnd, JobOutcome, RunId, RunRecords, StepNo, WriteOutcome, job_prefix,
+    Action, JobEnd, JobOutcome, RunId, RunRecords, StepNo, WriteOutcome, job_id_prefix,
 };
 
 impl Model {
@@ -22,10 +22,10 @@
                 step,
                 spec,
                 claim_revision,
-                head,
+                head_revision,
             } => {
                 let is_current = self.claim_of(*run) == *claim_revision
-                    && self.mod_revision(&format!("flow/head/{run}")) == *head;
+                    && self.mod_revision(&format!("flow/head/{run}")) == *head_revision;
                 let outcome = self.submit_job(*run, *step, spec, is_current);
                 Reply::Submitted(*run, *epoch, *step, outcome)
             }
@@ -65,11 +65,11 @@
             Some((Value::Head(h), mod_revision, _)) => (h.clone(), *mod_revision),
             _ => return None,
         };
-        let prefix = job_prefix(run);
+        let prefix = job_id_prefix(run);
         let id = |rest: &str| JobId::new(&format!("{prefix}{rest}"));
-        let pages = self.under(&format!("flowpage/{run}/"));
-        let jobs = self.under(&format!("job/{prefix}"));
-        let ends = self.under(&format!("end/{prefix}"));
+        let pages = self.list_prefix(&format!("flowpage/{run}/"));
+        let jobs = self.list_prefix(&format!("job/{prefix}"));
+        let ends = self.list_prefix(&format!("end/{prefix}"));
         Some(RunRecords {
             head,
             head_revision,
@@ -81,13 +81,13 @@
                     _ => None,
                 })
                 .collect(),
-            jobs: jobs
+            unfinished_jobs: jobs
                 .filter_map(|(k, v, _)| match v {
                     Value::Job(is_own) => Some((id(k), *is_own)),
                     _ => None,
                 })
                 .collect(),
-            ends: ends
+            ended_jobs: ends
                 .filter_map(|(k, v, _)| match v {
                     Value::End(end, is_own) => Some((id(k), *end, *is_own)),
                     _ => None,
@@ -109,9 +109,9 @@
             self.store.get(&format!("end/{job}")),
         );
         match (open, ended) {
-            (Some((Value::Job(true), ..)), _) => return JobOutcome::Known,
+            (Some((Value::Job(true), ..)), _) => return JobOutcome::AlreadyAccepted,
             (_, Some((Value::End(end, true), ..))) => return JobOutcome::Ended(*end),
-            (Some(_), _) | (_, Some(_)) => return JobOutcome::Taken,
+            (Some(_), _) | (_, Some(_)) => return JobOutcome::IdTaken,
             _ if !is_current => return JobOutcome::Stale,
             _ => {}
         }
@@ -123,8 +123,8 @@
         self.apply(vec![(format!("job/{job}"), Some(Value::Job(true)), None)]);
         let behavior = self.runs[&run].behaviors.get(&step).copied();
         match behavior.unwrap_or(JobBehavior::Endless) {
-            JobBehavior::Done(t) | JobBehavior::GivenUp(t) => {
-                self.after(t, Event::JobEnds(job.clone()));
+            JobBehavior::Done(t) | JobBehavior::Failed(t) => {
+                self.after(t, Event::EndJob(job.clone()));
             }
             JobBehavior::Endless => {}
         }
@@ -142,8 +142,8 @@
                 JobOutcome::Ended(JobEnd::Cancelled)
             }
             (_, Some((Value::End(end, true), ..))) => JobOutcome::Ended(*end),
-            (Some(_), _) | (_, Some(_)) => JobOutcome::Taken,
-            _ => JobOutcome::Missing,
+            (Some(_), _) | (_, Some(_)) => JobOutcome::IdTaken,
+            _ => JobOutcome::NotFound,
         }
     }
 
@@ -157,7 +157,7 @@
             ..
         } = action
         else {
-            unreachable!("only writes are written");
+            unreachable!("not a write");
         };
         let page_key = |p: &u32| format!("flowpage/{run}/{p}");
         let is_permitted = self.claim_of(*run) == *claim_revision
@@ -168,7 +168,10 @@
                 self.mod_revision(&format!("flow/head/{run}")) == *mod_revision
             });
         let ops = pages.len() + usize::from(head.is_some()) + usize::from(*release);
-        assert!(ops <= self.max_txn_ops, "{ops} changes in a transaction");
+        assert!(
+            ops <= self.max_txn_ops,
+            "{ops} operations exceed the limit of a transaction"
+        );
         if !is_permitted {
             return WriteOutcome::Conflict;
         }
@@ -187,13 +190,13 @@
     }
 }
 
-/// What a node makes of no response, or of a refusal.
+/// Returns the reply that a node derives from a timeout (`is_unknown`) or from a refusal.
 pub(super) fn reply_to_failure(action: &Action, is_unknown: bool) -> Reply {
     let outcome = || {
         if is_unknown {
             JobOutcome::Unknown
         } else {
-            JobOutcome::Later(Micros::from_secs(1))
+            JobOutcome::RetryAfter(Micros::from_secs(1))
         }
     };
     match action {
@@ -209,7 +212,7 @@
             let outcome = if is_unknown {
                 WriteOutcome::Unknown
             } else {
-                WriteOutcome::Refused
+                WriteOutcome::Rejected
             };
             Reply::Written(Box::new(action.clone()), outcome)
         }
--- a/crates/hopyoke/src/api/jobs.rs
+++ b/crates/hopyoke/src/api/jobs.rs
@@ -26,7 +26,7 @@
 }
 
 fn error_response(status: u16, error: &str) -> Response {
-    Response::of(status, &ErrorBody { error })
+    Response::msgpack(status, &ErrorBody { error })
 }
 
 /// Returns a 503 for a request whose outcome can't be determined now; the client is to retry after a second.
@@ -190,7 +190,7 @@
         cancel(node, &id, deadline).await
     };
     response.unwrap_or_else(|e| {
-        debug!(job = %id, error = %e, "request not answered");
+        debug!(job = %id, error = %e, "failed to access job record");
         unavailable("the state service did not answer")
     })
 }
@@ -198,7 +198,7 @@
 /// Returns the status of a finished job.
 fn finished_response(id: &JobId, end: EndRecord) -> Response {
     let done = (end.state == JobState::Done).then_some(end.done);
-    Response::of(
+    Response::msgpack(
         200,
         &JobStatusResponse {
             id: id.as_str(),
@@ -232,7 +232,7 @@
             response.state = JobState::Running;
         }
     }
-    Response::of(200, &response)
+    Response::msgpack(200, &response)
 }
 
 /// Returns the response to a poll for the outcome of a lookup.
@@ -272,7 +272,7 @@
             if let Some(end) = node.terminal_states.get(id) {
                 return Ok(finished_response(id, end));
             }
-            // The job has ended, was never accepted, or has a malformed record: only its records tell which.
+            // The job has ended, was never accepted, or has a malformed record: only its records distinguish these.
             return Ok(job_response(
                 node,
                 id,
@@ -305,8 +305,8 @@
     }
 }
 
-/// Returns whether to read a job's records at once instead of waiting for a query for recent changes first: the scheduler
-/// does not know the job, so it has most likely ended, and the deadline leaves no time for both.
+/// Returns whether to read a job's records without waiting for a query for recent changes first: the scheduler does not
+/// know the job, so it has most likely ended, and the deadline leaves no time for both.
 fn should_read_records_directly(
     leadership: &Leadership,
     client: PrioritizedClient<'_>,
@@ -346,7 +346,7 @@
         None => accept(node, spec, deadline).await,
     };
     result.unwrap_or_else(|e| {
-        debug!(job = %id, error = %e, "submission not answered");
+        debug!(job = %id, error = %e, "failed to store submitted job");
         unavailable("the state service did not answer")
     })
 }
@@ -367,7 +367,7 @@
         return Ok(finished_response(&id, end));
     }
     if let Err(retry_after) = node.admission.admit(node, &spec) {
-        debug!(job = %id, after_s = retry_after.0, "submission rejected");
+        debug!(job = %id, after_s = retry_after.0, "submission rejected by admission control");
         // Admission control does not apply to a repeated submission that can be answered without a request to the store.
         let is_known = node
             .leadership()
@@ -379,7 +379,7 @@
         };
     }
     let team = spec.team.clone();
-    let record = JobRecord::accepted(spec, runtime::time_of_day().0);
+    let record = JobRecord::accepted(spec, runtime::unix_time().0);
     let client = node.store.submissions().with_deadline(deadline.at());
     let outcome = match records::create(node, client, record, Vec::new()).await {
         Err(e @ StoreError::DeadlineExceeded) => return Err(e),
@@ -397,7 +397,7 @@
                 done: None,
                 running: None,
             };
-            Ok(Response::of(201, &response))
+            Ok(Response::msgpack(201, &response))
         }
         TransactionOutcome::Failed(_) => match lookup(node, client, &id).await? {
             // Records are never lost, so this contradicts the failed transaction: the user is to retry.
--- a/crates/hopyoke/src/operations/staffed_hours.rs
+++ b/crates/hopyoke/src/operations/staffed_hours.rs
@@ -9,7 +9,7 @@
 use crate::store::keys::STAFFED_HOURS_KEY;
 use hopyoke_calendar::{StaffedHours, StaffingOverride};
 use hopyoke_event_loop as runtime;
-use hopyoke_policy::Figures;
+use hopyoke_policy::Metrics;
 use hopyoke_protocol::state::{Compare, Mutation, Stored};
 use hopyoke_types::{Micros, ModRevision};
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 
 /// Returns the staffed hours by the node's settings, without an override, or `None` if no work is held outside of them.
 fn configured_hours(node: &Node) -> Option<StaffedHours> {
-    let values = node.policy.evaluate(&Figures::default());
+    let values = node.policy.evaluate(&Metrics::default());
     let skew = Micros::from_secs_f64(node.settings.platform.clock_skew_ms / 1e3);
     match settings::staffed_hours(&values, skew) {
         Ok(h) => h,
@@ -35,7 +35,7 @@
 }
 
 /// Returns the staffed hours with which a new leader starts. Until it has read the override it assumes "not staffed", the
-/// state in which work is held, since the override may say so.
+/// state in which work is held, since the override may demand it.
 pub(crate) fn initial(node: &Node) -> Option<StaffedHours> {
     let not_staffed = StaffingOverride {
         staffed: false,
@@ -113,7 +113,7 @@
 async fn apply_request(node: &Node, request: StaffedRequest) -> Result<String, String> {
     let mut hours = configured_hours(node)
         .ok_or("no work is held outside of staffed hours: `hold` is off in this node's settings")?;
-    let now = runtime::time_of_day();
+    let now = runtime::unix_time();
     let (current_override, mod_revision) = read_override(node).await.map_err(unavailable)?;
     let new_override = match request.mode.as_str() {
         "show" => current_override,
--- a/crates/hopyoke/src/serve.rs
+++ b/crates/hopyoke/src/serve.rs
@@ -11,7 +11,7 @@
 use crate::workflows::runner;
 use hopyoke_event_loop::http::{self, Request, Response, ServerLimits};
 use hopyoke_event_loop::{self as runtime, TcpListener};
-use hopyoke_policy::{Figures, Policy};
+use hopyoke_policy::{Metrics, Policy};
 use hopyoke_settings::Settings;
 use hopyoke_types::Micros;
 use std::cell::RefCell;
@@ -35,7 +35,7 @@
                 return;
             }
         };
-        let values = policy.evaluate(&Figures::default());
+        let values = policy.evaluate(&Metrics::default());
         let workflow_limits = values
             .boolean("flows")
             .then(|| settings::workflow_limits(&values, &settings));
@@ -149,7 +149,7 @@
 /// Delay of a timer above which the processor counts as overloaded. Well below the 4 s after which agents drop
 /// responses: a later detection lets agents' leases expire.
 const MAX_WAKEUP_DELAY: Micros = Micros::from_millis(400);
-/// Time for which the processor then counts as overloaded.
+/// Time for which the processor counts as overloaded after such a delay.
 const CPU_OVERLOAD_DURATION: Micros = Micros::from_secs(20);
 
 /// Keeps the machine types up to date. Every node needs them to decide which jobs can ever be scheduled.
@@ -157,15 +157,15 @@
     loop {
         let pause = match node.cloud.catalog().await {
             Some(types) if !types.is_empty() => {
-                if let Some(l) = node.leadership() {
-                    l.scheduler.borrow_mut().set_catalog(types.clone());
-                    l.wakeup.notify();
+                if let Some(leadership) = node.leadership() {
+                    leadership.scheduler.borrow_mut().set_catalog(types.clone());
+                    leadership.wakeup.notify();
                 }
                 *node.catalog.borrow_mut() = types;
                 Micros::from_secs(60)
             }
             _ => {
-                debug!("machine types are not available");
+                debug!("failed to read machine types from the cloud");
                 Micros::from_secs(2)
             }
         };
--- a/crates/hopyoke/src/workflows/calls.rs
+++ b/crates/hopyoke/src/workflows/calls.rs
@@ -19,7 +19,8 @@
 use hopyoke_scheduler::{JobRecord, unschedulable_reason};
 use hopyoke_types::{JobId, Micros, ModRevision};
 use hopyoke_workflow::{
-    Head, OnError, Plan, PlanPage, RunId, RunState, StepNo, StepState, job_id, job_prefix, parts_of,
+    Head, OnError, Plan, PlanPage, RunId, RunState, StepNo, StepState, job_id, job_id_prefix,
+    parse_job_id,
 };
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -189,7 +190,7 @@
             &request.owner,
             &plan,
             pages.len() as u32,
-            runtime::time_of_day().0,
+            runtime::unix_time().0,
         )
     };
     if serde_json::to_string(&head).map_or(usize::MAX, |t| t.len()) > node.config.max_value_bytes {
@@ -206,7 +207,7 @@
         return reject(503, "the machine types are not known yet");
     }
     for (i, step) in plan.steps.iter().enumerate() {
-        let Some(spec) = plan.spec(StepNo(i as u32), JobId::new("req-0")) else {
+        let Some(spec) = plan.job_spec(StepNo(i as u32), JobId::new("req-0")) else {
             continue;
         };
         if let Some(reason) =
@@ -241,9 +242,13 @@
         .await?
         .pairs;
     let mut written = BTreeSet::new();
-    for p in existing {
-        let number = p.key.rsplit('/').next().and_then(|n| n.parse::<u32>().ok());
-        match (number, p.value) {
+    for pair in existing {
+        let number = pair
+            .key
+            .rsplit('/')
+            .next()
+            .and_then(|n| n.parse::<u32>().ok());
+        match (number, pair.value) {
             (Some(n), Stored::Value(page)) if pages.get(n as usize) == Some(&page) => {
                 written.insert(n)
             }
@@ -254,12 +259,12 @@
         .filter(|n| !written.contains(n))
         .collect();
     let rate = workflows.engine.borrow().limits.max_writes_per_s.max(0.5);
-    let value = node.config.max_value_bytes.max(1);
-    let pages_per_txn = (MAX_TXN_BYTES / value).clamp(1, node.config.max_txn_ops.max(1));
+    let page_bytes = node.config.max_value_bytes.max(1);
+    let pages_per_txn = (MAX_TXN_BYTES / page_bytes).clamp(1, node.config.max_txn_ops.max(1));
     for chunk in missing.chunks(pages_per_txn) {
         let now = runtime::now();
-        let from = workflows.next_plan_write_at.get().max(now);
-        if from > write_until {
+        let write_at = workflows.next_plan_write_at.get().max(now);
+        if write_at > write_until {
             return reject(
                 503,
                 format!(
@@ -271,8 +276,8 @@
         }
         workflows
             .next_plan_write_at
-            .set(from + Micros::from_secs_f64(chunk.len() as f64 / rate));
-        runtime::sleep_until(from).await;
+            .set(write_at + Micros::from_secs_f64(chunk.len() as f64 / rate));
+        runtime::sleep_until(write_at).await;
         let compares = chunk
             .iter()
             .map(|n| Compare {
@@ -326,7 +331,7 @@
         .await?
     {
         TransactionOutcome::Applied(_) => {
-            info!(%run, name = info.name, team = info.team, steps = info.steps, "run accepted");
+            info!(%run, name = info.name, team = info.team, steps = info.steps, "workflow run accepted");
             Ok(run_answer(201, info))
         }
         TransactionOutcome::Failed(_) => match read_head(node, run).await? {
@@ -350,8 +355,11 @@
     };
     let progress = workflows.engine.borrow().progress(run);
     if query.limit == 0 {
-        let p = progress.unwrap_or_default();
-        return Ok(run_answer(200, run_info(&head, run, p.in_flight, p.done)));
+        let progress = progress.unwrap_or_default();
+        return Ok(run_answer(
+            200,
+            run_info(&head, run, progress.in_flight, progress.done),
+        ));
     }
     let pages = read_step_pages(node, run).await?;
     let Some(plan) = read_plan(node, run, &head).await? else {
@@ -359,7 +367,7 @@
     };
     let mut states = vec![(StepState::Open, 0); plan.steps.len()];
     for (page, _, value) in &pages {
-        for (step, state, attempts) in value.read(*page) {
+        for (step, state, attempts) in value.decode(*page) {
             if let Some(entry) = states.get_mut(step.0 as usize) {
                 *entry = (state, attempts);
             }
@@ -370,13 +378,14 @@
         let jobs = node
             .store
             .background()
-            .list::<JobRecord>(&format!("job/{}", job_prefix(run)))
+            .list::<JobRecord>(&format!("job/{}", job_id_prefix(run)))
             .await?
             .pairs;
         let step_jobs = jobs
             .iter()
             .filter(|p| matches!(&p.value, Stored::Value(record) if record.is_workflow_step));
-        submitted.extend(step_jobs.filter_map(|p| Some(parts_of(&job_id_from_key(&p.key)?)?.1)));
+        submitted
+            .extend(step_jobs.filter_map(|p| Some(parse_job_id(&job_id_from_key(&p.key)?)?.1)));
     }
     let done = states.iter().filter(|s| s.0 == StepState::Done).count() as u32;
     let step_state_name = |step: StepNo, state: StepState| match state {
@@ -399,7 +408,7 @@
             path: step.path.clone(),
             tasks: step.tasks,
             state: step_state_name(step_no, *state).to_owned(),
-            job: step.shape.map_or(String::new(), |_| {
+            job: step.job_template.map_or(String::new(), |_| {
                 job_id(run, step_no, *attempts).to_string()
             }),
         })
@@ -426,7 +435,7 @@
 )]
 async fn list(node: &Node, workflows: &WorkflowExecution, request: RunList) -> CallResult {
     let max_runs = request.limit.clamp(1, MAX_LISTED_RUNS) as usize;
-    let mut after = RunId::folded(request.after);
+    let mut after = RunId::wrapping_new(request.after);
     let mut runs = Vec::new();
     // An owner's runs may be sparse among all runs, so one call reads a bounded number of pages.
     for _ in 0..8 {
@@ -530,7 +539,7 @@
             .await?
         {
             TransactionOutcome::Applied(_) => {
-                info!(%run, "run cancelled");
+                info!(%run, "workflow run cancelled");
                 return Ok(run_answer(200, run_info(&head, run, 0, 0)));
             }
             // The node that executes the run changed its head concurrently.
@@ -565,12 +574,12 @@
     }
     let new_head = Head {
         state: RunState::Running,
-        submitted_us: runtime::time_of_day().0,
+        submitted_us: runtime::unix_time().0,
         ended_us: 0,
         reason: String::new(),
         done: 0,
         resumes: Some(old_run),
-        plan_of: Some(head.plan_of.unwrap_or(old_run)),
+        plan_source: Some(head.plan_source.unwrap_or(old_run)),
         ..head
     };
     if let Some((existing, _)) = read_head(node, run).await? {
@@ -586,7 +595,7 @@
         let key = workflow_page_key(run, page);
         let mutation = Mutation::Put {
             key: key.clone(),
-            value: WorkflowRecord::Page(value.only_done()),
+            value: WorkflowRecord::Page(value.for_resumed_run()),
             lease: None,
         };
         let compares = vec![
--- a/crates/hopyoke/src/workflows/records.rs
+++ b/crates/hopyoke/src/workflows/records.rs
@@ -6,15 +6,17 @@
     workflow_claim_key, workflow_end_key, workflow_head_key, workflow_page_prefix,
     workflow_plan_prefix,
 };
-use crate::workflows::watches::job_end_of;
+use crate::workflows::watches::to_job_end;
 use hopyoke_protocol::state::{KeyValue, Stored};
 use hopyoke_scheduler::{EndRecord, JobRecord};
 use hopyoke_types::{JobId, ModRevision};
-use hopyoke_workflow::{Head, Plan, PlanPage, RunClaim, RunId, RunRecords, StepPage, job_prefix};
+use hopyoke_workflow::{
+    Head, Plan, PlanPage, RunClaim, RunId, RunRecords, StepPage, job_id_prefix,
+};
 use serde::{Deserialize, Serialize};
 use tracing::warn;
 
-/// A record of a workflow run. The encoding is untagged: the fields tell the variants apart.
+/// A record of a workflow run. The encoding is untagged: the variants differ by their fields.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 pub(crate) enum WorkflowRecord {
@@ -57,7 +59,7 @@
         .pairs;
     let page = |p: KeyValue<StepPage>| {
         let number = p.key.strip_prefix(&prefix)?.parse().ok()?;
-        // A malformed page counts as empty: the jobs' own records tell which steps have ended.
+        // A malformed page counts as empty: the jobs' own records show which steps have ended.
         Some((
             number,
             p.mod_revision,
@@ -76,7 +78,7 @@
     let pairs = node
         .store
         .background()
-        .list::<PlanPage>(&workflow_plan_prefix(head.plan_of.unwrap_or(run)))
+        .list::<PlanPage>(&workflow_plan_prefix(head.plan_source.unwrap_or(run)))
         .await?
         .pairs;
     let pages: Option<Vec<PlanPage>> = pairs.into_iter().map(|p| p.value.decoded()).collect();
@@ -89,7 +91,7 @@
 pub(super) async fn read_run_records(
     node: &Node,
     run: RunId,
-    plan: bool,
+    with_plan: bool,
 ) -> Result<Option<RunRecords>, StoreError> {
     let claim_revision = node
         .store
@@ -100,7 +102,7 @@
     let Some((head, head_revision)) = read_head(node, run).await? else {
         return Ok(None);
     };
-    let plan = if plan && !head.state.is_final() {
+    let plan = if with_plan && !head.state.is_final() {
         match read_plan(node, run, &head).await? {
             Some(plan) => Some(plan),
             None => return Ok(None),
@@ -110,7 +112,7 @@
     };
     let pages = read_step_pages(node, run).await?;
     // Unfinished jobs are read first: a record only ever moves from `job/` to `end/`, so none is missed.
-    let prefix = job_prefix(run);
+    let prefix = job_id_prefix(run);
     let jobs = node
         .store
         .background()
@@ -130,7 +132,7 @@
         claim_revision,
         plan,
         pages,
-        jobs: jobs
+        unfinished_jobs: jobs
             .iter()
             .filter_map(|p| {
                 Some((
@@ -139,11 +141,11 @@
                 ))
             })
             .collect(),
-        ends: ends
+        ended_jobs: ends
             .iter()
             .filter_map(|p| match &p.value {
                 Stored::Value(e) => {
-                    Some((job_id_in_key(&p.key)?, job_end_of(*e), e.is_workflow_step))
+                    Some((job_id_in_key(&p.key)?, to_job_end(*e), e.is_workflow_step))
                 }
                 Stored::Unreadable(_) => None,
             })
--- a/crates/hopyoke/src/workflows/watches.rs
+++ b/crates/hopyoke/src/workflows/watches.rs
@@ -10,7 +10,7 @@
 use hopyoke_protocol::user::JobState;
 use hopyoke_scheduler::EndRecord;
 use hopyoke_types::{JobId, Micros, ModRevision};
-use hopyoke_workflow::{JobEnd, RESERVED_JOB_PREFIX, RunId};
+use hopyoke_workflow::{JobEnd, RESERVED_JOB_ID_PREFIX, RunId};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use tracing::{debug, warn};
@@ -23,8 +23,8 @@
     RunId::parse(key.strip_prefix(prefix)?)
 }
 
-/// Watches the heads of unfinished runs, which tell of submissions and cancellations, and the claims on them. Starts with a
-/// full listing, also after the watched revision was compacted.
+/// Watches the heads of unfinished runs, which reflect submissions and cancellations, and the claims on them. Starts
+/// with a full listing, also after the watched revision was compacted.
 pub(super) async fn watch_runs(node: Rc<Node>) {
     let workflows = workflow_state(&node);
     let mut since = None;
@@ -109,7 +109,8 @@
     }
 }
 
-/// Reconciles the engine with a full listing of heads and claims as of a revision: whatever is not listed has been deleted.
+/// Reconciles the engine with a full listing of heads and claims as of a revision: heads and claims not listed have been
+/// deleted.
 fn apply_listing(node: &Node, pairs: Vec<KeyValue<WorkflowRecord>>, revision: ModRevision) {
     let mut heads = BTreeSet::new();
     let mut claims = BTreeSet::new();
@@ -138,7 +139,7 @@
 /// Watches for ended jobs of workflow steps. Their ids have a reserved prefix, so the ends of users' jobs are not received.
 pub(super) async fn watch_job_ends(node: Rc<Node>) {
     let workflows = workflow_state(&node);
-    let prefix = format!("end/{RESERVED_JOB_PREFIX}");
+    let prefix = format!("end/{RESERVED_JOB_ID_PREFIX}");
     let mut since: Option<u64> = None;
     loop {
         let from = match since {
@@ -179,7 +180,7 @@
                         && let Some(job) = key.strip_prefix("end/").and_then(JobId::parse)
                         && end.is_workflow_step
                     {
-                        engine.job_ended(&job, job_end_of(end), now);
+                        engine.job_ended(&job, to_job_end(end), now);
                     }
                 }
                 drop(engine);
@@ -192,10 +193,10 @@
 }
 
 /// Returns how a step's job ended, by its final record.
-pub(super) fn job_end_of(end: EndRecord) -> JobEnd {
+pub(super) fn to_job_end(end: EndRecord) -> JobEnd {
     match end.state {
         JobState::Done => JobEnd::Done,
-        _ if end.given_up => JobEnd::GivenUp,
+        _ if end.cancelled_by_scheduler => JobEnd::Failed,
         _ => JobEnd::Cancelled,
     }
 }
